--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -196,8 +196,10 @@
             number = entry.listed.server
             named.add(number)
             waited = self.pending.get(number)
-            if waited is not None and entry.listed.status is waited[1] and (
-                waited[1] is ServerStatus.GONE or entry.listed.weight == waited[2]
+            if (
+                waited is not None
+                and entry.listed.status is waited[1]
+                and (waited[1] is ServerStatus.GONE or entry.listed.weight == waited[2])
             ):
                 self.got(number, at_us)
         if kind is ListKind.FULL:
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -421,9 +421,7 @@
     return {"rate_request_us": costs["rate_request_us"]}
 
 
-def _under_load(
-    costs: Costs, name: str, runner: asyncio.Runner, clients: Clients, pid: int, seconds: float
-) -> None:
+def _under_load(costs: Costs, name: str, runner: asyncio.Runner, clients: Clients, pid: int, seconds: float) -> None:
     before = cpu_ms(pid)
     found = runner.run(clients.run(seconds))
     spent = cpu_ms(pid) - before
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -122,8 +122,9 @@
     Spec("presence_kib", "presence", _OTHERS, "sharing, memory", "KiB"),
     Spec("news_all_ms", "news", _OTHERS, "until all gateways doubt a host that fails", "ms"),
     Spec("news_bytes_per_s", "news", _OTHERS, "sharing, bytes a second meanwhile", "bytes/s"),
-    Spec("duties_datagrams_per_s", "duties", _OTHERS, "duties, datagrams a second of all gateways, 8 cold hosts",
-         "/s"),
+    Spec(
+        "duties_datagrams_per_s", "duties", _OTHERS, "duties, datagrams a second of all gateways, 8 cold hosts", "/s"
+    ),
     Spec("duties_bytes_per_s", "duties", _OTHERS, "duties, bytes a second of all gateways, 8 hosts cold", "bytes/s"),
     Spec("duties_ms_per_s", "duties", _OTHERS, "duties, CPU a second of one gateway, 8 hosts cold", "ms/s"),
     Spec("relay_take_ms", "relay", _RELAY, "CPU of a whole list taken", "ms"),
@@ -145,11 +146,21 @@
     Spec("routes_bytes", "routes", _SETTINGS, "bytes of a file of routes", "bytes", estimate=True),
     Spec("services_kib", "services", _SETTINGS, "state that services would need", "KiB", estimate=True),
     Spec("relayed_p99_added_ms", "relayed", _REQUESTS, "p99 added behind a relay, nothing changes", "ms"),
-    Spec("relayed_changes_p99_added_ms", "relayed", _REQUESTS,
-         "the same, hosts are restarted at ten times the day's rate of the whole fleet", "ms"),
+    Spec(
+        "relayed_changes_p99_added_ms",
+        "relayed",
+        _REQUESTS,
+        "the same, hosts are restarted at ten times the day's rate of the whole fleet",
+        "ms",
+    ),
     Spec("relayed_p99_direct_ms", "relayed", _REQUESTS, "p99 sent directly meanwhile, nothing changes", "ms"),
     Spec("relayed_changes_p99_direct_ms", "relayed", _REQUESTS, "the same, hosts are restarted", "ms"),
-    Spec("relayed_refused", "relayed", _REQUESTS, "share of requests not served behind a relay, nothing changes",
-         "share"),
+    Spec(
+        "relayed_refused",
+        "relayed",
+        _REQUESTS,
+        "share of requests not served behind a relay, nothing changes",
+        "share",
+    ),
     Spec("relayed_changes_refused", "relayed", _REQUESTS, "the same, hosts are restarted", "share"),
 )
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -153,8 +153,9 @@
         if row.get("missing_while_cut"):
             self.faults.append(f"{where}: {row['missing_while_cut']} lack a change of their own half: {row['some']}")
         if row.get("undone"):
-            self.faults.append(f"{where}: {row['undone']} gateways were told that a host serves that had left: "
-                               f"{row['some']}")
+            self.faults.append(
+                f"{where}: {row['undone']} gateways were told that a host serves that had left: " f"{row['some']}"
+            )
         if row.get("emptied"):
             self.faults.append(f"{where}: {row['emptied']} lists left a gateway without a host")
         for key, what in (("lost", "lost"), ("failed", "failed")):
@@ -175,9 +176,7 @@
             self.peak_mb = max(self.peak_mb, mb)
             if time.monotonic() >= due_s:
                 due_s = time.monotonic() + REPORT_S
-                self.say(
-                    f"  .. {mb:.0f} of {MEMORY_MB} MB, {world.processes()} processes, {self.left_s:.0f} s left"
-                )
+                self.say(f"  .. {mb:.0f} of {MEMORY_MB} MB, {world.processes()} processes, {self.left_s:.0f} s left")
             if mb > MEMORY_MB and playing is not None:
                 self.faults.append(f"{mb:.0f} MB of {MEMORY_MB}: the run is ended")
                 playing.cancel()
--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -78,7 +78,7 @@
         return {"at_us": at_us}
 
     async def down(self, order: dict[str, Any]) -> dict[str, Any]:
-        """"503", "reset" or "silent"; "": up again."""
+        """ "503", "reset" or "silent"; "": up again."""
         for half in self.halves.halves.values():
             await half.registry.set_down(order["how"])
         return {"at_us": clock_us()}
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -180,9 +180,7 @@
         self.dice = random.Random(f"{seed}/load")
         shelf = Shelf(0, CLASSES["hold"].window_us)
         rules = Rules(sockets=SOCKETS)
-        self.boxes = [
-            Box(f"rack-{n}", 0, shelf, self.ledger, self.network, KIND, rules, seed) for n in range(racks)
-        ]
+        self.boxes = [Box(f"rack-{n}", 0, shelf, self.ledger, self.network, KIND, rules, seed) for n in range(racks)]
         self.front, self.straight = Front(seed), Front(seed)
         habits = Habits(retries=0, leave=0.0, hint=HINT)
         self.clients = Clients(self.ledger, self.front, seed, 1.0, habits)
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -28,6 +28,7 @@
 QUICK_S: Final = 80.0
 LOAD_S: Final = {False: 12.0, True: 1.0}  # of requests, each time: 1,600 of them, so that 16 are beyond p99
 
+
 @dataclass
 class Measured:
     """By part and size: what its process printed; and what there is no figure of, with the cause."""
@@ -37,6 +38,7 @@
     spread: dict[tuple[str, int], dict[str, tuple[float, float]]] = field(default_factory=dict)
     lacking: list[str] = field(default_factory=list)
 
+
 def measure(parts: Sequence[Part], quick: bool, limit_s: float) -> Measured:
     found = Measured()
     end = time.monotonic() + limit_s
@@ -64,6 +66,7 @@
                 found.spread[part.name, size] = {name: (min(v), max(v)) for name, v in by_cost.items()}
     return found
 
+
 def run_part(name: str, size: int, load_s: float, limit_s: float) -> dict[str, float] | str:
     """What it printed, or why there is nothing."""
     command = (sys.executable, "-m", "benchmarks.capacity.parts", name, str(size), "--seconds", str(load_s))
@@ -83,6 +86,7 @@
     made: dict[str, float] = json.loads(out.strip().splitlines()[-1])
     return made
 
+
 def about(quick: bool) -> dict[str, Any]:
     """What each row says of where it was measured."""
     commit = subprocess.run(
@@ -98,6 +102,7 @@
         "build": BUILD,
     }
 
+
 def rows_of(found: Measured, told: dict[str, Any], specs: Sequence[Spec] = SPECS) -> list[dict[str, Any]]:
     """The rows of the file; what has too few sizes for a curve goes to `found.lacking`."""
     parts = {part.name: part for part in PARTS}
@@ -129,13 +134,16 @@
         )  # fmt: skip
     return rows
 
+
 def rounded(value: float) -> float:
     return float(f"{value:.4g}")
 
+
 def curve_of(row: dict[str, Any]) -> Curve:
     a, b = row["coefficients"]
     return Curve(row["fit"], a, b, row["residual"])
 
+
 def show(rows: Sequence[dict[str, Any]]) -> None:
     role = ""
     for row in rows:
@@ -151,6 +159,7 @@
         print(f"      {row['fit']} (a {a:.4g}, b {b:.4g}), residual {row['residual']:.1%}; at {row['plan']:g}: "
               f"{row['at_plan']:g}, {row['extrapolation']:g} times the largest measured")  # fmt: skip
 
+
 def main(quick: bool, file: Path | None, only: Sequence[str] = (), any_build: bool = False) -> int:
     """Exit code: 0; 1 where a part failed; 2 where the build is not the compiled one."""
     if BUILD != "compiled" and not any_build:
@@ -172,6 +181,7 @@
         file.write_text(json.dumps(made, indent=1) + "\n")
     return 1 if any("failed" in line for line in found.lacking) else 0
 
+
 def read(file: Path) -> dict[str, dict[str, Any]]:
     """Rows by name. OSError or ValueError where the file cannot be used."""
     raw = json.loads(file.read_text())
--- a/benchmarks/guards/__main__.py
+++ b/benchmarks/guards/__main__.py
@@ -179,9 +179,7 @@
     if not options.quick:
         bad += show_tests(*carry_out_tests(rows, len(os.sched_getaffinity(0))), console)
     if options.json is not None:
-        found = [
-            {"play": asdict(play), "out": list(out)} | asdict(result) for (play, out), result in results.items()
-        ]
+        found = [{"play": asdict(play), "out": list(out)} | asdict(result) for (play, out), result in results.items()]
         options.json.write_text(json.dumps(found, indent=1) + "\n")
     return 1 if bad else 0
 
--- a/benchmarks/guards/maimed.py
+++ b/benchmarks/guards/maimed.py
@@ -1634,8 +1634,14 @@
     """A relay's list counts as of the moment in which its answer was read."""
     from cloverkeel.relay.source import Source
 
-    cut(Source, "hear", ("self.index_of_discovery, self.confirmed_us = index, self.asked_us",
-                         "self.index_of_discovery, self.confirmed_us = index, now_us()"))
+    cut(
+        Source,
+        "hear",
+        (
+            "self.index_of_discovery, self.confirmed_us = index, self.asked_us",
+            "self.index_of_discovery, self.confirmed_us = index, now_us()",
+        ),
+    )
 
 
 @entry("relay-gzip-asked")
--- a/benchmarks/guards/tested.py
+++ b/benchmarks/guards/tested.py
@@ -42,9 +42,7 @@
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "--tb=line", *options, *tests]
     environment = os.environ | {"CLOVERKEEL_PLAIN": "1"}
     try:
-        done = subprocess.run(
-            command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=LONGEST_S
-        )
+        done = subprocess.run(command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=LONGEST_S)
     except subprocess.TimeoutExpired:
         return -1, f"not done in {LONGEST_S:.0f} s"
     return done.returncode, done.stdout + done.stderr
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -16,7 +16,17 @@
 
 from benchmarks.fleet_logs import MARK, Second, check
 from benchmarks.overload.account import (
-    Account, Finding, Machine, Row, Sample, Told, Try, Want, Window, Work, judge,
+    Account,
+    Finding,
+    Machine,
+    Row,
+    Sample,
+    Told,
+    Try,
+    Want,
+    Window,
+    Work,
+    judge,
 )
 from benchmarks.overload.plan import Terms
 from standins.ledger import Answered, Asked, Ledger, Unanswered, Wanted, now_us
@@ -226,8 +236,13 @@
         told = list(told_of(Path(folder)))
     steps = world.windows()
     account = Account(
-        wants_of(world.ledger), world.works, terms.hosts * terms.cores, terms.hosts, world.capacity,
-        world.samples, told,
+        wants_of(world.ledger),
+        world.works,
+        terms.hosts * terms.cores,
+        terms.hosts,
+        world.capacity,
+        world.samples,
+        told,
     )
     rows = account.rows(steps, [between(*marks) for marks in pairwise(world.marks)])
     after = [window for window in steps if window.direction == "after"]
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -184,9 +184,12 @@
             peers = {"peers": [f"{host}:{port}" for host, port in addresses]}
             peers["peer_listen"] = peers["peers"][0]
             told = made | {"balancers": 5, "index": 0, "caps": made["caps"] | {"peers": True}}
-        gateway.configure = lambda gateway=gateway, peers=peers, told=told: configuration(  # type: ignore[misc]
-            gateway.name, f"127.0.0.1:{gateway.port}", "127.0.0.1:9", "1", known, told
-        ) | peers
+        gateway.configure = (
+            lambda gateway=gateway, peers=peers, told=told: configuration(  # type: ignore[misc]
+                gateway.name, f"127.0.0.1:{gateway.port}", "127.0.0.1:9", "1", known, told
+            )
+            | peers
+        )
         gateways[name] = gateway
     rounds: list[dict[str, float]] = []
     if len(cores) > 4:
@@ -199,9 +202,7 @@
         for number in range(options.rounds + 1):
             found = {}
             for name in sorted(gateways, reverse=bool(number % 2)):  # in turn, each first as often
-                found[name] = await measure(
-                    gateways[name], options.requests, options.clients, options.klass, start
-                )
+                found[name] = await measure(gateways[name], options.requests, options.clients, options.klass, start)
                 start += options.requests
             if number:  # the first is to warm up
                 rounds.append(found)
--- a/caperdrift/balance.py
+++ b/caperdrift/balance.py
@@ -17,9 +17,35 @@
 from typing import Any, Final
 
 from caperdrift.interface import (
-    NEVER_RAN, Action, AnswerAll, AttemptEnded, Cancel, ColdShare, Effect, Event, Fail, Hearsay, ListedServer,
-    ListKind, Log, Outcome, ProcessesChanged, Refuse, RequestArrived, RequestGone, RetryRights, Scope, Send,
-    ServerList, ServerStatus, SetTimer, Settings, StreamStarted, TimerFired, TrialsHeld, WatchList,
+    NEVER_RAN,
+    Action,
+    AnswerAll,
+    AttemptEnded,
+    Cancel,
+    ColdShare,
+    Effect,
+    Event,
+    Fail,
+    Hearsay,
+    ListedServer,
+    ListKind,
+    Log,
+    Outcome,
+    ProcessesChanged,
+    Refuse,
+    RequestArrived,
+    RequestGone,
+    RetryRights,
+    Scope,
+    Send,
+    ServerList,
+    ServerStatus,
+    SetTimer,
+    Settings,
+    StreamStarted,
+    TimerFired,
+    TrialsHeld,
+    WatchList,
 )
 
 # The breaker
@@ -294,8 +320,15 @@
                  "out", "rests_until_us", "size", "streaming")  # fmt: skip
 
     def __init__(
-        self, id: str, klass: int, key: int | None, deadline_us: int, aim_us: int, size: float,
-        first_try: bool, excess: float,
+        self,
+        id: str,
+        klass: int,
+        key: int | None,
+        deadline_us: int,
+        aim_us: int,
+        size: float,
+        first_try: bool,
+        excess: float,
     ) -> None:
         self.id = id
         self.klass = klass
@@ -437,8 +470,14 @@
                 self.asked = [n / 2 for n in self.asked]
                 self.served = [n / 2 for n in self.served]
         return Request(
-            event.request, event.klass, event.key, self.now_us + event.patience_us,
-            self.now_us + max(0, klass.aim_us - used_us), size, first_try, self.excess(event.tenant),
+            event.request,
+            event.klass,
+            event.key,
+            self.now_us + event.patience_us,
+            self.now_us + max(0, klass.aim_us - used_us),
+            size,
+            first_try,
+            self.excess(event.tenant),
         )
 
     def excess(self, tenant: int) -> float:
@@ -578,7 +617,9 @@
         move = step if inflated else -step
         usual_us = OVERDUE * self.expected_us(request)
         if (
-            event.outcome is Outcome.TIMEOUT and klass.late_worth <= 0.0 and event.latency_us < usual_us
+            event.outcome is Outcome.TIMEOUT
+            and klass.late_worth <= 0.0
+            and event.latency_us < usual_us
             and attempt.server.answered_us < attempt.sent_us
         ):
             move = step / 4  # cut short at the aim, and silent: as likely a lost connection as a crowd
@@ -1284,4 +1325,3 @@
         if self.now_us - self.logged_us >= LOG_GAP_US:
             self.logged_us = self.now_us
             self.actions.append(Log(line))
-
--- a/caperdrift/interface.py
+++ b/caperdrift/interface.py
@@ -468,6 +468,4 @@
     line: str
 
 
-Action = (
-    Send | Refuse | Fail | Cancel | SetTimer | WatchList | FetchList | Probe | CloseIdle | TellPeers | Log
-)
+Action = Send | Refuse | Fail | Cancel | SetTimer | WatchList | FetchList | Probe | CloseIdle | TellPeers | Log
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -1,11 +1,11 @@
 """Start, signals, exit; the commands.
 
-    python -m cloverkeel            the gateway: LB_CONFIG names its configuration
-    python -m cloverkeel register   beside a box: keeps its ephemeral node
-    python -m cloverkeel duties ... who holds which duty; `duties --help` tells more
-    python -m cloverkeel peers ...  what the gateways know of one another and of hosts; `peers --help` tells more
-    python -m cloverkeel relay FILE the control plane's relay: tells gateways their subsets of the list
-    python -m cloverkeel try ...    real gateways among stand-ins; `try --help` tells more
+python -m cloverkeel            the gateway: LB_CONFIG names its configuration
+python -m cloverkeel register   beside a box: keeps its ephemeral node
+python -m cloverkeel duties ... who holds which duty; `duties --help` tells more
+python -m cloverkeel peers ...  what the gateways know of one another and of hosts; `peers --help` tells more
+python -m cloverkeel relay FILE the control plane's relay: tells gateways their subsets of the list
+python -m cloverkeel try ...    real gateways among stand-ins; `try --help` tells more
 """
 
 from __future__ import annotations
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -510,9 +510,7 @@
             held.call.client.on_served(held.call, end.reply)
         if held.closed and held.out == 0:
             self.forget(held)
-        return AttemptEnded(
-            held.ticket, number, server, end.outcome, end.latency_us, held.closed, end.load
-        )
+        return AttemptEnded(held.ticket, number, server, end.outcome, end.latency_us, held.closed, end.load)
 
     def cancel(self, action: Cancel) -> None:
         held = self.held.get(action.request)
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -110,8 +110,14 @@
         """Ask this, with the present time in µs, just before an attempt's first byte; if not, it ends as moot."""
 
     def begin(
-        self, server: int, payload: Payload, timeout_us: int, on_end: OnEnd, on_begin: OnBegin,
-        may_begin: MayBegin, begin_by_us: int,
+        self,
+        server: int,
+        payload: Payload,
+        timeout_us: int,
+        on_end: OnEnd,
+        on_begin: OnBegin,
+        may_begin: MayBegin,
+        begin_by_us: int,
     ) -> Attempt:
         """Begin an attempt at a server that is known; its end may come before this returns.
 
--- a/cloverkeel/duties/acceptor.py
+++ b/cloverkeel/duties/acceptor.py
@@ -119,9 +119,7 @@
             slot.held = held = None  # its holder stopped acting before it said so, and never acts under it again
         if held is not None and (held.number != number or held.nonce != nonce):
             left_us = held.ends_us - now_us
-            return None, Refused(
-                duty, ballot, round_, Why.HELD, held.number, held.nonce, left_us, slot.promised
-            )
+            return None, Refused(duty, ballot, round_, Why.HELD, held.number, held.nonce, left_us, slot.promised)
         if ballot < slot.promised:
             return None, Refused(duty, ballot, round_, Why.BALLOT, 0, 0, 0, slot.promised)
         return slot, None
--- a/cloverkeel/duties/lease.py
+++ b/cloverkeel/duties/lease.py
@@ -174,9 +174,7 @@
 class Lease(Tenure):
     """By a majority of voters."""
 
-    def __init__(
-        self, duty: int, terms: Terms, counter: Counter, rank: float, draw: Callable[[], float]
-    ) -> None:
+    def __init__(self, duty: int, terms: Terms, counter: Counter, rank: float, draw: Callable[[], float]) -> None:
         super().__init__(duty, terms.length_us, rank, draw)
         self.terms, self.counter = terms, counter
         self.ballot = 0  # of the round that is out, or of what it holds
--- a/cloverkeel/duties/room.py
+++ b/cloverkeel/duties/room.py
@@ -56,9 +56,7 @@
         self.colds = Colds(gateway.cold_share)
         counter = Counter(self.number, nonce)
         dice = random.Random(nonce)
-        self.office = Office(
-            self.number, len(config.peers), self.terms, log, dice.random, counter, None, nonce
-        )
+        self.office = Office(self.number, len(config.peers), self.terms, log, dice.random, counter, None, nonce)
         self.trier = options.trier
         self.outs = Outs(config.settings.zone, gateway.hold_trials)
         self.nodes: DutyNodes | None = None
--- a/cloverkeel/fronts/http1/server.py
+++ b/cloverkeel/fronts/http1/server.py
@@ -140,9 +140,7 @@
     async def take(self, accepted: socket.socket) -> None:
         try:
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(
-                lambda: cast(asyncio.Protocol, ClientConnection(self)), accepted
-            )
+            await self.loop.connect_accepted_socket(lambda: cast(asyncio.Protocol, ClientConnection(self)), accepted)
         except OSError:
             accepted.close()  # it has gone already
 
--- a/cloverkeel/membership/merge.py
+++ b/cloverkeel/membership/merge.py
@@ -120,9 +120,7 @@
         self.counts.lists += 1
         return self.settle()
 
-    def told(
-        self, now_us: int, source: Source, present: Iterable[Member] = (), gone: Iterable[str] = ()
-    ) -> Change:
+    def told(self, now_us: int, source: Source, present: Iterable[Member] = (), gone: Iterable[str] = ()) -> Change:
         """Single words of a live source."""
         words = self.words[source]
         for member in present:
--- a/cloverkeel/membership/relays.py
+++ b/cloverkeel/membership/relays.py
@@ -405,4 +405,3 @@
         elif self.wide and now_s - max(self.need_s, self.step_s) >= WIDE_BACK_S:
             self.wide, self.step_s = self.wide - 1, now_s
         return self.wide
-
--- a/cloverkeel/relay/feed.py
+++ b/cloverkeel/relay/feed.py
@@ -474,9 +474,7 @@
         return tuple(entry for part in parts for entry in part)
 
 
-def compare(
-    before: Window | None, after: Window | None, went: dict[str, Host], came: dict[str, bytes]
-) -> None:
+def compare(before: Window | None, after: Window | None, went: dict[str, Host], came: dict[str, bytes]) -> None:
     """What left a window, and what has to be told of it."""
     if before is after:
         return
--- a/cloverkeel/upstream/pools.py
+++ b/cloverkeel/upstream/pools.py
@@ -198,9 +198,7 @@
 class Pools:
     """Carries attempts to hosts. Every attempt that is sent ends once, by its `on_end`."""
 
-    def __init__(
-        self, settings: Settings, room: Callable[[], bool] = lambda: True, reads_load: bool = False
-    ) -> None:
+    def __init__(self, settings: Settings, room: Callable[[], bool] = lambda: True, reads_load: bool = False) -> None:
         self.settings = settings
         self.reads_load = reads_load  # the decision module ignores load reports: they are read for who does not
         self.loop = asyncio.get_running_loop()
--- a/standins/parties/box.py
+++ b/standins/parties/box.py
@@ -247,7 +247,12 @@
             self.reports.append((now, fields))
         self.ledger.add(
             BoxLoad(
-                now, self.name, self.state, self.running, len(self.waiting), len(self.connections),
+                now,
+                self.name,
+                self.state,
+                self.running,
+                len(self.waiting),
+                len(self.connections),
                 self.capacity(),
             )
         )
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -248,9 +248,7 @@
                 return
             await asyncio.sleep(wait_s)
 
-    def request(
-        self, klass: Klass, id_: str, tenant: str, budget_us: int, slip: int, key: str, cost: int
-    ) -> bytes:
+    def request(self, klass: Klass, id_: str, tenant: str, budget_us: int, slip: int, key: str, cost: int) -> bytes:
         body = b"" if klass.effect == "safe" else f"slip {slip} ".encode() * 8
         lines = [
             f"{'GET' if klass.effect == 'safe' else 'POST'} /{klass.name}/{slip} HTTP/1.1", "Host: backend.local",
@@ -360,9 +358,7 @@
         "half a request": [good.encode()],
         "an endless head": [good.encode()] + [b"X-More: " + b"y" * 16000 + b"\r\n"] * 4000,
         "thousands at once": [many] * 250,
-        "the id of an open request": [
-            f"{head}X-Call-Id: {open_id}\r\nX-Budget-Ms: 300\r\n\r\n".encode()
-        ],
+        "the id of an open request": [f"{head}X-Call-Id: {open_id}\r\nX-Budget-Ms: 300\r\n\r\n".encode()],
         "its own id again": [good.encode() + b"\r\n"],
         "a budget beyond all": [good.replace("400", "9" * 15).encode() + b"\r\n"],
         "nothing": [],
--- a/standins/parties/network.py
+++ b/standins/parties/network.py
@@ -436,9 +436,7 @@
         self.links.append(link)
         return link
 
-    def udp(
-        self, near: str, far: str, target: Callable[[], Address | None], known: Address | None = None
-    ) -> UdpLink:
+    def udp(self, near: str, far: str, target: Callable[[], Address | None], known: Address | None = None) -> UdpLink:
         link = UdpLink(self, near, far, target, known)
         self.links.append(link)
         return link
--- a/standins/parties/zookeeper/threaded.py
+++ b/standins/parties/zookeeper/threaded.py
@@ -34,5 +34,3 @@
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(CALL_S)
         self.loop.close()
-
-
--- a/standins/parties/zookeeper/tree.py
+++ b/standins/parties/zookeeper/tree.py
@@ -200,9 +200,7 @@
             case DataSet(path, data):
                 node = self.nodes[path]
                 node.data = data
-                node.stat = replace(
-                    node.stat, mzxid=change.zxid, mtime=change.time_ms, version=node.stat.version + 1
-                )
+                node.stat = replace(node.stat, mzxid=change.zxid, mtime=change.time_ms, version=node.stat.version + 1)
                 return [(EventType.DATA_CHANGED, path)]
             case AclSet(path, acl):
                 node = self.nodes[path]
--- a/standins/playing/keeper_play.py
+++ b/standins/playing/keeper_play.py
@@ -132,9 +132,7 @@
                 for box in self.boxes.values()
                 if box.address is not None and box.incarnation == 1 and not box.cold
             ]  # fmt: skip
-            mine = settings(
-                len(self.gateways), number, gateway.room, self.kind, self.rules, self.classes
-            )
+            mine = settings(len(self.gateways), number, gateway.room, self.kind, self.rules, self.classes)
             return configuration(
                 gateway.name, f"127.0.0.1:{gateway.port}", "127.0.0.1:9",
                 f"{self.seed}/{number}/{len(gateway.exits)}", known, mine | {"membershipMode": "pushed"}, self.rules,
--- a/standins/playing/play.py
+++ b/standins/playing/play.py
@@ -68,8 +68,15 @@
         self.faults: list[str] = []  # what gateways' logs tell of defects
         self.gateways = [
             Gateway(
-                f"n{n}", n % len(ROOMS), folder, self.configure(n), self.ledger, self.on_ready, self.on_exit,
-                sockets=scenario.sockets, has_ops=scenario.ops,
+                f"n{n}",
+                n % len(ROOMS),
+                folder,
+                self.configure(n),
+                self.ledger,
+                self.on_ready,
+                self.on_exit,
+                sockets=scenario.sockets,
+                has_ops=scenario.ops,
             )  # fmt: skip
             for n in range(scenario.gateways)
         ]
--- a/standins/showing/report.py
+++ b/standins/showing/report.py
@@ -45,9 +45,7 @@
     def line(self, points: Sequence[tuple[float, float]], colour: str, dash: str = "") -> None:
         path = " ".join(f"{x:.1f},{y:.1f}" for x, y in points)
         dashed = f' stroke-dasharray="{dash}"' if dash else ""
-        self.parts.append(
-            f'<polyline points="{path}" fill="none" stroke="{colour}" stroke-width="1.6"{dashed}/>'
-        )
+        self.parts.append(f'<polyline points="{path}" fill="none" stroke="{colour}" stroke-width="1.6"{dashed}/>')
 
     def rect(self, x: float, y: float, width: float, height: float, colour: str, title: str = "") -> None:
         about = f"<title>{html.escape(title)}</title>" if title else ""
@@ -60,9 +58,7 @@
         self.parts.append(f'<text x="{x:.1f}" y="{y:.1f}" text-anchor="{anchor}">{html.escape(text)}</text>')
 
     def rule(self, y: float, text: str) -> None:
-        self.parts.append(
-            f'<line x1="{LEFT}" x2="{WIDTH - RIGHT}" y1="{y:.1f}" y2="{y:.1f}" stroke="#e2e8f0"/>'
-        )
+        self.parts.append(f'<line x1="{LEFT}" x2="{WIDTH - RIGHT}" y1="{y:.1f}" y2="{y:.1f}" stroke="#e2e8f0"/>')
         self.text(LEFT - 6, y + 4, text, "end")
 
     def times(self, troubles: Sequence[tuple[float, str]]) -> None:
@@ -183,9 +179,7 @@
         )  # fmt: skip
         rows.append("<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in cells) + "</tr>")
     head = ("class", "wanted", "in time", "p50 ms", "p90", "p99", "longest", "attempts", "answers")
-    return (
-        "<table><tr>" + "".join(f"<th>{cell}</th>" for cell in head) + "</tr>" + "".join(rows) + "</table>"
-    )
+    return "<table><tr>" + "".join(f"<th>{cell}</th>" for cell in head) + "</tr>" + "".join(rows) + "</table>"
 
 
 def render(ledger: Ledger, summary: Summary, breaches: Sequence[Breach], about: str) -> str:
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -67,9 +67,7 @@
         held = await fleet.holder()
         fleet.stop(*others(fleet, held.gateway))
         stopped_us = now_us()
-        await fleet.wait(
-            lambda: now_us() - fleet.acts[-1].at_us > 200_000, "it stops acting", 4 * fleet.lease_s
-        )
+        await fleet.wait(lambda: now_us() - fleet.acts[-1].at_us > 200_000, "it stops acting", 4 * fleet.lease_s)
         # Not later than its lease by its own clock, and what the watcher's question and the answer take.
         assert fleet.acts[-1].at_us - stopped_us < fleet.lease_ms * 1000 + 100_000
         await fleet.nobody(fleet.lease_s)
--- a/tests/fleet/test_duties_service.py
+++ b/tests/fleet/test_duties_service.py
@@ -129,6 +129,7 @@
         await call(keeper, lambda: keeper.ensemble.come_back(lost=changes - 4))
         after = await fleet.holder(after_us=now_us(), within_s=25.0)
         assert after.gateway < fleet.count and held.epoch > 0
+
         # The watcher tells nobody what it has seen, the gateways do: another holder goes on above it.
         def is_above(act: Seen | None) -> bool:
             same = act is not None and (act.nonce, act.epoch) == (held.nonce, held.epoch)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -58,9 +58,7 @@
     def list_servers(self, *entries: ListedServer, kind: ListKind = ListKind.FULL) -> list[Action]:
         return self.handle(ServerList(kind, entries))
 
-    def arrive(
-        self, klass: int = 0, patience_us: int = 400_000, **extra: int | bool
-    ) -> tuple[str, list[Action]]:
+    def arrive(self, klass: int = 0, patience_us: int = 400_000, **extra: int | bool) -> tuple[str, list[Action]]:
         self.count += 1
         name = f"r{self.count}"
         event = RequestArrived(name, klass, patience_us)
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -406,5 +406,3 @@
     first, second = auditor.life("n0", T0 + S), auditor.life("n0", T0 + 3 * S)
     assert first is not None and second is not None and first.kill_us == T0 + S and second.start_us == T0 + 2 * S
     assert auditor.life("n0", T0 - 1) is None and auditor.life("n1", T0) is None
-
-
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -128,9 +128,7 @@
     ],
 )
 @on_loop
-async def test_what_is_no_request_is_refused_and_nothing_of_it_reaches_a_host(
-    data: bytes, status: int
-) -> None:
+async def test_what_is_no_request_is_refused_and_nothing_of_it_reaches_a_host(data: bytes, status: int) -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(data)
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -207,9 +207,7 @@
 
 @on_loop
 async def test_what_the_host_says_passes_back_and_what_the_client_says_passes_on() -> None:
-    script = answers(
-        reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
-    )
+    script = answers(reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2"))
     async with peer(script) as host, running(configuration(host)) as run:
         told = outcomes(run)
         data = request("hold", b"slip", connection="keep-alive, x-hop", x_hop="1", budget_ms=5_000)
--- a/tests/test_membership_ephemeral.py
+++ b/tests/test_membership_ephemeral.py
@@ -630,5 +630,3 @@
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
-
-
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -713,8 +713,16 @@
 @pytest.mark.parametrize(
     "body",
     [
-        b"", b"[]", b"{", b'{"endpoints":[{}', b'{"endpoints":[{} {}]}', b'{"endpoints":[{},]}', b'{"a":1,}',
-        b"{} {}", b'{"a":1 "b":2}', b"{1:2}",
+        b"",
+        b"[]",
+        b"{",
+        b'{"endpoints":[{}',
+        b'{"endpoints":[{} {}]}',
+        b'{"endpoints":[{},]}',
+        b'{"a":1,}',
+        b"{} {}",
+        b'{"a":1 "b":2}',
+        b"{1:2}",
     ],
 )
 def test_a_long_body_that_is_cut_or_no_object_is_rubbish(body: bytes) -> None:
--- a/tests/test_relay_subset.py
+++ b/tests/test_relay_subset.py
@@ -234,8 +234,6 @@
     return '{"regions": {"r": ["z"]}, "gateways": {"g": %s}}' % post  # noqa: UP031 - braces
 
 
-
-
 def test_a_roster_says_where_each_gateway_is_and_before_what() -> None:
     raw = GOOD | {"gateways": GOOD["gateways"] | {"g9": {"zone": "r1-a", "services": ["a", "b"]}}}
     made = parse_roster(json.dumps(raw), "f")
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -407,7 +407,10 @@
 @on_loop
 async def test_it_names_itself_and_asks_one_relay_alone() -> None:
     async with (
-        peer() as host, peer() as a, peer() as b, peer() as discovery,
+        peer() as host,
+        peer() as a,
+        peer() as b,
+        peer() as discovery,
         behind(host, [a, b], discovery.address, services=("s1", "s 2")) as (run, (first, second)),
     ):
         first.script = holding(relay_list(5, endpoint("s-1", host.address, service="s1", users=12)))
@@ -445,7 +448,9 @@
 @on_loop
 async def test_a_relay_that_fails_costs_no_news_and_the_list_stands(fault: str) -> None:
     async with (
-        peer() as host, peer() as a, peer() as b,
+        peer() as host,
+        peer() as a,
+        peer() as b,
         behind(host, [a, b]) as (run, (first, second)),
     ):
         since: list[float] = []
@@ -502,7 +507,9 @@
 @on_loop
 async def test_what_a_relay_says_that_was_left_is_not_heard() -> None:
     async with (
-        peer() as host, peer() as a, peer() as b,
+        peer() as host,
+        peer() as a,
+        peer() as b,
         behind(host, [a, b]) as (run, (first, second)),
     ):
         paced: list[bool] = []
@@ -527,7 +534,9 @@
 async def test_a_move_at_the_moment_of_a_drain_does_not_undo_it(age_ms: int) -> None:
     """The relay that it moves to has not heard of the drain; what it says counts once its list is as young."""
     async with (
-        peer() as host, peer() as a, peer() as b,
+        peer() as host,
+        peer() as a,
+        peer() as b,
         behind(host, [a, b]) as (run, (first, second)),
     ):
 
@@ -576,7 +585,8 @@
 @on_loop
 async def test_a_gateway_whose_hosts_fail_asks_for_more() -> None:
     async with (
-        peer() as host, peer() as a,
+        peer() as host,
+        peer() as a,
         behind(host, [a]) as (run, (relay,)),
     ):
         relay.script = holding(relay_list(5, endpoint("s-0", host.address), endpoint("s-1", host.address)))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -114,9 +114,7 @@
         case.tries.append(Try(action.server, self.now_us, action.timeout_us))
 
     def may_have_run(self, attempt: Try) -> bool:
-        return attempt.outcome not in NEVER_RAN or (
-            attempt.outcome is Outcome.FULL and self.rules.full_unproven
-        )
+        return attempt.outcome not in NEVER_RAN or (attempt.outcome is Outcome.FULL and self.rules.full_unproven)
 
     def check_turn(self, name: str, case: Case) -> None:
         """In order: everything earlier of the key is over, and has rested since its last loose end."""
@@ -155,9 +153,7 @@
         attempt = case.tries[number]
         attempt.outcome, attempt.ended_us = outcome, self.now_us
         case.done = case.done or outcome is Outcome.OK
-        event = AttemptEnded(
-            name, number, attempt.server, outcome, self.now_us - attempt.sent_us, finished=case.done
-        )
+        event = AttemptEnded(name, number, attempt.server, outcome, self.now_us - attempt.sent_us, finished=case.done)
         self.give(event)
 
     def leave(self, pick: int) -> None:
@@ -207,9 +203,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 3), st.sampled_from(VARIANTS), st.lists(STEPS, min_size=10, max_size=150))
-def test_rules_hold_on_any_sequence(
-    seed: int, rules: Settings, steps: list[tuple[str, int, int]]
-) -> None:
+def test_rules_hold_on_any_sequence(seed: int, rules: Settings, steps: list[tuple[str, int, int]]) -> None:
     world = World(seed, rules)
     for what, first, second in steps:
         if what == "arrive":
@@ -237,9 +231,7 @@
     logs = []
     for _ in range(2):
         balancer = Balancer(SETTINGS, seed)
-        log = list(
-            balancer.handle(START_US, ServerList(ListKind.FULL, tuple(ListedServer(n) for n in range(8))))
-        )
+        log = list(balancer.handle(START_US, ServerList(ListKind.FULL, tuple(ListedServer(n) for n in range(8)))))
         for n in range(200):
             log += balancer.handle(START_US + n * 1_000, RequestArrived(f"r{n}", n % 3, 300_000))
         logs.append(log)
--- a/tests/test_standin_box.py
+++ b/tests/test_standin_box.py
@@ -266,8 +266,10 @@
 STALE = Choke(easy=1, steep=0.5, many=1, long_us=0, choked=2.0, slow_us=60_000_000)
 
 
-@given(st.lists(st.tuples(st.integers(1, 25), st.integers(0, 6)), min_size=1, max_size=12), st.lists(
-    st.integers(0, 25), min_size=12, max_size=12))
+@given(
+    st.lists(st.tuples(st.integers(1, 25), st.integers(0, 6)), min_size=1, max_size=12),
+    st.lists(st.integers(0, 25), min_size=12, max_size=12),
+)
 def test_a_strain_is_what_the_whole_past_says(notes: list[tuple[int, int]], looks: list[int]) -> None:
     """Looked at at any moments, it is what a second reading of all that was held says at the last one."""
     law = Choke(easy=2, many=4, long_us=20, slow_us=30, most=1.5, steep=0.25, choked=2.0)
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -213,9 +213,7 @@
 @asynccontextmanager
 async def stage() -> AsyncIterator[Stage]:
     with socket.create_server(("127.0.0.1", 0)) as host, socket.create_server(("127.0.0.1", 0)) as listener:
-        config = configuration(
-            "{}:{}".format(*host.getsockname()), discovery="{}:{}".format(*listener.getsockname())
-        )
+        config = configuration("{}:{}".format(*host.getsockname()), discovery="{}:{}".format(*listener.getsockname()))
         config["settings"]["contract"]["stopSendingWithinUs"] = GRACE_US
         async with running(config) as run:
             listener.setblocking(False)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -110,9 +110,7 @@
 
 
 def test_list_entries_are_read() -> None:
-    _, fields = split_line(
-        "host campus=1 host=7 heft=1.5 group=3 sinceUs=61 status=Terminating classOfHost=2"
-    )
+    _, fields = split_line("host campus=1 host=7 heft=1.5 group=3 sinceUs=61 status=Terminating classOfHost=2")
     assert parse_server(fields) == ListedServer(7, ServerStatus.DRAINING, 1.5, 1, 3, 2, 61)
 
 
@@ -156,9 +154,7 @@
 def test_settings_that_cannot_be_used_are_named(boot: str, word: str) -> None:
     with pytest.raises(WireError, match=word):
         parse_settings(boot)
-    replies, errors = run(
-        "begin_batch simTimeUs=1", "instance i=gateway_0", f"launch prng=1 bootInfo={boot}", "go"
-    )
+    replies, errors = run("begin_batch simTimeUs=1", "instance i=gateway_0", f"launch prng=1 bootInfo={boot}", "go")
     assert replies == ["next"]
     assert "line 3" in errors and word in errors and "Traceback" not in errors
 
@@ -219,9 +215,7 @@
 
 
 def test_an_unknown_instance_is_named() -> None:
-    replies, errors = run(
-        "begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go"
-    )
+    replies, errors = run("begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go")
     assert replies == ["next"]
     assert "gateway_8" in errors
 
--- a/tests/test_zookeeper_protocol.py
+++ b/tests/test_zookeeper_protocol.py
@@ -56,19 +56,33 @@
     "0000000000000000"  # lastZxidSeen
     "00002710"  # timeOut: 10,000 ms
     "0000000000000000"  # sessionId
-    "00000010" + "00" * 16  # passwd
+    "00000010"
+    + "00" * 16  # passwd
     + "00"  # readOnly
 )
 GOLDEN_CREATE = bytes.fromhex(
-    "00000001" "00000001"  # xid 1, type create
-    "00000002" "2f61"  # "/a"
-    "00000001" "78"  # data "x"
-    "00000001" "0000001f" "00000005" "776f726c64" "00000006" "616e796f6e65"  # one ACL: 31, world, anyone
+    "00000001"
+    "00000001"  # xid 1, type create
+    "00000002"
+    "2f61"  # "/a"
+    "00000001"
+    "78"  # data "x"
+    "00000001"
+    "0000001f"
+    "00000005"
+    "776f726c64"
+    "00000006"
+    "616e796f6e65"  # one ACL: 31, world, anyone
     "00000001"  # flags: ephemeral
 )
 GOLDEN_EVENT = bytes.fromhex(
-    "ffffffff" "ffffffffffffffff" "00000000"  # xid -1, zxid -1, err 0
-    "00000003" "00000003" "00000002" "2f61"  # changed, connected, "/a"
+    "ffffffff"
+    "ffffffffffffffff"
+    "00000000"  # xid -1, zxid -1, err 0
+    "00000003"
+    "00000003"
+    "00000002"
+    "2f61"  # changed, connected, "/a"
 )
 GOLDEN_MULTI = bytes.fromhex(
     "00000002" "0000000e"
