--- a/benchmarks/guards/__main__.py
+++ b/benchmarks/guards/__main__.py
@@ -24,9 +24,11 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from benchmarks.guards.maimed import GUARDS
+import benchmarks.guards.mutants  # noqa: F401: registers them
+from benchmarks.guards.patching import GUARDS
 from benchmarks.guards.playing import Found, Play, carry_out
-from benchmarks.guards.rows import ROWS, Row
+from benchmarks.guards.row import Row
+from benchmarks.guards.table import ROWS
 from benchmarks.guards.tested import Verdict
 from benchmarks.guards.tested import carry_out as carry_out_tests
 
--- /dev/null
+++ b/benchmarks/guards/mutants/core.py
@@ -0,0 +1,243 @@
+"""Mutants of the core: each takes out one guard."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+from benchmarks.guards.patching import cut, entry, swap
+
+
+@entry("answers-module-error")
+def _() -> None:
+    """An event that the module fails at ends the turn; nobody is answered."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "handle", ("except Exception:\n        # Guards against one bad", "except MemoryError:\n        #"))
+
+
+@entry("answers-action-error")
+def _() -> None:
+    """An action that can't be carried out ends the turn, and the actions after it are lost."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(
+        Gateway, "handle",
+        ("except Exception:\n            # Guards the client", "except MemoryError:\n            #"),
+    )  # fmt: skip
+
+
+@entry("answer-owed")
+def _() -> None:
+    """A final answer is carried out for a request that is over."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "owed", ("held is None or held.closed", "held is None"))
+
+
+@entry("deadline-gateway")
+def _() -> None:
+    """The gateway waits for as long as the module says, past the client's deadline too."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "send", ("min(action.timeout_us, left_us)", "action.timeout_us"))
+
+
+@entry("ids-in-use")
+def _() -> None:
+    """A request with the id of one that is open is taken."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "arrive", ("if call.id in self.by_id:", "if False:"))
+
+
+@entry("tickets")
+def _() -> None:
+    """The module knows a request by its client's id."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "arrive", ("str(next(self.tickets))", "call.id"))
+
+
+def other_way_out(**changes: Any) -> None:
+    from cloverkeel.core import draining as emptying
+    from cloverkeel.frontends.http1 import server
+
+    old = emptying.on_the_way_out
+    for owner in (emptying, server):
+        swap(owner, "on_the_way_out", lambda longest_s: replace(old(longest_s), **changes))
+
+
+@entry("way-out-ends")
+def _() -> None:
+    """On SIGTERM the program goes on as long as any client is connected."""
+    from cloverkeel.core.draining import Timetable
+
+    swap(Timetable, "may_close", lambda *args: False)
+
+
+@entry("way-out-bound")
+def _() -> None:
+    """Nothing bounds the way out."""
+    from cloverkeel.core import draining as emptying
+
+    swap(emptying, "LAST_S", 3600.0)
+
+
+@entry("idle-first")
+def _() -> None:
+    """On the way out a connection is closed before its first request had time to come."""
+    other_way_out(first_s=0.0)
+
+
+@entry("way-out-keeps")
+def _() -> None:
+    """On the way out each answer ends its connection at once."""
+    other_way_out(keep_s=0.0)
+
+
+@entry("way-out-hurry")
+def _() -> None:
+    """On the way out half a request is waited for to the end."""
+    other_way_out(hurry_s=3600.0)
+
+
+@entry("budget-as-written")
+def _() -> None:
+    """A host is told the time that was left when its connection was asked for."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "send", ("(end_us - at_us)", "wait_us"))
+
+
+@entry("attempts-gateway")
+def _() -> None:
+    """The gateway counts no attempts."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "send", ("or number >= self.settings.max_attempts", ""))
+
+
+@entry("wanted")
+def _() -> None:
+    """An attempt whose connection comes up goes out, whoever waits for it."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "send", ("return not held.closed and held.sink is None and not held.call.client.has_gone()",
+                          "return True"))  # fmt: skip
+
+
+@entry("list-before-all")
+def _() -> None:
+    """A list waits behind what came before it was read."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(
+        Gateway, "on_list",
+        ("self.lists.append((kind, entries))", "self.events.append((lambda: self.take_list(kind, entries), None))"),
+    )  # fmt: skip
+
+
+@entry("still")
+def _() -> None:
+    """A process that stood still goes on with what comes first."""
+    from cloverkeel.core.gateway import Gateway
+
+    swap(Gateway, "look", lambda self, at_us: True)
+
+
+@entry("broken-is-told")
+def _() -> None:
+    """An answer that breaks off is ended as if it were whole."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(Gateway, "attempt_ended", (" if end.outcome is Outcome.OK else sink.on_broken()", ""))
+
+
+@entry("begun-gateway")
+def _() -> None:
+    """What has an answer on its way to the client may be tried again."""
+    from cloverkeel.core.gateway import Gateway
+
+    cut(
+        Gateway, "attempt_ended",
+        ("self.finish(held)\n            sink", "sink"),
+        ("held.closed, end.load", "False, end.load"),
+    )  # fmt: skip
+
+
+@entry("room")
+def _() -> None:
+    """Large bodies are held without a bound."""
+    from cloverkeel.core.body_budget import Share
+
+    cut(Share, "grow", ("if self.room.used + size > self.room.size:", "if False:"))
+
+
+@entry("room-returns")
+def _() -> None:
+    """What a body held is not given back."""
+    from cloverkeel.core.body_budget import Share
+
+    swap(Share, "__del__", lambda self: None)
+
+
+@entry("pause-empties")
+def _() -> None:
+    """A paused gateway keeps its clients."""
+    from cloverkeel.core.draining import Timetable
+
+    swap(Timetable, "may_close", lambda *args: False)
+
+
+@entry("list-parts")
+def _() -> None:
+    """A long list is told in one piece."""
+    from cloverkeel.core import list_batches as slices
+
+    swap(slices, "AT_ONCE", 10**9)
+
+
+@entry("list-parts-restrict")
+def _() -> None:
+    """What restricts waits with the rest of a long list."""
+    from cloverkeel.core.list_batches import Slices
+
+    cut(Slices, "take", ("listed.status is not ServerStatus.READY or is_another(entry)", "False"))
+
+
+@entry("list-parts-known")
+def _() -> None:
+    """A list of two hundred hosts is told in one piece, however many are known."""
+    from cloverkeel.core.list_batches import Slices
+
+    cut(Slices, "take", ("AT_ONCE if known <= AT_ONCE else SLICE", "AT_ONCE"))
+
+
+@entry("gzip-limit")
+def _() -> None:
+    """What comes as gzip may be of any length once read."""
+    from cloverkeel.core import incremental_gzip as gzip_steps
+    from cloverkeel.discovery import relay_client as relayed
+
+    cut(gzip_steps, "unpack", ("if size > limit:", "if False:"))
+    swap(relayed, "unpack", gzip_steps.unpack)
+
+
+@entry("gzip-end")
+def _() -> None:
+    """What comes after the end of gzip is left unsaid."""
+    from cloverkeel.core import incremental_gzip as gzip_steps
+    from cloverkeel.discovery import relay_client as relayed
+
+    cut(gzip_steps, "unpack", ("if reader.unused_data or at < len(body):", "if False:"))
+    swap(relayed, "unpack", gzip_steps.unpack)
+
+
+@entry("way-out-accepts")
+def _() -> None:
+    """On SIGTERM no connection is taken any more."""
+    from cloverkeel.frontends.http1 import server
+
+    other_way_out(accept_s=0.0)
+    cut(server.Server, "stop_listening", ("self.accept(BACKLOG)", "pass"))
--- /dev/null
+++ b/benchmarks/guards/mutants/frontends.py
@@ -0,0 +1,183 @@
+"""Mutants of the HTTP front: each takes out one guard."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from benchmarks.guards.patching import cut, entry, swap
+
+
+@entry("answer-own")
+def _() -> None:
+    """A client's connection writes an answer whatever request it is for."""
+    from cloverkeel.frontends.http1.server import ClientConnection
+
+    for name in ("on_served", "on_refused", "on_failed"):
+        cut(ClientConnection, name, ("if self.call is call:", "if True:"))
+
+
+@entry("way-out-answers")
+def _() -> None:
+    """On SIGTERM the program ends with what it holds."""
+    from cloverkeel.frontends.http1.server import Server
+
+    async def drain(self: Any) -> None:
+        self.stop_listening()
+
+    swap(Server, "drain", drain)
+
+
+@entry("idle-unread")
+def _() -> None:
+    """A connection counts as idle though a request waits in the kernel."""
+    from cloverkeel.frontends.http1.server import ClientConnection
+
+    cut(ClientConnection, "is_idle", ("return not self.poll.poll(0)", "return True"))
+
+
+@entry("head-deadline")
+def _() -> None:
+    """A request that has begun to come has all the time in the world."""
+    from cloverkeel.frontends.http1.server import Server
+
+    cut(Server, "sweep", ("connection.give_up_reading()", "pass"))
+
+
+@entry("silent-deadline")
+def _() -> None:
+    """A client's connection that has said nothing stays."""
+    from cloverkeel.frontends.http1.server import Server
+
+    cut(Server, "sweep", ('(self.silent, SILENT_S, "silent"), ', ""))
+
+
+@entry("head-limit")
+def _() -> None:
+    """A head may be of any length."""
+    from cloverkeel.frontends.http1 import requests
+
+    swap(requests, "HEAD_LIMIT", 1 << 40)
+
+
+@entry("body-limit")
+def _() -> None:
+    """A body may be of any length."""
+    from cloverkeel.frontends.http1 import requests
+
+    swap(requests, "LARGE_LIMIT", 1 << 40)
+
+
+@entry("read-ahead")
+def _() -> None:
+    """All that comes on one connection is read at once."""
+    from cloverkeel.frontends.http1 import server
+
+    swap(server, "PIPELINED", 1 << 30)
+
+
+@entry("both-framings")
+def _() -> None:
+    """A request with a length and a transfer coding is read by the coding."""
+    from cloverkeel.frontends.http1.requests import RequestReader
+
+    old = RequestReader.__init__
+
+    def init(self: Any, *args: Any) -> None:
+        old(self, *args)
+        self._parser.set_dangerous_leniencies(lenient_chunked_length=True)
+
+    swap(RequestReader, "__init__", init)
+
+
+@entry("repeated-headers")
+def _() -> None:
+    """Of headers that come twice, the first counts."""
+    from cloverkeel.frontends.http1 import requests
+
+    swap(requests, "ONCE", frozenset())
+
+
+@entry("budget-cut")
+def _() -> None:
+    """A client's budget may be of any length."""
+    from cloverkeel.frontends.http1 import requests
+
+    cut(
+        requests, "read_call",
+        ("settings.give_up_us if budget_ms is None else min(budget_ms * 1000, settings.give_up_us)",
+         "settings.give_up_us if budget_ms is None else budget_ms * 1000"),
+    )  # fmt: skip
+
+
+@entry("client-share")
+def _() -> None:
+    """Clients may take every descriptor."""
+    from cloverkeel.frontends.http1.server import Server
+
+    swap(Server, "has_room", lambda self: True)
+
+
+@entry("accept-error")
+def _() -> None:
+    """An accept that fails for want of descriptors ends the turn."""
+    from cloverkeel.frontends.http1.server import Server
+
+    cut(Server, "accept", ("except OSError as error:", "except MemoryError as error:"))
+
+
+@entry("host-room")
+def _() -> None:
+    """No descriptor is freed for a connection to a host."""
+    from cloverkeel.frontends.http1.server import Server
+
+    swap(Server, "make_room", lambda self: True)
+
+
+@entry("accept-pauses")
+def _() -> None:
+    """An accept without a descriptor is tried again at once."""
+    from cloverkeel.frontends.http1.server import Server
+
+    swap(Server, "pause_accepting", lambda self: None)
+
+
+@entry("slow-yield")
+def _() -> None:
+    """Who has sent half a request keeps its descriptor for its time."""
+    from cloverkeel.frontends.http1.server import Server
+
+    swap(Server, "give_up_slow", lambda self: False)
+
+
+@entry("reserve-kept")
+def _() -> None:
+    """Where nobody can yield, connections to hosts take what is left."""
+    from cloverkeel.frontends.http1.server import Server
+
+    cut(Server, "make_room", ("or self.hosts.give_up_idle()", "or self.hosts.give_up_idle() or True"))
+
+
+@entry("gone-unread")
+def _() -> None:
+    """A client has gone when the loop has read so."""
+    from cloverkeel.frontends.http1.server import ClientConnection
+
+    swap(ClientConnection, "has_gone", lambda self: self.transport is None)
+
+
+@entry("answer-all")
+def _() -> None:
+    """The process ends at its time with whatever it holds."""
+    from cloverkeel.frontends.http1.server import Server
+
+    cut(Server, "empty_on", ("self.gateway.answer_all()", "pass"))
+
+
+@entry("value-space")
+def _() -> None:
+    """White space that trails a value is part of it."""
+    from cloverkeel.frontends.http1.requests import RequestReader
+    from cloverkeel.protocols.http1 import ReplyReader
+
+    cut(RequestReader, "on_header", ('value = value.strip(b" \\t")', "pass"))
+    cut(ReplyReader, "on_header", ('value.strip(b" \\t")', "value"))
--- /dev/null
+++ b/benchmarks/guards/mutants/protocols.py
@@ -0,0 +1,34 @@
+"""Mutants of the reader of answers: each takes out one guard."""
+
+from __future__ import annotations
+
+from benchmarks.guards.patching import cut, entry, swap
+
+
+@entry("replies-behind")
+def _() -> None:
+    """A connection on which more came than an answer is used again."""
+    from cloverkeel.protocols.http1 import ReplyReader
+
+    cut(
+        ReplyReader, "feed",
+        ("self._replies[0].keep_alive = False", "pass"),
+        ("if len(self._replies) > 1 or self.has_begun:", "if False:"),
+    )  # fmt: skip
+
+
+@entry("reply-body-limit")
+def _() -> None:
+    """A host's answer may be of any length."""
+    from cloverkeel.protocols import http1
+
+    swap(http1, "LARGE_LIMIT", 1 << 40)
+    cut(http1.ReplyReader, "__init__", ("self._limit = limit", "self._limit = 1 << 40"))
+
+
+@entry("reply-head-limit")
+def _() -> None:
+    """The head of a host's answer may be of any length."""
+    from cloverkeel.protocols import http1
+
+    swap(http1, "HEAD_LIMIT", 1 << 40)
--- /dev/null
+++ b/benchmarks/guards/table/core.py
@@ -0,0 +1,59 @@
+"""The mutants of the core: what each guard holds, and the plays and tests that must find it gone."""
+
+from __future__ import annotations
+
+from benchmarks.guards.row import row
+
+ROWS = (
+    row("answers-module-error", "an event that the module fails at is answered", "Gateway.handle",
+        tests="gateway_outcomes::an_error_of_the_module_fails_one_request_and_no_more"),
+    row("answers-action-error", "an action that fails takes no other along", "Gateway.handle",
+        tests="gateway_outcomes::an_action_that_fails_takes_no_other_along"),
+    row("answer-owed+answer-own", "no answer but the one that is owed", "Gateway.owed, ClientConnection",
+        tests="gateway_outcomes::a_final_answer_that_is_not_owed_goes_to_nobody"),
+    row("ids-in-use", "an id that is open is not taken again", "Gateway.arrive", "ids", "missing",
+        tests="gateway_clients::an_id_that_is_in_use_is_not_taken_twice"),
+    row("tickets+free-by-identity", "a request is forgotten as itself, not by its id",
+        "Gateway.arrive, Balancer.free",
+        tests="repeated_ids::a_late_timer_of_an_answered_request_spares_its_namesake"),
+    row("way-out-ends+way-out-bound", "the way out ends", "Timetable, LAST_S",
+        tests="gateway_process::what_never_ends_does_not_keep_it "
+              "gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes"),
+    row("way-out-keeps", "who has a connection is served for a while: others may be out", "Server.sends_away",
+        tests="emptying::on_the_way_out_an_open_connection_is_served_for_a_while"),
+    row("way-out-hurry", "half a request keeps nobody from the end", "Timetable.may_give_up",
+        tests="emptying::half_a_request_that_does_not_go_on_keeps_nobody_from_the_end"),
+    row("idle-first", "a new connection's request has time to come", "Timetable.may_close",
+        tests="gateway_clients::on_the_way_out_a_new_connection_has_time_for_its_first_request"),
+    row("budget-as-written", "a host is told the time that is left as it is written", "Gateway.send",
+        tests="crossings::a_host_is_told_the_time_that_is_left_when_its_connection_has_come_up"),
+    row("broken-is-told", "an answer that breaks off is not whole", "Gateway.attempt_ended",
+        tests="large_bodies::an_answer_that_breaks_off_is_seen_to_be_not_whole"),
+    row("room", "large bodies have a bound together", "Share.grow",
+        tests="large_bodies::the_room_is_given_back_when_the_last_who_knows_a_body_forgets_it"),
+    row("room-returns", "what a body held is given back", "Share",
+        tests="large_bodies::large_requests_in_every_framing_arrive_as_they_are"),
+    row("pause-empties", "a paused gateway is empty in time", "Timetable.may_close",
+        tests="operating::a_pause_empties_the_gateway_and_a_resume_fills_it_again"),
+    row("wanted", "nothing is written for who left while a connection came up", "Gateway.send",
+        tests="crossings::nothing_is_written_for_a_client_that_left_while_a_connection_came_up"),
+    row("still", "what came in a gap is read before a send", "Gateway.look", "paused", "drain",
+        tests="stillness::word_of_a_drain_is_read_before_a_request_that_came_first"),
+    row("list-before-all", "a list goes ahead of what waits", "Gateway.work",
+        tests="stillness::word_of_a_drain_is_read_before_a_request_that_came_first"),
+    row("list-parts", "requests are served between the parts of a long list", "Slices.take",
+        tests="list_cost::between_the_parts_of_a_long_list_the_loop_has_its_turns"),
+    row("list-parts-restrict", "what restricts is told at once", "Slices.take",
+        tests="list_cost::between_the_parts_of_a_long_list_the_loop_has_its_turns"),
+    row("list-parts-known", "so are those of a zone that is back before many hosts", "Slices.take",
+        tests="list_reading::a_list_is_short_by_what_the_gateway_knows"),
+    row("gzip-limit", "a few bytes of gzip don't become more than the longest list", "unpack",
+        tests="list_reading::a_step_makes_little_whatever_was_packed"
+        " relays::a_relay_that_fails_costs_no_news_and_the_list_stands"),
+    row("gzip-end", "gzip with something after its end is a call that failed", "unpack",
+        tests="list_reading::what_was_packed_is_read_and_nothing_else"
+        " relays::a_relay_that_fails_costs_no_news_and_the_list_stands"),
+    row("way-out-accepts", "what waits to be accepted is answered", "Server.drain",
+        tests="gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes "
+              "gateway_process::no_request_is_lost_at_a_restart_under_way"),
+)  # fmt: skip
--- /dev/null
+++ b/benchmarks/guards/table/discovery.py
@@ -0,0 +1,65 @@
+"""The mutants of discovery: what each guard holds, and the plays and tests that must find it gone."""
+
+from __future__ import annotations
+
+from benchmarks.guards.row import row
+
+ROWS = (
+    row("ban", "nothing new to a host out by hand", "Bans.presented", "staff", "drain", seeds=(1,),
+        tests="operating::a_host_out_by_hand_gets_nothing_and_one_call_back_brings_it_back "
+              "bans::a_ban_only_restricts_and_ends_with_one_call"),
+    row("ban-cold", "a host that is put back is cold", "Bans.restore",
+        tests="bans::a_host_that_comes_back_before_its_restart_is_told_is_cold"),
+    row("watch-silent", "a watch that fell silent is given up in time", "Watch.next_query",
+        tests="crossings::a_watch_that_falls_silent_is_made_anew_in_time"),
+    row("first-silent", "so is a connection silent from the first", "Watch.next_query",
+        tests="crossings::a_connection_that_is_silent_from_the_first_is_given_up_in_time"),
+    row("failed-longer", "who was refused or given up waits its turn at a service with too many callers",
+        "Watch.next_query", tests="watch::a_service_with_too_many_callers_comes_to_answer_all_of_them "
+                                  "watch::who_failed_is_given_longer_until_it_answers"),
+    row("leaving-odd", "a host that leaves is gone, whatever else is said", "registry.leaving_of",
+        tests="crossings::a_host_that_leaves_is_gone_whatever_else_its_entry_says"),
+    row("one-call", "what an earlier call is answered is not heard", "Discovery.begin",
+        tests="crossings::what_a_call_was_answered_that_another_has_replaced_is_not_heard"),
+    row("version-back", "a list does not go back", "Watch.on_answer",
+        tests="crossings::a_service_that_lost_its_versions_tells_all_and_is_believed "
+              "watch::each_call_is_for_what_is_held_and_ends_in_time"),
+    row("list-rests", "who answers at once with nothing is not asked without end", "Discovery",
+        tests="crossings::a_service_that_answers_a_watch_at_once_with_nothing_is_not_asked_without_end"),
+    row("list-moves", "a registry that moves is followed", "Discovery.move",
+        tests="gateway_reload::discovery_moves_at_once_while_requests_go_on"),
+    row("lost-tells-nothing", "a session that is lost tells nothing", "Membership.link",
+        tests="membership_ephemeral::the_gateways_own_session_expires_and_the_list_stands_until_it_is_read_again"),
+    row("state-kept", "a box told gone stays gone through a restart", "state.load",
+        tests="membership_ephemeral::a_box_told_gone_does_not_come_back_at_a_restart_without_the_service"),
+    row("agent-checks", "a box that does not answer has no node", "Keeper.on_check",
+        tests="membership_ephemeral::no_node_before_the_box_answers_nor_after_it_stopped"),
+    row("relay-move-anew", "versions of one relay mean nothing to another", "RelayedDiscovery._turn",
+        tests="relays::a_relay_that_fails_costs_no_news_and_the_list_stands"),
+    row("relay-replaced", "a relay that is none any more is not asked", "Relays.replace",
+        tests="relays::whoever_is_replaced_the_present_relay_is_one_of_those_named_or_is_left"),
+    row("relay-names", "a gateway names itself", "relays.named",
+        tests="relays::it_names_itself_and_asks_one_relay_alone"),
+    row("relay-old-permits", "no relay undoes a drain that is known", "Belief._permitted",
+        tests="relays::a_move_at_the_moment_of_a_drain_does_not_undo_it"),
+    row("relay-looks", "a stale relay is left for one that is well, whatever it was left for", "Relays.look",
+        tests="relays::a_stale_relay_is_left_in_time_for_one_that_is_well_also_where_all_rest "
+              "relays::who_is_well_again_is_found_however_long_all_were_stale "
+              "relays::a_relay_that_is_cut_off_is_left_for_one_that_says_it_is_well"),
+    row("relay-stale-permits", "a stale relay permits nothing", "Belief.take",
+        tests="relays::what_waits_is_replaced_by_a_newer_word_however_old_that_is"),
+    row("relay-wide", "a subset that fails grows", "Width.step",
+        tests="relays::a_subset_that_fails_grows_and_comes_back relays::a_gateway_whose_hosts_fail_asks_for_more"),
+    row("list-steps", "requests are served while a long list is read", "Caller._in_turns",
+        tests="list_reading::requests_are_served_while_a_long_gzip_list_is_read"),
+    row("list-steps-bounded", "reading ends in its time", "Caller._in_turns",
+        tests="list_reading::the_loop_has_its_turns_by_time_and_only_for_long_answers"),
+    row("list-steps-superseded", "a list whose call was replaced while it was read is not told", "Caller.stop",
+        tests="list_reading::a_list_that_is_superseded_while_it_is_read_is_never_told"),
+    row("list-steps-unread+list-steps-hurry", "what is being read is told first after a gap", "Caller._has_unread",
+        tests="list_reading::what_is_read_while_the_process_stood_still_is_told_before_anything_is_sent"),
+    row("list-steps-hurry", "after a gap a list is read at one go", "Caller._in_turns",
+        tests="list_reading::the_loop_has_its_turns_by_time_and_only_for_long_answers"),
+    row("gzip-relays", "discovery itself is asked for no gzip", "RelayedDiscovery.accepts",
+        tests="list_reading::of_discovery_that_answers_for_lost_relays_no_gzip_is_asked"),
+)  # fmt: skip
--- a/benchmarks/guards/tested.py
+++ b/benchmarks/guards/tested.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.guards.rows import Row
+from benchmarks.guards.row import Row
 
 ROOT = Path(__file__).parent.parent.parent
 LONGEST_S = 120.0
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,9 +6,11 @@
 
 import pytest
 
-from benchmarks.guards.maimed import GUARDS, take_out
+from benchmarks.guards.maimed import take_out
+from benchmarks.guards.patching import GUARDS
 from benchmarks.guards.playing import FOLDER
-from benchmarks.guards.rows import ROWS, Row
+from benchmarks.guards.row import Row
+from benchmarks.guards.table import ROWS
 from benchmarks.guards.tested import Verdict, carry_out, without
 
 ROOT = Path(__file__).parent.parent
