--- /dev/null
+++ b/tests/golden/duties.py
@@ -0,0 +1,228 @@
+"""Samples of what cloverkeel.duties sends, stores and prints."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Final, cast, get_args
+from unittest import mock
+
+from cloverkeel.assembly import assemble
+from cloverkeel.core.config import parse as parse_config
+from cloverkeel.core.datagrams import Datagrams
+from cloverkeel.core.options import Duties
+from cloverkeel.duties import colds, trials, warden
+from cloverkeel.duties.commands import main
+from cloverkeel.duties.messages import (
+    PAYLOAD_MOST, Accepted, Act, Hand, Head, Hello, Message, NotMine, Older, Prepare, Promised, Propose, Refused,
+    Release, Report, Taken, Why, decode, encode,
+)  # fmt: skip
+from cloverkeel.duties.nodes import DutyNodes
+from cloverkeel.duties.office import number_of_duty
+from cloverkeel.duties.room import Room
+from cloverkeel.duties.service import Answer, Node
+from cloverkeel.duties.warden import grant, read_grant, report
+from tests.golden.commands import AnswersByLine, output_of
+from tests.golden.store import Sample, SamplesByName
+from tests.sockets import configuration
+
+HEAD: Final = Head(voters=5, number=0x1203, nonce=0x89ABCDEF, counter=0x0123456789ABCDEF)
+PEER_HEAD: Final = Head(voters=5, number=1, nonce=2, counter=3)
+DUTY: Final = 0x0FEDCBA987654321
+BALLOT: Final = 0x0123456789ABCDE
+NOW_US: Final = 1_796_119_613_761_000
+
+MESSAGES: Final[dict[str, Message]] = {
+    "prepare": Prepare(DUTY, BALLOT, 7, 0x0102030405060708),
+    "propose": Propose(DUTY, BALLOT, 7, 4_000_000, 0x0102030405060708),
+    "promised": Promised(DUTY, BALLOT, 7),
+    "accepted": Accepted(DUTY, BALLOT, 7),
+    **{
+        f"refused_{why.name.lower()}": Refused(DUTY, BALLOT, 7, why, 0x0203, 0x13579BDF, 1_234_567, BALLOT + 1)
+        for why in Why
+    },
+    "release": Release(DUTY, BALLOT),
+    "hand_on": Hand(DUTY, BALLOT),
+    "hand_on_with_state": Hand(DUTY, BALLOT, bytes(range(PAYLOAD_MOST))),
+    "taken": Taken(DUTY, BALLOT),
+    "report": Report(DUTY, 0x1111222233334444, 0x5555666677778888),
+    "report_with_payload": Report(DUTY, 0x1111222233334444, 0, report(True, 0.5)),
+    "act": Act(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888),
+    "act_with_payload": Act(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888, grant(1.25)),
+    "not_mine": NotMine(DUTY),
+    "hello": Hello(),
+    "hello_wants_answer": Hello(1),
+    "older": Older(DUTY, BALLOT),
+}
+MESSAGE_CLASSES: Final[frozenset[type]] = frozenset(get_args(Message))
+MESSAGE_CLASSES_OF_SAMPLES: Final[frozenset[type]] = frozenset(map(type, MESSAGES.values()))
+
+NODES_NUMBER: Final = 3
+NODES_NONCE: Final = 0x00BCDEF1
+
+
+def _datagram(message: Message) -> Sample:
+    return Sample(lambda: encode(HEAD, message), decode, (HEAD, message))
+
+
+def _with_nodes(use: Callable[[DutyNodes], object]) -> object:
+    async def run() -> object:
+        nodes = DutyNodes(
+            "127.0.0.1:2181", "/cloverkeel/duties", 4_000, NODES_NUMBER, NODES_NONCE, lambda duty, answer: None,
+            lambda: None,
+        )  # fmt: skip
+        try:
+            return use(nodes)
+        finally:
+            nodes.client.close()
+
+    return asyncio.run(run())
+
+
+def _node_data() -> bytes:
+    return cast(bytes, _with_nodes(lambda nodes: nodes.text))
+
+
+def _node_path() -> bytes:
+    return cast(str, _with_nodes(lambda nodes: nodes.node(DUTY >> 8))).encode()
+
+
+def _read_node_data(data: bytes) -> object:
+    """Read a node of another session, and one of this session's own."""
+    others = SimpleNamespace(ephemeralOwner=1, czxid=77)
+    own = SimpleNamespace(ephemeralOwner=0, czxid=78)
+
+    def use(nodes: DutyNodes) -> object:
+        nodes.granted_ms = nodes.session_ms
+        return nodes.judged(5, data, others), nodes.judged(6, data, own)
+
+    return _with_nodes(use)
+
+
+def _admin_answers() -> dict[str, bytes]:
+    """Ask a gateway that holds one of its two leases, as an admin connection does."""
+
+    async def run() -> dict[str, bytes]:
+        peers = ["127.0.0.1:7", "127.0.0.1:8"]
+        raw = configuration("127.0.0.1:9", peers=True) | {"peer_listen": peers[0], "peers": peers}
+        raw["settings"] |= {"balancers": 2, "index": 0}
+        config = parse_config(raw)
+        program = assemble(config)
+        with mock.patch("random.SystemRandom") as system_random:
+            system_random.return_value.getrandbits.return_value = 1
+            room = Room(config, Duties(), program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
+        office = room.office
+        office.by_service = True
+        try:
+            empty = _line_answer(room, b"DUTIES")
+            asked_us = NOW_US - 1_000_000
+            held = office.need(NOW_US - 3_500_000, colds.duty_name(5, 1), room.colds)
+            office.tick(asked_us)
+            (ask,) = office.asks
+            office.on_service(asked_us + 500_000, held, Answer(ask.round, Node.MINE, 0x500000007))
+            office.receive(NOW_US - 100_000, PEER_HEAD, Report(held, 1, 0, report(True, 0.0)))
+            room.colds.look(NOW_US, [(5, 1, True, False)], office)
+            room.outs.look(NOW_US, [(7, True)], office)
+            return {
+                "duties_of_nothing": empty,
+                "duties": _line_answer(room, b"DUTIES\r\n"),
+                "handon_unknown": _line_answer(room, b"HANDON warden/9/9"),
+                "handon": _line_answer(room, b"HANDON warden/5/1"),
+                "keepoff": _line_answer(room, b"KEEPOFF"),
+                "keepon": _line_answer(room, b"KEEPON"),
+                "duties_with_argument": _line_answer(room, b"DUTIES now"),
+                "status": _line_answer(room, b"STATUS"),
+            }
+        finally:
+            room.close()
+            program.close()
+
+    return asyncio.run(run())
+
+
+def _line_answer(room: Room, line: bytes) -> bytes:
+    """Return yes or no and the words; nothing for a line that is not one of these calls."""
+    found = room.call(line)
+    if found is None:
+        return b"not a line of this package"
+    return f"{'yes' if found[0] else 'no'}: {found[1]}".encode()
+
+
+def _admin_answer(name: str) -> Sample:
+    return Sample(lambda: _admin_answers()[name])
+
+
+def _shown(gateway: int, **changes: object) -> str:
+    row = {"duty": "warden/5/1", "phase": "free", "holder": 0, "epoch": 9, "left_ms": 0, "held_s": 0}
+    shown: dict[str, object] = {
+        "gateway": gateway, "voter": True, "kept_off": False, "duties": [row | changes], "colds": [], "outs": [],
+        "held_back": 0, "sent": 3, "sent_bytes": 120, "came": 2, "began": 1, "lost": 0, "old_acts": 0,
+        "dropped": {"unreadable": 1}, "lent": 0, "taken": 0, "not_sent": 0,
+    }  # fmt: skip
+    return "ACK " + json.dumps(shown)
+
+
+def _command(*arguments: str) -> Sample:
+    held = _shown(0, phase="held", epoch=12, left_ms=2_900, held_s=3.5)
+    other = _shown(1, holder=1)
+    answers: AnswersByLine = {
+        "DUTIES": [held, other],
+        "HANDON warden/5/1": ["NAK that duty is not held here", "ACK handed on to gateway 0"],
+        "KEEPOFF": ["ACK it holds no duty"],
+        "KEEPON": ["ACK it may hold duties"],
+    }
+    targets = ("cloverkeel.core.asking.call", "cloverkeel.duties.commands.call")
+    return Sample(lambda: output_of(main, arguments, answers, targets))
+
+
+def _show_without_answers() -> Sample:
+    answers: AnswersByLine = {"DUTIES": ["NAK unknown call", ""]}
+    targets = ("cloverkeel.core.asking.call",)
+    return Sample(lambda: output_of(main, ("show", "--json"), answers, targets))
+
+
+def _lease_id(name: str) -> Sample:
+    return Sample(lambda: f"{name} {number_of_duty(name):015x}".encode())
+
+
+SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
+    "duties_datagrams": {name: _datagram(message) for name, message in MESSAGES.items()},
+    "duties_payloads": {
+        "report_wants": Sample(lambda: report(True, 0.0), warden.REPORT.unpack, (1, 0)),
+        "report_lends": Sample(lambda: report(False, 1.0), warden.REPORT.unpack, (0, 1_000)),
+        "grant_of_nothing": Sample(lambda: grant(0.0), read_grant, 0.0),
+        "grant": Sample(lambda: grant(2.125), read_grant, 2.125),
+        "trial_asks": Sample(lambda: trials.ASKS),
+        "trial_tried": Sample(lambda: trials.TRIED),
+        "trial_well": Sample(lambda: trials.WELL),
+        "trial_idle": Sample(lambda: trials.IDLE),
+    },
+    "duties_ids": {
+        "warden": _lease_id(colds.duty_name(0x5BE2A07C, 1_796_119_613_761_000)),
+        "trier": _lease_id(trials.duty_name(2, 0x5BE2A07C)),
+    },
+    "duties_nodes": {
+        "path": Sample(_node_path),
+        "data": Sample(
+            _node_data,
+            _read_node_data,
+            (Answer(5, Node.OTHERS, 77, NODES_NUMBER), Answer(6, Node.MINE, 78)),
+        ),
+    },
+    "duties_admin": {
+        name: _admin_answer(name)
+        for name in (
+            "duties_of_nothing", "duties", "handon_unknown", "handon", "keepoff", "keepon", "duties_with_argument",
+            "status",
+        )
+    },
+    "duties_commands": {
+        "show_json": _command("show", "--json"),
+        "show_json_without_answers": _show_without_answers(),
+        "hand_on": _command("hand-on", "warden/5/1"),
+        "keep_off": _command("keep-off", "0"),
+        "keep_on": _command("keep-on", "0"),
+    },
+}  # fmt: skip
--- /dev/null
+++ b/tests/golden/relay.py
@@ -0,0 +1,292 @@
+"""Samples of what cloverkeel.relay asks, answers and prints."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import gzip
+import io
+import json
+from collections.abc import Callable, Sequence
+from types import SimpleNamespace
+from typing import Any, Final, cast
+from unittest import mock
+
+from cloverkeel.core.config import Names
+from cloverkeel.core.gzip_steps import unpack
+from cloverkeel.membership.registry import parse_list
+from cloverkeel.relay import command
+from cloverkeel.relay.asks import Answer, Asker
+from cloverkeel.relay.calls import Ask, CallError, read_query
+from cloverkeel.relay.config import Limits, RelayConfig
+from cloverkeel.relay.encoding import LongBody
+from cloverkeel.relay.feed import Feed
+from cloverkeel.relay.roster import parse_roster
+from cloverkeel.relay.server import Caller, Server
+from cloverkeel.relay.source import SourceWatch
+from tests.golden.store import Sample, SamplesByName
+from tests.sockets import PATIENCE_S
+
+NOW_US: Final = 1_796_119_613_761_000
+CONFIRMED_US: Final = NOW_US - 250_000
+FIRST_INDEX: Final = 1_796_119_613_761_000
+SOURCE_INDEX: Final = 41
+BODY_LIMIT: Final = 1 << 20
+NAMES: Final = Names(classes={}, tenants={}, zones={"a": 0, "b": 1}, kinds={"m": 0})
+ROSTER: Final = json.dumps({
+    "regions": {"r0": ["a", "b"], "r1": ["c"]},
+    "gateways": {
+        "g0": {"zone": "a", "services": ["s"]}, "g1": {"zone": "b", "services": ["t", ""]}, "g2": {"zone": "c"},
+        **{f"more-{number}": {"zone": "a"} for number in range(12)},
+    },
+})  # fmt: skip
+LIST: Final = "/registry/instances"
+
+FULL_CALL: Final = Ask(Asker("g/0", ("a", "b,c", "ö"), 2), 41, 400)
+QUERIES: Final = {
+    "nothing": (b"", Ask(Asker(), None)),
+    "all_keys": (b"gateway=g%2F0&services=a,b%2Cc,%C3%B6&wide=2&from=41&hold_ms=400", FULL_CALL),
+    "longest_hold": (b"gateway=g0&services=&wide=0&from=1&hold_ms=99999999", Ask(Asker("g0"), 1, 60_000)),
+    "unknown_key": (b"gateway=g0&later=1", Ask(Asker("g0"), None)),
+}
+ODD_QUERIES: Final = (b"wide=4", b"from=x", b"gateway=%FF", b"gateway=" + b"g" * 257, b"services=" + b"," * 2_000)
+
+
+def _entry(number: int, service: str, **changes: object) -> dict[str, Any]:
+    return {
+        "name": f"{service or 'none'}-{number}", "address": f"10.0.{number}.1:8080", "service": service,
+        "zone": "abc"[number % 3], "type": "m", "group": number % 4, "status": "SERVING", "weight": 1.0,
+        "since_ms": 1_796_119_000_000 + number,
+    } | changes  # fmt: skip
+
+
+COUNTS: Final = {"s": 120, "t": 12, "": 3}
+ENTRIES: Final = tuple(_entry(number, service) for service, count in COUNTS.items() for number in range(count))
+CHANGES: Final = (
+    ENTRIES[0] | {"status": "DRAINING"},
+    ENTRIES[1] | {"status": "DELETED"},
+    ENTRIES[2] | {"status": "DELETED"},
+    ENTRIES[3] | {"weight": 0.5},
+    ENTRIES[5] | {"status": "DRAINING"},
+    _entry(200, "s"),
+    _entry(200, "t"),
+)
+
+
+class _RecordingTransport(asyncio.Transport):
+    """Keep what is written to a connection."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.written: list[bytes] = []
+        self.is_closed = False
+
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        pass
+
+    def writelines(self, list_of_data: object) -> None:
+        self.written.append(b"".join(cast(Sequence[bytes], list_of_data)))
+
+    def is_closing(self) -> bool:
+        return self.is_closed
+
+    def close(self) -> None:
+        self.is_closed = True
+
+    abort = close
+
+
+class _Relay:
+    """A relay without sockets, whose clock stands still."""
+
+    def __init__(self, is_ready: bool) -> None:
+        config = RelayConfig("here", "relay-1", ("127.0.0.1", 0), ("127.0.0.1", 9), "roster", Limits())
+        self.server = Server(config, Feed(parse_roster(ROSTER, "roster"), FIRST_INDEX))
+        if is_ready:
+            self.hear(True, ENTRIES)
+
+    def hear(self, is_snapshot: bool, entries: Sequence[dict[str, Any]]) -> None:
+        """Take a list in as if discovery had just given it."""
+        assert self.server.hear(is_snapshot, list(entries))
+        self.server.source.index_of_discovery = SOURCE_INDEX
+        self.server.source.confirmed_us = CONFIRMED_US
+
+    async def ask(self, target: str, *headers: str, method: str = "GET") -> bytes:
+        """Return the whole HTTP answer to one call on a connection of its own."""
+        transport = _RecordingTransport()
+        caller = Caller(self.server)
+        caller.connection_made(transport)
+        lines = (f"{method} {target} HTTP/1.1", "Host: r", *headers)
+        caller.data_received("\r\n".join(lines).encode() + b"\r\n\r\n")
+        while not transport.written:
+            assert not transport.is_closed
+            await asyncio.sleep(0)
+        caller.connection_lost(None)
+        return transport.written[0]
+
+
+def _with_relay(use: Callable[[_Relay], Any], is_ready: bool = True) -> bytes:
+    async def run() -> bytes:
+        relay = _Relay(is_ready)
+        try:
+            async with asyncio.timeout(PATIENCE_S):
+                return cast(bytes, await use(relay))
+        finally:
+            relay.server.close()
+
+    with (
+        mock.patch("cloverkeel.relay.server.now_us", return_value=NOW_US),
+        mock.patch("cloverkeel.relay.source.now_us", return_value=NOW_US),
+    ):
+        return asyncio.run(run())
+
+
+def _answered(target: str, *headers: str, is_ready: bool = True, method: str = "GET") -> Callable[[], bytes]:
+    return lambda: _with_relay(lambda relay: relay.ask(target, *headers, method=method), is_ready)
+
+
+def _changed(query: str) -> Callable[[], bytes]:
+    """Return what is told of a change, to who holds the answer before it."""
+
+    async def use(relay: _Relay) -> bytes:
+        whole = _body(await relay.ask(f"{LIST}?{query}"))
+        relay.hear(False, CHANGES)
+        return await relay.ask(f"{LIST}?{query}&from={json.loads(whole)['index']}&hold_ms=0")
+
+    return lambda: _with_relay(use)
+
+
+def _unchanged(query: str) -> Callable[[], bytes]:
+    """Return what is told where nothing is new."""
+
+    async def use(relay: _Relay) -> bytes:
+        whole = _body(await relay.ask(f"{LIST}?{query}"))
+        return await relay.ask(f"{LIST}?{query}&from={json.loads(whole)['index']}&hold_ms=0")
+
+    return lambda: _with_relay(use)
+
+
+def _body(answer: bytes) -> bytes:
+    return answer.partition(b"\r\n\r\n")[2]
+
+
+def _read_list(answer: bytes) -> object:
+    """Read an answer as a gateway does: its version, whether it is whole, and of each host what is read first."""
+    index, is_snapshot, entries = parse_list(json.loads(_body(answer)), NAMES)
+    return index, is_snapshot, [(entry.name, entry.listed.status.name, entry.listed.users) for entry in entries]
+
+
+def _list_answer(write: Callable[[], bytes]) -> Sample:
+    """Compare with what a plain reading of the JSON gives."""
+    return Sample(write, lambda data: _read_list(data) == _plainly_read(data), expected=True)
+
+
+def _plainly_read(answer: bytes) -> object:
+    raw = json.loads(_body(answer))
+    statuses = {"SERVING": "READY", "DRAINING": "DRAINING", "DELETED": "GONE"}
+    hosts = [(each["name"], statuses[each["status"]], each.get("users", 0)) for each in raw["endpoints"]]
+    return raw["index"], raw["snapshot"], hosts
+
+
+def _unpacked(answer: bytes) -> bytes:
+    """Return an answer without gzip: another build of zlib may pack it in other bytes, and to another length."""
+    head, _, body = answer.partition(b"\r\n\r\n")
+    assert b"Content-Length: %d\r\n" % len(body) in head
+    plain = gzip.decompress(body)
+    return head.replace(b"Content-Length: %d" % len(body), b"Content-Length: packed") + b"\r\n\r\n" + plain
+
+
+def _read_packed(answer: bytes) -> bytes:
+    """Unpack a body as a gateway does."""
+    steps = unpack(_body(answer), BODY_LIMIT)
+    while True:
+        try:
+            next(steps)
+        except StopIteration as stop:
+            return cast(bytes, stop.value)
+
+
+def _packed_answer(*headers: str) -> Sample:
+    plain = _body(_answered(f"{LIST}?gateway=g0")())
+    return Sample(_answered(f"{LIST}?gateway=g0", *headers), _read_packed, plain, canonical=_unpacked)
+
+
+def _long_body() -> bytes:
+    """Return an answer that is encoded by steps."""
+    answer = Answer(7, True, tuple(b'{"name":"%d"}' % number for number in range(600)))
+    body = LongBody(gzip=False)
+    for _ in body.encode(answer):
+        pass
+    return b"".join(body.parts) + body.end(250)
+
+
+def _refusals() -> bytes:
+    """Return why each query is refused."""
+    reasons = []
+    for query in ODD_QUERIES:
+        try:
+            read_query(query)
+        except CallError as error:
+            reasons.append(str(error))
+    assert len(reasons) == len(ODD_QUERIES)
+    return "\n".join(reasons).encode()
+
+
+def _query(query: bytes, ask: Ask) -> Sample:
+    return Sample(lambda: query, read_query, ask)
+
+
+def _source_targets() -> bytes:
+    """Return what a relay asks of discovery: the whole list, on a new connection, and for news."""
+    plan = SourceWatch()
+    targets = [plan.next_query(0.0).target]
+    plan.on_answer(0.0, SOURCE_INDEX, whole=True)
+    targets.append(plan.next_query(0.1).target)
+    plan.connected()
+    targets.append(plan.next_query(0.1).target)
+    return b"\n".join(targets)
+
+
+def _show() -> bytes:
+    """Return the call of `relay show`, and what it prints."""
+    state = _body(_answered("/relay/state")())
+    connection = mock.Mock()
+    connection.getresponse.return_value = SimpleNamespace(read=lambda limit: state)
+    output = io.StringIO()
+    with mock.patch("http.client.HTTPConnection", return_value=connection), contextlib.redirect_stdout(output):
+        exit_code = command.main(["show", "127.0.0.1:7001"])
+    (request,) = connection.request.call_args_list
+    return f"sent: {' '.join(request.args)}\n{output.getvalue()}exit code: {exit_code}\n".encode()
+
+
+SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
+    "relay_calls": {
+        **{name: _query(query, ask) for name, (query, ask) in QUERIES.items()},
+        "refusals": Sample(_refusals),
+        "to_discovery": Sample(_source_targets),
+    },
+    "relay_answers": {
+        "whole_of_one_service": _list_answer(_answered(f"{LIST}?gateway=g0")),
+        "whole_of_one_service_widened": _list_answer(_answered(f"{LIST}?gateway=g0&wide=3")),
+        "whole_of_named_services": _list_answer(_answered(f"{LIST}?gateway=g2&services=t,s")),
+        "whole_of_all_services": _list_answer(_answered(f"{LIST}?gateway=g2")),
+        "whole_to_a_stranger": _list_answer(_answered(LIST)),
+        "changes": _list_answer(_changed("gateway=g0")),
+        "changes_of_all_services": _list_answer(_changed("gateway=g2")),
+        "changes_to_a_stranger": _list_answer(_changed("gateway=nobody")),
+        "nothing_new": _list_answer(_unchanged("gateway=g0")),
+        "unknown_index": _list_answer(_answered(f"{LIST}?gateway=g0&from=5&hold_ms=0")),
+        "packed": _packed_answer("Accept-Encoding: gzip"),
+        "last_of_a_connection": _list_answer(_answered(f"{LIST}?gateway=g0", "Connection: close")),
+        "not_ready": Sample(_answered(LIST, is_ready=False)),
+        "odd_query": Sample(_answered(f"{LIST}?wide=9")),
+        "odd_method": Sample(_answered(LIST, method="POST")),
+        "odd_path": Sample(_answered("/else")),
+        "ready": Sample(_answered("/health/ready")),
+        "ready_without_list": Sample(_answered("/health/ready", is_ready=False)),
+        "state": Sample(_answered("/relay/state")),
+        "state_without_list": Sample(_answered("/relay/state", is_ready=False)),
+        "long_body": Sample(_long_body),
+    },
+    "relay_commands": {"show": Sample(_show)},
+}
--- /dev/null
+++ b/tests/golden/samples.py
@@ -0,0 +1,14 @@
+"""All samples, by the kind that names their data file."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from tests.golden import core, duties, membership, ops, relay, sharing, simulator
+from tests.golden.store import SamplesByName
+
+SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
+    kind: samples
+    for package in (core, duties, membership, ops, relay, sharing, simulator)
+    for kind, samples in package.SAMPLES_BY_KIND.items()
+}
--- /dev/null
+++ b/tests/golden/sharing.py
@@ -0,0 +1,115 @@
+"""Samples of what cloverkeel.sharing sends and prints."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Final, get_args
+from unittest import mock
+
+from cloverkeel.assembly import assemble
+from cloverkeel.core.config import parse as parse_config
+from cloverkeel.core.datagrams import Datagrams
+from cloverkeel.sharing.commands import main
+from cloverkeel.sharing.messages import (
+    MASK32, Datagram, EvidenceItem, GiveItem, Head, Item, Kind, Life, MemberItem, WantItem, decode, encode,
+)  # fmt: skip
+from cloverkeel.sharing.room import Room
+from tests.golden.commands import output_of
+from tests.golden.store import Sample, SamplesByName
+from tests.sockets import configuration
+
+NOW_US: Final = 1_796_119_613_761_000
+INCARNATION: Final = 0x01020304
+STAMP: Final = 0xF0E0D0C0
+
+ITEMS: Final[dict[str, Item]] = {
+    **{f"member_{life.name.lower()}": MemberItem(0x0102, INCARNATION, life, 0x0304) for life in Life},
+    "evidence": EvidenceItem(0x0102, INCARNATION, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 250, 3, 128, 4),
+    "evidence_largest": EvidenceItem(0xFFFF, MASK32, MASK32, MASK32, MASK32, 255, 255, 255, 255),
+    "want": WantItem(1_250),
+    "give": GiveItem(0x0102, INCARNATION, 77, STAMP, 0x0304, 0x05060708, 450),
+}
+ITEM_CLASSES: Final[frozenset[type]] = frozenset(get_args(Item))
+ITEM_CLASSES_OF_SAMPLES: Final[frozenset[type]] = frozenset(map(type, ITEMS.values()))
+DATAGRAM_KINDS: Final[frozenset[str]] = frozenset(kind.name.lower() for kind in Kind)
+
+
+def _head(kind: Kind) -> Head:
+    return Head(kind, 0x1203, INCARNATION, STAMP, sequence=0x89ABCDEF, other=0x0405)
+
+
+def _datagram(kind: Kind, *items: Item) -> Sample:
+    head = _head(kind)
+    return Sample(lambda: encode(head, items), decode, Datagram(head, items))
+
+
+def _admin_answers() -> dict[str, bytes]:
+    """Ask a gateway that has heard of failures of one host from two peers, as an admin connection does."""
+
+    async def run() -> dict[str, bytes]:
+        peers = [f"127.0.0.1:{port}" for port in (7, 8, 9, 10)]
+        raw = configuration("127.0.0.1:9", peers=True) | {"peer_listen": peers[0], "peers": peers}
+        raw["settings"] |= {"balancers": 4, "index": 0}
+        config = parse_config(raw)
+        program = assemble(config)
+        with mock.patch("random.SystemRandom") as system_random:
+            system_random.return_value.getrandbits.return_value = 1
+            room = Room(config, program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
+        try:
+            before = room.call(b"PEERS")
+            room.exchange.begin(NOW_US)
+            for number in (1, 2):
+                told = EvidenceItem(number, 9, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 0, 40, 0, 0)
+                alive = MemberItem(number, 9, Life.ALIVE, number)
+                head = Head(Kind.NEWS, number, 9, STAMP)
+                room.exchange.receive(NOW_US, Datagram(head, (alive, told)))
+            room.exchange.tick(NOW_US)
+            after = room.call(b"PEERS\r\n")
+            assert before is not None
+            assert after is not None
+            assert room.call(b"PEERS now") is None
+            return {"peers_of_nothing": before[1].encode(), "peers": after[1].encode()}
+        finally:
+            room.close()
+            program.close()
+
+    return asyncio.run(run())
+
+
+def _admin_answer(name: str) -> Sample:
+    return Sample(lambda: _admin_answers()[name])
+
+
+def _shown(gateway: int, state: str, doubted: bool) -> str:
+    shown = {
+        "gateway": gateway, "zone": 0, "incarnation": 7, "health": 0,
+        "peers": {"2": {"state": state, "incarnation": 7, "heard_ms": 5}},
+        "hosts": [
+            {"host": "5be2a07c", "good": 1.0, "bad": 2.0, "tellers": 2, "well": 0, "doubted": doubted, "left_ms": 900,
+             "own": [0, 1]},
+        ],
+        "sent": 3, "sent_bytes": 99, "came": 4, "budget": 16_000, "poor": 0, "dropped": {},
+    }  # fmt: skip
+    return "ACK " + json.dumps(shown)
+
+
+def _show(*answers: str) -> Sample:
+    targets = ("cloverkeel.core.asking.call",)
+    return Sample(lambda: output_of(main, ("show", "--json"), {"PEERS": answers}, targets))
+
+
+SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
+    "sharing_datagrams": {
+        **{f"empty_{kind.name.lower()}": _datagram(kind) for kind in Kind},
+        **{f"news_{name}": _datagram(Kind.NEWS, item) for name, item in ITEMS.items()},
+        "ack_with_one_of_each_item": _datagram(
+            Kind.ACK, ITEMS["member_suspect"], ITEMS["evidence"], ITEMS["want"], ITEMS["give"]
+        ),
+    },
+    "sharing_admin": {name: _admin_answer(name) for name in ("peers_of_nothing", "peers")},
+    "sharing_commands": {
+        "show_json": _show(_shown(0, "gone", True), _shown(1, "alive", False)),
+        "show_json_without_answers": _show("NAK unknown call", ""),
+    },
+}
--- /dev/null
+++ b/tests/golden/test_coverage.py
@@ -0,0 +1,52 @@
+"""A codec has no kind of message without kept bytes."""
+
+from __future__ import annotations
+
+from dataclasses import fields
+from typing import Any
+
+import pytest
+
+from tests.golden import duties, membership, ops, relay, sharing, simulator
+from tests.golden.store import load
+
+CODECS = {
+    "duties messages": (duties.MESSAGE_CLASSES, duties.MESSAGE_CLASSES_OF_SAMPLES),
+    "sharing items": (sharing.ITEM_CLASSES, sharing.ITEM_CLASSES_OF_SAMPLES),
+    "simulator actions": (simulator.ACTION_CLASSES, simulator.ACTION_CLASSES_OF_SAMPLES),
+    "simulator events": (simulator.EVENT_NAMES, simulator.EVENT_NAMES_OF_SAMPLES),
+    "simulator verdicts": (simulator.VERDICTS, simulator.VERDICTS_OF_SAMPLES),
+    "admin words": (ops.WORDS, ops.WORDS_OF_SAMPLES),
+}
+FULL_SAMPLES: dict[str, Any] = {
+    "box": membership.FULL_MEMBER,
+    "relay call": relay.FULL_CALL,
+    "relay caller": relay.FULL_CALL.asker,
+    "simulator load report": simulator.LOAD,
+    "simulator request class": simulator.SETTINGS.classes[1],
+    "simulator settings": simulator.SETTINGS,
+    "state file": ops.STATES["full"],
+}
+
+
+@pytest.mark.parametrize("codec", sorted(CODECS))
+def test_every_kind_of_message_has_a_sample(codec: str) -> None:
+    known, sampled = CODECS[codec]
+    assert known == sampled
+
+
+def test_every_kind_of_sharing_datagram_has_kept_bytes() -> None:
+    kept = {name.removeprefix("empty_") for name in load("sharing_datagrams") if name.startswith("empty_")}
+    assert kept == sharing.DATAGRAM_KINDS
+
+
+def test_kept_duties_datagrams_have_every_kind_number() -> None:
+    kinds = {data[2] for data in load("duties_datagrams").values()}
+    assert len(kinds) == len(duties.MESSAGE_CLASSES)
+
+
+@pytest.mark.parametrize("name", sorted(FULL_SAMPLES))
+def test_a_full_sample_sets_every_field(name: str) -> None:
+    sample = FULL_SAMPLES[name]
+    left_as_they_are = [field.name for field in fields(sample) if getattr(sample, field.name) == field.default]
+    assert left_as_they_are == []
