--- a/tests/golden/ops.py
+++ b/tests/golden/admin.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.ops answers to admin lines and leaves on disk for a later process."""
+"""Samples of what cloverkeel.admin answers to admin lines and leaves on disk for a later process."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import parse as parse_config
-from cloverkeel.fronts.http1.server import Server
-from cloverkeel.membership.banned import BannedMembership
-from cloverkeel.ops import calls
-from cloverkeel.ops.calls import LINE_LIMIT, OpsCall, Word, parse_line
-from cloverkeel.ops.files import SharedFiles
-from cloverkeel.ops.listener import Caller, OpsListener
-from cloverkeel.ops.operations import Operations, folder_for
-from cloverkeel.ops.state import State, parse, render
+from cloverkeel.frontends.http1.server import Server
+from cloverkeel.discovery.ejection_filter import BannedMembership
+from cloverkeel.admin import commands as calls
+from cloverkeel.admin.commands import LINE_LIMIT, OpsCall, Word, parse_line
+from cloverkeel.admin.state_files import SharedFiles
+from cloverkeel.admin.listener import Caller, OpsListener
+from cloverkeel.admin.operations import Operations, folder_for
+from cloverkeel.admin.state import State, parse, render
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import configuration
 
--- a/tests/golden/relay.py
+++ b/tests/golden/control_plane.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.relay asks, answers and prints."""
+"""Samples of what cloverkeel.control_plane asks, answers and prints."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from unittest import mock
 
 from cloverkeel.core.config import Names
-from cloverkeel.core.gzip_steps import unpack
-from cloverkeel.membership.registry import parse_list
-from cloverkeel.relay import command
-from cloverkeel.relay.asks import Answer, Asker
-from cloverkeel.relay.calls import Ask, CallError, read_query
-from cloverkeel.relay.config import Limits, RelayConfig
-from cloverkeel.relay.encoding import LongBody
-from cloverkeel.relay.feed import Feed
-from cloverkeel.relay.roster import parse_roster
-from cloverkeel.relay.server import Caller, Server
-from cloverkeel.relay.source import SourceWatch
+from cloverkeel.core.incremental_gzip import unpack
+from cloverkeel.discovery.http_client import parse_list
+from cloverkeel.control_plane import command
+from cloverkeel.control_plane.messages import Answer, Asker
+from cloverkeel.control_plane.requests import Ask, CallError, read_query
+from cloverkeel.control_plane.config import Limits, RelayConfig
+from cloverkeel.control_plane.encoding import LongBody
+from cloverkeel.control_plane.endpoint_cache import Feed
+from cloverkeel.control_plane.fleet_roster import parse_roster
+from cloverkeel.control_plane.http_server import Caller, Server
+from cloverkeel.control_plane.discovery_source import SourceWatch
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import PATIENCE_S
 
@@ -135,8 +135,8 @@
             relay.server.close()
 
     with (
-        mock.patch("cloverkeel.relay.server.now_us", return_value=NOW_US),
-        mock.patch("cloverkeel.relay.source.now_us", return_value=NOW_US),
+        mock.patch("cloverkeel.control_plane.http_server.now_us", return_value=NOW_US),
+        mock.patch("cloverkeel.control_plane.discovery_source.now_us", return_value=NOW_US),
     ):
         return asyncio.run(run())
 
--- a/tests/golden/core.py
+++ b/tests/golden/core.py
@@ -7,9 +7,9 @@
 from typing import Final
 
 from benchmarks.fleet_logs import Count, Second
-from caperdrift.interface import Outcome
+from cloverkeel.balancing.interface import Outcome
 from cloverkeel.core.log import log_if_read
-from cloverkeel.core.tally import ENDS, MOST_HOSTS, Tally
+from cloverkeel.core.metrics import ENDS, MOST_HOSTS, Tally
 from tests.golden.store import Sample, SamplesByName
 
 AT_US: Final = 1_796_119_613_761_000
--- a/tests/golden/membership.py
+++ b/tests/golden/discovery.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.membership asks, and stores in the coordination service and on disk."""
+"""Samples of what cloverkeel.discovery asks, and stores in the coordination service and on disk."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from pathlib import Path
 from typing import Final
 
-from cloverkeel.membership import relays, watch
-from cloverkeel.membership.agent import Agent
-from cloverkeel.membership.keeper import Do, Keeper
-from cloverkeel.membership.merge import Member, Status
-from cloverkeel.membership.nodes import parse, render
-from cloverkeel.membership.relays import RelayWatch, age_in_state, named, order_of
-from cloverkeel.membership.state import load, save
-from cloverkeel.membership.watch import Watch
+from cloverkeel.discovery import relay_selection as relays, poll_schedule as watch
+from cloverkeel.discovery.registration_agent import Agent
+from cloverkeel.discovery.registration import Do, Keeper
+from cloverkeel.discovery.source_merge import Member, Status
+from cloverkeel.discovery.node_codec import parse, render
+from cloverkeel.discovery.relay_selection import RelayWatch, age_in_state, named, order_of
+from cloverkeel.discovery.snapshot_file import load, save
+from cloverkeel.discovery.poll_schedule import Watch
 from tests.golden.store import Sample, SamplesByName
 
 SERVING: Final = Member(
--- a/tests/golden/sharing.py
+++ b/tests/golden/gossip.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.sharing sends and prints."""
+"""Samples of what cloverkeel.gossip sends and prints."""
 
 from __future__ import annotations
 
@@ -10,11 +10,22 @@
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import parse as parse_config
 from cloverkeel.core.datagrams import Datagrams
-from cloverkeel.sharing.commands import main
-from cloverkeel.sharing.messages import (
-    MASK32, Datagram, EvidenceItem, GiveItem, Head, Item, Kind, Life, MemberItem, WantItem, decode, encode,
-)  # fmt: skip
-from cloverkeel.sharing.room import Room
+from cloverkeel.gossip.commands import main
+from cloverkeel.gossip.messages import (
+    MASK32,
+    Datagram,
+    EvidenceItem,
+    GiveItem,
+    Head,
+    Item,
+    Kind,
+    Life,
+    MemberItem,
+    WantItem,
+    decode,
+    encode,
+)
+from cloverkeel.gossip.driver import Room
 from tests.golden.commands import output_of
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import configuration
@@ -95,7 +106,7 @@
 
 
 def _show(*answers: str) -> Sample:
-    targets = ("cloverkeel.core.asking.call",)
+    targets = ("cloverkeel.core.admin_client.call",)
     return Sample(lambda: output_of(main, ("show", "--json"), {"PEERS": answers}, targets))
 
 
--- a/tests/golden/duties.py
+++ b/tests/golden/leases.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.duties sends, stores and prints."""
+"""Samples of what cloverkeel.leases sends, stores and prints."""
 
 from __future__ import annotations
 
@@ -13,17 +13,34 @@
 from cloverkeel.core.config import parse as parse_config
 from cloverkeel.core.datagrams import Datagrams
 from cloverkeel.core.options import Duties
-from cloverkeel.duties import colds, trials, warden
-from cloverkeel.duties.commands import main
-from cloverkeel.duties.messages import (
-    PAYLOAD_MOST, Accepted, Act, Hand, Head, Hello, Message, NotMine, Older, Prepare, Promised, Propose, Refused,
-    Release, Report, Taken, Why, decode, encode,
-)  # fmt: skip
-from cloverkeel.duties.nodes import DutyNodes
-from cloverkeel.duties.office import number_of_duty
-from cloverkeel.duties.room import Room
-from cloverkeel.duties.service import Answer, Node
-from cloverkeel.duties.warden import grant, read_grant, report
+from cloverkeel.leases import slow_start_quotas as colds, probe_election as trials, slow_start_budget as warden
+from cloverkeel.leases.commands import main
+from cloverkeel.leases.messages import (
+    PAYLOAD_MOST,
+    Accepted,
+    Act,
+    Hand,
+    Head,
+    Hello,
+    Message,
+    NotMine,
+    Older,
+    Prepare,
+    Promised,
+    Propose,
+    Refused,
+    Release,
+    Report,
+    Taken,
+    Why,
+    decode,
+    encode,
+)
+from cloverkeel.leases.zookeeper_driver import DutyNodes
+from cloverkeel.leases.manager import number_of_duty
+from cloverkeel.leases.driver import Room
+from cloverkeel.leases.zookeeper_lease import Answer, Node
+from cloverkeel.leases.slow_start_budget import grant, read_grant, report
 from tests.golden.commands import AnswersByLine, output_of
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import configuration
@@ -173,13 +190,13 @@
         "KEEPOFF": ["ACK it holds no duty"],
         "KEEPON": ["ACK it may hold duties"],
     }
-    targets = ("cloverkeel.core.asking.call", "cloverkeel.duties.commands.call")
+    targets = ("cloverkeel.core.admin_client.call", "cloverkeel.leases.commands.call")
     return Sample(lambda: output_of(main, arguments, answers, targets))
 
 
 def _show_without_answers() -> Sample:
     answers: AnswersByLine = {"DUTIES": ["NAK unknown call", ""]}
-    targets = ("cloverkeel.core.asking.call",)
+    targets = ("cloverkeel.core.admin_client.call",)
     return Sample(lambda: output_of(main, ("show", "--json"), answers, targets))
 
 
--- a/tests/golden/simulator.py
+++ b/tests/golden/simulator.py
@@ -1,4 +1,4 @@
-"""Samples of the simulator's wire: lines that caperdrift reads, and the lines that it writes."""
+"""Samples of the simulator's wire: lines that cloverkeel.balancing reads, and the lines that it writes."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import Final, get_args
 
-from caperdrift.interface import (
+from cloverkeel.balancing.interface import (
     Action, AttemptEnded, Cancel, CloseIdle, Effect, Event, Fail, FetchList, Goal, ListedServer, LoadReport, Log,
     Outcome, PeerMessage, Prices, Probe, Probed, Refuse, Reports, RequestArrived, RequestClass, RequestGone, Scope,
     Send, ServerStatus, Settings, SetTimer, StreamStarted, TellPeers, Tenant, TimerFired, WatchList,
 )  # fmt: skip
-from caperdrift.simhost import Host
-from caperdrift.wire import OUTCOMES, PARSERS, format_action, parse_server, parse_settings, split_line
+from cloverkeel.simulator.adapter import Host
+from cloverkeel.simulator.codec import OUTCOMES, PARSERS, format_action, parse_server, parse_settings, split_line
 from tests.golden.store import Sample, SamplesByName
 
 ACTIONS: Final[dict[str, Action]] = {
--- a/tests/golden/test_coverage.py
+++ b/tests/golden/test_coverage.py
@@ -7,25 +7,25 @@
 
 import pytest
 
-from tests.golden import duties, membership, ops, relay, sharing, simulator
+from tests.golden import admin, control_plane, discovery, gossip, leases, simulator
 from tests.golden.store import load
 
 CODECS = {
-    "duties messages": (duties.MESSAGE_CLASSES, duties.MESSAGE_CLASSES_OF_SAMPLES),
-    "sharing items": (sharing.ITEM_CLASSES, sharing.ITEM_CLASSES_OF_SAMPLES),
+    "duties messages": (leases.MESSAGE_CLASSES, leases.MESSAGE_CLASSES_OF_SAMPLES),
+    "sharing items": (gossip.ITEM_CLASSES, gossip.ITEM_CLASSES_OF_SAMPLES),
     "simulator actions": (simulator.ACTION_CLASSES, simulator.ACTION_CLASSES_OF_SAMPLES),
     "simulator events": (simulator.EVENT_NAMES, simulator.EVENT_NAMES_OF_SAMPLES),
     "simulator verdicts": (simulator.VERDICTS, simulator.VERDICTS_OF_SAMPLES),
-    "admin words": (ops.WORDS, ops.WORDS_OF_SAMPLES),
+    "admin words": (admin.WORDS, admin.WORDS_OF_SAMPLES),
 }
 FULL_SAMPLES: dict[str, Any] = {
-    "box": membership.FULL_MEMBER,
-    "relay call": relay.FULL_CALL,
-    "relay caller": relay.FULL_CALL.asker,
+    "box": discovery.FULL_MEMBER,
+    "relay call": control_plane.FULL_CALL,
+    "relay caller": control_plane.FULL_CALL.asker,
     "simulator load report": simulator.LOAD,
     "simulator request class": simulator.SETTINGS.classes[1],
     "simulator settings": simulator.SETTINGS,
-    "state file": ops.STATES["full"],
+    "state file": admin.STATES["full"],
 }
 
 
@@ -37,12 +37,12 @@
 
 def test_every_kind_of_sharing_datagram_has_kept_bytes() -> None:
     kept = {name.removeprefix("empty_") for name in load("sharing_datagrams") if name.startswith("empty_")}
-    assert kept == sharing.DATAGRAM_KINDS
+    assert kept == gossip.DATAGRAM_KINDS
 
 
 def test_kept_duties_datagrams_have_every_kind_number() -> None:
     kinds = {data[2] for data in load("duties_datagrams").values()}
-    assert len(kinds) == len(duties.MESSAGE_CLASSES)
+    assert len(kinds) == len(leases.MESSAGE_CLASSES)
 
 
 @pytest.mark.parametrize("name", sorted(FULL_SAMPLES))
