--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -45,7 +45,7 @@
 from cloverkeel.core.config import Config, parse, parse_address, stable_id  # noqa: E402
 from cloverkeel.core.options import Options  # noqa: E402
 from cloverkeel.core.options import parse as parse_options  # noqa: E402
-from cloverkeel.core.ports import Entry  # noqa: E402
+from cloverkeel.core.ports import Endpoint  # noqa: E402
 
 NEVER_US: Final = 10**15  # no gap is as long
 ASKING: Final[ContextVar[int]] = ContextVar("ASKING")  # the number of the gateway that a task is of
@@ -162,7 +162,7 @@
         self.program = program = assemble(replace(self.config, seed=seed), self.options)
         program.gateway.still.gap_us = NEVER_US
         self.started_us, self.listed_us = clock_us(), 0
-        program.discovery.tell(self.on_list)
+        program.discovery.set_listener(self.on_list)
         program.gateway.start()
 
     def stop(self) -> None:
@@ -176,7 +176,7 @@
         """Hosts by their numbers."""
         return self.program.pools.hosts if self.program is not None else {}
 
-    def on_list(self, kind: ListKind, entries: list[Entry]) -> None:
+    def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         program = self.program
         if program is None:
             return
@@ -197,7 +197,7 @@
             if self.pending:
                 self.take(kind, entries, at_us)
 
-    def take(self, kind: ListKind, entries: list[Entry], at_us: int) -> None:
+    def take(self, kind: ListKind, entries: list[Endpoint], at_us: int) -> None:
         """Which of the changes that are waited for this list has brought."""
         named = set()
         for entry in entries:
--- a/benchmarks/capacity/run_guard.py
+++ b/benchmarks/capacity/run_guard.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from cloverkeel.balancing.interface import ListKind, ServerStatus
-from cloverkeel.core.ports import Entry
+from cloverkeel.core.ports import Endpoint
 
 
 @dataclass(slots=True)
@@ -16,7 +16,7 @@
     ended: set[tuple[int, int]] = field(default_factory=set)  # gateway and host: it has been told so
     undone: list[tuple[int, int]] = field(default_factory=list)  # the same: told later that it serves
 
-    def take(self, gateway: int, kind: ListKind, entries: list[Entry]) -> None:
+    def take(self, gateway: int, kind: ListKind, entries: list[Endpoint]) -> None:
         mine = self.held.get(gateway, frozenset())
         if not mine:
             return
--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -320,7 +320,7 @@
     """A process that begins uses its part at once."""
     from cloverkeel.balancing.balancer import Balancer
 
-    cut(Balancer, "on_cold_share", ("self.cold_from_us = event.lent_us", "pass"))
+    cut(Balancer, "on_slow_start_quota", ("self.cold_from_us = event.lent_us", "pass"))
 
 
 @entry("trials-left")
@@ -328,7 +328,7 @@
     """Trials are held back though most servers are out."""
     from cloverkeel.balancing.balancer import Balancer
 
-    cut(Balancer, "on_trials_held", (" and 2 * closed < len(self.servers)", " and False"))
+    cut(Balancer, "on_probes_suspended", (" and 2 * closed < len(self.servers)", " and False"))
 
 
 @entry("hearsay-used")
@@ -336,7 +336,7 @@
     """The module makes nothing of what others saw."""
     from cloverkeel.balancing.balancer import Balancer
 
-    swap(Balancer, "on_hearsay", lambda self, event: None)
+    swap(Balancer, "on_peer_health_report", lambda self, event: None)
 
 
 @entry("hearsay-two")
@@ -355,7 +355,7 @@
     from cloverkeel.balancing.balancer import Balancer
 
     opened = "breaker = server.breaker; bad and breaker.open(self.now_us)"
-    cut(Balancer, "on_hearsay", ("breaker = server.breaker", opened))
+    cut(Balancer, "on_peer_health_report", ("breaker = server.breaker", opened))
 
 
 @entry("hearsay-common")
@@ -363,7 +363,7 @@
     """What fails here everywhere does not speak for a server that fails for others."""
     from cloverkeel.balancing.balancer import Balancer
 
-    cut(Balancer, "on_hearsay", ("common = self.common_share(server, None)", "common = 0.0"))
+    cut(Balancer, "on_peer_health_report", ("common = self.common_share(server, None)", "common = 0.0"))
 
 
 @entry("hearsay-hold")
@@ -371,7 +371,7 @@
     """Trials wait for others' for as long as others fail."""
     from cloverkeel.balancing.balancer import Balancer
 
-    cut(Balancer, "on_hearsay", ("min(event.until_us, most_us)", "event.until_us"))
+    cut(Balancer, "on_peer_health_report", ("min(event.until_us, most_us)", "event.until_us"))
 
 
 @entry("rights-end")
--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -35,7 +35,7 @@
     swap(exchange.Exchange, "look_again", lambda self, now_us: None)
     from cloverkeel.balancing.balancer import Balancer
 
-    cut(Balancer, "on_hearsay", ("event.until_us if bad else 0", "event.until_us + 10**9 if bad else 0"))
+    cut(Balancer, "on_peer_health_report", ("event.until_us if bad else 0", "event.until_us + 10**9 if bad else 0"))
 
 
 @entry("hearsay-zone")
@@ -76,7 +76,7 @@
     """Each failure is passed on by whoever hears of it."""
     from cloverkeel.gossip.node import Exchange
 
-    cut(Exchange, "on_evidence", ("if tellers >= DOUBT_TELLERS:", "if True:"))
+    cut(Exchange, "on_evidence", ("if reporters >= DOUBT_TELLERS:", "if True:"))
 
 
 @entry("rumours-bytes")
@@ -172,4 +172,4 @@
     """Who stood still accuses others of what it did not hear."""
     from cloverkeel.gossip.failure_detector import Presence
 
-    swap(Presence, "stood_still", lambda self, now_us, stood_us: None)
+    swap(Presence, "stood_still", lambda self, now_us, stall_us: None)
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -31,7 +31,7 @@
 from cloverkeel.core.config import parse  # noqa: E402
 from cloverkeel.core.gateway import Gateway  # noqa: E402
 from cloverkeel.core.incremental_json import decode  # noqa: E402
-from cloverkeel.core.ports import Entry  # noqa: E402
+from cloverkeel.core.ports import Endpoint  # noqa: E402
 from cloverkeel.discovery.http_client import parse_list, parse_steps  # noqa: E402
 from cloverkeel.upstream.connection_pool import Pools  # noqa: E402
 
@@ -48,10 +48,10 @@
 class Silence:
     """A membership that says nothing of itself."""
 
-    def tell(self, on_list: Callable[[ListKind, list[Entry]], None]) -> None:
+    def set_listener(self, on_list: Callable[[ListKind, list[Endpoint]], None]) -> None:
         pass
 
-    def take_known(self, raw: dict[str, Any]) -> None:
+    def load_known(self, raw: dict[str, Any]) -> None:
         pass
 
     def watch(self, on: bool) -> None:
@@ -60,7 +60,7 @@
     def fetch(self) -> None:
         pass
 
-    def catch_up(self, stood_us: int, done: Callable[[], None]) -> None:
+    def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
         done()
 
     def close(self) -> None:
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -13,9 +13,9 @@
 
 from cloverkeel.balancing.balancer import Balancer
 from cloverkeel.balancing.interface import (
-    Action, AttemptEnded, Cancel, ColdShare, Effect, Event, Goal, ListedServer, ListKind, LoadReport, Outcome,
+    Action, AttemptEnded, Cancel, SlowStartQuota, Effect, Event, Goal, ListedServer, ListKind, LoadReport, Outcome,
     PeerMessage, Prices, Probed, Refuse, Fail, Reports, RequestArrived, RequestClass, RequestGone, Scope, Send,
-    ServerList, ServerStatus, SetTimer, Settings, StreamStarted, Tenant, TimerFired, TrialsHeld,
+    ServerList, ServerStatus, SetTimer, Settings, StreamStarted, Tenant, TimerFired, ProbesSuspended,
 )  # fmt: skip
 
 HUGE = 2**70 + 3  # past any machine word
@@ -140,9 +140,11 @@
             server = dice.choice((*servers, -1, 99))
             started_us = self.balancer.servers[server].entry.started_us if server in self.balancer.servers else 0
             lent_us, granted_us = (self.now_us + dice.choice((-1, 800_000, 2_000_000)) for _ in range(2))
-            return ColdShare(server, started_us, lent_us, dice.choice((0.0, 0.5, 3.0)), granted_us)
+            return SlowStartQuota(server, started_us, lent_us, dice.choice((0.0, 0.5, 3.0)), granted_us)
         if roll < 0.99:
-            return TrialsHeld(dice.choice((*self.balancer.servers, 99)), dice.choice((0, 1, self.now_us + 1_200_000)))
+            return ProbesSuspended(
+                dice.choice((*self.balancer.servers, 99)), dice.choice((0, 1, self.now_us + 1_200_000))
+            )
         return PeerMessage(dice.randrange(9), b"word")
 
     def take(self, actions: list[Action]) -> None:
--- a/cloverkeel/balancing/balancer.py
+++ b/cloverkeel/balancing/balancer.py
@@ -22,11 +22,11 @@
     AnswerAll,
     AttemptEnded,
     Cancel,
-    ColdShare,
+    SlowStartQuota,
     Effect,
     Event,
     Fail,
-    Hearsay,
+    PeerHealthReport,
     ListedServer,
     ListKind,
     Log,
@@ -35,7 +35,7 @@
     Refuse,
     RequestArrived,
     RequestGone,
-    RetryRights,
+    RetryTokenGrant,
     Scope,
     Send,
     ServerList,
@@ -44,7 +44,7 @@
     Settings,
     StreamStarted,
     TimerFired,
-    TrialsHeld,
+    ProbesSuspended,
     WatchList,
 )
 
@@ -416,14 +416,14 @@
             self.on_stream(event)
         elif isinstance(event, ProcessesChanged):
             self.processes = max(1, event.count)
-        elif isinstance(event, ColdShare):
-            self.on_cold_share(event)
-        elif isinstance(event, TrialsHeld):
-            self.on_trials_held(event)
-        elif isinstance(event, Hearsay):
-            self.on_hearsay(event)
-        elif isinstance(event, RetryRights):
-            self.on_retry_rights(event)
+        elif isinstance(event, SlowStartQuota):
+            self.on_slow_start_quota(event)
+        elif isinstance(event, ProbesSuspended):
+            self.on_probes_suspended(event)
+        elif isinstance(event, PeerHealthReport):
+            self.on_peer_health_report(event)
+        elif isinstance(event, RetryTokenGrant):
+            self.on_retry_token_grant(event)
         elif isinstance(event, AnswerAll):
             for request in [r for r in self.requests.values() if not r.streaming]:
                 self.answer_unserved(request, "ending")
@@ -840,7 +840,7 @@
         self.retry_need_us = self.now_us
         return False
 
-    def on_retry_rights(self, event: RetryRights) -> None:
+    def on_retry_token_grant(self, event: RetryTokenGrant) -> None:
         """Tokens move between proxies (docs/peers-design.md): they are gone there before they come here."""
         self.retry_cap = event.cap
         self.retry_tokens = max(0.0, self.retry_room() + event.moved)
@@ -1010,7 +1010,7 @@
         server.answered_us = server.answered_us if failed else self.now_us
         self.log_change(server, server.breaker, changed)
 
-    def on_trials_held(self, event: TrialsHeld) -> None:
+    def on_probes_suspended(self, event: ProbesSuspended) -> None:
         """Hold trials back while another proxy tries a server; at its word, end the cooldown here."""
         server = self.servers.get(event.server)
         closed = sum(s.breaker.state is State.CLOSED for s in self.servers.values())
@@ -1020,7 +1020,7 @@
         if event.until_us == 0 and server.breaker.state is State.OPEN:
             server.breaker.open_until_us = min(server.breaker.open_until_us, self.now_us)
 
-    def on_hearsay(self, event: Hearsay) -> None:
+    def on_peer_health_report(self, event: PeerHealthReport) -> None:
         """Weigh what others saw, less what fails here everywhere. It opens and closes no breaker.
 
         A server in doubt is drawn seldom and gives its place to the next, and one failure here is enough.
@@ -1031,7 +1031,7 @@
             return
         common = self.common_share(server, None)
         limit = 1.0 - (1.0 - THRESHOLD) * (1.0 - common) ** 2
-        bad = event.tellers >= DOUBT_TELLERS and event.bad >= limit * (event.good + event.bad)
+        bad = event.reporters >= DOUBT_TELLERS and event.bad >= limit * (event.good + event.bad)
         server.doubt_us = event.until_us if bad else 0
         breaker = server.breaker
         closed = sum(s.breaker.state is State.CLOSED for s in self.servers.values())
@@ -1040,7 +1040,7 @@
         if bad and 2 * closed >= len(self.servers):
             most_us = breaker.open_until_us + min(breaker.cooldown_us, HELD_MOST_US)
             server.held_us = max(server.held_us, min(event.until_us, most_us))
-        elif not event.tellers and event.well >= DOUBT_TELLERS:
+        elif not event.reporters and event.well >= DOUBT_TELLERS:
             server.held_us, breaker.open_until_us = 0, min(breaker.open_until_us, self.now_us)
 
     def silences(self, now_us: int) -> list[int]:
@@ -1170,7 +1170,7 @@
             return part_us, part_us
         return budget_us * LATE_BURST, budget_us * (1 - LATE_BURST)
 
-    def on_cold_share(self, event: ColdShare) -> None:
+    def on_slow_start_quota(self, event: SlowStartQuota) -> None:
         """Parts move between proxies (docs/duties-design.md). What comes begins empty: no burst comes along.
 
         Guards against a window in which one part is spent here and there.
--- a/cloverkeel/balancing/interface.py
+++ b/cloverkeel/balancing/interface.py
@@ -312,7 +312,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ColdShare:
+class SlowStartQuota:
     """Parts of a cold server's fall budget move: this proxy has lent its own until `lent_us`, and has `granted` parts
     of others until `granted_us`; each ends by itself. `server` -1: no cold server is used until `lent_us`."""
 
@@ -324,7 +324,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TrialsHeld:
+class ProbesSuspended:
     """Another proxy tries this server for all, until then: it is not tried here. 0: it answers there; try it now."""
 
     server: int
@@ -332,7 +332,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hearsay:
+class PeerHealthReport:
     """What other proxies saw of a server's process of late, and this one with them: outcomes, newer ones counted for
     more; how many others saw it fail, and how many were only answered well; nothing of it counts after `until_us`."""
 
@@ -340,13 +340,13 @@
     started_us: int
     good: float
     bad: float
-    tellers: int
+    reporters: int
     well: int
     until_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class RetryRights:
+class RetryTokenGrant:
     """How many tokens for further attempts this proxy saves up at the most, and those that move between proxies now:
     more than 0 come, and what is beyond `cap` ends at `until_us`; less than 0 go."""
 
@@ -375,10 +375,10 @@
     | TimerFired
     | Probed
     | ProcessesChanged
-    | ColdShare
-    | TrialsHeld
-    | Hearsay
-    | RetryRights
+    | SlowStartQuota
+    | ProbesSuspended
+    | PeerHealthReport
+    | RetryTokenGrant
     | AnswerAll
     | PeerMessage
 )
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -20,11 +20,11 @@
     AttemptEnded,
     Cancel,
     CloseIdle,
-    ColdShare,
+    SlowStartQuota,
     Event,
     Fail,
     FetchList,
-    Hearsay,
+    PeerHealthReport,
     ListedServer,
     ListKind,
     Log,
@@ -35,14 +35,14 @@
     Refuse,
     RequestArrived,
     RequestGone,
-    RetryRights,
+    RetryTokenGrant,
     Send,
     ServerList,
     ServerStatus,
     SetTimer,
     StreamStarted,
     TimerFired,
-    TrialsHeld,
+    ProbesSuspended,
     WatchList,
 )
 
@@ -52,7 +52,7 @@
 from cloverkeel.core.log import log, log_if_read
 from cloverkeel.core.loop_timers import LoopTimers
 from cloverkeel.core.messages import Reply
-from cloverkeel.core.ports import Attempt, Decisions, End, Entry, Membership, Upstream
+from cloverkeel.core.ports import Attempt, Decisions, End, Endpoint, EndpointSource, Upstream
 from cloverkeel.core.list_batches import Slices
 from cloverkeel.core.stall_detector import BEAT_US, Stillness
 from cloverkeel.core.metrics import EVERY_US, Tally
@@ -84,16 +84,16 @@
 
 
 class Gateway:
-    def __init__(self, config: Config, pools: Upstream, membership: Membership) -> None:
+    def __init__(self, config: Config, pools: Upstream, membership: EndpointSource) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = config.settings
         self.balancer: Decisions = Balancer(config.settings, config.seed)
         self.pools, self.discovery = pools, membership
-        membership.tell(self.on_list)
+        membership.set_listener(self.on_list)
         # What has happened, by what may be done with it while membership catches up: lists are handled, first of all;
         # what is urgent as well, since nothing is sent for it; the rest waits, till its request's time is over.
         # Of a long list only what restricts is handled so; the rest in parts, one in a turn of the loop.
-        self.lists: deque[tuple[ListKind, list[Entry]]] = deque()
+        self.lists: deque[tuple[ListKind, list[Endpoint]]] = deque()
         self.slices = Slices()
         self.part_due = False  # this turn's part is yet to be handled
         self.turn: asyncio.Handle | None = None
@@ -125,7 +125,7 @@
         self.still.look(now_us())
         self.still.end(now_us(), caught_up=True)  # what came before the first list is no gap
         self.beat()
-        self.discovery.take_known(self.known)
+        self.discovery.load_known(self.known)
 
     @property
     def can_serve(self) -> bool:
@@ -148,21 +148,21 @@
 
     def cold_share(self, server: int, started_us: int, lent_us: int, granted: float, granted_us: int) -> None:
         """Parts of a cold server's budget that are lent or granted until then; ahead of whatever waits."""
-        self.post_urgent(lambda: ColdShare(server, started_us, lent_us, granted, granted_us))
+        self.post_urgent(lambda: SlowStartQuota(server, started_us, lent_us, granted, granted_us))
 
     def hold_trials(self, server: int, until_us: int) -> None:
         """Another gateway tries a server until then; 0: it answers there."""
-        self.post_urgent(lambda: TrialsHeld(server, until_us))
+        self.post_urgent(lambda: ProbesSuspended(server, until_us))
 
     def hearsay(
-        self, server: int, started_us: int, good: float, bad: float, tellers: int, well: int, until_us: int
+        self, server: int, started_us: int, good: float, bad: float, reporters: int, well: int, until_us: int
     ) -> None:
         """What other gateways saw of a server; ahead of whatever waits, as it restricts, or brings a trial."""
-        self.post_urgent(lambda: Hearsay(server, started_us, good, bad, tellers, well, until_us))
+        self.post_urgent(lambda: PeerHealthReport(server, started_us, good, bad, reporters, well, until_us))
 
     def retry_rights(self, cap: float, moved: float = 0.0, until_us: int = 0) -> None:
         """Tokens for further attempts come or go; ahead of whatever waits, as nothing may be spent that has gone."""
-        self.post_urgent(lambda: RetryRights(cap, moved, until_us))
+        self.post_urgent(lambda: RetryTokenGrant(cap, moved, until_us))
 
     def answer_all(self) -> None:
         """This process ends: whatever is held is answered now."""
@@ -197,12 +197,12 @@
 
     def on_gap(self) -> None:
         """This process stood still: what membership was told meanwhile comes first, before anything is sent."""
-        began_us, stood_us = self.still.since_us, self.still.stood_us
+        began_us, stall_us = self.still.since_us, self.still.stall_us
         for after in self.after_gap:
-            after(began_us, stood_us)
+            after(began_us, stall_us)
         if began_us - self.said_still_us > STILL_LOG_US:
             self.said_still_us = began_us
-            log(f"stood still for {stood_us / 1e6:.2f} s ({self.still.gaps} times so far); membership is read first")
+            log(f"stood still for {stall_us / 1e6:.2f} s ({self.still.gaps} times so far); membership is read first")
 
         def caught_up() -> None:
             if self.still.since_us == began_us:  # else there was a further gap, and a new hold
@@ -210,7 +210,7 @@
 
         self.loop.call_later(self.still.hold_us / 1e6 + 0.001, self.go_on, False)
         self.events = deque((self.bounded(event, held), held) for event, held in self.events)
-        self.discovery.catch_up(stood_us, caught_up)
+        self.discovery.catch_up(stall_us, caught_up)
 
     def bounded(self, event: Happened, held: Held | None) -> Happened:
         """An event that waits no longer than its request may: then the module answers it, and can send nothing."""
@@ -254,7 +254,7 @@
         if not self.handling:
             self.work()
 
-    def on_list(self, kind: ListKind, entries: list[Entry]) -> None:
+    def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """Who is there comes before whatever else waits: nothing is decided by an old list."""
         self.lists.append((kind, entries))
         if not self.handling:
@@ -329,7 +329,7 @@
         self.finish(held)
         return RequestGone(held.ticket)
 
-    def take_list(self, kind: ListKind, entries: list[Entry]) -> Event:
+    def take_list(self, kind: ListKind, entries: list[Endpoint]) -> Event:
         gone: list[int] = []
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
             gone = self.pools.keep_only({entry.listed.server for entry in entries})
@@ -355,10 +355,10 @@
         self.work()
         self.turn = self.loop.call_soon(self.on_turn) if self.slices.waiting and not self.closed else None
 
-    def is_another(self, entry: Entry) -> bool:
+    def is_another(self, entry: Endpoint) -> bool:
         return self.pools.is_another(entry.listed.server, entry.address, entry.listed.started_us)
 
-    def tell(self, kind: ListKind, entries: list[Entry], gone: tuple[ListedServer, ...] = ()) -> Event:
+    def tell(self, kind: ListKind, entries: list[Endpoint], gone: tuple[ListedServer, ...] = ()) -> Event:
         self.fresh += len(entries)
         if self.on_told is not None and not self.slices.waiting:
             self.on_told(self.fresh)
@@ -372,7 +372,7 @@
                 self.pools.put(listed.server, entry.name, entry.address, ready, listed.started_us)
         return ServerList(kind, gone + tuple(entry.listed for entry in entries))
 
-    def is_namesake(self, entry: Entry) -> bool:
+    def is_namesake(self, entry: Endpoint) -> bool:
         """Whether the number of this entry is that of another host: numbers are hashes of names."""
         name = self.pools.name_of(entry.listed.server) or self.slices.name_of(entry.listed.server)
         if name is None or name == entry.name:
--- a/cloverkeel/core/list_batches.py
+++ b/cloverkeel/core/list_batches.py
@@ -22,7 +22,7 @@
 
 from cloverkeel.balancing.interface import ServerStatus
 
-from cloverkeel.core.ports import Entry
+from cloverkeel.core.ports import Endpoint
 
 AT_ONCE: Final = 200  # entries, and hosts known: the platform's whole list is no longer
 SLICE: Final = 50  # entries in a turn: under a millisecond, all of them new, on a machine with other work
@@ -33,7 +33,7 @@
     """What waits of long lists, by the hosts' numbers, in the order they came in; a newer word has its place."""
 
     def __init__(self) -> None:
-        self.waiting: dict[int, Entry] = {}
+        self.waiting: dict[int, Endpoint] = {}
 
     def name_of(self, server: int) -> str | None:
         """Of a host that waits to be told."""
@@ -44,13 +44,13 @@
         """A whole list has come: what waits of those before it is void."""
         self.waiting.clear()
 
-    def take_all(self, entries: list[Entry]) -> list[Entry]:
+    def take_all(self, entries: list[Endpoint]) -> list[Endpoint]:
         """The whole of a list is told now."""
         for entry in entries if self.waiting else ():
             self.waiting.pop(entry.listed.server, None)
         return entries
 
-    def take(self, entries: list[Entry], known: int, is_another: Callable[[Entry], bool]) -> list[Entry]:
+    def take(self, entries: list[Endpoint], known: int, is_another: Callable[[Endpoint], bool]) -> list[Endpoint]:
         """What of a list is to be told now; the rest waits.
 
         `known`: how many hosts are known now, what the list leaves out taken off already. `is_another`: whether a
@@ -59,7 +59,7 @@
         least = AT_ONCE if known <= AT_ONCE else SLICE
         if len(entries) <= least or len(entries) > KNOWN_LEAST * known:
             return self.take_all(entries)
-        now: list[Entry] = []
+        now: list[Endpoint] = []
         for entry in entries:  # of a host that is named twice the last word is told last
             listed = entry.listed
             if listed.status is not ServerStatus.READY or is_another(entry):
@@ -69,6 +69,6 @@
                 self.waiting[listed.server] = entry
         return now
 
-    def next(self) -> list[Entry]:
+    def next(self) -> list[Endpoint]:
         """The next part of what waits; empty where nothing does."""
         return [self.waiting.pop(server) for server in list(islice(self.waiting, SLICE))]
--- a/cloverkeel/core/options.py
+++ b/cloverkeel/core/options.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ephemeral:
-    """Membership from ephemeral nodes."""
+    """EndpointSource from ephemeral nodes."""
 
     hosts: str  # host:port,host:port
     path: str = "/cloverkeel/boxes"
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Relays:
-    """Membership by control-plane relays (docs/relay-design.md)."""
+    """EndpointSource by control-plane relays (docs/relay-design.md)."""
 
     addresses: tuple[Address, ...]
     services: tuple[str, ...] = ()  # that this gateway is for; none: all that the relays' roster has for it
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class Endpoint:
     """One host of a list, for the module and for who carries attempts."""
 
     name: str
@@ -44,7 +44,7 @@
     def go_on(self) -> None: ...
 
 
-OnList = Callable[[ListKind, list[Entry]], None]
+OnEndpointList = Callable[[ListKind, list[Endpoint]], None]
 OnEnd = Callable[[End], None]
 # A request in full, made as it is written, with the present time in µs: it tells its host what time is left.
 Payload = Callable[[int], list[bytes]]
@@ -131,19 +131,19 @@
     def close(self) -> None: ...
 
 
-class Membership(Protocol):
+class EndpointSource(Protocol):
     """Tells who is there."""
 
-    def tell(self, on_list: OnList) -> None:
+    def set_listener(self, on_list: OnEndpointList) -> None:
         """Whom to tell, from now on."""
 
-    def take_known(self, raw: dict[str, Any]) -> None: ...
+    def load_known(self, raw: dict[str, Any]) -> None: ...
 
     def watch(self, on: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
-    def catch_up(self, stood_us: int, done: Callable[[], None]) -> None:
+    def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
         """This process stood still for so long: tell all that was said meanwhile, then call `done`, once."""
 
     def close(self) -> None: ...
--- a/cloverkeel/core/stall_detector.py
+++ b/cloverkeel/core/stall_detector.py
@@ -29,7 +29,7 @@
     hold_us: int = HOLD_US
     holds: bool = False  # nothing may be sent
     since_us: int = 0  # when the present hold began
-    stood_us: int = 0  # the gap that began it
+    stall_us: int = 0  # the gap that began it
     gaps: int = 0
     longest_us: int = 0
     ran_out: int = 0  # holds that ended by their time
@@ -46,13 +46,13 @@
                 self.due_us = self.seen_us + self.gap_us
             return False
         self.holds, self.due_us = True, -1
-        self.since_us, self.stood_us = now_us, gap_us
+        self.since_us, self.stall_us = now_us, gap_us
         self.gaps += 1
         self.longest_us = max(self.longest_us, gap_us)
         return True
 
     def end(self, now_us: int, caught_up: bool) -> bool:
-        """Membership has caught up, or the hold's time may be over; True if what waited may go on now."""
+        """EndpointSource has caught up, or the hold's time may be over; True if what waited may go on now."""
         if not self.holds or not (caught_up or now_us - self.since_us >= self.hold_us):
             return False
         self.holds, self.due_us = False, self.seen_us + self.gap_us
--- a/cloverkeel/discovery/ejection_filter.py
+++ b/cloverkeel/discovery/ejection_filter.py
@@ -1,4 +1,4 @@
-"""Membership with hosts taken out by hand: any source's lists go through the pure overlay (bans.py) to the core."""
+"""Endpoint lists with hosts ejected by hand: any source's lists go through the pure overlay to the core."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Address
-from cloverkeel.core.ports import Entry, Membership, OnList
+from cloverkeel.core.ports import Endpoint, EndpointSource, OnEndpointList
 from cloverkeel.discovery.manual_ejections import Bans
 
 
-class Source(Membership, Protocol):
+class Source(EndpointSource, Protocol):
     """A membership that a reload can move."""
 
     @property
@@ -23,18 +23,18 @@
 
 
 class BannedMembership:
-    """As the core asks it of a Membership (core/ports.py), and as a reload asks it (core/reload.py)."""
+    """As the core asks it of an EndpointSource (core/ports.py), and as a reload asks it (core/reload.py)."""
 
     def __init__(self, source: Source) -> None:
         self.source = source
         self.bans = Bans()
-        self.on_list: OnList = lambda kind, entries: None
-        source.tell(self.on_source)
+        self.on_list: OnEndpointList = lambda kind, entries: None
+        source.set_listener(self.on_source)
 
-    def tell(self, on_list: OnList) -> None:
+    def set_listener(self, on_list: OnEndpointList) -> None:
         self.on_list = on_list
 
-    def on_source(self, kind: ListKind, entries: list[Entry]) -> None:
+    def on_source(self, kind: ListKind, entries: list[Endpoint]) -> None:
         self.on_list(kind, self.bans.take(kind, entries))
 
     # From staff: in force when these return
@@ -48,14 +48,14 @@
     def adopt(self, out: dict[str, int], back: dict[str, int]) -> None:
         self.pass_on(self.bans.adopt(out, back))
 
-    def pass_on(self, entries: list[Entry]) -> None:
+    def pass_on(self, entries: list[Endpoint]) -> None:
         if entries:
             self.on_list(ListKind.DELTA, entries)
 
     # The rest is the source's
 
-    def take_known(self, raw: dict[str, Any]) -> None:
-        self.source.take_known(raw)
+    def load_known(self, raw: dict[str, Any]) -> None:
+        self.source.load_known(raw)
 
     def watch(self, on: bool) -> None:
         self.source.watch(on)
@@ -63,8 +63,8 @@
     def fetch(self) -> None:
         self.source.fetch()
 
-    def catch_up(self, stood_us: int, done: Callable[[], None]) -> None:
-        self.source.catch_up(stood_us, done)
+    def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
+        self.source.catch_up(stall_us, done)
 
     @property
     def address(self) -> Address:
--- a/cloverkeel/discovery/http_client.py
+++ b/cloverkeel/discovery/http_client.py
@@ -27,7 +27,7 @@
 from cloverkeel.core.incremental_json import decode
 from cloverkeel.core.log import log
 from cloverkeel.core.messages import Reply
-from cloverkeel.core.ports import Entry, OnList
+from cloverkeel.core.ports import Endpoint, OnEndpointList
 from cloverkeel.discovery.poll_schedule import CONNECT_S, READ_S, REST_S, Query, Watch
 from cloverkeel.protocols.http1 import ReplyError, ReplyReader
 
@@ -49,13 +49,13 @@
     """A call to discovery has failed."""
 
 
-def parse_entry(raw: dict[str, Any], names: Names) -> Entry:
+def parse_entry(raw: dict[str, Any], names: Names) -> Endpoint:
     name = raw["name"]
     if not isinstance(name, str) or not name:
         raise ValueError("no name")
     zone, kind, group = raw.get("zone", ""), raw.get("type", ""), raw.get("group", 0)
     users = raw.get("users", 0)  # from a relay: how many gateways have this host; an odd one is as none
-    return Entry(
+    return Endpoint(
         name,
         parse_address(raw["address"], "address"),
         ListedServer(
@@ -71,7 +71,7 @@
     )
 
 
-def leaving_of(raw: object) -> Entry | None:
+def leaving_of(raw: object) -> Endpoint | None:
     """Of an entry that cannot be used otherwise: a host that leaves is known to, whatever else is said of it.
 
     Guards against a host that is used for good, as the one word on its end had no address or an odd weight.
@@ -79,7 +79,7 @@
     name, status = (raw.get("name"), raw.get("status")) if isinstance(raw, dict) else (None, None)
     if not isinstance(name, str) or not name or status not in ("DRAINING", "DELETED"):
         return None
-    return Entry(name, ("", 0), ListedServer(stable_id(name, 4), ServerStatus.GONE))
+    return Endpoint(name, ("", 0), ListedServer(stable_id(name, 4), ServerStatus.GONE))
 
 
 def _weight(value: object) -> float:
@@ -115,16 +115,16 @@
             return cast(Made, stop.value)
 
 
-def parse_list(raw: object, names: Names) -> tuple[int, bool, list[Entry]]:
+def parse_list(raw: object, names: Names) -> tuple[int, bool, list[Endpoint]]:
     """A list in discovery's form: its version, whether it is whole, and the entries that can be used."""
     return finished(parse_steps(raw, names))
 
 
-def parse_steps(raw: object, names: Names) -> Steps[tuple[int, bool, list[Entry]]]:
+def parse_steps(raw: object, names: Names) -> Steps[tuple[int, bool, list[Endpoint]]]:
     """As parse_list, by steps."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints", []), list):
         raise ValueError("not a list of hosts")
-    entries: dict[int, Entry] = {}
+    entries: dict[int, Endpoint] = {}
     for count, item in enumerate(raw.get("endpoints", [])):
         if count % PARSED == 0:
             yield None
@@ -345,15 +345,15 @@
     def catches_up(self) -> bool:
         return self.catching is not None and not self.catching.done()
 
-    def catch_up(self, stood_us: int, done: Callable[[], None]) -> None:
+    def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
         """Tell what has come meanwhile; then, where a change may have gone by untold, what a call answers now."""
         if self.closed:
             done()
             return
-        catching = self._catch_up(stood_us, self.answers, done)
+        catching = self._catch_up(stall_us, self.answers, done)
         self.catching = asyncio.get_running_loop().create_task(catching)
 
-    async def _catch_up(self, stood_us: int, before: int, done: Callable[[], None]) -> None:
+    async def _catch_up(self, stall_us: int, before: int, done: Callable[[], None]) -> None:
         """`before`: the answers that had been told when the gap was noticed, and not when this gets its turn."""
         try:
             line, turns = self.line, 0
@@ -362,7 +362,7 @@
                 # The loop reads in between; where only part of an answer has come, it need not hurry.
                 await asyncio.sleep(0 if turns < HASTY_TURNS else CATCH_UP_S / CATCH_UP_TURNS)
             is_watching = line is not None and self.line is line and line.answer is not None
-            if stood_us >= FRESH_US and (self.answers != before or not is_watching):
+            if stall_us >= FRESH_US and (self.answers != before or not is_watching):
                 self.begin(watches=True)
                 asked, task = self.answers, self.task
                 while self.answers == asked and self.task is task:
@@ -434,14 +434,14 @@
     def __init__(self, address: Address, names: Names, pushed: bool) -> None:
         super().__init__(address, pushed)
         self.names = names
-        self.on_list: OnList = lambda kind, entries: None  # the core's, once it is there
+        self.on_list: OnEndpointList = lambda kind, entries: None  # the core's, once it is there
 
-    def tell(self, on_list: OnList) -> None:
+    def set_listener(self, on_list: OnEndpointList) -> None:
         self.on_list = on_list
 
-    def take_known(self, raw: dict[str, Any]) -> None:
+    def load_known(self, raw: dict[str, Any]) -> None:
         """Begin with the list that this gateway had before it was restarted."""
-        entries: list[Entry] = []
+        entries: list[Endpoint] = []
         try:
             self.plan.index, _, entries = parse_list(raw, self.names)
         except (KeyError, TypeError, ValueError) as error:
--- a/cloverkeel/discovery/manual_ejections.py
+++ b/cloverkeel/discovery/manual_ejections.py
@@ -21,7 +21,7 @@
 
 from cloverkeel.balancing.interface import ListKind, ServerStatus
 
-from cloverkeel.core.ports import Entry
+from cloverkeel.core.ports import Endpoint
 
 LISTED_KEPT: Final = 4_096  # ids that left the list and are still known as listed once
 BANS_KEPT: Final = 1_024  # more hosts than that are not taken out by hand at one time
@@ -31,14 +31,14 @@
     """Who is out by hand, and the last word of the list on each host."""
 
     def __init__(self) -> None:
-        self.listed: dict[str, Entry] = {}
+        self.listed: dict[str, Endpoint] = {}
         self.once: OrderedDict[str, None] = OrderedDict()  # left the list; the longest ago first
         self.out: dict[str, int] = {}  # since when, µs
         self.back: dict[str, int] = {}  # put back at this time, and no later start is told yet
 
     # From the list
 
-    def take(self, kind: ListKind, entries: Iterable[Entry]) -> list[Entry]:
+    def take(self, kind: ListKind, entries: Iterable[Endpoint]) -> list[Endpoint]:
         """What the core is to be told in place of these."""
         entries = list(entries)
         if kind is ListKind.ERROR:
@@ -66,7 +66,7 @@
         while len(self.once) > LISTED_KEPT:
             self.back.pop(self.once.popitem(last=False)[0], None)
 
-    def presented(self, entry: Entry) -> Entry:
+    def presented(self, entry: Endpoint) -> Endpoint:
         listed = entry.listed
         status, started_us = listed.status, listed.started_us
         if entry.name in self.out and status is ServerStatus.READY:
@@ -76,7 +76,7 @@
             started_us = back_us
         if (status, started_us) == (listed.status, listed.started_us):
             return entry
-        return Entry(entry.name, entry.address, replace(listed, status=status, started_us=started_us))
+        return Endpoint(entry.name, entry.address, replace(listed, status=status, started_us=started_us))
 
     # From staff
 
@@ -87,12 +87,12 @@
     def has_room(self, name: str) -> bool:
         return name in self.out or len(self.out) < BANS_KEPT
 
-    def suspend(self, now_us: int, name: str) -> list[Entry]:
+    def suspend(self, now_us: int, name: str) -> list[Endpoint]:
         """Out by hand from now on; what the core is to be told."""
         self.out.setdefault(name, now_us)
         return self.word_on(name)
 
-    def restore(self, now_us: int, name: str) -> list[Entry]:
+    def restore(self, now_us: int, name: str) -> list[Endpoint]:
         """Back; what the core is to be told."""
         since_us = self.out.pop(name, None)
         if since_us is None:
@@ -102,11 +102,11 @@
             self.back[name] = now_us
         return self.word_on(name)
 
-    def word_on(self, name: str) -> list[Entry]:
+    def word_on(self, name: str) -> list[Endpoint]:
         entry = self.listed.get(name)
         return [self.presented(entry)] if entry is not None else []
 
-    def adopt(self, out: Mapping[str, int], back: Mapping[str, int]) -> list[Entry]:
+    def adopt(self, out: Mapping[str, int], back: Mapping[str, int]) -> list[Endpoint]:
         """Take on the bans as another process of this gateway has left them; what the core is to be told."""
         changed = {name for name in {*self.out, *out} if (name in self.out) != (name in out)}
         changed |= {name for name, at_us in back.items() if self.back.get(name, 0) < at_us}
--- a/cloverkeel/discovery/merged_source.py
+++ b/cloverkeel/discovery/merged_source.py
@@ -17,7 +17,7 @@
 from cloverkeel.core.config import Address, Names, stable_id
 from cloverkeel.core.log import log
 from cloverkeel.core.options import Ephemeral
-from cloverkeel.core.ports import Entry, OnList
+from cloverkeel.core.ports import Endpoint, OnEndpointList
 from cloverkeel.discovery import snapshot_file as state
 from cloverkeel.discovery.zookeeper_source import EphemeralNodes
 from cloverkeel.discovery.source_merge import Change, Link, Member, Membership, Source, Status
@@ -27,7 +27,7 @@
 REPORT_S = 10.0  # between lines on the log about membership, while something changes
 
 
-def entry_of(member: Member, names: Names, gone: bool = False) -> Entry:
+def entry_of(member: Member, names: Names, gone: bool = False) -> Endpoint:
     """A box in the terms of the core."""
     status = ServerStatus.READY if member.status is Status.SERVING else ServerStatus.DRAINING
     group = member.group if isinstance(member.group, int) else stable_id(member.group, 4)
@@ -35,10 +35,10 @@
         stable_id(member.name, 4), ServerStatus.GONE if gone else status, member.weight,
         number_of(member.zone, names.zones), group, number_of(member.kind, names.kinds), member.since_ms * 1000,
     )  # fmt: skip
-    return Entry(member.name, member.address, listed)
+    return Endpoint(member.name, member.address, listed)
 
 
-def member_of(entry: Entry) -> Member:
+def member_of(entry: Endpoint) -> Member:
     """A box of the registry's; what it has numbered stays a number."""
     listed = entry.listed
     status = Status.SERVING if listed.status is ServerStatus.READY else Status.DRAINING
@@ -65,7 +65,7 @@
         self.saving: asyncio.Task[None] | None = None
         self.unsaved = False
         self.merge = Membership(tuple(Source(name) for name in options.precedence))
-        self.on_list: OnList = lambda kind, entries: None
+        self.on_list: OnEndpointList = lambda kind, entries: None
         self.nodes = EphemeralNodes(
             options.hosts, options.path, options.session_ms, options.spread_ms / 1000, self.on_nodes, self.on_link,
             self.on_confirmed, self.on_gone,
@@ -73,13 +73,13 @@
         self.reported = (0, 0, 0)
         self.reporter: asyncio.TimerHandle | None = None
         if registry is not None:
-            registry.tell(self.on_registry)
+            registry.set_listener(self.on_registry)
 
-    def tell(self, on_list: OnList) -> None:
+    def set_listener(self, on_list: OnEndpointList) -> None:
         self.on_list = on_list
 
-    def take_known(self, raw: dict[str, Any]) -> None:
-        entries: list[Entry] = []
+    def load_known(self, raw: dict[str, Any]) -> None:
+        entries: list[Endpoint] = []
         try:
             _, _, entries = parse_list(raw, self.names)
         except (KeyError, TypeError, ValueError) as error:
@@ -114,7 +114,7 @@
     def on_confirmed(self) -> None:
         self.merge.confirm(now_us(), Source.EPHEMERAL)
 
-    def on_registry(self, kind: ListKind, entries: list[Entry]) -> None:
+    def on_registry(self, kind: ListKind, entries: list[Endpoint]) -> None:
         if kind is ListKind.ERROR:
             self.merge.link(now_us(), Source.REGISTRY, Link.SUSPENDED)
             self.on_list(kind, entries)
@@ -159,7 +159,7 @@
         if self.registry is not None:
             self.registry.fetch()
 
-    def catch_up(self, stood_us: int, done: Callable[[], None]) -> None:
+    def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
         count = 1 if self.registry is None else 2
 
         def one_done() -> None:
@@ -170,7 +170,7 @@
 
         self.nodes.catch_up(one_done)
         if self.registry is not None:
-            self.registry.catch_up(stood_us, one_done)
+            self.registry.catch_up(stall_us, one_done)
 
     @property
     def address(self) -> Address:
--- a/cloverkeel/discovery/relay_selection.py
+++ b/cloverkeel/discovery/relay_selection.py
@@ -46,7 +46,7 @@
 from cloverkeel.balancing.interface import ListKind, ServerStatus
 
 from cloverkeel.core.config import Address, stable_id
-from cloverkeel.core.ports import Entry
+from cloverkeel.core.ports import Endpoint
 from cloverkeel.discovery.poll_schedule import LIST, Query, Watch
 
 STATE: Final = b"/relay/state"
@@ -285,7 +285,7 @@
         self.held: dict[int, ServerStatus] = {}  # that are not gone
         self.run = 0  # counts them, from 1: what one says is in order
         self.ends: dict[int, tuple[float, int]] = {}  # restrictions: when read, in which run; oldest first
-        self.waiting: dict[int, Entry] = {}  # permissions of the present relay that are too old as yet
+        self.waiting: dict[int, Endpoint] = {}  # permissions of the present relay that are too old as yet
         self.only_ends = False  # of the present relay no whole list was believed: it was stale
 
     def begin_anew(self) -> None:
@@ -298,8 +298,8 @@
         return sum(status is ServerStatus.READY for status in self.held.values())
 
     def take(
-        self, now_s: float, asked_s: float, age_s: float, whole: bool, entries: list[Entry]
-    ) -> tuple[ListKind, list[Entry], bool]:
+        self, now_s: float, asked_s: float, age_s: float, whole: bool, entries: list[Endpoint]
+    ) -> tuple[ListKind, list[Endpoint], bool]:
         """What to tell the core, and whether the whole list is to be asked for now."""
         self._forget(asked_s)
         for entry in entries if self.waiting else ():
@@ -321,7 +321,7 @@
             del self.waiting[entry.listed.server]
         return ListKind.DELTA, self._permitted(now_s, as_of_s, ripe + entries), False
 
-    def _permitted(self, now_s: float, as_of_s: float, entries: list[Entry]) -> list[Entry]:
+    def _permitted(self, now_s: float, as_of_s: float, entries: list[Endpoint]) -> list[Endpoint]:
         """The entries with what is permitted too early left as it is held."""
         told, ends = [], self.ends
         for entry in entries:
@@ -336,7 +336,7 @@
                 self.waiting[number] = entry
                 if held is None:
                     continue
-                entry = Entry(entry.name, entry.address, replace(entry.listed, status=held))
+                entry = Endpoint(entry.name, entry.address, replace(entry.listed, status=held))
             elif status is ServerStatus.READY:
                 self.held[number] = status
                 self.ends.pop(number, None)
@@ -345,7 +345,7 @@
             told.append(entry)
         return told
 
-    def _ends_among(self, now_s: float, entries: list[Entry]) -> list[Entry]:
+    def _ends_among(self, now_s: float, entries: list[Endpoint]) -> list[Endpoint]:
         """Of hosts that are held: what restricts them further."""
         told = []
         for entry in entries:
@@ -379,7 +379,7 @@
     return rank[status] > rank[than]
 
 
-def of_those_held(held: dict[int, ServerStatus], entries: list[Entry]) -> list[Entry]:
+def of_those_held(held: dict[int, ServerStatus], entries: list[Endpoint]) -> list[Endpoint]:
     """Of discovery's own list, which is of all hosts: those that are held, where half of them still serve there.
 
     Guards against a fleet that holds the whole list because its relays were lost.
--- a/cloverkeel/discovery/zookeeper_source.py
+++ b/cloverkeel/discovery/zookeeper_source.py
@@ -36,7 +36,7 @@
 LINKS = {"CONNECTED": Link.CONNECTED, "SUSPENDED": Link.SUSPENDED, "LOST": Link.LOST}
 
 OnLink = Callable[[Link], None]
-OnList = Callable[[list[Member]], None]
+OnEndpointList = Callable[[list[Member]], None]
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
     """Tells `on_list` the whole list each time that it changed, `on_link` the session's state; on the loop."""
 
     def __init__(
-        self, hosts: str, path: str, session_ms: int, spread_s: float, on_list: OnList, on_link: OnLink,
+        self, hosts: str, path: str, session_ms: int, spread_s: float, on_list: OnEndpointList, on_link: OnLink,
         on_confirmed: Callable[[], None] = lambda: None, on_gone: Callable[[str], None] = lambda name: None,
     ) -> None:  # fmt: skip
         self.loop = asyncio.get_running_loop()
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -111,8 +111,8 @@
                     self.exchange.note(at_us, host, False)
         self.silent = silent
 
-    def on_gap(self, at_us: int, stood_us: int) -> None:
-        self.exchange.stood_still(at_us, stood_us)
+    def on_gap(self, at_us: int, stall_us: int) -> None:
+        self.exchange.stood_still(at_us, stall_us)
 
     def on_timer(self) -> None:
         self.timer = None
@@ -161,7 +161,7 @@
         if started_us < 0 or stamp_of(started_us) != started:
             return  # a host of before, or one that this gateway's list does not name
         self.gateway.hearsay(
-            server, started_us, known.good, known.bad, known.tellers, known.well, known.until_us
+            server, started_us, known.good, known.bad, known.reporters, known.well, known.until_us
         )  # fmt: skip
 
     # Tokens for further attempts
--- a/cloverkeel/gossip/failure_detector.py
+++ b/cloverkeel/gossip/failure_detector.py
@@ -185,13 +185,13 @@
     def stretch(self) -> int:
         return 1 + self.health
 
-    def stood_still(self, now_us: int, stood_us: int) -> None:
+    def stood_still(self, now_us: int, stall_us: int) -> None:
         """This process was stopped: what went unanswered is nobody's fault, and suspicions begin where they were."""
         self.probe = None
         self.relays.clear()
         self.health = min(HEALTH_MOST, self.health + 1)
         for number in self.suspects:
-            self.others[number].since_us += stood_us
+            self.others[number].since_us += stall_us
         self.next_us = now_us + int(self.draw() * PERIOD_US)
 
     def next_due(self) -> int:
--- a/cloverkeel/gossip/node.py
+++ b/cloverkeel/gossip/node.py
@@ -46,8 +46,8 @@
 from cloverkeel.gossip.dissemination import Rumours, first, hops
 
 AGAIN_US: Final = 800_000  # between two times that this gateway says of one host what it saw
-CONFIRM_US: Final = 600_000  # two tellers that saw it fail within this confirm one another
-ENOUGH: Final = 3  # tellers of failures of one host that are passed on, and are enough to say no more
+CONFIRM_US: Final = 600_000  # two reporters that saw it fail within this confirm one another
+ENOUGH: Final = 3  # reporters of failures of one host that are passed on, and are enough to say no more
 ENOUGH_WELL: Final = 4  # and of those that contradict
 ILL: Final = 0.5  # share of what fails here, elsewhere, at which nothing is said
 ACCUSERS_LEAST: Final = 2  # of a gateway, before all hear that it is suspected
@@ -117,13 +117,13 @@
         self.watch.note(now_us, host, good)
         if not good:
             self.tell_bad(now_us, host)
-        elif self.in_doubt(now_us, host) and (self.watch.recovered(host) or self.tellers(now_us, host)):
+        elif self.in_doubt(now_us, host) and (self.watch.recovered(host) or self.reporters(now_us, host)):
             self.tell_good(now_us, host)
 
     def in_doubt(self, now_us: int, host: Host) -> bool:
         return now_us - self.doubt_us.get(host, -DOUBT_US) < DOUBT_US
 
-    def tellers(self, now_us: int, host: Host, within_us: int = EVIDENCE_US) -> list[Piece]:
+    def reporters(self, now_us: int, host: Host, within_us: int = EVIDENCE_US) -> list[Piece]:
         """Pieces of others that saw it fail, not longer ago than this."""
         live = self.told.of(now_us, host)
         return [piece for piece in live if piece.item.bad > 0 and now_us - piece.at_us < within_us]
@@ -137,7 +137,7 @@
         )  # fmt: skip
 
     def tell_bad(self, now_us: int, host: Host) -> None:
-        others = len(self.tellers(now_us, host, CONFIRM_US))
+        others = len(self.reporters(now_us, host, CONFIRM_US))
         again = now_us - self.said_us.get(host, -AGAIN_US) >= AGAIN_US
         if self.watch.common(now_us, host) > ILL:
             self.counts.ill += 1
@@ -221,10 +221,10 @@
             self.rumours.heard_again(item)
             return
         own = now_us - self.watch.bad_us(host) < CONFIRM_US
-        tellers = len(self.tellers(now_us, host, CONFIRM_US)) + own
+        reporters = len(self.reporters(now_us, host, CONFIRM_US)) + own
         if item.bad > 0:
             piece.sends = self.hops
-            if tellers >= DOUBT_TELLERS:
+            if reporters >= DOUBT_TELLERS:
                 self.confirm(now_us, host)
         elif self.in_doubt(now_us, host):
             well = sum(p.item.bad == 0 for p in self.told.of(now_us, host))
@@ -241,7 +241,7 @@
         if len(self.doubt_us) >= HOSTS_MOST:
             self.doubt_us = {h: at_us for h, at_us in self.doubt_us.items() if now_us - at_us < DOUBT_US}
         self.doubt_us[host] = now_us
-        worst = sorted(self.tellers(now_us, host, CONFIRM_US), key=lambda piece: -piece.at_us)
+        worst = sorted(self.reporters(now_us, host, CONFIRM_US), key=lambda piece: -piece.at_us)
         for place, piece in enumerate(worst):
             if place < ENOUGH:
                 self.rumours.pass_on(piece)
@@ -256,11 +256,11 @@
         found = weigh(now_us, self.told.of(now_us, host), self.zone, self.watch.sums(now_us, host))
         before = self.passed.get(host)
         if before is None:
-            if found.tellers < DOUBT_TELLERS and found.well < DOUBT_TELLERS:
+            if found.reporters < DOUBT_TELLERS and found.well < DOUBT_TELLERS:
                 return  # nothing that the module would act on
             if len(self.passed) >= HOSTS_MOST:
                 return
-        elif (found.doubted, found.tellers, found.well) == (before.doubted, before.tellers, before.well) and (
+        elif (found.doubted, found.reporters, found.well) == (before.doubted, before.reporters, before.well) and (
             found.until_us - before.until_us < SLOT_US
         ):
             return
@@ -289,7 +289,7 @@
             self.presence.item(n) for n, other in self.presence.others.items() if other.life and n != number
         ]
         for host in self.told.hosts:
-            pieces = self.tellers(now_us, host)
+            pieces = self.reporters(now_us, host)
             if self.in_doubt(now_us, host):
                 items += [piece.item for piece in sorted(pieces, key=lambda p: -p.at_us)[:DOUBT_TELLERS]]
         said = 0
@@ -301,8 +301,8 @@
 
     # Time
 
-    def stood_still(self, now_us: int, stood_us: int) -> None:
-        self.presence.stood_still(now_us, stood_us)
+    def stood_still(self, now_us: int, stall_us: int) -> None:
+        self.presence.stood_still(now_us, stall_us)
 
     def next_due(self) -> int:
         due_us = min(self.presence.next_due(), self.slot_us + SLOT_US)
@@ -387,7 +387,7 @@
             },
             "hosts": [
                 {"host": f"{host[0]:x}", "good": round(known.good, 1), "bad": round(known.bad, 1),
-                 "tellers": known.tellers, "well": known.well, "doubted": known.doubted,
+                 "tellers": known.reporters, "well": known.well, "doubted": known.doubted,
                  "left_ms": max(0, known.until_us - now_us) // 1000,
                  "own": list(self.watch.sums(now_us, host))}
                 for host, known in self.passed.items()
--- a/cloverkeel/gossip/outlier_reports.py
+++ b/cloverkeel/gossip/outlier_reports.py
@@ -4,7 +4,7 @@
 - of one teller and host the newest piece counts, whatever the order in which they come, and however often (a
   semilattice by incarnation and stamp);
 - a piece counts for EVIDENCE_US from the moment that its teller saw it, by this clock;
-- at most TELLERS_MOST tellers for each of HOSTS_MOST hosts are kept, and one clock for each gateway;
+- at most TELLERS_MOST reporters for each of HOSTS_MOST hosts are kept, and one clock for each gateway;
 - what one teller says alone is no doubt.
 """
 
@@ -202,13 +202,13 @@
 
     good: float
     bad: float
-    tellers: int  # others that saw it fail
+    reporters: int  # others that saw it fail
     well: int  # others that were only answered well
     until_us: int  # nothing of it counts after that
 
     @property
     def doubted(self) -> bool:
-        return self.tellers >= DOUBT_TELLERS and self.bad >= self.good
+        return self.reporters >= DOUBT_TELLERS and self.bad >= self.good
 
 
 class Told:
@@ -283,13 +283,13 @@
     if near_good > 0 and near_good >= 2 * near_bad:
         live = near
     good, bad = float(own[0]), float(own[1])
-    tellers = well = 0
+    reporters = well = 0
     for piece in live:
         item, weight = piece.item, 1.0 - (now_us - piece.at_us) / EVIDENCE_US
         believed = credit(item)
         good += weight * item.good
         bad += weight * item.bad * believed
-        tellers += item.bad > 0 and believed >= CREDIT_LEAST
+        reporters += item.bad > 0 and believed >= CREDIT_LEAST
         well += item.bad == 0 and item.good > 0
     until_us = max((piece.at_us + EVIDENCE_US for piece in live), default=now_us)
-    return Weighed(good, bad, tellers, well, until_us)
+    return Weighed(good, bad, reporters, well, until_us)
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -135,7 +135,7 @@
                 held, counts.began, counts.lost, self.colds.lent, self.colds.taken, self.outs.held_back,
             ]  # fmt: skip
 
-    def on_gap(self, at_us: int, stood_us: int) -> None:
+    def on_gap(self, at_us: int, stall_us: int) -> None:
         """This process stood still: what it held may be another's."""
         if self.looker is not None:
             self.office.stood_still(at_us)
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_sharing.py
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("ill", [[0], [0, 1]])
 @on_loop
 async def test_gateways_for_which_every_host_is_dead_turn_none_off_for_others(tmp_path: Path, ill: list[int]) -> None:
-    """One is no doubt; two are two tellers, and each says that all else fails for it too."""
+    """One is no doubt; two are two reporters, and each says that all else fails for it too."""
     async with shared(tmp_path) as fleet:
         fleet.cut_from_hosts(*ill)
         await others_go_on(fleet, [n for n in range(6) if n not in ill], ill)
--- a/tests/golden/admin.py
+++ b/tests/golden/admin.py
@@ -90,7 +90,7 @@
         config = parse_config(raw)
         program = assemble(config)
         assert isinstance(program.discovery, BannedMembership)
-        program.discovery.take_known(raw["known"])
+        program.discovery.load_known(raw["known"])
         takes_clients = _TakesClients()
         with mock.patch.object(Server, "takes_clients", takes_clients):
             operations = Operations(config, program.server, program.discovery, [_extra])
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -6,18 +6,18 @@
 from hypothesis import strategies as st
 
 from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
-from cloverkeel.core.ports import Entry
+from cloverkeel.core.ports import Endpoint
 from cloverkeel.discovery.manual_ejections import LISTED_KEPT, Bans
 
 READY, DRAINING, GONE = ServerStatus.READY, ServerStatus.DRAINING, ServerStatus.GONE
 STRENGTH = {READY: 2, DRAINING: 1, GONE: 0}
 
 
-def entry(name: str, status: ServerStatus = READY, started_us: int = 0) -> Entry:
-    return Entry(name, ("127.0.0.1", 1), ListedServer(hash(name) & 0xFFFF, status, started_us=started_us))
+def entry(name: str, status: ServerStatus = READY, started_us: int = 0) -> Endpoint:
+    return Endpoint(name, ("127.0.0.1", 1), ListedServer(hash(name) & 0xFFFF, status, started_us=started_us))
 
 
-def told(entries: list[Entry]) -> list[tuple[str, ServerStatus, int]]:
+def told(entries: list[Endpoint]) -> list[tuple[str, ServerStatus, int]]:
     return [(e.name, e.listed.status, e.listed.started_us) for e in entries]
 
 
@@ -124,7 +124,7 @@
     """Against a plain model: the last word on each host, and the bans."""
     bans = Bans()
     out: dict[str, int] = {}
-    listed: dict[str, Entry] = {}
+    listed: dict[str, Endpoint] = {}
     for at_us, step in enumerate(steps, 100):
         if step[0] == "list":
             kind, raw = step[1], step[2]
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -24,7 +24,7 @@
 )  # fmt: skip
 from benchmarks.capacity.run_world import HOLLOW, TWINS, World, twinned
 from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
-from cloverkeel.core.ports import Entry as HostEntry
+from cloverkeel.core.ports import Endpoint as HostEntry
 from standins.ledger import Ledger, Told
 from standins.parties.halves import Change, Halves
 from standins.parties.registry import Bodies, Entry, Registry, View
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverkeel.balancing.interface import ColdShare, ListedServer, Settings
+from cloverkeel.balancing.interface import SlowStartQuota, ListedServer, Settings
 from tests.helpers import SAFE, Driver, sends
 
 SERVER, PROXIES = 1, 20
@@ -38,7 +38,7 @@
 
 def share(driver: Driver, lent_us: int = 0, granted: float = 0.0, granted_us: int = 0) -> None:
     started_us = driver.balancer.servers[SERVER].entry.started_us
-    driver.handle(ColdShare(SERVER, started_us, lent_us, granted, granted_us))
+    driver.handle(SlowStartQuota(SERVER, started_us, lent_us, granted, granted_us))
 
 
 def per_second(lent: bool, granted: float) -> int:
@@ -92,8 +92,8 @@
 
 def test_a_share_of_another_start_or_of_a_server_that_is_not_there_changes_nothing() -> None:
     driver = proxy(0)
-    driver.handle(ColdShare(SERVER, 7, driver.now_us + 1_000_000))
-    driver.handle(ColdShare(99, 7, driver.now_us + 1_000_000))
+    driver.handle(SlowStartQuota(SERVER, 7, driver.now_us + 1_000_000))
+    driver.handle(SlowStartQuota(99, 7, driver.now_us + 1_000_000))
     share(driver, driver.now_us, 9.0, driver.now_us)  # over already
     assert driver.balancer.share_at(driver.balancer.servers[SERVER], driver.now_us) == 1.0
 
@@ -101,7 +101,7 @@
 def test_no_cold_server_is_used_while_a_process_before_may_have_lent_its_part() -> None:
     driver = proxy(0)
     driver.now_us += 5_000_000
-    driver.handle(ColdShare(-1, 0, driver.now_us + 2_000_000))
+    driver.handle(SlowStartQuota(-1, 0, driver.now_us + 2_000_000))
     assert spend(driver, 5) == 0
     driver.now_us += 2_000_000
     assert spend(driver, 5) > 0
--- a/tests/test_duties_trials.py
+++ b/tests/test_duties_trials.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cloverkeel.balancing.balancer import COOLDOWN_US, State
-from cloverkeel.balancing.interface import TrialsHeld
+from cloverkeel.balancing.interface import ProbesSuspended
 from cloverkeel.leases.probe_election import ASKS, HOLD_US, IDLE, TRIED, WELL, WELL_US, Outs, duty_name
 from tests.helpers import Driver, trip
 from tests.test_duties_pure import NOW_US, office
@@ -22,18 +22,18 @@
 def test_a_server_that_another_tries_is_not_tried_until_that_ends() -> None:
     driver = tripped()
     driver.now_us += COOLDOWN_US
-    driver.handle(TrialsHeld(0, driver.now_us + HOLD_US))
+    driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     assert not is_tried(driver)
     driver.now_us += HOLD_US
-    driver.balancer.handle(driver.now_us, TrialsHeld(99, 0))  # the time goes on
+    driver.balancer.handle(driver.now_us, ProbesSuspended(99, 0))  # the time goes on
     assert is_tried(driver)
 
 
 def test_word_that_it_is_well_brings_a_trial_at_once_and_no_verdict() -> None:
     driver = tripped()
-    driver.handle(TrialsHeld(0, driver.now_us + HOLD_US))
+    driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     driver.now_us += 1_000
-    driver.handle(TrialsHeld(0, 0))
+    driver.handle(ProbesSuspended(0, 0))
     assert is_tried(driver) and driver.balancer.servers[0].breaker.state is State.HALF_OPEN
 
 
@@ -41,7 +41,7 @@
     driver = tripped(servers=3)
     trip(driver.balancer.servers[1].breaker, driver.now_us)
     driver.now_us += COOLDOWN_US
-    driver.handle(TrialsHeld(0, driver.now_us + HOLD_US))
+    driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     assert is_tried(driver)
 
 
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -28,7 +28,7 @@
 from cloverkeel.balancing.interface import ServerList, ServerStatus
 from cloverkeel.balancing.interface import Settings as Rules
 from cloverkeel.core.gc_tuning import FREEZE_AFTER, Freezer
-from cloverkeel.core.ports import Entry
+from cloverkeel.core.ports import Endpoint
 from cloverkeel.core.list_batches import AT_ONCE, KNOWN_LEAST, SLICE, Slices
 
 from benchmarks.streams import Stream
@@ -120,24 +120,26 @@
 # Parts of long lists
 
 
-def word(number: int, status: ServerStatus = ServerStatus.READY, started_us: int = 0, weight: float = 1.0) -> Entry:
-    return Entry(f"h-{number}", ("10.0.0.1", number), ListedServer(number, status, weight, started_us=started_us))
+def word(
+    number: int, status: ServerStatus = ServerStatus.READY, started_us: int = 0, weight: float = 1.0
+) -> Endpoint:
+    return Endpoint(f"h-{number}", ("10.0.0.1", number), ListedServer(number, status, weight, started_us=started_us))
 
 
 class Told:
     """What the module and the pools have been told: the newest word on each host that is not gone."""
 
     def __init__(self) -> None:
-        self.hosts: dict[int, Entry] = {}
+        self.hosts: dict[int, Endpoint] = {}
 
-    def take(self, entries: list[Entry]) -> None:
+    def take(self, entries: list[Endpoint]) -> None:
         for entry in entries:
             if entry.listed.status is ServerStatus.GONE:
                 self.hosts.pop(entry.listed.server, None)
             else:
                 self.hosts[entry.listed.server] = entry
 
-    def is_another(self, entry: Entry) -> bool:
+    def is_another(self, entry: Endpoint) -> bool:
         known = self.hosts.get(entry.listed.server)
         return known is not None and known.listed.started_us != entry.listed.started_us
 
@@ -187,7 +189,7 @@
     return lists
 
 
-def serving(numbers: range, weight: float = 1.0) -> list[Entry]:
+def serving(numbers: range, weight: float = 1.0) -> list[Endpoint]:
     return [word(number, weight=weight) for number in numbers]
 
 
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -123,7 +123,7 @@
             self.told.append((kind, entries))
             on_list(kind, entries)
 
-        self.discovery.tell(hear)
+        self.discovery.set_listener(hear)
 
     def state(self) -> dict[int, tuple[object, ...]]:
         hosts = self.program.pools.hosts
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -24,7 +24,7 @@
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import ConfigError, Names, parse
 from cloverkeel.core.options import Options, Relays as RelayOptions, load, parse as parse_options
-from cloverkeel.core.ports import Entry
+from cloverkeel.core.ports import Endpoint
 from cloverkeel.discovery.relay_client import RelayedDiscovery
 from cloverkeel.discovery.http_client import LIST_LIMIT, parse_entry
 from cloverkeel.discovery.relay_selection import (
@@ -313,7 +313,7 @@
         said = {n: status for n, status in new.items() if whole or shown.get(n) is not status}
         said |= {} if whole else {n: ServerStatus.GONE for n in shown if n not in new}
         shown = new
-        entries = [Entry(f"s-{n}", ("h", 1), ListedServer(n, status)) for n, status in said.items()]
+        entries = [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, status)) for n, status in said.items()]
         kind, passed, asks = belief.take(now_s, asked_s, age_s, whole, entries)
         run = -1 if asks else run  # the next is whole
         before, named = core, {entry.listed.server: entry.listed.status for entry in passed}
@@ -332,8 +332,8 @@
 
 
 def test_what_waits_is_replaced_by_a_newer_word_however_old_that_is() -> None:
-    def listed(*statuses: ServerStatus) -> list[Entry]:
-        return [Entry(f"s-{n}", ("h", 1), ListedServer(n, status)) for n, status in enumerate(statuses)]
+    def listed(*statuses: ServerStatus) -> list[Endpoint]:
+        return [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, status)) for n, status in enumerate(statuses)]
 
     belief = Belief()
     belief.take(9.0, 9.0, 0.0, True, listed(ServerStatus.READY, ServerStatus.READY))
@@ -348,14 +348,14 @@
 def test_what_was_restricted_long_ago_is_not_kept() -> None:
     belief = Belief()
     for n in range(100):
-        gone = [Entry(f"s-{n}", ("h", 1), ListedServer(n, ServerStatus.GONE))]
+        gone = [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, ServerStatus.GONE))]
         belief.take(float(n), float(n), 0.1, False, gone)
     assert len(belief.ends) <= STALE_S + 2
 
 
 def test_of_discoverys_own_list_only_those_held_are_taken_while_they_serve() -> None:
-    def listed(*numbers: int) -> list[Entry]:
-        return [Entry(f"s-{n}", ("h", 1), ListedServer(n)) for n in numbers]
+    def listed(*numbers: int) -> list[Endpoint]:
+        return [Endpoint(f"s-{n}", ("h", 1), ListedServer(n)) for n in numbers]
 
     held = dict.fromkeys(range(4), ServerStatus.READY)
     assert [entry.listed.server for entry in of_those_held(held, listed(0, 1, 8, 9))] == [0, 1]
--- a/tests/test_sharing_pure.py
+++ b/tests/test_sharing_pure.py
@@ -13,7 +13,7 @@
 
 from benchmarks.sharing import BEGIN_US, Fleet
 from cloverkeel.balancing.balancer import COOLDOWN_US, HELD_MOST_US, MINIMUM, State
-from cloverkeel.balancing.interface import Hearsay, ListedServer, Outcome, RetryRights
+from cloverkeel.balancing.interface import PeerHealthReport, ListedServer, Outcome, RetryTokenGrant
 from cloverkeel.gossip.outlier_reports import (
     EVIDENCE_US,
     HOSTS_MOST,
@@ -212,7 +212,7 @@
 
 def test_who_fails_everywhere_counts_for_little() -> None:
     found = weigh(NOW_US, lived(piece(1, bad=9, common=230), piece(2, bad=9, common=230), piece(3)), 0)
-    assert found.tellers == 1 and not found.doubted
+    assert found.reporters == 1 and not found.doubted
 
 
 def test_what_is_well_from_the_own_zone_stays_in_use_there() -> None:
@@ -535,11 +535,11 @@
 def test_what_came_from_others_and_was_not_used_is_gone() -> None:
     driver = Driver()
     module = driver.balancer
-    driver.handle(RetryRights(CAP, -module.retry_state(driver.now_us)[0]))
+    driver.handle(RetryTokenGrant(CAP, -module.retry_state(driver.now_us)[0]))
     assert module.retry_state(driver.now_us) == (0.0, False)  # a process that begins has none
     until_us = driver.now_us + LIFE_US
-    driver.handle(RetryRights(CAP, 1.0, until_us))
-    driver.handle(RetryRights(CAP, 1.0, until_us))
+    driver.handle(RetryTokenGrant(CAP, 1.0, until_us))
+    driver.handle(RetryTokenGrant(CAP, 1.0, until_us))
     driver.arrive()
     assert module.retry_state(until_us - 1)[0] == 2.0  # earning adds nothing above the cap
     assert module.retry_state(until_us)[0] == CAP
@@ -547,13 +547,13 @@
 
 def test_a_further_attempt_that_had_no_token_is_a_need() -> None:
     driver = Driver()
-    driver.handle(RetryRights(CAP, -10.0))
+    driver.handle(RetryTokenGrant(CAP, -10.0))
     for _ in range(2):
         name, actions = driver.arrive()
         actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
         assert not sends(actions)
     assert driver.balancer.retry_state(driver.now_us)[1]
-    driver.handle(RetryRights(CAP, 1.0, driver.now_us + LIFE_US))
+    driver.handle(RetryTokenGrant(CAP, 1.0, driver.now_us + LIFE_US))
     name, actions = driver.arrive()
     actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
     assert len(sends(actions)) == 1
@@ -672,15 +672,15 @@
     assert len(heard) == 1 and heard[0].doubted
     one.slot_us = 0
     one.tick(NOW_US + EVIDENCE_US)
-    assert heard[-1].tellers == 0 and len(heard) == 2 and not one.passed
+    assert heard[-1].reporters == 0 and len(heard) == 2 and not one.passed
     assert AGAIN_US < EVIDENCE_US < PERIOD_US * 3
 
 
 # The module's part
 
 
-def heard(driver: Driver, server: int, good: float, bad: float, tellers: int = 2, well: int = 0) -> None:
-    driver.handle(Hearsay(server, 0, good, bad, tellers, well, driver.now_us + EVIDENCE_US))
+def heard(driver: Driver, server: int, good: float, bad: float, reporters: int = 2, well: int = 0) -> None:
+    driver.handle(PeerHealthReport(server, 0, good, bad, reporters, well, driver.now_us + EVIDENCE_US))
 
 
 def shares(driver: Driver, requests: int = 300) -> list[float]:
@@ -708,11 +708,11 @@
 def test_one_teller_and_good_outcomes_are_no_doubt_and_another_process_is_not_meant() -> None:
     driver = Driver(servers=4)
     server = driver.balancer.servers[0]
-    heard(driver, 0, 0.0, 30.0, tellers=1)
+    heard(driver, 0, 0.0, 30.0, reporters=1)
     assert server.doubt_us == 0
     heard(driver, 0, 5.0, 3.0)
     assert server.doubt_us == 0
-    driver.handle(Hearsay(0, 77, 0.0, 9.0, 3, 0, driver.now_us + EVIDENCE_US))
+    driver.handle(PeerHealthReport(0, 77, 0.0, 9.0, 3, 0, driver.now_us + EVIDENCE_US))
     assert server.doubt_us == 0
     heard(driver, 0, 0.0, 3.0)
     heard(driver, 0, 3.0, 1.0)
@@ -773,9 +773,9 @@
 def test_word_of_two_that_it_is_well_brings_a_trial_and_no_verdict() -> None:
     driver = Driver(servers=4)
     breaker = out(driver)
-    heard(driver, 0, 3.0, 0.0, tellers=0, well=1)
+    heard(driver, 0, 3.0, 0.0, reporters=0, well=1)
     assert not driver.balancer.is_eligible(driver.balancer.servers[0], 0)
-    heard(driver, 0, 3.0, 0.0, tellers=0, well=2)
+    heard(driver, 0, 3.0, 0.0, reporters=0, well=2)
     assert driver.balancer.is_eligible(driver.balancer.servers[0], 0) and breaker.state is State.HALF_OPEN
 
 
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -111,7 +111,7 @@
 
 def test_a_second_gap_begins_the_hold_anew_and_a_clock_that_steps_back_is_none() -> None:
     still = Stillness(0)
-    assert still.look(1_000_000) and still.holds and still.stood_us == 1_000_000
+    assert still.look(1_000_000) and still.holds and still.stall_us == 1_000_000
     assert not still.end(1_000_000 + HOLD_US - 1, caught_up=False)
     assert still.look(1_900_000) and still.since_us == 1_900_000 and still.gaps == 2
     assert not still.look(1_200_000) and not still.look(1_900_000 + GAP_US)
