--- a/test.sh
+++ b/test.sh
@@ -13,6 +13,7 @@
 fi
 $python -m cloverkeel.compiled.build &  # it says why not, and the plain sources are tested all the same
 compiling=$!
+$python -m ruff format --check .
 $python -m ruff check .
 $python -m mypy
 .venv-dev/bin/lint-imports
