--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -63,17 +63,17 @@
     from cloverkeel.core import draining as emptying
     from cloverkeel.frontends.http1 import server
 
-    old = emptying.on_the_way_out
+    old = emptying.shutdown_schedule
     for owner in (emptying, server):
-        swap(owner, "on_the_way_out", lambda longest_s: replace(old(longest_s), **changes))
+        swap(owner, "shutdown_schedule", lambda longest_s: replace(old(longest_s), **changes))
 
 
 @entry("way-out-ends")
 def _() -> None:
     """On SIGTERM the program goes on as long as any client is connected."""
-    from cloverkeel.core.draining import Timetable
+    from cloverkeel.core.draining import DrainSchedule
 
-    swap(Timetable, "may_close", lambda *args: False)
+    swap(DrainSchedule, "can_close_idle", lambda *args: False)
 
 
 @entry("way-out-bound")
@@ -81,25 +81,25 @@
     """Nothing bounds the way out."""
     from cloverkeel.core import draining as emptying
 
-    swap(emptying, "LAST_S", 3600.0)
+    swap(emptying, "MAX_SHUTDOWN_S", 3600.0)
 
 
 @entry("idle-first")
 def _() -> None:
     """On the way out a connection is closed before its first request had time to come."""
-    other_way_out(first_s=0.0)
+    other_way_out(first_request_timeout_s=0.0)
 
 
 @entry("way-out-keeps")
 def _() -> None:
     """On the way out each answer ends its connection at once."""
-    other_way_out(keep_s=0.0)
+    other_way_out(keep_alive_until_s=0.0)
 
 
 @entry("way-out-hurry")
 def _() -> None:
     """On the way out half a request is waited for to the end."""
-    other_way_out(hurry_s=3600.0)
+    other_way_out(abort_stalled_from_s=3600.0)
 
 
 @entry("budget-as-written")
@@ -185,9 +185,9 @@
 @entry("pause-empties")
 def _() -> None:
     """A paused gateway keeps its clients."""
-    from cloverkeel.core.draining import Timetable
+    from cloverkeel.core.draining import DrainSchedule
 
-    swap(Timetable, "may_close", lambda *args: False)
+    swap(DrainSchedule, "can_close_idle", lambda *args: False)
 
 
 @entry("list-parts")
@@ -239,5 +239,5 @@
     """On SIGTERM no connection is taken any more."""
     from cloverkeel.frontends.http1 import server
 
-    other_way_out(accept_s=0.0)
+    other_way_out(accept_until_s=0.0)
     cut(server.Server, "stop_listening", ("self.accept(BACKLOG)", "pass"))
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -92,7 +92,7 @@
     rooms = loader.load("cloverkeel")  # before any of its rooms is imported as a source
 
     from cloverkeel.assembly import assemble
-    from cloverkeel.core.draining import LAST_S
+    from cloverkeel.core.draining import MAX_SHUTDOWN_S
     from cloverkeel.core.gc_tuning import Freezer
     from cloverkeel.core.log import log
     from cloverkeel.core.reload import Reloader
@@ -138,7 +138,7 @@
         await stop.wait()
         program.leave()
         try:
-            async with asyncio.timeout(LAST_S):
+            async with asyncio.timeout(MAX_SHUTDOWN_S):
                 await server.drain(operations.way_out() if operations is not None else None)
         except TimeoutError:
             log(f"ended with {len(gateway.held)} requests unanswered")
--- a/cloverkeel/admin/operations.py
+++ b/cloverkeel/admin/operations.py
@@ -14,7 +14,7 @@
 
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Config
-from cloverkeel.core.draining import Timetable, paused, succeeded
+from cloverkeel.core.draining import DrainSchedule, handover_schedule, pause_schedule
 from cloverkeel.core.log import log
 from cloverkeel.frontends.http1.server import Server
 from cloverkeel.discovery.ejection_filter import BannedMembership
@@ -59,7 +59,7 @@
         """The state as this or another process has left it."""
         self.membership.adopt(state.out, state.back)
         if state.paused != self.state.paused and not self.ending:
-            self.server.empty(paused()) if state.paused else self.server.refill()
+            self.server.empty(pause_schedule()) if state.paused else self.server.refill()
         self.state = state
 
     def look(self) -> None:
@@ -91,13 +91,13 @@
             self.serving = True
             self.files.serves()
 
-    def way_out(self) -> Timetable | None:
+    def way_out(self) -> DrainSchedule | None:
         """SIGTERM: the timetable, where a successor serves."""
         self.ending = True
         self.files.ends()
         others = self.files.others()
         self.share_budgets(others)
-        return succeeded(self.server.longest_s) if others.successor else None
+        return handover_schedule(self.server.longest_s) if others.successor else None
 
     def close(self) -> None:
         if self.looker is not None:
--- a/cloverkeel/core/draining.py
+++ b/cloverkeel/core/draining.py
@@ -1,76 +1,119 @@
-"""How a gateway is emptied of clients: by staff (PAUSE), at its end (SIGTERM), or with a successor at its address.
+"""Schedules of draining a gateway: by an operator (PAUSE), at shutdown (SIGTERM), or with a successor at its address.
 
-Pure: one timetable for all three, in seconds since it began. The front carries it out: which connections are closed,
-what is still taken, what is turned away.
+Pure: one type of schedule for all three, in seconds since the drain began. The frontend carries it out: which
+connections are closed, which are still accepted, which requests are rejected.
 
 Invariants:
-- no connection is closed on which something is owed, or goes on coming, before `reading_s`;
-- from `refuse_s` on nothing new is begun, and at `end_s`, before any kill, what is held is answered.
+- no connection that awaits a response, or whose request goes on arriving, is closed before `abort_incomplete_from_s`;
+- from `reject_from_s` on no new request is begun, and at `respond_by_s`, before any SIGKILL, each that is in flight
+  has had its response.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
-FOREVER_S = 1e9
-KILL_MARGIN_S = 0.7  # SIGKILL comes no sooner than the longest deadline, 3 s at the most, and this
-ANSWERED_S = 0.2  # for the last answers to reach their clients
-PAUSE_S = 0.4  # between two pieces of a request: who is slow sends some all the time
-LAST_S = 3.4  # after SIGTERM, whatever is left: the longest a client waits, and the time that new ones come
+NEVER_S: Final = 1e9
+KILL_GRACE_S: Final = 0.7  # SIGKILL comes no sooner than the longest client timeout, 3 s at most, and this
+SIGNAL_DELAY_S: Final = 0.2  # of the time before SIGKILL, what the signal's own way may take
+RESPONSE_DELIVERY_S: Final = 0.2  # for the last responses to reach their clients
+READ_STALL_TIMEOUT_S: Final = 0.4  # between two chunks of a request: a slow client sends some all the time
+MAX_SHUTDOWN_S = 3.4  # after SIGTERM, whatever is left: the longest client timeout, and the time that new ones come
 
 
 @dataclass(slots=True, frozen=True)
-class Timetable:
-    """In seconds since the emptying began."""
-
-    ready: bool  # what is said to the front that asks
-    accept_s: float  # new connections are taken until then
-    keep_s: float  # answers keep their connections until then
-    idle_s: float  # connections that had an answer and ask nothing are closed from then on
-    first_s: float  # a new connection's first request is waited for, since it was accepted
-    refuse_s: float  # what comes from then on is turned away at once
-    hurry_s: float  # a request of which nothing has come for PAUSE_S is given up from then on
-    reading_s: float  # any that has not wholly come by then
-    end_s: float  # what is held then is answered, however long its client would wait
-
-    def may_give_up(self, now_s: float, quiet_s: float) -> bool:
-        """Whether a request that has begun to come, and of which nothing came for so long, may be given up."""
-        return now_s >= self.reading_s or (now_s >= self.hurry_s and quiet_s >= PAUSE_S)
-
-    def may_close(self, now_s: float, served: bool, age_s: float) -> bool:
-        """Whether a connection that asks nothing may be closed, so long since it was accepted."""
-        if now_s >= self.reading_s:
+class DrainSchedule:
+    """Limits of one drain; times are seconds since it began."""
+
+    is_reported_ready: bool  # what a readiness check is answered
+    accept_until_s: float  # new connections are accepted until then
+    keep_alive_until_s: float  # responses leave their connections open until then
+    close_idle_from_s: float  # idle connections that had a response are closed from then on
+    first_request_timeout_s: float  # a new connection's first request is waited for, since it was accepted
+    reject_from_s: float  # requests that arrive from then on are rejected at once
+    abort_stalled_from_s: float  # a request that stalls for READ_STALL_TIMEOUT_S is aborted from then on
+    abort_incomplete_from_s: float  # any that has not arrived completely by then
+    respond_by_s: float  # what is in flight then gets its response, however long its client would wait
+
+    def can_abort_read(self, now_s: float, quiet_s: float) -> bool:
+        """Tell whether a request that has partly arrived, with nothing new for `quiet_s`, may be aborted."""
+        if now_s >= self.abort_incomplete_from_s:
             return True
-        return now_s >= self.idle_s if served else age_s >= self.first_s
+        return now_s >= self.abort_stalled_from_s and quiet_s >= READ_STALL_TIMEOUT_S
 
+    def can_close_idle(self, now_s: float, served: bool, age_s: float) -> bool:
+        """Tell whether an idle connection may be closed.
 
-def on_the_way_out(longest_s: float) -> Timetable:
-    """SIGTERM, and nobody to take over: new connections go on coming for 0.4 s, and open ones are used.
+        `served`: it had a response. `age_s`: time since it was accepted.
+        """
+        if now_s >= self.abort_incomplete_from_s:
+            return True
+        if served:
+            return now_s >= self.close_idle_from_s
+        return age_s >= self.first_request_timeout_s
+
+
+def shutdown_schedule(max_client_timeout_s: float) -> DrainSchedule:
+    """Return the schedule for SIGTERM without a successor.
 
-    These are served for a while yet: another gateway may be out at the same time, and who is sent away finds none.
-    Half a request that does not go on keeps nobody from the end: the sooner it ends, the sooner it is back.
+    New connections go on arriving for 0.4 s, and open ones are used. Both are served for a while: another gateway may
+    be down at the same time, and a client that is sent away finds none. A stalled request does not delay the end: the
+    sooner the process ends, the sooner it is back.
     """
-    return Timetable(False, 1.5, 1.2, 1.2, 0.5, FOREVER_S, 1.0, FOREVER_S, last(longest_s))
+    return DrainSchedule(
+        is_reported_ready=False,
+        accept_until_s=1.5,
+        keep_alive_until_s=1.2,
+        close_idle_from_s=1.2,
+        first_request_timeout_s=0.5,
+        reject_from_s=NEVER_S,
+        abort_stalled_from_s=1.0,
+        abort_incomplete_from_s=NEVER_S,
+        respond_by_s=response_deadline_s(max_client_timeout_s),
+    )
 
 
-def last(longest_s: float) -> float:
-    return min(LAST_S, longest_s + KILL_MARGIN_S - 0.2) - ANSWERED_S
+def response_deadline_s(max_client_timeout_s: float) -> float:
+    """Return when, since SIGTERM, the last responses must be written."""
+    before_kill_s = max_client_timeout_s + KILL_GRACE_S - SIGNAL_DELAY_S
+    return min(MAX_SHUTDOWN_S, before_kill_s) - RESPONSE_DELIVERY_S
 
 
-def paused() -> Timetable:
-    """PAUSE: after 0.2 s no new connections come; after 4 s none is idle or has a request of the last 2 s.
+def pause_schedule() -> DrainSchedule:
+    """Return the schedule for PAUSE.
 
-    Until 1.5 s clients are left to find out by the answer to their next request: a close would cross some of them.
+    After 0.2 s no new connections come; after 4 s none is idle or has a request of the last 2 s. Until 1.5 s clients
+    find out by the response to their next request: a close would cross some of these.
     """
-    return Timetable(False, FOREVER_S, 0.0, 1.5, 1.5, 1.9, 2.2, 3.4, FOREVER_S)
+    return DrainSchedule(
+        is_reported_ready=False,
+        accept_until_s=NEVER_S,
+        keep_alive_until_s=0.0,
+        close_idle_from_s=1.5,
+        first_request_timeout_s=1.5,
+        reject_from_s=1.9,
+        abort_stalled_from_s=2.2,
+        abort_incomplete_from_s=3.4,
+        respond_by_s=NEVER_S,
+    )
 
 
-def succeeded(longest_s: float) -> Timetable:
-    """SIGTERM, and another process serves at this address: nothing new is taken, open connections have their time.
+def handover_schedule(max_client_timeout_s: float) -> DrainSchedule:
+    """Return the schedule for SIGTERM while a successor serves at this address.
 
-    `longest_s`: the longest time that a client waits. What comes is served while it can be answered in time.
+    Nothing new is accepted, and open connections have their time: a request that arrives is served while its response
+    can be in time. `max_client_timeout_s`: the longest that a client waits.
     """
-    end_s = last(longest_s)
-    return Timetable(
-        True, 0.0, 0.0, min(2.0, end_s / 2), min(2.2, end_s / 2), end_s - 0.3, end_s - 0.8, end_s - 0.2, end_s
+    respond_by_s = response_deadline_s(max_client_timeout_s)
+    return DrainSchedule(
+        is_reported_ready=True,
+        accept_until_s=0.0,
+        keep_alive_until_s=0.0,
+        close_idle_from_s=min(2.0, respond_by_s / 2),
+        first_request_timeout_s=min(2.2, respond_by_s / 2),
+        reject_from_s=respond_by_s - 0.3,
+        abort_stalled_from_s=respond_by_s - 0.8,
+        abort_incomplete_from_s=respond_by_s - 0.2,
+        respond_by_s=respond_by_s,
     )
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -12,7 +12,7 @@
 
 from cloverkeel.core.calls import Call, Flow, Sink
 from cloverkeel.core.config import Config
-from cloverkeel.core.draining import Timetable, on_the_way_out
+from cloverkeel.core.draining import DrainSchedule, shutdown_schedule
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.core.log import log
 from cloverkeel.core.messages import Header, Reply, end_to_end
@@ -70,7 +70,7 @@
         self.sockets = self.most = 0
         self.share(1)
         self.accepting: set[asyncio.Task[object]] = set()
-        self.emptying: Timetable | None = None
+        self.emptying: DrainSchedule | None = None
         self.since_s = 0.0  # when that began
         self.ending_for_good = False
         self.emptier: asyncio.TimerHandle | None = None
@@ -92,7 +92,7 @@
 
     @property
     def is_ready(self) -> bool:
-        return (self.emptying is None or self.emptying.ready) and self.gateway.can_serve
+        return (self.emptying is None or self.emptying.is_reported_ready) and self.gateway.can_serve
 
     @property
     def takes_clients(self) -> bool:
@@ -226,7 +226,7 @@
 
     # Emptying: core/draining.py says when
 
-    def empty(self, timetable: Timetable) -> None:
+    def empty(self, timetable: DrainSchedule) -> None:
         """Begin to send clients away."""
         self.emptying, self.since_s = timetable, self.loop.time()
         if self.emptier is None:
@@ -240,7 +240,7 @@
     @property
     def sends_away(self) -> bool:
         """Whether an answer ends its connection."""
-        return self.emptying is not None and self.emptying_s() >= self.emptying.keep_s
+        return self.emptying is not None and self.emptying_s() >= self.emptying.keep_alive_until_s
 
     def emptying_s(self) -> float:
         return self.loop.time() - self.since_s
@@ -252,23 +252,23 @@
             return
         self.emptier = self.loop.call_later(POLL_S, self.empty_on)
         now_s = self.emptying_s()
-        if now_s >= timetable.accept_s:
+        if now_s >= timetable.accept_until_s:
             self.stop_listening()
-        if self.ending_for_good and now_s >= timetable.end_s:
+        if self.ending_for_good and now_s >= timetable.respond_by_s:
             self.gateway.answer_all()
         at_s = self.loop.time()
         for connection in list(self.reading):
-            if timetable.may_give_up(now_s, at_s - connection.read_s):
+            if timetable.can_abort_read(now_s, at_s - connection.read_s):
                 connection.give_up_reading()
         for connection in list(self.connections):
             age_s = at_s - connection.opened_s
-            if timetable.may_close(now_s, connection.served, age_s) and connection.is_idle():
+            if timetable.can_close_idle(now_s, connection.served, age_s) and connection.is_idle():
                 connection.close()
 
-    async def drain(self, timetable: Timetable | None = None) -> None:
+    async def drain(self, timetable: DrainSchedule | None = None) -> None:
         """The way out: every request that was taken, or waits to be accepted, is answered first."""
         self.ending_for_good = True
-        self.empty(timetable or on_the_way_out(self.longest_s))
+        self.empty(timetable or shutdown_schedule(self.longest_s))
         while self.listener is not None or self.connections or self.accepting:
             await asyncio.sleep(POLL_S)
 
@@ -490,8 +490,8 @@
         call = read_call(request, path, self.server.config, self)
         emptying = self.server.emptying
         if emptying is not None:
-            left_s = emptying.end_s - self.server.emptying_s()
-            if self.server.emptying_s() >= emptying.refuse_s:
+            left_s = emptying.respond_by_s - self.server.emptying_s()
+            if self.server.emptying_s() >= emptying.reject_from_s:
                 raise RequestError(503, "this gateway is being emptied; ask again on a new connection")
             call.patience_us = min(call.patience_us, max(1, int(left_s * 1e6)))
         self.call = call
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cloverkeel.core.config import stable_id
-from cloverkeel.core.draining import on_the_way_out
+from cloverkeel.core.draining import shutdown_schedule
 from tests.sockets import (
     overhear,
     answers,
@@ -162,7 +162,7 @@
     async with peer() as host:
         async with running(configuration(host)) as run:
             assert (await run.ask(ready)).status == 200
-            run.server.empty(on_the_way_out(3.0))
+            run.server.empty(shutdown_schedule(3.0))
             assert (await run.ask(ready)).status == 503
         async with running(configuration()) as run:
             assert (await run.ask(ready)).status == 503  # no host is known
@@ -183,7 +183,7 @@
         client = await run.connect()
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
-        run.server.empty(on_the_way_out(3.0))
+        run.server.empty(shutdown_schedule(3.0))
         assert not connection.deaf
         answer = await client.ask(request("transfer"))
         assert answer.status == 200
@@ -209,8 +209,9 @@
             (connection,) = run.server.connections
             connection.served = True
             client.sendall(request("transfer"))  # and the loop has had no turn since
-            run.server.empty(on_the_way_out(3.0))
-            run.server.since_s -= on_the_way_out(3.0).idle_s + 0.1  # well past it: the loop's time stands still here
+            run.server.empty(shutdown_schedule(3.0))
+            # Well past it: the loop's time stands still here.
+            run.server.since_s -= shutdown_schedule(3.0).close_idle_from_s + 0.1
             run.server.empty_on()
             assert not connection.deaf
             loop = asyncio.get_running_loop()
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -16,7 +16,7 @@
 from cloverkeel.balancing.balancer import Balancer
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import parse
-from cloverkeel.core.draining import paused
+from cloverkeel.core.draining import pause_schedule
 from cloverkeel.discovery.ejection_filter import BannedMembership
 from cloverkeel.admin.state_files import SharedFiles
 from cloverkeel.admin.operations import Operations
@@ -164,7 +164,7 @@
             assert (answer.body, answer.headers["connection"]) == (body, "close")
         assert await idle.reader.read() == b""
         assert loop.time() - began_s < 4
-        await asyncio.sleep(max(0.0, began_s + paused().refuse_s + 0.1 - loop.time()))
+        await asyncio.sleep(max(0.0, began_s + pause_schedule().reject_from_s + 0.1 - loop.time()))
         late = await connect(gate.port)
         answer = await late.ask(request("transfer"))
         assert (answer.status, answer.headers["connection"], len(host.seen)) == (503, "close", 2)
