--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -95,7 +95,7 @@
 def _lists(size: int, tables: dict[str, Any], coding: str) -> Costs:
     from cloverkeel.assembly import assemble
     from cloverkeel.core.config import parse
-    from cloverkeel.core.gc_tuning import Freezer
+    from cloverkeel.core.gc_tuning import EndpointFreezer
     from cloverkeel.core.messages import Reply
     from cloverkeel.core.options import parse as parse_options
     from cloverkeel.discovery.http_client import Discovery
@@ -115,7 +115,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(5_000, 10, 10)
-        gateway.on_told = Freezer(asyncio.get_running_loop().call_soon).took
+        gateway.on_told = EndpointFreezer(asyncio.get_running_loop().call_soon).on_entries_added
         passes: list[float] = []  # full ones of the collector, whoever began them, in ms
         pass_began = 0.0
 
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -93,7 +93,7 @@
 
     from cloverkeel.assembly import assemble
     from cloverkeel.core.draining import MAX_SHUTDOWN_S
-    from cloverkeel.core.gc_tuning import Freezer
+    from cloverkeel.core.gc_tuning import EndpointFreezer
     from cloverkeel.core.log import log
     from cloverkeel.core.reload import ConfigReloader
 
@@ -136,7 +136,7 @@
         gc.collect()
         gc.freeze()  # what the start has made is never garbage
         gc.set_threshold(GC_NEW, 10, 10)
-        gateway.on_told = Freezer(loop.call_soon).took
+        gateway.on_told = EndpointFreezer(loop.call_soon).on_entries_added
         await stop.wait()
         program.begin_shutdown()
         try:
--- a/cloverkeel/core/clock.py
+++ b/cloverkeel/core/clock.py
@@ -13,5 +13,5 @@
 
 
 def now_us() -> int:
-    """Unix time that only moves forward, so that it compares with the starts that discovery tells."""
+    """Return Unix time that only moves forward, so that it compares with the start times that discovery reports."""
     return (_OFFSET_NS + _read(_CLOCK)) // 1000
--- a/cloverkeel/gossip/commands.py
+++ b/cloverkeel/gossip/commands.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cloverkeel.core.admin_client import addresses_of, ask_all
+from cloverkeel.core.admin_client import call_gateways, parse_address_list
 from cloverkeel.core.config import ConfigError
 
 
@@ -81,11 +81,11 @@
     shows.add_argument("--at", default=os.environ.get("CLOVERKEEL_OPS", ""), metavar="HOST:PORT,...")
     options = parser.parse_args(arguments)
     try:
-        addresses = addresses_of(options.at)
+        addresses = parse_address_list(options.at)
     except ConfigError as error:
         print(f"cloverkeel: {error}", file=sys.stderr)
         return 2
-    shown, wrong = ask_all(addresses, "PEERS", "nothing is shared here")
+    shown, wrong = call_gateways(addresses, "PEERS", "nothing is shared here")
     if options.json:
         print(json.dumps({"gateways": shown, "differences": differences(shown), "wrong": wrong}, indent=1))
     else:
--- a/cloverkeel/leases/commands.py
+++ b/cloverkeel/leases/commands.py
@@ -17,7 +17,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from cloverkeel.core.admin_client import addresses_of, ask_all, call
+from cloverkeel.core.admin_client import call, call_gateways, parse_address_list
 from cloverkeel.core.config import Address, ConfigError
 
 
@@ -102,7 +102,7 @@
         one.add_argument("--at", default=os.environ.get("CLOVERKEEL_OPS", ""), metavar="HOST:PORT,...")
     options = parser.parse_args(arguments)
     try:
-        addresses = addresses_of(options.at)
+        addresses = parse_address_list(options.at)
     except ConfigError as error:
         print(f"cloverkeel: {error}", file=sys.stderr)
         return 2
@@ -110,7 +110,7 @@
         return hand_on(addresses, options.duty)
     if options.command != "show":
         return keep(addresses, options.gateway, "KEEPOFF" if options.command == "keep-off" else "KEEPON")
-    shown, wrong = ask_all(addresses, "DUTIES", "no duties here")
+    shown, wrong = call_gateways(addresses, "DUTIES", "no duties here")
     if options.json:
         print(json.dumps({"gateways": shown, "differences": differences(shown), "wrong": wrong}, indent=1))
     else:
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -27,7 +27,7 @@
 )
 from cloverkeel.balancing.interface import ServerList, ServerStatus
 from cloverkeel.balancing.interface import Settings as Rules
-from cloverkeel.core.gc_tuning import FREEZE_AFTER, Freezer
+from cloverkeel.core.gc_tuning import ENTRIES_PER_FREEZE, EndpointFreezer
 from cloverkeel.core.ports import Endpoint
 from cloverkeel.core.list_batches import AT_ONCE, KNOWN_LEAST, SLICE, Slices
 
@@ -263,15 +263,15 @@
 async def test_what_lists_have_brought_is_not_gone_over_again_and_is_freed_when_it_leaves() -> None:
     """Through forty lists, each of other hosts: what is frozen is as much as after the first ones."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
-        freezer = Freezer(asyncio.get_running_loop().call_soon)
-        run.gateway.on_told = freezer.took
+        freezer = EndpointFreezer(asyncio.get_running_loop().call_soon)
+        run.gateway.on_told = freezer.on_entries_added
         with nothing_frozen():
             frozen: list[int] = []
             for turn in range(40):
                 hosts = [*serving(range(turn * 600, turn * 600 + 600))]
                 run.gateway.on_list(ListKind.FULL, hosts)
                 del hosts
-                while run.gateway.slices.waiting or freezer.due:
+                while run.gateway.slices.waiting or freezer.is_scheduled:
                     await asyncio.sleep(0)
                 if turn == 0:
                     assert freezer.freezes == 1 and gc.get_freeze_count() > 600 * 5
@@ -291,16 +291,16 @@
 def test_what_is_garbage_is_not_frozen() -> None:
     with nothing_frozen():
         left = weakref.ref(Knot())
-        Freezer(lambda freeze: freeze()).took(FREEZE_AFTER)
+        EndpointFreezer(lambda freeze: freeze()).on_entries_added(ENTRIES_PER_FREEZE)
         assert left() is None and gc.get_freeze_count()
 
 
 def test_lists_that_bring_little_cost_no_pass() -> None:
     due: list[Any] = []
-    freezer = Freezer(due.append)
-    for _ in range(FREEZE_AFTER - 1):
-        freezer.took(1)
+    freezer = EndpointFreezer(due.append)
+    for _ in range(ENTRIES_PER_FREEZE - 1):
+        freezer.on_entries_added(1)
     assert not due
-    freezer.took(1)
-    freezer.took(1_000)
+    freezer.on_entries_added(1)
+    freezer.on_entries_added(1_000)
     assert len(due) == 1  # one for all that came before its turn
