--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -275,7 +275,7 @@
          _SUBSET, after=lambda at: at.at("subset_whole_first_stop_ms", at.told),
          after_rows=("subset_whole_first_stop_ms",)),
     Line("gateway, hosts", "worst second", "start to ready", "ms", START_S * 1e3,
-         lambda at: at.at("ready_ms", at.told), ("ready_ms",), LIST, "`cloverkeel.__main__`", _SUBSET),
+         lambda at: at.at("ready_ms", at.told), ("ready_ms",), LIST, "`cloverkeel.cli.serving`", _SUBSET),
     Line("gateway, hosts", "ordinary day", "memory, with what it would have to know of routes and tenants", "MB",
          PLAN.control_mb, lambda at: at.memory(), ("resident_mb", *_MEMORY), LIST, _MODULE, _SUBSET, True,
          would="tenants and routes of its own services alone"),
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -111,7 +111,7 @@
         assert isinstance(discovery, Discovery)
         if isinstance(discovery, RelayedDiscovery):
             discovery.relays.choose(0.0)  # nobody is called: answers are handed to it
-        # As the program does (cloverkeel/__main__.py).
+        # As the program does (cloverkeel/core/gc_tuning.py).
         gc.collect()
         gc.freeze()
         gc.set_threshold(5_000, 10, 10)
--- a/benchmarks/guards/maimed.py
+++ b/benchmarks/guards/maimed.py
@@ -29,7 +29,7 @@
     except ValueError as error:
         print(f"maimed: {error}", file=sys.stderr)
         return 2
-    from cloverkeel.__main__ import main as program
+    from cloverkeel.cli.command_line import main as program
 
     return program(arguments[1:])
 
--- a/benchmarks/guards/mutants/program.py
+++ b/benchmarks/guards/mutants/program.py
@@ -8,10 +8,10 @@
 @entry("sighup")
 def _() -> None:
     """SIGHUP ends the program."""
-    import cloverkeel.__main__ as program
+    from cloverkeel.cli import serving
 
     cut(
-        program, "run",
+        serving, "_handle_reloads",
         ("loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)",
          "signal.signal(signal.SIGHUP, signal.SIG_DFL)"),
     )  # fmt: skip
@@ -20,10 +20,10 @@
 @entry("early-signals")
 def _() -> None:
     """A signal during the start ends the program."""
-    import cloverkeel.__main__ as program
+    from cloverkeel.cli import gateway_process
 
     cut(
-        program, "run",
-        ("signal.signal(signal.SIGHUP, lambda signum, frame: early.append(signum))", "pass"),
-        ("signal.signal(signum, _end_early)", "pass"),
+        gateway_process, "install_early_handlers",
+        ("signal.signal(signal.SIGHUP, lambda signum, _: early_reloads.append(signum))", "pass"),
+        ("signal.signal(signum, exit_early)", "pass"),
     )  # fmt: skip
--- a/benchmarks/guards/table/program.py
+++ b/benchmarks/guards/table/program.py
@@ -5,9 +5,9 @@
 from benchmarks.guards.row import row
 
 ROWS = (
-    row("sighup", "a reload ends nothing", "__main__.run", "list-moves", "crash",
+    row("sighup", "a reload ends nothing", "serving._handle_reloads", "list-moves", "crash",
         tests="gateway_reload::discovery_moves_at_once_while_requests_go_on"),
-    row("early-signals", "a signal during the start is survived", "__main__.run", "early", "crash", quick=True,
-        tests="gateway_process::a_signal_during_the_start_ends_it_with_0 "
+    row("early-signals", "a signal during the start is survived", "gateway_process.install_early_handlers",
+        "early", "crash", quick=True, tests="gateway_process::a_signal_during_the_start_ends_it_with_0 "
               "gateway_reload::a_signal_while_the_file_is_first_read_is_kept"),
 )  # fmt: skip
--- /dev/null
+++ b/cloverkeel/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: which command runs, and the gateway's process."""
--- /dev/null
+++ b/cloverkeel/cli/serving.py
@@ -0,0 +1,146 @@
+"""The gateway's life on its event loop: start, serve, drain, end.
+
+Imported once the compiled modules have been chosen (cloverkeel/cli/gateway_process.py).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Final
+
+import uvloop
+from cloverkeel.assembly import Program, assemble
+from cloverkeel.balancing import BUILD
+from cloverkeel.core import draining
+from cloverkeel.core.config import Address, Config
+from cloverkeel.core.gc_tuning import EndpointFreezer, freeze_startup_objects
+from cloverkeel.core.log import log
+from cloverkeel.core.options import Options
+from cloverkeel.core.reload import ConfigReloader
+
+# Imported where it runs alone: most installations have no admin address.
+if TYPE_CHECKING:
+    from cloverkeel.admin.listener import OpsListener
+    from cloverkeel.admin.operations import Operations
+
+EXIT_OK: Final = 0
+EXIT_CANNOT_LISTEN: Final = 1
+
+
+class CannotListenError(Exception):
+    """Report an address that cannot be listened on."""
+
+    def __init__(self, address: Address, reason: str | None) -> None:
+        super().__init__(f"cannot listen on {address[0]}:{address[1]}: {reason}")
+
+
+@dataclass(slots=True, frozen=True)
+class Admin:
+    """The admin address of a gateway that has one."""
+
+    operations: Operations
+    listener: OpsListener
+
+    def close(self) -> None:
+        """Close the address, and leave the processes of this gateway."""
+        self.listener.close()
+        self.operations.close()
+
+
+def run_until_terminated(config: Config, options: Options, build: str, early_reloads: Sequence[int]) -> int:
+    """Run the gateway on a loop of its own; return the exit code.
+
+    `build`: which build of the modules outside the decisions runs. `early_reloads`: SIGHUPs that came before.
+    """
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        return runner.run(serve(config, options, build, early_reloads))
+
+
+async def serve(config: Config, options: Options, build: str, early_reloads: Sequence[int]) -> int:
+    """Start, serve until SIGTERM or SIGINT, drain; return the exit code."""
+    terminated = _handle_termination()
+    program = assemble(config, options)
+    request_reload = _handle_reloads(program, options)
+    admin: Admin | None = None
+    try:
+        if config.admin_listen is not None:
+            admin = await _start_admin(config, config.admin_listen, program)
+        await _start_server(config, program)
+    except CannotListenError as error:
+        log(str(error))
+        return EXIT_CANNOT_LISTEN
+    _log_build(build)
+    if early_reloads:
+        request_reload()
+    freeze_startup_objects()
+    program.gateway.on_told = EndpointFreezer(asyncio.get_running_loop().call_soon).on_entries_added
+    await terminated.wait()
+    await _shut_down(program, admin)
+    return EXIT_OK
+
+
+def _handle_termination() -> asyncio.Event:
+    """Return an event that SIGTERM or SIGINT sets; a second signal changes nothing."""
+    loop = asyncio.get_running_loop()
+    terminated = asyncio.Event()
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, terminated.set)
+    return terminated
+
+
+def _handle_reloads(program: Program, options: Options) -> Callable[[], None]:
+    """Read the files again at each SIGHUP; return what asks for it."""
+    loop = asyncio.get_running_loop()
+    reloader = ConfigReloader(program.discovery, program.relay_client, options)
+    loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
+    return reloader.request_reload
+
+
+async def _start_admin(config: Config, address: Address, program: Program) -> Admin:
+    from cloverkeel.admin.listener import OpsListener
+    from cloverkeel.admin.operations import Operations
+    from cloverkeel.discovery.ejection_filter import BannedMembership
+
+    assert isinstance(program.discovery, BannedMembership)
+    commands_of_drivers = [driver.call for driver in program.peer_drivers]
+    operations = Operations(config, program.server, program.discovery, commands_of_drivers)
+    listener = OpsListener(operations.on_line)
+    try:
+        operations.start()
+        await listener.start(address)
+    except OSError as error:
+        raise CannotListenError(address, error.strerror) from None
+    return Admin(operations, listener)
+
+
+async def _start_server(config: Config, program: Program) -> None:
+    try:
+        await program.server.start()
+        program.start()
+    except OSError as error:
+        raise CannotListenError(config.listen, error.strerror) from None
+
+
+def _log_build(build: str) -> None:
+    """Log which build of the decisions runs, and of the other modules where that is another one."""
+    log(f"gateway: started, decisions={BUILD}")
+    if BUILD == "compiled" != build:
+        log(f"gateway: other modules are not compiled, build={build}")
+
+
+async def _shut_down(program: Program, admin: Admin | None) -> None:
+    """Drain, then release what is held."""
+    program.begin_shutdown()
+    schedule = admin.operations.way_out() if admin is not None else None
+    try:
+        async with asyncio.timeout(draining.MAX_SHUTDOWN_S):
+            await program.server.drain(schedule)
+    except TimeoutError:
+        log(f"shutdown: time is over, unanswered={len(program.gateway.held)}")
+    log(f"shutdown: complete, connections={program.pools.counts}")
+    if admin is not None:
+        admin.close()
+    program.gateway.close()
--- a/tests/fleet/clocks.py
+++ b/tests/fleet/clocks.py
@@ -37,7 +37,7 @@
         from benchmarks.guards.maimed import main as maimed
 
         return maimed(rest[1:])
-    from cloverkeel.__main__ import main as program
+    from cloverkeel.cli.command_line import main as program
 
     return program(rest[1:])
 
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -115,7 +115,7 @@
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         line = await process.stderr.readline()
-        assert b"decisions are" in line  # which build runs
+        assert b"decisions=" in line  # which build runs
         line = await process.stderr.readline()
         assert b"all stays as it is" in line
         assert await ask(port, request("transfer")) == 200
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -30,8 +30,6 @@
     "cloverkeel/upstream/connection_pool.py": 583,
 }
 OVERSIZED_FUNCTIONS = {
-    "cloverkeel/__main__.py:run": 85,
-    "cloverkeel/__main__.py:serve": 52,
     "cloverkeel/balancing/balancer.py:judge": 46,
     "cloverkeel/control_plane/command.py:run": 59,
     "cloverkeel/control_plane/endpoint_cache.py:answer_delta": 47,
--- a/tests/test_sharing_commands.py
+++ b/tests/test_sharing_commands.py
@@ -13,7 +13,7 @@
 import pytest
 
 from benchmarks.fleet_logs import Count, table
-from cloverkeel.__main__ import main as program
+from cloverkeel.cli.command_line import main as program
 from cloverkeel.assembly import assemble
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import ConfigError
