--- a/benchmarks/guards/mutants/admin.py
+++ b/benchmarks/guards/mutants/admin.py
@@ -10,38 +10,38 @@
 @entry("ban-outlives")
 def _() -> None:
     """A process begins without what the one before it has left."""
-    from cloverkeel.admin.state_files import SharedFiles
+    from cloverkeel.admin.shared_folder import SharedFolder
 
-    old = SharedFiles.open
+    old = SharedFolder.open
 
     def open_(self: Any) -> Any:
-        from cloverkeel.admin.state import State
+        from cloverkeel.admin.state import GatewayState
 
         old(self)
-        return State()
+        return GatewayState()
 
-    swap(SharedFiles, "open", open_)
+    swap(SharedFolder, "open", open_)
 
 
 @entry("ban-heard")
 def _() -> None:
-    """What the other process is told is not heard."""
-    from cloverkeel.admin.state_files import SharedFiles
+    """A change that the other process was asked for is not applied."""
+    from cloverkeel.admin.state_file import StateFile
 
-    swap(SharedFiles, "changed", lambda self: None)
+    swap(StateFile, "read_if_changed", lambda self: None)
 
 
 @entry("two-writers")
 def _() -> None:
     """A change is made to what this process knows, whatever the other one wrote."""
-    from cloverkeel.admin.state_files import SharedFiles
+    from cloverkeel.admin.state_file import StateFile
 
-    cut(SharedFiles, "change", ("how(self.read() or otherwise)", "how(otherwise)"))
+    cut(StateFile, "update", ("change(self.read() or fallback)", "change(fallback)"))
 
 
 @entry("successor-ready")
 def _() -> None:
-    """A process with a successor tells the front that the gateway is not ready."""
-    from cloverkeel.admin.operations import Operations
+    """A process with a successor reports that the gateway is not ready."""
+    from cloverkeel.admin.process_coordinator import ProcessCoordinator
 
-    swap(Operations, "way_out", lambda self: None)
+    swap(ProcessCoordinator, "begin_shutdown", lambda self: None)
--- a/benchmarks/guards/table/admin.py
+++ b/benchmarks/guards/table/admin.py
@@ -5,12 +5,12 @@
 from benchmarks.guards.row import row
 
 ROWS = (
-    row("ban-outlives", "a ban outlives the process", "SharedFiles.open",
-        tests="operating::bans_and_a_pause_outlive_the_process_and_are_heard_by_both"),
-    row("ban-heard", "a ban told to one process is heard by the other", "SharedFiles.changed",
-        tests="operating::bans_and_a_pause_outlive_the_process_and_are_heard_by_both"),
-    row("two-writers", "two processes lose no ban", "SharedFiles.change",
-        tests="ops_files::two_writers_lose_nothing"),
-    row("successor-ready", "an upgrade does not tell the front 'not ready'", "Operations.way_out",
-        tests="operating::a_process_with_a_successor_tells_the_front_that_the_gateway_is_ready"),
+    row("ban-outlives", "an ejection outlives the process", "SharedFolder.open",
+        tests="admin/operations::ejections_outlive_the_process_and_are_applied_by_both"),
+    row("ban-heard", "an ejection asked of one process is applied by the other", "StateFile.read_if_changed",
+        tests="admin/operations::ejections_outlive_the_process_and_are_applied_by_both"),
+    row("two-writers", "two processes lose no ejection", "StateFile.update",
+        tests="admin/shared_folder::two_writers_lose_nothing"),
+    row("successor-ready", "an upgrade does not report 'not ready'", "ProcessCoordinator.begin_shutdown",
+        tests="admin/operations::a_process_with_a_successor_reports_the_gateway_ready"),
 )  # fmt: skip
--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -17,12 +17,12 @@
         "Gateway.arrive, Balancer.free",
         tests="repeated_ids::a_late_timer_of_an_answered_request_spares_its_namesake"),
     row("way-out-ends+way-out-bound", "the way out ends", "DrainSchedule, MAX_SHUTDOWN_S",
-        tests="gateway_process::what_never_ends_does_not_keep_it "
-              "gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes"),
+        tests="cli/gateway_process::a_request_without_an_end_does_not_delay_shutdown "
+              "cli/gateway_process::a_shutdown_finishes_requests_in_flight_and_accepts_new_ones"),
     row("way-out-keeps", "who has a connection is served for a while: others may be out", "Server.sends_away",
-        tests="emptying::on_the_way_out_an_open_connection_is_served_for_a_while"),
+        tests="core/draining::during_shutdown_an_open_connection_is_served_for_a_while"),
     row("way-out-hurry", "half a request keeps nobody from the end", "DrainSchedule.can_abort_read",
-        tests="emptying::half_a_request_that_does_not_go_on_keeps_nobody_from_the_end"),
+        tests="core/draining::a_stalled_request_does_not_delay_shutdown"),
     row("idle-first", "a new connection's request has time to come", "DrainSchedule.can_close_idle",
         tests="gateway_clients::on_the_way_out_a_new_connection_has_time_for_its_first_request"),
     row("budget-as-written", "a host is told the time that is left as it is written", "Gateway.send",
@@ -34,7 +34,7 @@
     row("room-returns", "what a body held is given back", "Share",
         tests="large_bodies::large_requests_in_every_framing_arrive_as_they_are"),
     row("pause-empties", "a paused gateway is empty in time", "DrainSchedule.can_close_idle",
-        tests="operating::a_pause_empties_the_gateway_and_a_resume_fills_it_again"),
+        tests="admin/operations::a_pause_drains_the_gateway_and_a_resume_accepts_clients_again"),
     row("wanted", "nothing is written for who left while a connection came up", "Gateway.send",
         tests="crossings::nothing_is_written_for_a_client_that_left_while_a_connection_came_up"),
     row("still", "what came in a gap is read before a send", "Gateway.look", "paused", "drain",
@@ -54,6 +54,6 @@
         tests="list_reading::what_was_packed_is_read_and_nothing_else"
         " relays::a_relay_that_fails_costs_no_news_and_the_list_stands"),
     row("way-out-accepts", "what waits to be accepted is answered", "Server.drain",
-        tests="gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes "
-              "gateway_process::no_request_is_lost_at_a_restart_under_way"),
+        tests="cli/gateway_process::a_shutdown_finishes_requests_in_flight_and_accepts_new_ones "
+              "cli/gateway_process::no_request_is_lost_at_a_restart_under_load"),
 )  # fmt: skip
--- a/benchmarks/guards/table/discovery.py
+++ b/benchmarks/guards/table/discovery.py
@@ -6,7 +6,7 @@
 
 ROWS = (
     row("ban", "nothing new to a host out by hand", "Bans.presented", "staff", "drain", seeds=(1,),
-        tests="operating::a_host_out_by_hand_gets_nothing_and_one_call_back_brings_it_back "
+        tests="admin/operations::an_ejected_host_gets_nothing_and_one_reinstatement_brings_it_back "
               "bans::a_ban_only_restricts_and_ends_with_one_call"),
     row("ban-cold", "a host that is put back is cold", "Bans.restore",
         tests="bans::a_host_that_comes_back_before_its_restart_is_told_is_cold"),
@@ -27,7 +27,7 @@
     row("list-rests", "who answers at once with nothing is not asked without end", "Discovery",
         tests="crossings::a_service_that_answers_a_watch_at_once_with_nothing_is_not_asked_without_end"),
     row("list-moves", "a registry that moves is followed", "Discovery.move",
-        tests="gateway_reload::discovery_moves_at_once_while_requests_go_on"),
+        tests="cli/reload::discovery_moves_at_once_while_requests_go_on"),
     row("lost-tells-nothing", "a session that is lost tells nothing", "Membership.link",
         tests="membership_ephemeral::the_gateways_own_session_expires_and_the_list_stands_until_it_is_read_again"),
     row("state-kept", "a box told gone stays gone through a restart", "state.load",
--- a/benchmarks/guards/table/frontends.py
+++ b/benchmarks/guards/table/frontends.py
@@ -6,10 +6,10 @@
 
 ROWS = (
     row("way-out-answers", "what is held is answered", "Server.drain",
-        tests="gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes "
-              "gateway_process::all_that_was_read_on_one_connection_is_answered_on_the_way_out"),
+        tests="cli/gateway_process::a_shutdown_finishes_requests_in_flight_and_accepts_new_ones "
+              "cli/gateway_process::pipelined_requests_are_answered_during_shutdown"),
     row("answer-all", "what is held is answered before the kill", "Server.empty_on, Balancer",
-        tests="gateway_process::what_never_ends_does_not_keep_it"),
+        tests="cli/gateway_process::a_request_without_an_end_does_not_delay_shutdown"),
     row("idle-unread", "what waits in the kernel is not idle", "ClientConnection.is_idle",
         tests="gateway_clients::what_waits_to_be_read_keeps_its_connection"),
     row("head-deadline", "a request that does not go on gets 408", "Server.sweep", "rude", "owed", quick=True,
--- a/cloverkeel/admin/__init__.py
+++ b/cloverkeel/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: calls of staff, and replacing the process. Imported only where `ops` is set."""
+"""The admin address: operators' commands, and replacing the process. Imported only where there is such an address."""
--- /dev/null
+++ b/cloverkeel/admin/endpoint.py
@@ -0,0 +1,43 @@
+"""The admin address of one gateway: its listener, what handles its commands, and the process's coordinator."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from cloverkeel.admin.command_handler import CommandHandler, ExtensionHandler
+from cloverkeel.admin.listener import AdminListener
+from cloverkeel.admin.process_coordinator import ProcessCoordinator
+from cloverkeel.admin.shared_folder import shared_folder_path
+from cloverkeel.core.config import Address, Config
+from cloverkeel.core.draining import DrainSchedule
+from cloverkeel.discovery.ejection_filter import BannedMembership
+from cloverkeel.frontends.http1.server import Server
+
+
+class AdminEndpoint:
+    """Put the parts of the admin address together. `extensions` handle commands of other packages."""
+
+    def __init__(
+        self,
+        config: Config,
+        server: Server,
+        ejection_filter: BannedMembership,
+        extensions: Sequence[ExtensionHandler] = (),
+    ) -> None:
+        self._coordinator = ProcessCoordinator(shared_folder_path(config), server, ejection_filter)
+        self._handler = CommandHandler(self._coordinator, extensions)
+        self._listener = AdminListener(self._handler.handle_line)
+
+    async def start(self, address: Address) -> None:
+        """Take over what the process before has left, then listen; raise OSError where that cannot be."""
+        self._coordinator.start()
+        await self._listener.start(address)
+
+    def begin_shutdown(self) -> DrainSchedule | None:
+        """Return the schedule of the drain where a successor serves; None where there is none."""
+        return self._coordinator.begin_shutdown()
+
+    def close(self) -> None:
+        """Listen no more, and leave the processes of this gateway."""
+        self._listener.close()
+        self._coordinator.close()
--- a/cloverkeel/admin/listener.py
+++ b/cloverkeel/admin/listener.py
@@ -1,6 +1,6 @@
-"""The second address: one line to a connection, one line back.
+"""The admin address: one line to a connection, one line back.
 
-Bounds: CALLERS at once, the one that has been silent longest gives its place to the next; SILENT_S to say a line.
+Bounds: MAX_CONNECTIONS at once, of which the oldest gives its place to the next; SILENCE_TIMEOUT_S to send a line.
 """
 
 from __future__ import annotations
@@ -9,74 +9,85 @@
 from collections.abc import Callable
 from typing import Final, cast
 
+from cloverkeel.admin.commands import LINE_TOO_LONG, MAX_LINE_BYTES, AdminAnswer, encode_answer
 from cloverkeel.core.config import Address
-from cloverkeel.admin.commands import LINE_LIMIT, answer
 
-CALLERS: Final = 16  # descriptors that are kept for staff
-SILENT_S: Final = 4.0
+MAX_CONNECTIONS: Final = 16  # descriptors that are kept for operators
+SILENCE_TIMEOUT_S: Final = 4.0
 
 
-class Caller:
-    """One connection of staff. A protocol in asyncio's sense, by its methods."""
+class AdminConnection:
+    """One connection of an operator. A protocol in asyncio's sense, by its methods."""
 
-    def __init__(self, listener: OpsListener) -> None:
+    def __init__(self, listener: AdminListener) -> None:
         self.listener = listener
         self.transport: asyncio.Transport | None = None
-        self.said = b""
+        self.received = b""
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Wait for a line, for so long."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.timer = asyncio.get_running_loop().call_later(SILENT_S, transport.close)
-        self.listener.on_caller(self)
+        self.timer = asyncio.get_running_loop().call_later(SILENCE_TIMEOUT_S, transport.close)
+        self.listener.on_connection(self)
 
     def data_received(self, data: bytes) -> None:
+        """Answer once the line is complete, or too long."""
         if self.transport is None or self.transport.is_closing():
             return
-        self.said += data
-        line, end, _ = self.said.partition(b"\n")
+        self.received += data
+        line, end, _ = self.received.partition(b"\n")
         if end:
-            self.finish(self.listener.on_line(line))
-        elif len(self.said) > LINE_LIMIT:
-            self.finish(answer(False, f"the line is longer than {LINE_LIMIT} bytes"))
+            self.send_and_close(self.listener.handle_line(line))
+        elif len(self.received) > MAX_LINE_BYTES:
+            self.send_and_close(encode_answer(AdminAnswer(False, LINE_TOO_LONG)))
 
     def eof_received(self) -> None:
-        """A line whose end is the end of what the caller says."""
-        if self.transport is not None and not self.transport.is_closing():
-            self.finish(self.listener.on_line(self.said) if self.said else b"")
+        """Answer a line whose end is the end of what the operator sends."""
+        if self.transport is None or self.transport.is_closing():
+            return
+        self.send_and_close(self.listener.handle_line(self.received) if self.received else b"")
 
-    def finish(self, line: bytes) -> None:
+    def send_and_close(self, line: bytes) -> None:
+        """Send the answer, and end the connection once it is sent."""
         assert self.transport is not None
         self.transport.write(line)
         self.transport.close()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Forget the connection."""
         if self.timer is not None:
             self.timer.cancel()
-        self.listener.callers.pop(self, None)
+        self.listener.connections.pop(self, None)
 
 
-class OpsListener:
-    def __init__(self, on_line: Callable[[bytes], bytes]) -> None:
-        self.on_line = on_line
-        self.callers: dict[Caller, None] = {}  # the one that came first, first
+class AdminListener:
+    """The socket of the admin address. `handle_line` returns the line of the answer."""
+
+    def __init__(self, handle_line: Callable[[bytes], bytes]) -> None:
+        self.handle_line = handle_line
+        self.connections: dict[AdminConnection, None] = {}  # the oldest first
         self.server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
+        """Listen; raise OSError where that cannot be."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: cast(asyncio.Protocol, Caller(self)), *address)
+        self.server = await loop.create_server(lambda: cast(asyncio.Protocol, AdminConnection(self)), *address)
 
-    def on_caller(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > CALLERS:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
-            if oldest.transport is not None:
-                oldest.transport.abort()
+    def on_connection(self, connection: AdminConnection) -> None:
+        """Keep a new connection; drop the oldest where there are too many."""
+        self.connections[connection] = None
+        if len(self.connections) <= MAX_CONNECTIONS:
+            return
+        oldest = next(iter(self.connections))
+        del self.connections[oldest]
+        if oldest.transport is not None:
+            oldest.transport.abort()
 
     def close(self) -> None:
+        """Listen no more, and drop all connections."""
         if self.server is not None:
             self.server.close()
-        for caller in list(self.callers):
-            if caller.transport is not None:
-                caller.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
--- a/cloverkeel/admin/state.py
+++ b/cloverkeel/admin/state.py
@@ -1,9 +1,13 @@
-"""What outlives a process of this gateway, as text and back, and what a call changes in it. Pure.
+"""What outlives a process of this gateway, as JSON and back, and what a command changes in it. Pure.
 
     {"v": 1, "paused": false, "out": {"s-5be2a07c": 1796153000000000}, "back": {...}, "once": ["s-1", ...]}
 
-Times are µs of Unix time. A text that cannot be used gives StateError, which names what was expected.
-Bounds: OUT_KEPT bans, as many calls back, ONCE_KEPT ids; of calls back and ids the oldest go first.
+Times are µs of Unix time. The keys are those of files that an older version wrote; this module maps them to the
+code's names. A text that cannot be used raises StateError, which names what was expected.
+
+Invariants:
+- at most MAX_EJECTIONS ejections are read, at most as many reinstatements are kept, and MAX_KNOWN_IDS ids;
+- of reinstatements the oldest go first.
 """
 
 from __future__ import annotations
@@ -12,68 +16,95 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, Final
 
-VERSION: Final = 1
-OUT_KEPT: Final = 1_024
-ONCE_KEPT: Final = 4_096
-TEXT_LIMIT: Final = 4 << 20  # characters
-
+from cloverkeel.admin.errors import StateError
 
-class StateError(ValueError):
-    """No state that can be used."""
+VERSION: Final = 1
+MAX_EJECTIONS: Final = 1_024
+MAX_KNOWN_IDS: Final = 4_096
+MAX_STATE_CHARACTERS: Final = 4 << 20
 
 
 @dataclass(slots=True, frozen=True)
-class State:
-    paused: bool = False
-    out: dict[str, int] = field(default_factory=dict)  # hosts taken out by hand, and since when
-    back: dict[str, int] = field(default_factory=dict)  # put back, and when
-    once: tuple[str, ...] = ()  # ids that were listed once
+class GatewayState:
+    """What operators have asked of one gateway, whichever of its processes runs."""
 
-    def suspend(self, now_us: int, name: str) -> State:
-        return replace(self, out={name: now_us} | self.out)
+    is_paused: bool = False
+    ejected_at_us: dict[str, int] = field(default_factory=dict)  # by host id
+    reinstated_at_us: dict[str, int] = field(default_factory=dict)  # by host id, the oldest first
+    known_ids: tuple[str, ...] = ()  # hosts that were listed once
 
-    def restore(self, now_us: int, name: str) -> State:
-        if name not in self.out:
+    def eject(self, now_us: int, host_id: str) -> GatewayState:
+        """Return the state with this host ejected; one that is ejected already stays so since then."""
+        return replace(self, ejected_at_us={host_id: now_us} | self.ejected_at_us)
+
+    def reinstate(self, now_us: int, host_id: str) -> GatewayState:
+        """Return the state with this host back, however often it was ejected."""
+        if host_id not in self.ejected_at_us:
             return self
-        out = {other: at_us for other, at_us in self.out.items() if other != name}
-        back = {other: at_us for other, at_us in self.back.items() if other != name} | {name: now_us}
-        return replace(self, out=out, back=dict(list(back.items())[-OUT_KEPT:]))
+        reinstated_at_us = _without(self.reinstated_at_us, host_id) | {host_id: now_us}
+        return replace(
+            self,
+            ejected_at_us=_without(self.ejected_at_us, host_id),
+            reinstated_at_us=dict(list(reinstated_at_us.items())[-MAX_EJECTIONS:]),
+        )
+
+    def with_paused(self, is_paused: bool) -> GatewayState:
+        """Return the state with the gateway paused or not."""
+        return replace(self, is_paused=is_paused)
 
-    def with_paused(self, paused: bool) -> State:
-        return replace(self, paused=paused)
 
+def _without(time_us_by_id: dict[str, int], host_id: str) -> dict[str, int]:
+    return {other: time_us for other, time_us in time_us_by_id.items() if other != host_id}
 
-def render(state: State) -> str:
+
+def encode_state(state: GatewayState) -> str:
+    """Return the text of a state."""
     raw = {
-        "v": VERSION, "paused": state.paused, "out": state.out, "back": state.back, "once": list(state.once),
-    }  # fmt: skip
+        "v": VERSION,
+        "paused": state.is_paused,
+        "out": state.ejected_at_us,
+        "back": state.reinstated_at_us,
+        "once": list(state.known_ids),
+    }
     return json.dumps(raw, separators=(",", ":"))
 
 
-def parse(text: str) -> State:
-    if len(text) > TEXT_LIMIT:
-        raise StateError(f"expected at most {TEXT_LIMIT} characters")
+def decode_state(text: str) -> GatewayState:
+    """Return the state of a text; raise StateError where there is none."""
+    raw = _decode_object(text)
+    if raw.get("v") != VERSION:
+        raise StateError(expected=str(VERSION), key="v", found=repr(raw.get("v")))
+    is_paused = raw.get("paused")
+    if not isinstance(is_paused, bool):
+        raise StateError(expected="true or false", key="paused")
+    known_ids = _decode_ids(raw, "once")
+    return GatewayState(is_paused, _decode_times(raw, "out"), _decode_times(raw, "back"), known_ids)
+
+
+def _decode_object(text: str) -> dict[str, Any]:
+    if len(text) > MAX_STATE_CHARACTERS:
+        raise StateError(expected=f"at most {MAX_STATE_CHARACTERS} characters")
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError):
-        raise StateError("expected JSON") from None
+        raise StateError(expected="JSON") from None
     if not isinstance(raw, dict):
-        raise StateError("expected an object")
-    if raw.get("v") != VERSION:
-        raise StateError(f"v: expected {VERSION}, found {raw.get('v')!r}")
-    paused, once = raw.get("paused"), raw.get("once")
-    if not isinstance(paused, bool):
-        raise StateError("paused: expected true or false")
-    if not isinstance(once, list) or len(once) > ONCE_KEPT or not all(isinstance(name, str) for name in once):
-        raise StateError(f"once: expected at most {ONCE_KEPT} ids")
-    return State(paused, _times(raw, "out"), _times(raw, "back"), tuple(once))
-
-
-def _times(raw: dict[str, Any], key: str) -> dict[str, int]:
-    found = raw.get(key)
-    if not isinstance(found, dict) or len(found) > OUT_KEPT:
-        raise StateError(f"{key}: expected an object with at most {OUT_KEPT} ids")
-    for name, at_us in found.items():
-        if not isinstance(at_us, int) or isinstance(at_us, bool) or at_us < 0:
-            raise StateError(f"{key}: {name}: expected µs of Unix time")
-    return dict(found)
+        raise StateError(expected="an object")
+    return raw
+
+
+def _decode_ids(raw: dict[str, Any], key: str) -> tuple[str, ...]:
+    ids = raw.get(key)
+    if not isinstance(ids, list) or len(ids) > MAX_KNOWN_IDS or not all(isinstance(id_, str) for id_ in ids):
+        raise StateError(expected=f"at most {MAX_KNOWN_IDS} ids", key=key)
+    return tuple(ids)
+
+
+def _decode_times(raw: dict[str, Any], key: str) -> dict[str, int]:
+    time_us_by_id = raw.get(key)
+    if not isinstance(time_us_by_id, dict) or len(time_us_by_id) > MAX_EJECTIONS:
+        raise StateError(expected=f"an object with at most {MAX_EJECTIONS} ids", key=key)
+    for host_id, time_us in time_us_by_id.items():
+        if not isinstance(time_us, int) or isinstance(time_us, bool) or time_us < 0:
+            raise StateError(expected="µs of Unix time", key=f"{key}: {host_id}")
+    return dict(time_us_by_id)
--- a/cloverkeel/cli/serving.py
+++ b/cloverkeel/cli/serving.py
@@ -8,7 +8,6 @@
 import asyncio
 import signal
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
 import uvloop
@@ -23,8 +22,7 @@
 
 # Imported where it runs alone: most installations have no admin address.
 if TYPE_CHECKING:
-    from cloverkeel.admin.listener import OpsListener
-    from cloverkeel.admin.operations import Operations
+    from cloverkeel.admin.endpoint import AdminEndpoint
 
 EXIT_OK: Final = 0
 EXIT_CANNOT_LISTEN: Final = 1
@@ -37,19 +35,6 @@
         super().__init__(f"cannot listen on {address[0]}:{address[1]}: {reason}")
 
 
-@dataclass(slots=True, frozen=True)
-class Admin:
-    """The admin address of a gateway that has one."""
-
-    operations: Operations
-    listener: OpsListener
-
-    def close(self) -> None:
-        """Close the address, and leave the processes of this gateway."""
-        self.listener.close()
-        self.operations.close()
-
-
 def run_until_terminated(config: Config, options: Options, build: str, early_reloads: Sequence[int]) -> int:
     """Run the gateway on a loop of its own; return the exit code.
 
@@ -64,7 +49,7 @@
     terminated = _handle_termination()
     program = assemble(config, options)
     request_reload = _handle_reloads(program, options)
-    admin: Admin | None = None
+    admin: AdminEndpoint | None = None
     try:
         if config.admin_listen is not None:
             admin = await _start_admin(config, config.admin_listen, program)
@@ -99,21 +84,18 @@
     return reloader.request_reload
 
 
-async def _start_admin(config: Config, address: Address, program: Program) -> Admin:
-    from cloverkeel.admin.listener import OpsListener
-    from cloverkeel.admin.operations import Operations
+async def _start_admin(config: Config, address: Address, program: Program) -> AdminEndpoint:
+    from cloverkeel.admin.endpoint import AdminEndpoint
     from cloverkeel.discovery.ejection_filter import BannedMembership
 
     assert isinstance(program.discovery, BannedMembership)
-    commands_of_drivers = [driver.call for driver in program.peer_drivers]
-    operations = Operations(config, program.server, program.discovery, commands_of_drivers)
-    listener = OpsListener(operations.on_line)
+    extensions = [driver.call for driver in program.peer_drivers]
+    admin = AdminEndpoint(config, program.server, program.discovery, extensions)
     try:
-        operations.start()
-        await listener.start(address)
+        await admin.start(address)
     except OSError as error:
         raise CannotListenError(address, error.strerror) from None
-    return Admin(operations, listener)
+    return admin
 
 
 async def _start_server(config: Config, program: Program) -> None:
@@ -131,10 +113,10 @@
         log(f"gateway: other modules are not compiled, build={build}")
 
 
-async def _shut_down(program: Program, admin: Admin | None) -> None:
+async def _shut_down(program: Program, admin: AdminEndpoint | None) -> None:
     """Drain, then release what is held."""
     program.begin_shutdown()
-    schedule = admin.operations.way_out() if admin is not None else None
+    schedule = admin.begin_shutdown() if admin is not None else None
     try:
         async with asyncio.timeout(draining.MAX_SHUTDOWN_S):
             await program.server.drain(schedule)
--- a/cloverkeel/core/config.py
+++ b/cloverkeel/core/config.py
@@ -85,7 +85,7 @@
     """Read the file that LB_CONFIG names; raise ConfigError where it cannot be used."""
     path = environment.get("LB_CONFIG")
     if not path:
-        raise ConfigError("LB_CONFIG is not set", key="LB_CONFIG", expected="the path of a file")
+        raise ConfigError(message="LB_CONFIG is not set", key="LB_CONFIG", expected="the path of a file")
     try:
         config = parse(_read_json(path))
     except ConfigError as error:
@@ -105,19 +105,19 @@
     except OSError as error:
         raise ConfigError.not_readable(path, error) from None
     except ValueError as error:
-        raise ConfigError(f"{path} is not JSON: {error}", file=path, expected="JSON") from None
+        raise ConfigError(message=f"{path} is not JSON: {error}", file=path, expected="JSON") from None
 
 
 def parse(raw: object) -> Config:
     """Return the configuration that an object read from JSON holds; raise ConfigError where it cannot be used."""
     if not isinstance(raw, dict):
-        raise ConfigError("the configuration is not an object", expected="an object")
+        raise ConfigError(message="the configuration is not an object", expected="an object")
     if not isinstance(raw.get("settings"), dict):
-        raise ConfigError("the configuration has no settings", key="settings", expected="an object")
+        raise ConfigError(message="the configuration has no settings", key="settings", expected="an object")
     limits = raw.get("limits") or {}
     known = raw.get("known") or {}
     if not isinstance(limits, dict) or not isinstance(known, dict):
-        raise ConfigError("limits or known is not an object", key="limits, known", expected="objects")
+        raise ConfigError(message="limits or known is not an object", key="limits, known", expected="objects")
     try:
         return _parse_fields(raw, limits, known)
     except ConfigError:
@@ -125,7 +125,7 @@
     except WireError as error:
         raise ConfigError(str(error), key="settings") from None
     except (KeyError, TypeError, AttributeError, ValueError) as error:
-        raise ConfigError(f"the configuration cannot be used: {error}") from None
+        raise ConfigError(message=f"the configuration cannot be used: {error}") from None
 
 
 def _parse_fields(raw: dict[str, Any], limits: dict[str, Any], known: dict[str, Any]) -> Config:
--- a/cloverkeel/core/options.py
+++ b/cloverkeel/core/options.py
@@ -104,7 +104,7 @@
     except OSError as error:
         raise ConfigError.not_readable(path, error) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ConfigError(f"{path}: not TOML: {error}", file=path, expected="TOML") from None
+        raise ConfigError(message=f"{path}: not TOML: {error}", file=path, expected="TOML") from None
     return parse(raw, path)
 
 
--- a/tests/test_operating.py
+++ b/tests/admin/test_operations.py
@@ -1,4 +1,4 @@
-"""Staff at work on real processes: hosts out by hand, a gateway emptied, a process replaced under load."""
+"""Operators at work on real processes: ejected hosts, a drained gateway, a process replaced under load."""
 
 from __future__ import annotations
 
@@ -13,19 +13,30 @@
 from pathlib import Path
 from typing import Any, cast
 
-from cloverkeel.balancing.balancer import Balancer
+from cloverkeel.admin.process_coordinator import ProcessCoordinator
+from cloverkeel.admin.process_files import ProcessStage
+from cloverkeel.admin.shared_folder import SharedFolder, shared_folder_path
 from cloverkeel.assembly import assemble
+from cloverkeel.balancing.balancer import Balancer
 from cloverkeel.core.config import parse
 from cloverkeel.core.draining import pause_schedule
 from cloverkeel.discovery.ejection_filter import BannedMembership
-from cloverkeel.admin.state_files import SharedFiles
-from cloverkeel.admin.operations import Operations
-from tests.sockets import Client, Exchange, configuration, on_loop, peer, reply, request, silent, until
-from tests.test_gateway_process import READY, ask, connect, free_port, start
+from tests.cli.process import READY, ask, connect, free_port, start
+from tests.sockets import (
+    Client,
+    Exchange,
+    configuration,
+    on_loop,
+    peer,
+    reply,
+    request,
+    silent,
+    until,
+)
 
 
 async def call(port: int, line: bytes) -> str:
-    """What staff are told; "" where nobody answers."""
+    """Return the answer to an admin line; "" where nobody answers."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -96,7 +107,7 @@
 
 
 @on_loop
-async def test_a_host_out_by_hand_gets_nothing_and_one_call_back_brings_it_back(tmp_path: Path) -> None:
+async def test_an_ejected_host_gets_nothing_and_one_reinstatement_brings_it_back(tmp_path: Path) -> None:
     async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as gate:
         one = await gate.start()
         assert (await one.call(b"SUSPEND s-9")).startswith("NAK s-9 was never listed")
@@ -114,7 +125,7 @@
 
 
 @on_loop
-async def test_what_a_banned_host_has_is_finished(tmp_path: Path) -> None:
+async def test_requests_at_an_ejected_host_are_finished(tmp_path: Path) -> None:
     async with peer(silent) as host, gateway(tmp_path, configuration(host)) as gate:
         one = await gate.start()
         client = await connect(gate.port)
@@ -127,7 +138,7 @@
 
 
 @on_loop
-async def test_bad_callers_delay_nobody(tmp_path: Path) -> None:
+async def test_bad_clients_of_the_admin_address_delay_nobody(tmp_path: Path) -> None:
     async with peer() as host, gateway(tmp_path, configuration(host)) as gate:
         one = await gate.start()
         mute = [await asyncio.open_connection("127.0.0.1", one.ops) for _ in range(60)]
@@ -143,7 +154,7 @@
 
 
 @on_loop
-async def test_a_pause_empties_the_gateway_and_a_resume_fills_it_again(tmp_path: Path) -> None:
+async def test_a_pause_drains_the_gateway_and_a_resume_accepts_clients_again(tmp_path: Path) -> None:
     async with peer(silent) as host, gateway(tmp_path, configuration(host)) as gate:
         one = await gate.start()
         idle, busy, fresh = [await connect(gate.port) for _ in range(3)]
@@ -177,7 +188,7 @@
 
 
 @on_loop
-async def test_bans_and_a_pause_outlive_the_process_and_are_heard_by_both(tmp_path: Path) -> None:
+async def test_ejections_outlive_the_process_and_are_applied_by_both(tmp_path: Path) -> None:
     async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as gate:
         old = await gate.start()
         assert (await old.call(b"SUSPEND s-0")).startswith("ACK")
@@ -256,7 +267,7 @@
 
 
 @on_loop
-async def test_a_process_with_a_successor_tells_the_front_that_the_gateway_is_ready(tmp_path: Path) -> None:
+async def test_a_process_with_a_successor_reports_the_gateway_ready(tmp_path: Path) -> None:
     """The front asks the old process after it was told to end, on a connection of before.
 
     The request ahead of the question keeps that connection from its end for as long as the old process lives.
@@ -279,7 +290,7 @@
 
 
 @on_loop
-async def test_a_successor_that_dies_before_it_serves_leaves_the_old_one_whole(tmp_path: Path) -> None:
+async def test_a_successor_that_dies_before_it_serves_leaves_the_old_one_serving(tmp_path: Path) -> None:
     async with peer() as host, gateway(tmp_path, configuration(host)) as gate:
         old = await gate.start()
         new = await gate.begin()
@@ -294,54 +305,56 @@
 
 
 @asynccontextmanager
-async def operated(folder: Path) -> AsyncIterator[tuple[Operations, Balancer, SharedFiles]]:
-    """A gateway's operations in this process, its module, and the files of another process of the same gateway."""
+async def coordinated(folder: Path) -> AsyncIterator[tuple[ProcessCoordinator, Balancer, SharedFolder]]:
+    """Yield a gateway's coordinator, its balancer, and the folder as another process of the same gateway has it."""
     async with peer() as host:
         config = parse(configuration(host) | {"name": "shared", "ops": "127.0.0.1:1"})
         program = assemble(config)
         assert isinstance(program.discovery, BannedMembership)
         with unittest.mock.patch.dict(os.environ, {"TMPDIR": str(folder)}):
-            operations = Operations(config, program.server, program.discovery)
-        operations.start()
-        other = SharedFiles(operations.files.folder)
+            path = shared_folder_path(config)
+        coordinator = ProcessCoordinator(path, program.server, program.discovery)
+        coordinator.start()
+        other = SharedFolder(path)
         other.open()
         try:
-            yield operations, cast(Balancer, program.gateway.balancer), other
+            yield coordinator, cast(Balancer, program.gateway.balancer), other
         finally:
             other.close()
-            operations.close()
+            coordinator.close()
             program.server.close()
             program.close()
 
 
 @on_loop
-async def test_what_a_gateway_may_do_is_shared_out_among_its_processes(tmp_path: Path) -> None:
-    async with operated(tmp_path) as (operations, module, other):
-        server = operations.server
-        whole_us, most = module.fall_budget_us(), server.config.sockets
-        await until(lambda: server.sockets == most // 2)
-        assert module.fall_budget_us() == whole_us  # it does not take clients yet
-        other.serves()
-        await until(lambda: module.fall_budget_us() == whole_us / 2)
-        other.ends()
-        await until(lambda: module.fall_budget_us() == whole_us)
-        assert server.sockets == most // 2  # what it holds it has until its end
+async def test_limits_of_a_gateway_are_shared_among_its_processes(tmp_path: Path) -> None:
+    async with coordinated(tmp_path) as (coordinator, balancer, other):
+        server = coordinator.server
+        total_us, max_sockets = balancer.fall_budget_us(), server.config.sockets
+        await until(lambda: server.sockets == max_sockets // 2)
+        assert balancer.fall_budget_us() == total_us  # it does not accept clients yet
+        other.process_files.announce(ProcessStage.SERVING)
+        await until(lambda: balancer.fall_budget_us() == total_us / 2)
+        other.process_files.announce(ProcessStage.DRAINING)
+        await until(lambda: balancer.fall_budget_us() == total_us)
+        assert server.sockets == max_sockets // 2  # what it holds it has until its end
         other.close()
-        await until(lambda: server.sockets == most)
+        await until(lambda: server.sockets == max_sockets)
 
 
 @on_loop
-async def test_a_process_that_ends_leaves_its_part_of_cold_budgets_to_its_successor(tmp_path: Path) -> None:
-    async with operated(tmp_path) as (operations, module, successor):
-        whole_us = module.fall_budget_us()
-        successor.serves()
-        assert operations.way_out() is not None
-        assert module.fall_budget_us() < whole_us / 1000
-        assert successor.others().count == 1 and successor.others().serving == 0
+async def test_a_draining_process_leaves_its_slow_start_budget_to_its_successor(tmp_path: Path) -> None:
+    async with coordinated(tmp_path) as (coordinator, balancer, successor):
+        total_us = balancer.fall_budget_us()
+        successor.process_files.announce(ProcessStage.SERVING)
+        assert coordinator.begin_shutdown() is not None
+        assert balancer.fall_budget_us() < total_us / 1000
+        others = successor.process_files.find_others()
+        assert others.count == 1 and others.serving_count == 0
 
 
 @on_loop
-async def test_without_a_second_address_a_second_start_fails(tmp_path: Path) -> None:
+async def test_without_an_admin_address_a_second_start_fails(tmp_path: Path) -> None:
     async with peer() as host, gateway(tmp_path, configuration(host)) as gate:
         await gate.start()
         file = tmp_path / "plain.json"
--- /dev/null
+++ b/tests/cli/process.py
@@ -0,0 +1,74 @@
+"""The real program as a process of its own, for tests of it: start, readiness, and a client's connection."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import socket
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+from typing import Any, Final
+
+from tests import sockets
+from tests.sockets import Client
+
+ROOT: Final = Path(__file__).parent.parent.parent
+READY: Final = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
+
+
+async def start(environment: dict[str, str], stderr: int = asyncio.subprocess.PIPE) -> asyncio.subprocess.Process:
+    """Start the program."""
+    return await asyncio.create_subprocess_exec(
+        *sockets.PROGRAM,
+        cwd=ROOT,
+        env=os.environ | environment,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=stderr,
+    )
+
+
+def free_port() -> int:
+    """Return a port of the loopback address that nothing listens on."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port = probe.getsockname()[1]
+        assert isinstance(port, int)
+        return port
+
+
+@asynccontextmanager
+async def program(
+    folder: Path, config: dict[str, Any], stderr: int = asyncio.subprocess.PIPE, **environment: str
+) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
+    """Yield the program, once it is ready, and its port."""
+    port = free_port()
+    file = folder / "config.json"
+    file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
+    process = await start({"LB_CONFIG": str(file)} | environment, stderr)
+    try:
+        while (await ask(port, READY)) != 200:
+            assert process.returncode is None
+            await asyncio.sleep(0.01)
+        yield process, port
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
+
+
+async def connect(port: int) -> Client:
+    """Return a client's connection to this port."""
+    return Client(*await asyncio.open_connection("127.0.0.1", port))
+
+
+async def ask(port: int, data: bytes) -> int:
+    """Return the status of the answer to one request; 0 where nobody accepts the connection."""
+    try:
+        client = await connect(port)
+        status = (await client.ask(data)).status
+    except OSError:
+        return 0
+    client.close()
+    return status
--- a/tests/test_gateway_process.py
+++ b/tests/cli/test_gateway_process.py
@@ -7,14 +7,11 @@
 import os
 import signal
 import time
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
 
 import pytest
 
-from tests import sockets
+from tests.cli.process import READY, ask, connect, program, start
 from tests.sockets import (
     Client,
     Exchange,
@@ -28,60 +25,6 @@
     until,
 )
 
-ROOT = Path(__file__).parent.parent
-READY = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-
-
-async def start(environment: dict[str, str], stderr: int = asyncio.subprocess.PIPE) -> asyncio.subprocess.Process:
-    return await asyncio.create_subprocess_exec(
-        *sockets.PROGRAM, cwd=ROOT, env=os.environ | environment,
-        stdout=asyncio.subprocess.PIPE, stderr=stderr,
-    )  # fmt: skip
-
-
-def free_port() -> int:
-    import socket
-
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        port = probe.getsockname()[1]
-        assert isinstance(port, int)
-        return port
-
-
-@asynccontextmanager
-async def program(
-    folder: Path, config: dict[str, Any], stderr: int = asyncio.subprocess.PIPE, **environment: str
-) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """The program, once it is ready, and its port."""
-    port = free_port()
-    file = folder / "config.json"
-    file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
-    process = await start({"LB_CONFIG": str(file)} | environment, stderr)
-    try:
-        while (await ask(port, READY)) != 200:
-            assert process.returncode is None
-            await asyncio.sleep(0.01)
-        yield process, port
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
-
-
-async def connect(port: int) -> Client:
-    return Client(*await asyncio.open_connection("127.0.0.1", port))
-
-
-async def ask(port: int, data: bytes) -> int:
-    try:
-        client = await connect(port)
-        status = (await client.ask(data)).status
-    except OSError:
-        return 0
-    client.close()
-    return status
-
 
 @on_loop
 async def test_it_serves_and_ends_with_0(tmp_path: Path) -> None:
@@ -93,7 +36,7 @@
 
 
 @on_loop
-async def test_a_restart_finishes_what_is_held_and_still_takes_what_comes(tmp_path: Path) -> None:
+async def test_a_shutdown_finishes_requests_in_flight_and_accepts_new_ones(tmp_path: Path) -> None:
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         idle, busy = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
@@ -120,7 +63,7 @@
 
 
 @on_loop
-async def test_all_that_was_read_on_one_connection_is_answered_on_the_way_out(tmp_path: Path) -> None:
+async def test_pipelined_requests_are_answered_during_shutdown(tmp_path: Path) -> None:
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         idle, client = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
@@ -137,7 +80,7 @@
 
 
 @on_loop
-async def test_what_never_ends_does_not_keep_it(tmp_path: Path) -> None:
+async def test_a_request_without_an_end_does_not_delay_shutdown(tmp_path: Path) -> None:
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         client = await connect(port)
         client.send(request("transfer", budget_ms=8_000))
@@ -212,7 +155,7 @@
 
 
 @on_loop
-async def test_no_request_is_lost_at_a_restart_under_way(tmp_path: Path) -> None:
+async def test_no_request_is_lost_at_a_restart_under_load(tmp_path: Path) -> None:
     """Clients keep sending, and connect anew, for as long as the front lets them after the signal.
 
     A connection that ends between requests may have crossed one: that is sent once more, on a new one.
--- a/tests/test_gateway_reload.py
+++ b/tests/cli/test_reload.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from tests.cli.process import ask, connect, program, start
 from tests.sockets import (
     Exchange,
     Peer,
@@ -24,7 +25,6 @@
     silent,
     until,
 )
-from tests.test_gateway_process import ask, connect, program
 from tests.test_relays import holding, relay_list
 
 
@@ -82,7 +82,7 @@
 
 
 @on_loop
-async def test_a_call_under_way_is_called_off_and_no_host_is_dropped(tmp_path: Path) -> None:
+async def test_a_poll_under_way_is_cancelled_and_no_host_is_dropped(tmp_path: Path) -> None:
     """SIGHUP comes while a call is under way; it is called off, and calls at the new address fail."""
     async with (
         peer() as host,
@@ -127,7 +127,7 @@
 
 
 @on_loop
-async def test_other_relays_and_services_are_asked_while_requests_go_on(tmp_path: Path) -> None:
+async def test_other_relays_and_services_are_polled_while_requests_go_on(tmp_path: Path) -> None:
     """A file that cannot be used leaves all as it is; one that can has its relays asked, and the list stands."""
     file = tmp_path / "options.toml"
 
@@ -158,7 +158,7 @@
 
 
 @on_loop
-async def test_it_is_taken_on_the_way_out_and_before_the_loop_runs(tmp_path: Path) -> None:
+async def test_a_reload_during_shutdown_is_carried_out(tmp_path: Path) -> None:
     async with (
         peer(silent) as host,
         peer(silent) as old,
@@ -180,8 +180,6 @@
 
 @on_loop
 async def test_a_signal_while_the_file_is_first_read_is_kept(tmp_path: Path) -> None:
-    from tests.test_gateway_process import start
-
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)  # the program waits here for its configuration
     async with peer() as host, peer(silent) as old, peer(silent) as new:
--- a/tests/test_emptying.py
+++ b/tests/core/test_draining.py
@@ -23,7 +23,9 @@
 
 @pytest.mark.parametrize("schedule", SCHEDULES)
 @given(now_s=st.floats(0, 10), quiet_s=st.floats(0, 10))
-def test_what_goes_on_coming_is_waited_for(schedule: DrainSchedule, now_s: float, quiet_s: float) -> None:
+def test_a_request_that_goes_on_arriving_is_not_aborted(
+    schedule: DrainSchedule, now_s: float, quiet_s: float
+) -> None:
     if schedule.can_abort_read(now_s, quiet_s):
         assert now_s >= schedule.abort_incomplete_from_s or quiet_s >= READ_STALL_TIMEOUT_S
 
@@ -45,7 +47,7 @@
 
 
 @pytest.mark.parametrize("longest_s", LONGEST_S)
-def test_a_successor_is_told_of_by_neither_a_no_nor_a_wait(longest_s: float) -> None:
+def test_with_a_successor_the_gateway_is_ready_and_accepts_nothing_new(longest_s: float) -> None:
     schedule = handover_schedule(longest_s)
     assert schedule.is_reported_ready and schedule.accept_until_s == 0.0
     assert (
@@ -53,7 +55,7 @@
     )
 
 
-def test_four_seconds_after_a_pause_nothing_is_held_idle_or_of_the_last_two_seconds() -> None:
+def test_four_seconds_after_a_pause_no_connection_is_idle_and_no_request_is_new() -> None:
     schedule = pause_schedule()
     for served in (True, False):
         assert schedule.can_close_idle(schedule.abort_incomplete_from_s, served, 0.0)
@@ -62,7 +64,7 @@
 
 
 @on_loop
-async def test_on_the_way_out_an_open_connection_is_served_for_a_while() -> None:
+async def test_during_shutdown_an_open_connection_is_served_for_a_while() -> None:
     """Another gateway may be out at the same time: who is sent away at once finds none."""
     schedule = shutdown_schedule(3.0)
     async with peer() as host, running(configuration(host)) as run:
@@ -77,7 +79,7 @@
 
 
 @on_loop
-async def test_half_a_request_that_does_not_go_on_keeps_nobody_from_the_end() -> None:
+async def test_a_stalled_request_does_not_delay_shutdown() -> None:
     schedule = shutdown_schedule(3.0)
     async with peer(silent) as host, running(configuration(host)) as run:
         data = request("transfer", b"slow")
--- a/tests/golden/admin.py
+++ b/tests/golden/admin.py
@@ -14,33 +14,46 @@
 from cloverkeel.core.config import parse as parse_config
 from cloverkeel.frontends.http1.server import Server
 from cloverkeel.discovery.ejection_filter import BannedMembership
-from cloverkeel.admin import commands as calls
-from cloverkeel.admin.commands import LINE_LIMIT, OpsCall, Word, parse_line
-from cloverkeel.admin.state_files import SharedFiles
-from cloverkeel.admin.listener import Caller, OpsListener
-from cloverkeel.admin.operations import Operations, folder_for
-from cloverkeel.admin.state import State, parse, render
+from cloverkeel.admin.command_handler import CommandHandler
+from cloverkeel.admin.commands import (
+    MAX_LINE_BYTES,
+    AdminAnswer,
+    AdminRequest,
+    Command,
+    encode_answer,
+    parse_request,
+)
+from cloverkeel.admin.listener import AdminConnection, AdminListener
+from cloverkeel.admin.process_coordinator import ProcessCoordinator
+from cloverkeel.admin.process_files import ProcessStage
+from cloverkeel.admin.shared_folder import SharedFolder, shared_folder_path
+from cloverkeel.admin.state import GatewayState, decode_state, encode_state
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import configuration
 
 NOW_US: Final = 1_796_119_613_761_000
 STATES: Final = {
-    "empty": State(),
-    "full": State(paused=True, out={"s-5be2a07c": NOW_US, "höst": 1}, back={"s-1": NOW_US + 1}, once=("s-1", "s-2")),
+    "empty": GatewayState(),
+    "full": GatewayState(
+        is_paused=True,
+        ejected_at_us={"s-5be2a07c": NOW_US, "höst": 1},
+        reinstated_at_us={"s-1": NOW_US + 1},
+        known_ids=("s-1", "s-2"),
+    ),
 }
-CALLS: Final = {
-    "status": (b"STATUS\r\n", OpsCall(Word.STATUS)),
-    "suspend": ("SUSPEND höst\n".encode(), OpsCall(Word.SUSPEND, "höst")),
-    "restore": (b"RESTORE s-5be2a07c", OpsCall(Word.RESTORE, "s-5be2a07c")),
-    "pause": (b"PAUSE", OpsCall(Word.PAUSE)),
-    "resume": (b"RESUME", OpsCall(Word.RESUME)),
+REQUESTS: Final = {
+    "status": (b"STATUS\r\n", AdminRequest(Command.STATUS)),
+    "suspend": ("SUSPEND höst\n".encode(), AdminRequest(Command.EJECT, "höst")),
+    "restore": (b"RESTORE s-5be2a07c", AdminRequest(Command.REINSTATE, "s-5be2a07c")),
+    "pause": (b"PAUSE", AdminRequest(Command.PAUSE)),
+    "resume": (b"RESUME", AdminRequest(Command.RESUME)),
 }
-WORDS: Final[frozenset[str]] = frozenset(word.value.decode() for word in Word)
-WORDS_OF_SAMPLES: Final[frozenset[str]] = frozenset(call.word.value.decode() for _, call in CALLS.values())
+WORDS: Final[frozenset[str]] = frozenset(command.word for command in Command)
+WORDS_OF_SAMPLES: Final[frozenset[str]] = frozenset(request.command.word for _, request in REQUESTS.values())
 DIALOGUE: Final = (
     b"STATUS", b"SUSPEND s-0", b"SUSPEND s-9", b"STATUS", b"RESTORE s-0", b"RESTORE s-9", b"PAUSE", b"STATUS",
     b"RESUME", b"STATUS", b"DUTIES", b"PEERS", b"", b"status", b"STATUS now", b"SUSPEND", b"SUSPEND \xff",
-    b"S" * (LINE_LIMIT + 1), b"PART twelve",
+    b"S" * (MAX_LINE_BYTES + 1), b"PART twelve",
 )  # fmt: skip
 
 
@@ -93,15 +106,16 @@
         program.discovery.load_known(raw["known"])
         takes_clients = _TakesClients()
         with mock.patch.object(Server, "takes_clients", takes_clients):
-            operations = Operations(config, program.server, program.discovery, [_extra])
-            operations.start()
+            coordinator = ProcessCoordinator(shared_folder_path(config), program.server, program.discovery)
+            handler = CommandHandler(coordinator, [_extra])
+            coordinator.start()
             try:
-                exchanged = [_exchange(operations, b"STATUS")]
+                exchanged = [_exchange(handler, b"STATUS")]
                 takes_clients.value = True
-                operations.ending = is_ending
-                exchanged += [_exchange(operations, line) for line in DIALOGUE]
+                coordinator.is_shutting_down = is_ending
+                exchanged += [_exchange(handler, line) for line in DIALOGUE]
             finally:
-                operations.close()
+                coordinator.close()
                 program.server.close()
                 program.close()
         return b"".join(exchanged)
@@ -115,98 +129,100 @@
     return (True, "one\nline\x00") if line == b"PART twelve" else None
 
 
-def _exchange(operations: Operations, line: bytes) -> bytes:
+def _exchange(handler: CommandHandler, line: bytes) -> bytes:
     transport = _RecordingTransport()
-    caller = Caller(OpsListener(operations.on_line))
-    caller.connection_made(transport)
-    caller.data_received(line + b"\n")
-    caller.connection_lost(None)
+    connection = AdminConnection(AdminListener(handler.handle_line))
+    connection.connection_made(transport)
+    connection.data_received(line + b"\n")
+    connection.connection_lost(None)
     assert transport.is_closed
     return b"> %s\n< %s" % (line.replace(b"\xff", b"\\xff"), transport.written)
 
 
-def _opened(use: Callable[[SharedFiles], bytes]) -> bytes:
+def _opened(use: Callable[[SharedFolder], bytes]) -> bytes:
     with tempfile.TemporaryDirectory() as name:
-        files = SharedFiles(Path(name))
+        folder = SharedFolder(Path(name))
         with mock.patch("time.time_ns", return_value=NOW_US * 1_000), mock.patch("os.getpid", return_value=4_711):
-            files.open()
+            folder.open()
         try:
-            return use(files)
+            return use(folder)
         finally:
-            files.close()
+            folder.close()
 
 
-def _written(state: State) -> bytes:
+def _written(state: GatewayState) -> bytes:
     """Return the state file as a change leaves it."""
 
-    def use(files: SharedFiles) -> bytes:
-        files.change(lambda _: state, State())
-        return files.path.read_bytes()
+    def use(folder: SharedFolder) -> bytes:
+        folder.state_file.update(lambda _: state, GatewayState())
+        return folder.state_file.path.read_bytes()
 
     return _opened(use)
 
 
-def _read_file(data: bytes) -> State | None:
+def _read_file(data: bytes) -> GatewayState | None:
     with tempfile.TemporaryDirectory() as name:
-        files = SharedFiles(Path(name))
-        files.path.write_bytes(data)
-        return files.read()
+        folder = SharedFolder(Path(name))
+        folder.state_file.path.write_bytes(data)
+        return folder.state_file.read()
 
 
 def _file_names() -> bytes:
     """Return the names of the files at each stage of a process."""
 
-    def use(files: SharedFiles) -> bytes:
-        stages = [_names(files)]
-        files.serves()
-        files.change(lambda state: state, State())
-        stages.append(_names(files))
-        files.ends()
-        stages.append(_names(files))
+    def use(folder: SharedFolder) -> bytes:
+        stages = [_names(folder)]
+        folder.process_files.announce(ProcessStage.SERVING)
+        folder.state_file.update(lambda state: state, GatewayState())
+        stages.append(_names(folder))
+        folder.process_files.announce(ProcessStage.DRAINING)
+        stages.append(_names(folder))
         return "\n".join(stages).encode()
 
     return _opened(use)
 
 
-def _names(files: SharedFiles) -> str:
-    return " ".join(sorted(path.name for path in files.folder.iterdir()))
+def _names(folder: SharedFolder) -> str:
+    return " ".join(sorted(path.name for path in folder.path.iterdir()))
 
 
 def _folder_name(name: str) -> bytes:
     raw = configuration("127.0.0.1:9") | {"name": name, "listen": "127.0.0.1:8080"}
     with _folder() as temporary:
-        return str(folder_for(parse_config(raw)).relative_to(temporary)).encode()
+        return str(shared_folder_path(parse_config(raw)).relative_to(temporary)).encode()
 
 
-def _state_file(state: State) -> Sample:
+def _state_file(state: GatewayState) -> Sample:
     return Sample(lambda: _written(state), _read_file, state)
 
 
-def _line(line: bytes, call: OpsCall) -> Sample:
-    return Sample(lambda: line, parse_line, call)
+def _line(line: bytes, request: AdminRequest) -> Sample:
+    return Sample(lambda: line, parse_request, request)
 
 
 def _changed_state() -> bytes:
     """Return the text of the state after calls for two hosts, one of them put back."""
-    state = State().suspend(5, "a").suspend(6, "b").suspend(7, "a").restore(8, "a").restore(9, "c").with_paused(True)
-    return render(state).encode()
+    state = GatewayState().eject(5, "a").eject(6, "b").eject(7, "a").reinstate(8, "a").reinstate(9, "c")
+    return encode_state(state.with_paused(True)).encode()
 
 
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
     "ops_state": {
         **{f"file_{name}": _state_file(state) for name, state in STATES.items()},
         "after_changes": Sample(
-            _changed_state, lambda data: parse(data.decode()), State(paused=True, out={"b": 6}, back={"a": 8})
+            _changed_state,
+            lambda data: decode_state(data.decode()),
+            GatewayState(is_paused=True, ejected_at_us={"b": 6}, reinstated_at_us={"a": 8}),
         ),
         "file_names": Sample(_file_names),
         "folder_name": Sample(lambda: _folder_name("n0")),
         "folder_name_of_odd_letters": Sample(lambda: _folder_name("tōkyō/1 x")),
     },
-    "ops_lines": {name: _line(line, call) for name, (line, call) in CALLS.items()},
+    "ops_lines": {name: _line(line, request) for name, (line, request) in REQUESTS.items()},
     "ops_answers": {
         "dialogue": Sample(lambda: _dialogue(is_ending=False)),
         "dialogue_of_one_that_ends": Sample(lambda: _dialogue(is_ending=True)),
-        "yes": Sample(lambda: calls.answer(True, "fine")),
-        "no_without_words": Sample(lambda: calls.answer(False, "")),
+        "yes": Sample(lambda: encode_answer(AdminAnswer(True, "fine"))),
+        "no_without_words": Sample(lambda: encode_answer(AdminAnswer(False, ""))),
     },
 }
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,7 +26,7 @@
     Exchange, Running, answers, configuration, endpoint, host_id, list_reply, on_loop, overhear, peer, reply, request,
     running, silent, until,
 )  # fmt: skip
-from tests.test_gateway_process import connect, program
+from tests.cli.process import connect, program
 
 
 class LateHost:
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -16,7 +16,7 @@
 from cloverkeel.core.metrics import MOST_HOSTS, OTHERS, Tally
 from standins.parties.fleet import ROOT
 from tests.sockets import configuration, on_loop, peer, request, silent
-from tests.test_gateway_process import ask, program
+from tests.cli.process import ask, program
 
 AT_US = 1_700_000_000_000_000
 
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -10,7 +10,7 @@
 
 from cloverkeel.frontends.http1 import server as server_module
 from tests.sockets import configuration, on_loop, peer, reply, request, rested, running, silent, until
-from tests.test_gateway_process import READY, connect, program
+from tests.cli.process import READY, connect, program
 
 TRANSFER = b"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: i\r\n"
 HIDDEN = b"0\r\n\r\n" + request("transfer")
