--- a/cloverkeel/core/draining.py
+++ b/cloverkeel/core/draining.py
@@ -16,7 +16,7 @@
 
 NEVER_S: Final = 1e9
 KILL_GRACE_S: Final = 0.7  # SIGKILL comes no sooner than the longest client timeout, 3 s at most, and this
-SIGNAL_DELAY_S: Final = 0.2  # of the time before SIGKILL, what the signal's own way may take
+KILL_SAFETY_S: Final = 0.2  # the process ends so long before SIGKILL at the latest
 RESPONSE_DELIVERY_S: Final = 0.2  # for the last responses to reach their clients
 READ_STALL_TIMEOUT_S: Final = 0.4  # between two chunks of a request: a slow client sends some all the time
 MAX_SHUTDOWN_S = 3.4  # after SIGTERM, whatever is left: the longest client timeout, and the time that new ones come
@@ -76,7 +76,7 @@
 
 def response_deadline_s(max_client_timeout_s: float) -> float:
     """Return when, since SIGTERM, the last responses must be written."""
-    before_kill_s = max_client_timeout_s + KILL_GRACE_S - SIGNAL_DELAY_S
+    before_kill_s = max_client_timeout_s + KILL_GRACE_S - KILL_SAFETY_S
     return min(MAX_SHUTDOWN_S, before_kill_s) - RESPONSE_DELIVERY_S
 
 
--- a/tests/admin/test_shared_folder.py
+++ b/tests/admin/test_shared_folder.py
@@ -57,6 +57,13 @@
         decode_state(json.dumps(GOOD | change))
 
 
+def test_an_error_of_the_state_carries_key_and_expected() -> None:
+    with pytest.raises(StateError) as caught:
+        decode_state(json.dumps(GOOD | {"v": 2}))
+    assert str(caught.value) == "v: expected 1, found 2"
+    assert (caught.value.key, caught.value.expected) == ("v", "1")
+
+
 @given(st.integers(0, len(encode_state(GatewayState(ejected_at_us={"a": 1}))) - 1))
 def test_a_text_that_was_cut_off_is_not_used(size: int) -> None:
     with pytest.raises(StateError):
