--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -21,10 +21,11 @@
 from cloverkeel.core.config import parse
 from cloverkeel.core.draining import pause_schedule
 from cloverkeel.discovery.ejection_filter import BannedMembership
+from tests.cli.load import Load
 from tests.cli.process import READY, ask, connect, free_port, start
 from tests.sockets import (
-    Client,
     Exchange,
+    Message,
     configuration,
     on_loop,
     peer,
@@ -50,19 +51,19 @@
 @dataclass
 class Process:
     process: asyncio.subprocess.Process
-    ops: int
+    admin_port: int
     errors: list[bytes] = field(default_factory=list)
 
     async def call(self, line: bytes) -> str:
-        return await call(self.ops, line)
+        return await call(self.admin_port, line)
 
-    async def serves(self) -> None:
+    async def wait_until_serving(self) -> None:
         while not (await self.call(b"STATUS")).startswith("ACK"):
-            assert self.process.returncode is None, await self.end()
+            assert self.process.returncode is None, await self.wait_for_log()
             await asyncio.sleep(0.01)
 
-    async def end(self) -> bytes:
-        """Its log."""
+    async def wait_for_log(self) -> bytes:
+        """Wait for the process's end; return its log."""
         return (await self.process.communicate())[1]
 
 
@@ -76,22 +77,22 @@
     processes: list[Process] = field(default_factory=list)
 
     async def begin(self) -> Process:
-        ops = free_port()
-        file = self.folder / f"config-{ops}.json"
+        admin_port = free_port()
+        file = self.folder / f"config-{admin_port}.json"
         listen = f"127.0.0.1:{self.port}"
-        file.write_text(json.dumps(self.config | {"listen": listen, "ops": f"127.0.0.1:{ops}"}))
-        made = Process(await start({"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}), ops)
+        file.write_text(json.dumps(self.config | {"listen": listen, "ops": f"127.0.0.1:{admin_port}"}))
+        made = Process(await start({"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}), admin_port)
         self.processes.append(made)
         return made
 
     async def start(self) -> Process:
         made = await self.begin()
-        await made.serves()
+        await made.wait_until_serving()
         return made
 
-    def signs(self, stage: str) -> list[Path]:
-        """Of processes that live, or have not been found dead yet."""
-        return list(self.folder.glob(f"cloverkeel-*/*.{stage}"))
+    def process_files(self, stage: ProcessStage) -> list[Path]:
+        """Return the files of processes that are alive, or have not been found dead yet."""
+        return list(self.folder.glob(f"cloverkeel-*/*.{stage.value}"))
 
 
 @asynccontextmanager
@@ -100,38 +101,38 @@
     try:
         yield made
     finally:
-        for one in made.processes:
-            if one.process.returncode is None:
-                one.process.kill()
-                await one.process.wait()
+        for process in made.processes:
+            if process.process.returncode is None:
+                process.process.kill()
+                await process.process.wait()
 
 
 @on_loop
 async def test_an_ejected_host_gets_nothing_and_one_reinstatement_brings_it_back(tmp_path: Path) -> None:
-    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as gate:
-        one = await gate.start()
-        assert (await one.call(b"SUSPEND s-9")).startswith("NAK s-9 was never listed")
+    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as processes:
+        process = await processes.start()
+        assert (await process.call(b"SUSPEND s-9")).startswith("NAK s-9 was never listed")
         for _ in range(3):
-            assert (await one.call(b"SUSPEND s-0")).startswith("ACK")
+            assert (await process.call(b"SUSPEND s-0")).startswith("ACK")
         for _ in range(40):
-            assert await ask(gate.port, request()) == 200
+            assert await ask(processes.port, request()) == 200
         assert not a.seen and len(b.seen) == 40
-        assert (await one.call(b"SUSPEND s-1")).startswith("ACK")
-        assert await ask(gate.port, request()) == 503  # all are out: refused, at once
-        assert "2 out by hand" in await one.call(b"STATUS")
-        assert (await one.call(b"RESTORE s-0")).startswith("ACK")
-        assert await ask(gate.port, request()) == 200
+        assert (await process.call(b"SUSPEND s-1")).startswith("ACK")
+        assert await ask(processes.port, request()) == 503  # all are ejected: rejected at once
+        assert "2 out by hand" in await process.call(b"STATUS")
+        assert (await process.call(b"RESTORE s-0")).startswith("ACK")
+        assert await ask(processes.port, request()) == 200
         assert len(a.seen) == 1
 
 
 @on_loop
 async def test_requests_at_an_ejected_host_are_finished(tmp_path: Path) -> None:
-    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as gate:
-        one = await gate.start()
-        client = await connect(gate.port)
+    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+        process = await processes.start()
+        client = await connect(processes.port)
         client.send(request("transfer", b"x"))
         await until(lambda: host.seen)
-        assert (await one.call(b"SUSPEND s-0")).startswith("ACK")
+        assert (await process.call(b"SUSPEND s-0")).startswith("ACK")
         host.seen[0].answer(reply(200, b"done"))
         assert (await client.answer()).body == b"done"
         client.close()
@@ -139,34 +140,36 @@
 
 @on_loop
 async def test_bad_clients_of_the_admin_address_delay_nobody(tmp_path: Path) -> None:
-    async with peer() as host, gateway(tmp_path, configuration(host)) as gate:
-        one = await gate.start()
-        mute = [await asyncio.open_connection("127.0.0.1", one.ops) for _ in range(60)]
-        for _, writer in mute[::2]:
+    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+        process = await processes.start()
+        silent_clients = [await asyncio.open_connection("127.0.0.1", process.admin_port) for _ in range(60)]
+        for _, writer in silent_clients[::2]:
             writer.write(b"STA")
         loop = asyncio.get_running_loop()
         before_s = loop.time()
-        said = await asyncio.gather(*(one.call(line) for line in (b"STATUS", b"", b"status", b"x" * 5000, b"\xff")))
+        said = await asyncio.gather(
+            *(process.call(line) for line in (b"STATUS", b"", b"status", b"x" * 5000, b"\xff"))
+        )
         assert loop.time() - before_s < 1
         assert [line[:3] for line in said] == ["ACK", "NAK", "NAK", "NAK", "NAK"]
-        for _, writer in mute:
+        for _, writer in silent_clients:
             writer.close()
 
 
 @on_loop
 async def test_a_pause_drains_the_gateway_and_a_resume_accepts_clients_again(tmp_path: Path) -> None:
-    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as gate:
-        one = await gate.start()
-        idle, busy, fresh = [await connect(gate.port) for _ in range(3)]
+    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+        process = await processes.start()
+        idle, busy, fresh = [await connect(processes.port) for _ in range(3)]
         assert (await idle.ask(READY)).status == 200
         busy.send(request("transfer", b"held"))
         await until(lambda: host.seen)
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        assert (await one.call(b"PAUSE")).startswith("ACK")
-        assert await ask(gate.port, READY) == 503
-        assert (await one.call(b"STATUS")).startswith("NAK paused")
-        fresh.send(request("transfer", b"still"))  # the front has not noticed yet
+        assert (await process.call(b"PAUSE")).startswith("ACK")
+        assert await ask(processes.port, READY) == 503
+        assert (await process.call(b"STATUS")).startswith("NAK paused")
+        fresh.send(request("transfer", b"still"))  # who sends clients here has not noticed yet
         await until(lambda: len(host.seen) == 2)
         for exchange in host.seen:
             exchange.answer(reply(200, exchange.message.body))
@@ -176,25 +179,25 @@
         assert await idle.reader.read() == b""
         assert loop.time() - began_s < 4
         await asyncio.sleep(max(0.0, began_s + pause_schedule().reject_from_s + 0.1 - loop.time()))
-        late = await connect(gate.port)
+        late = await connect(processes.port)
         answer = await late.ask(request("transfer"))
         assert (answer.status, answer.headers["connection"], len(host.seen)) == (503, "close", 2)
         for _ in range(2):
-            assert (await one.call(b"RESUME")).startswith("ACK")
-            assert await ask(gate.port, READY) == 200
-        assert (await one.call(b"STATUS")).startswith("ACK")
+            assert (await process.call(b"RESUME")).startswith("ACK")
+            assert await ask(processes.port, READY) == 200
+        assert (await process.call(b"STATUS")).startswith("ACK")
         for client in (idle, busy, fresh, late):
             client.close()
 
 
 @on_loop
 async def test_ejections_outlive_the_process_and_are_applied_by_both(tmp_path: Path) -> None:
-    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as gate:
-        old = await gate.start()
+    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as processes:
+        old = await processes.start()
         assert (await old.call(b"SUSPEND s-0")).startswith("ACK")
-        new = await gate.start()
+        new = await processes.start()
         assert "1 out by hand" in await new.call(b"STATUS")
-        assert (await old.call(b"SUSPEND s-1")).startswith("ACK")  # told to one, heard by the other
+        assert (await old.call(b"SUSPEND s-1")).startswith("ACK")  # asked of one, applied by the other
         await asyncio.sleep(0.2)
         assert "2 out by hand" in await new.call(b"STATUS")
         assert (await new.call(b"RESTORE s-0")).startswith("ACK")
@@ -203,105 +206,84 @@
         old.process.send_signal(signal.SIGTERM)
         assert await old.process.wait() == 0
         for _ in range(20):
-            assert await ask(gate.port, request()) == 200
+            assert await ask(processes.port, request()) == 200
         assert len(a.seen) == 20 and not b.seen
         new.process.send_signal(signal.SIGKILL)
         await new.process.wait()
-        last = await gate.start()
+        last = await processes.start()
         assert "1 out by hand" in await last.call(b"STATUS")
 
 
 @on_loop
 async def test_requests_are_served_through_three_upgrades(tmp_path: Path) -> None:
-    """Short connections and kept ones under load; what crosses the close of a kept one is sent once more."""
+    """Short connections and kept ones under load."""
 
-    async def slowly(exchange: Exchange) -> None:
+    async def answer_slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
         exchange.answer(reply(200, exchange.message.body))
 
-    async with peer(slowly) as host, gateway(tmp_path, configuration(host)) as gate:
-        old = await gate.start()
-        over = False
-        served = lost = 0
-
-        async def client(number: int, keeps: bool) -> None:
-            nonlocal served, lost
-            open_: Client | None = None
-            while not over:
-                data = request("transfer", b"%d" % number)
-                for again in (False, True):
-                    used = open_ is not None
-                    try:
-                        open_ = open_ or await connect(gate.port)
-                        answer = await open_.ask(data)
-                    except (OSError, asyncio.IncompleteReadError):
-                        if open_ is not None:
-                            open_.close()
-                        open_ = None
-                        if again or not used:
-                            lost += 1
-                            break
-                        continue
-                    # The module may turn some away on a machine that is busy; the way out must not.
-                    assert answer.status == 200 or (answer.status, answer.body) == (503, b""), answer
-                    served += answer.status == 200
-                    if not keeps or answer.headers.get("connection") == "close":
-                        open_.close()
-                        open_ = None
-                    break
-            if open_ is not None:
-                open_.close()
-
-        clients = [asyncio.create_task(client(number, number % 2 == 0)) for number in range(12)]
+    def is_served(answer: Message) -> bool:
+        # The balancer may reject some on a machine that is busy; the shutdown must not.
+        assert answer.status == 200 or (answer.status, answer.body) == (503, b""), answer
+        return answer.status == 200
+
+    async with peer(answer_slowly) as host, gateway(tmp_path, configuration(host)) as processes:
+        old = await processes.start()
+        is_over = False
+        load = Load(processes.port, lambda: is_over, is_served)
+        load.start()
         for _ in range(3):
-            new = await gate.start()
-            before = served
+            new = await processes.start()
+            served_before = load.served
             old.process.send_signal(signal.SIGTERM)
-            assert await ask(gate.port, READY) == 200  # the gateway is ready, whichever process is asked
+            assert await ask(processes.port, READY) == 200  # the gateway is ready, whichever process is asked
             assert await old.process.wait() == 0
-            await until(lambda before=before: served > before + 50)  # type: ignore[misc]
+            await until(lambda before=served_before: load.served > before + 50)  # type: ignore[misc]
             old = new
-        over = True
-        await asyncio.gather(*clients)
-        assert lost == 0
+        is_over = True
+        await load.wait()
+        assert load.lost == 0
 
 
 @on_loop
 async def test_a_process_with_a_successor_reports_the_gateway_ready(tmp_path: Path) -> None:
-    """The front asks the old process after it was told to end, on a connection of before.
+    """The old process is asked for readiness during its drain, on a connection of before.
 
     The request ahead of the question keeps that connection from its end for as long as the old process lives.
     """
-    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as gate:
-        old = await gate.start()
-        front = await connect(gate.port)  # there is no other process yet
-        front.send(request("transfer", b"held"))
+    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+        old = await processes.start()
+        client = await connect(processes.port)  # there is no other process yet
+        client.send(request("transfer", b"held"))
         await until(lambda: host.seen)
-        await gate.start()
+        await processes.start()
         old.process.send_signal(signal.SIGTERM)
         while not (await old.call(b"STATUS")).startswith("NAK ending"):
             await asyncio.sleep(0.002)
-        front.send(READY)
+        client.send(READY)
         host.seen[0].answer(reply(200, b"held"))
-        assert (await front.answer()).body == b"held"
-        assert (await front.answer()).status == 200
+        assert (await client.answer()).body == b"held"
+        assert (await client.answer()).status == 200
         assert await old.process.wait() == 0
-        front.close()
+        client.close()
 
 
 @on_loop
 async def test_a_successor_that_dies_before_it_serves_leaves_the_old_one_serving(tmp_path: Path) -> None:
-    async with peer() as host, gateway(tmp_path, configuration(host)) as gate:
-        old = await gate.start()
-        new = await gate.begin()
-        await until(lambda: gate.signs("begins"))
+    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+        old = await processes.start()
+        new = await processes.begin()
+        await until(lambda: processes.process_files(ProcessStage.STARTING))
         new.process.kill()
         await new.process.wait()
-        await until(lambda: not gate.signs("begins") and len(gate.signs("serves")) == 1)  # the old one has looked
+        await until(
+            lambda: not processes.process_files(ProcessStage.STARTING)
+            and len(processes.process_files(ProcessStage.SERVING)) == 1
+        )  # the old one has polled
         assert (await old.call(b"STATUS")).startswith("ACK")
-        assert await ask(gate.port, request()) == 200
+        assert await ask(processes.port, request()) == 200
         old.process.send_signal(signal.SIGTERM)
-        assert b"Traceback" not in await old.end() and old.process.returncode == 0
+        assert b"Traceback" not in await old.wait_for_log() and old.process.returncode == 0
 
 
 @asynccontextmanager
@@ -355,10 +337,10 @@
 
 @on_loop
 async def test_without_an_admin_address_a_second_start_fails(tmp_path: Path) -> None:
-    async with peer() as host, gateway(tmp_path, configuration(host)) as gate:
-        await gate.start()
+    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+        await processes.start()
         file = tmp_path / "plain.json"
-        file.write_text(json.dumps(gate.config | {"listen": f"127.0.0.1:{gate.port}"}))
+        file.write_text(json.dumps(processes.config | {"listen": f"127.0.0.1:{processes.port}"}))
         second = await start({"LB_CONFIG": str(file), "TMPDIR": str(tmp_path)})
         _, errors = await second.communicate()
         assert second.returncode == 1 and b"cannot listen" in errors
--- /dev/null
+++ b/tests/cli/load.py
@@ -0,0 +1,67 @@
+"""Clients that send requests one after another while processes of a gateway come and go."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from tests.cli.process import connect
+from tests.sockets import Client, Message, request
+
+CLIENTS = 12
+
+
+@dataclass
+class Load:
+    """So many clients at one port, half of which keep their connections, until `is_over`.
+
+    A connection that ends between requests may have crossed one: that is sent once more, on a new one.
+    `is_served` checks an answer, and tells whether it counts as served.
+    """
+
+    port: int
+    is_over: Callable[[], bool]
+    is_served: Callable[[Message], bool]
+    served: int = 0
+    lost: int = 0
+    _tasks: list[asyncio.Task[None]] = field(default_factory=list)
+
+    def start(self) -> None:
+        """Begin to send."""
+        clients = (self._run_client(number, number % 2 == 0) for number in range(CLIENTS))
+        self._tasks = [asyncio.create_task(client) for client in clients]
+
+    async def wait(self) -> None:
+        """Wait until all clients have ended."""
+        await asyncio.gather(*self._tasks)
+
+    async def _run_client(self, number: int, keeps_connection: bool) -> None:
+        client: Client | None = None
+        while not self.is_over():
+            client, answer = await self._send(client, request("transfer", b"%d" % number))
+            if answer is None:
+                self.lost += 1
+                continue
+            self.served += self.is_served(answer)
+            if client is not None and (not keeps_connection or answer.headers.get("connection") == "close"):
+                client.close()
+                client = None
+        if client is not None:
+            client.close()
+
+    async def _send(self, client: Client | None, data: bytes) -> tuple[Client | None, Message | None]:
+        """Return the connection that is open afterwards, and the answer; None where the request is lost."""
+        if client is not None:
+            try:
+                return client, await client.ask(data)
+            except (OSError, asyncio.IncompleteReadError):
+                client.close()
+        fresh: Client | None = None
+        try:
+            fresh = await connect(self.port)
+            return fresh, await fresh.ask(data)
+        except (OSError, asyncio.IncompleteReadError):
+            if fresh is not None:
+                fresh.close()
+            return None, None
--- a/tests/cli/test_gateway_process.py
+++ b/tests/cli/test_gateway_process.py
@@ -11,10 +11,11 @@
 
 import pytest
 
+from tests.cli.load import Load
 from tests.cli.process import READY, ask, connect, program, start
 from tests.sockets import (
-    Client,
     Exchange,
+    Message,
     answers,
     configuration,
     on_loop,
@@ -156,52 +157,25 @@
 
 @on_loop
 async def test_no_request_is_lost_at_a_restart_under_load(tmp_path: Path) -> None:
-    """Clients keep sending, and connect anew, for as long as the front lets them after the signal.
+    """Clients keep sending, and connect anew, for as long as the front lets them after the signal."""
 
-    A connection that ends between requests may have crossed one: that is sent once more, on a new one.
-    """
-
-    async def slowly(exchange: Exchange) -> None:
+    async def answer_slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
         exchange.answer(reply(200, exchange.message.body))
 
-    async with peer(slowly) as host, program(tmp_path, configuration(host)) as (process, port):
+    def is_served(answer: Message) -> bool:
+        assert answer.status in (200, 503)
+        return True
+
+    async with peer(answer_slowly) as host, program(tmp_path, configuration(host)) as (process, port):
         loop = asyncio.get_running_loop()
         end_s: list[float] = []
-        served, lost = 0, 0
-
-        async def client(number: int, keeps: bool) -> None:
-            nonlocal served, lost
-            open_: Client | None = None
-            while not end_s or loop.time() < end_s[0]:
-                data = request("transfer", b"%d" % number)
-                for again in (False, True):
-                    used = open_ is not None
-                    try:
-                        open_ = open_ or await connect(port)
-                        answer = await open_.ask(data)
-                    except (OSError, asyncio.IncompleteReadError):
-                        if open_ is not None:
-                            open_.close()
-                        open_ = None
-                        if again or not used:
-                            lost += 1
-                            break
-                        continue
-                    assert answer.status in (200, 503)
-                    served += 1
-                    if not keeps or answer.headers.get("connection") == "close":
-                        open_.close()
-                        open_ = None
-                    break
-            if open_ is not None:
-                open_.close()
-
-        clients = [asyncio.create_task(client(number, number % 2 == 0)) for number in range(12)]
-        await until(lambda: served > 50)
+        load = Load(port, lambda: bool(end_s) and loop.time() >= end_s[0], is_served)
+        load.start()
+        await until(lambda: load.served > 50)
         process.send_signal(signal.SIGTERM)
         end_s.append(loop.time() + 0.4)
-        before = served
-        await asyncio.gather(*clients)
+        served_before = load.served
+        await load.wait()
         assert await process.wait() == 0
-        assert lost == 0 and served > before
+        assert load.lost == 0 and load.served > served_before
