--- /dev/null
+++ b/tests/admin/test_operations.py
@@ -0,0 +1,346 @@
+"""Operators at work on real processes: ejected hosts, a drained gateway, a process replaced under load."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import unittest.mock
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any, cast
+
+from cloverkeel.admin.process_coordinator import ProcessCoordinator
+from cloverkeel.admin.process_files import ProcessStage
+from cloverkeel.admin.shared_folder import SharedFolder, shared_folder_path
+from cloverkeel.assembly import assemble
+from cloverkeel.balancing.balancer import Balancer
+from cloverkeel.core.config import parse
+from cloverkeel.core.draining import pause_schedule
+from cloverkeel.discovery.ejection_filter import BannedMembership
+from tests.cli.load import Load
+from tests.cli.process import READY, ask, connect, free_port, start
+from tests.sockets import (
+    Exchange,
+    Message,
+    configuration,
+    on_loop,
+    peer,
+    reply,
+    request,
+    silent,
+    until,
+)
+
+
+async def call(port: int, line: bytes) -> str:
+    """Return the answer to an admin line; "" where nobody answers."""
+    try:
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    except OSError:
+        return ""
+    writer.write(line + b"\n")
+    said = (await reader.read()).decode()
+    writer.close()
+    return said
+
+
+@dataclass
+class Process:
+    process: asyncio.subprocess.Process
+    admin_port: int
+    errors: list[bytes] = field(default_factory=list)
+
+    async def call(self, line: bytes) -> str:
+        return await call(self.admin_port, line)
+
+    async def wait_until_serving(self) -> None:
+        while not (await self.call(b"STATUS")).startswith("ACK"):
+            assert self.process.returncode is None, await self.wait_for_log()
+            await asyncio.sleep(0.01)
+
+    async def wait_for_log(self) -> bytes:
+        """Wait for the process's end; return its log."""
+        return (await self.process.communicate())[1]
+
+
+@dataclass
+class Gateway:
+    """One gateway, whose processes follow one another at one address."""
+
+    folder: Path
+    config: dict[str, Any]
+    port: int = field(default_factory=free_port)
+    processes: list[Process] = field(default_factory=list)
+
+    async def begin(self) -> Process:
+        admin_port = free_port()
+        file = self.folder / f"config-{admin_port}.json"
+        listen = f"127.0.0.1:{self.port}"
+        file.write_text(json.dumps(self.config | {"listen": listen, "ops": f"127.0.0.1:{admin_port}"}))
+        made = Process(await start({"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}), admin_port)
+        self.processes.append(made)
+        return made
+
+    async def start(self) -> Process:
+        made = await self.begin()
+        await made.wait_until_serving()
+        return made
+
+    def process_files(self, stage: ProcessStage) -> list[Path]:
+        """Return the files of processes that are alive, or have not been found dead yet."""
+        return list(self.folder.glob(f"cloverkeel-*/*.{stage.value}"))
+
+
+@asynccontextmanager
+async def gateway(folder: Path, config: dict[str, Any]) -> AsyncIterator[Gateway]:
+    made = Gateway(folder, config)
+    try:
+        yield made
+    finally:
+        for process in made.processes:
+            if process.process.returncode is None:
+                process.process.kill()
+                await process.process.wait()
+
+
+@on_loop
+async def test_an_ejected_host_gets_nothing_and_one_reinstatement_brings_it_back(tmp_path: Path) -> None:
+    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as processes:
+        process = await processes.start()
+        assert (await process.call(b"SUSPEND s-9")).startswith("NAK s-9 was never listed")
+        for _ in range(3):
+            assert (await process.call(b"SUSPEND s-0")).startswith("ACK")
+        for _ in range(40):
+            assert await ask(processes.port, request()) == 200
+        assert not a.seen and len(b.seen) == 40
+        assert (await process.call(b"SUSPEND s-1")).startswith("ACK")
+        assert await ask(processes.port, request()) == 503  # all are ejected: rejected at once
+        assert "2 out by hand" in await process.call(b"STATUS")
+        assert (await process.call(b"RESTORE s-0")).startswith("ACK")
+        assert await ask(processes.port, request()) == 200
+        assert len(a.seen) == 1
+
+
+@on_loop
+async def test_requests_at_an_ejected_host_are_finished(tmp_path: Path) -> None:
+    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+        process = await processes.start()
+        client = await connect(processes.port)
+        client.send(request("transfer", b"x"))
+        await until(lambda: host.seen)
+        assert (await process.call(b"SUSPEND s-0")).startswith("ACK")
+        host.seen[0].answer(reply(200, b"done"))
+        assert (await client.answer()).body == b"done"
+        client.close()
+
+
+@on_loop
+async def test_bad_clients_of_the_admin_address_delay_nobody(tmp_path: Path) -> None:
+    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+        process = await processes.start()
+        silent_clients = [await asyncio.open_connection("127.0.0.1", process.admin_port) for _ in range(60)]
+        for _, writer in silent_clients[::2]:
+            writer.write(b"STA")
+        loop = asyncio.get_running_loop()
+        before_s = loop.time()
+        said = await asyncio.gather(
+            *(process.call(line) for line in (b"STATUS", b"", b"status", b"x" * 5000, b"\xff"))
+        )
+        assert loop.time() - before_s < 1
+        assert [line[:3] for line in said] == ["ACK", "NAK", "NAK", "NAK", "NAK"]
+        for _, writer in silent_clients:
+            writer.close()
+
+
+@on_loop
+async def test_a_pause_drains_the_gateway_and_a_resume_accepts_clients_again(tmp_path: Path) -> None:
+    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+        process = await processes.start()
+        idle, busy, fresh = [await connect(processes.port) for _ in range(3)]
+        assert (await idle.ask(READY)).status == 200
+        busy.send(request("transfer", b"held"))
+        await until(lambda: host.seen)
+        loop = asyncio.get_running_loop()
+        began_s = loop.time()
+        assert (await process.call(b"PAUSE")).startswith("ACK")
+        assert await ask(processes.port, READY) == 503
+        assert (await process.call(b"STATUS")).startswith("NAK paused")
+        fresh.send(request("transfer", b"still"))  # who sends clients here has not noticed yet
+        await until(lambda: len(host.seen) == 2)
+        for exchange in host.seen:
+            exchange.answer(reply(200, exchange.message.body))
+        for client, body in ((busy, b"held"), (fresh, b"still")):
+            answer = await client.answer()
+            assert (answer.body, answer.headers["connection"]) == (body, "close")
+        assert await idle.reader.read() == b""
+        assert loop.time() - began_s < 4
+        await asyncio.sleep(max(0.0, began_s + pause_schedule().reject_from_s + 0.1 - loop.time()))
+        late = await connect(processes.port)
+        answer = await late.ask(request("transfer"))
+        assert (answer.status, answer.headers["connection"], len(host.seen)) == (503, "close", 2)
+        for _ in range(2):
+            assert (await process.call(b"RESUME")).startswith("ACK")
+            assert await ask(processes.port, READY) == 200
+        assert (await process.call(b"STATUS")).startswith("ACK")
+        for client in (idle, busy, fresh, late):
+            client.close()
+
+
+@on_loop
+async def test_ejections_outlive_the_process_and_are_applied_by_both(tmp_path: Path) -> None:
+    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as processes:
+        old = await processes.start()
+        assert (await old.call(b"SUSPEND s-0")).startswith("ACK")
+        new = await processes.start()
+        assert "1 out by hand" in await new.call(b"STATUS")
+        assert (await old.call(b"SUSPEND s-1")).startswith("ACK")  # asked of one, applied by the other
+        await asyncio.sleep(0.2)
+        assert "2 out by hand" in await new.call(b"STATUS")
+        assert (await new.call(b"RESTORE s-0")).startswith("ACK")
+        await asyncio.sleep(0.2)
+        assert "1 out by hand" in await old.call(b"STATUS")
+        old.process.send_signal(signal.SIGTERM)
+        assert await old.process.wait() == 0
+        for _ in range(20):
+            assert await ask(processes.port, request()) == 200
+        assert len(a.seen) == 20 and not b.seen
+        new.process.send_signal(signal.SIGKILL)
+        await new.process.wait()
+        last = await processes.start()
+        assert "1 out by hand" in await last.call(b"STATUS")
+
+
+@on_loop
+async def test_requests_are_served_through_three_upgrades(tmp_path: Path) -> None:
+    """Short connections and kept ones under load."""
+
+    async def answer_slowly(exchange: Exchange) -> None:
+        await asyncio.sleep(0.005)
+        exchange.answer(reply(200, exchange.message.body))
+
+    def is_served(answer: Message) -> bool:
+        # The balancer may reject some on a machine that is busy; the shutdown must not.
+        assert answer.status == 200 or (answer.status, answer.body) == (503, b""), answer
+        return answer.status == 200
+
+    async with peer(answer_slowly) as host, gateway(tmp_path, configuration(host)) as processes:
+        old = await processes.start()
+        is_over = False
+        load = Load(processes.port, lambda: is_over, is_served)
+        load.start()
+        for _ in range(3):
+            new = await processes.start()
+            served_before = load.served
+            old.process.send_signal(signal.SIGTERM)
+            assert await ask(processes.port, READY) == 200  # the gateway is ready, whichever process is asked
+            assert await old.process.wait() == 0
+            await until(lambda before=served_before: load.served > before + 50)  # type: ignore[misc]
+            old = new
+        is_over = True
+        await load.wait()
+        assert load.lost == 0
+
+
+@on_loop
+async def test_a_process_with_a_successor_reports_the_gateway_ready(tmp_path: Path) -> None:
+    """The old process is asked for readiness during its drain, on a connection of before.
+
+    The request ahead of the question keeps that connection from its end for as long as the old process lives.
+    """
+    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+        old = await processes.start()
+        client = await connect(processes.port)  # there is no other process yet
+        client.send(request("transfer", b"held"))
+        await until(lambda: host.seen)
+        await processes.start()
+        old.process.send_signal(signal.SIGTERM)
+        while not (await old.call(b"STATUS")).startswith("NAK ending"):
+            await asyncio.sleep(0.002)
+        client.send(READY)
+        host.seen[0].answer(reply(200, b"held"))
+        assert (await client.answer()).body == b"held"
+        assert (await client.answer()).status == 200
+        assert await old.process.wait() == 0
+        client.close()
+
+
+@on_loop
+async def test_a_successor_that_dies_before_it_serves_leaves_the_old_one_serving(tmp_path: Path) -> None:
+    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+        old = await processes.start()
+        new = await processes.begin()
+        await until(lambda: processes.process_files(ProcessStage.STARTING))
+        new.process.kill()
+        await new.process.wait()
+        await until(
+            lambda: not processes.process_files(ProcessStage.STARTING)
+            and len(processes.process_files(ProcessStage.SERVING)) == 1
+        )  # the old one has polled
+        assert (await old.call(b"STATUS")).startswith("ACK")
+        assert await ask(processes.port, request()) == 200
+        old.process.send_signal(signal.SIGTERM)
+        assert b"Traceback" not in await old.wait_for_log() and old.process.returncode == 0
+
+
+@asynccontextmanager
+async def coordinated(folder: Path) -> AsyncIterator[tuple[ProcessCoordinator, Balancer, SharedFolder]]:
+    """Yield a gateway's coordinator, its balancer, and the folder as another process of the same gateway has it."""
+    async with peer() as host:
+        config = parse(configuration(host) | {"name": "shared", "ops": "127.0.0.1:1"})
+        program = assemble(config)
+        assert isinstance(program.discovery, BannedMembership)
+        with unittest.mock.patch.dict(os.environ, {"TMPDIR": str(folder)}):
+            path = shared_folder_path(config)
+        coordinator = ProcessCoordinator(path, program.server, program.discovery)
+        coordinator.start()
+        other = SharedFolder(path)
+        other.open()
+        try:
+            yield coordinator, cast(Balancer, program.gateway.balancer), other
+        finally:
+            other.close()
+            coordinator.close()
+            program.server.close()
+            program.close()
+
+
+@on_loop
+async def test_limits_of_a_gateway_are_shared_among_its_processes(tmp_path: Path) -> None:
+    async with coordinated(tmp_path) as (coordinator, balancer, other):
+        server = coordinator.server
+        total_us, max_sockets = balancer.fall_budget_us(), server.config.sockets
+        await until(lambda: server.sockets == max_sockets // 2)
+        assert balancer.fall_budget_us() == total_us  # it does not accept clients yet
+        other.process_files.announce(ProcessStage.SERVING)
+        await until(lambda: balancer.fall_budget_us() == total_us / 2)
+        other.process_files.announce(ProcessStage.DRAINING)
+        await until(lambda: balancer.fall_budget_us() == total_us)
+        assert server.sockets == max_sockets // 2  # what it holds it has until its end
+        other.close()
+        await until(lambda: server.sockets == max_sockets)
+
+
+@on_loop
+async def test_a_draining_process_leaves_its_slow_start_budget_to_its_successor(tmp_path: Path) -> None:
+    async with coordinated(tmp_path) as (coordinator, balancer, successor):
+        total_us = balancer.fall_budget_us()
+        successor.process_files.announce(ProcessStage.SERVING)
+        assert coordinator.begin_shutdown() is not None
+        assert balancer.fall_budget_us() < total_us / 1000
+        others = successor.process_files.find_others()
+        assert others.count == 1 and others.serving_count == 0
+
+
+@on_loop
+async def test_without_an_admin_address_a_second_start_fails(tmp_path: Path) -> None:
+    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+        await processes.start()
+        file = tmp_path / "plain.json"
+        file.write_text(json.dumps(processes.config | {"listen": f"127.0.0.1:{processes.port}"}))
+        second = await start({"LB_CONFIG": str(file), "TMPDIR": str(tmp_path)})
+        _, errors = await second.communicate()
+        assert second.returncode == 1 and b"cannot listen" in errors
--- /dev/null
+++ b/tests/core/test_draining.py
@@ -0,0 +1,104 @@
+"""Drain schedules: as figures, and carried out by the frontend."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from cloverkeel.core.draining import (
+    KILL_GRACE_S,
+    MAX_SHUTDOWN_S,
+    READ_STALL_TIMEOUT_S,
+    DrainSchedule,
+    handover_schedule,
+    pause_schedule,
+    shutdown_schedule,
+)
+from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
+
+LONGEST_S = (0.4, 1.0, 3.0)  # that a client waits
+SCHEDULES = [pause_schedule(), *map(shutdown_schedule, LONGEST_S), *map(handover_schedule, LONGEST_S)]
+
+
+@pytest.mark.parametrize("schedule", SCHEDULES)
+@given(now_s=st.floats(0, 10), quiet_s=st.floats(0, 10))
+def test_a_request_that_goes_on_arriving_is_not_aborted(
+    schedule: DrainSchedule, now_s: float, quiet_s: float
+) -> None:
+    if schedule.can_abort_read(now_s, quiet_s):
+        assert now_s >= schedule.abort_incomplete_from_s or quiet_s >= READ_STALL_TIMEOUT_S
+
+
+@pytest.mark.parametrize("schedule", SCHEDULES)
+@given(now_s=st.floats(0, 10), served=st.booleans(), age_s=st.floats(0, 10))
+def test_a_new_connection_has_time_for_its_first_request(
+    schedule: DrainSchedule, now_s: float, served: bool, age_s: float
+) -> None:
+    if schedule.can_close_idle(now_s, served, age_s) and now_s < schedule.abort_incomplete_from_s:
+        assert now_s >= schedule.close_idle_from_s if served else age_s >= min(schedule.first_request_timeout_s, 0.5)
+
+
+@pytest.mark.parametrize("longest_s", LONGEST_S)
+def test_shutdown_is_over_before_the_kill(longest_s: float) -> None:
+    for schedule in (shutdown_schedule(longest_s), handover_schedule(longest_s)):
+        assert schedule.respond_by_s < longest_s + KILL_GRACE_S
+        assert schedule.respond_by_s <= MAX_SHUTDOWN_S
+
+
+@pytest.mark.parametrize("longest_s", LONGEST_S)
+def test_with_a_successor_the_gateway_is_ready_and_accepts_nothing_new(longest_s: float) -> None:
+    schedule = handover_schedule(longest_s)
+    assert schedule.is_reported_ready and schedule.accept_until_s == 0.0
+    assert (
+        schedule.close_idle_from_s < schedule.reject_from_s < schedule.abort_incomplete_from_s < schedule.respond_by_s
+    )
+
+
+def test_four_seconds_after_a_pause_no_connection_is_idle_and_no_request_is_new() -> None:
+    schedule = pause_schedule()
+    for served in (True, False):
+        assert schedule.can_close_idle(schedule.abort_incomplete_from_s, served, 0.0)
+    assert schedule.abort_incomplete_from_s < 4.0 and schedule.reject_from_s < 2.0
+    assert schedule.can_abort_read(schedule.abort_incomplete_from_s, 0.0)
+
+
+@on_loop
+async def test_during_shutdown_an_open_connection_is_served_for_a_while() -> None:
+    """Another gateway may be out at the same time: who is sent away at once finds none."""
+    schedule = shutdown_schedule(3.0)
+    async with peer() as host, running(configuration(host)) as run:
+        client = await run.connect()
+        run.server.empty(schedule)
+        for _ in range(3):
+            assert "connection" not in (await client.ask(request())).headers
+        run.server.since_s -= schedule.keep_alive_until_s + 0.1
+        assert (await client.ask(request())).headers["connection"] == "close"
+        assert await client.reader.read() == b""
+        client.close()
+
+
+@on_loop
+async def test_a_stalled_request_does_not_delay_shutdown() -> None:
+    schedule = shutdown_schedule(3.0)
+    async with peer(silent) as host, running(configuration(host)) as run:
+        data = request("transfer", b"slow")
+        half = await run.connect()
+        half.send(data[:20])
+        await until(lambda: run.server.reading)
+        (stuck,) = run.server.reading
+        slow = await run.connect()
+        slow.send(data[:-4])
+        await until(lambda: len(run.server.reading) == 2)
+        (moving,) = set(run.server.reading) - {stuck}
+        stuck.read_s -= 60  # nothing of it has come for long, and the other's last piece is as new as can be
+        moving.read_s += 60
+        run.server.empty(schedule)
+        run.server.since_s -= schedule.abort_stalled_from_s + 0.1
+        assert (await half.answer()).status == 408
+        slow.send(data[-4:])
+        await until(lambda: host.seen)
+        host.seen[0].answer(reply(200, b"slow"))
+        assert (await slow.answer()).body == b"slow"
+        half.close()
+        slow.close()
