--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -346,7 +346,7 @@
     from cloverkeel.gossip import outlier_reports as evidence, node as exchange
 
     for module in (balance, evidence, exchange):
-        vars(module)["DOUBT_TELLERS"] = 1
+        vars(module)["DOUBT_TELLERS" if module is balance else "MIN_REPORTERS"] = 1
 
 
 @entry("hearsay-verdict")
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -27,8 +27,8 @@
 
 from benchmarks.guards.__main__ import parse_seeds
 from cloverkeel.balancing.balancer import DOUBT
-from cloverkeel.gossip.outlier_reports import EVIDENCE_US, Host, Weighed
-from cloverkeel.gossip.node import Exchange
+from cloverkeel.gossip.outlier_reports import OBSERVATION_LIFETIME_US, Host, Assessment
+from cloverkeel.gossip.node import GossipNode
 from cloverkeel.gossip.messages import decode
 
 HOSTS = 20
@@ -56,7 +56,7 @@
     cut: set[tuple[int, int]] = field(default_factory=set)  # from, to
     dead: set[int] = field(default_factory=set)
     stopped: set[int] = field(default_factory=set)
-    heard: dict[tuple[int, Host], tuple[int, Weighed]] = field(default_factory=dict)  # by gateway and host
+    heard: dict[tuple[int, Host], tuple[int, Assessment]] = field(default_factory=dict)  # by gateway and host
     sent: int = 0
     sent_bytes: int = 0
 
@@ -67,13 +67,13 @@
         self.failing: dict[int, float] = {}  # by host: share
         self.seen_bad: dict[tuple[int, int], int] = {}
 
-    def made(self, number: int) -> Exchange:
-        def hear(host: int, started: int, known: Weighed) -> None:
+    def made(self, number: int) -> GossipNode:
+        def hear(host: int, started: int, known: Assessment) -> None:
             self.heard[number, (host, started)] = (self.at_us, known)
 
         clock_us = self.clock(number)
         incarnation = 1 + clock_us // 125_000 & 0xFFFFFFFF
-        one = Exchange(number, self.count, number % self.zones, incarnation, self.dice.random, hear)
+        one = GossipNode(number, self.count, number % self.zones, incarnation, self.dice.random, hear)
         one.begin(clock_us)
         return one
 
@@ -208,7 +208,7 @@
     fleet = Fleet(200, 1, hosts=200, rate=5.0)
     begun = tracemalloc.get_traced_memory()[0]
     fleet.failing = dict.fromkeys(range(200), 0.4)
-    fleet.run(BEGIN_US + EVIDENCE_US + 1_000_000, step_us=20_000)
+    fleet.run(BEGIN_US + OBSERVATION_LIFETIME_US + 1_000_000, step_us=20_000)
     fleet.queue.clear()
     after = tracemalloc.get_traced_memory()[0]
     first, then = (begun - before) / 200 / 1024, (after - before) / 200 / 1024
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -19,7 +19,7 @@
     from cloverkeel.leases.driver import Room
     from cloverkeel.discovery.merged_source import MergedMembership
     from cloverkeel.discovery.relay_client import RelayedDiscovery
-    from cloverkeel.gossip.driver import Room as SharingRoom
+    from cloverkeel.gossip.driver import GossipDriver
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,11 +32,11 @@
     discovery: Discovery | MergedMembership | BannedMembership
     datagrams: Datagrams | None = None  # the socket of the parts below
     duties: Room | None = None
-    sharing: SharingRoom | None = None
+    sharing: GossipDriver | None = None
     relayed: RelayedDiscovery | None = None  # the part of `discovery` that asks relays
 
     @property
-    def parts(self) -> list[Room | SharingRoom]:
+    def parts(self) -> list[Room | GossipDriver]:
         """What speaks to other gateways."""
         return [part for part in (self.duties, self.sharing) if part is not None]
 
@@ -98,7 +98,7 @@
 
         duties = Room(config, options.duties, gateway, datagrams)
     if options.sharing is not None:
-        from cloverkeel.gossip.driver import Room as SharingRoom
+        from cloverkeel.gossip.driver import GossipDriver
 
-        sharing = SharingRoom(config, gateway, datagrams)
+        sharing = GossipDriver(config, gateway, datagrams)
     return Program(gateway, Server(config, gateway, pools), pools, membership, datagrams, duties, sharing, relayed)
--- a/cloverkeel/gossip/dissemination.py
+++ b/cloverkeel/gossip/dissemination.py
@@ -14,37 +14,37 @@
 from dataclasses import dataclass
 from typing import Final
 
-from cloverkeel.gossip.outlier_reports import Host, Piece
-from cloverkeel.gossip.messages import ROOM, EvidenceItem, Item, Life, MemberItem, size_of
-
-FIRST: Final = 3  # gateways that hear of a failure that nobody has confirmed
-SMALL: Final = 8  # gateways: all of so few do
-FAN: Final = 2  # gateways told at a time
-FULL_BYTES: Final = 256  # of a message, as the platform prices it
-SHARE: Final = 0.1  # of such a message that may be said for each request
-LEAST_BYTES_S: Final = 600.0  # whatever the requests: a probe and its answer, and some news
-SAVED_BYTES: Final = 16_000.0
-RESERVE_BYTES: Final = 8_000.0  # of these, for what hosts do: who is suspected must not use it up
-RUMOURS_MOST: Final = 256
-RATE_US: Final = 1_000_000  # between two looks at how many requests there are
-
-
-def hops(count: int) -> int:
+from cloverkeel.gossip.outlier_reports import Host, Observation
+from cloverkeel.gossip.messages import MAX_ITEMS_BYTES, ObservationItem, Item, MemberStatus, MemberItem, item_size
+
+UNCONFIRMED_FANOUT: Final = 3  # gateways that hear of a failure that nobody has confirmed
+SMALL_FLEET_SIZE: Final = 8  # gateways: all of so few do
+FANOUT: Final = 2  # gateways told at a time
+FULL_MESSAGE_BYTES: Final = 256  # of a message, as the platform prices it
+BYTES_PER_REQUEST_RATIO: Final = 0.1  # of such a message that may be said for each request
+MIN_BYTES_PER_S: Final = 600.0  # whatever the requests: a probe and its answer, and some news
+MAX_SAVED_BYTES: Final = 16_000.0
+OBSERVATION_RESERVE_BYTES: Final = 8_000.0  # of these, for what hosts do: who is suspected must not use it up
+MAX_QUEUED_BROADCASTS: Final = 256
+REQUEST_RATE_INTERVAL_US: Final = 1_000_000  # between two looks at how many requests there are
+
+
+def max_transmissions(count: int) -> int:
     """How often each who hears of a thing passes it on at the most, so that all hear it though some of it is lost."""
     return math.ceil(math.log(max(2, count))) + 2
 
 
-def first(count: int) -> int:
+def unconfirmed_fanout(count: int) -> int:
     """How many are told what nobody has confirmed."""
-    return count - 1 if count <= SMALL else FIRST
+    return count - 1 if count <= SMALL_FLEET_SIZE else UNCONFIRMED_FANOUT
 
 
 @dataclass(slots=True)
-class Bucket:
+class ByteTokenBucket:
     """Bytes that may be said."""
 
-    left: float = SAVED_BYTES
-    rate: float = LEAST_BYTES_S
+    left: float = MAX_SAVED_BYTES
+    rate: float = MIN_BYTES_PER_S
     at_us: int = 0
     requests: int = 0
     since_us: int = 0
@@ -53,48 +53,48 @@
         """`requests`: how many this gateway has taken since its start."""
         elapsed_us = now_us - self.at_us
         if elapsed_us > 0:
-            self.left = min(SAVED_BYTES, self.left + self.rate * elapsed_us / 1e6)
+            self.left = min(MAX_SAVED_BYTES, self.left + self.rate * elapsed_us / 1e6)
             self.at_us = now_us
-        if now_us - self.since_us >= RATE_US:
+        if now_us - self.since_us >= REQUEST_RATE_INTERVAL_US:
             seen = (requests - self.requests) / max(1e-6, (now_us - self.since_us) / 1e6)
             if self.since_us:
-                self.rate = max(LEAST_BYTES_S, SHARE * FULL_BYTES * seen)
+                self.rate = max(MIN_BYTES_PER_S, BYTES_PER_REQUEST_RATIO * FULL_MESSAGE_BYTES * seen)
             self.requests, self.since_us = requests, now_us
 
 
-Told = EvidenceItem | MemberItem  # what goes round; the rest is between two
+Broadcast = ObservationItem | MemberItem  # what goes round; the rest is between two
 
 
 @dataclass(slots=True)
-class Rumour:
-    item: Told
+class QueuedBroadcast:
+    item: Broadcast
     sends: int
     rank: int  # the lowest first
 
 
-def rank_of(item: Told) -> int:
+def rank_of(item: Broadcast) -> int:
     """Restrictions first: what fails, who is gone; then what contradicts; then who came back."""
-    if isinstance(item, EvidenceItem):
+    if isinstance(item, ObservationItem):
         return 0 if item.bad else 2
-    return 1 if item.life != Life.ALIVE else 3
+    return 1 if item.life != MemberStatus.ALIVE else 3
 
 
-Key = tuple[int, int, int, int]
+BroadcastKey = tuple[int, int, int, int]
 
 
-def key_of(item: Told) -> Key:
+def key_of(item: Broadcast) -> BroadcastKey:
     if isinstance(item, MemberItem):
-        return (1, item.number, 0, item.by if item.life == Life.SUSPECT else -1)
+        return (1, item.number, 0, item.by if item.life == MemberStatus.SUSPECT else -1)
     return (2, item.teller, item.host, item.started)
 
 
-class Rumours:
+class BroadcastQueue:
     """What is waiting to be said."""
 
     def __init__(self, count: int, draw: Callable[[], float]) -> None:
         self.count, self.draw = count, draw
-        self.waiting: dict[Key, Rumour] = {}
-        self.bucket = Bucket()
+        self.waiting: dict[BroadcastKey, QueuedBroadcast] = {}
+        self.bucket = ByteTokenBucket()
         self.dropped = 0  # for want of room
 
     @property
@@ -105,26 +105,26 @@
     def worth_saying(self) -> bool:
         """Something waits that may be paid for."""
         return bool(self.waiting) and (
-            self.bucket.left >= RESERVE_BYTES or any(key[0] == 2 for key in self.waiting)
+            self.bucket.left >= OBSERVATION_RESERVE_BYTES or any(key[0] == 2 for key in self.waiting)
         )  # fmt: skip
 
-    def add(self, item: Told, sends: int) -> None:
-        """Say it so often; it replaces what was waiting of the same teller on the same thing."""
+    def add(self, item: Broadcast, sends: int) -> None:
+        """OutgoingMessage it so often; it replaces what was waiting of the same teller on the same thing."""
         key = key_of(item)
-        if key not in self.waiting and len(self.waiting) >= RUMOURS_MOST:
+        if key not in self.waiting and len(self.waiting) >= MAX_QUEUED_BROADCASTS:
             worst = max(self.waiting, key=lambda k: (self.waiting[k].rank, -self.waiting[k].sends))
             self.dropped += 1
             if self.waiting[worst].rank < rank_of(item):
                 return
             del self.waiting[worst]
-        self.waiting[key] = Rumour(item, sends, rank_of(item))
+        self.waiting[key] = QueuedBroadcast(item, sends, rank_of(item))
 
-    def pass_on(self, piece: Piece) -> None:
+    def pass_on(self, piece: Observation) -> None:
         if piece.sends > 0:
             self.add(piece.item, piece.sends)
             piece.sends = 0
 
-    def heard_again(self, item: Told) -> None:
+    def heard_again(self, item: Broadcast) -> None:
         """Another has said the same: less is left to say."""
         rumour = self.waiting.get(key_of(item))
         if rumour is not None and rumour.item == item:
@@ -140,12 +140,12 @@
 
     def choose(self, but: tuple[Item, ...] = ()) -> tuple[Item, ...]:
         """What fits one datagram beside what it has already; each is counted as said once."""
-        room = ROOM - sum(size_of(item) for item in but)
-        poor = self.bucket.left < RESERVE_BYTES
+        room = MAX_ITEMS_BYTES - sum(item_size(item) for item in but)
+        poor = self.bucket.left < OBSERVATION_RESERVE_BYTES
         chosen: list[Item] = []
-        said = {key_of(item) for item in but if isinstance(item, EvidenceItem | MemberItem)}
+        said = {key_of(item) for item in but if isinstance(item, ObservationItem | MemberItem)}
         for key, rumour in sorted(self.waiting.items(), key=lambda kv: (kv[1].rank, -kv[1].sends)):
-            size = size_of(rumour.item)
+            size = item_size(rumour.item)
             if size > room or key in said or (poor and key[0] == 1):
                 continue
             room -= size
@@ -157,5 +157,5 @@
 
     def targets(self, able: list[int]) -> list[int]:
         """Some of them, drawn: more where something new is to be said that nobody has confirmed."""
-        fan = first(self.count) if any(rumour.rank == 0 for rumour in self.waiting.values()) else FAN
+        fan = unconfirmed_fanout(self.count) if any(rumour.rank == 0 for rumour in self.waiting.values()) else FANOUT
         return sorted(able, key=lambda _: self.draw())[:fan]
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -19,24 +19,25 @@
 from cloverkeel.core.datagrams import Datagrams
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.core.log import log
-from cloverkeel.gossip.outlier_reports import Host, Weighed, stamp_of
-from cloverkeel.gossip.node import Exchange
+from cloverkeel.gossip.outlier_reports import Host, Assessment, timestamp_ms_of
+from cloverkeel.gossip.node import GossipNode
+from cloverkeel.gossip.status import node_status
 from cloverkeel.gossip.messages import MAGIC, MASK32, decode
-from cloverkeel.gossip.retry_tokens import CAP, LEAST
+from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS, MIN_TRANSFER_TOKENS
 
-LOOK_S: Final = 0.1  # between two looks for hosts that are silent
-WAIT_LEAST_S: Final = 0.005  # of a timer
-SAID_US: Final = 60_000_000  # between lines of the log about datagrams that were dropped
-BEGIN_US: Final = 1_767_225_600_000_000  # 2026-01-01
-INCARNATION_US: Final = 125_000
+CHECK_INTERVAL_S: Final = 0.1  # between two looks for hosts that are silent
+MIN_TIMER_DELAY_S: Final = 0.005  # of a timer
+DROP_LOG_INTERVAL_US: Final = 60_000_000  # between lines of the log about datagrams that were dropped
+INCARNATION_EPOCH_US: Final = 1_767_225_600_000_000  # 2026-01-01
+INCARNATION_UNIT_US: Final = 125_000
 # What an end of an attempt says of its host. Full: it is crowded, and answers. Cancelled and moot: nothing.
-TELLS: Final = {
+IS_SUCCESS_BY_OUTCOME: Final = {
     Outcome.OK: True, Outcome.ERROR: False, Outcome.TIMEOUT: False, Outcome.CONNECT_FAILED: False,
     Outcome.RESET: False,
 }  # fmt: skip
 
 
-class Room:
+class GossipDriver:
     """One part of those that speak to other gateways."""
 
     def __init__(
@@ -48,9 +49,9 @@
         self.loop = asyncio.get_running_loop()
         self.count = len(config.peers)
         self.number = config.settings.proxy
-        incarnation = max(1, (clock() - BEGIN_US) // INCARNATION_US & MASK32)
+        incarnation = max(1, (clock() - INCARNATION_EPOCH_US) // INCARNATION_UNIT_US & MASK32)
         dice = random.Random(random.SystemRandom().getrandbits(64))
-        self.exchange = Exchange(
+        self.exchange = GossipNode(
             self.number, self.count, config.settings.zone, incarnation, dice.random, self.on_heard, self
         )  # fmt: skip
         self.dropped: Tallies[str] = Tallies()
@@ -66,7 +67,7 @@
             return
         # It begins with none: a process before this one may have spent its own a moment ago. From now on, not from
         # when the socket is there: while its gateway is replaced that may be long.
-        self.gateway.retry_rights(CAP, -self.gateway.balancer.retry_state(self.clock())[0])
+        self.gateway.retry_rights(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_state(self.clock())[0])
         self.datagrams.join(MAGIC, self)
 
     def opened(self) -> None:
@@ -89,7 +90,7 @@
     # Time
 
     def look(self) -> None:
-        self.looker = self.loop.call_later(LOOK_S, self.look)  # first: nothing below may end it
+        self.looker = self.loop.call_later(CHECK_INTERVAL_S, self.look)  # first: nothing below may end it
         at_us = self.clock()
         tally, counts = self.gateway.tally, self.exchange.counts
         self.exchange.requests = sum(tally.asked) + tally.asked_before
@@ -136,17 +137,17 @@
             self.timer.cancel()
             self.timer = None
         wait_s = (self.exchange.next_due() - self.clock()) / 1e6
-        if wait_s < LOOK_S:  # else the next look finds it
-            self.timer = self.loop.call_later(max(WAIT_LEAST_S, wait_s), self.on_timer)
+        if wait_s < CHECK_INTERVAL_S:  # else the next look finds it
+            self.timer = self.loop.call_later(max(MIN_TIMER_DELAY_S, wait_s), self.on_timer)
 
     # Outcomes
 
     def host_of(self, server: int) -> Host | None:
         started_us = self.gateway.balancer.start_of(server)
-        return (server, stamp_of(started_us)) if started_us >= 0 else None
+        return (server, timestamp_ms_of(started_us)) if started_us >= 0 else None
 
     def on_outcome(self, server: int, outcome: Outcome, latency_us: int) -> None:
-        good = TELLS.get(outcome)
+        good = IS_SUCCESS_BY_OUTCOME.get(outcome)
         host = self.host_of(server)
         if good is None or host is None or (outcome is Outcome.TIMEOUT and host in self.silent):
             return  # a silent one's time-outs were told as one
@@ -156,9 +157,9 @@
         if self.exchange.rumours.waiting:
             self.work_soon()
 
-    def on_heard(self, server: int, started: int, known: Weighed) -> None:
+    def on_heard(self, server: int, started: int, known: Assessment) -> None:
         started_us = self.gateway.balancer.start_of(server)
-        if started_us < 0 or stamp_of(started_us) != started:
+        if started_us < 0 or timestamp_ms_of(started_us) != started:
             return  # a host of before, or one that this gateway's list does not name
         self.gateway.hearsay(
             server, started_us, known.good, known.bad, known.reporters, known.well, known.until_us
@@ -169,13 +170,13 @@
     def take(self, most: float) -> float:
         """What is gone from the module, not what it was told to part with."""
         before, wanting = self.gateway.balancer.retry_state(self.clock())
-        if wanting or before < LEAST:
+        if wanting or before < MIN_TRANSFER_TOKENS:
             return 0.0
-        self.gateway.retry_rights(CAP, -min(most, before))
+        self.gateway.retry_rights(MAX_SAVED_TOKENS, -min(most, before))
         return max(0.0, before - self.gateway.balancer.retry_state(self.clock())[0])
 
     def put(self, amount: float, until_us: int) -> None:
-        self.gateway.retry_rights(CAP, amount, until_us)
+        self.gateway.retry_rights(MAX_SAVED_TOKENS, amount, until_us)
 
     # Datagrams
 
@@ -193,7 +194,7 @@
     def drop(self, why: str) -> None:
         self.dropped[why] += 1
         at_us = self.clock()
-        if at_us - self.said_us > SAID_US:
+        if at_us - self.said_us > DROP_LOG_INTERVAL_US:
             self.said_us = at_us
             log(f"sharing: datagrams dropped so far: {dict(self.dropped)}")
 
@@ -203,5 +204,5 @@
         """PEERS; None for any other line."""
         if line.strip(b"\r\n") != b"PEERS":
             return None
-        shown = self.exchange.shown(self.clock()) | {"dropped": dict(self.dropped)}
+        shown = node_status(self.exchange, self.clock()) | {"dropped": dict(self.dropped)}
         return True, json.dumps(shown, separators=(",", ":"))
--- a/cloverkeel/gossip/node.py
+++ b/cloverkeel/gossip/node.py
@@ -2,7 +2,8 @@
 
 Invariants:
 - nothing is said of a host while most fails here: then it is this gateway that is ill;
-- a piece of evidence is passed on where a second teller is known, and never more than ENOUGH of them for one host;
+- a piece of evidence is passed on where a second teller is known, and never more than MAX_FAILURE_REPORTERS of
+  them for one host;
 - the module hears of a host again only when what is known of it has changed, or ends;
 - a datagram is sent only if the bucket pays for it, but for answers to probes and gifts.
 """
@@ -10,60 +11,62 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Final
 
 from cloverkeel.gossip.outlier_reports import (
-    DOUBT_TELLERS,
-    EVIDENCE_US,
-    HOSTS_MOST,
-    SLOT_US,
+    MIN_REPORTERS,
+    OBSERVATION_LIFETIME_US,
+    MAX_HOSTS,
+    WINDOW_SLOT_US,
     Host,
-    Piece,
-    Told,
-    Watch,
-    Weighed,
-    stamp_of,
-    weigh,
+    Observation,
+    PeerObservations,
+    LocalOutcomes,
+    Assessment,
+    timestamp_ms_of,
+    assess,
 )
 from cloverkeel.gossip.messages import (
-    COUNT_MOST,
-    HEAD,
-    SUM,
+    MAX_COUNT,
+    HEADER_STRUCT,
+    CHECKSUM_STRUCT,
     Datagram,
-    EvidenceItem,
-    GiveItem,
-    Head,
+    ObservationItem,
+    TokenGrantItem,
+    Header,
     Item,
-    Kind,
-    Life,
+    MessageKind,
+    MemberStatus,
     MemberItem,
-    WantItem,
+    TokenRequestItem,
     encode,
 )
-from cloverkeel.gossip.failure_detector import Presence
-from cloverkeel.gossip.retry_tokens import ASKED, Purse, Rights
-from cloverkeel.gossip.dissemination import Rumours, first, hops
-
-AGAIN_US: Final = 800_000  # between two times that this gateway says of one host what it saw
-CONFIRM_US: Final = 600_000  # two reporters that saw it fail within this confirm one another
-ENOUGH: Final = 3  # reporters of failures of one host that are passed on, and are enough to say no more
-ENOUGH_WELL: Final = 4  # and of those that contradict
-ILL: Final = 0.5  # share of what fails here, elsewhere, at which nothing is said
-ACCUSERS_LEAST: Final = 2  # of a gateway, before all hear that it is suspected
-FLUSH_US: Final = 100_000  # between datagrams of news that is not urgent
-URGENT_US: Final = 10_000  # and of news that is: some of it comes together
-DOUBT_US: Final = 10_000_000  # after a doubt, good answers of that host are worth telling
-ASKED_MOST: Final = 8  # datagrams that answer who begins
-ASK_PEERS: Final = 3  # whom who begins asks
-ASK_SPREAD_US: Final = 300_000  # at a random moment within this
-ANSWERS_S: Final = 20.0  # such answers a second, at the most
-
-Hear = Callable[[int, int, Weighed], None]  # host, start (ms, 32 bits), and what is known
+from cloverkeel.gossip.failure_detector import FailureDetector
+from cloverkeel.gossip.retry_tokens import TOKEN_REQUEST_FANOUT, RetryTokenBucket, RetryTokens
+from cloverkeel.gossip.dissemination import BroadcastQueue, max_transmissions, unconfirmed_fanout
+
+REPORT_INTERVAL_US: Final = 800_000  # between two times that this gateway says of one host what it saw
+CONFIRMATION_WINDOW_US: Final = 600_000  # two reporters that saw it fail within this confirm one another
+MAX_FAILURE_REPORTERS: Final = (
+    3  # reporters of failures of one host that are passed on, and are enough to say no more
+)
+MAX_SUCCESS_REPORTERS: Final = 4  # and of those that contradict
+MAX_COMMON_FAILURE_RATIO: Final = 0.5  # share of what fails here, elsewhere, at which nothing is said
+MIN_ACCUSERS: Final = 2  # of a gateway, before all hear that it is suspected
+BROADCAST_INTERVAL_US: Final = 100_000  # between datagrams of news that is not urgent
+URGENT_BROADCAST_INTERVAL_US: Final = 10_000  # and of news that is: some of it comes together
+SUSPICION_MEMORY_US: Final = 10_000_000  # after a doubt, good answers of that host are worth telling
+MAX_STATE_RESPONSE_DATAGRAMS: Final = 8  # datagrams that answer who begins
+STATE_REQUEST_FANOUT: Final = 3  # whom who begins asks
+STATE_REQUEST_JITTER_US: Final = 300_000  # at a random moment within this
+MAX_STATE_RESPONSES_PER_S: Final = 20.0  # such answers a second, at the most
+
+Hear = Callable[[int, int, Assessment], None]  # host, start (ms, 32 bits), and what is known
 
 
 @dataclass(slots=True)
-class Counts:
+class GossipCounts:
     sent: int = 0
     sent_bytes: int = 0
     came: int = 0
@@ -76,35 +79,35 @@
     heard: int = 0  # words to the module
 
 
-class Exchange:
+class GossipNode:
     def __init__(
         self, number: int, count: int, zone: int, incarnation: int, draw: Callable[[], float], hear: Hear,
-        purse: Purse | None = None,
+        purse: RetryTokenBucket | None = None,
     ) -> None:  # fmt: skip
         """`draw` gives a number from 0 to 1; `hear` takes what is known of a host when it has changed; `purse`: the
         module's tokens for further attempts, where they may move."""
         self.number, self.count, self.zone = number, count, zone
         self.draw, self.hear = draw, hear
-        self.presence = Presence(number, count, incarnation, draw)
-        self.watch, self.told = Watch(), Told()
-        self.rights = Rights(number, purse) if purse is not None else None
-        self.rumours = Rumours(count, draw)
-        self.hops, self.first = hops(count), first(count)
+        self.presence = FailureDetector(number, count, incarnation, draw)
+        self.watch, self.told = LocalOutcomes(), PeerObservations()
+        self.rights = RetryTokens(number, purse) if purse is not None else None
+        self.rumours = BroadcastQueue(count, draw)
+        self.max_transmissions, self.unconfirmed_fanout = max_transmissions(count), unconfirmed_fanout(count)
         self.said_us: dict[Host, int] = {}  # when this gateway last told what it saw
         self.doubt_us: dict[Host, int] = {}  # when a host was last in doubt
-        self.passed: dict[Host, Weighed] = {}  # what the module knows
-        self.counts = Counts()
+        self.passed: dict[Host, Assessment] = {}  # what the module knows
+        self.counts = GossipCounts()
         self.requests = 0  # since the start; the room counts
         self.flushed_us = 0
         self.slot_us = 0
         self.ask_us = 0  # when to ask peers what they know; 0: done
-        self.answers, self.answers_us = ANSWERS_S, 0
+        self.answers, self.answers_us = MAX_STATE_RESPONSES_PER_S, 0
         self.out: list[tuple[int, bytes]] = []
 
     def begin(self, now_us: int) -> None:
         """The socket is there."""
         self.presence.next_us = now_us + int(self.draw() * 1_000_000)
-        self.ask_us = now_us + 1 + int(self.draw() * ASK_SPREAD_US)
+        self.ask_us = now_us + 1 + int(self.draw() * STATE_REQUEST_JITTER_US)
         self.rumours.bucket.at_us = now_us
 
     # Own outcomes
@@ -121,47 +124,47 @@
             self.tell_good(now_us, host)
 
     def in_doubt(self, now_us: int, host: Host) -> bool:
-        return now_us - self.doubt_us.get(host, -DOUBT_US) < DOUBT_US
+        return now_us - self.doubt_us.get(host, -SUSPICION_MEMORY_US) < SUSPICION_MEMORY_US
 
-    def reporters(self, now_us: int, host: Host, within_us: int = EVIDENCE_US) -> list[Piece]:
+    def reporters(self, now_us: int, host: Host, within_us: int = OBSERVATION_LIFETIME_US) -> list[Observation]:
         """Pieces of others that saw it fail, not longer ago than this."""
         live = self.told.of(now_us, host)
         return [piece for piece in live if piece.item.bad > 0 and now_us - piece.at_us < within_us]
 
-    def own_item(self, now_us: int, host: Host) -> EvidenceItem:
+    def own_item(self, now_us: int, host: Host) -> ObservationItem:
         good, bad = self.watch.sums(now_us, host)
-        common = int(COUNT_MOST * self.watch.common(now_us, host))
-        return EvidenceItem(
-            self.number, self.presence.incarnation, stamp_of(now_us), host[0], host[1],
-            min(good, COUNT_MOST), min(bad, COUNT_MOST), common, min(self.zone, COUNT_MOST),
+        common = int(MAX_COUNT * self.watch.common(now_us, host))
+        return ObservationItem(
+            self.number, self.presence.incarnation, timestamp_ms_of(now_us), host[0], host[1],
+            min(good, MAX_COUNT), min(bad, MAX_COUNT), common, min(self.zone, MAX_COUNT),
         )  # fmt: skip
 
     def tell_bad(self, now_us: int, host: Host) -> None:
-        others = len(self.reporters(now_us, host, CONFIRM_US))
-        again = now_us - self.said_us.get(host, -AGAIN_US) >= AGAIN_US
-        if self.watch.common(now_us, host) > ILL:
+        others = len(self.reporters(now_us, host, CONFIRMATION_WINDOW_US))
+        again = now_us - self.said_us.get(host, -REPORT_INTERVAL_US) >= REPORT_INTERVAL_US
+        if self.watch.common(now_us, host) > MAX_COMMON_FAILURE_RATIO:
             self.counts.ill += 1
             return
-        if others + 1 >= DOUBT_TELLERS:
+        if others + 1 >= MIN_REPORTERS:
             self.confirm(now_us, host)
-            if again and others < ENOUGH:
-                self.say(now_us, host, self.hops)
+            if again and others < MAX_FAILURE_REPORTERS:
+                self.say(now_us, host, self.max_transmissions)
         elif again:
             self.counts.first += 1
-            self.say(now_us, host, self.first)
+            self.say(now_us, host, self.unconfirmed_fanout)
         self.judge(now_us, host)
 
     def tell_good(self, now_us: int, host: Host) -> None:
         well = sum(piece.item.bad == 0 for piece in self.told.of(now_us, host))
-        again = now_us - self.said_us.get(host, -AGAIN_US) >= AGAIN_US
-        if again and self.watch.sums(now_us, host)[1] == 0 and well < ENOUGH_WELL:
+        again = now_us - self.said_us.get(host, -REPORT_INTERVAL_US) >= REPORT_INTERVAL_US
+        if again and self.watch.sums(now_us, host)[1] == 0 and well < MAX_SUCCESS_REPORTERS:
             self.counts.contradicted += 1
-            self.say(now_us, host, self.hops)
+            self.say(now_us, host, self.max_transmissions)
         self.judge(now_us, host)
 
     def say(self, now_us: int, host: Host, sends: int) -> None:
-        if len(self.said_us) >= HOSTS_MOST:
-            self.said_us = {h: at_us for h, at_us in self.said_us.items() if now_us - at_us < AGAIN_US}
+        if len(self.said_us) >= MAX_HOSTS:
+            self.said_us = {h: at_us for h, at_us in self.said_us.items() if now_us - at_us < REPORT_INTERVAL_US}
         self.said_us[host] = now_us
         self.rumours.add(self.own_item(now_us, host), sends)
 
@@ -180,27 +183,29 @@
         for item in said.items:
             if isinstance(item, MemberItem):
                 presence.learn(now_us, item)
-            elif isinstance(item, EvidenceItem):
+            elif isinstance(item, ObservationItem):
                 self.on_evidence(now_us, item)
             elif self.rights is not None:
                 self.on_rights(now_us, self.rights, item, head)
-        if head.kind == Kind.PING:
+        if head.kind == MessageKind.PING:
             presence.on_ping(head.number, head.sequence)
-        elif head.kind == Kind.PING_FOR:
+        elif head.kind == MessageKind.PING_REQ:
             presence.on_ping_for(now_us, head.number, head.sequence, head.other)
-        elif head.kind == Kind.ACK:
+        elif head.kind == MessageKind.ACK:
             presence.on_ack(head.sequence, head.other)
-        elif head.kind == Kind.NACK:
+        elif head.kind == MessageKind.NACK:
             presence.on_nack(head.sequence)
-        elif head.kind == Kind.ASK:
+        elif head.kind == MessageKind.STATE_REQUEST:
             self.answer(now_us, head.number)
 
-    def on_rights(self, now_us: int, rights: Rights, item: WantItem | GiveItem, head: Head) -> None:
+    def on_rights(
+        self, now_us: int, rights: RetryTokens, item: TokenRequestItem | TokenGrantItem, head: Header
+    ) -> None:
         own = self.presence.incarnation
-        if isinstance(item, WantItem):
-            gift = rights.give(item, head.number, head.incarnation, own, stamp_of(now_us))
+        if isinstance(item, TokenRequestItem):
+            gift = rights.give(item, head.number, head.incarnation, own, timestamp_ms_of(now_us))
             if gift is not None:
-                self.post(now_us, head.number, Kind.NEWS, items=(gift,), owed=True)
+                self.post(now_us, head.number, MessageKind.GOSSIP, items=(gift,), owed=True)
         elif item.giver == head.number:
             age_ms = self.told.clocks.age_ms(now_us, item.giver, item.incarnation, item.stamp)
             rights.take(now_us, item, own, age_ms * 1000 if age_ms is not None else None)
@@ -209,10 +214,10 @@
         """Tokens for further attempts are wanting here: ask some others."""
         want = self.rights.want(now_us) if self.rights is not None else None
         if want is not None:
-            for number in sorted(self.presence.alive(), key=lambda _: self.draw())[:ASKED]:
-                self.post(now_us, number, Kind.NEWS, items=(want,))
+            for number in sorted(self.presence.alive(), key=lambda _: self.draw())[:TOKEN_REQUEST_FANOUT]:
+                self.post(now_us, number, MessageKind.GOSSIP, items=(want,))
 
-    def on_evidence(self, now_us: int, item: EvidenceItem) -> None:
+    def on_evidence(self, now_us: int, item: ObservationItem) -> None:
         if item.teller == self.number or item.teller >= self.count:
             return
         host = (item.host, item.started)
@@ -220,48 +225,52 @@
         if piece is None:
             self.rumours.heard_again(item)
             return
-        own = now_us - self.watch.bad_us(host) < CONFIRM_US
-        reporters = len(self.reporters(now_us, host, CONFIRM_US)) + own
+        own = now_us - self.watch.bad_us(host) < CONFIRMATION_WINDOW_US
+        reporters = len(self.reporters(now_us, host, CONFIRMATION_WINDOW_US)) + own
         if item.bad > 0:
-            piece.sends = self.hops
-            if reporters >= DOUBT_TELLERS:
+            piece.sends = self.max_transmissions
+            if reporters >= MIN_REPORTERS:
                 self.confirm(now_us, host)
         elif self.in_doubt(now_us, host):
             well = sum(p.item.bad == 0 for p in self.told.of(now_us, host))
-            if well <= ENOUGH_WELL:
-                piece.sends = self.hops
+            if well <= MAX_SUCCESS_REPORTERS:
+                piece.sends = self.max_transmissions
                 self.rumours.pass_on(piece)
         self.judge(now_us, host)
 
     def confirm(self, now_us: int, host: Host) -> None:
         """A second teller is known: all are to hear of it, and of both."""
-        if now_us - self.doubt_us.get(host, -EVIDENCE_US) >= EVIDENCE_US:
+        if now_us - self.doubt_us.get(host, -OBSERVATION_LIFETIME_US) >= OBSERVATION_LIFETIME_US:
             self.counts.confirmed += 1
             self.watch.begin_anew(host)
-        if len(self.doubt_us) >= HOSTS_MOST:
-            self.doubt_us = {h: at_us for h, at_us in self.doubt_us.items() if now_us - at_us < DOUBT_US}
+        if len(self.doubt_us) >= MAX_HOSTS:
+            self.doubt_us = {h: at_us for h, at_us in self.doubt_us.items() if now_us - at_us < SUSPICION_MEMORY_US}
         self.doubt_us[host] = now_us
-        worst = sorted(self.reporters(now_us, host, CONFIRM_US), key=lambda piece: -piece.at_us)
+        worst = sorted(self.reporters(now_us, host, CONFIRMATION_WINDOW_US), key=lambda piece: -piece.at_us)
         for place, piece in enumerate(worst):
-            if place < ENOUGH:
+            if place < MAX_FAILURE_REPORTERS:
                 self.rumours.pass_on(piece)
             piece.sends = 0
-        own = now_us - self.watch.bad_us(host) < CONFIRM_US
-        if own and len(worst) < ENOUGH and now_us - self.said_us.get(host, -AGAIN_US) >= AGAIN_US:
-            self.say(now_us, host, self.hops)
+        own = now_us - self.watch.bad_us(host) < CONFIRMATION_WINDOW_US
+        if (
+            own
+            and len(worst) < MAX_FAILURE_REPORTERS
+            and now_us - self.said_us.get(host, -REPORT_INTERVAL_US) >= REPORT_INTERVAL_US
+        ):
+            self.say(now_us, host, self.max_transmissions)
 
     # What the module hears
 
     def judge(self, now_us: int, host: Host) -> None:
-        found = weigh(now_us, self.told.of(now_us, host), self.zone, self.watch.sums(now_us, host))
+        found = assess(now_us, self.told.of(now_us, host), self.zone, self.watch.sums(now_us, host))
         before = self.passed.get(host)
         if before is None:
-            if found.reporters < DOUBT_TELLERS and found.well < DOUBT_TELLERS:
+            if found.reporters < MIN_REPORTERS and found.well < MIN_REPORTERS:
                 return  # nothing that the module would act on
-            if len(self.passed) >= HOSTS_MOST:
+            if len(self.passed) >= MAX_HOSTS:
                 return
         elif (found.doubted, found.reporters, found.well) == (before.doubted, before.reporters, before.well) and (
-            found.until_us - before.until_us < SLOT_US
+            found.until_us - before.until_us < WINDOW_SLOT_US
         ):
             return
         self.passed[host] = found
@@ -274,7 +283,7 @@
             if now_us >= self.passed[host].until_us:
                 del self.passed[host]
                 self.counts.heard += 1
-                self.hear(host[0], host[1], Weighed(0.0, 0.0, 0, 0, now_us))
+                self.hear(host[0], host[1], Assessment(0.0, 0.0, 0, 0, now_us))
             else:
                 self.judge(now_us, host)
         self.told.forget(now_us)
@@ -283,7 +292,9 @@
 
     def answer(self, now_us: int, number: int) -> None:
         """All that matters now, to one that knows nothing; spread, as seven in ten may begin at once."""
-        self.answers = min(ANSWERS_S, self.answers + (now_us - self.answers_us) / 1e6 * ANSWERS_S)
+        self.answers = min(
+            MAX_STATE_RESPONSES_PER_S, self.answers + (now_us - self.answers_us) / 1e6 * MAX_STATE_RESPONSES_PER_S
+        )
         self.answers_us = now_us
         items: list[Item] = [
             self.presence.item(n) for n, other in self.presence.others.items() if other.life and n != number
@@ -291,13 +302,13 @@
         for host in self.told.hosts:
             pieces = self.reporters(now_us, host)
             if self.in_doubt(now_us, host):
-                items += [piece.item for piece in sorted(pieces, key=lambda p: -p.at_us)[:DOUBT_TELLERS]]
+                items += [piece.item for piece in sorted(pieces, key=lambda p: -p.at_us)[:MIN_REPORTERS]]
         said = 0
-        while items and said < ASKED_MOST and self.answers >= 1.0:
+        while items and said < MAX_STATE_RESPONSE_DATAGRAMS and self.answers >= 1.0:
             packed, items = items[:8], items[8:]
             self.answers -= 1.0
             said += 1
-            self.post(now_us, number, Kind.NEWS, items=tuple(packed))
+            self.post(now_us, number, MessageKind.GOSSIP, items=tuple(packed))
 
     # Time
 
@@ -305,7 +316,7 @@
         self.presence.stood_still(now_us, stall_us)
 
     def next_due(self) -> int:
-        due_us = min(self.presence.next_due(), self.slot_us + SLOT_US)
+        due_us = min(self.presence.next_due(), self.slot_us + WINDOW_SLOT_US)
         if self.rumours.worth_saying:
             due_us = min(due_us, self.flush_due())
         if self.ask_us:
@@ -314,32 +325,34 @@
 
     def tick(self, now_us: int) -> None:
         self.rumours.bucket.refill(now_us, self.requests)
-        if now_us >= self.slot_us + SLOT_US:
+        if now_us >= self.slot_us + WINDOW_SLOT_US:
             self.slot_us = now_us
             self.look_again(now_us)
         if self.ask_us and now_us >= self.ask_us:
             self.ask_us = 0
-            for number in sorted(self.presence.alive(), key=lambda _: self.draw())[:ASK_PEERS]:
-                self.post(now_us, number, Kind.ASK)
+            for number in sorted(self.presence.alive(), key=lambda _: self.draw())[:STATE_REQUEST_FANOUT]:
+                self.post(now_us, number, MessageKind.STATE_REQUEST)
         self.presence.tick(now_us)
         self.say_presence(now_us)
         if self.rumours.worth_saying and now_us >= self.flush_due():
             self.flush(now_us)
 
     def flush_due(self) -> int:
-        return self.flushed_us + (URGENT_US if self.rumours.urgent else FLUSH_US)
+        return self.flushed_us + (URGENT_BROADCAST_INTERVAL_US if self.rumours.urgent else BROADCAST_INTERVAL_US)
 
     def say_presence(self, now_us: int) -> None:
         presence = self.presence
         news, presence.news = presence.news, []
         for item in news:
             # One accuser may hear badly itself: it tells a few, and whom it accuses.
-            few = item.life == Life.SUSPECT and len(presence.others[item.number].accusers) < ACCUSERS_LEAST
-            self.rumours.add(item, self.first if few or item.number == self.number else self.hops)
+            few = item.life == MemberStatus.SUSPECT and len(presence.others[item.number].accusers) < MIN_ACCUSERS
+            self.rumours.add(
+                item, self.unconfirmed_fanout if few or item.number == self.number else self.max_transmissions
+            )
         said, presence.out = presence.out, []
         for say in said:
             items: tuple[Item, ...] = (say.item,) if say.item is not None else ()
-            self.post(now_us, say.to, say.kind, say.sequence, say.other, items, owed=say.kind is Kind.ACK)
+            self.post(now_us, say.to, say.kind, say.sequence, say.other, items, owed=say.kind is MessageKind.ACK)
 
     def flush(self, now_us: int) -> None:
         """Urgent news leaves at once, the rest with what is sent anyway or after a while."""
@@ -347,14 +360,14 @@
         for number in self.rumours.targets(self.presence.alive()):
             if not self.rumours.waiting:
                 break
-            if self.rumours.bucket.left < HEAD.size + SUM.size:
+            if self.rumours.bucket.left < HEADER_STRUCT.size + CHECKSUM_STRUCT.size:
                 self.counts.poor += 1
                 break
-            self.post(now_us, number, Kind.NEWS)
+            self.post(now_us, number, MessageKind.GOSSIP)
 
     def post(
-        self, now_us: int, number: int, kind: Kind, sequence: int = 0, other: int = 0, items: tuple[Item, ...] = (),
-        owed: bool = False,
+        self, now_us: int, number: int, kind: MessageKind, sequence: int = 0, other: int = 0,
+        items: tuple[Item, ...] = (), owed: bool = False,
     ) -> None:  # fmt: skip
         """One datagram, filled up with news."""
         bucket = self.rumours.bucket
@@ -362,7 +375,7 @@
             self.counts.poor += 1
             return
         items += self.rumours.choose(items)
-        head = Head(kind, self.number, self.presence.incarnation, stamp_of(now_us), sequence, other)
+        head = Header(kind, self.number, self.presence.incarnation, timestamp_ms_of(now_us), sequence, other)
         data = encode(head, items)
         bucket.left -= len(data)
         self.counts.sent += 1
@@ -373,32 +386,5 @@
         said, self.out = self.out, []
         return said
 
-    # For staff
-
-    def shown(self, now_us: int) -> dict[str, object]:
-        """JSON-able: who is there, hosts in doubt and why, and what it costs."""
-        counts, presence = self.counts, self.presence
-        return {
-            "gateway": self.number, "zone": self.zone, "incarnation": presence.incarnation, "health": presence.health,
-            "peers": {
-                str(n): {"state": other.state, "incarnation": other.incarnation,
-                         "heard_ms": (now_us - other.heard_us) // 1000 if other.heard_us else -1}
-                for n, other in presence.others.items()
-            },
-            "hosts": [
-                {"host": f"{host[0]:x}", "good": round(known.good, 1), "bad": round(known.bad, 1),
-                 "tellers": known.reporters, "well": known.well, "doubted": known.doubted,
-                 "left_ms": max(0, known.until_us - now_us) // 1000,
-                 "own": list(self.watch.sums(now_us, host))}
-                for host, known in self.passed.items()
-            ],
-            "suspicions": presence.suspicions, "refutations": presence.refutations, "returns": presence.returns,
-            "sent": counts.sent, "sent_bytes": counts.sent_bytes, "came": counts.came, "first": counts.first,
-            "confirmed": counts.confirmed, "contradicted": counts.contradicted, "ill": counts.ill,
-            "poor": counts.poor, "unknown": counts.unknown, "heard": counts.heard, "old": self.told.old,
-            "late": self.told.late, "rights": asdict(self.rights.counts) if self.rights is not None else {},
-            "budget": round(self.rumours.bucket.left), "waiting": len(self.rumours.waiting),
-        }  # fmt: skip
-
-
-assert EVIDENCE_US % SLOT_US == 0
+
+assert OBSERVATION_LIFETIME_US % WINDOW_SLOT_US == 0
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_sharing.py
@@ -15,7 +15,7 @@
 
 from cloverkeel.balancing.balancer import CHEAP_RETRY, RETRY_SHARE
 from cloverkeel.core.config import stable_id
-from cloverkeel.gossip.retry_tokens import CAP
+from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
 from standins.parties.fleet import ROOT
 from standins.parties.network import Conditions
 from tests import sockets
@@ -237,8 +237,8 @@
     async with shared(tmp_path, count=4) as fleet:
         if doubled:
             fleet.mesh.trouble(Conditions(double=1.0, jitter_us=5_000))
-        spent = await hungry(fleet, 2 * CAP)
-        assert spent <= fleet.count * CAP + 1e-6, f"{spent}\n{fleet.timeline()}"
+        spent = await hungry(fleet, 2 * MAX_SAVED_TOKENS)
+        assert spent <= fleet.count * MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
         fleet.check()
 
 
@@ -247,7 +247,7 @@
     async with shared(tmp_path, count=4) as fleet:
         fleet.cut([0], [1, 2, 3])
         spent = await hungry(fleet, 0.0)
-        assert spent <= CAP + 1e-6, f"{spent}\n{fleet.timeline()}"
+        assert spent <= MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
         fleet.check()
 
 
--- a/tests/golden/gossip.py
+++ b/tests/golden/gossip.py
@@ -14,18 +14,18 @@
 from cloverkeel.gossip.messages import (
     MASK32,
     Datagram,
-    EvidenceItem,
-    GiveItem,
-    Head,
+    ObservationItem,
+    TokenGrantItem,
+    Header,
     Item,
-    Kind,
-    Life,
+    MessageKind,
+    MemberStatus,
     MemberItem,
-    WantItem,
+    TokenRequestItem,
     decode,
     encode,
 )
-from cloverkeel.gossip.driver import Room
+from cloverkeel.gossip.driver import GossipDriver
 from tests.golden.commands import output_of
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import configuration
@@ -34,23 +34,39 @@
 INCARNATION: Final = 0x01020304
 STAMP: Final = 0xF0E0D0C0
 
+# The kept samples are named by the words of docs/peers-wire.md.
+MEMBER_SAMPLE_NAMES: Final = {MemberStatus.DEAD: "gone"}
+KIND_SAMPLE_NAMES: Final = {
+    MessageKind.GOSSIP: "news", MessageKind.PING_REQ: "ping_for", MessageKind.STATE_REQUEST: "ask",
+}  # fmt: skip
+
+
+def _sample_name(kind: MessageKind) -> str:
+    return KIND_SAMPLE_NAMES.get(kind, kind.name.lower())
+
+
 ITEMS: Final[dict[str, Item]] = {
-    **{f"member_{life.name.lower()}": MemberItem(0x0102, INCARNATION, life, 0x0304) for life in Life},
-    "evidence": EvidenceItem(0x0102, INCARNATION, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 250, 3, 128, 4),
-    "evidence_largest": EvidenceItem(0xFFFF, MASK32, MASK32, MASK32, MASK32, 255, 255, 255, 255),
-    "want": WantItem(1_250),
-    "give": GiveItem(0x0102, INCARNATION, 77, STAMP, 0x0304, 0x05060708, 450),
+    **{
+        f"member_{MEMBER_SAMPLE_NAMES.get(status, status.name.lower())}": MemberItem(
+            0x0102, INCARNATION, status, 0x0304
+        )
+        for status in MemberStatus
+    },
+    "evidence": ObservationItem(0x0102, INCARNATION, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 250, 3, 128, 4),
+    "evidence_largest": ObservationItem(0xFFFF, MASK32, MASK32, MASK32, MASK32, 255, 255, 255, 255),
+    "want": TokenRequestItem(1_250),
+    "give": TokenGrantItem(0x0102, INCARNATION, 77, STAMP, 0x0304, 0x05060708, 450),
 }
 ITEM_CLASSES: Final[frozenset[type]] = frozenset(get_args(Item))
 ITEM_CLASSES_OF_SAMPLES: Final[frozenset[type]] = frozenset(map(type, ITEMS.values()))
-DATAGRAM_KINDS: Final[frozenset[str]] = frozenset(kind.name.lower() for kind in Kind)
+DATAGRAM_KINDS: Final[frozenset[str]] = frozenset(map(_sample_name, MessageKind))
 
 
-def _head(kind: Kind) -> Head:
-    return Head(kind, 0x1203, INCARNATION, STAMP, sequence=0x89ABCDEF, other=0x0405)
+def _head(kind: MessageKind) -> Header:
+    return Header(kind, 0x1203, INCARNATION, STAMP, sequence=0x89ABCDEF, other=0x0405)
 
 
-def _datagram(kind: Kind, *items: Item) -> Sample:
+def _datagram(kind: MessageKind, *items: Item) -> Sample:
     head = _head(kind)
     return Sample(lambda: encode(head, items), decode, Datagram(head, items))
 
@@ -66,14 +82,14 @@
         program = assemble(config)
         with mock.patch("random.SystemRandom") as system_random:
             system_random.return_value.getrandbits.return_value = 1
-            room = Room(config, program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
+            room = GossipDriver(config, program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
         try:
             before = room.call(b"PEERS")
             room.exchange.begin(NOW_US)
             for number in (1, 2):
-                told = EvidenceItem(number, 9, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 0, 40, 0, 0)
-                alive = MemberItem(number, 9, Life.ALIVE, number)
-                head = Head(Kind.NEWS, number, 9, STAMP)
+                told = ObservationItem(number, 9, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 0, 40, 0, 0)
+                alive = MemberItem(number, 9, MemberStatus.ALIVE, number)
+                head = Header(MessageKind.GOSSIP, number, 9, STAMP)
                 room.exchange.receive(NOW_US, Datagram(head, (alive, told)))
             room.exchange.tick(NOW_US)
             after = room.call(b"PEERS\r\n")
@@ -112,10 +128,10 @@
 
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
     "sharing_datagrams": {
-        **{f"empty_{kind.name.lower()}": _datagram(kind) for kind in Kind},
-        **{f"news_{name}": _datagram(Kind.NEWS, item) for name, item in ITEMS.items()},
+        **{f"empty_{_sample_name(kind)}": _datagram(kind) for kind in MessageKind},
+        **{f"news_{name}": _datagram(MessageKind.GOSSIP, item) for name, item in ITEMS.items()},
         "ack_with_one_of_each_item": _datagram(
-            Kind.ACK, ITEMS["member_suspect"], ITEMS["evidence"], ITEMS["want"], ITEMS["give"]
+            MessageKind.ACK, ITEMS["member_suspect"], ITEMS["evidence"], ITEMS["want"], ITEMS["give"]
         ),
     },
     "sharing_admin": {name: _admin_answer(name) for name in ("peers_of_nothing", "peers")},
--- a/tests/test_sharing_commands.py
+++ b/tests/test_sharing_commands.py
@@ -21,7 +21,7 @@
 from cloverkeel.core.options import Options, Sharing, parse
 from cloverkeel.core.metrics import Tally
 from cloverkeel.gossip.commands import differences, main
-from cloverkeel.gossip.retry_tokens import CAP
+from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
 from tests.sockets import configuration, on_loop
 
 
@@ -128,6 +128,6 @@
             program.start()
             await asyncio.sleep(0)
             assert program.datagrams is not None and program.datagrams.transport is None
-            assert before > CAP and program.gateway.balancer.retry_state(now_us()) == (0.0, False)
+            assert before > MAX_SAVED_TOKENS and program.gateway.balancer.retry_state(now_us()) == (0.0, False)
         finally:
             program.close()
--- a/tests/test_sharing_pure.py
+++ b/tests/test_sharing_pure.py
@@ -15,67 +15,86 @@
 from cloverkeel.balancing.balancer import COOLDOWN_US, HELD_MOST_US, MINIMUM, State
 from cloverkeel.balancing.interface import PeerHealthReport, ListedServer, Outcome, RetryTokenGrant
 from cloverkeel.gossip.outlier_reports import (
-    EVIDENCE_US,
-    HOSTS_MOST,
-    STREAK,
-    TELLERS_MOST,
-    Clock,
-    Piece,
-    Told,
-    Watch,
-    Weighed,
-    apart,
+    OBSERVATION_LIFETIME_US,
+    MAX_HOSTS,
+    RECOVERY_STREAK,
+    MAX_REPORTERS_PER_HOST,
+    ClockOffset,
+    Observation,
+    PeerObservations,
+    LocalOutcomes,
+    Assessment,
+    timestamp_difference_ms,
     is_newer,
-    stamp_of,
-    weigh,
+    timestamp_ms_of,
+    assess,
 )
-from cloverkeel.gossip.node import AGAIN_US, Exchange
+from cloverkeel.gossip.node import REPORT_INTERVAL_US, GossipNode
 from cloverkeel.gossip.messages import (
-    EVIDENCE_BYTES,
-    LIMIT,
+    OBSERVATION_ITEM_BYTES,
+    MAX_DATAGRAM_BYTES,
     MASK32,
-    ROOM,
+    MAX_ITEMS_BYTES,
     Datagram,
-    EvidenceItem,
-    GiveItem,
-    Head,
+    ObservationItem,
+    TokenGrantItem,
+    Header,
     Item,
-    Kind,
-    Life,
+    MessageKind,
+    MemberStatus,
     MemberItem,
-    WantItem,
+    TokenRequestItem,
     decode,
     encode,
 )
-from cloverkeel.gossip.retry_tokens import CAP, LEAST, LIFE_US, UNIT, Rights
-from cloverkeel.gossip.failure_detector import HEALTH_MOST, PERIOD_US, REFUTE_US, Presence, Say
-from cloverkeel.gossip.dissemination import LEAST_BYTES_S, RUMOURS_MOST, SAVED_BYTES, Bucket, Rumours, hops
+from cloverkeel.gossip.retry_tokens import (
+    MAX_SAVED_TOKENS,
+    MIN_TRANSFER_TOKENS,
+    GRANT_LIFETIME_US,
+    HUNDREDTHS_PER_TOKEN,
+    RetryTokens,
+)
+from cloverkeel.gossip.failure_detector import (
+    MAX_LOCAL_HEALTH_SCORE,
+    PROBE_INTERVAL_US,
+    REFUTATION_INTERVAL_US,
+    FailureDetector,
+)
+from cloverkeel.gossip.peer_state import OutgoingMessage
+from cloverkeel.gossip.dissemination import (
+    MIN_BYTES_PER_S,
+    MAX_QUEUED_BROADCASTS,
+    MAX_SAVED_BYTES,
+    ByteTokenBucket,
+    BroadcastQueue,
+    max_transmissions,
+)
 from tests.helpers import Driver, sends, trip
 
 NOW_US = 1_000_000_000_000
 HOST = (5, 1)
 
 u8, u16, u32 = st.integers(0, 255), st.integers(0, 65_535), st.integers(0, MASK32)
-members = st.builds(MemberItem, u16, u32, st.sampled_from(list(Life)).map(int), u16)
-pieces = st.builds(EvidenceItem, u16, u32, u32, u32, u32, u8, u8, u8, u8)
-gifts = st.builds(GiveItem, u16, u32, u32, u32, u16, u32, u16)
-heads = st.builds(Head, st.sampled_from(list(Kind)).map(int), u16, u32, u32, u32, u16)
+members = st.builds(MemberItem, u16, u32, st.sampled_from(list(MemberStatus)).map(int), u16)
+pieces = st.builds(ObservationItem, u16, u32, u32, u32, u32, u8, u8, u8, u8)
+gifts = st.builds(TokenGrantItem, u16, u32, u32, u32, u16, u32, u16)
+heads = st.builds(Header, st.sampled_from(list(MessageKind)).map(int), u16, u32, u32, u32, u16)
 
 
 def piece(
     teller: int, bad: int = 1, good: int = 0, at_us: int = NOW_US, host: tuple[int, int] = HOST, common: int = 0,
     zone: int = 0, incarnation: int = 1,
-) -> EvidenceItem:  # fmt: skip
-    return EvidenceItem(teller, incarnation, stamp_of(at_us), host[0], host[1], good, bad, common, zone)
+) -> ObservationItem:  # fmt: skip
+    return ObservationItem(teller, incarnation, timestamp_ms_of(at_us), host[0], host[1], good, bad, common, zone)
 
 
 # The form
 
 
-@given(heads, st.lists(st.one_of(members, pieces, gifts, st.builds(WantItem, u16)), max_size=8))
-def test_what_is_written_is_read_back_and_fits(head: Head, items: list[Item]) -> None:
+@given(heads, st.lists(st.one_of(members, pieces, gifts, st.builds(TokenRequestItem, u16)), max_size=8))
+def test_what_is_written_is_read_back_and_fits(head: Header, items: list[Item]) -> None:
     data = encode(head, tuple(items))
-    assert len(data) <= LIMIT
+    assert len(data) <= MAX_DATAGRAM_BYTES
     found = decode(data)
     assert found == Datagram(head, tuple(items))
 
@@ -86,7 +105,7 @@
 
 
 @given(heads, st.lists(pieces, max_size=4), st.data())
-def test_what_is_cut_short_or_spoilt_is_none(head: Head, items: list[Item], data: st.DataObject) -> None:
+def test_what_is_cut_short_or_spoilt_is_none(head: Header, items: list[Item], data: st.DataObject) -> None:
     said = encode(head, tuple(items))
     assert decode(said[: data.draw(st.integers(0, len(said) - 1))]) is None
     at = data.draw(st.integers(0, len(said) - 1))
@@ -99,9 +118,9 @@
     import struct
     import zlib
 
-    known = encode(Head(Kind.NEWS, 1, 2, 3), (piece(1),))[:-4]
+    known = encode(Header(MessageKind.GOSSIP, 1, 2, 3), (piece(1),))[:-4]
     longer = bytearray(known)
-    longer[-EVIDENCE_BYTES + 1] += 2  # the item says that it has two bytes more
+    longer[-OBSERVATION_ITEM_BYTES + 1] += 2  # the item says that it has two bytes more
     said = bytes(longer) + b"xx" + struct.pack(">BB", 77, 3) + b"new"
     found = decode(said + struct.pack(">I", zlib.crc32(said)))
     assert found is not None and found.items == (piece(1),) and found.unknown == 1
@@ -109,9 +128,12 @@
 
 def test_what_does_not_fit_is_an_error() -> None:
     with pytest.raises(ValueError, match="256 at most"):
-        encode(Head(Kind.NEWS, 1, 1, 1), tuple(piece(n) for n in range(ROOM // EVIDENCE_BYTES + 1)))
-    with pytest.raises(ValueError, match="Head"):
-        encode(Head(Kind.NEWS, 70_000, 1, 1))
+        encode(
+            Header(MessageKind.GOSSIP, 1, 1, 1),
+            tuple(piece(n) for n in range(MAX_ITEMS_BYTES // OBSERVATION_ITEM_BYTES + 1)),
+        )
+    with pytest.raises(ValueError, match="Header"):
+        encode(Header(MessageKind.GOSSIP, 70_000, 1, 1))
 
 
 # Evidence
@@ -131,10 +153,10 @@
     ]
     found = []
     for order in range(2):
-        told = Told()
+        told = PeerObservations()
         for teller in range(1, 4):  # every clock is known, as its newest incarnation has spoken
             newest = max((i.incarnation for i in items if i.teller == teller), default=1)
-            told.clocks.take(NOW_US, teller, newest, stamp_of(NOW_US))
+            told.clocks.take(NOW_US, teller, newest, timestamp_ms_of(NOW_US))
         mixed = items * (1 + order)
         dice.shuffle(mixed)
         for item in mixed:
@@ -149,26 +171,26 @@
 def test_age_is_told_by_the_quickest_way_whatever_the_clocks_say(
     ours_us: int, theirs_us: int, late_ms: int, rate: float
 ) -> None:
-    clock = Clock(1, (stamp_of(ours_us) - stamp_of(theirs_us)) & MASK32, since_us=ours_us)
+    clock = ClockOffset(1, (timestamp_ms_of(ours_us) - timestamp_ms_of(theirs_us)) & MASK32, since_us=ours_us)
     for second in range(0, 100, 10):  # some were quick
-        clock.take(ours_us + second * 1_000_000, stamp_of(theirs_us + int(second * 1e6 * (1 + rate))))
+        clock.take(ours_us + second * 1_000_000, timestamp_ms_of(theirs_us + int(second * 1e6 * (1 + rate))))
     now_us = ours_us + 100_000_000
-    stamp = stamp_of(theirs_us + int((100_000_000 - late_ms * 1000) * (1 + rate)))
+    stamp = timestamp_ms_of(theirs_us + int((100_000_000 - late_ms * 1000) * (1 + rate)))
     assert abs(clock.age_ms(now_us, stamp) - late_ms) <= 202  # a thousandth of the time since the quickest
 
 
 def test_stamps_go_round() -> None:
-    assert apart(5, MASK32 - 4) == 10 and apart(MASK32 - 4, 5) == -10
+    assert timestamp_difference_ms(5, MASK32 - 4) == 10 and timestamp_difference_ms(MASK32 - 4, 5) == -10
 
 
 def test_what_is_late_by_a_minute_does_not_count() -> None:
-    told = Told()
-    told.clocks.take(NOW_US, 1, 1, stamp_of(NOW_US))
+    told = PeerObservations()
+    told.clocks.take(NOW_US, 1, 1, timestamp_ms_of(NOW_US))
     assert told.merge(NOW_US + 60_000_000, piece(1, at_us=NOW_US)) is None and told.late == 1
 
 
 def test_a_restarted_teller_ends_what_it_had_said_and_its_old_pieces_are_no_news() -> None:
-    told = Told()
+    told = PeerObservations()
     assert told.merge(NOW_US, piece(1, bad=3)) is not None
     assert told.merge(NOW_US + 1000, piece(1, 0, 2, NOW_US + 1000, incarnation=2)) is not None
     assert told.merge(NOW_US + 2000, piece(1, bad=9, at_us=NOW_US + 2000)) is None
@@ -176,78 +198,80 @@
 
 
 def test_what_is_kept_is_bounded() -> None:
-    told, watch = Told(), Watch()
-    for host in range(2 * HOSTS_MOST):
+    told, watch = PeerObservations(), LocalOutcomes()
+    for host in range(2 * MAX_HOSTS):
         told.merge(NOW_US, piece(1, host=(host, 0)))
         watch.note(NOW_US, (host, 0), False)
-    assert len(told.hosts) == HOSTS_MOST and len(watch.hosts) == HOSTS_MOST
+    assert len(told.hosts) == MAX_HOSTS and len(watch.hosts) == MAX_HOSTS
     for teller in range(100):
         told.merge(NOW_US, piece(teller, host=(0, 0)))
-    assert len(told.hosts[0, 0]) == TELLERS_MOST
-    assert told.forget(NOW_US + EVIDENCE_US) and not told.hosts
+    assert len(told.hosts[0, 0]) == MAX_REPORTERS_PER_HOST
+    assert told.forget(NOW_US + OBSERVATION_LIFETIME_US) and not told.hosts
 
 
 def test_good_answers_count_from_the_trouble_on_and_three_in_a_row_end_it() -> None:
-    watch = Watch()
+    watch = LocalOutcomes()
     for _ in range(9):
         watch.note(NOW_US, HOST, True)
     watch.note(NOW_US, HOST, False)
     assert watch.sums(NOW_US, HOST) == (0, 1)  # what was good before says nothing of now
     watch.note(NOW_US, HOST, True)
     assert watch.sums(NOW_US, HOST) == (1, 1)
-    for _ in range(STREAK - 1):
+    for _ in range(RECOVERY_STREAK - 1):
         watch.note(NOW_US, HOST, True)
-    assert watch.sums(NOW_US, HOST) == (STREAK, 0) and watch.recovered(HOST)
-    assert watch.sums(NOW_US + EVIDENCE_US, HOST) == (0, 0)
+    assert watch.sums(NOW_US, HOST) == (RECOVERY_STREAK, 0) and watch.recovered(HOST)
+    assert watch.sums(NOW_US + OBSERVATION_LIFETIME_US, HOST) == (0, 0)
 
 
-def lived(*items: EvidenceItem, at_us: int = NOW_US) -> list[Piece]:
-    return [Piece(item, at_us) for item in items]
+def lived(*items: ObservationItem, at_us: int = NOW_US) -> list[Observation]:
+    return [Observation(item, at_us) for item in items]
 
 
 def test_one_teller_is_no_doubt_and_two_are() -> None:
-    assert not weigh(NOW_US, lived(piece(1, bad=200)), 0).doubted
-    assert weigh(NOW_US, lived(piece(1), piece(2)), 0).doubted
+    assert not assess(NOW_US, lived(piece(1, bad=200)), 0).doubted
+    assert assess(NOW_US, lived(piece(1), piece(2)), 0).doubted
 
 
 def test_who_fails_everywhere_counts_for_little() -> None:
-    found = weigh(NOW_US, lived(piece(1, bad=9, common=230), piece(2, bad=9, common=230), piece(3)), 0)
+    found = assess(NOW_US, lived(piece(1, bad=9, common=230), piece(2, bad=9, common=230), piece(3)), 0)
     assert found.reporters == 1 and not found.doubted
 
 
 def test_what_is_well_from_the_own_zone_stays_in_use_there() -> None:
     far = lived(piece(1, bad=5, zone=1), piece(2, bad=5, zone=1))
     near = lived(piece(3, 0, 2, zone=0))
-    assert weigh(NOW_US, far, 0).doubted  # nobody here knows better
-    assert not weigh(NOW_US, far + near, 0).doubted
-    assert not weigh(NOW_US, far, 0, own=(1, 0)).doubted
-    assert weigh(NOW_US, far + near, 2).doubted  # a third zone has nobody
+    assert assess(NOW_US, far, 0).doubted  # nobody here knows better
+    assert not assess(NOW_US, far + near, 0).doubted
+    assert not assess(NOW_US, far, 0, own=(1, 0)).doubted
+    assert assess(NOW_US, far + near, 2).doubted  # a third zone has nobody
 
 
 def test_older_evidence_counts_for_less_and_ends() -> None:
-    old = lived(piece(1, bad=2), piece(2, bad=2), at_us=NOW_US - EVIDENCE_US * 9 // 10)
-    assert not weigh(NOW_US, old + lived(piece(3, 0, 2)), 0).doubted
-    assert weigh(NOW_US, old, 0).until_us == NOW_US + EVIDENCE_US // 10
-    assert weigh(NOW_US + EVIDENCE_US, old, 0) == Weighed(0.0, 0.0, 0, 0, NOW_US + EVIDENCE_US)
+    old = lived(piece(1, bad=2), piece(2, bad=2), at_us=NOW_US - OBSERVATION_LIFETIME_US * 9 // 10)
+    assert not assess(NOW_US, old + lived(piece(3, 0, 2)), 0).doubted
+    assert assess(NOW_US, old, 0).until_us == NOW_US + OBSERVATION_LIFETIME_US // 10
+    assert assess(NOW_US + OBSERVATION_LIFETIME_US, old, 0) == Assessment(
+        0.0, 0.0, 0, 0, NOW_US + OBSERVATION_LIFETIME_US
+    )
 
 
-# Rumours
+# BroadcastQueue
 
 
 def test_restrictions_go_first_and_each_is_said_so_often() -> None:
-    rumours = Rumours(40, lambda: 0.5)
-    rumours.add(MemberItem(1, 1, Life.ALIVE, 1), 2)
+    rumours = BroadcastQueue(40, lambda: 0.5)
+    rumours.add(MemberItem(1, 1, MemberStatus.ALIVE, 1), 2)
     rumours.add(piece(2, 0, 3), 2)
-    rumours.add(MemberItem(3, 1, Life.GONE, 1), 2)
+    rumours.add(MemberItem(3, 1, MemberStatus.DEAD, 1), 2)
     rumours.add(piece(4), 2)
     first = rumours.choose()
-    assert [type(item) for item in first] == [EvidenceItem, MemberItem, EvidenceItem, MemberItem]
+    assert [type(item) for item in first] == [ObservationItem, MemberItem, ObservationItem, MemberItem]
     assert first[0] == piece(4) and rumours.urgent
     assert rumours.choose() and not rumours.waiting and rumours.choose() == ()
 
 
 def test_who_hears_that_others_say_it_too_says_it_less() -> None:
-    rumours = Rumours(40, lambda: 0.5)
+    rumours = BroadcastQueue(40, lambda: 0.5)
     rumours.add(piece(1), 2)
     rumours.heard_again(piece(1, bad=9))  # another piece
     rumours.heard_again(piece(1))
@@ -257,30 +281,30 @@
 
 
 def test_rumours_are_bounded_and_the_least_goes() -> None:
-    rumours = Rumours(200, lambda: 0.5)
-    for number in range(RUMOURS_MOST):
-        rumours.add(MemberItem(number, 1, Life.ALIVE, 1), 3)
+    rumours = BroadcastQueue(200, lambda: 0.5)
+    for number in range(MAX_QUEUED_BROADCASTS):
+        rumours.add(MemberItem(number, 1, MemberStatus.ALIVE, 1), 3)
     rumours.add(piece(1), 3)
-    rumours.add(MemberItem(60_000, 1, Life.ALIVE, 1), 3)
-    assert len(rumours.waiting) == RUMOURS_MOST and rumours.dropped == 2 and rumours.urgent
+    rumours.add(MemberItem(60_000, 1, MemberStatus.ALIVE, 1), 3)
+    assert len(rumours.waiting) == MAX_QUEUED_BROADCASTS and rumours.dropped == 2 and rumours.urgent
 
 
 def test_who_is_suspected_does_not_use_up_what_hosts_need() -> None:
-    rumours = Rumours(200, lambda: 0.5)
+    rumours = BroadcastQueue(200, lambda: 0.5)
     rumours.bucket.left = 100.0
-    rumours.add(MemberItem(1, 1, Life.GONE, 1), 3)
+    rumours.add(MemberItem(1, 1, MemberStatus.DEAD, 1), 3)
     assert not rumours.worth_saying and rumours.choose() == ()
     rumours.add(piece(1), 3)
     assert rumours.worth_saying and rumours.choose() == (piece(1),)
 
 
 def test_bytes_follow_the_requests_and_are_saved_up_to_a_bound() -> None:
-    bucket = Bucket(left=0.0, at_us=NOW_US, since_us=NOW_US)
+    bucket = ByteTokenBucket(left=0.0, at_us=NOW_US, since_us=NOW_US)
     bucket.refill(NOW_US + 1_000_000, 100)
-    assert bucket.left == pytest.approx(LEAST_BYTES_S) and bucket.rate == pytest.approx(0.1 * 256 * 100)
+    assert bucket.left == pytest.approx(MIN_BYTES_PER_S) and bucket.rate == pytest.approx(0.1 * 256 * 100)
     bucket.refill(NOW_US + 3_600_000_000, 100)
-    assert bucket.left == SAVED_BYTES and bucket.rate == LEAST_BYTES_S
-    assert hops(2) < hops(200) < 12
+    assert bucket.left == MAX_SAVED_BYTES and bucket.rate == MIN_BYTES_PER_S
+    assert max_transmissions(2) < max_transmissions(200) < 12
 
 
 # Who is there
@@ -291,7 +315,7 @@
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.dice = random.Random(seed)
-        self.all = [Presence(n, count, 1, self.dice.random) for n in range(count)]
+        self.all = [FailureDetector(n, count, 1, self.dice.random) for n in range(count)]
         self.cut: set[tuple[int, int]] = set()
         self.dead: set[int] = set()
         self.at_us = NOW_US
@@ -315,13 +339,13 @@
                     to_one.heard(self.at_us, one.number, one.incarnation)
                     if say.item is not None:
                         to_one.learn(self.at_us, say.item)
-                    if say.kind is Kind.PING:
+                    if say.kind is MessageKind.PING:
                         to_one.on_ping(one.number, say.sequence)
-                    elif say.kind is Kind.PING_FOR:
+                    elif say.kind is MessageKind.PING_REQ:
                         to_one.on_ping_for(self.at_us, one.number, say.sequence, say.other)
-                    elif say.kind is Kind.ACK:
+                    elif say.kind is MessageKind.ACK:
                         to_one.on_ack(say.sequence, say.other)
-                    elif say.kind is Kind.NACK:
+                    elif say.kind is MessageKind.NACK:
                         to_one.on_nack(say.sequence)
 
     def run(self, seconds: float) -> None:
@@ -363,7 +387,7 @@
     for one in town.all:
         one.incarnation = 50_000
     town.run(5)
-    town.all[2] = Presence(2, 4, 50_000 - 8 * 3600, town.dice.random)
+    town.all[2] = FailureDetector(2, 4, 50_000 - 8 * 3600, town.dice.random)
     town.run(5)
     assert town.all[2].incarnation > 50_000 and town.states(2) == {"alive"}
 
@@ -373,20 +397,20 @@
     town.run(5)
     town.cut = {(n, 1) for n in range(4)} | {(1, n) for n in range(4)}
     town.run(40)
-    assert town.states(1) == {"gone"} and town.all[1].health == HEALTH_MOST  # it doubts itself first
+    assert town.states(1) == {"gone"} and town.all[1].health == MAX_LOCAL_HEALTH_SCORE  # it doubts itself first
     town.cut = set()
     town.run(130)
     assert town.states(1) == {"alive"} and town.all[1].incarnation > 1
 
 
 def test_two_processes_under_one_name_go_above_one_another_once_a_second_at_the_most() -> None:
-    one, twin = Presence(1, 3, 7, lambda: 0.5), Presence(1, 3, 7, lambda: 0.5)
+    one, twin = FailureDetector(1, 3, 7, lambda: 0.5), FailureDetector(1, 3, 7, lambda: 0.5)
     for second in range(10):
         at_us = NOW_US + second * 100_000
-        one.learn(at_us, MemberItem(1, twin.incarnation + 1, Life.ALIVE, 1))
-        twin.learn(at_us, MemberItem(1, one.incarnation + 1, Life.ALIVE, 1))
-    assert one.refutations <= 1 + 1_000_000 // REFUTE_US and one.incarnation < 20
-    one.learn(NOW_US + 10**8, MemberItem(1, MASK32, Life.GONE, 2))  # nothing is above that
+        one.learn(at_us, MemberItem(1, twin.incarnation + 1, MemberStatus.ALIVE, 1))
+        twin.learn(at_us, MemberItem(1, one.incarnation + 1, MemberStatus.ALIVE, 1))
+    assert one.refutations <= 1 + 1_000_000 // REFUTATION_INTERVAL_US and one.incarnation < 20
+    one.learn(NOW_US + 10**8, MemberItem(1, MASK32, MemberStatus.DEAD, 2))  # nothing is above that
     assert one.incarnation < 20
 
 
@@ -394,9 +418,9 @@
     """Neither may go above it yet: each datagram would bring another one at once."""
     town = Town(2)
     for one, other in (town.all, town.all[::-1]):
-        one.others[other.number].life, one.others[other.number].incarnation = Life.SUSPECT, 1
+        one.others[other.number].life, one.others[other.number].incarnation = MemberStatus.SUSPECT, 1
         one.refuted_us = town.at_us
-    town.all[0].out.append(Say(1, Kind.NEWS))
+    town.all[0].out.append(OutgoingMessage(1, MessageKind.GOSSIP))
     said = 0
     while any(one.out for one in town.all) and said < 100:
         for one in town.all:
@@ -408,10 +432,10 @@
 
 
 def test_after_a_stall_nobody_is_accused_for_what_went_unanswered() -> None:
-    one = Presence(0, 3, 1, lambda: 0.5)
+    one = FailureDetector(0, 3, 1, lambda: 0.5)
     one.tick(NOW_US)
     assert one.probe is not None
-    one.learn(NOW_US, MemberItem(2, 1, Life.SUSPECT, 1))
+    one.learn(NOW_US, MemberItem(2, 1, MemberStatus.SUSPECT, 1))
     one.stood_still(NOW_US + 60_000_000, 60_000_000)
     one.tick(NOW_US + 60_000_000)
     assert one.probe is None or one.probe.over_us > NOW_US + 60_000_000
@@ -419,8 +443,15 @@
 
 
 def test_what_is_believed_only_grows() -> None:
-    one = Presence(0, 3, 1, lambda: 0.5)
-    order = [(1, Life.ALIVE), (1, Life.SUSPECT), (1, Life.GONE), (2, Life.ALIVE), (2, Life.SUSPECT), (3, Life.ALIVE)]
+    one = FailureDetector(0, 3, 1, lambda: 0.5)
+    order = [
+        (1, MemberStatus.ALIVE),
+        (1, MemberStatus.SUSPECT),
+        (1, MemberStatus.DEAD),
+        (2, MemberStatus.ALIVE),
+        (2, MemberStatus.SUSPECT),
+        (3, MemberStatus.ALIVE),
+    ]
     for last, (incarnation, life) in enumerate(order):
         one.learn(NOW_US, MemberItem(1, incarnation, life, 2))
         for before in order[:last]:
@@ -428,7 +459,7 @@
         assert (one.others[1].incarnation, one.others[1].life) == (incarnation, life)
 
 
-# Rights to further attempts
+# RetryTokens to further attempts
 
 
 class Wallet:
@@ -439,7 +470,7 @@
         self.came: list[tuple[float, int]] = []
 
     def take(self, most: float) -> float:
-        gone = 0.0 if self.wanting or self.tokens < LEAST else min(most, self.tokens)
+        gone = 0.0 if self.wanting or self.tokens < MIN_TRANSFER_TOKENS else min(most, self.tokens)
         self.tokens -= gone
         return gone
 
@@ -456,19 +487,25 @@
     now_us, earned, spent, gone = NOW_US, 0.0, 0.0, 0.0
     started = [1 + n for n in range(count)]
     wallets = [Wallet() for _ in range(count)]
-    rights = [Rights(n, wallets[n]) for n in range(count)]
-    mail: list[tuple[int, int, WantItem | GiveItem, int, int]] = []  # from, to, what, incarnation of who sent, when
+    rights = [RetryTokens(n, wallets[n]) for n in range(count)]
+    mail: list[
+        tuple[int, int, TokenRequestItem | TokenGrantItem, int, int]
+    ] = []  # from, to, what, incarnation of who sent, when
     for _ in range(300):
         now_us += dice.choice((0, 1_000, 50_000, 300_000))
         now_us += dice.randrange(60_000_000) if dice.random() < 0.01 else 0
         number, what = dice.randrange(count), dice.random()
         wallet = wallets[number]
         if what < 0.3:
-            more = min(0.2, max(0.0, CAP - wallet.tokens))
+            more = min(0.2, max(0.0, MAX_SAVED_TOKENS - wallet.tokens))
             wallet.tokens, earned = wallet.tokens + more, earned + more
         elif what < 0.45:
-            if wallet.tokens >= LEAST:
-                wallet.tokens, spent, wallet.wanting = wallet.tokens - LEAST, spent + LEAST, False
+            if wallet.tokens >= MIN_TRANSFER_TOKENS:
+                wallet.tokens, spent, wallet.wanting = (
+                    wallet.tokens - MIN_TRANSFER_TOKENS,
+                    spent + MIN_TRANSFER_TOKENS,
+                    False,
+                )
             else:
                 wallet.wanting = True
         elif what < 0.6 and wallet.wanting:
@@ -482,8 +519,10 @@
                 del mail[at]
             if dice.random() < 0.1:
                 continue
-            if isinstance(item, WantItem):
-                gift = rights[to].give(item, by, incarnation, started[to], stamp_of(now_us)) if by != to else None
+            if isinstance(item, TokenRequestItem):
+                gift = (
+                    rights[to].give(item, by, incarnation, started[to], timestamp_ms_of(now_us)) if by != to else None
+                )
                 if gift is not None:
                     mail.append((to, by, gift, started[to], now_us))
             else:
@@ -492,24 +531,24 @@
             gone += wallet.tokens
             started[number] += count  # another process, which knows nothing of what came to the one before
             wallets[number] = Wallet()
-            rights[number] = Rights(number, wallets[number])
+            rights[number] = RetryTokens(number, wallets[number])
         total = sum(one.tokens for one in wallets)
         assert total + spent + gone <= earned + 1e-6, (total, spent, gone, earned)
 
 
-def gift(sequence: int = 1, incarnation: int = 1, to: int = 0, to_incarnation: int = 5) -> GiveItem:
-    return GiveItem(1, incarnation, sequence, stamp_of(NOW_US), to, to_incarnation, 100)
+def gift(sequence: int = 1, incarnation: int = 1, to: int = 0, to_incarnation: int = 5) -> TokenGrantItem:
+    return TokenGrantItem(1, incarnation, sequence, timestamp_ms_of(NOW_US), to, to_incarnation, 100)
 
 
 def test_a_gift_is_taken_once_in_time_and_by_whom_it_was_meant_for() -> None:
     wallet = Wallet()
-    one = Rights(0, wallet)
+    one = RetryTokens(0, wallet)
     one.take(NOW_US, gift(2), 5, 1_000)
-    assert wallet.came == [(1.0, NOW_US + LIFE_US - 1_000)]
+    assert wallet.came == [(1.0, NOW_US + GRANT_LIFETIME_US - 1_000)]
     one.take(NOW_US, gift(2), 5, 1_000)  # twice
     one.take(NOW_US, gift(1), 5, 1_000)  # overtaken
     one.take(NOW_US, gift(9, incarnation=0), 5, 1_000)  # of a giver before the last
-    one.take(NOW_US, gift(3), 5, LIFE_US)  # late
+    one.take(NOW_US, gift(3), 5, GRANT_LIFETIME_US)  # late
     one.take(NOW_US, gift(4), 5, None)  # of an age that can't be told
     one.take(NOW_US, gift(5), 6, 1_000)  # for the process before
     one.take(NOW_US, gift(6, to=3), 5, 1_000)  # for another
@@ -520,40 +559,40 @@
 
 
 def test_nobody_gives_what_it_wants_itself_nor_what_is_not_worth_a_datagram() -> None:
-    wallet = Wallet(CAP)
-    one = Rights(1, wallet)
+    wallet = Wallet(MAX_SAVED_TOKENS)
+    one = RetryTokens(1, wallet)
     wallet.wanting = True
-    assert one.give(WantItem(UNIT), 0, 5, 1, 0) is None
+    assert one.give(TokenRequestItem(HUNDREDTHS_PER_TOKEN), 0, 5, 1, 0) is None
     wallet.wanting = False
-    assert one.give(WantItem(10), 0, 5, 1, 0) is None and wallet.tokens == CAP
-    made = one.give(WantItem(60_000), 0, 5, 1, 0)
-    assert made is not None and made.amount == int(CAP * UNIT) and wallet.tokens == 0.0
-    assert one.give(WantItem(UNIT), 0, 5, 1, 0) is None
+    assert one.give(TokenRequestItem(10), 0, 5, 1, 0) is None and wallet.tokens == MAX_SAVED_TOKENS
+    made = one.give(TokenRequestItem(60_000), 0, 5, 1, 0)
+    assert made is not None and made.amount == int(MAX_SAVED_TOKENS * HUNDREDTHS_PER_TOKEN) and wallet.tokens == 0.0
+    assert one.give(TokenRequestItem(HUNDREDTHS_PER_TOKEN), 0, 5, 1, 0) is None
     assert one.want(NOW_US) is not None and one.want(NOW_US) is None  # not again at once
 
 
 def test_what_came_from_others_and_was_not_used_is_gone() -> None:
     driver = Driver()
     module = driver.balancer
-    driver.handle(RetryTokenGrant(CAP, -module.retry_state(driver.now_us)[0]))
+    driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, -module.retry_state(driver.now_us)[0]))
     assert module.retry_state(driver.now_us) == (0.0, False)  # a process that begins has none
-    until_us = driver.now_us + LIFE_US
-    driver.handle(RetryTokenGrant(CAP, 1.0, until_us))
-    driver.handle(RetryTokenGrant(CAP, 1.0, until_us))
+    until_us = driver.now_us + GRANT_LIFETIME_US
+    driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, until_us))
+    driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, until_us))
     driver.arrive()
     assert module.retry_state(until_us - 1)[0] == 2.0  # earning adds nothing above the cap
-    assert module.retry_state(until_us)[0] == CAP
+    assert module.retry_state(until_us)[0] == MAX_SAVED_TOKENS
 
 
 def test_a_further_attempt_that_had_no_token_is_a_need() -> None:
     driver = Driver()
-    driver.handle(RetryTokenGrant(CAP, -10.0))
+    driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, -10.0))
     for _ in range(2):
         name, actions = driver.arrive()
         actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
         assert not sends(actions)
     assert driver.balancer.retry_state(driver.now_us)[1]
-    driver.handle(RetryTokenGrant(CAP, 1.0, driver.now_us + LIFE_US))
+    driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, driver.now_us + GRANT_LIFETIME_US))
     name, actions = driver.arrive()
     actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
     assert len(sends(actions)) == 1
@@ -573,7 +612,7 @@
     town.run(town.at_us + 1_000_000)
     assert town.doubting(0) >= 38
     town.failing.clear()
-    town.run(town.at_us + EVIDENCE_US + 500_000)
+    town.run(town.at_us + OBSERVATION_LIFETIME_US + 500_000)
     assert town.doubting(0) == 0
 
 
@@ -608,7 +647,7 @@
         if trouble == "restarts":
             for number in range(11):
                 town.restart(number)
-        town.run(town.at_us + EVIDENCE_US + 500_000)
+        town.run(town.at_us + OBSERVATION_LIFETIME_US + 500_000)
         for _ in range(30):
             town.run(town.at_us + 1_000_000)
             assert town.doubting(0) == 0
@@ -620,7 +659,7 @@
     town.failing[0] = 0.9
     town.run(town.at_us + 1_000_000)
     town.cut = {(n, 7) for n in range(8)} | {(7, n) for n in range(8)}
-    town.run(town.at_us + EVIDENCE_US + 300_000, load=False)
+    town.run(town.at_us + OBSERVATION_LIFETIME_US + 300_000, load=False)
     assert not town.doubts(7, 0)
 
 
@@ -639,15 +678,15 @@
     town.failing = dict.fromkeys(range(town.hosts), 0.45)
     seconds = 12
     town.run(BEGIN_US + seconds * 1_000_000)
-    rate = max(LEAST_BYTES_S, 0.1 * 256 * 30 * 1.5)
+    rate = max(MIN_BYTES_PER_S, 0.1 * 256 * 30 * 1.5)
     for one in town.exchanges:
-        assert one.counts.sent_bytes <= SAVED_BYTES + seconds * rate + LIMIT
-        assert len(one.rumours.waiting) <= RUMOURS_MOST
+        assert one.counts.sent_bytes <= MAX_SAVED_BYTES + seconds * rate + MAX_DATAGRAM_BYTES
+        assert len(one.rumours.waiting) <= MAX_QUEUED_BROADCASTS
 
 
 def test_a_time_out_at_a_host_that_has_answered_since_is_no_failure() -> None:
     """It is a crowd's: in a jam each host would be in doubt for all."""
-    one = Exchange(0, 9, 0, 1, lambda: 0.5, lambda host, started, known: None)
+    one = GossipNode(0, 9, 0, 1, lambda: 0.5, lambda host, started, known: None)
     one.note(NOW_US, HOST, True)
     one.note(NOW_US + 1_000, HOST, False, NOW_US - 500_000)
     assert one.watch.sums(NOW_US + 1_000, HOST) == (1, 0) and not one.rumours.waiting
@@ -657,30 +696,30 @@
 
 def test_two_processes_of_one_host_are_two_hosts() -> None:
     heard: list[tuple[int, int]] = []
-    one = Exchange(0, 4, 0, 1, lambda: 0.5, lambda host, started, known: heard.append((host, started)))
+    one = GossipNode(0, 4, 0, 1, lambda: 0.5, lambda host, started, known: heard.append((host, started)))
     for teller in (1, 2):
         one.on_evidence(NOW_US, piece(teller, host=(5, 1)))
     assert heard == [(5, 1)] and not one.told.of(NOW_US, (5, 2))
 
 
 def test_the_module_hears_again_only_of_what_has_changed() -> None:
-    heard: list[Weighed] = []
-    one = Exchange(0, 9, 0, 1, lambda: 0.5, lambda host, started, known: heard.append(known))
+    heard: list[Assessment] = []
+    one = GossipNode(0, 9, 0, 1, lambda: 0.5, lambda host, started, known: heard.append(known))
     for teller in (1, 2):
         one.on_evidence(NOW_US, piece(teller))
         one.on_evidence(NOW_US, piece(teller))
     assert len(heard) == 1 and heard[0].doubted
     one.slot_us = 0
-    one.tick(NOW_US + EVIDENCE_US)
+    one.tick(NOW_US + OBSERVATION_LIFETIME_US)
     assert heard[-1].reporters == 0 and len(heard) == 2 and not one.passed
-    assert AGAIN_US < EVIDENCE_US < PERIOD_US * 3
+    assert REPORT_INTERVAL_US < OBSERVATION_LIFETIME_US < PROBE_INTERVAL_US * 3
 
 
 # The module's part
 
 
 def heard(driver: Driver, server: int, good: float, bad: float, reporters: int = 2, well: int = 0) -> None:
-    driver.handle(PeerHealthReport(server, 0, good, bad, reporters, well, driver.now_us + EVIDENCE_US))
+    driver.handle(PeerHealthReport(server, 0, good, bad, reporters, well, driver.now_us + OBSERVATION_LIFETIME_US))
 
 
 def shares(driver: Driver, requests: int = 300) -> list[float]:
@@ -701,7 +740,7 @@
     heard(driver, worst, 0.0, 3.0)
     assert shares(driver)[worst] < before[worst] / 4
     assert driver.balancer.servers[worst].breaker.state is State.CLOSED  # hearsay is no verdict
-    driver.now_us += EVIDENCE_US
+    driver.now_us += OBSERVATION_LIFETIME_US
     assert shares(driver)[worst] > before[worst] / 2
 
 
@@ -712,7 +751,7 @@
     assert server.doubt_us == 0
     heard(driver, 0, 5.0, 3.0)
     assert server.doubt_us == 0
-    driver.handle(PeerHealthReport(0, 77, 0.0, 9.0, 3, 0, driver.now_us + EVIDENCE_US))
+    driver.handle(PeerHealthReport(0, 77, 0.0, 9.0, 3, 0, driver.now_us + OBSERVATION_LIFETIME_US))
     assert server.doubt_us == 0
     heard(driver, 0, 0.0, 3.0)
     heard(driver, 0, 3.0, 1.0)
@@ -788,14 +827,14 @@
     assert driver.balancer.silences(driver.now_us + 10_000_000) == [3]
 
 
-def told_by(items: Sequence[EvidenceItem]) -> set[int]:
+def told_by(items: Sequence[ObservationItem]) -> set[int]:
     return {item.teller for item in items}
 
 
 def test_a_chance_failure_goes_no_further_and_two_that_meet_go_to_all() -> None:
-    one = Exchange(0, 40, 0, 1, random.Random(1).random, lambda host, started, known: None)
+    one = GossipNode(0, 40, 0, 1, random.Random(1).random, lambda host, started, known: None)
     one.on_evidence(NOW_US, piece(1))
     assert not one.rumours.waiting
     one.on_evidence(NOW_US + 1000, piece(2, at_us=NOW_US + 1000))
-    waiting = [r.item for r in one.rumours.waiting.values() if isinstance(r.item, EvidenceItem)]
+    waiting = [r.item for r in one.rumours.waiting.values() if isinstance(r.item, ObservationItem)]
     assert told_by(waiting) == {1, 2}
