--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -343,10 +343,11 @@
 def _() -> None:
     """One teller is enough for a doubt."""
     from cloverkeel.balancing import balancer as balance
-    from cloverkeel.gossip import outlier_reports as evidence, node as exchange
+    from cloverkeel.gossip import outlier_gossip, outlier_reports
 
-    for module in (balance, evidence, exchange):
-        vars(module)["DOUBT_TELLERS" if module is balance else "MIN_REPORTERS"] = 1
+    vars(balance)["DOUBT_TELLERS"] = 1
+    for module in (outlier_gossip, outlier_reports):
+        vars(module)["MIN_REPORTERS"] = 1
 
 
 @entry("hearsay-verdict")
--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -11,28 +11,28 @@
 @entry("hearsay-credit")
 def _() -> None:
     """Who fails everywhere speaks, and is believed like others."""
-    from cloverkeel.gossip import outlier_reports as evidence, node as exchange
+    from cloverkeel.gossip import outlier_gossip, outlier_reports
 
-    evidence.reporter_credibility = lambda item: 1.0
-    exchange.MAX_COMMON_FAILURE_RATIO = 2.0  # type: ignore[misc]
+    outlier_reports.reporter_credibility = lambda item: 1.0
+    outlier_gossip.MAX_COMMON_FAILURE_RATIO = 2.0  # type: ignore[misc]
 
 
 @entry("hearsay-age")
 def _() -> None:
     """What comes is of now."""
-    from cloverkeel.gossip.outlier_reports import ClockOffset
+    from cloverkeel.gossip.peer_clock import PeerClock
 
-    swap(ClockOffset, "age_ms", lambda self, now_us, stamp: 0)
+    swap(PeerClock, "age_ms", lambda self, now_us, timestamp_ms: 0)
 
 
 @entry("hearsay-ends")
 def _() -> None:
     """What was told counts for good."""
-    from cloverkeel.gossip import node as exchange
+    from cloverkeel.gossip.outlier_gossip import OutlierGossip
     from cloverkeel.gossip.outlier_reports import Observation
 
-    swap(Observation, "lives", lambda self, now_us: True)
-    swap(exchange.GossipNode, "look_again", lambda self, now_us: None)
+    swap(Observation, "is_live", lambda self, now_us: True)
+    swap(OutlierGossip, "refresh_assessments", lambda self, now_us: None)
     from cloverkeel.balancing.balancer import Balancer
 
     cut(Balancer, "on_peer_health_report", ("event.until_us if bad else 0", "event.until_us + 10**9 if bad else 0"))
@@ -41,42 +41,43 @@
 @entry("hearsay-zone")
 def _() -> None:
     """Evidence of other zones counts like that of one's own."""
-    from cloverkeel.gossip import node as exchange
+    from cloverkeel.gossip import outlier_gossip
     from cloverkeel.gossip.outlier_reports import assess
 
-    def everywhere(now_us: int, pieces: Any, zone: int, own: tuple[int, int] = (0, 0)) -> Any:
-        return assess(now_us, pieces, -1, (0, 0))
+    def assess_all_zones(now_us: int, observations: Any, zone: int, local: Any = None) -> Any:
+        return assess(now_us, observations, -1)
 
-    vars(exchange)["assess"] = everywhere
-    from tests import test_sharing_pure
+    vars(outlier_gossip)["assess"] = assess_all_zones
+    from tests.gossip import test_outlier_reports
 
-    vars(test_sharing_pure)["assess"] = everywhere
+    vars(test_outlier_reports)["assess"] = assess_all_zones
 
 
 @entry("hearsay-newer")
 def _() -> None:
     """The piece that comes last counts, of whatever incarnation."""
-    from cloverkeel.gossip import outlier_reports as evidence
+    from cloverkeel.gossip import outlier_reports
+    from cloverkeel.gossip.peer_clock import PeerClocks
 
-    evidence.is_newer = lambda item, before: True
-    swap(evidence.ClockOffsets, "age_ms", lambda self, now_us, number, incarnation, stamp: 0)
+    outlier_reports.is_newer = lambda item, known: True
+    swap(PeerClocks, "age_ms", lambda self, now_us, gateway, incarnation, timestamp_ms: 0)
 
 
 @entry("hearsay-goods")
 def _() -> None:
     """What others were answered well does not count."""
-    from cloverkeel.gossip import node as exchange
+    from cloverkeel.gossip import outlier_gossip
     from cloverkeel.gossip.outlier_reports import assess
 
-    vars(exchange)["assess"] = lambda *given: replace(assess(*given), good=0.0)
+    vars(outlier_gossip)["assess"] = lambda *arguments: replace(assess(*arguments), successes=0.0)
 
 
 @entry("rumours-confirmed")
 def _() -> None:
     """Each failure is passed on by whoever hears of it."""
-    from cloverkeel.gossip.node import GossipNode
+    from cloverkeel.gossip.outlier_gossip import OutlierGossip
 
-    cut(GossipNode, "on_evidence", ("if reporters >= MIN_REPORTERS:", "if True:"))
+    cut(OutlierGossip, "on_observation", ("if reporters >= MIN_REPORTERS:", "if True:"))
 
 
 @entry("rumours-bytes")
@@ -84,23 +85,22 @@
     """What is said costs nothing."""
     from cloverkeel.gossip.node import GossipNode
 
-    cut(GossipNode, "post", ("bucket.left -= len(data)", "pass"))
+    cut(GossipNode, "_send", ("bucket.spend(len(payload))", "pass"))
 
 
 @entry("rights-kept")
 def _() -> None:
     """Who gives tokens goes on using them."""
-    from cloverkeel.gossip.retry_tokens import RetryTokens
     from cloverkeel.gossip.driver import GossipDriver
+    from cloverkeel.gossip.retry_tokens import RetryTokens
 
-    def take(self: Any, most: float) -> float:
-        before, wanting = self.gateway.balancer.retry_state(self.clock())
-        return 0.0 if wanting else min(most, before)
+    def withdraw(self: Any, max_tokens: float) -> float:
+        available, is_short = self.gateway.balancer.retry_state(self.clock())
+        return 0.0 if is_short else min(max_tokens, available)
 
-    swap(GossipDriver, "take", take)
-    cut(
-        RetryTokens, "give", ("int(self.purse.take(most) * HUNDREDTHS_PER_TOKEN)", "int(most * HUNDREDTHS_PER_TOKEN)")
-    )
+    swap(GossipDriver, "withdraw", withdraw)
+    cut(RetryTokens, "grant", ("int(self.bucket.withdraw(max_tokens) * HUNDREDTHS_PER_TOKEN)",
+                               "int(max_tokens * HUNDREDTHS_PER_TOKEN)"))  # fmt: skip
 
 
 @entry("rights-once")
@@ -108,7 +108,7 @@
     """A gift that comes twice is taken twice."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
-    cut(RetryTokens, "take", ("fresh = (gift.incarnation, gift.sequence) > last", "fresh = True"))
+    cut(RetryTokens, "accept", ("is_new = self._record_sequence(grant)", "is_new = True"))
 
 
 @entry("rights-for")
@@ -116,7 +116,7 @@
     """A gift is anybody's, whenever it comes."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
-    cut(RetryTokens, "take", (" and gift.to_incarnation == own", ""),
+    cut(RetryTokens, "accept", (" and grant.recipient_incarnation == own_incarnation", ""),
         ("if age_us is None or age_us >= GRANT_LIFETIME_US:", "if False:"),
         ("now_us + GRANT_LIFETIME_US - age_us", "now_us + GRANT_LIFETIME_US"))  # fmt: skip
 
@@ -133,9 +133,9 @@
 @entry("hearsay-crowd")
 def _() -> None:
     """A time-out speaks against a host that has answered others since it was sent."""
-    from cloverkeel.gossip.outlier_reports import LocalOutcomes
+    from cloverkeel.gossip.outcome_window import LocalOutcomes
 
-    swap(LocalOutcomes, "answered_since", lambda self, host, since_us: False)
+    swap(LocalOutcomes, "has_succeeded_since", lambda self, host, since_us: False)
 
 
 @entry("presence-probe")
@@ -143,31 +143,31 @@
     """A probe that nobody answers tells nothing."""
     from cloverkeel.gossip.failure_detector import FailureDetector
 
-    cut(FailureDetector, "end_probe", ("if other.life is MemberStatus.ALIVE:", "if False:"))
+    cut(FailureDetector, "_end_probe", ("if self.membership.suspect(now_us, probe.target):", "if False:"))
 
 
 @entry("presence-suspect")
 def _() -> None:
     """Who does not answer one probe is gone."""
-    from cloverkeel.gossip.failure_detector import FailureDetector
+    from cloverkeel.gossip.membership import MembershipTable
 
-    swap(FailureDetector, "suspect_us", lambda self, other: 0)
+    swap(MembershipTable, "suspicion_timeout_us", lambda self, peer: 0)
 
 
 @entry("presence-above")
 def _() -> None:
     """Who hears of a higher incarnation under its name does not go above it."""
-    from cloverkeel.gossip.failure_detector import FailureDetector
+    from cloverkeel.gossip.membership import MembershipTable
 
-    swap(FailureDetector, "hear_of_oneself", lambda self, now_us, item: None)
+    swap(MembershipTable, "on_claim_about_self", lambda self, now_us, item: None)
 
 
 @entry("presence-told")
 def _() -> None:
     """Each datagram of a gateway that is suspected is answered with what is said of it."""
-    from cloverkeel.gossip import failure_detector as presence
+    from cloverkeel.gossip import membership
 
-    presence.SUSPICION_NOTICE_INTERVAL_US = 0  # type: ignore[misc]
+    membership.SUSPICION_NOTICE_INTERVAL_US = 0  # type: ignore[misc]
 
 
 @entry("presence-stall")
@@ -175,4 +175,4 @@
     """Who stood still accuses others of what it did not hear."""
     from cloverkeel.gossip.failure_detector import FailureDetector
 
-    swap(FailureDetector, "stood_still", lambda self, now_us, stall_us: None)
+    swap(FailureDetector, "on_stall", lambda self, now_us, stall_us: None)
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -27,9 +27,10 @@
 
 from benchmarks.guards.__main__ import parse_seeds
 from cloverkeel.balancing.balancer import DOUBT
-from cloverkeel.gossip.outlier_reports import OBSERVATION_LIFETIME_US, Host, Assessment
-from cloverkeel.gossip.node import GossipNode
-from cloverkeel.gossip.messages import decode
+from cloverkeel.gossip.outcome_window import OBSERVATION_LIFETIME_US
+from cloverkeel.gossip.outlier_reports import Assessment
+from cloverkeel.gossip.node import GossipNode, NodeIdentity
+from cloverkeel.gossip.messages import GatewayProcess, HostProcess, decode
 
 HOSTS = 20
 RATE = 20.0  # requests a second at one gateway
@@ -56,25 +57,26 @@
     cut: set[tuple[int, int]] = field(default_factory=set)  # from, to
     dead: set[int] = field(default_factory=set)
     stopped: set[int] = field(default_factory=set)
-    heard: dict[tuple[int, Host], tuple[int, Assessment]] = field(default_factory=dict)  # by gateway and host
+    heard: dict[tuple[int, HostProcess], tuple[int, Assessment]] = field(default_factory=dict)  # by gateway and host
     sent: int = 0
     sent_bytes: int = 0
 
     def __post_init__(self) -> None:
         self.dice = random.Random(f"sharing/{self.seed}")
         self.offsets = [self.dice.randrange(3_600_000_000) for _ in range(self.count)]
-        self.exchanges = [self.made(number) for number in range(self.count)]
+        self.nodes = [self.made(number) for number in range(self.count)]
         self.failing: dict[int, float] = {}  # by host: share
         self.seen_bad: dict[tuple[int, int], int] = {}
 
     def made(self, number: int) -> GossipNode:
-        def hear(host: int, started: int, known: Assessment) -> None:
-            self.heard[number, (host, started)] = (self.at_us, known)
+        def on_assessment(host: HostProcess, assessment: Assessment) -> None:
+            self.heard[number, host] = (self.at_us, assessment)
 
         clock_us = self.clock(number)
         incarnation = 1 + clock_us // 125_000 & 0xFFFFFFFF
-        one = GossipNode(number, self.count, number % self.zones, incarnation, self.dice.random, hear)
-        one.begin(clock_us)
+        identity = NodeIdentity(GatewayProcess(number, incarnation), self.count, number % self.zones)
+        one = GossipNode(identity, self.dice.random, on_assessment)
+        one.start(clock_us)
         return one
 
     def clock(self, number: int) -> int:
@@ -85,10 +87,11 @@
         self.offsets[number] = self.dice.randrange(3_600_000_000)
         for key in [key for key in self.heard if key[0] == number]:
             del self.heard[key]
-        self.exchanges[number] = self.made(number)
+        self.nodes[number] = self.made(number)
 
     def post(self, number: int) -> None:
-        for to, data in self.exchanges[number].take_out():
+        for datagram in self.nodes[number].drain_outbox():
+            to, data = datagram.recipient, datagram.payload
             self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
             for _ in range(1 + (self.dice.random() < self.doubled)):
                 if (number, to) in self.cut or self.dice.random() < self.loss:
@@ -104,14 +107,14 @@
             return
         said = decode(data)
         assert said is not None
-        self.exchanges[to].receive(self.clock(to), said)
-        self.exchanges[to].tick(self.clock(to))
+        self.nodes[to].receive(self.clock(to), said)
+        self.nodes[to].tick(self.clock(to))
         self.post(to)
 
     def outcome(self, number: int, host: int, good: bool) -> None:
-        one = self.exchanges[number]
-        one.requests += 1
-        one.note(self.clock(number), (host, 1), good)
+        one = self.nodes[number]
+        one.request_count += 1
+        one.record_outcome(self.clock(number), HostProcess(host, 1), good)
         one.tick(self.clock(number))
         self.post(number)
 
@@ -128,7 +131,7 @@
                     self.deliver(came[2], came[3])
             for came in waiting:
                 heapq.heappush(self.queue, came)
-            for number, one in enumerate(self.exchanges):
+            for number, one in enumerate(self.nodes):
                 if number in self.dead or number in self.stopped:
                     continue
                 if load and self.dice.random() < self.rate * step_us / 1e6:
@@ -136,14 +139,14 @@
                     if self.doubts(number, host) and self.dice.random() >= DOUBT:
                         continue  # it goes elsewhere
                     self.outcome(number, host, self.dice.random() >= self.failing.get(host, 0.0))
-                if one.next_due() <= self.clock(number):
+                if one.next_timer_us() <= self.clock(number):
                     one.tick(self.clock(number))
                     self.post(number)
 
     def doubts(self, number: int, host: int) -> bool:
         """Whether that gateway doubts it now."""
-        _, known = self.heard.get((number, (host, 1)), (0, None))
-        return known is not None and known.doubted and known.until_us > self.clock(number)
+        _, known = self.heard.get((number, HostProcess(host, 1)), (0, None))
+        return known is not None and known.is_suspected_outlier and known.expires_us > self.clock(number)
 
     def doubting(self, host: int) -> int:
         return sum(self.doubts(number, host) for number in range(self.count))
@@ -192,7 +195,7 @@
     for _ in range(seconds * 10):
         fleet.run(fleet.at_us + 100_000)
         doubts += sum(fleet.doubting(host) for host in range(HOSTS))
-    suspicions = sum(one.presence.suspicions for one in fleet.exchanges)
+    suspicions = sum(one.failure_detector.suspicion_count for one in fleet.nodes)
     a_second = (fleet.sent - sent) / seconds / count, (fleet.sent_bytes - size) / seconds / count
     return (
         f"{count} gateways: {a_second[0]:.1f} datagrams, {a_second[1]:.0f} bytes a second each, "
--- a/cloverkeel/gossip/__init__.py
+++ b/cloverkeel/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What the gateways know together: who is there, and what hosts did to whom (docs/peers-design.md)."""
+"""Gossip between gateways: failure detection, outlier reports and retry tokens (docs/peers-design.md)."""
--- a/cloverkeel/gossip/commands.py
+++ b/cloverkeel/gossip/commands.py
@@ -18,76 +18,113 @@
 from cloverkeel.core.admin_client import addresses_of, ask_all
 from cloverkeel.core.config import ConfigError
 
+Status = dict[str, Any]  # the answer of one gateway to PEERS (status.py)
 
-def differences(shown: dict[str, Any]) -> list[str]:
-    """Gateways that some hold for gone and others hear; hosts that some doubt and others do not."""
-    said = []
-    by_number = {found["gateway"]: found for found in shown.values()}
-    for number in sorted({int(n) for found in shown.values() for n in found["peers"]}):
-        states: dict[str, list[int]] = {}
-        for teller, found in sorted(by_number.items()):
-            peer = found["peers"].get(str(number))
+GATEWAY_ROW = "{:>7} {:>4} {:>6} {:>6} {:>7} {:>5} {:>8} {:>9} {:>7} {:>6} {:>5}  {}"
+GATEWAY_TITLES = (
+    "gateway", "zone", "health", "alive", "suspect", "gone", "sent", "bytes", "came", "budget", "poor", "dropped",
+)  # fmt: skip
+HOST_ROW = "{:<10} {:>7} {:>7} {:>6} {:>6} {:>7} {:>5} {:>8}  {}"
+HOST_TITLES = ("host", "gateway", "doubt", "good", "bad", "tellers", "well", "left ms", "own good, bad")
+
+
+def find_differences(status_by_address: dict[str, Status]) -> list[str]:
+    """Return a line for each gateway or host on which the gateways' views differ."""
+    status_by_gateway = {status["gateway"]: status for status in status_by_address.values()}
+    return [*_member_differences(status_by_gateway), *_host_differences(status_by_gateway)]
+
+
+def _member_differences(status_by_gateway: dict[int, Status]) -> list[str]:
+    """Return the gateways that some hold for dead and others hear."""
+    lines = []
+    members = {int(member) for status in status_by_gateway.values() for member in status["peers"]}
+    for member in sorted(members):
+        observers_by_state: dict[str, list[int]] = {}
+        for observer, status in sorted(status_by_gateway.items()):
+            peer = status["peers"].get(str(member))
             if peer is not None:
-                states.setdefault(peer["state"], []).append(teller)
-        if "gone" in states and "alive" in states:
-            said.append(f"gateway {number}: gone for {numbers(states['gone'])}, heard by {numbers(states['alive'])}")
-    hosts: dict[str, dict[bool, list[int]]] = {}
-    for teller, found in sorted(by_number.items()):
-        for host in found["hosts"]:
-            hosts.setdefault(host["host"], {}).setdefault(host["doubted"], []).append(teller)
-    for name, by in sorted(hosts.items()):
-        doubting = by.get(True, [])
-        if doubting and len(doubting) < len(by_number):
-            rest = [n for n in sorted(by_number) if n not in doubting]
-            said.append(f"host {name}: in doubt at {numbers(doubting)}, not at {numbers(rest)}")
-    return said
-
-
-def numbers(of: Sequence[int]) -> str:
-    return ", ".join(map(str, of))
-
-
-def show(shown: dict[str, Any], wrong: Sequence[str]) -> None:
-    form = "{:>7} {:>4} {:>6} {:>6} {:>7} {:>5} {:>8} {:>9} {:>7} {:>6} {:>5}  {}"
-    print(form.format(
-        "gateway", "zone", "health", "alive", "suspect", "gone", "sent", "bytes", "came", "budget", "poor", "dropped"
-    ))  # fmt: skip
-    for found in sorted(shown.values(), key=lambda found: int(found["gateway"])):
-        states = [peer["state"] for peer in found["peers"].values()]
-        print(form.format(
-            found["gateway"], found["zone"], found["health"], states.count("alive"), states.count("suspect"),
-            states.count("gone"), found["sent"], found["sent_bytes"], found["came"], found["budget"], found["poor"],
-            found["dropped"] or "",
-        ))  # fmt: skip
-    form = "{:<10} {:>7} {:>7} {:>6} {:>6} {:>7} {:>5} {:>8}  {}"
-    rows = [(host["host"], found["gateway"], host) for found in shown.values() for host in found["hosts"]]
+                observers_by_state.setdefault(peer["state"], []).append(observer)
+        if "gone" in observers_by_state and "alive" in observers_by_state:
+            gone, alive = _joined(observers_by_state["gone"]), _joined(observers_by_state["alive"])
+            lines.append(f"gateway {member}: gone for {gone}, heard by {alive}")
+    return lines
+
+
+def _host_differences(status_by_gateway: dict[int, Status]) -> list[str]:
+    """Return the hosts that some gateways suspect and others do not."""
+    suspecting_by_host: dict[str, list[int]] = {}
+    for observer, status in sorted(status_by_gateway.items()):
+        for host in status["hosts"]:
+            if host["doubted"]:
+                suspecting_by_host.setdefault(host["host"], []).append(observer)
+    lines = []
+    for name, suspecting in sorted(suspecting_by_host.items()):
+        if len(suspecting) < len(status_by_gateway):
+            others = [gateway for gateway in sorted(status_by_gateway) if gateway not in suspecting]
+            lines.append(f"host {name}: in doubt at {_joined(suspecting)}, not at {_joined(others)}")
+    return lines
+
+
+def _joined(gateways: Sequence[int]) -> str:
+    return ", ".join(map(str, gateways))
+
+
+def print_status(status_by_address: dict[str, Status], failures: Sequence[str]) -> None:
+    """Print tables of gateways and hosts, then differences and the addresses that did not answer."""
+    print(GATEWAY_ROW.format(*GATEWAY_TITLES))
+    for status in sorted(status_by_address.values(), key=lambda status: int(status["gateway"])):
+        print(GATEWAY_ROW.format(*_gateway_cells(status)))
+    rows = [
+        (host["host"], status["gateway"], host) for status in status_by_address.values() for host in status["hosts"]
+    ]
     if rows:
-        print(form.format("host", "gateway", "doubt", "good", "bad", "tellers", "well", "left ms", "own good, bad"))
+        print(HOST_ROW.format(*HOST_TITLES))
     for name, gateway, host in sorted(rows, key=lambda row: row[:2]):
-        print(form.format(
-            name, gateway, "yes" if host["doubted"] else "no", host["good"], host["bad"], host["tellers"],
-            host["well"], host["left_ms"], ", ".join(map(str, host["own"])),
-        ))  # fmt: skip
-    for line in [*differences(shown), *wrong]:
+        print(HOST_ROW.format(name, gateway, *_host_cells(host)))
+    for line in [*find_differences(status_by_address), *failures]:
         print(line)
 
 
-def main(arguments: Sequence[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python -m cloverkeel peers", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)  # fmt: skip
+def _gateway_cells(status: Status) -> tuple[Any, ...]:
+    states = [peer["state"] for peer in status["peers"].values()]
+    return (
+        status["gateway"], status["zone"], status["health"], states.count("alive"), states.count("suspect"),
+        states.count("gone"), status["sent"], status["sent_bytes"], status["came"], status["budget"], status["poor"],
+        status["dropped"] or "",
+    )  # fmt: skip
+
+
+def _host_cells(host: dict[str, Any]) -> tuple[Any, ...]:
+    return (
+        "yes" if host["doubted"] else "no", host["good"], host["bad"], host["tellers"], host["well"],
+        host["left_ms"], ", ".join(map(str, host["own"])),
+    )  # fmt: skip
+
+
+def _parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(
+        prog="python -m cloverkeel peers", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     commands = parser.add_subparsers(dest="command", required=True)
-    shows = commands.add_parser("show", help="who hears whom, hosts in doubt, and what it costs")
-    shows.add_argument("--json", action="store_true")
-    shows.add_argument("--at", default=os.environ.get("CLOVERKEEL_OPS", ""), metavar="HOST:PORT,...")
-    options = parser.parse_args(arguments)
+    show = commands.add_parser("show", help="who hears whom, hosts in doubt, and what it costs")
+    show.add_argument("--json", action="store_true")
+    show.add_argument("--at", default=os.environ.get("CLOVERKEEL_OPS", ""), metavar="HOST:PORT,...")
+    return parser
+
+
+def main(arguments: Sequence[str]) -> int:
+    """Run `peers`; return its exit code."""
+    options = _parser().parse_args(arguments)
     try:
         addresses = addresses_of(options.at)
     except ConfigError as error:
         print(f"cloverkeel: {error}", file=sys.stderr)
         return 2
-    shown, wrong = ask_all(addresses, "PEERS", "nothing is shared here")
+    status_by_address, failures = ask_all(addresses, "PEERS", "nothing is shared here")
     if options.json:
-        print(json.dumps({"gateways": shown, "differences": differences(shown), "wrong": wrong}, indent=1))
+        differences = find_differences(status_by_address)
+        answer = {"gateways": status_by_address, "differences": differences, "wrong": failures}
+        print(json.dumps(answer, indent=1))
     else:
-        show(shown, wrong)
-    return 1 if wrong else 0
+        print_status(status_by_address, failures)
+    return 1 if failures else 0
--- a/cloverkeel/gossip/dissemination.py
+++ b/cloverkeel/gossip/dissemination.py
@@ -1,161 +1,190 @@
-"""What is worth saying, how often, to whom, and within how many bytes. Pure: time comes in.
+"""Broadcasts that wait to be piggybacked on datagrams: in which order, how often, to how many. Pure.
+
+The infection-style dissemination of SWIM (Das, Gupta, Motivala 2002, section 4.1), as memberlist's broadcast queue:
+each item leaves this gateway a bounded number of times, some multiple of the logarithm of the fleet's size.
 
 Invariants:
-- a piece is passed on only where a second teller confirms it, or where it contradicts a doubt;
-- each piece leaves this gateway a fixed number of times at the most, and the worst news first;
-- bytes are paid for, by receiver, from one bucket; nothing is said on credit but the answer to a probe, and a gift,
-  whose tokens are gone already.
+- each broadcast leaves this gateway a fixed number of times at the most, and the most urgent first;
+- at most MAX_QUEUED_BROADCASTS wait; the least urgent gives way;
+- status of members is not sent from the last OBSERVATION_RESERVE_BYTES of the token bucket.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Final
-
-from cloverkeel.gossip.outlier_reports import Host, Observation
-from cloverkeel.gossip.messages import MAX_ITEMS_BYTES, ObservationItem, Item, MemberStatus, MemberItem, item_size
+from enum import IntEnum
+from typing import Final, NamedTuple
+
+from cloverkeel.gossip.messages import (
+    MAX_ITEMS_BYTES,
+    HostProcess,
+    Item,
+    MemberItem,
+    MemberStatus,
+    ObservationItem,
+    item_size,
+)
+from cloverkeel.gossip.outlier_reports import Observation
+from cloverkeel.gossip.sampling import UniformRandom, shuffled
+from cloverkeel.gossip.token_bucket import ByteTokenBucket
 
 UNCONFIRMED_FANOUT: Final = 3  # gateways that hear of a failure that nobody has confirmed
 SMALL_FLEET_SIZE: Final = 8  # gateways: all of so few do
-FANOUT: Final = 2  # gateways told at a time
-FULL_MESSAGE_BYTES: Final = 256  # of a message, as the platform prices it
-BYTES_PER_REQUEST_RATIO: Final = 0.1  # of such a message that may be said for each request
-MIN_BYTES_PER_S: Final = 600.0  # whatever the requests: a probe and its answer, and some news
-MAX_SAVED_BYTES: Final = 16_000.0
-OBSERVATION_RESERVE_BYTES: Final = 8_000.0  # of these, for what hosts do: who is suspected must not use it up
+FANOUT: Final = 2  # gateways that a round of broadcasts goes to
+EXTRA_TRANSMISSIONS: Final = 2  # over the logarithm: some are lost
+OBSERVATION_RESERVE_BYTES: Final = 8_000.0  # of the bucket, kept for observations of hosts
 MAX_QUEUED_BROADCASTS: Final = 256
-REQUEST_RATE_INTERVAL_US: Final = 1_000_000  # between two looks at how many requests there are
+NO_REPORTER: Final = -1
 
 
-def max_transmissions(count: int) -> int:
-    """How often each who hears of a thing passes it on at the most, so that all hear it though some of it is lost."""
-    return math.ceil(math.log(max(2, count))) + 2
+def max_transmissions(fleet_size: int) -> int:
+    """Return how often each gateway forwards an item at the most, so that all get it though some are lost."""
+    return math.ceil(math.log(max(2, fleet_size))) + EXTRA_TRANSMISSIONS
 
 
-def unconfirmed_fanout(count: int) -> int:
-    """How many are told what nobody has confirmed."""
-    return count - 1 if count <= SMALL_FLEET_SIZE else UNCONFIRMED_FANOUT
+def unconfirmed_fanout(fleet_size: int) -> int:
+    """Return how many gateways are sent what nobody has confirmed."""
+    return fleet_size - 1 if fleet_size <= SMALL_FLEET_SIZE else UNCONFIRMED_FANOUT
 
 
-@dataclass(slots=True)
-class ByteTokenBucket:
-    """Bytes that may be said."""
+Broadcast = ObservationItem | MemberItem  # what goes to all; other items are between two gateways
+
+
+class BroadcastPriority(IntEnum):
+    """Urgency of a broadcast: the lowest first. Restrictions come before what lifts them."""
+
+    HOST_FAILURE = 0
+    MEMBER_DOWN = 1
+    HOST_SUCCESS = 2
+    MEMBER_ALIVE = 3
+
+
+class MemberKey(NamedTuple):
+    """What a status of a gateway replaces: each accuser's suspicion is kept apart."""
+
+    gateway: int
+    accuser: int
 
-    left: float = MAX_SAVED_BYTES
-    rate: float = MIN_BYTES_PER_S
-    at_us: int = 0
-    requests: int = 0
-    since_us: int = 0
 
-    def refill(self, now_us: int, requests: int) -> None:
-        """`requests`: how many this gateway has taken since its start."""
-        elapsed_us = now_us - self.at_us
-        if elapsed_us > 0:
-            self.left = min(MAX_SAVED_BYTES, self.left + self.rate * elapsed_us / 1e6)
-            self.at_us = now_us
-        if now_us - self.since_us >= REQUEST_RATE_INTERVAL_US:
-            seen = (requests - self.requests) / max(1e-6, (now_us - self.since_us) / 1e6)
-            if self.since_us:
-                self.rate = max(MIN_BYTES_PER_S, BYTES_PER_REQUEST_RATIO * FULL_MESSAGE_BYTES * seen)
-            self.requests, self.since_us = requests, now_us
+class ObservationKey(NamedTuple):
+    """What an observation replaces."""
 
+    reporter: int
+    process: HostProcess
 
-Broadcast = ObservationItem | MemberItem  # what goes round; the rest is between two
+
+BroadcastKey = MemberKey | ObservationKey
 
 
 @dataclass(slots=True)
 class QueuedBroadcast:
+    """An item and how often it is still to be sent."""
+
     item: Broadcast
-    sends: int
-    rank: int  # the lowest first
+    transmissions_left: int
+    priority: BroadcastPriority
 
 
-def rank_of(item: Broadcast) -> int:
-    """Restrictions first: what fails, who is gone; then what contradicts; then who came back."""
+def priority_of(item: Broadcast) -> BroadcastPriority:
+    """Return an item's urgency."""
     if isinstance(item, ObservationItem):
-        return 0 if item.bad else 2
-    return 1 if item.life != MemberStatus.ALIVE else 3
-
-
-BroadcastKey = tuple[int, int, int, int]
+        return BroadcastPriority.HOST_FAILURE if item.failures else BroadcastPriority.HOST_SUCCESS
+    if item.status != MemberStatus.ALIVE:
+        return BroadcastPriority.MEMBER_DOWN
+    return BroadcastPriority.MEMBER_ALIVE
 
 
 def key_of(item: Broadcast) -> BroadcastKey:
+    """Return what an item is about: a newer one with the same key replaces it."""
     if isinstance(item, MemberItem):
-        return (1, item.number, 0, item.by if item.life == MemberStatus.SUSPECT else -1)
-    return (2, item.teller, item.host, item.started)
+        is_suspicion = item.status == MemberStatus.SUSPECT
+        return MemberKey(item.gateway, item.reporter if is_suspicion else NO_REPORTER)
+    return ObservationKey(item.reporter, item.process)
 
 
 class BroadcastQueue:
-    """What is waiting to be said."""
+    """Broadcasts that wait, and the token bucket that pays for datagrams."""
 
-    def __init__(self, count: int, draw: Callable[[], float]) -> None:
-        self.count, self.draw = count, draw
-        self.waiting: dict[BroadcastKey, QueuedBroadcast] = {}
+    def __init__(self, fleet_size: int, rng: UniformRandom) -> None:
+        self.fleet_size, self.rng = fleet_size, rng
+        self.queued: dict[BroadcastKey, QueuedBroadcast] = {}
         self.bucket = ByteTokenBucket()
-        self.dropped = 0  # for want of room
+        self.dropped_count = 0  # for want of room
 
     @property
-    def urgent(self) -> bool:
-        return any(rumour.rank == 0 for rumour in self.waiting.values())
+    def is_urgent(self) -> bool:
+        """Whether a failure of a host waits."""
+        return any(broadcast.priority == BroadcastPriority.HOST_FAILURE for broadcast in self.queued.values())
 
     @property
-    def worth_saying(self) -> bool:
-        """Something waits that may be paid for."""
-        return bool(self.waiting) and (
-            self.bucket.left >= OBSERVATION_RESERVE_BYTES or any(key[0] == 2 for key in self.waiting)
-        )  # fmt: skip
-
-    def add(self, item: Broadcast, sends: int) -> None:
-        """OutgoingMessage it so often; it replaces what was waiting of the same teller on the same thing."""
+    def has_affordable(self) -> bool:
+        """Whether something waits that the bucket pays for."""
+        if not self.queued:
+            return False
+        if self.bucket.available_bytes >= OBSERVATION_RESERVE_BYTES:
+            return True
+        return any(isinstance(broadcast.item, ObservationItem) for broadcast in self.queued.values())
+
+    def add(self, item: Broadcast, transmissions: int) -> None:
+        """Queue an item to be sent so often; it replaces one with the same key."""
         key = key_of(item)
-        if key not in self.waiting and len(self.waiting) >= MAX_QUEUED_BROADCASTS:
-            worst = max(self.waiting, key=lambda k: (self.waiting[k].rank, -self.waiting[k].sends))
-            self.dropped += 1
-            if self.waiting[worst].rank < rank_of(item):
-                return
-            del self.waiting[worst]
-        self.waiting[key] = QueuedBroadcast(item, sends, rank_of(item))
-
-    def pass_on(self, piece: Observation) -> None:
-        if piece.sends > 0:
-            self.add(piece.item, piece.sends)
-            piece.sends = 0
-
-    def heard_again(self, item: Broadcast) -> None:
-        """Another has said the same: less is left to say."""
-        rumour = self.waiting.get(key_of(item))
-        if rumour is not None and rumour.item == item:
-            rumour.sends -= 1
-            if rumour.sends <= 0:
-                del self.waiting[key_of(item)]
-
-    def drop_host(self, host: Host) -> None:
-        """Nothing more is to be said of it: its process is another by now."""
-        gone = [key for key in self.waiting if key[0] == 2 and key[2:] == host]
-        for key in gone:
-            del self.waiting[key]
-
-    def choose(self, but: tuple[Item, ...] = ()) -> tuple[Item, ...]:
-        """What fits one datagram beside what it has already; each is counted as said once."""
-        room = MAX_ITEMS_BYTES - sum(item_size(item) for item in but)
-        poor = self.bucket.left < OBSERVATION_RESERVE_BYTES
+        if key not in self.queued and len(self.queued) >= MAX_QUEUED_BROADCASTS and not self._make_room(item):
+            return
+        self.queued[key] = QueuedBroadcast(item, transmissions, priority_of(item))
+
+    def _make_room(self, item: Broadcast) -> bool:
+        """Drop the least urgent broadcast; False where that is the item itself."""
+        self.dropped_count += 1
+        least_urgent = max(
+            self.queued, key=lambda key: (self.queued[key].priority, -self.queued[key].transmissions_left)
+        )
+        if self.queued[least_urgent].priority < priority_of(item):
+            return False
+        del self.queued[least_urgent]
+        return True
+
+    def forward(self, observation: Observation) -> None:
+        """Queue a peer's observation, once."""
+        if observation.transmissions_left > 0:
+            self.add(observation.item, observation.transmissions_left)
+            observation.transmissions_left = 0
+
+    def on_duplicate(self, item: Broadcast) -> None:
+        """Count an item that came from another gateway too as one transmission."""
+        key = key_of(item)
+        broadcast = self.queued.get(key)
+        if broadcast is not None and broadcast.item == item:
+            self._count_transmission(key, broadcast)
+
+    def _count_transmission(self, key: BroadcastKey, broadcast: QueuedBroadcast) -> None:
+        broadcast.transmissions_left -= 1
+        if broadcast.transmissions_left <= 0:
+            del self.queued[key]
+
+    def take_items(self, items: tuple[Item, ...] = ()) -> tuple[Item, ...]:
+        """Return what fits into one datagram beside its own items; each counts as one transmission."""
+        room_bytes = MAX_ITEMS_BYTES - sum(item_size(item) for item in items)
+        is_below_reserve = self.bucket.available_bytes < OBSERVATION_RESERVE_BYTES
+        own_keys = {key_of(item) for item in items if isinstance(item, ObservationItem | MemberItem)}
         chosen: list[Item] = []
-        said = {key_of(item) for item in but if isinstance(item, ObservationItem | MemberItem)}
-        for key, rumour in sorted(self.waiting.items(), key=lambda kv: (kv[1].rank, -kv[1].sends)):
-            size = item_size(rumour.item)
-            if size > room or key in said or (poor and key[0] == 1):
+        for key, broadcast in sorted(self.queued.items(), key=_send_order):
+            size_bytes = item_size(broadcast.item)
+            if size_bytes > room_bytes or key in own_keys:
+                continue
+            if is_below_reserve and isinstance(broadcast.item, MemberItem):
                 continue
-            room -= size
-            chosen.append(rumour.item)
-            rumour.sends -= 1
-            if rumour.sends <= 0:
-                del self.waiting[key]
+            room_bytes -= size_bytes
+            chosen.append(broadcast.item)
+            self._count_transmission(key, broadcast)
         return tuple(chosen)
 
-    def targets(self, able: list[int]) -> list[int]:
-        """Some of them, drawn: more where something new is to be said that nobody has confirmed."""
-        fan = unconfirmed_fanout(self.count) if any(rumour.rank == 0 for rumour in self.waiting.values()) else FANOUT
-        return sorted(able, key=lambda _: self.draw())[:fan]
+    def choose_targets(self, gateways: list[int]) -> list[int]:
+        """Draw whom a round of broadcasts goes to: more gateways where a failure waits."""
+        fanout = unconfirmed_fanout(self.fleet_size) if self.is_urgent else FANOUT
+        return shuffled(gateways, self.rng)[:fanout]
+
+
+def _send_order(entry: tuple[BroadcastKey, QueuedBroadcast]) -> tuple[int, int]:
+    broadcast = entry[1]
+    return broadcast.priority, -broadcast.transmissions_left
--- a/cloverkeel/gossip/retry_tokens.py
+++ b/cloverkeel/gossip/retry_tokens.py
@@ -1,14 +1,14 @@
-"""Tokens for further attempts, which move from gateways that have them to spare to those that want them. Pure.
+"""Retry tokens that move from gateways with some to spare to those that want them. Pure: time is passed in.
 
-A right is a token of the module: each first try earns a part of one, and what is saved up is bounded
-(MAX_SAVED_TOKENS). Tokens move by escrow: who gives has them no more before it says so, who takes uses them within
-GRANT_LIFETIME_US.
+A token is one of the balancer's retry budget: each first attempt earns a part of one, and what is saved up is bounded
+(MAX_SAVED_TOKENS). Tokens move by escrow (O'Neil 1986): the grantor gives them up before it sends the grant, the
+recipient uses them within GRANT_LIFETIME_US.
 
 Invariants (docs/peers-design.md):
-- a gift is taken once, by the process that asked for it: by giver, its incarnation and a number that only grows;
-- what is lost, late or sent to a process that is gone is lost; nothing makes it come back;
-- no gift is more than one gateway may save up;
-- a gateway gives nothing while it wants some itself, and never more than it has.
+- a grant is accepted once, by the process that asked for it: by grantor, its incarnation and a growing number;
+- tokens that are lost, late or sent to a process that has ended are lost; nothing restores them;
+- no grant is more than one gateway may save up;
+- a gateway grants nothing while it wants some itself, and never more than it has.
 """
 
 from __future__ import annotations
@@ -16,71 +16,86 @@
 from dataclasses import dataclass
 from typing import Final, Protocol
 
-from cloverkeel.gossip.messages import TokenGrantItem, TokenRequestItem
+from cloverkeel.gossip.messages import GatewayProcess, TokenGrantItem, TokenRequestItem
 
-MAX_SAVED_TOKENS: Final = 1.0  # tokens that one gateway saves up
+MAX_SAVED_TOKENS: Final = 1.0
 MIN_TRANSFER_TOKENS: Final = 0.5  # that are worth a datagram: a retry after an error
-TOKEN_REQUEST_INTERVAL_US: Final = 200_000  # between two times that it asks
-TOKEN_REQUEST_FANOUT: Final = 2  # others, drawn
-GRANT_LIFETIME_US: Final = 1_000_000  # a gift is used within this, or lost
-HUNDREDTHS_PER_TOKEN: Final = 100  # amounts are told in hundredths
+TOKEN_REQUEST_INTERVAL_US: Final = 200_000
+TOKEN_REQUEST_FANOUT: Final = 2  # gateways that are asked at a time
+GRANT_LIFETIME_US: Final = 1_000_000
+HUNDREDTHS_PER_TOKEN: Final = 100  # the unit of datagrams
+MAX_GRANT_HUNDREDTHS: Final = int(MAX_SAVED_TOKENS * HUNDREDTHS_PER_TOKEN)
 
 
 class RetryTokenBucket(Protocol):
-    """The module's tokens."""
+    """The balancer's retry tokens."""
 
-    def take(self, most: float) -> float:
-        """Take away so many at the most, and say how many are gone; 0 where they are wanted here."""
+    def withdraw(self, max_tokens: float) -> float:
+        """Take away so many at the most; return how many are gone, 0 where they are wanted here."""
 
-    def put(self, amount: float, until_us: int) -> None: ...
+    def deposit(self, tokens: float, expires_us: int) -> None:
+        """Add tokens that are lost at `expires_us`."""
 
 
 @dataclass(slots=True)
 class RetryTokenCounts:
-    asked: int = 0
-    given: float = 0.0
-    taken: float = 0.0
-    refused: int = 0  # gifts that came twice, late, for another process, or are more than anybody may have
+    """What was transferred since the start, in tokens where not said otherwise."""
+
+    requests: int = 0  # datagrams
+    granted: float = 0.0
+    accepted: float = 0.0
+    refused: int = 0  # grants that came twice, late, for another process, or for more than anybody may have
 
 
 class RetryTokens:
-    def __init__(self, number: int, purse: RetryTokenBucket) -> None:
-        self.number, self.purse = number, purse
-        self.sequence = 0
-        self.asked_us = -TOKEN_REQUEST_INTERVAL_US
-        self.seen: dict[int, tuple[int, int]] = {}  # by giver: incarnation and sequence of its last gift
+    """Transfer of retry tokens, seen by one gateway."""
+
+    def __init__(self, gateway: int, bucket: RetryTokenBucket) -> None:
+        self.gateway, self.bucket = gateway, bucket
+        self.sequence = 0  # of the last grant made here
+        self.requested_us = -TOKEN_REQUEST_INTERVAL_US
+        self.last_grant_by_grantor: dict[int, tuple[int, int]] = {}  # incarnation and sequence
         self.counts = RetryTokenCounts()
 
-    def want(self, now_us: int) -> TokenRequestItem | None:
-        """Called while tokens are wanted here."""
-        if now_us - self.asked_us < TOKEN_REQUEST_INTERVAL_US:
+    def request(self, now_us: int) -> TokenRequestItem | None:
+        """Return what to ask others for while tokens are wanted here; None if that was done a moment ago."""
+        if now_us - self.requested_us < TOKEN_REQUEST_INTERVAL_US:
             return None
-        self.asked_us = now_us
-        self.counts.asked += 1
-        return TokenRequestItem(int(MAX_SAVED_TOKENS * HUNDREDTHS_PER_TOKEN))
-
-    def give(self, want: TokenRequestItem, to: int, incarnation: int, own: int, stamp: int) -> TokenGrantItem | None:
-        """To the process that asked; `own`: this gateway's incarnation. The tokens are gone from here by now."""
-        most = min(MAX_SAVED_TOKENS, want.amount / HUNDREDTHS_PER_TOKEN)
-        amount = int(self.purse.take(most) * HUNDREDTHS_PER_TOKEN) if most >= MIN_TRANSFER_TOKENS else 0
-        if amount <= 0:
+        self.requested_us = now_us
+        self.counts.requests += 1
+        return TokenRequestItem(MAX_GRANT_HUNDREDTHS)
+
+    def grant(
+        self, request: TokenRequestItem, recipient: GatewayProcess, own_incarnation: int, timestamp_ms: int
+    ) -> TokenGrantItem | None:
+        """Return a grant for the process that asked; its tokens are gone from here by then."""
+        max_tokens = min(MAX_SAVED_TOKENS, request.hundredths / HUNDREDTHS_PER_TOKEN)
+        if max_tokens < MIN_TRANSFER_TOKENS:
+            return None
+        hundredths = int(self.bucket.withdraw(max_tokens) * HUNDREDTHS_PER_TOKEN)
+        if hundredths <= 0:
             return None
         self.sequence += 1
-        self.counts.given += amount / HUNDREDTHS_PER_TOKEN
-        return TokenGrantItem(self.number, own, self.sequence, stamp, to, incarnation, amount)
-
-    def take(self, now_us: int, gift: TokenGrantItem, own: int, age_us: int | None) -> None:
-        """`own`: this gateway's incarnation; `age_us`: of the gift, None where that can't be told."""
-        last = self.seen.get(gift.giver, (0, 0))
-        fresh = (gift.incarnation, gift.sequence) > last
-        if fresh:
-            self.seen[gift.giver] = (gift.incarnation, gift.sequence)
-        meant = gift.to == self.number and gift.to_incarnation == own
+        self.counts.granted += hundredths / HUNDREDTHS_PER_TOKEN
+        return TokenGrantItem(self.gateway, own_incarnation, self.sequence, timestamp_ms, *recipient, hundredths)
+
+    def accept(self, now_us: int, grant: TokenGrantItem, own_incarnation: int, age_us: int | None) -> None:
+        """Deposit a grant, or refuse it; `age_us`: None where its age is not known."""
+        is_new = self._record_sequence(grant)
+        is_addressee = grant.recipient == self.gateway and grant.recipient_incarnation == own_incarnation
         if age_us is None or age_us >= GRANT_LIFETIME_US:
             self.counts.refused += 1
             return
-        if not fresh or not meant or gift.amount > MAX_SAVED_TOKENS * HUNDREDTHS_PER_TOKEN:
+        if not is_new or not is_addressee or grant.hundredths > MAX_GRANT_HUNDREDTHS:
             self.counts.refused += 1
             return
-        self.counts.taken += gift.amount / HUNDREDTHS_PER_TOKEN
-        self.purse.put(gift.amount / HUNDREDTHS_PER_TOKEN, now_us + GRANT_LIFETIME_US - age_us)
+        tokens = grant.hundredths / HUNDREDTHS_PER_TOKEN
+        self.counts.accepted += tokens
+        self.bucket.deposit(tokens, now_us + GRANT_LIFETIME_US - age_us)
+
+    def _record_sequence(self, grant: TokenGrantItem) -> bool:
+        """Return whether a grant is newer than all that came of its grantor."""
+        is_new = (grant.incarnation, grant.sequence) > self.last_grant_by_grantor.get(grant.grantor, (0, 0))
+        if is_new:
+            self.last_grant_by_grantor[grant.grantor] = (grant.incarnation, grant.sequence)
+        return is_new
--- a/cloverkeel/gossip/status.py
+++ b/cloverkeel/gossip/status.py
@@ -1,33 +1,84 @@
-"""The answer to the admin word PEERS: who is there, hosts in doubt, and what it costs. Pure."""
+"""Answer to the admin word PEERS: members, hosts and what the gossip costs. Pure.
 
-from __future__ import annotations
+The one place that maps the names of the code to the JSON keys of docs/peers.md.
+"""
 
-from dataclasses import asdict
+from __future__ import annotations
 
+from cloverkeel.gossip.messages import HostProcess, MemberStatus
 from cloverkeel.gossip.node import GossipNode
+from cloverkeel.gossip.outlier_reports import Assessment
+from cloverkeel.gossip.peer_state import PeerState
+from cloverkeel.gossip.retry_tokens import RetryTokens
+
+NEVER_HEARD_MS = -1
+STATE_BY_STATUS = {MemberStatus.ALIVE: "alive", MemberStatus.SUSPECT: "suspect", MemberStatus.DEAD: "gone"}
+
+
+def peer_state_name(peer: PeerState) -> str:
+    """Return a peer's state as it is shown."""
+    if peer.status is MemberStatus.ALIVE and not peer.last_heard_us:
+        return "not heard"
+    return STATE_BY_STATUS[peer.status]
 
 
 def node_status(node: GossipNode, now_us: int) -> dict[str, object]:
-    """JSON-able: who is there, hosts in doubt and why, and what it costs."""
-    counts, presence = node.counts, node.presence
+    """Return what a node knows and counts, ready for JSON."""
+    membership, broadcasts = node.membership, node.broadcasts
+    outliers, counts = node.outliers, node.counts
     return {
-        "gateway": node.number, "zone": node.zone, "incarnation": presence.incarnation, "health": presence.health,
-        "peers": {
-            str(n): {"state": other.state, "incarnation": other.incarnation,
-                     "heard_ms": (now_us - other.heard_us) // 1000 if other.heard_us else -1}
-            for n, other in presence.others.items()
-        },
+        "gateway": node.gateway,
+        "zone": node.zone,
+        "incarnation": membership.incarnation,
+        "health": membership.health.score,
+        "peers": {str(gateway): _peer_status(peer, now_us) for gateway, peer in membership.peers.items()},
         "hosts": [
-            {"host": f"{host[0]:x}", "good": round(known.good, 1), "bad": round(known.bad, 1),
-             "tellers": known.reporters, "well": known.well, "doubted": known.doubted,
-             "left_ms": max(0, known.until_us - now_us) // 1000,
-             "own": list(node.watch.sums(now_us, host))}
-            for host, known in node.passed.items()
+            _host_status(node, host, assessment, now_us) for host, assessment in outliers.assessment_by_host.items()
         ],
-        "suspicions": presence.suspicions, "refutations": presence.refutations, "returns": presence.returns,
-        "sent": counts.sent, "sent_bytes": counts.sent_bytes, "came": counts.came, "first": counts.first,
-        "confirmed": counts.confirmed, "contradicted": counts.contradicted, "ill": counts.ill,
-        "poor": counts.poor, "unknown": counts.unknown, "heard": counts.heard, "old": node.told.old,
-        "late": node.told.late, "rights": asdict(node.rights.counts) if node.rights is not None else {},
-        "budget": round(node.rumours.bucket.left), "waiting": len(node.rumours.waiting),
-    }  # fmt: skip
+        "suspicions": node.failure_detector.suspicion_count,
+        "refutations": membership.refutation_count,
+        "returns": membership.recovery_count,
+        "sent": counts.sent,
+        "sent_bytes": counts.sent_bytes,
+        "came": counts.received,
+        "first": outliers.counts.unconfirmed_reports,
+        "confirmed": outliers.counts.confirmed_hosts,
+        "contradicted": outliers.counts.success_reports,
+        "ill": outliers.counts.withheld_reports,
+        "poor": counts.unaffordable,
+        "unknown": counts.unknown_items,
+        "heard": outliers.counts.notifications,
+        "old": outliers.observations.stale_count,
+        "late": outliers.observations.late_count,
+        "rights": _token_status(node.retry_tokens) if node.retry_tokens is not None else {},
+        "budget": round(broadcasts.bucket.available_bytes),
+        "waiting": len(broadcasts.queued),
+    }
+
+
+def _peer_status(peer: PeerState, now_us: int) -> dict[str, object]:
+    heard_ms = (now_us - peer.last_heard_us) // 1000 if peer.last_heard_us else NEVER_HEARD_MS
+    return {"state": peer_state_name(peer), "incarnation": peer.incarnation, "heard_ms": heard_ms}
+
+
+def _host_status(node: GossipNode, host: HostProcess, assessment: Assessment, now_us: int) -> dict[str, object]:
+    return {
+        "host": f"{host.host:x}",
+        "good": round(assessment.successes, 1),
+        "bad": round(assessment.failures, 1),
+        "tellers": assessment.failure_reporters,
+        "well": assessment.success_reporters,
+        "doubted": assessment.is_suspected_outlier,
+        "left_ms": max(0, assessment.expires_us - now_us) // 1000,
+        "own": list(node.outliers.local.totals(now_us, host)),
+    }
+
+
+def _token_status(retry_tokens: RetryTokens) -> dict[str, object]:
+    counts = retry_tokens.counts
+    return {
+        "asked": counts.requests,
+        "given": counts.granted,
+        "taken": counts.accepted,
+        "refused": counts.refused,
+    }
--- a/tests/golden/gossip.py
+++ b/tests/golden/gossip.py
@@ -63,7 +63,7 @@
 
 
 def _head(kind: MessageKind) -> Header:
-    return Header(kind, 0x1203, INCARNATION, STAMP, sequence=0x89ABCDEF, other=0x0405)
+    return Header(kind, 0x1203, INCARNATION, STAMP, sequence=0x89ABCDEF, subject=0x0405)
 
 
 def _datagram(kind: MessageKind, *items: Item) -> Sample:
@@ -82,23 +82,23 @@
         program = assemble(config)
         with mock.patch("random.SystemRandom") as system_random:
             system_random.return_value.getrandbits.return_value = 1
-            room = GossipDriver(config, program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
+            driver = GossipDriver(config, program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
         try:
-            before = room.call(b"PEERS")
-            room.exchange.begin(NOW_US)
+            before = driver.call(b"PEERS")
+            driver.node.start(NOW_US)
             for number in (1, 2):
-                told = ObservationItem(number, 9, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 0, 40, 0, 0)
+                observation = ObservationItem(number, 9, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 0, 40, 0, 0)
                 alive = MemberItem(number, 9, MemberStatus.ALIVE, number)
                 head = Header(MessageKind.GOSSIP, number, 9, STAMP)
-                room.exchange.receive(NOW_US, Datagram(head, (alive, told)))
-            room.exchange.tick(NOW_US)
-            after = room.call(b"PEERS\r\n")
+                driver.node.receive(NOW_US, Datagram(head, (alive, observation)))
+            driver.node.tick(NOW_US)
+            after = driver.call(b"PEERS\r\n")
             assert before is not None
             assert after is not None
-            assert room.call(b"PEERS now") is None
+            assert driver.call(b"PEERS now") is None
             return {"peers_of_nothing": before[1].encode(), "peers": after[1].encode()}
         finally:
-            room.close()
+            driver.close()
             program.close()
 
     return asyncio.run(run())
--- /dev/null
+++ b/tests/gossip/helpers.py
@@ -0,0 +1,27 @@
+"""Short ways to build what gateways send one another."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from cloverkeel.gossip.messages import HostProcess, ObservationItem
+from cloverkeel.gossip.peer_clock import timestamp_ms_of
+
+NOW_US: Final = 1_000_000_000_000
+HOST: Final = HostProcess(5, 1)
+
+
+def constant_rng() -> float:
+    """Draw the same number each time."""
+    return 0.5
+
+
+def observe(
+    reporter: int, failures: int = 1, successes: int = 0, at_us: int = NOW_US, host: HostProcess = HOST,
+    failure_ratio: int = 0, zone: int = 0, incarnation: int = 1,
+) -> ObservationItem:  # fmt: skip
+    """Return what a gateway reports of a host."""
+    return ObservationItem(
+        reporter, incarnation, timestamp_ms_of(at_us), host.host, host.started_ms, successes, failures, failure_ratio,
+        zone,
+    )  # fmt: skip
--- a/tests/test_sharing_commands.py
+++ b/tests/gossip/test_commands.py
@@ -20,7 +20,7 @@
 from cloverkeel.core.config import parse as parse_config
 from cloverkeel.core.options import Options, Sharing, parse
 from cloverkeel.core.metrics import Tally
-from cloverkeel.gossip.commands import differences, main
+from cloverkeel.gossip.commands import find_differences, main
 from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
 from tests.sockets import configuration, on_loop
 
@@ -80,7 +80,7 @@
     said = capsys.readouterr().out
     assert "gateway 2: gone for 0, heard by 1" in said
     assert "host abc: in doubt at 0, not at 1" in said
-    assert differences({"a": other}) == []
+    assert find_differences({"a": other}) == []
 
 
 def test_a_gateway_that_shares_nothing_or_does_not_answer_is_named(capsys: pytest.CaptureFixture[str]) -> None:
--- /dev/null
+++ b/tests/gossip/test_messages.py
@@ -0,0 +1,82 @@
+"""The codec of gossip datagrams: round trips, truncated and corrupt ones, limits, items of a later release."""
+
+from __future__ import annotations
+
+import struct
+import zlib
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from cloverkeel.gossip.errors import DatagramTooLargeError, FieldOutOfRangeError
+from cloverkeel.gossip.messages import (
+    MASK32,
+    MAX_DATAGRAM_BYTES,
+    MAX_ITEMS_BYTES,
+    OBSERVATION_ITEM_BYTES,
+    Datagram,
+    Header,
+    Item,
+    MemberItem,
+    MemberStatus,
+    MessageKind,
+    ObservationItem,
+    TokenGrantItem,
+    TokenRequestItem,
+    decode,
+    encode,
+)
+from tests.gossip.helpers import observe
+
+u8, u16, u32 = st.integers(0, 255), st.integers(0, 65_535), st.integers(0, MASK32)
+member_items = st.builds(MemberItem, u16, u32, st.sampled_from(list(MemberStatus)).map(int), u16)
+observation_items = st.builds(ObservationItem, u16, u32, u32, u32, u32, u8, u8, u8, u8)
+token_grants = st.builds(TokenGrantItem, u16, u32, u32, u32, u16, u32, u16)
+token_requests = st.builds(TokenRequestItem, u16)
+headers = st.builds(Header, st.sampled_from(list(MessageKind)).map(int), u16, u32, u32, u32, u16)
+
+
+@given(headers, st.lists(st.one_of(member_items, observation_items, token_grants, token_requests), max_size=8))
+def test_what_is_encoded_is_decoded_and_fits(header: Header, items: list[Item]) -> None:
+    data = encode(header, tuple(items))
+    assert len(data) <= MAX_DATAGRAM_BYTES
+    assert decode(data) == Datagram(header, tuple(items))
+
+
+@given(st.binary(max_size=300))
+def test_whatever_the_bytes_are_decoding_gives_a_message_or_none(data: bytes) -> None:
+    decode(data)
+
+
+@given(headers, st.lists(observation_items, max_size=4), st.data())
+def test_truncated_and_corrupt_datagrams_decode_to_none(
+    header: Header, items: list[Item], data: st.DataObject
+) -> None:
+    encoded = encode(header, tuple(items))
+    assert decode(encoded[: data.draw(st.integers(0, len(encoded) - 1))]) is None
+    position = data.draw(st.integers(0, len(encoded) - 1))
+    corrupt = bytearray(encoded)
+    corrupt[position] ^= data.draw(st.integers(1, 255))
+    assert decode(bytes(corrupt)) is None
+
+
+def test_what_a_later_release_adds_is_skipped() -> None:
+    known = encode(Header(MessageKind.GOSSIP, 1, 2, 3), (observe(1),))[:-4]
+    longer = bytearray(known)
+    longer[-OBSERVATION_ITEM_BYTES + 1] += 2  # the item says that it has two bytes more
+    payload = bytes(longer) + b"xx" + struct.pack(">BB", 77, 3) + b"new"
+    datagram = decode(payload + struct.pack(">I", zlib.crc32(payload)))
+    assert datagram is not None
+    assert datagram.items == (observe(1),)
+    assert datagram.unknown_items == 1
+
+
+def test_what_does_not_fit_is_an_error() -> None:
+    too_many = MAX_ITEMS_BYTES // OBSERVATION_ITEM_BYTES + 1
+    with pytest.raises(ValueError, match="256 at most") as too_large:
+        encode(Header(MessageKind.GOSSIP, 1, 1, 1), tuple(observe(reporter) for reporter in range(too_many)))
+    assert isinstance(too_large.value, DatagramTooLargeError)
+    with pytest.raises(ValueError, match="Head") as out_of_range:
+        encode(Header(MessageKind.GOSSIP, 70_000, 1, 1))
+    assert isinstance(out_of_range.value, FieldOutOfRangeError)
--- /dev/null
+++ b/tests/gossip/test_node.py
@@ -0,0 +1,171 @@
+"""Gossip nodes, alone and in simulated fleets: what is reported, forwarded and told to the balancer."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from benchmarks.sharing import BEGIN_US, Fleet
+from cloverkeel.gossip.dissemination import MAX_QUEUED_BROADCASTS
+from cloverkeel.gossip.membership import PROBE_INTERVAL_US
+from cloverkeel.gossip.messages import MAX_DATAGRAM_BYTES, GatewayProcess, HostProcess, ObservationItem
+from cloverkeel.gossip.node import GossipNode, NodeIdentity
+from cloverkeel.gossip.outcome_window import OBSERVATION_LIFETIME_US
+from cloverkeel.gossip.outlier_gossip import REPORT_INTERVAL_US
+from cloverkeel.gossip.outlier_reports import Assessment
+from cloverkeel.gossip.token_bucket import MAX_SAVED_BYTES, MIN_BYTES_PER_S
+from tests.gossip.helpers import HOST, NOW_US, constant_rng, observe
+
+
+def ignore(host: HostProcess, assessment: Assessment) -> None:
+    """Take an assessment for the balancer."""
+
+
+def make_node(
+    fleet_size: int,
+    on_assessment: Callable[[HostProcess, Assessment], Any] = ignore,
+    rng: Callable[[], float] = constant_rng,
+) -> GossipNode:
+    return GossipNode(NodeIdentity(GatewayProcess(0, 1), fleet_size, 0), rng, on_assessment)
+
+
+def make_fleet(count: int, **options: Any) -> Fleet:
+    return Fleet(count, 1, **options)
+
+
+# Fleets
+
+
+def test_all_hear_of_a_host_that_fails_within_a_second_and_it_ends_after() -> None:
+    fleet = make_fleet(40)
+    fleet.run(BEGIN_US + 1_000_000)
+    fleet.failing[0] = 0.9
+    fleet.run(fleet.at_us + 1_000_000)
+    assert fleet.doubting(0) >= 38
+    fleet.failing.clear()
+    fleet.run(fleet.at_us + OBSERVATION_LIFETIME_US + 500_000)
+    assert fleet.doubting(0) == 0
+
+
+def test_a_gateway_for_which_every_host_fails_withholds_its_reports_and_nobody_believes_it() -> None:
+    fleet = make_fleet(12)
+    fleet.run(BEGIN_US + 500_000)
+    for _ in range(200):
+        fleet.run(fleet.at_us + 10_000)
+        for host in range(fleet.hosts):
+            fleet.outcome(5, host, False)
+    suspected = {key for key, (_, assessment) in fleet.heard.items() if assessment.is_suspected_outlier}
+    assert not suspected
+    assert fleet.nodes[5].outliers.counts.withheld_reports > 100
+
+
+@pytest.mark.parametrize("fault", ["lossy", "late", "restarts", "stalls"])
+def test_a_well_host_is_not_suspected_for_long_whatever_the_network_does(fault: str) -> None:
+    """It failed, and is well again: no datagram of then may turn it off for longer than observations count."""
+    faults = {"loss": 0.3, "doubled": 0.3} | ({"late": 0.3} if fault == "late" else {})
+    fleet = make_fleet(12, **faults)
+    fleet.run(BEGIN_US + 3_000_000)  # clocks are known
+    fleet.failing[0] = 0.9
+    fleet.run(fleet.at_us + 2_000_000)
+    if fault == "stalls":
+        fleet.stopped = set(range(1, 12))
+        fleet.run(fleet.at_us + 5_000_000)
+        fleet.failing.clear()
+        fleet.run(fleet.at_us + 100_000)
+        fleet.stopped = set()
+        fleet.run(fleet.at_us + 100_000)  # sockets are read: nothing in them is younger than it is
+        assert fleet.doubting(0) <= 1
+    else:
+        fleet.failing.clear()
+        if fault == "restarts":
+            for gateway in range(11):
+                fleet.restart(gateway)
+        fleet.run(fleet.at_us + OBSERVATION_LIFETIME_US + 500_000)
+        for _ in range(30):
+            fleet.run(fleet.at_us + 1_000_000)
+            assert fleet.doubting(0) == 0
+
+
+def test_a_gateway_that_is_cut_off_forgets_what_it_heard() -> None:
+    fleet = make_fleet(8)
+    fleet.run(BEGIN_US + 1_000_000)
+    fleet.failing[0] = 0.9
+    fleet.run(fleet.at_us + 1_000_000)
+    fleet.cut = {(gateway, 7) for gateway in range(8)} | {(7, gateway) for gateway in range(8)}
+    fleet.run(fleet.at_us + OBSERVATION_LIFETIME_US + 300_000, load=False)
+    assert not fleet.doubts(7, 0)
+
+
+def test_a_gateway_that_starts_is_sent_what_matters() -> None:
+    fleet = make_fleet(12)
+    fleet.run(BEGIN_US + 1_000_000)
+    fleet.failing[0] = 0.9
+    fleet.run(fleet.at_us + 1_500_000)
+    fleet.restart(3)
+    fleet.run(fleet.at_us + 500_000)
+    assert fleet.doubts(3, 0)
+    assert fleet.nodes[3].outliers.local.totals(fleet.clock(3), HostProcess(0, 1)) <= (1, 1)
+
+
+def test_nothing_is_sent_beyond_what_the_token_bucket_pays_for() -> None:
+    fleet = make_fleet(40, rate=30.0)
+    fleet.failing = dict.fromkeys(range(fleet.hosts), 0.45)
+    seconds = 12
+    fleet.run(BEGIN_US + seconds * 1_000_000)
+    bytes_per_s = max(MIN_BYTES_PER_S, 0.1 * 256 * 30 * 1.5)
+    for node in fleet.nodes:
+        assert node.counts.sent_bytes <= MAX_SAVED_BYTES + seconds * bytes_per_s + MAX_DATAGRAM_BYTES
+        assert len(node.broadcasts.queued) <= MAX_QUEUED_BROADCASTS
+
+
+# One node
+
+
+def test_a_timeout_at_a_host_that_has_answered_since_is_no_failure() -> None:
+    """It is overload: each host would be a suspected outlier for all."""
+    node = make_node(9)
+    local, broadcasts = node.outliers.local, node.broadcasts
+    node.record_outcome(NOW_US, HOST, True)
+    node.record_outcome(NOW_US + 1_000, HOST, False, NOW_US - 500_000)
+    assert local.totals(NOW_US + 1_000, HOST) == (1, 0)
+    assert not broadcasts.queued
+    node.record_outcome(NOW_US + 2_000, HOST, False, NOW_US + 500)  # it was silent to this one
+    assert local.totals(NOW_US + 2_000, HOST) == (0, 1)
+    assert broadcasts.queued
+
+
+def test_two_processes_of_one_host_are_two_hosts() -> None:
+    assessed: list[HostProcess] = []
+    node = make_node(4, lambda host, assessment: assessed.append(host))
+    for reporter in (1, 2):
+        node.outliers.on_observation(NOW_US, observe(reporter, host=HostProcess(5, 1)))
+    assert assessed == [(5, 1)]
+    assert not node.outliers.observations.live_observations(NOW_US, HostProcess(5, 2))
+
+
+def test_the_balancer_is_told_again_only_of_what_has_changed() -> None:
+    assessments: list[Assessment] = []
+    node = make_node(9, lambda host, assessment: assessments.append(assessment))
+    for reporter in (1, 2):
+        node.outliers.on_observation(NOW_US, observe(reporter))
+        node.outliers.on_observation(NOW_US, observe(reporter))
+    assert len(assessments) == 1
+    assert assessments[0].is_suspected_outlier
+    node.assessed_us = 0
+    node.tick(NOW_US + OBSERVATION_LIFETIME_US)
+    assert assessments[-1].failure_reporters == 0
+    assert len(assessments) == 2
+    assert not node.outliers.assessment_by_host
+    assert REPORT_INTERVAL_US < OBSERVATION_LIFETIME_US < PROBE_INTERVAL_US * 3
+
+
+def test_a_chance_failure_goes_no_further_and_two_that_meet_go_to_all() -> None:
+    node = make_node(40, rng=random.Random(1).random)
+    node.outliers.on_observation(NOW_US, observe(1))
+    assert not node.broadcasts.queued
+    node.outliers.on_observation(NOW_US + 1000, observe(2, at_us=NOW_US + 1000))
+    items = [broadcast.item for broadcast in node.broadcasts.queued.values()]
+    assert {item.reporter for item in items if isinstance(item, ObservationItem)} == {1, 2}
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -23,7 +23,6 @@
     "cloverkeel/discovery/relay_selection.py": 407,
     "cloverkeel/discovery/zookeeper_source.py": 325,
     "cloverkeel/frontends/http1/server.py": 611,
-    "cloverkeel/gossip/node.py": 404,
     "cloverkeel/leases/lease.py": 387,
     "cloverkeel/leases/manager.py": 424,
     "cloverkeel/upstream/connection_pool.py": 583,
