--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -19,7 +19,7 @@
     from cloverkeel.discovery.ejection_filter import BannedMembership
     from cloverkeel.discovery.merged_source import MergedMembership
     from cloverkeel.discovery.relay_client import RelayedDiscovery
-    from cloverkeel.gossip.driver import Room as GossipDriver
+    from cloverkeel.gossip.driver import GossipDriver
     from cloverkeel.leases.driver import Room as LeaseDriver
 
 
@@ -149,6 +149,6 @@
 ) -> GossipDriver | None:
     if options.gossip is None:
         return None
-    from cloverkeel.gossip.driver import Room
+    from cloverkeel.gossip.driver import GossipDriver
 
-    return Room(config, gateway, datagrams)
+    return GossipDriver(config, gateway, datagrams)
--- a/tests/test_sharing_commands.py
+++ b/tests/gossip/test_commands.py
@@ -20,8 +20,8 @@
 from cloverkeel.core.config import parse as parse_config
 from cloverkeel.core.options import GossipOptions, Options, parse
 from cloverkeel.core.metrics import Tally
-from cloverkeel.gossip.commands import differences, main
-from cloverkeel.gossip.retry_tokens import CAP
+from cloverkeel.gossip.commands import find_differences, main
+from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
 from tests.sockets import configuration, on_loop
 
 
@@ -80,7 +80,7 @@
     said = capsys.readouterr().out
     assert "gateway 2: gone for 0, heard by 1" in said
     assert "host abc: in doubt at 0, not at 1" in said
-    assert differences({"a": other}) == []
+    assert find_differences({"a": other}) == []
 
 
 def test_a_gateway_that_shares_nothing_or_does_not_answer_is_named(capsys: pytest.CaptureFixture[str]) -> None:
@@ -128,6 +128,6 @@
             program.start()
             await asyncio.sleep(0)
             assert program.datagrams is not None and program.datagrams.transport is None
-            assert before > CAP and program.gateway.balancer.retry_state(now_us()) == (0.0, False)
+            assert before > MAX_SAVED_TOKENS and program.gateway.balancer.retry_state(now_us()) == (0.0, False)
         finally:
             program.close()
