--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -14,7 +14,7 @@
 from cloverkeel.upstream.connection_pool import Pools
 
 if TYPE_CHECKING:
-    from cloverkeel.core.datagrams import Datagrams
+    from cloverkeel.core.datagrams import PeerSocket
     from cloverkeel.discovery.ejection_filter import BannedMembership
     from cloverkeel.leases.driver import Room
     from cloverkeel.discovery.merged_source import MergedMembership
@@ -30,7 +30,7 @@
     server: Server
     pools: Pools
     discovery: Discovery | MergedMembership | BannedMembership
-    datagrams: Datagrams | None = None  # the socket of the parts below
+    datagrams: PeerSocket | None = None  # the socket of the parts below
     duties: Room | None = None
     sharing: GossipDriver | None = None
     relayed: RelayedDiscovery | None = None  # the part of `discovery` that asks relays
@@ -88,10 +88,10 @@
     if options is None or not may_tell or (options.duties is None and options.sharing is None):
         return Program(gateway, Server(config, gateway, pools), pools, membership, relayed=relayed)
     # Imported here alone: most installations have none of it, and some allow no datagrams.
-    from cloverkeel.core.datagrams import Datagrams
+    from cloverkeel.core.datagrams import PeerSocket
 
     assert config.peer_listen is not None
-    datagrams = Datagrams(config.peer_listen, config.peers)
+    datagrams = PeerSocket(config.peer_listen, config.peers)
     duties = sharing = None
     if options.duties is not None:
         from cloverkeel.leases.driver import Room
--- a/cloverkeel/core/datagrams.py
+++ b/cloverkeel/core/datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams between gateways: one socket, and whose each datagram is, by its first byte.
+"""Datagrams between gateways: one UDP socket, whose handlers are told apart by the first byte of a datagram.
 
-Bounds: one socket; a datagram that no part wants is counted and dropped. Two processes of one gateway have one
-address: it is the old one's until its end.
+Bounds: one socket; a datagram that no handler claims is counted and dropped. Two processes of one gateway have one
+address: it belongs to the old process until its end.
 """
 
 from __future__ import annotations
@@ -12,85 +12,96 @@
 
 from cloverkeel.core.config import Address
 
-BIND_S: Final = 0.5  # between tries for the socket, while another process of this gateway has it
+BIND_RETRY_INTERVAL_S: Final = 0.5  # while another process of this gateway has the address
 
 
-class Part(Protocol):
-    """What speaks to other gateways."""
+class DatagramHandler(Protocol):
+    """A component that exchanges datagrams with other gateways."""
 
-    def opened(self) -> None:
-        """The socket is there: called once."""
+    def on_socket_open(self) -> None:
+        """Begin to send: the socket is open. Called once."""
 
-    def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None: ...
+    def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
+        """Take a datagram that begins with the handler's byte."""
 
 
-class Datagrams:
-    """A protocol in asyncio's sense, by its methods."""
+class PeerSocket:
+    """The socket to all other gateways; a DatagramProtocol of asyncio by its methods."""
 
     def __init__(self, listen: Address, peers: tuple[Address, ...]) -> None:
-        self.listen, self.peers = listen, peers
-        self.parts: dict[int, Part] = {}
+        self.listen, self.peers = listen, peers  # `peers`: by the gateways' numbers
+        self.handler_by_first_byte: dict[int, DatagramHandler] = {}
         self.transport: asyncio.DatagramTransport | None = None
-        self.binder: asyncio.Task[None] | None = None
-        self.closed = False
-        self.unwanted = 0  # datagrams of no part
-        self.errors = 0  # of the socket: a port where nobody listens, a full buffer
+        self.bind_task: asyncio.Task[None] | None = None
+        self.is_closed = False
+        self.unclaimed_count = 0  # datagrams that no handler claims
+        self.error_count = 0  # of the socket: a port where nobody listens, a full buffer
 
-    def join(self, first: int, part: Part) -> None:
-        """Datagrams that begin with this byte are the part's; before `start`."""
-        self.parts[first] = part
+    def register(self, first_byte: int, handler: DatagramHandler) -> None:
+        """Let a handler have the datagrams that begin with this byte; before `start`."""
+        self.handler_by_first_byte[first_byte] = handler
 
     def start(self) -> None:
-        if self.parts:
-            self.binder = asyncio.get_running_loop().create_task(self.bind())
-
-    async def bind(self) -> None:
-        while not self.closed:
-            made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            made.setblocking(False)
+        """Open the socket in the background, if there is a handler."""
+        if self.handler_by_first_byte:
+            self.bind_task = asyncio.get_running_loop().create_task(self._open())
+
+    async def _open(self) -> None:
+        """Bind the address, again and again until it is free; then tell the handlers."""
+        while not self.is_closed:
+            udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            udp_socket.setblocking(False)
             try:
-                made.bind(self.listen)  # here: asyncio would look the address up on a thread
+                udp_socket.bind(self.listen)  # here: asyncio would look the address up on a thread
             except OSError:
-                made.close()
-                await asyncio.sleep(BIND_S)
+                udp_socket.close()
+                await asyncio.sleep(BIND_RETRY_INTERVAL_S)
                 continue
             loop = asyncio.get_running_loop()
-            await loop.create_datagram_endpoint(lambda: cast(asyncio.DatagramProtocol, self), sock=made)
+            await loop.create_datagram_endpoint(lambda: cast(asyncio.DatagramProtocol, self), sock=udp_socket)
             break
-        for part in self.parts.values() if not self.closed else ():
-            part.opened()
+        if not self.is_closed:
+            for handler in self.handler_by_first_byte.values():
+                handler.on_socket_open()
 
     def close(self) -> None:
-        self.closed = True
-        if self.binder is not None:
-            self.binder.cancel()
+        """Close the socket, or stop waiting for its address."""
+        self.is_closed = True
+        if self.bind_task is not None:
+            self.bind_task.cancel()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
 
-    def send(self, number: int, data: bytes) -> bool:
-        """To the gateway with this number; False if there is no socket."""
+    def send(self, gateway: int, data: bytes) -> bool:
+        """Send a datagram to the gateway with this number; return False if the socket is not open."""
         if self.transport is None:
             return False
-        self.transport.sendto(data, self.peers[number])
+        self.transport.sendto(data, self.peers[gateway])
         return True
 
-    def is_of(self, number: int, addr: tuple[str | int, ...]) -> bool:
-        """Whether this is the listed address of that gateway."""
-        return number < len(self.peers) and self.peers[number] == tuple(addr[:2])
+    def is_listed_address(self, gateway: int, addr: tuple[str | int, ...]) -> bool:
+        """Return whether an address is the one that is configured for that gateway."""
+        return gateway < len(self.peers) and self.peers[gateway] == tuple(addr[:2])
+
+    # What asyncio calls
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport: datagrams can be sent from now on."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Forget the transport."""
         self.transport = None
 
-    def error_received(self, exc: Exception) -> None:
-        self.errors += 1
+    def error_received(self, _exc: Exception) -> None:
+        """Count an error of the socket; datagrams may be lost anyway."""
+        self.error_count += 1
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
-        part = self.parts.get(data[0]) if data else None
-        if part is None:
-            self.unwanted += 1
+        """Hand a datagram to its handler."""
+        handler = self.handler_by_first_byte.get(data[0]) if data else None
+        if handler is None:
+            self.unclaimed_count += 1
             return
-        part.datagram_received(data, addr)
+        handler.datagram_received(data, addr)
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -15,7 +15,7 @@
 from cloverkeel.balancing.interface import Outcome
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Config
-from cloverkeel.core.datagrams import Datagrams
+from cloverkeel.core.datagrams import PeerSocket
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.core.log import log
 from cloverkeel.gossip.messages import MAGIC, MASK32, GatewayProcess, HostProcess, decode
@@ -46,7 +46,7 @@
     """Runs a gossip node on the event loop, between the peers' socket and the gateway."""
 
     def __init__(
-        self, config: Config, gateway: Gateway, datagrams: Datagrams, clock: Callable[[], int] = now_us
+        self, config: Config, gateway: Gateway, datagrams: PeerSocket, clock: Callable[[], int] = now_us
     ) -> None:
         """`clock`: microseconds, of the program's form (core/clock.py)."""
         self.clock = clock
@@ -74,9 +74,9 @@
         # It begins with none: a process before this one may have spent its own a moment ago. From now on, not from
         # when the socket is there: while its gateway is replaced that may be long.
         self.gateway.retry_rights(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_state(self.clock())[0])
-        self.datagrams.join(MAGIC, self)
+        self.datagrams.register(MAGIC, self)
 
-    def opened(self) -> None:
+    def on_socket_open(self) -> None:
         """Begin: the socket is open."""
         self.node.start(self.clock())
         self.gateway.after_gap.append(self.on_stall)
@@ -216,7 +216,7 @@
         if datagram is None:
             self._count_drop("unreadable")
             return
-        if not self.datagrams.is_of(datagram.header.sender, addr):
+        if not self.datagrams.is_listed_address(datagram.header.sender, addr):
             self._count_drop("unlisted")
             return
         self.node.receive(self.clock(), datagram)
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -14,7 +14,7 @@
 
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Config
-from cloverkeel.core.datagrams import Datagrams
+from cloverkeel.core.datagrams import PeerSocket
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.core.log import log
 from cloverkeel.core.options import Duties
@@ -40,7 +40,7 @@
     """One part of those that speak to other gateways."""
 
     def __init__(
-        self, config: Config, options: Duties, gateway: Gateway, datagrams: Datagrams,
+        self, config: Config, options: Duties, gateway: Gateway, datagrams: PeerSocket,
         clock: Callable[[], int] = now_us,
     ) -> None:  # fmt: skip
         """`clock`: microseconds, read anew for each thing that is done; of the program's form (core/clock.py)."""
@@ -85,11 +85,11 @@
             self.gateway.after_gap.append(self.on_gap)
             if self.nodes is not None:
                 self.nodes.start()
-            self.datagrams.join(MAGIC, self)
+            self.datagrams.register(MAGIC, self)
         else:
             log(f"duties: {len(self.peers)} gateways are too few for {self.terms.voters} voters: off")
 
-    def opened(self) -> None:
+    def on_socket_open(self) -> None:
         """The socket is there."""
         at_us = self.clock()
         office = self.office
@@ -165,7 +165,7 @@
             self.drop("unreadable")
             return
         head, message = found
-        if not self.datagrams.is_of(head.number, addr):
+        if not self.datagrams.is_listed_address(head.number, addr):
             self.drop("unlisted")
             return
         if head.voters != self.terms.voters:
--- a/tests/golden/gossip.py
+++ b/tests/golden/gossip.py
@@ -9,7 +9,7 @@
 
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import parse as parse_config
-from cloverkeel.core.datagrams import Datagrams
+from cloverkeel.core.datagrams import PeerSocket
 from cloverkeel.gossip.commands import main
 from cloverkeel.gossip.messages import (
     MASK32,
@@ -82,7 +82,7 @@
         program = assemble(config)
         with mock.patch("random.SystemRandom") as system_random:
             system_random.return_value.getrandbits.return_value = 1
-            driver = GossipDriver(config, program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
+            driver = GossipDriver(config, program.gateway, PeerSocket(("127.0.0.1", 7), config.peers), lambda: NOW_US)
         try:
             before = driver.call(b"PEERS")
             driver.node.start(NOW_US)
--- a/tests/golden/leases.py
+++ b/tests/golden/leases.py
@@ -11,7 +11,7 @@
 
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import parse as parse_config
-from cloverkeel.core.datagrams import Datagrams
+from cloverkeel.core.datagrams import PeerSocket
 from cloverkeel.core.options import Duties
 from cloverkeel.leases import slow_start_quotas as colds, probe_election as trials, slow_start_budget as warden
 from cloverkeel.leases.commands import main
@@ -129,7 +129,7 @@
         program = assemble(config)
         with mock.patch("random.SystemRandom") as system_random:
             system_random.return_value.getrandbits.return_value = 1
-            room = Room(config, Duties(), program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
+            room = Room(config, Duties(), program.gateway, PeerSocket(("127.0.0.1", 7), config.peers), lambda: NOW_US)
         office = room.office
         office.by_service = True
         try:
--- a/tests/test_duties_room.py
+++ b/tests/test_duties_room.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverkeel.core.config import parse
-from cloverkeel.core.datagrams import Datagrams
+from cloverkeel.core.datagrams import PeerSocket
 from cloverkeel.core.options import Duties
 from cloverkeel.leases.ballots import BEGIN_US
 from cloverkeel.leases.messages import (
@@ -99,7 +99,7 @@
     clock = Clock()
     parsed = parse(config)
     assert parsed.peer_listen is not None
-    datagrams, wire = Datagrams(parsed.peer_listen, parsed.peers), Wire(clock)
+    datagrams, wire = PeerSocket(parsed.peer_listen, parsed.peers), Wire(clock)
     datagrams.connection_made(cast(Any, wire))
     room = Room(parsed, Duties(3, LEASE_US // 1000), cast(Any, Gateway(clock)), datagrams, clock)
     room.look()
