--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -8,26 +8,26 @@
 from benchmarks.guards.patching import cut, entry, swap
 
 
-@entry("hearsay-credit")
+@entry("reporter-credibility")
 def _() -> None:
-    """Who fails everywhere speaks, and is believed like others."""
+    """A gateway for which all fails reports, and is believed like others."""
     from cloverkeel.gossip import outlier_gossip, outlier_reports
 
     outlier_reports.reporter_credibility = lambda item: 1.0
     outlier_gossip.MAX_COMMON_FAILURE_RATIO = 2.0  # type: ignore[misc]
 
 
-@entry("hearsay-age")
+@entry("observation-age")
 def _() -> None:
-    """What comes is of now."""
+    """Whatever comes is new."""
     from cloverkeel.gossip.peer_clock import PeerClock
 
     swap(PeerClock, "age_ms", lambda self, now_us, timestamp_ms: 0)
 
 
-@entry("hearsay-ends")
+@entry("observation-expiry")
 def _() -> None:
-    """What was told counts for good."""
+    """What was reported counts for ever."""
     from cloverkeel.gossip.outlier_gossip import OutlierGossip
     from cloverkeel.gossip.outlier_reports import Observation
 
@@ -38,9 +38,9 @@
     cut(Balancer, "on_peer_health_report", ("event.until_us if bad else 0", "event.until_us + 10**9 if bad else 0"))
 
 
-@entry("hearsay-zone")
+@entry("zone-preference")
 def _() -> None:
-    """Evidence of other zones counts like that of one's own."""
+    """Observations of other zones count like those of one's own."""
     from cloverkeel.gossip import outlier_gossip
     from cloverkeel.gossip.outlier_reports import assess
 
@@ -53,9 +53,9 @@
     vars(test_outlier_reports)["assess"] = assess_all_zones
 
 
-@entry("hearsay-newer")
+@entry("observation-newest")
 def _() -> None:
-    """The piece that comes last counts, of whatever incarnation."""
+    """The observation that comes last counts, of whatever incarnation."""
     from cloverkeel.gossip import outlier_reports
     from cloverkeel.gossip.peer_clock import PeerClocks
 
@@ -63,34 +63,34 @@
     swap(PeerClocks, "age_ms", lambda self, now_us, gateway, incarnation, timestamp_ms: 0)
 
 
-@entry("hearsay-goods")
+@entry("peer-successes")
 def _() -> None:
-    """What others were answered well does not count."""
+    """Successes at other gateways do not count."""
     from cloverkeel.gossip import outlier_gossip
     from cloverkeel.gossip.outlier_reports import assess
 
     vars(outlier_gossip)["assess"] = lambda *arguments: replace(assess(*arguments), successes=0.0)
 
 
-@entry("rumours-confirmed")
+@entry("broadcast-confirmed")
 def _() -> None:
-    """Each failure is passed on by whoever hears of it."""
+    """Each failure is forwarded by whoever receives it."""
     from cloverkeel.gossip.outlier_gossip import OutlierGossip
 
     cut(OutlierGossip, "on_observation", ("if reporters >= MIN_REPORTERS:", "if True:"))
 
 
-@entry("rumours-bytes")
+@entry("broadcast-bytes")
 def _() -> None:
-    """What is said costs nothing."""
+    """Datagrams cost nothing."""
     from cloverkeel.gossip.node import GossipNode
 
     cut(GossipNode, "_send", ("bucket.spend(len(payload))", "pass"))
 
 
-@entry("rights-kept")
+@entry("retry-tokens-escrow")
 def _() -> None:
-    """Who gives tokens goes on using them."""
+    """A gateway that grants tokens goes on using them."""
     from cloverkeel.gossip.driver import GossipDriver
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
@@ -103,17 +103,17 @@
                                "int(max_tokens * HUNDREDTHS_PER_TOKEN)"))  # fmt: skip
 
 
-@entry("rights-once")
+@entry("retry-tokens-once")
 def _() -> None:
-    """A gift that comes twice is taken twice."""
+    """A grant that comes twice is accepted twice."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
     cut(RetryTokens, "accept", ("is_new = self._record_sequence(grant)", "is_new = True"))
 
 
-@entry("rights-for")
+@entry("retry-tokens-recipient")
 def _() -> None:
-    """A gift is anybody's, whenever it comes."""
+    """A grant is anybody's, whenever it comes."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
     cut(RetryTokens, "accept", (" and grant.recipient_incarnation == own_incarnation", ""),
@@ -121,7 +121,7 @@
         ("now_us + GRANT_LIFETIME_US - age_us", "now_us + GRANT_LIFETIME_US"))  # fmt: skip
 
 
-@entry("rights-begin")
+@entry("retry-tokens-start")
 def _() -> None:
     """A process that begins saves up as much as ever, and has it."""
     from cloverkeel.gossip.driver import GossipDriver
@@ -130,7 +130,7 @@
     cut(GossipDriver, "start", (begins, "pass"))
 
 
-@entry("hearsay-crowd")
+@entry("timeout-overload")
 def _() -> None:
     """A time-out speaks against a host that has answered others since it was sent."""
     from cloverkeel.gossip.outcome_window import LocalOutcomes
@@ -138,7 +138,7 @@
     swap(LocalOutcomes, "has_succeeded_since", lambda self, host, since_us: False)
 
 
-@entry("presence-probe")
+@entry("member-probe")
 def _() -> None:
     """A probe that nobody answers tells nothing."""
     from cloverkeel.gossip.failure_detector import FailureDetector
@@ -146,33 +146,33 @@
     cut(FailureDetector, "_end_probe", ("if self.membership.suspect(now_us, probe.target):", "if False:"))
 
 
-@entry("presence-suspect")
+@entry("member-suspicion")
 def _() -> None:
-    """Who does not answer one probe is gone."""
+    """A gateway that does not answer one probe is dead."""
     from cloverkeel.gossip.membership import MembershipTable
 
     swap(MembershipTable, "suspicion_timeout_us", lambda self, peer: 0)
 
 
-@entry("presence-above")
+@entry("member-refutation")
 def _() -> None:
-    """Who hears of a higher incarnation under its name does not go above it."""
+    """A gateway that learns of a higher incarnation under its number does not refute that."""
     from cloverkeel.gossip.membership import MembershipTable
 
     swap(MembershipTable, "on_claim_about_self", lambda self, now_us, item: None)
 
 
-@entry("presence-told")
+@entry("member-notice")
 def _() -> None:
-    """Each datagram of a gateway that is suspected is answered with what is said of it."""
+    """Each datagram of a suspected gateway is answered with a notice of that."""
     from cloverkeel.gossip import membership
 
     membership.SUSPICION_NOTICE_INTERVAL_US = 0  # type: ignore[misc]
 
 
-@entry("presence-stall")
+@entry("member-stall")
 def _() -> None:
-    """Who stood still accuses others of what it did not hear."""
+    """A gateway that was stalled accuses others of what it did not receive."""
     from cloverkeel.gossip.failure_detector import FailureDetector
 
     swap(FailureDetector, "on_stall", lambda self, now_us, stall_us: None)
--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -75,12 +75,12 @@
         tests="duties_trials::nobody_waits_where_next_to_nothing_is_left"),
     row("hearsay-used", "what fails for others is drawn seldom", "Balancer.on_peer_health_report",
         tests="fleet/gossip::a_gateway_uses_little_what_fails_for_others "
-              "fleet/gossip::most_gateways_begin_anew_at_once_and_hear_from_the_rest "
+              "fleet/gossip::most_gateways_restart_at_once_and_are_sent_reports_by_the_rest "
               "sharing_pure::a_server_that_fails_for_others_is_drawn_seldom_and_in_time_as_ever"),
     row("hearsay-two", "what one gateway says alone turns nothing off", "assess, Balancer.on_peer_health_report",
         tests="gossip/outlier_reports::one_reporter_makes_no_suspected_outlier_and_two_do "
               "sharing_pure::one_teller_and_good_outcomes_are_no_doubt_and_another_process_is_not_meant"),
-    row("hearsay-verdict+hearsay-credit+hearsay-goods", "a bad network of some turns no host off for others",
+    row("hearsay-verdict+reporter-credibility+peer-successes", "a bad network of some turns no host off for others",
         "weigh, credit, Balancer.on_peer_health_report",
         tests="fleet/gossip::gateways_for_which_every_host_is_dead_turn_none_off_for_others"),
     row("hearsay-verdict", "hearsay opens no breaker", "Balancer.on_peer_health_report",
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -1,4 +1,4 @@
-"""What gateways know together: real gateways, faults between them, judged by what hosts saw."""
+"""Gossip between real gateways, with faults between them, judged by what hosts saw."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 from tests.fleet.shared import Shared, shared
 from tests.sockets import on_loop, rested
 
-BAD = f"{stable_id('s-0', 4):x}"  # the host that fails, as staff are shown it
+FAILING_HOST = f"{stable_id('s-0', 4):x}"  # as `peers show` names it
 LAST = 5  # the gateway that has seen nothing of it
 REST = range(5)
 
 
-async def wait_for(fleet: Shared, number: int, doubts: bool = True) -> None:
-    while await fleet.doubting(number, BAD) is not doubts:
+async def wait_until_suspected(fleet: Shared, gateway: int, is_suspected: bool = True) -> None:
+    while await fleet.doubting(gateway, FAILING_HOST) is not is_suspected:
         await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def loaded(fleet: Shared, numbers: Iterable[int]) -> AsyncIterator[None]:
+async def loaded(fleet: Shared, gateways: Iterable[int]) -> AsyncIterator[None]:
     """Requests at these gateways all the while."""
 
-    async def go_on(number: int) -> None:
+    async def send_requests(gateway: int) -> None:
         while True:
-            await fleet.ask(number)
+            await fleet.ask(gateway)
 
-    tasks = [asyncio.create_task(go_on(number)) for number in numbers]
+    tasks = [asyncio.create_task(send_requests(gateway)) for gateway in gateways]
     try:
         yield
     finally:
@@ -49,11 +49,11 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def others_find_out(fleet: Shared) -> None:
+async def fail_host_for_others(fleet: Shared) -> None:
     """The host fails for all, and the last gateway hears of it before it has sent it anything."""
     fleet.fail(0)
     async with loaded(fleet, REST):
-        await wait_for(fleet, LAST)
+        await wait_until_suspected(fleet, LAST)
 
 
 @pytest.mark.parametrize("clocks", [False, True])
@@ -64,7 +64,7 @@
     start = (sys.executable, "-m", "tests.fleet.clocks")
     commands = {number: (*start, word, *sockets.PROGRAM[2:]) for number, word in words.items()}
     async with shared(tmp_path, commands=commands) as fleet:
-        await others_find_out(fleet)
+        await fail_host_for_others(fleet)
         marks = fleet.marks()
         await fleet.load([LAST], 30)
         bad = fleet.sent([LAST], marks)[0]
@@ -74,53 +74,56 @@
 
 @on_loop
 async def test_a_gateway_that_hears_nothing_finds_out_for_itself(tmp_path: Path) -> None:
-    """Cut off from its peers it goes on as ever; joined again, it hears of the next trouble."""
+    """Cut off from its peers it goes on as ever; joined again, it hears of the next fault."""
     async with shared(tmp_path) as fleet:
         fleet.cut([LAST], list(REST))
         fleet.fail(0)
         async with loaded(fleet, REST):
-            await wait_for(fleet, 0)
+            await wait_until_suspected(fleet, 0)
             marks = fleet.marks()
             await fleet.load([LAST], 60)
         bad = fleet.sent([LAST], marks)[0]
         assert 2 <= bad <= 20, f"{bad} of 60\n{fleet.timeline()}"  # by its own ring, as without any of this
         fleet.heal()
         async with loaded(fleet, REST):
-            await wait_for(fleet, LAST)
+            await wait_until_suspected(fleet, LAST)
         fleet.check()
 
 
 @on_loop
-async def test_what_was_heard_ends_when_nothing_more_is_heard(tmp_path: Path) -> None:
-    """In doubt, then cut off: the host is well, and no datagram says so."""
+async def test_reports_expire_when_nothing_more_is_received(tmp_path: Path) -> None:
+    """Suspected, then cut off: the host is well, and no datagram says so."""
     async with shared(tmp_path) as fleet:
-        await others_find_out(fleet)
+        await fail_host_for_others(fleet)
         fleet.cut([LAST], list(REST))
         fleet.mend(0)
-        await wait_for(fleet, LAST, doubts=False)
+        await wait_until_suspected(fleet, LAST, is_suspected=False)
         marks = fleet.marks()
         await fleet.load([LAST], 60)
         assert fleet.sent([LAST], marks)[0] >= 6, fleet.timeline()  # a third, as the two others
         fleet.check()
 
 
-async def others_go_on(fleet: Shared, well: list[int], ill: list[int]) -> None:
+async def check_others_use_all_hosts(fleet: Shared, well: list[int], cut_off: list[int]) -> None:
     """While some see every host as dead, each host keeps what the others send it."""
     marks = fleet.marks()
-    async with loaded(fleet, ill):
+    async with loaded(fleet, cut_off):
         await fleet.load(well, 1200 // len(well))
     counts = fleet.sent(well, marks)
     assert sum(counts) >= 0.95 * 1200, f"{counts}\n{fleet.timeline()}"  # what is refused reaches no host
     assert min(counts) >= 0.8 * sum(counts) / len(counts), f"{counts}\n{fleet.timeline()}"
 
 
-@pytest.mark.parametrize("ill", [[0], [0, 1]])
+@pytest.mark.parametrize("cut_off", [[0], [0, 1]])
 @on_loop
-async def test_gateways_for_which_every_host_is_dead_turn_none_off_for_others(tmp_path: Path, ill: list[int]) -> None:
-    """One is no doubt; two are two reporters, and each says that all else fails for it too."""
+async def test_gateways_for_which_every_host_is_dead_turn_none_off_for_others(
+    tmp_path: Path, cut_off: list[int]
+) -> None:
+    """One is too few; two are two reporters, and each says that all else fails for it too."""
     async with shared(tmp_path) as fleet:
-        fleet.cut_from_hosts(*ill)
-        await others_go_on(fleet, [n for n in range(6) if n not in ill], ill)
+        fleet.cut_from_hosts(*cut_off)
+        well = [gateway for gateway in range(6) if gateway not in cut_off]
+        await check_others_use_all_hosts(fleet, well, cut_off)
         assert fleet.statuses[500] == 0
         fleet.check()
 
@@ -160,13 +163,13 @@
 
 
 @on_loop
-async def test_a_gateway_that_wakes_with_a_full_socket_reads_old_news_as_old(tmp_path: Path) -> None:
+async def test_a_gateway_that_wakes_with_a_full_socket_reads_old_reports_as_old(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
         await fleet.wait(lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "all have spoken")
         fleet.stop(LAST)
         fleet.fail(0)
         async with loaded(fleet, REST):
-            await wait_for(fleet, 0)
+            await wait_until_suspected(fleet, 0)
             await asyncio.sleep(0.5)
         fleet.mend(0)
         await asyncio.sleep(2.5)  # nothing of it counts any more
@@ -179,65 +182,65 @@
 
 
 @on_loop
-async def test_datagrams_that_are_lost_doubled_cut_short_and_spoilt_are_survived(tmp_path: Path) -> None:
+async def test_lost_doubled_truncated_and_corrupt_datagrams_are_survived(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
         fleet.mesh.trouble(
             Conditions(jitter_us=20_000, loss=0.3, double=0.3, late=0.1, late_us=1_000_000, short=0.1, spoilt=0.1)
         )
-        await others_find_out(fleet)
+        await fail_host_for_others(fleet)
         while not (await fleet.shown(LAST, "PEERS"))["dropped"].get("unreadable"):  # probes bring them too
             await asyncio.sleep(0.05)
         fleet.check()
 
 
 @on_loop
-async def test_most_gateways_begin_anew_at_once_and_hear_from_the_rest(tmp_path: Path) -> None:
+async def test_most_gateways_restart_at_once_and_are_sent_reports_by_the_rest(tmp_path: Path) -> None:
     """Five of six are killed while a host fails; they begin empty, and one that sent nothing hears of it."""
     async with shared(tmp_path) as fleet:
-        await others_find_out(fleet)
+        await fail_host_for_others(fleet)
         await fleet.kill(1, 2, 3, 4, LAST)
         fleet.start(1, 2, 3, 4, LAST)
         await fleet.ready(1, 2, 3, 4, LAST)
         async with loaded(fleet, (0, 1, 2, 3)):
-            await wait_for(fleet, LAST)
+            await wait_until_suspected(fleet, LAST)
         marks = fleet.marks()
         await fleet.load([LAST], 30)
         assert fleet.sent([LAST], marks)[0] <= 1, fleet.timeline()
         fleet.check()
 
 
-async def hungry(fleet: Shared, least: float) -> float:
-    """Every second answer at one gateway is an error, the others rest: tokens that it spent beyond what it earned,
-    over the stretch of its requests in which that was most.
+async def max_overdraft(fleet: Shared, min_accepted: float) -> float:
+    """Return the most tokens that one gateway spent beyond what it earned, over any stretch of its requests.
 
-    It goes on until that gateway says that so many came from others, for 400 requests at the least, and until it has
-    made so many further attempts: with its breakers open it makes none for seconds, and earns all the same.
+    Every second answer there is an error, the others are idle. It goes on until that gateway says that so many
+    tokens came from others, for 400 requests at the least, and until it has made 100 retries: with its breakers open
+    it makes none for seconds, and earns all the same.
     """
     await fleet.load(range(1, fleet.count), 10)  # each has saved up what it may
     await fleet.load([0], 60)
     count = itertools.count()
     for host in range(len(fleet.hosts)):
         fleet.fail(host, lambda number: next(count) % 2 == 0)
-    marks, requests, further, beyond, most = fleet.marks(), 0, 0, 0.0, 0.0
-    while requests < 400 or further < 100 or (await fleet.shown(0, "PEERS"))["rights"]["taken"] < least:
+    marks, requests, retries, overdraft, highest = fleet.marks(), 0, 0, 0.0, 0.0
+    while requests < 400 or retries < 100 or (await fleet.shown(0, "PEERS"))["rights"]["taken"] < min_accepted:
         for _ in range(50):
             await fleet.load([0], 1)
-            await rested()  # else each opens a connection, and what waits for that passes for a crowd
-            before, (_, further) = further, fleet.attempts(marks)
-            beyond = max(0.0, beyond + CHEAP_RETRY * (further - before) - RETRY_SHARE)
-            most = max(most, beyond)
+            await rested()  # else each opens a connection, and what waits for that passes for overload
+            before, (_, retries) = retries, fleet.attempts(marks)
+            overdraft = max(0.0, overdraft + CHEAP_RETRY * (retries - before) - RETRY_SHARE)
+            highest = max(highest, overdraft)
         requests += 50
-    return most
+    return highest
 
 
 @pytest.mark.parametrize("doubled", [False, True])
 @on_loop
 async def test_tokens_move_to_who_wants_them_and_are_never_spent_twice(tmp_path: Path, doubled: bool) -> None:
-    """What hosts saw of further attempts: no more than all may save up, though most of it has come to one."""
+    """What hosts saw of retries: no more than all may save up, though most of it has come to one."""
     async with shared(tmp_path, count=4) as fleet:
         if doubled:
             fleet.mesh.trouble(Conditions(double=1.0, jitter_us=5_000))
-        spent = await hungry(fleet, 2 * MAX_SAVED_TOKENS)
+        spent = await max_overdraft(fleet, 2 * MAX_SAVED_TOKENS)
         assert spent <= fleet.count * MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
         fleet.check()
 
@@ -246,18 +249,18 @@
 async def test_who_is_cut_off_spends_no_more_than_its_own_tokens(tmp_path: Path) -> None:
     async with shared(tmp_path, count=4) as fleet:
         fleet.cut([0], [1, 2, 3])
-        spent = await hungry(fleet, 0.0)
+        spent = await max_overdraft(fleet, 0.0)
         assert spent <= MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
-async def test_an_upgrade_leaves_one_process_that_speaks(tmp_path: Path) -> None:
+async def test_an_upgrade_leaves_one_process_that_gossips(tmp_path: Path) -> None:
     async with shared(tmp_path, count=3) as fleet:
         async with loaded(fleet, (0, 1, 2)):
             await fleet.gateways[1].upgrade()
             fleet.fail(0)
-            while not (await fleet.doubting(1, BAD) or fleet.seen(0)[1] >= 5):
+            while not (await fleet.doubting(1, FAILING_HOST) or fleet.seen(0)[1] >= 5):
                 await asyncio.sleep(0.01)
         fleet.check()
 
@@ -267,8 +270,8 @@
     async with shared(tmp_path, count=4) as fleet:
 
         async def states(number: int) -> set[str]:
-            found = [await fleet.shown(n, "PEERS") for n in range(fleet.count) if n != number]
-            return {one["peers"][str(number)]["state"] for one in found}
+            statuses = [await fleet.shown(n, "PEERS") for n in range(fleet.count) if n != number]
+            return {status["peers"][str(number)]["state"] for status in statuses}
 
         while await states(2) != {"alive"}:
             await asyncio.sleep(0.05)
--- a/tests/gossip/test_commands.py
+++ b/tests/gossip/test_commands.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel peers`, against scripted second addresses, and what the log's tallies tell of it."""
+"""`python -m cloverkeel peers`, against scripted second addresses, and what the metrics line tells of gossip."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from tests.sockets import configuration, on_loop
 
 
-def found(gateway: int, peers: dict[str, str], hosts: dict[str, bool]) -> dict[str, Any]:
-    """What one gateway shows."""
+def status_of(gateway: int, peers: dict[str, str], hosts: dict[str, bool]) -> dict[str, Any]:
+    """Return the answer of one gateway to PEERS."""
     return {
         "gateway": gateway, "zone": 0, "incarnation": 7, "health": 0,
         "peers": {n: {"state": state, "heard_ms": 5, "incarnation": 7} for n, state in peers.items()},
@@ -72,9 +72,9 @@
             thread.join()
 
 
-def test_show_tells_who_hears_whom_and_where_gateways_differ(capsys: pytest.CaptureFixture[str]) -> None:
-    one = found(0, {"1": "alive", "2": "gone"}, {"abc": True})
-    other = found(1, {"0": "alive", "2": "alive"}, {"abc": False})
+def test_show_lists_who_hears_whom_and_where_gateways_differ(capsys: pytest.CaptureFixture[str]) -> None:
+    one = status_of(0, {"1": "alive", "2": "gone"}, {"abc": True})
+    other = status_of(1, {"0": "alive", "2": "alive"}, {"abc": False})
     with answering(f"ACK {json.dumps(one)}", f"ACK {json.dumps(other)}") as at:
         assert main(["show", "--at", at]) == 0
     said = capsys.readouterr().out
@@ -98,12 +98,12 @@
         parse({"sharing": {"gossip": 1}}, "o.toml")
 
 
-def test_tallies_of_a_fleet_are_added_up() -> None:
+def test_metrics_of_a_fleet_are_added_up() -> None:
     count = Count()
-    for doubts in (1, 2):
+    for suspected in (1, 2):
         tally = Tally(1)
         tally.asked[0] = 5
-        tally.sharing = [doubts, 3, 1, 2, 40, 2_000]
+        tally.sharing = [suspected, 3, 1, 2, 40, 2_000]
         line = tally.line(1_700_000_000_000_000, (0.0, 0.0), 0, 0)
         assert line is not None
         count.read([f"0.100 cloverkeel: {line}"])
