--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -141,9 +141,9 @@
 @entry("member-probe")
 def _() -> None:
     """A probe that nobody answers tells nothing."""
-    from cloverkeel.gossip.failure_detector import FailureDetector
+    from cloverkeel.gossip.membership import MembershipTable
 
-    cut(FailureDetector, "_end_probe", ("if self.membership.suspect(now_us, probe.target):", "if False:"))
+    cut(MembershipTable, "suspect", ("if peer.status is MemberStatus.ALIVE:", "if False:"))
 
 
 @entry("member-suspicion")
--- a/benchmarks/guards/table/gossip.py
+++ b/benchmarks/guards/table/gossip.py
@@ -37,7 +37,7 @@
               "fleet/gossip::who_is_cut_off_spends_no_more_than_its_own_tokens"),
     row("timeout-overload", "timeouts of overload are no sign against a host", "OutlierGossip.record_outcome",
         tests="gossip/node::a_timeout_at_a_host_that_has_answered_since_is_no_failure"),
-    row("member-probe", "who answers no probe is suspected", "FailureDetector._end_probe",
+    row("member-probe", "who answers no probe is suspected", "MembershipTable.suspect",
         tests="fleet/gossip::a_gateway_that_is_killed_is_gone_for_the_rest_and_back_when_it_is "
               "gossip/failure_detector::a_gateway_that_dies_is_suspected_first_and_then_dead_for_all"),
     row("member-suspicion", "nobody is dead for one lost probe", "MembershipTable.suspicion_timeout_us",
--- a/cloverkeel/gossip/errors.py
+++ b/cloverkeel/gossip/errors.py
@@ -8,7 +8,7 @@
 
 
 class FieldOutOfRangeError(DatagramEncodeError):
-    """Report a number that does not fit its field; `message` shows the header, `reason` says which range."""
+    """Report a number that does not fit its field; `reason` names the range, the text shows the header, too."""
 
     def __init__(self, header: object, reason: object) -> None:
         super().__init__(f"{header!r}: {reason}")
