--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -15,7 +15,7 @@
 
 # What is off is not imported: these cost memory and threads that most installations have no use for.
 if TYPE_CHECKING:
-    from cloverkeel.core.datagrams import Datagrams
+    from cloverkeel.core.datagrams import PeerSocket
     from cloverkeel.discovery.ejection_filter import BannedMembership
     from cloverkeel.discovery.merged_source import MergedMembership
     from cloverkeel.discovery.relay_client import RelayedDiscovery
@@ -27,7 +27,7 @@
 class PeerProtocols:
     """What speaks to other gateways, by one socket; all None where that is off."""
 
-    datagrams: Datagrams | None = None
+    datagrams: PeerSocket | None = None
     leases: LeaseDriver | None = None
     gossip: GossipDriver | None = None
 
@@ -44,7 +44,7 @@
     peer_protocols: PeerProtocols = field(default_factory=PeerProtocols)
 
     @property
-    def datagrams(self) -> Datagrams | None:
+    def datagrams(self) -> PeerSocket | None:
         """The socket for datagrams of other gateways."""
         return self.peer_protocols.datagrams
 
@@ -126,16 +126,16 @@
     has_protocol = options.leases is not None or options.gossip is not None
     if config.peer_listen is None or not config.settings.may_tell_peers or not has_protocol:
         return PeerProtocols()
-    from cloverkeel.core.datagrams import Datagrams
+    from cloverkeel.core.datagrams import PeerSocket
 
-    datagrams = Datagrams(config.peer_listen, config.peers)
+    datagrams = PeerSocket(config.peer_listen, config.peers)
     lease_driver = _make_lease_driver(config, options, gateway, datagrams)
     gossip_driver = _make_gossip_driver(config, options, gateway, datagrams)
     return PeerProtocols(datagrams, lease_driver, gossip_driver)
 
 
 def _make_lease_driver(
-    config: Config, options: Options, gateway: Gateway, datagrams: Datagrams
+    config: Config, options: Options, gateway: Gateway, datagrams: PeerSocket
 ) -> LeaseDriver | None:
     if options.leases is None:
         return None
@@ -145,7 +145,7 @@
 
 
 def _make_gossip_driver(
-    config: Config, options: Options, gateway: Gateway, datagrams: Datagrams
+    config: Config, options: Options, gateway: Gateway, datagrams: PeerSocket
 ) -> GossipDriver | None:
     if options.gossip is None:
         return None
