--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -32,11 +32,11 @@
 import uvloop
 
 from cloverkeel.leases.acceptor import Acceptor
-from cloverkeel.leases.slow_start_quotas import Colds
-from cloverkeel.leases.ballots import BEGIN_US, Counter
-from cloverkeel.leases.lease import Terms
+from cloverkeel.leases.ballots import REFERENCE_TIME_US, BallotClock
+from cloverkeel.leases.lease import LeaseConfig
+from cloverkeel.leases.manager import LeaseManager
 from cloverkeel.leases.messages import encode
-from cloverkeel.leases.manager import Office
+from cloverkeel.leases.slow_start_quotas import SlowStartBudgets
 from standins.ledger import now_us
 from standins.parties.network import Conditions
 from standins.parties.zookeeper.threaded import Threaded
@@ -228,13 +228,13 @@
 
 def cost(gateways: int, colds: int, seconds: int = 20) -> tuple[float, float]:
     """Datagrams and bytes a second for each gateway: each cold host is in reach of three in `gateways` or so."""
-    dice, terms, at_us = random.Random(1), Terms(min(5, gateways), 3_000_000), BEGIN_US + 10**12
-    offices: list[Office] = []
-    works: list[Colds] = []
+    dice, terms, at_us = random.Random(1), LeaseConfig(min(5, gateways), 3_000_000), REFERENCE_TIME_US + 10**12
+    offices: list[LeaseManager] = []
+    works: list[SlowStartBudgets] = []
     for number in range(gateways):
-        counter = Counter(number, number)
-        work = Colds(lambda *told: None)
-        made = Office(number, gateways, terms, lambda line: None, dice.random, counter, None, number)
+        counter = BallotClock(number, number)
+        work = SlowStartBudgets(lambda *told: None)
+        made = LeaseManager(number, gateways, terms, lambda line: None, dice.random, counter, None, number)
         if number < terms.voters:
             made.acceptor = Acceptor(at_us - 10**7, terms.silent_us, terms.length_us, counter)
         offices.append(made)
--- a/benchmarks/duties_model.py
+++ b/benchmarks/duties_model.py
@@ -23,13 +23,13 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
-from cloverkeel.leases.acceptor import Acceptor, Holder, Slot
-from cloverkeel.leases.ballots import Counter
-from cloverkeel.leases.lease import NEVER_US, Action, Began, Lease, Phase, Tell, Terms
-from cloverkeel.leases.messages import Accepted, Hand, Message, Prepare, Propose, Release, Taken
+from cloverkeel.leases.acceptor import AcceptedLease, Acceptor, AcceptorState
+from cloverkeel.leases.ballots import BallotClock
+from cloverkeel.leases.lease import NEVER_US, Action, LeaseAcquired, LeaseConfig, LeasePhase, QuorumLease, SendMessage
+from cloverkeel.leases.messages import Accepted, Handover, HandoverAck, Message, Prepare, Propose, Release
 
 VOTERS, ASKERS, DUTY = 3, 2, 7
-TERMS = Terms(VOTERS, 4_000)
+TERMS = LeaseConfig(VOTERS, 4_000)
 RESTARTS = 2  # in one trace
 TIMES = 8  # that time goes on in one trace
 Event = tuple[str, int]
@@ -56,9 +56,9 @@
 
     def __init__(self) -> None:
         self.now_us = TERMS.silent_us
-        self.counters = [Counter(number, 0) for number in range(VOTERS)]
+        self.counters = [BallotClock(number, 0) for number in range(VOTERS)]
         self.acceptors = [Acceptor(0, TERMS.silent_us, TERMS.length_us, counter) for counter in self.counters]
-        self.askers = [Lease(DUTY, TERMS, Counter(100 + n, 0), 0.0, half) for n in range(ASKERS)]
+        self.askers = [QuorumLease(DUTY, TERMS, BallotClock(100 + n, 0), 0.0, half) for n in range(ASKERS)]
         self.net: tuple[Sent, ...] = ()
         self.restarts = self.times = self.epoch = 0
         self.wrong = ""
@@ -94,7 +94,7 @@
     def events(self) -> Iterator[Event]:
         yield from (("deliver", number) for number in range(len(self.net)))
         for number, asker in enumerate(self.askers):
-            if asker.next_due() <= self.now_us or (asker.phase is Phase.HELD and self.now_us >= asker.until_us):
+            if asker.next_due() <= self.now_us or (asker.phase is LeasePhase.HELD and self.now_us >= asker.until_us):
                 yield "tick", number
             if asker.may_act(self.now_us):
                 yield "hand", number
@@ -115,7 +115,7 @@
     def is_late(self, sent: Sent) -> bool:
         """Whether it may still do harm alone: an accepted answer, an older proposal, a hand-over."""
         if sent.to >= 100:
-            return isinstance(sent.message, Accepted | Hand)
+            return isinstance(sent.message, Accepted | Handover)
         return isinstance(sent.message, Propose) and sent.message.round != self.askers[sent.by - 100].round
 
     def ask(self, number: int, voter: int) -> None:
@@ -128,7 +128,9 @@
                 self.deliver(sent)
                 break
         for sent in self.net:
-            is_its = (sent.to, sent.by) == (100 + number, voter) and not isinstance(sent.message, Hand | Taken)
+            is_its = (sent.to, sent.by) == (100 + number, voter) and not isinstance(
+                sent.message, Handover | HandoverAck
+            )
             if is_its and sent.message.round == asker.round:  # type: ignore[union-attr]
                 self.deliver(sent)
                 return
@@ -160,7 +162,7 @@
             self.now_us = due_us if due_us < NEVER_US else self.now_us
         else:
             self.restarts += 1
-            counter = self.counters[number] = Counter(number, 0)
+            counter = self.counters[number] = BallotClock(number, 0)
             self.acceptors[number] = Acceptor(self.now_us, TERMS.silent_us, TERMS.length_us, counter)
         self.judge()
 
@@ -168,7 +170,7 @@
         if sent.to >= 100:
             asker = self.askers[sent.to - 100]
             asker.counter.hear(self.now_us, sent.counter)
-            if isinstance(sent.message, Hand):
+            if isinstance(sent.message, Handover):
                 self.carry_out(sent.to - 100, asker.take_over(self.now_us, sent.message))
             else:
                 self.carry_out(sent.to - 100, asker.receive(self.now_us, sent.message, sent.by))
@@ -192,9 +194,9 @@
     def carry_out(self, number: int, actions: Iterable[Action]) -> None:
         counter = self.askers[number].counter
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 self.send(Sent(action.to, 100 + number, counter.highest, action.message))
-            elif isinstance(action, Began):
+            elif isinstance(action, LeaseAcquired):
                 if action.epoch <= self.epoch and self.restarts < TERMS.majority:
                     self.wrong = f"epoch {action.epoch} after {self.epoch}"
                 self.epoch = max(self.epoch, action.epoch)
@@ -204,29 +206,29 @@
             self.wrong = "two may act"
 
 
-def key_of_slot(duty: int, slot: Slot) -> tuple[object, ...]:
+def key_of_slot(duty: int, slot: AcceptorState) -> tuple[object, ...]:
     held = slot.held
     return duty, slot.promised, held and (held.number, held.nonce, held.ballot, held.ends_us)
 
 
-def copy_counter(counter: Counter) -> Counter:
-    made = Counter(counter.number, counter.drawn)
+def copy_counter(counter: BallotClock) -> BallotClock:
+    made = BallotClock(counter.number, counter.drawn)
     made.highest = counter.highest
     return made
 
 
-def copy_acceptor(acceptor: Acceptor, counter: Counter) -> Acceptor:
+def copy_acceptor(acceptor: Acceptor, counter: BallotClock) -> Acceptor:
     made = Acceptor(0, 0, acceptor.longest_us, counter, acceptor.most)
     made.speaks_us, made.floor = acceptor.speaks_us, acceptor.floor
     for duty, slot in acceptor.slots.items():
-        copied = made.slots[duty] = Slot(slot.promised, slot.touched_us)
+        copied = made.slots[duty] = AcceptorState(slot.promised, slot.touched_us)
         if slot.held is not None:
-            copied.held = Holder(slot.held.number, slot.held.nonce, slot.held.ballot, slot.held.ends_us)
+            copied.held = AcceptedLease(slot.held.number, slot.held.nonce, slot.held.ballot, slot.held.ends_us)
     return made
 
 
-def copy_lease(lease: Lease) -> Lease:
-    made = Lease(lease.duty, lease.terms, copy_counter(lease.counter), lease.rank, lease.draw)
+def copy_lease(lease: QuorumLease) -> QuorumLease:
+    made = QuorumLease(lease.duty, lease.terms, copy_counter(lease.counter), lease.rank, lease.draw)
     for name in (
         "phase", "wanted", "epoch", "ballot", "round", "sent_us", "until_us", "out", "proposing", "due_us", "tries",
         "consent", "state", "successor", "hands",
--- a/benchmarks/guards/mutants/leases.py
+++ b/benchmarks/guards/mutants/leases.py
@@ -34,149 +34,162 @@
 @entry("lease-sent")
 def _() -> None:
     """A lease counts from the moment at which the answers came."""
-    from cloverkeel.leases.lease import Lease
+    from cloverkeel.leases.lease import QuorumLease
 
-    cut(Lease, "receive", ("return self.on_won()", "self.sent_us = now_us; return self.on_won()"))
+    cut(QuorumLease, "receive", ("return self.on_won()", "self.sent_us = now_us; return self.on_won()"))
 
 
 @entry("lease-round")
 def _() -> None:
     """Answers to an older round count for the one that is out."""
-    from cloverkeel.leases.lease import Lease
+    from cloverkeel.leases.lease import QuorumLease
 
-    cut(Lease, "receive", (" or message.round != self.round or message.ballot != self.ballot", ""))
+    cut(QuorumLease, "receive", (" or message.round != self.round or message.ballot != self.ballot", ""))
 
 
 @entry("lease-ends")
 def _() -> None:
     """A holder does not look at the time before it acts: what wakes it first is answered."""
-    from cloverkeel.leases.lease import Lease
+    from cloverkeel.leases.lease import QuorumLease
 
-    cut(Lease, "may_act", (" and now_us < self.until_us", ""))
+    cut(QuorumLease, "may_act", (" and now_us < self.until_us", ""))
 
 
 @entry("lease-believed")
 def _() -> None:
     """A holder believes that it holds the duty until somebody says otherwise."""
-    from cloverkeel.leases.lease import Terms
+    from cloverkeel.leases.lease import LeaseConfig
 
-    Terms.held_us = property(lambda self: 1 << 50)  # type: ignore[assignment]
+    LeaseConfig.held_us = property(lambda self: 1 << 50)  # type: ignore[assignment]
 
 
 @entry("lease-handing")
 def _() -> None:
     """A holder acts while it hands on."""
-    from cloverkeel.leases.lease import Lease
+    from cloverkeel.leases.lease import QuorumLease
 
-    cut(Lease, "may_act", ("self.phase is Phase.HELD", "self.phase in (Phase.HELD, Phase.HANDING_ON)"))
-    cut(Lease, "hand_on", ("self.until_us = 0", "pass"))
+    cut(
+        QuorumLease,
+        "may_act",
+        ("self.phase is LeasePhase.HELD", "self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER)"),
+    )
+    cut(QuorumLease, "hand_on", ("self.until_us = 0", "pass"))
 
 
 @entry("lease-clock")
 def _() -> None:
     """What comes in is answered by the time that was read last, before a stall."""
-    from cloverkeel.leases.driver import Room
+    from cloverkeel.leases.driver import LeaseDriver
 
-    cut(Room, "datagram_received", ("receive(self.clock(), head", "receive(self.gateway.still.seen_us, head"))
+    cut(LeaseDriver, "datagram_received", ("receive(self.clock(), head", "receive(self.gateway.still.seen_us, head"))
 
 
 @entry("act-late")
 def _() -> None:
     """An act is sent without a further look at the time."""
-    from cloverkeel.leases.driver import Room
+    from cloverkeel.leases.driver import LeaseDriver
 
-    cut(Room, "send", ("isinstance(message, Act) and not self.office.may_act(self.clock(), message.duty)", "False"))
+    cut(
+        LeaseDriver,
+        "send",
+        ("isinstance(message, LeaderReply) and not self.office.may_act(self.clock(), message.duty)", "False"),
+    )
 
 
 @entry("epoch-fence")
 def _() -> None:
     """Acts with an older epoch count too."""
-    from cloverkeel.leases.ballots import Fence
+    from cloverkeel.leases.ballots import FencingTokenCheck
 
-    swap(Fence, "admit", lambda self, duty, epoch, holder: True)
+    swap(FencingTokenCheck, "admit", lambda self, duty, epoch, holder: True)
 
 
 @entry("epoch-heard")
 def _() -> None:
     """Ballots follow the wall clock alone."""
-    from cloverkeel.leases.ballots import Counter
+    from cloverkeel.leases.ballots import BallotClock
 
-    swap(Counter, "hear", lambda self, now_us, counter: True)
-    cut(Counter, "next", ("max(self.highest + 1, self.wall(now_us))", "self.wall(now_us)"))
+    swap(BallotClock, "hear", lambda self, now_us, counter: True)
+    cut(BallotClock, "next", ("max(self.highest + 1, self.wall(now_us))", "self.wall(now_us)"))
 
 
 @entry("epoch-older")
 def _() -> None:
     """A holder whose act was refused for an older epoch goes on as before."""
-    from cloverkeel.leases.lease import Lease
+    from cloverkeel.leases.lease import QuorumLease
 
-    swap(Lease, "is_older", lambda self, now_us, seen: [])
+    swap(QuorumLease, "is_older", lambda self, now_us, seen: [])
 
 
 @entry("epoch-outbid")
 def _() -> None:
     """A holder by the service whose act was refused goes on above what was seen, whoever that was."""
-    from cloverkeel.leases.lease import Began
-    from cloverkeel.leases.zookeeper_lease import ServiceLease
+    from cloverkeel.leases.lease import LeaseAcquired
+    from cloverkeel.leases.zookeeper_lease import ZookeeperLease
 
-    def outbid(self: ServiceLease, now_us: int, seen: int) -> list[Any]:
+    def outbid(self: ZookeeperLease, now_us: int, seen: int) -> list[Any]:
         self.floor, self.epoch = seen, seen + 1
-        return [Began(self.duty, self.epoch)]
+        return [LeaseAcquired(self.duty, self.epoch)]
 
-    swap(ServiceLease, "is_older", outbid)
+    swap(ZookeeperLease, "is_older", outbid)
 
 
 @entry("voters-differ")
 def _() -> None:
     """Any number of voters is as good as one's own."""
-    from cloverkeel.leases.manager import Office
+    from cloverkeel.leases.manager import LeaseManager
 
-    cut(Office, "receive", ("head.voters != self.terms.voters or ", ""))
+    cut(LeaseManager, "receive", ("head.voters != self.terms.voters or ", ""))
 
 
 @entry("portion-ends")
 def _() -> None:
     """What was granted is used for good."""
-    from cloverkeel.leases.slow_start_budget import Holding
+    from cloverkeel.leases.slow_start_budget import QuotaAccount
 
-    cut(Holding, "share", ("self.granted if now_us < self.granted_until_us else 0.0", "self.granted"))
+    cut(QuotaAccount, "share", ("self.granted if now_us < self.granted_until_us else 0.0", "self.granted"))
 
 
 @entry("lent-counted")
 def _() -> None:
     """A warden does not count what it has granted to others."""
-    from cloverkeel.leases.slow_start_budget import Warden
+    from cloverkeel.leases.slow_start_budget import SlowStartBudget
 
-    cut(Warden, "give", ("pool - others", "pool"), ("fair = pool / max(1, len(self.wants))", "fair = pool"))
+    cut(SlowStartBudget, "give", ("pool - others", "pool"), ("fair = pool / max(1, len(self.wants))", "fair = pool"))
 
 
 @entry("lent-once")
 def _() -> None:
     """A part is lent to whoever holds the duty now, though an older loan has not ended."""
-    from cloverkeel.leases.slow_start_budget import Holding
+    from cloverkeel.leases.slow_start_budget import QuotaAccount
 
-    cut(Holding, "lend", ("if now_us < self.lent_until_us and to != self.lent_to:", "if False:"))
+    cut(QuotaAccount, "lend", ("if now_us < self.lent_until_us and to != self.lent_to:", "if False:"))
 
 
 @entry("lent-stamp")
 def _() -> None:
     """A loan counts from the moment at which the warden hears of it."""
-    from cloverkeel.leases.slow_start_budget import Warden
+    from cloverkeel.leases.slow_start_budget import SlowStartBudget
 
-    cut(Warden, "on_report", ("until_us = echo_us + LEND_US", "until_us = now_us + LEND_US"))
+    cut(SlowStartBudget, "on_report", ("until_us = echo_us + LOAN_US", "until_us = now_us + LOAN_US"))
 
 
 @entry("trials-idle")
 def _() -> None:
     """A holder that does not try holds the others back."""
-    from cloverkeel.leases.probe_election import Outs
+    from cloverkeel.leases.probe_election import ProbeElection
 
-    cut(Outs, "on_report", ("TRIED if out.tried else IDLE", "TRIED"))
+    cut(ProbeElection, "on_report", ("PROBING if out.tried else IDLE", "PROBING"))
 
 
 @entry("trials-end")
 def _() -> None:
     """Trials are held back from whenever the answer comes."""
-    from cloverkeel.leases.probe_election import Outs
-
-    cut(Outs, "on_act", ("and asked_us + HOLD_US > now_us", ""), ("asked_us + HOLD_US)", "now_us + HOLD_US)"))
+    from cloverkeel.leases.probe_election import ProbeElection
+
+    cut(
+        ProbeElection,
+        "on_act",
+        ("and asked_us + SUSPEND_US > now_us", ""),
+        ("asked_us + SUSPEND_US)", "now_us + SUSPEND_US)"),
+    )
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from cloverkeel.core.datagrams import Datagrams
     from cloverkeel.discovery.ejection_filter import BannedMembership
-    from cloverkeel.leases.driver import Room
+    from cloverkeel.leases.driver import LeaseDriver
     from cloverkeel.discovery.merged_source import MergedMembership
     from cloverkeel.discovery.relay_client import RelayedDiscovery
     from cloverkeel.gossip.driver import Room as SharingRoom
@@ -31,12 +31,12 @@
     pools: Pools
     discovery: Discovery | MergedMembership | BannedMembership
     datagrams: Datagrams | None = None  # the socket of the parts below
-    duties: Room | None = None
+    duties: LeaseDriver | None = None
     sharing: SharingRoom | None = None
     relayed: RelayedDiscovery | None = None  # the part of `discovery` that asks relays
 
     @property
-    def parts(self) -> list[Room | SharingRoom]:
+    def parts(self) -> list[LeaseDriver | SharingRoom]:
         """What speaks to other gateways."""
         return [part for part in (self.duties, self.sharing) if part is not None]
 
@@ -94,9 +94,9 @@
     datagrams = Datagrams(config.peer_listen, config.peers)
     duties = sharing = None
     if options.duties is not None:
-        from cloverkeel.leases.driver import Room
+        from cloverkeel.leases.driver import LeaseDriver
 
-        duties = Room(config, options.duties, gateway, datagrams)
+        duties = LeaseDriver(config, options.duties, gateway, datagrams)
     if options.sharing is not None:
         from cloverkeel.gossip.driver import Room as SharingRoom
 
--- a/cloverkeel/leases/acceptor.py
+++ b/cloverkeel/leases/acceptor.py
@@ -13,14 +13,14 @@
 
 from typing import Final
 
-from cloverkeel.leases.ballots import SHIFT, Counter, counter_of
-from cloverkeel.leases.messages import Accepted, Prepare, Promised, Propose, Refused, Why
+from cloverkeel.leases.ballots import COUNTER_SHIFT, BallotClock, counter_of
+from cloverkeel.leases.messages import Accepted, Prepare, Promised, Propose, RefusalReason, Refused
 
-DUTIES_MOST: Final = 1024
-FORGET_US: Final = 60_000_000  # a duty that nobody asked for
+MAX_LEASES: Final = 1024
+IDLE_TIMEOUT_US: Final = 60_000_000  # a duty that nobody asked for
 
 
-class Holder:
+class AcceptedLease:
     """Who holds a duty: a gateway's number, and what its process drew at its start."""
 
     __slots__ = ("ballot", "ends_us", "nonce", "number")
@@ -32,38 +32,38 @@
         self.ends_us = ends_us
 
 
-class Slot:
+class AcceptorState:
     __slots__ = ("held", "promised", "touched_us")
 
     def __init__(self, promised: int, touched_us: int) -> None:
         self.promised = promised
-        self.held: Holder | None = None
+        self.held: AcceptedLease | None = None
         self.touched_us = touched_us
 
 
 class Acceptor:
     def __init__(
-        self, now_us: int, silent_us: int, longest_us: int, counter: Counter, most: int = DUTIES_MOST
+        self, now_us: int, silent_us: int, longest_us: int, counter: BallotClock, most: int = MAX_LEASES
     ) -> None:
         self.speaks_us = now_us + silent_us
         self.longest_us = longest_us
         self.counter = counter
         self.most = most
-        self.slots: dict[int, Slot] = {}
+        self.slots: dict[int, AcceptorState] = {}
         self.floor = 0  # no slot promises less: the highest promise that may have been forgotten
 
     def speaks(self, now_us: int) -> bool:
         """Guards against voting twice: a process that began anew does not know what it had accepted."""
         return now_us >= self.speaks_us
 
-    def holder(self, now_us: int, duty: int) -> Holder | None:
+    def holder(self, now_us: int, duty: int) -> AcceptedLease | None:
         """Whose lease lives here; a hint to others, no proof that it has a majority."""
         slot = self.slots.get(duty)
         if slot is None or slot.held is None or now_us >= slot.held.ends_us:
             return None
         return slot.held
 
-    def slot(self, now_us: int, duty: int) -> Slot | None:
+    def slot(self, now_us: int, duty: int) -> AcceptorState | None:
         found = self.slots.get(duty)
         if found is None:
             if len(self.slots) >= self.most:
@@ -72,15 +72,15 @@
                 return None
             if not self.floor:
                 # What was promised before the start is forgotten; it was no more than what others have seen.
-                self.floor = self.counter.highest << SHIFT
-            found = self.slots[duty] = Slot(self.floor, now_us)
+                self.floor = self.counter.highest << COUNTER_SHIFT
+            found = self.slots[duty] = AcceptorState(self.floor, now_us)
         found.touched_us = now_us
         return found
 
     def sweep(self, now_us: int) -> None:
         """Forget what nobody asked for in a while."""
         for duty, slot in list(self.slots.items()):
-            if self.holder(now_us, duty) is None and now_us - slot.touched_us > FORGET_US:
+            if self.holder(now_us, duty) is None and now_us - slot.touched_us > IDLE_TIMEOUT_US:
                 self.floor = max(self.floor, slot.promised)
                 del self.slots[duty]
 
@@ -98,30 +98,32 @@
         if slot is None:
             return refused
         if asked.length_us > self.longest_us:
-            return Refused(asked.duty, asked.ballot, asked.round, Why.LENGTH, 0, 0, 0, slot.promised)
+            return Refused(asked.duty, asked.ballot, asked.round, RefusalReason.LENGTH, 0, 0, 0, slot.promised)
         slot.promised = max(slot.promised, asked.ballot)
-        slot.held = Holder(number, nonce, asked.ballot, now_us + asked.length_us)
+        slot.held = AcceptedLease(number, nonce, asked.ballot, now_us + asked.length_us)
         return Accepted(asked.duty, asked.ballot, asked.round)
 
     def admit(
         self, now_us: int, duty: int, ballot: int, round_: int, consent: int, number: int, nonce: int
-    ) -> tuple[Slot | None, Refused | None]:
+    ) -> tuple[AcceptorState | None, Refused | None]:
         """The slot, if this asker may have it; else why not."""
         if not self.speaks(now_us):
             return None, None
         if not self.counter.hear(now_us, counter_of(ballot)):
-            return None, Refused(duty, ballot, round_, Why.LEAP, 0, 0, 0, 0)
+            return None, Refused(duty, ballot, round_, RefusalReason.LEAP, 0, 0, 0, 0)
         slot = self.slot(now_us, duty)
         if slot is None:
-            return None, Refused(duty, ballot, round_, Why.FULL, 0, 0, 0, 0)
+            return None, Refused(duty, ballot, round_, RefusalReason.FULL, 0, 0, 0, 0)
         held = self.holder(now_us, duty)
         if held is not None and consent and consent == held.ballot:
             slot.held = held = None  # its holder stopped acting before it said so, and never acts under it again
         if held is not None and (held.number != number or held.nonce != nonce):
             left_us = held.ends_us - now_us
-            return None, Refused(duty, ballot, round_, Why.HELD, held.number, held.nonce, left_us, slot.promised)
+            return None, Refused(
+                duty, ballot, round_, RefusalReason.HELD, held.number, held.nonce, left_us, slot.promised
+            )
         if ballot < slot.promised:
-            return None, Refused(duty, ballot, round_, Why.BALLOT, 0, 0, 0, slot.promised)
+            return None, Refused(duty, ballot, round_, RefusalReason.BALLOT, 0, 0, 0, slot.promised)
         return slot, None
 
     def release(self, now_us: int, duty: int, ballot: int) -> None:
--- a/cloverkeel/leases/ballots.py
+++ b/cloverkeel/leases/ballots.py
@@ -14,43 +14,43 @@
 
 from typing import Final
 
-STEP_US: Final = 16_000  # of the wall clock, for each step of the counter: 34 years in 36 bits
-BEGIN_US: Final = 1_767_225_600_000_000  # 2026-01-01
-NUMBER_BITS: Final = 12
-DRAWN_BITS: Final = 12
-SHIFT: Final = NUMBER_BITS + DRAWN_BITS
-COUNTER_MOST: Final = (1 << 36) - 1
+COUNTER_STEP_US: Final = 16_000  # of the wall clock, for each step of the counter: 34 years in 36 bits
+REFERENCE_TIME_US: Final = 1_767_225_600_000_000  # 2026-01-01
+GATEWAY_BITS: Final = 12
+RANDOM_BITS: Final = 12
+COUNTER_SHIFT: Final = GATEWAY_BITS + RANDOM_BITS
+MAX_COUNTER: Final = (1 << 36) - 1
 # One year: clocks are hours off, not years. Guards against one bad clock or one spoilt datagram that uses up all
 # counters there are.
-LEAP: Final = 365 * 86_400_000_000 // STEP_US
-NUMBERS: Final = 1 << NUMBER_BITS
+MAX_COUNTER_LEAP: Final = 365 * 86_400_000_000 // COUNTER_STEP_US
+MAX_GATEWAYS: Final = 1 << GATEWAY_BITS
 
 
 def counter_of(ballot: int) -> int:
-    return ballot >> SHIFT
+    return ballot >> COUNTER_SHIFT
 
 
-def number_of(ballot: int) -> int:
+def gateway_of(ballot: int) -> int:
     """The gateway that made it."""
-    return (ballot >> DRAWN_BITS) & (NUMBERS - 1)
+    return (ballot >> RANDOM_BITS) & (MAX_GATEWAYS - 1)
 
 
-class Counter:
+class BallotClock:
     """One for each process."""
 
     __slots__ = ("drawn", "highest", "leaps", "number")
 
     def __init__(self, number: int, drawn: int) -> None:
         self.number = number
-        self.drawn = drawn & ((1 << DRAWN_BITS) - 1)
+        self.drawn = drawn & ((1 << RANDOM_BITS) - 1)
         self.highest = 0
         self.leaps = 0  # heard from too far in the future
 
     def wall(self, now_us: int) -> int:
-        return min(COUNTER_MOST, max(0, (now_us - BEGIN_US) // STEP_US))
+        return min(MAX_COUNTER, max(0, (now_us - REFERENCE_TIME_US) // COUNTER_STEP_US))
 
     def is_leap(self, now_us: int, counter: int) -> bool:
-        return counter > max(self.highest, self.wall(now_us)) + LEAP
+        return counter > max(self.highest, self.wall(now_us)) + MAX_COUNTER_LEAP
 
     def hear(self, now_us: int, counter: int) -> bool:
         """Take in what another has seen; False, and nothing changes, where it is from too far in the future."""
@@ -62,11 +62,11 @@
 
     def next(self, now_us: int) -> int:
         """A new ballot."""
-        self.highest = min(COUNTER_MOST, max(self.highest + 1, self.wall(now_us)))
-        return (self.highest << SHIFT) | (self.number << DRAWN_BITS) | self.drawn
+        self.highest = min(MAX_COUNTER, max(self.highest + 1, self.wall(now_us)))
+        return (self.highest << COUNTER_SHIFT) | (self.number << RANDOM_BITS) | self.drawn
 
 
-class Fence:
+class FencingTokenCheck:
     """The highest epoch that was seen of each duty: what carries an older one is refused.
 
     Bounded: beyond `most` duties the one that was heard of longest ago is forgotten, which only a duty that nobody
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -8,7 +8,7 @@
 import asyncio
 import json
 import random
-from collections import Counter as Tallies
+from collections import Counter
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Final
 
@@ -19,24 +19,24 @@
 from cloverkeel.core.log import log
 from cloverkeel.core.options import Duties
 from cloverkeel.leases.acceptor import Acceptor
-from cloverkeel.leases.slow_start_quotas import Colds
-from cloverkeel.leases.ballots import Counter
-from cloverkeel.leases.lease import Terms
-from cloverkeel.leases.messages import MAGIC, Act, Hello, Message, decode, encode
-from cloverkeel.leases.manager import Office
-from cloverkeel.leases.zookeeper_lease import Answer
-from cloverkeel.leases.probe_election import Outs
-from cloverkeel.leases.slow_start_budget import LEND_US
+from cloverkeel.leases.ballots import BallotClock
+from cloverkeel.leases.lease import LeaseConfig
+from cloverkeel.leases.manager import LeaseManager
+from cloverkeel.leases.messages import MAGIC, Hello, LeaderReply, Message, decode, encode
+from cloverkeel.leases.probe_election import ProbeElection
+from cloverkeel.leases.slow_start_budget import LOAN_US
+from cloverkeel.leases.slow_start_quotas import SlowStartBudgets
+from cloverkeel.leases.zookeeper_lease import NodeResponse
 
 if TYPE_CHECKING:
-    from cloverkeel.leases.zookeeper_driver import DutyNodes
+    from cloverkeel.leases.zookeeper_driver import LeaseNodeClient
 
-LOOK_S: Final = 0.1  # between two looks at what the module needs
-SENDS_MOST: Final = 400  # datagrams between two looks
-SAID_US: Final = 60_000_000  # between lines of the log about datagrams that were dropped
+POLL_INTERVAL_S: Final = 0.1  # between two looks at what the module needs
+MAX_SENDS_PER_POLL: Final = 400  # datagrams between two looks
+DROP_LOG_INTERVAL_US: Final = 60_000_000  # between lines of the log about datagrams that were dropped
 
 
-class Room:
+class LeaseDriver:
     """One part of those that speak to other gateways."""
 
     def __init__(
@@ -52,27 +52,27 @@
         self.loop = asyncio.get_running_loop()
         self.number = config.settings.proxy
         nonce = random.SystemRandom().getrandbits(32)
-        self.terms = Terms(options.voters, options.lease_ms * 1000)
-        self.colds = Colds(gateway.cold_share)
-        counter = Counter(self.number, nonce)
+        self.terms = LeaseConfig(options.voters, options.lease_ms * 1000)
+        self.colds = SlowStartBudgets(gateway.cold_share)
+        counter = BallotClock(self.number, nonce)
         dice = random.Random(nonce)
-        self.office = Office(self.number, len(config.peers), self.terms, log, dice.random, counter, None, nonce)
+        self.office = LeaseManager(self.number, len(config.peers), self.terms, log, dice.random, counter, None, nonce)
         self.trier = options.trier
-        self.outs = Outs(config.settings.zone, gateway.hold_trials)
-        self.nodes: DutyNodes | None = None
+        self.outs = ProbeElection(config.settings.zone, gateway.hold_trials)
+        self.nodes: LeaseNodeClient | None = None
         if options.store == "ephemeral":
             # Imported here alone: kazoo and its threads cost memory.
-            from cloverkeel.leases.zookeeper_driver import DutyNodes
+            from cloverkeel.leases.zookeeper_driver import LeaseNodeClient
 
             self.office.by_service = True
-            self.nodes = DutyNodes(
+            self.nodes = LeaseNodeClient(
                 options.hosts, options.path, options.lease_ms, self.number, nonce, self.on_service, self.on_lost
             )
         self.timer: asyncio.TimerHandle | None = None
         self.looker: asyncio.TimerHandle | None = None
         self.sends = 0
         self.lost = 0  # datagrams beyond SENDS_MOST
-        self.dropped: Tallies[str] = Tallies()
+        self.dropped: Counter[str] = Counter()
         self.said_us = 0
         self.closed = False
 
@@ -81,7 +81,7 @@
         if self.number in range(len(self.peers)) and (self.nodes or len(self.peers) >= self.terms.majority):
             # What a process before this one has lent may still be out.
             if self.warden:
-                self.gateway.cold_share(-1, 0, self.clock() + LEND_US, 0.0, 0)
+                self.gateway.cold_share(-1, 0, self.clock() + LOAN_US, 0.0, 0)
             self.gateway.after_gap.append(self.on_gap)
             if self.nodes is not None:
                 self.nodes.start()
@@ -121,7 +121,7 @@
     # Time
 
     def look(self) -> None:
-        self.looker = self.loop.call_later(LOOK_S, self.look)  # first: nothing below may end it
+        self.looker = self.loop.call_later(POLL_INTERVAL_S, self.look)  # first: nothing below may end it
         self.sends = 0
         at_us = self.clock()
         if self.warden:
@@ -154,7 +154,7 @@
             self.timer.cancel()
             self.timer = None
         wait_us = self.office.next_due() - self.clock()
-        if wait_us < LOOK_S * 1e6 and not self.closed:  # else the next look finds it
+        if wait_us < POLL_INTERVAL_S * 1e6 and not self.closed:  # else the next look finds it
             self.timer = self.loop.call_later(max(0.001, wait_us / 1e6), self.on_timer)
 
     # Datagrams
@@ -177,11 +177,11 @@
     def drop(self, why: str) -> None:
         self.dropped[why] += 1
         at_us = self.clock()
-        if at_us - self.said_us > SAID_US:
+        if at_us - self.said_us > DROP_LOG_INTERVAL_US:
             self.said_us = at_us
             log(f"duties: datagrams dropped so far: {dict(self.dropped)}")
 
-    def on_service(self, duty: int, answer: Answer) -> None:
+    def on_service(self, duty: int, answer: NodeResponse) -> None:
         if not self.closed:
             self.office.on_service(self.clock(), duty, answer)
             self.work()
@@ -210,12 +210,12 @@
             self.work()
 
     def send(self, number: int, message: Message) -> None:
-        if self.sends >= SENDS_MOST:
+        if self.sends >= MAX_SENDS_PER_POLL:
             self.lost += 1
             return
         self.sends += 1
         data = encode(self.office.head(), message)
-        if isinstance(message, Act) and not self.office.may_act(self.clock(), message.duty):
+        if isinstance(message, LeaderReply) and not self.office.may_act(self.clock(), message.duty):
             # Guards against a stall since it was worded. What a stall after this line lets out is one datagram, and
             # the fence of whoever has heard of a newer epoch refuses it.
             self.dropped["act too late"] += 1
--- a/cloverkeel/leases/lease.py
+++ b/cloverkeel/leases/lease.py
@@ -15,40 +15,40 @@
 from enum import Enum
 from typing import Final
 
-from cloverkeel.leases.ballots import Counter, counter_of, number_of
+from cloverkeel.leases.ballots import BallotClock, counter_of, gateway_of
 from cloverkeel.leases.messages import (
     Accepted,
-    Hand,
+    Handover,
+    HandoverAck,
     Message,
     Prepare,
     Promised,
     Propose,
+    RefusalReason,
     Refused,
     Release,
-    Taken,
-    Why,
 )
 
-ALLOWANCE: Final = 200  # one part in so many: two clocks that are each wrong by 1e-3 in rate, and more
-RENEW: Final = 3  # a lease is renewed when a third of it is over
-RESEND: Final = 12  # an unanswered round is begun anew after this part of the length
-SPREAD: Final = 4  # who was refused by a higher ballot waits up to this part of the length, drawn
-HAND_TRIES: Final = 4  # hand-overs that are sent, a RESEND apart
+CLOCK_DRIFT_DIVISOR: Final = 200  # one part in so many: two clocks that are each wrong by 1e-3 in rate, and more
+RENEWALS_PER_LEASE: Final = 3  # a lease is renewed when a third of it is over
+RESENDS_PER_LEASE: Final = 12  # an unanswered round is begun anew after this part of the length
+BACKOFF_DIVISOR: Final = 4  # who was refused by a higher ballot waits up to this part of the length, drawn
+MAX_HANDOVER_ATTEMPTS: Final = 4  # hand-overs that are sent, a RESEND apart
 NEVER_US: Final = 1 << 60
 
 
-class Phase(Enum):
+class LeasePhase(Enum):
     """As the field names them."""
 
     FREE = "free"  # it does not hold the duty; others may
-    ASKING = "asking"
+    ACQUIRING = "asking"
     HELD = "held"
-    HANDING_ON = "handing on"
+    HANDING_OVER = "handing on"
     LOST = "lost"  # it held the duty, and could not renew in time
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class LeaseConfig:
     """What all gateways agree on."""
 
     voters: int  # gateways 0 to voters - 1
@@ -61,25 +61,25 @@
     @property
     def held_us(self) -> int:
         """How long a holder believes, from before its round was begun."""
-        return self.length_us - self.length_us // ALLOWANCE
+        return self.length_us - self.length_us // CLOCK_DRIFT_DIVISOR
 
     @property
     def silent_us(self) -> int:
         """How long a voter that began anew says nothing: the longest lease, and the allowance."""
-        return self.length_us + self.length_us // ALLOWANCE
+        return self.length_us + self.length_us // CLOCK_DRIFT_DIVISOR
 
 
 # What is to be done
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendMessage:
     to: int  # a gateway's number
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
-class Began:
+class LeaseAcquired:
     """It holds the duty, with this epoch; `state` is what the holder before handed on."""
 
     duty: int
@@ -88,7 +88,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class LeaseEnded:
     """It does not hold the duty any more."""
 
     duty: int
@@ -97,7 +97,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class NodeRequest:
     """To the coordination service (service.py)."""
 
     duty: int
@@ -105,10 +105,10 @@
     round: int
 
 
-Action = Tell | Began | Ended | Ask
+Action = SendMessage | LeaseAcquired | LeaseEnded | NodeRequest
 
 
-class Tenure:
+class Lease:
     """What every kind of lease has, whoever decides who holds it."""
 
     def __init__(self, duty: int, length_us: int, rank: float, draw: Callable[[], float]) -> None:
@@ -119,7 +119,7 @@
         self.duty, self.length_us = duty, length_us
         self.rank = rank
         self.draw = draw
-        self.phase = Phase.FREE
+        self.phase = LeasePhase.FREE
         self.wanted = False
         self.epoch = 0  # of what it holds
         self.until_us = 0  # it believes until then
@@ -131,7 +131,7 @@
 
     def may_act(self, now_us: int) -> bool:
         """Whether an act may be sent at this very moment."""
-        return self.phase is Phase.HELD and now_us < self.until_us
+        return self.phase is LeasePhase.HELD and now_us < self.until_us
 
     def next_due(self) -> int:
         return self.due_us
@@ -146,7 +146,7 @@
             return []
         self.wanted = wanted
         if wanted:
-            if self.phase is Phase.FREE:
+            if self.phase is LeasePhase.FREE:
                 self.due_us = now_us + int(self.rank * self.length_us / 2)
             return []
         return self.give_up(now_us, "not needed any more")
@@ -157,33 +157,35 @@
 
     def found_held(self, now_us: int, left_us: int) -> None:
         """Somebody else's lease lives: ask when it has ended, and later than who should have it."""
-        if self.phase is Phase.FREE and self.wanted:
+        if self.phase is LeasePhase.FREE and self.wanted:
             later_us = now_us + left_us + int(self.rank * self.length_us / 2)
             self.due_us = max(self.due_us, later_us) if self.due_us < NEVER_US else later_us
 
     def found_free(self, now_us: int) -> None:
         """Who held it holds it no more, or says nothing: ask sooner than its lease would end."""
-        if self.phase is Phase.FREE and self.wanted:
-            wait_us = int(self.length_us / RESEND * (self.rank + self.draw()))
+        if self.phase is LeasePhase.FREE and self.wanted:
+            wait_us = int(self.length_us / RESENDS_PER_LEASE * (self.rank + self.draw()))
             self.due_us = min(self.due_us, now_us + wait_us)
 
     def wait_us(self) -> int:
         """Before it asks anew: drawn, longer after each try, so that who comes together does not stay together."""
-        part = self.length_us / SPREAD * min(4, 1 + self.tries)
+        part = self.length_us / BACKOFF_DIVISOR * min(4, 1 + self.tries)
         return int(part * (0.2 + self.rank + self.draw()) / 2)
 
     def rest(self, due_us: int) -> None:
         """Free, and asking again at that time if it is wanted then."""
-        self.phase = Phase.FREE
+        self.phase = LeasePhase.FREE
         self.until_us = 0
         self.consent, self.state, self.successor = 0, b"", -1
         self.due_us = due_us if self.wanted else NEVER_US
 
 
-class Lease(Tenure):
+class QuorumLease(Lease):
     """By a majority of voters."""
 
-    def __init__(self, duty: int, terms: Terms, counter: Counter, rank: float, draw: Callable[[], float]) -> None:
+    def __init__(
+        self, duty: int, terms: LeaseConfig, counter: BallotClock, rank: float, draw: Callable[[], float]
+    ) -> None:
         super().__init__(duty, terms.length_us, rank, draw)
         self.terms, self.counter = terms, counter
         self.ballot = 0  # of the round that is out, or of what it holds
@@ -198,10 +200,10 @@
 
     def give_up(self, now_us: int, why: str) -> list[Action]:
         actions: list[Action] = []
-        if self.phase in (Phase.HELD, Phase.HANDING_ON):
-            actions.append(Ended(self.duty, self.epoch, why))
+        if self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER):
+            actions.append(LeaseEnded(self.duty, self.epoch, why))
             actions += self.to_voters(Release(self.duty, self.epoch))
-        if self.phase in (Phase.HELD, Phase.ASKING) and self.ballot != self.epoch:
+        if self.phase in (LeasePhase.HELD, LeasePhase.ACQUIRING) and self.ballot != self.epoch:
             actions += self.to_voters(Release(self.duty, self.ballot))
         self.rest(now_us + 2 * self.terms.length_us)
         return actions
@@ -210,7 +212,7 @@
 
     def receive(self, now_us: int, message: Message, number: int) -> list[Action]:
         """An answer of the voter with this number, or word of a hand-over."""
-        if isinstance(message, Taken):
+        if isinstance(message, HandoverAck):
             return self.on_taken(message)
         if not isinstance(message, Promised | Accepted | Refused):
             return []
@@ -229,24 +231,24 @@
         return []
 
     def is_older(self, now_us: int, seen: int) -> list[Action]:
-        if self.phase is not Phase.HELD or seen <= self.epoch or not self.counter.hear(now_us, counter_of(seen)):
+        if self.phase is not LeasePhase.HELD or seen <= self.epoch or not self.counter.hear(now_us, counter_of(seen)):
             return []
         self.ask(now_us)
         return self.prepare(now_us)
 
     def on_won(self) -> list[Action]:
-        first = self.phase is not Phase.HELD
+        first = self.phase is not LeasePhase.HELD
         changed = first or self.epoch != self.ballot
-        self.phase = Phase.HELD
+        self.phase = LeasePhase.HELD
         self.epoch = self.ballot
         self.until_us = self.sent_us + self.terms.held_us
-        self.due_us = self.sent_us + self.terms.length_us // RENEW
+        self.due_us = self.sent_us + self.terms.length_us // RENEWALS_PER_LEASE
         self.out, self.tries = False, 0
         consent, self.consent = self.consent, 0
         state, self.state = self.state, b""
-        actions: list[Action] = [Began(self.duty, self.epoch, state)] if changed else []
+        actions: list[Action] = [LeaseAcquired(self.duty, self.epoch, state)] if changed else []
         if consent:
-            actions.append(Tell(number_of(consent), Taken(self.duty, self.epoch)))
+            actions.append(SendMessage(gateway_of(consent), HandoverAck(self.duty, self.epoch)))
         return actions
 
     def on_refused(self, now_us: int, refused: Refused, number: int) -> list[Action]:
@@ -259,11 +261,11 @@
 
     def on_beaten(self, now_us: int) -> list[Action]:
         """So many refused that no majority can come of this round."""
-        if self.phase is Phase.HELD:
+        if self.phase is LeasePhase.HELD:
             # Voters that began anew may have promised more than its ballot to nobody in particular.
             self.ask(now_us)
             return self.prepare(now_us)
-        left_us = max((r.left_us for r in self.refused.values() if r.why == Why.HELD), default=0)
+        left_us = max((r.left_us for r in self.refused.values() if r.why == RefusalReason.HELD), default=0)
         return self.on_failed(now_us, left_us)
 
     def on_failed(self, now_us: int, left_us: int) -> list[Action]:
@@ -271,16 +273,16 @@
         self.tries += 1
         # Answers may be lost: what voters may have accepted is given back, whether or not they said so.
         actions: list[Action] = self.to_voters(Release(self.duty, self.ballot)) if self.proposing else []
-        if self.consent and self.tries < HAND_TRIES:
+        if self.consent and self.tries < MAX_HANDOVER_ATTEMPTS:
             self.ask(now_us)
             return actions + self.prepare(now_us)
         self.rest(now_us + left_us + self.wait_us())
         return actions
 
-    def on_taken(self, taken: Taken) -> list[Action]:
-        if self.phase is not Phase.HANDING_ON or taken.epoch <= self.epoch:
+    def on_taken(self, taken: HandoverAck) -> list[Action]:
+        if self.phase is not LeasePhase.HANDING_OVER or taken.epoch <= self.epoch:
             return []
-        ended = Ended(self.duty, self.epoch, f"handed on to gateway {self.successor}")
+        ended = LeaseEnded(self.duty, self.epoch, f"handed on to gateway {self.successor}")
         self.rest(NEVER_US)
         return [ended]
 
@@ -288,28 +290,28 @@
 
     def tick(self, now_us: int) -> list[Action]:
         """Call when `next_due` has come; also at once after a stall, before anything else."""
-        if self.phase is Phase.LOST:
+        if self.phase is LeasePhase.LOST:
             self.rest(now_us + self.wait_us())
             return []
-        if self.phase is Phase.HELD and now_us >= self.until_us:
-            ended = Ended(self.duty, self.epoch, "it could not be renewed in time")
+        if self.phase is LeasePhase.HELD and now_us >= self.until_us:
+            ended = LeaseEnded(self.duty, self.epoch, "it could not be renewed in time")
             actions: list[Action] = [ended, *self.to_voters(Release(self.duty, self.ballot))]
-            self.phase, self.out, self.due_us = Phase.LOST, False, now_us
+            self.phase, self.out, self.due_us = LeasePhase.LOST, False, now_us
             return actions
         if now_us < self.due_us:
             return []
-        if self.phase is Phase.HANDING_ON:
+        if self.phase is LeasePhase.HANDING_OVER:
             return self.hand(now_us)
-        if self.phase is Phase.HELD:
+        if self.phase is LeasePhase.HELD:
             # Renewed by the ballot that it has; or that round was not answered in time, or was one for promises.
             if self.out and not self.proposing:
                 return self.prepare(now_us)
             self.proposing = True
             return self.propose(now_us)
-        if self.phase is Phase.ASKING:
+        if self.phase is LeasePhase.ACQUIRING:
             return self.on_failed(now_us, 0)
         if self.wanted:
-            self.phase = Phase.ASKING
+            self.phase = LeasePhase.ACQUIRING
             self.ask(now_us)
             return self.prepare(now_us)
         self.due_us = NEVER_US
@@ -327,8 +329,8 @@
         self.sent_us = now_us
         self.out = True
         self.promised, self.accepted, self.refused = set(), set(), {}
-        self.due_us = now_us + self.terms.length_us // RESEND
-        if self.phase is Phase.HELD:
+        self.due_us = now_us + self.terms.length_us // RESENDS_PER_LEASE
+        if self.phase is LeasePhase.HELD:
             self.due_us = min(self.due_us, self.until_us)
 
     def prepare(self, now_us: int) -> list[Action]:
@@ -342,7 +344,7 @@
         return self.to_voters(Propose(self.duty, self.ballot, self.round, length_us, self.consent))
 
     def to_voters(self, message: Message) -> list[Action]:
-        return [Tell(number, message) for number in range(self.terms.voters)]
+        return [SendMessage(number, message) for number in range(self.terms.voters)]
 
     def rest(self, due_us: int) -> None:
         """Free, and asking again at that time if it is wanted then."""
@@ -355,7 +357,7 @@
         """Stop acting, and let this gateway have it with this state; nothing where it is not held."""
         if not self.may_act(now_us):
             return []
-        self.phase, self.out = Phase.HANDING_ON, False
+        self.phase, self.out = LeasePhase.HANDING_OVER, False
         self.until_us = 0
         self.successor, self.state, self.hands = successor, state, 0
         self.due_us = now_us
@@ -363,24 +365,26 @@
 
     def hand(self, now_us: int) -> list[Action]:
         self.hands += 1
-        if self.hands > HAND_TRIES:
+        if self.hands > MAX_HANDOVER_ATTEMPTS:
             # Nobody has said that it took it. Free for all: a late hand-over finds another's lease, or none.
-            ended = Ended(self.duty, self.epoch, f"handing on to gateway {self.successor} broke off")
+            ended = LeaseEnded(self.duty, self.epoch, f"handing on to gateway {self.successor} broke off")
             actions: list[Action] = [ended, *self.to_voters(Release(self.duty, self.epoch))]
             self.tries += 1
-            self.rest(now_us + self.terms.length_us // SPREAD + self.wait_us())
+            self.rest(now_us + self.terms.length_us // BACKOFF_DIVISOR + self.wait_us())
             return actions
-        self.due_us = now_us + self.terms.length_us // RESEND
-        return [Tell(self.successor, Hand(self.duty, self.epoch, self.state))]
+        self.due_us = now_us + self.terms.length_us // RESENDS_PER_LEASE
+        return [SendMessage(self.successor, Handover(self.duty, self.epoch, self.state))]
 
-    def take_over(self, now_us: int, hand: Hand) -> list[Action]:
+    def take_over(self, now_us: int, hand: Handover) -> list[Action]:
         """The holder hands on to this gateway: ask with its consent, at once."""
-        if self.phase is Phase.HELD and hand.ballot < self.epoch:
-            return [Tell(number_of(hand.ballot), Taken(self.duty, self.epoch))]  # the same word once more
-        if self.phase in (Phase.HELD, Phase.HANDING_ON) or self.consent == hand.ballot:
+        if self.phase is LeasePhase.HELD and hand.ballot < self.epoch:
+            return [
+                SendMessage(gateway_of(hand.ballot), HandoverAck(self.duty, self.epoch))
+            ]  # the same word once more
+        if self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER) or self.consent == hand.ballot:
             return []
         self.counter.hear(now_us, counter_of(hand.ballot))
-        self.phase, self.wanted = Phase.ASKING, True
+        self.phase, self.wanted = LeasePhase.ACQUIRING, True
         self.tries = 0
         self.consent, self.state = hand.ballot, hand.state
         self.ask(now_us)
--- a/cloverkeel/leases/manager.py
+++ b/cloverkeel/leases/manager.py
@@ -17,37 +17,47 @@
 from typing import Final, Protocol
 
 from cloverkeel.leases.acceptor import Acceptor
-from cloverkeel.leases.ballots import BEGIN_US, DRAWN_BITS, NUMBERS, Counter, Fence
-from cloverkeel.leases.lease import NEVER_US, Action, Ask, Began, Ended, Lease, Phase, Tell, Terms
+from cloverkeel.leases.ballots import MAX_GATEWAYS, RANDOM_BITS, REFERENCE_TIME_US, BallotClock, FencingTokenCheck
+from cloverkeel.leases.lease import (
+    NEVER_US,
+    Action,
+    LeaseAcquired,
+    LeaseConfig,
+    LeaseEnded,
+    LeasePhase,
+    NodeRequest,
+    QuorumLease,
+    SendMessage,
+)
 from cloverkeel.leases.messages import (
-    DUTY_BITS,
+    LEASE_ID_BITS,
     Accepted,
-    Act,
-    Hand,
-    Head,
+    Handover,
+    HandoverAck,
+    Header,
     Hello,
+    LeaderReply,
     Message,
-    NotMine,
-    Older,
+    NotLeaseHolder,
     Prepare,
     Promised,
     Propose,
     Refused,
     Release,
     Report,
-    Taken,
+    StaleTokenNotice,
 )
-from cloverkeel.leases.zookeeper_lease import DELETE, Answer, Node, ServiceLease
+from cloverkeel.leases.zookeeper_lease import DELETE, NodeOutcome, NodeResponse, ZookeeperLease
 
-NEEDS_MOST: Final = 256
-REPORT_US: Final = 400_000  # between two reports
-ALIVE_US: Final = 3 * REPORT_US  # since its last report a gateway counts as there
-SILENT_REPORTS: Final = 3  # without an answer: the holder is not there any more
-HANDING_GAPS: Final = 2  # stalls within GAPS_US after which a holder hands on
-GAPS_US: Final = 10_000_000
+MAX_REQUESTS: Final = 256
+REPORT_INTERVAL_US: Final = 400_000  # between two reports
+REPORTER_TIMEOUT_US: Final = 3 * REPORT_INTERVAL_US  # since its last report a gateway counts as there
+MAX_UNANSWERED_REPORTS: Final = 3  # without an answer: the holder is not there any more
+STALLS_BEFORE_HANDOVER: Final = 2  # stalls within GAPS_US after which a holder hands on
+STALL_WINDOW_US: Final = 10_000_000
 
 
-class Work(Protocol):
+class LeasedTask(Protocol):
     """What one kind of duty is about."""
 
     def report(self, now_us: int, duty: int, to: int) -> bytes | None:
@@ -70,27 +80,27 @@
         """For a successor."""
 
 
-def number_of_duty(name: str) -> int:
+def lease_id_of(name: str) -> int:
     """60 bits of a duty's name, the same everywhere."""
-    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest()) >> (64 - DUTY_BITS)
+    return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest()) >> (64 - LEASE_ID_BITS)
 
 
-MARK_BITS: Final = 48  # of a stamp: microseconds since 2026; the bits above are drawn at each start
-MARK_MOST: Final = (1 << MARK_BITS) - 1
+TIMESTAMP_BITS: Final = 48  # of a stamp: microseconds since 2026; the bits above are drawn at each start
+MAX_TIMESTAMP: Final = (1 << TIMESTAMP_BITS) - 1
 
 
-def place(duty: int, number: int) -> int:
+def rendezvous_score(duty: int, number: int) -> int:
     """Rendezvous: who has the lowest should hold it. Little moves when a gateway comes or goes."""
     return int.from_bytes(hashlib.blake2b(b"%d/%d" % (duty, number), digest_size=7).digest())
 
 
 @dataclass(slots=True)
-class Need:
+class LeaseRequest:
     """One duty that this gateway has a need of."""
 
     name: str
-    work: Work
-    lease: Lease | ServiceLease
+    work: LeasedTask
+    lease: QuorumLease | ZookeeperLease
     ranks: list[int]  # gateways, the one that should hold it first
     holder: int = -1  # whom it reports to; -1: not known
     stamp: int = 0  # of its last report
@@ -102,7 +112,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class LeaseCounters:
     unreadable: int = 0
     unlisted: int = 0  # from an address that is not that of the gateway that it names
     strangers: int = 0  # naming another number of voters
@@ -119,39 +129,39 @@
 
 
 @dataclass(slots=True)
-class Office:
+class LeaseManager:
     number: int
     gateways: int
-    terms: Terms
+    terms: LeaseConfig
     say: Say
     draw: Callable[[], float]
-    counter: Counter
+    counter: BallotClock
     acceptor: Acceptor | None  # of a voter
     nonce: int
-    fence: Fence = field(default_factory=Fence)
-    needs: dict[int, Need] = field(default_factory=dict)
-    counts: Counts = field(default_factory=Counts)
+    fence: FencingTokenCheck = field(default_factory=FencingTokenCheck)
+    needs: dict[int, LeaseRequest] = field(default_factory=dict)
+    counts: LeaseCounters = field(default_factory=LeaseCounters)
     out: list[tuple[int, Message]] = field(default_factory=list)  # to be sent, in order
     kept_off: bool = False  # staff want it to hold nothing
     gaps: list[int] = field(default_factory=list)
     by_service: bool = False  # the coordination service decides who holds, not a majority of peers
-    asks: list[Ask] = field(default_factory=list)  # of the service, in order
+    asks: list[NodeRequest] = field(default_factory=list)  # of the service, in order
 
     # Stamps
 
     def mark(self, now_us: int) -> int:
         """This moment, for others to give back."""
-        drawn = self.nonce & ((1 << DRAWN_BITS) - 1)
-        return (drawn << MARK_BITS) | min(MARK_MOST, max(1, now_us - BEGIN_US))
+        drawn = self.nonce & ((1 << RANDOM_BITS) - 1)
+        return (drawn << TIMESTAMP_BITS) | min(MAX_TIMESTAMP, max(1, now_us - REFERENCE_TIME_US))
 
     def read_mark(self, mark: int) -> int:
         """The moment of a stamp of this process; 0 for one of another.
 
         Guards against a process that began anew with another wall clock: old stamps would seem to be of now.
         """
-        if mark >> MARK_BITS != self.nonce & ((1 << DRAWN_BITS) - 1):
+        if mark >> TIMESTAMP_BITS != self.nonce & ((1 << RANDOM_BITS) - 1):
             return 0
-        return (mark & MARK_MOST) + BEGIN_US
+        return (mark & MAX_TIMESTAMP) + REFERENCE_TIME_US
 
     # What is sent
 
@@ -159,49 +169,49 @@
     def process_of(number: int, nonce: int) -> int:
         return (number << 32) | nonce
 
-    def head(self) -> Head:
-        return Head(self.terms.voters, self.number, self.nonce, self.counter.highest)
+    def head(self) -> Header:
+        return Header(self.terms.voters, self.number, self.nonce, self.counter.highest)
 
     def take_out(self) -> list[tuple[int, Message]]:
         said, self.out = self.out, []
         return said
 
-    def carry_out(self, now_us: int, need: Need, actions: list[Action]) -> None:
+    def carry_out(self, now_us: int, need: LeaseRequest, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 self.out.append((action.to, action.message))
-            elif isinstance(action, Ask):
+            elif isinstance(action, NodeRequest):
                 self.asks.append(action)
-            elif isinstance(action, Began):
+            elif isinstance(action, LeaseAcquired):
                 self.counts.began += 1
                 need.holder, need.since_us = self.number, now_us
                 self.fence.admit(action.duty, action.epoch, self.process_of(self.number, self.nonce))
                 need.work.began(action.duty, action.state)
                 self.say(f"duty {need.name}: held here, epoch {action.epoch}")
-            elif isinstance(action, Ended):
-                self.counts.lost += need.lease.phase is Phase.LOST
+            elif isinstance(action, LeaseEnded):
+                self.counts.lost += need.lease.phase is LeasePhase.LOST
                 need.holder = -1
                 need.work.ended(action.duty)
                 self.say(f"duty {need.name}: held no more, epoch {action.epoch}: {action.why}")
 
     # Needs
 
-    def need(self, now_us: int, name: str, work: Work) -> int:
+    def need(self, now_us: int, name: str, work: LeasedTask) -> int:
         """A duty that somebody should hold; returns its number."""
-        duty = number_of_duty(name)
+        duty = lease_id_of(name)
         if duty in self.needs:
             return duty
-        if len(self.needs) >= NEEDS_MOST:
+        if len(self.needs) >= MAX_REQUESTS:
             self.counts.full += 1
             return duty
-        ranks = sorted(range(self.gateways), key=lambda number: place(duty, number))
+        ranks = sorted(range(self.gateways), key=lambda number: rendezvous_score(duty, number))
         rank = ranks.index(self.number) / max(1, self.gateways)
-        lease: Lease | ServiceLease
+        lease: QuorumLease | ZookeeperLease
         if self.by_service:
-            lease = ServiceLease(duty, self.terms.length_us, rank, self.draw)
+            lease = ZookeeperLease(duty, self.terms.length_us, rank, self.draw)
         else:
-            lease = Lease(duty, self.terms, self.counter, rank, self.draw)
-        made = self.needs[duty] = Need(name, work, lease, ranks)
+            lease = QuorumLease(duty, self.terms, self.counter, rank, self.draw)
+        made = self.needs[duty] = LeaseRequest(name, work, lease, ranks)
         if not self.kept_off:
             self.carry_out(now_us, made, lease.want(now_us, True))
         return duty
@@ -223,7 +233,7 @@
         for need in self.needs.values():
             if off:
                 # One that is being asked for is given up too: it would be held a moment later.
-                if not self.hand_on(now_us, need) and need.lease.phase is Phase.ASKING:
+                if not self.hand_on(now_us, need) and need.lease.phase is LeasePhase.ACQUIRING:
                     need.lease.wanted = True
                     self.carry_out(now_us, need, need.lease.want(now_us, False))
                 need.lease.wanted = False
@@ -236,11 +246,11 @@
             need.lease.wanted = False
             self.carry_out(now_us, need, need.lease.give_up(now_us, "the gateway ends"))
 
-    def hand_on(self, now_us: int, need: Need) -> bool:
+    def hand_on(self, now_us: int, need: LeaseRequest) -> bool:
         """To the gateway that should have it of those with the same need; False where it is not held."""
         if not need.lease.may_act(now_us):
             return False
-        alive = [number for number in need.ranks if now_us - need.heard_from.get(number, 0) < ALIVE_US]
+        alive = [number for number in need.ranks if now_us - need.heard_from.get(number, 0) < REPORTER_TIMEOUT_US]
         if not alive:  # nobody is known that could take it: free for all
             self.carry_out(now_us, need, need.lease.give_up(now_us, "nobody is there to hand it on to"))
             return True
@@ -251,8 +261,8 @@
     def stood_still(self, now_us: int) -> None:
         """After a stall: leases first, by the time it is now. Who stalls again and again hands on."""
         self.tick(now_us)
-        self.gaps = [at_us for at_us in self.gaps if now_us - at_us < GAPS_US] + [now_us]
-        if len(self.gaps) >= HANDING_GAPS:
+        self.gaps = [at_us for at_us in self.gaps if now_us - at_us < STALL_WINDOW_US] + [now_us]
+        if len(self.gaps) >= STALLS_BEFORE_HANDOVER:
             self.gaps = []
             for need in self.needs.values():
                 self.hand_on(now_us, need)
@@ -270,21 +280,21 @@
     def tick(self, now_us: int) -> None:
         for need in list(self.needs.values()):
             lease = need.lease
-            if now_us >= lease.next_due() or (lease.phase is Phase.HELD and now_us >= lease.until_us):
+            if now_us >= lease.next_due() or (lease.phase is LeasePhase.HELD and now_us >= lease.until_us):
                 self.carry_out(now_us, need, lease.tick(now_us))
             if need.holder >= 0 and now_us >= need.report_us:
                 self.report(now_us, need)
 
-    def report(self, now_us: int, need: Need) -> None:
-        need.report_us = now_us + REPORT_US
+    def report(self, now_us: int, need: LeaseRequest) -> None:
+        need.report_us = now_us + REPORT_INTERVAL_US
         duty = need.lease.duty
         if need.holder == self.number:
             self.report_here(now_us, need)
             return
-        if need.unanswered >= SILENT_REPORTS:
+        if need.unanswered >= MAX_UNANSWERED_REPORTS:
             self.lose_holder(now_us, need)
             return
-        process = (need.holder << DRAWN_BITS) | (need.heard >> MARK_BITS)
+        process = (need.holder << RANDOM_BITS) | (need.heard >> TIMESTAMP_BITS)
         payload = need.work.report(now_us, duty, process if need.heard else -1)
         if payload is None:
             return
@@ -292,24 +302,24 @@
         need.unanswered += 1
         self.out.append((need.holder, Report(duty, need.stamp, need.heard, payload)))
 
-    def lose_holder(self, now_us: int, need: Need) -> None:
+    def lose_holder(self, now_us: int, need: LeaseRequest) -> None:
         """Who held it does not, or is not there."""
         need.holder, need.unanswered, need.heard = -1, 0, 0
         need.lease.found_free(now_us)
 
-    def report_here(self, now_us: int, need: Need) -> None:
+    def report_here(self, now_us: int, need: LeaseRequest) -> None:
         """The holder has needs of its own, and lends like all others."""
         duty = need.lease.duty
-        process = (self.number << DRAWN_BITS) | (self.mark(now_us) >> MARK_BITS)
+        process = (self.number << RANDOM_BITS) | (self.mark(now_us) >> TIMESTAMP_BITS)
         payload = need.work.report(now_us, duty, process)
         if payload is not None and need.lease.may_act(now_us):
             need.work.on_act(now_us, duty, now_us, need.work.on_report(now_us, duty, self.number, now_us, payload))
 
     # What comes
 
-    def receive(self, now_us: int, head: Head, message: Message) -> None:
+    def receive(self, now_us: int, head: Header, message: Message) -> None:
         self.counts.came += 1
-        if head.voters != self.terms.voters or head.number >= NUMBERS:
+        if head.voters != self.terms.voters or head.number >= MAX_GATEWAYS:
             self.counts.strangers += 1
             return
         if not self.counter.hear(now_us, head.counter):
@@ -317,19 +327,19 @@
         number, nonce = head.number, head.nonce
         if isinstance(message, Prepare | Propose | Release):
             self.vote(now_us, message, number, nonce)
-        elif isinstance(message, Promised | Accepted | Refused | Taken):
+        elif isinstance(message, Promised | Accepted | Refused | HandoverAck):
             self.on_answer(now_us, message, number)
-        elif isinstance(message, Hand):
+        elif isinstance(message, Handover):
             self.on_hand(now_us, message, number)
         elif isinstance(message, Report):
             self.on_report(now_us, message, number)
-        elif isinstance(message, Act):
+        elif isinstance(message, LeaderReply):
             self.on_act(now_us, message, number, nonce)
-        elif isinstance(message, NotMine):
+        elif isinstance(message, NotLeaseHolder):
             need = self.needs.get(message.duty)
             if need is not None and need.holder == number:
                 self.lose_holder(now_us, need)
-        elif isinstance(message, Older):
+        elif isinstance(message, StaleTokenNotice):
             need = self.needs.get(message.duty)
             if need is not None:
                 self.carry_out(now_us, need, need.lease.is_older(now_us, message.epoch))
@@ -349,7 +359,7 @@
         if said is not None:
             self.out.append((number, said))
 
-    def on_answer(self, now_us: int, message: Promised | Accepted | Refused | Taken, number: int) -> None:
+    def on_answer(self, now_us: int, message: Promised | Accepted | Refused | HandoverAck, number: int) -> None:
         need = self.needs.get(message.duty)
         if need is None:
             return
@@ -359,51 +369,53 @@
             need.holder, need.unanswered, need.heard, need.report_us = message.number, 0, 0, now_us
         self.carry_out(now_us, need, need.lease.receive(now_us, message, number))
 
-    def on_hand(self, now_us: int, message: Hand, number: int) -> None:
+    def on_hand(self, now_us: int, message: Handover, number: int) -> None:
         need = self.needs.get(message.duty)
         if need is None or self.kept_off:
             return  # not needed here: the holder's tries run out, and the duty is free
         lease = need.lease
-        if isinstance(lease, ServiceLease):
+        if isinstance(lease, ZookeeperLease):
             self.carry_out(now_us, need, lease.take_over(now_us, message, number))
         else:
             self.carry_out(now_us, need, lease.take_over(now_us, message))
 
-    def on_service(self, now_us: int, duty: int, answer: Answer) -> None:
+    def on_service(self, now_us: int, duty: int, answer: NodeResponse) -> None:
         """What came of a question to the coordination service."""
         need = self.needs.get(duty)
         if need is None:
-            if answer.node is Node.MINE:  # too late: nobody needs it here
-                self.asks.append(Ask(duty, DELETE, 0))
+            if answer.node is NodeOutcome.MINE:  # too late: nobody needs it here
+                self.asks.append(NodeRequest(duty, DELETE, 0))
             return
-        if answer.node is Node.OTHERS and need.holder < 0 and answer.number != self.number:
+        if answer.node is NodeOutcome.OTHERS and need.holder < 0 and answer.number != self.number:
             need.holder, need.unanswered, need.heard, need.report_us = answer.number, 0, 0, now_us
-        if isinstance(need.lease, ServiceLease):
+        if isinstance(need.lease, ZookeeperLease):
             self.carry_out(now_us, need, need.lease.on_answer(now_us, answer))
 
     def on_session_lost(self, now_us: int) -> None:
         for need in self.needs.values():
-            if isinstance(need.lease, ServiceLease):
+            if isinstance(need.lease, ZookeeperLease):
                 self.carry_out(now_us, need, need.lease.session_lost(now_us))
 
     def on_report(self, now_us: int, message: Report, number: int) -> None:
         need = self.needs.get(message.duty)
         if need is None or not need.lease.may_act(now_us):
-            self.out.append((number, NotMine(message.duty)))
+            self.out.append((number, NotLeaseHolder(message.duty)))
             return
         if message.payload and 0 <= number < self.gateways:  # without, it only asks who holds
             need.heard_from[number] = now_us
         echo_us = self.read_mark(message.echo)
         payload = need.work.on_report(now_us, message.duty, number, echo_us, message.payload)
-        self.out.append((number, Act(message.duty, need.lease.epoch, self.mark(now_us), message.stamp, payload)))
+        self.out.append(
+            (number, LeaderReply(message.duty, need.lease.epoch, self.mark(now_us), message.stamp, payload))
+        )
 
-    def on_act(self, now_us: int, message: Act, number: int, nonce: int) -> None:
+    def on_act(self, now_us: int, message: LeaderReply, number: int, nonce: int) -> None:
         need = self.needs.get(message.duty)
         if need is None:
             return
         if not self.fence.admit(message.duty, message.epoch, self.process_of(number, nonce)):
             self.counts.old_acts += 1
-            self.out.append((number, Older(message.duty, self.fence.epoch(message.duty))))
+            self.out.append((number, StaleTokenNotice(message.duty, self.fence.epoch(message.duty))))
             return
         if message.echo != need.stamp or need.holder != number:
             return  # of an older question
--- a/cloverkeel/leases/messages.py
+++ b/cloverkeel/leases/messages.py
@@ -14,17 +14,17 @@
 from enum import IntEnum
 from typing import Any, Final
 
-LIMIT: Final = 256
+MAX_DATAGRAM_BYTES: Final = 256
 MAGIC: Final = 0xC7
 VERSION: Final = 1
 HEAD: Final = struct.Struct(">BBBBHIQ")  # magic, version, kind, voters, number, nonce, counter
 SUM: Final = struct.Struct(">I")
-PAYLOAD_MOST: Final = 160  # bytes that a duty may add
-DUTY_BITS: Final = 60
+MAX_PAYLOAD_BYTES: Final = 160  # bytes that a duty may add
+LEASE_ID_BITS: Final = 60
 LENGTH_MOST: Final = 0xFFFFFFFF  # microseconds: 71 minutes
 
 
-class Why(IntEnum):
+class RefusalReason(IntEnum):
     """Why a voter refuses."""
 
     HELD = 1  # another holds it
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hand:
+class Handover:
     """A holder has stopped acting and hands on: its ballot is its consent."""
 
     duty: int
@@ -93,7 +93,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Taken:
+class HandoverAck:
     """To who handed on: the new holder's epoch."""
 
     duty: int
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Act:
+class LeaderReply:
     """A holder's act, with its epoch: an answer to a report."""
 
     duty: int
@@ -122,7 +122,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NotMine:
+class NotLeaseHolder:
     """To who reported: this gateway does not hold the duty."""
 
     duty: int
@@ -136,7 +136,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Older:
+class StaleTokenNotice:
     """To a holder whose act was refused: the epoch that this gateway has seen."""
 
     duty: int
@@ -144,8 +144,8 @@
 
 
 Message = (
-    Prepare | Propose | Promised | Accepted | Refused | Release | Hand | Taken | Report | Act | NotMine
-    | Hello | Older
+    Prepare | Propose | Promised | Accepted | Refused | Release | Handover | HandoverAck | Report | LeaderReply
+    | NotLeaseHolder | Hello | StaleTokenNotice
 )  # fmt: skip
 
 # Kind, fields in their order, and whether the rest is a payload.
@@ -156,13 +156,13 @@
     Accepted: (4, struct.Struct(">QQI"), False),
     Refused: (5, struct.Struct(">QQIBHIIQ"), False),
     Release: (6, struct.Struct(">QQ"), False),
-    Hand: (7, struct.Struct(">QQ"), True),
-    Taken: (8, struct.Struct(">QQ"), False),
+    Handover: (7, struct.Struct(">QQ"), True),
+    HandoverAck: (8, struct.Struct(">QQ"), False),
     Report: (11, struct.Struct(">QQQ"), True),
-    Act: (12, struct.Struct(">QQQQ"), True),
-    NotMine: (13, struct.Struct(">Q"), False),
+    LeaderReply: (12, struct.Struct(">QQQQ"), True),
+    NotLeaseHolder: (13, struct.Struct(">Q"), False),
     Hello: (14, struct.Struct(">B"), False),
-    Older: (15, struct.Struct(">QQ"), False),
+    StaleTokenNotice: (15, struct.Struct(">QQ"), False),
 }
 _KINDS: Final[dict[int, type[Any]]] = {form[0]: made for made, form in _FORMS.items()}
 _FIELDS: Final[dict[type[Any], tuple[str, ...]]] = {
@@ -171,20 +171,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
+class Header:
     voters: int
     number: int  # of the sender
     nonce: int
     counter: int
 
 
-def encode(head: Head, message: Message) -> bytes:
+def encode(head: Header, message: Message) -> bytes:
     """ValueError for what does not fit."""
     kind, form, has_payload = _FORMS[type(message)]
     values = [getattr(message, name) for name in _FIELDS[type(message)]]
     payload = values.pop() if has_payload else b""
-    if len(payload) > PAYLOAD_MOST:
-        raise ValueError(f"a payload of {len(payload)} bytes, {PAYLOAD_MOST} at most")
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise ValueError(f"a payload of {len(payload)} bytes, {MAX_PAYLOAD_BYTES} at most")
     try:
         said = HEAD.pack(MAGIC, VERSION, kind, head.voters, head.number, head.nonce, head.counter)
         said += form.pack(*values) + payload
@@ -193,9 +193,9 @@
     return said + SUM.pack(zlib.crc32(said))
 
 
-def decode(data: bytes) -> tuple[Head, Message] | None:
+def decode(data: bytes) -> tuple[Header, Message] | None:
     """None for what is cut short, spoilt, too long, of another version or of an unknown kind."""
-    if not HEAD.size + SUM.size <= len(data) <= LIMIT:
+    if not HEAD.size + SUM.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
     said, (checksum,) = data[: -SUM.size], SUM.unpack(data[-SUM.size :])
     magic, version, kind, voters, number, nonce, counter = HEAD.unpack_from(said)
@@ -211,8 +211,8 @@
     values = list(form.unpack_from(body))
     if has_payload:
         values.append(body[form.size :])
-        if len(body) - form.size > PAYLOAD_MOST:
+        if len(body) - form.size > MAX_PAYLOAD_BYTES:
             return None
-    if made is not Hello and values[0] >> DUTY_BITS:
+    if made is not Hello and values[0] >> LEASE_ID_BITS:
         return None
-    return Head(voters, number, nonce, counter), made(*values)
+    return Header(voters, number, nonce, counter), made(*values)
--- a/cloverkeel/leases/probe_election.py
+++ b/cloverkeel/leases/probe_election.py
@@ -13,22 +13,22 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from cloverkeel.leases.manager import REPORT_US, Office
+from cloverkeel.leases.manager import REPORT_INTERVAL_US, LeaseManager
 
-HOLD_US: Final = 3 * REPORT_US  # two answers may be lost
-WELL_US: Final = 3_000_000  # for so long a holder tells that a host is well, after its breaker closed
-TRIED, WELL, IDLE = b"\x01", b"\x02", b"\x03"  # what a holder answers
-ASKS: Final = b"\x01"
+SUSPEND_US: Final = 3 * REPORT_INTERVAL_US  # two answers may be lost
+RECOVERED_NOTICE_US: Final = 3_000_000  # for so long a holder tells that a host is well, after its breaker closed
+PROBING, RECOVERED, IDLE = b"\x01", b"\x02", b"\x03"  # what a holder answers
+PROBE_REPORT: Final = b"\x01"
 
 Hold = Callable[[int, int], None]  # server, and until when; 0: it is well
 
 
-def duty_name(zone: int, server: int) -> str:
+def lease_name(zone: int, server: int) -> str:
     return f"trier/{zone}/{server}"
 
 
 @dataclass(slots=True)
-class Out:
+class OpenCircuit:
     """One host whose breaker is not closed here, or was a moment ago."""
 
     server: int
@@ -38,55 +38,55 @@
 
 
 @dataclass(slots=True)
-class Outs:
+class ProbeElection:
     """`Work` of the duties `trier/...`."""
 
     zone: int
     hold: Hold
-    outs: dict[int, Out] = field(default_factory=dict)  # by duty
+    outs: dict[int, OpenCircuit] = field(default_factory=dict)  # by duty
     held: set[int] = field(default_factory=set)  # duties that are held here
     held_back: int = 0  # answers that held trials back
     well: int = 0  # words that a host is well
 
-    def look(self, now_us: int, outs: list[tuple[int, bool]], office: Office) -> None:
+    def look(self, now_us: int, outs: list[tuple[int, bool]], office: LeaseManager) -> None:
         """What the module says is out; duties follow."""
         found = set()
         for server, tried in outs:
-            duty = office.need(now_us, duty_name(self.zone, server), self)
+            duty = office.need(now_us, lease_name(self.zone, server), self)
             found.add(duty)
-            out = self.outs.setdefault(duty, Out(server))
+            out = self.outs.setdefault(duty, OpenCircuit(server))
             out.tried, out.closed_us = tried, 0
         for duty, out in list(self.outs.items()):
             if duty in found:
                 continue
             out.closed_us = out.closed_us or now_us
-            if duty not in self.held or now_us - out.closed_us > WELL_US:
+            if duty not in self.held or now_us - out.closed_us > RECOVERED_NOTICE_US:
                 del self.outs[duty]
                 office.drop(now_us, duty)
 
     def report(self, now_us: int, duty: int, to: int) -> bytes | None:
         out = self.outs.get(duty)
-        return ASKS if out is not None and not out.closed_us else None
+        return PROBE_REPORT if out is not None and not out.closed_us else None
 
     def on_report(self, now_us: int, duty: int, number: int, echo_us: int, payload: bytes) -> bytes:
         out = self.outs.get(duty)
         if out is None:
             return IDLE
         if out.closed_us:
-            return WELL
-        return TRIED if out.tried else IDLE
+            return RECOVERED
+        return PROBING if out.tried else IDLE
 
     def on_act(self, now_us: int, duty: int, asked_us: int, payload: bytes) -> None:
         out = self.outs.get(duty)
         if out is None or out.closed_us or duty in self.held:
             return
-        if payload == TRIED and asked_us + HOLD_US > now_us:
+        if payload == PROBING and asked_us + SUSPEND_US > now_us:
             self.held_back += 1
-            self.hold(out.server, asked_us + HOLD_US)
-        elif payload in (WELL, IDLE):
-            self.well += payload == WELL
+            self.hold(out.server, asked_us + SUSPEND_US)
+        elif payload in (RECOVERED, IDLE):
+            self.well += payload == RECOVERED
             # Once for each time that it is said to be well: a trial that fails here stays a verdict of one's own.
-            if payload == WELL and now_us - out.told_well_us > WELL_US:
+            if payload == RECOVERED and now_us - out.told_well_us > RECOVERED_NOTICE_US:
                 out.told_well_us = now_us
                 self.hold(out.server, 0)
             elif payload == IDLE:
--- a/cloverkeel/leases/slow_start_quotas.py
+++ b/cloverkeel/leases/slow_start_quotas.py
@@ -10,54 +10,54 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cloverkeel.leases.manager import Office
-from cloverkeel.leases.slow_start_budget import Holding, Warden, read_grant, report
+from cloverkeel.leases.manager import LeaseManager
+from cloverkeel.leases.slow_start_budget import QuotaAccount, SlowStartBudget, read_grant, report
 
 Tell = Callable[[int, int, int, float, int], None]  # server, its start, lent until, parts granted, until
 
 
-def duty_name(server: int, started_us: int) -> str:
+def lease_name(server: int, started_us: int) -> str:
     return f"warden/{server}/{started_us}"
 
 
 @dataclass(slots=True)
-class Cold:
+class WarmingHost:
     """One cold host that this gateway would use."""
 
     server: int
     started_us: int
     wants: bool = False
     idle: bool = False
-    holding: Holding = field(default_factory=Holding)
+    holding: QuotaAccount = field(default_factory=QuotaAccount)
     told: tuple[int, float, int] = (0, 0.0, 0)
 
 
 @dataclass(slots=True)
-class Colds:
+class SlowStartBudgets:
     """`Work` of the duties `warden/...`."""
 
     tell: Tell
-    colds: dict[int, Cold] = field(default_factory=dict)  # by duty
-    wardens: dict[int, Warden] = field(default_factory=dict)  # of the duties that are held here
+    colds: dict[int, WarmingHost] = field(default_factory=dict)  # by duty
+    wardens: dict[int, SlowStartBudget] = field(default_factory=dict)  # of the duties that are held here
     lent: int = 0  # reports that lent a part
     taken: int = 0  # portions that were granted to this gateway
 
-    def look(self, now_us: int, needs: list[tuple[int, int, bool, bool]], office: Office) -> None:
+    def look(self, now_us: int, needs: list[tuple[int, int, bool, bool]], office: LeaseManager) -> None:
         """What the module needs now; duties follow."""
         found = set()
         for server, started_us, wants, idle in needs:
-            duty = office.need(now_us, duty_name(server, started_us), self)
+            duty = office.need(now_us, lease_name(server, started_us), self)
             found.add(duty)
             cold = self.colds.get(duty)
             if cold is None:
-                cold = self.colds[duty] = Cold(server, started_us)
+                cold = self.colds[duty] = WarmingHost(server, started_us)
             cold.wants, cold.idle = wants, idle
         for duty in [duty for duty in self.colds if duty not in found]:
             if now_us >= self.colds[duty].holding.share(now_us)[1]:  # nothing of it is out
                 del self.colds[duty]
                 office.drop(now_us, duty)
 
-    def pass_on(self, cold: Cold) -> None:
+    def pass_on(self, cold: WarmingHost) -> None:
         holding = cold.holding
         if (now := (holding.lent_until_us, holding.granted, holding.granted_until_us)) != cold.told:
             cold.told = now
@@ -88,7 +88,7 @@
 
     def began(self, duty: int, state: bytes) -> None:
         """Also when it goes on with a newer epoch: then what is lent and out is known."""
-        self.wardens.setdefault(duty, Warden())
+        self.wardens.setdefault(duty, SlowStartBudget())
 
     def ended(self, duty: int) -> None:
         self.wardens.pop(duty, None)
--- a/cloverkeel/leases/zookeeper_driver.py
+++ b/cloverkeel/leases/zookeeper_driver.py
@@ -16,16 +16,16 @@
 from kazoo.retry import KazooRetry
 
 from cloverkeel.core.log import log
-from cloverkeel.leases.messages import DUTY_BITS
-from cloverkeel.leases.zookeeper_lease import CREATE, DELETE, Answer, Node
+from cloverkeel.leases.messages import LEASE_ID_BITS
+from cloverkeel.leases.zookeeper_lease import CREATE, DELETE, NodeOutcome, NodeResponse
 
 CONNECT: Final = {"max_tries": -1, "delay": 0.2, "backoff": 2, "max_jitter": 0.5, "max_delay": 2.0}
 READ_PART: Final = 1.5  # kazoo reads for two thirds of the time-out that the service has granted
 
-OnAnswer = Callable[[int, Answer], None]
+OnAnswer = Callable[[int, NodeResponse], None]
 
 
-class DutyNodes:
+class LeaseNodeClient:
     def __init__(
         self, hosts: str, path: str, session_ms: int, number: int, nonce: int, on_answer: OnAnswer,
         on_lost: Callable[[], None],
@@ -75,7 +75,7 @@
         threading.Thread(target=end, name="duties-end", daemon=True).start()
 
     def node(self, duty: int) -> str:
-        return f"{self.path}/{duty:0{DUTY_BITS // 4}x}"
+        return f"{self.path}/{duty:0{LEASE_ID_BITS // 4}x}"
 
     # From kazoo's threads
 
@@ -90,7 +90,7 @@
             except RuntimeError:
                 self.closed = True  # the loop has ended
 
-    def tell(self, duty: int, answer: Answer) -> None:
+    def tell(self, duty: int, answer: NodeResponse) -> None:
         self.post(self.on_answer, duty, answer)
 
     # Asked on the loop
@@ -106,7 +106,7 @@
             else:
                 self.client.set_async(path, self.text).rawlink(lambda found: self.on_written(duty, round_, found))
         except KazooException:
-            self.tell(duty, Answer(round_, Node.FAILED))
+            self.tell(duty, NodeResponse(round_, NodeOutcome.FAILED))
 
     def on_created(self, duty: int, round_: int, found: Any) -> None:
         try:
@@ -115,20 +115,20 @@
         except NodeExistsError:
             self.client.get_async(self.node(duty)).rawlink(lambda read: self.on_read(duty, round_, read))
         except Exception:
-            self.tell(duty, Answer(round_, Node.FAILED))
+            self.tell(duty, NodeResponse(round_, NodeOutcome.FAILED))
 
     def on_read(self, duty: int, round_: int, found: Any) -> None:
         """Somebody's node is there: perhaps our own, made by a create whose answer was lost. A write tells."""
         try:
             data, stat = found.get()
         except NoNodeError:
-            self.tell(duty, Answer(round_, Node.NONE))
+            self.tell(duty, NodeResponse(round_, NodeOutcome.NONE))
             return
         except Exception:
-            self.tell(duty, Answer(round_, Node.FAILED))
+            self.tell(duty, NodeResponse(round_, NodeOutcome.FAILED))
             return
         answer = self.judged(round_, data, stat)
-        if answer.node is Node.MINE:
+        if answer.node is NodeOutcome.MINE:
             self.client.set_async(self.node(duty), self.text).rawlink(
                 lambda written: self.on_written(duty, round_, written)
             )
@@ -139,22 +139,22 @@
         try:
             self.tell(duty, self.judged(round_, self.text, found.get()))
         except NoNodeError:
-            self.tell(duty, Answer(round_, Node.NONE))
+            self.tell(duty, NodeResponse(round_, NodeOutcome.NONE))
         except Exception:
-            self.tell(duty, Answer(round_, Node.FAILED))
+            self.tell(duty, NodeResponse(round_, NodeOutcome.FAILED))
 
     def on_found_to_delete(self, duty: int, found: Any) -> None:
         """Only our own, and only as it was read."""
         try:
             data, stat = found.get()
-            if self.judged(0, data, stat).node is Node.MINE:
+            if self.judged(0, data, stat).node is NodeOutcome.MINE:
                 self.client.delete_async(self.node(duty), version=stat.version)
         except Exception:
             return  # it is gone, or ends with the session
 
-    def judged(self, round_: int, data: bytes, stat: Any) -> Answer:
+    def judged(self, round_: int, data: bytes, stat: Any) -> NodeResponse:
         session = self.client.client_id[0] if self.client.client_id else 0
         number, _, _ = data.partition(b" ")
         if stat.ephemeralOwner == session and data == self.text and self.granted_ms >= self.session_ms:
-            return Answer(round_, Node.MINE, stat.czxid)
-        return Answer(round_, Node.OTHERS, stat.czxid, int(number) if number.isdigit() else -1)
+            return NodeResponse(round_, NodeOutcome.MINE, stat.czxid)
+        return NodeResponse(round_, NodeOutcome.OTHERS, stat.czxid, int(number) if number.isdigit() else -1)
--- a/tests/golden/leases.py
+++ b/tests/golden/leases.py
@@ -13,40 +13,42 @@
 from cloverkeel.core.config import parse as parse_config
 from cloverkeel.core.datagrams import Datagrams
 from cloverkeel.core.options import Duties
-from cloverkeel.leases import slow_start_quotas as colds, probe_election as trials, slow_start_budget as warden
+from cloverkeel.leases import probe_election as trials
+from cloverkeel.leases import slow_start_budget as warden
+from cloverkeel.leases import slow_start_quotas as colds
 from cloverkeel.leases.commands import main
+from cloverkeel.leases.driver import LeaseDriver
+from cloverkeel.leases.manager import lease_id_of
 from cloverkeel.leases.messages import (
-    PAYLOAD_MOST,
+    MAX_PAYLOAD_BYTES,
     Accepted,
-    Act,
-    Hand,
-    Head,
+    Handover,
+    HandoverAck,
+    Header,
     Hello,
+    LeaderReply,
     Message,
-    NotMine,
-    Older,
+    NotLeaseHolder,
     Prepare,
     Promised,
     Propose,
+    RefusalReason,
     Refused,
     Release,
     Report,
-    Taken,
-    Why,
+    StaleTokenNotice,
     decode,
     encode,
 )
-from cloverkeel.leases.zookeeper_driver import DutyNodes
-from cloverkeel.leases.manager import number_of_duty
-from cloverkeel.leases.driver import Room
-from cloverkeel.leases.zookeeper_lease import Answer, Node
 from cloverkeel.leases.slow_start_budget import grant, read_grant, report
+from cloverkeel.leases.zookeeper_driver import LeaseNodeClient
+from cloverkeel.leases.zookeeper_lease import NodeOutcome, NodeResponse
 from tests.golden.commands import AnswersByLine, output_of
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import configuration
 
-HEAD: Final = Head(voters=5, number=0x1203, nonce=0x89ABCDEF, counter=0x0123456789ABCDEF)
-PEER_HEAD: Final = Head(voters=5, number=1, nonce=2, counter=3)
+HEAD: Final = Header(voters=5, number=0x1203, nonce=0x89ABCDEF, counter=0x0123456789ABCDEF)
+PEER_HEAD: Final = Header(voters=5, number=1, nonce=2, counter=3)
 DUTY: Final = 0x0FEDCBA987654321
 BALLOT: Final = 0x0123456789ABCDE
 NOW_US: Final = 1_796_119_613_761_000
@@ -58,20 +60,20 @@
     "accepted": Accepted(DUTY, BALLOT, 7),
     **{
         f"refused_{why.name.lower()}": Refused(DUTY, BALLOT, 7, why, 0x0203, 0x13579BDF, 1_234_567, BALLOT + 1)
-        for why in Why
+        for why in RefusalReason
     },
     "release": Release(DUTY, BALLOT),
-    "hand_on": Hand(DUTY, BALLOT),
-    "hand_on_with_state": Hand(DUTY, BALLOT, bytes(range(PAYLOAD_MOST))),
-    "taken": Taken(DUTY, BALLOT),
+    "hand_on": Handover(DUTY, BALLOT),
+    "hand_on_with_state": Handover(DUTY, BALLOT, bytes(range(MAX_PAYLOAD_BYTES))),
+    "taken": HandoverAck(DUTY, BALLOT),
     "report": Report(DUTY, 0x1111222233334444, 0x5555666677778888),
     "report_with_payload": Report(DUTY, 0x1111222233334444, 0, report(True, 0.5)),
-    "act": Act(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888),
-    "act_with_payload": Act(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888, grant(1.25)),
-    "not_mine": NotMine(DUTY),
+    "act": LeaderReply(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888),
+    "act_with_payload": LeaderReply(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888, grant(1.25)),
+    "not_mine": NotLeaseHolder(DUTY),
     "hello": Hello(),
     "hello_wants_answer": Hello(1),
-    "older": Older(DUTY, BALLOT),
+    "older": StaleTokenNotice(DUTY, BALLOT),
 }
 MESSAGE_CLASSES: Final[frozenset[type]] = frozenset(get_args(Message))
 MESSAGE_CLASSES_OF_SAMPLES: Final[frozenset[type]] = frozenset(map(type, MESSAGES.values()))
@@ -84,9 +86,9 @@
     return Sample(lambda: encode(HEAD, message), decode, (HEAD, message))
 
 
-def _with_nodes(use: Callable[[DutyNodes], object]) -> object:
+def _with_nodes(use: Callable[[LeaseNodeClient], object]) -> object:
     async def run() -> object:
-        nodes = DutyNodes(
+        nodes = LeaseNodeClient(
             "127.0.0.1:2181", "/cloverkeel/duties", 4_000, NODES_NUMBER, NODES_NONCE, lambda duty, answer: None,
             lambda: None,
         )  # fmt: skip
@@ -111,7 +113,7 @@
     others = SimpleNamespace(ephemeralOwner=1, czxid=77)
     own = SimpleNamespace(ephemeralOwner=0, czxid=78)
 
-    def use(nodes: DutyNodes) -> object:
+    def use(nodes: LeaseNodeClient) -> object:
         nodes.granted_ms = nodes.session_ms
         return nodes.judged(5, data, others), nodes.judged(6, data, own)
 
@@ -129,16 +131,18 @@
         program = assemble(config)
         with mock.patch("random.SystemRandom") as system_random:
             system_random.return_value.getrandbits.return_value = 1
-            room = Room(config, Duties(), program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US)
+            room = LeaseDriver(
+                config, Duties(), program.gateway, Datagrams(("127.0.0.1", 7), config.peers), lambda: NOW_US
+            )
         office = room.office
         office.by_service = True
         try:
             empty = _line_answer(room, b"DUTIES")
             asked_us = NOW_US - 1_000_000
-            held = office.need(NOW_US - 3_500_000, colds.duty_name(5, 1), room.colds)
+            held = office.need(NOW_US - 3_500_000, colds.lease_name(5, 1), room.colds)
             office.tick(asked_us)
             (ask,) = office.asks
-            office.on_service(asked_us + 500_000, held, Answer(ask.round, Node.MINE, 0x500000007))
+            office.on_service(asked_us + 500_000, held, NodeResponse(ask.round, NodeOutcome.MINE, 0x500000007))
             office.receive(NOW_US - 100_000, PEER_HEAD, Report(held, 1, 0, report(True, 0.0)))
             room.colds.look(NOW_US, [(5, 1, True, False)], office)
             room.outs.look(NOW_US, [(7, True)], office)
@@ -159,7 +163,7 @@
     return asyncio.run(run())
 
 
-def _line_answer(room: Room, line: bytes) -> bytes:
+def _line_answer(room: LeaseDriver, line: bytes) -> bytes:
     """Return yes or no and the words; nothing for a line that is not one of these calls."""
     found = room.call(line)
     if found is None:
@@ -201,7 +205,7 @@
 
 
 def _lease_id(name: str) -> Sample:
-    return Sample(lambda: f"{name} {number_of_duty(name):015x}".encode())
+    return Sample(lambda: f"{name} {lease_id_of(name):015x}".encode())
 
 
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
@@ -211,21 +215,21 @@
         "report_lends": Sample(lambda: report(False, 1.0), warden.REPORT.unpack, (0, 1_000)),
         "grant_of_nothing": Sample(lambda: grant(0.0), read_grant, 0.0),
         "grant": Sample(lambda: grant(2.125), read_grant, 2.125),
-        "trial_asks": Sample(lambda: trials.ASKS),
-        "trial_tried": Sample(lambda: trials.TRIED),
-        "trial_well": Sample(lambda: trials.WELL),
+        "trial_asks": Sample(lambda: trials.PROBE_REPORT),
+        "trial_tried": Sample(lambda: trials.PROBING),
+        "trial_well": Sample(lambda: trials.RECOVERED),
         "trial_idle": Sample(lambda: trials.IDLE),
     },
     "duties_ids": {
-        "warden": _lease_id(colds.duty_name(0x5BE2A07C, 1_796_119_613_761_000)),
-        "trier": _lease_id(trials.duty_name(2, 0x5BE2A07C)),
+        "warden": _lease_id(colds.lease_name(0x5BE2A07C, 1_796_119_613_761_000)),
+        "trier": _lease_id(trials.lease_name(2, 0x5BE2A07C)),
     },
     "duties_nodes": {
         "path": Sample(_node_path),
         "data": Sample(
             _node_data,
             _read_node_data,
-            (Answer(5, Node.OTHERS, 77, NODES_NUMBER), Answer(6, Node.MINE, 78)),
+            (NodeResponse(5, NodeOutcome.OTHERS, 77, NODES_NUMBER), NodeResponse(6, NodeOutcome.MINE, 78)),
         ),
     },
     "duties_admin": {
--- a/tests/test_duties_room.py
+++ b/tests/test_duties_room.py
@@ -10,11 +10,13 @@
 from cloverkeel.core.config import parse
 from cloverkeel.core.datagrams import Datagrams
 from cloverkeel.core.options import Duties
-from cloverkeel.leases.ballots import BEGIN_US
+from cloverkeel.leases.ballots import REFERENCE_TIME_US
+from cloverkeel.leases.driver import LeaseDriver
+from cloverkeel.leases.manager import lease_id_of
 from cloverkeel.leases.messages import (
     Accepted,
-    Act,
-    Head,
+    Header,
+    LeaderReply,
     Message,
     Prepare,
     Promised,
@@ -23,8 +25,6 @@
     decode,
     encode,
 )
-from cloverkeel.leases.manager import number_of_duty
-from cloverkeel.leases.driver import Room
 from tests.sockets import configuration, on_loop
 
 LEASE_US = 600_000
@@ -35,7 +35,7 @@
     """Stands still but for one leap, right before the reading that it is told."""
 
     def __init__(self) -> None:
-        self.now_us = BEGIN_US + 10**12
+        self.now_us = REFERENCE_TIME_US + 10**12
         self.leap_at = -1  # readings from now
         self.leap_us = 0
 
@@ -91,7 +91,7 @@
     return [message for _, message in wire.sent if isinstance(message, kind)]
 
 
-def holding() -> tuple[Room, Clock, Wire]:
+def holding() -> tuple[LeaseDriver, Clock, Wire]:
     """A room that holds the duty: gateways 1 and 2 have accepted it."""
     config = configuration("127.0.0.1:9")
     config |= {"peer_listen": "127.0.0.1:9", "peers": [f"127.0.0.1:{9 + n}" for n in range(3)]}
@@ -101,7 +101,7 @@
     assert parsed.peer_listen is not None
     datagrams, wire = Datagrams(parsed.peer_listen, parsed.peers), Wire(clock)
     datagrams.connection_made(cast(Any, wire))
-    room = Room(parsed, Duties(3, LEASE_US // 1000), cast(Any, Gateway(clock)), datagrams, clock)
+    room = LeaseDriver(parsed, Duties(3, LEASE_US // 1000), cast(Any, Gateway(clock)), datagrams, clock)
     room.look()
     for _ in range(20):
         clock.now_us += LEASE_US // 12
@@ -111,13 +111,13 @@
         if (asked := of(wire, Propose)[-1:]) != []:
             hear(room, Accepted(asked[0].duty, asked[0].ballot, asked[0].round))
             break
-    assert room.office.may_act(clock.now_us, number_of_duty(NAME))
+    assert room.office.may_act(clock.now_us, lease_id_of(NAME))
     return room, clock, wire
 
 
-def hear(room: Room, message: Message, *numbers: int) -> None:
+def hear(room: LeaseDriver, message: Message, *numbers: int) -> None:
     for number in numbers or (1, 2):
-        room.datagram_received(encode(Head(3, number, number, 0), message), ("127.0.0.1", 9 + number))
+        room.datagram_received(encode(Header(3, number, number, 0), message), ("127.0.0.1", 9 + number))
 
 
 @pytest.mark.parametrize("reading", range(8))
@@ -125,13 +125,13 @@
 async def test_the_last_look_at_the_time_before_an_act_is_within_the_lease(reading: int) -> None:
     """It stands still for two leases before that reading of the clock, and a report is there when it wakes."""
     room, clock, wire = holding()
-    duty = number_of_duty(NAME)
+    duty = lease_id_of(NAME)
     until_us = room.office.needs[duty].lease.until_us
     hear(room, Report(duty, 1, 0, b""), 1)
-    assert len(of(wire, Act)) == 1  # nothing stood still: it answers
+    assert len(of(wire, LeaderReply)) == 1  # nothing stood still: it answers
     clock.leap_at, clock.leap_us = reading, 2 * LEASE_US
     hear(room, Report(duty, 2, 0, b""), 1)
-    late = [at_us for at_us, message in wire.sent if isinstance(message, Act) and at_us >= until_us]
+    late = [at_us for at_us, message in wire.sent if isinstance(message, LeaderReply) and at_us >= until_us]
     assert late == []
     await asyncio.sleep(0)
     room.close()
--- a/tests/test_duties_trials.py
+++ b/tests/test_duties_trials.py
@@ -4,7 +4,16 @@
 
 from cloverkeel.balancing.balancer import COOLDOWN_US, State
 from cloverkeel.balancing.interface import ProbesSuspended
-from cloverkeel.leases.probe_election import ASKS, HOLD_US, IDLE, TRIED, WELL, WELL_US, Outs, duty_name
+from cloverkeel.leases.probe_election import (
+    IDLE,
+    PROBE_REPORT,
+    PROBING,
+    RECOVERED,
+    RECOVERED_NOTICE_US,
+    SUSPEND_US,
+    ProbeElection,
+    lease_name,
+)
 from tests.helpers import Driver, trip
 from tests.test_duties_pure import NOW_US, office
 
@@ -22,16 +31,16 @@
 def test_a_server_that_another_tries_is_not_tried_until_that_ends() -> None:
     driver = tripped()
     driver.now_us += COOLDOWN_US
-    driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
+    driver.handle(ProbesSuspended(0, driver.now_us + SUSPEND_US))
     assert not is_tried(driver)
-    driver.now_us += HOLD_US
+    driver.now_us += SUSPEND_US
     driver.balancer.handle(driver.now_us, ProbesSuspended(99, 0))  # the time goes on
     assert is_tried(driver)
 
 
 def test_word_that_it_is_well_brings_a_trial_at_once_and_no_verdict() -> None:
     driver = tripped()
-    driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
+    driver.handle(ProbesSuspended(0, driver.now_us + SUSPEND_US))
     driver.now_us += 1_000
     driver.handle(ProbesSuspended(0, 0))
     assert is_tried(driver) and driver.balancer.servers[0].breaker.state is State.HALF_OPEN
@@ -41,7 +50,7 @@
     driver = tripped(servers=3)
     trip(driver.balancer.servers[1].breaker, driver.now_us)
     driver.now_us += COOLDOWN_US
-    driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
+    driver.handle(ProbesSuspended(0, driver.now_us + SUSPEND_US))
     assert is_tried(driver)
 
 
@@ -63,33 +72,33 @@
 
 
 def test_a_holder_tells_what_it_does_and_for_a_while_that_the_host_is_well() -> None:
-    here, desk = Outs(1, Heard()), office(0)
+    here, desk = ProbeElection(1, Heard()), office(0)
     here.look(NOW_US, [(5, True)], desk)
     ((duty, need),) = desk.needs.items()
-    assert need.name == duty_name(1, 5)
+    assert need.name == lease_name(1, 5)
     here.began(duty, b"")
-    assert here.on_report(NOW_US, duty, 1, 0, ASKS) == TRIED
+    assert here.on_report(NOW_US, duty, 1, 0, PROBE_REPORT) == PROBING
     here.look(NOW_US, [(5, False)], desk)
-    assert here.on_report(NOW_US, duty, 1, 0, ASKS) == IDLE
+    assert here.on_report(NOW_US, duty, 1, 0, PROBE_REPORT) == IDLE
     here.look(NOW_US, [], desk)
-    assert here.on_report(NOW_US, duty, 1, 0, ASKS) == WELL and here.report(NOW_US, duty, 1) is None
-    here.look(NOW_US + WELL_US + 1, [], desk)
-    assert duty not in desk.needs and here.on_report(NOW_US, duty, 1, 0, ASKS) == IDLE
+    assert here.on_report(NOW_US, duty, 1, 0, PROBE_REPORT) == RECOVERED and here.report(NOW_US, duty, 1) is None
+    here.look(NOW_US + RECOVERED_NOTICE_US + 1, [], desk)
+    assert duty not in desk.needs and here.on_report(NOW_US, duty, 1, 0, PROBE_REPORT) == IDLE
 
 
 def test_answers_hold_back_for_a_time_of_ones_own_and_old_ones_do_not() -> None:
     heard = Heard()
-    here, desk = Outs(1, heard), office(0)
+    here, desk = ProbeElection(1, heard), office(0)
     here.look(NOW_US, [(5, True)], desk)
     (duty,) = desk.needs
-    here.on_act(NOW_US + 100, duty, NOW_US, TRIED)
-    assert heard.said == [(5, NOW_US + HOLD_US)]
-    here.on_act(NOW_US + HOLD_US, duty, NOW_US, TRIED)  # late
+    here.on_act(NOW_US + 100, duty, NOW_US, PROBING)
+    assert heard.said == [(5, NOW_US + SUSPEND_US)]
+    here.on_act(NOW_US + SUSPEND_US, duty, NOW_US, PROBING)  # late
     assert len(heard.said) == 1
     here.on_act(NOW_US + 200, duty, NOW_US, IDLE)
     assert heard.said[-1] == (5, 1)  # past: it holds nothing back, and ends no cooldown
     for _ in range(3):
-        here.on_act(NOW_US + WELL_US, duty, NOW_US, WELL)
+        here.on_act(NOW_US + RECOVERED_NOTICE_US, duty, NOW_US, RECOVERED)
     assert heard.said[2:] == [(5, 0)]  # once: a trial that fails here stays a verdict of one's own
     here.began(duty, b"")
     assert heard.said[-1] == (5, 1)
