--- a/benchmarks/guards/mutants/leases.py
+++ b/benchmarks/guards/mutants/leases.py
@@ -7,7 +7,7 @@
 from benchmarks.guards.patching import cut, entry, swap
 
 
-@entry("lease-silence")
+@entry("lease-quarantine")
 def _() -> None:
     """A restarted voter votes at once."""
     from cloverkeel.leases.acceptor import Acceptor
@@ -59,7 +59,7 @@
     cut(QuorumLease, "can_act", (" and now_us < self.valid_until_us", ""))
 
 
-@entry("lease-believed")
+@entry("lease-validity")
 def _() -> None:
     """A holder relies on its lease until somebody says otherwise."""
     from cloverkeel.leases.lease_config import LeaseConfig
@@ -67,7 +67,7 @@
     LeaseConfig.validity_us = property(lambda self: 1 << 50)  # type: ignore[assignment]
 
 
-@entry("lease-handing")
+@entry("lease-handover")
 def _() -> None:
     """A holder acts while it hands over."""
     from cloverkeel.leases.quorum_lease import QuorumLease
@@ -86,7 +86,7 @@
     cut(LeaseDriver, "datagram_received", ("receive(self.clock(), header", stale))
 
 
-@entry("act-late")
+@entry("reply-late")
 def _() -> None:
     """A holder's reply is sent without a further look at the time."""
     from cloverkeel.leases.driver import LeaseDriver
@@ -95,7 +95,7 @@
     cut(LeaseDriver, "send", (check, "False"))
 
 
-@entry("epoch-fence")
+@entry("token-fencing")
 def _() -> None:
     """Replies under an older fencing token count too."""
     from cloverkeel.leases.fencing import FencingTokenCheck
@@ -103,7 +103,7 @@
     swap(FencingTokenCheck, "admit", lambda self, lease_id, token, process: True)
 
 
-@entry("epoch-heard")
+@entry("token-observed")
 def _() -> None:
     """Ballots follow the wall clock alone."""
     from cloverkeel.leases.ballots import BallotClock
@@ -113,7 +113,7 @@
     cut(BallotClock, "next_ballot", (lamport, "self.wall_counter(now_us)"))
 
 
-@entry("epoch-older")
+@entry("token-stale")
 def _() -> None:
     """A holder whose reply was rejected for an older token goes on as before."""
     from cloverkeel.leases.quorum_lease import QuorumLease
@@ -121,7 +121,7 @@
     swap(QuorumLease, "on_stale_token", lambda self, now_us, newest_token: [])
 
 
-@entry("epoch-outbid")
+@entry("token-outbid")
 def _() -> None:
     """A holder by the service whose reply was rejected goes on above what was seen, whoever that was."""
     from cloverkeel.leases.lease import LeaseAcquired
@@ -142,7 +142,7 @@
     cut(LeaseManager, "receive", ("header.voters != self.config.voters or ", ""))
 
 
-@entry("portion-ends")
+@entry("grant-ends")
 def _() -> None:
     """Granted quota is used for good."""
     from cloverkeel.leases.slow_start_budget import QuotaAccount
@@ -167,7 +167,7 @@
     cut(QuotaAccount, "lend", ("if now_us < self.lent_until_us and holder_process != self.lent_to:", "if False:"))
 
 
-@entry("lent-stamp")
+@entry("lent-timestamp")
 def _() -> None:
     """A loan counts from the moment at which the budget's leader hears of it."""
     from cloverkeel.leases.slow_start_budget import SlowStartBudget
@@ -175,7 +175,7 @@
     cut(SlowStartBudget, "record_loan", ("until_us = echoed_us + LOAN_US", "until_us = now_us + LOAN_US"))
 
 
-@entry("trials-idle")
+@entry("probes-idle")
 def _() -> None:
     """A holder that does not probe suspends the others' probes."""
     from cloverkeel.leases.probe_election import ProbeElection
@@ -183,7 +183,7 @@
     cut(ProbeElection, "on_report", ("PROBING if circuit.is_probed else IDLE", "PROBING"))
 
 
-@entry("trials-end")
+@entry("probes-end")
 def _() -> None:
     """Probes are suspended from whenever the reply comes."""
     from cloverkeel.leases.probe_election import ProbeElection
--- a/benchmarks/guards/row.py
+++ b/benchmarks/guards/row.py
@@ -44,6 +44,6 @@
 
 
 def path_of(file: str, name: str) -> str:
-    """ "requests", "x" is tests/test_requests.py::test_x; "fleet/duties" is in tests/fleet/."""
+    """ "requests", "x" is tests/test_requests.py::test_x; "fleet/leases" is in tests/fleet/."""
     folder, _, stem = file.rpartition("/")
     return f"tests/{folder}{'/' if folder else ''}test_{stem}.py::test_{name}"
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_leases.py
@@ -23,7 +23,7 @@
 
 
 @on_loop
-async def test_one_gateway_holds_a_duty_and_another_after_it_was_killed(tmp_path: Path) -> None:
+async def test_one_gateway_holds_a_lease_and_another_after_it_was_killed(tmp_path: Path) -> None:
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         await fleet.goes_on(held, 2 * fleet.lease_s)
@@ -37,7 +37,7 @@
 
 
 @on_loop
-async def test_a_holder_that_stood_still_for_a_lease_and_a_bit_acts_no_more(tmp_path: Path) -> None:
+async def test_a_holder_that_stalled_for_longer_than_a_lease_acts_no_more(tmp_path: Path) -> None:
     """Its socket is full of questions when it wakes, each of which it would have answered with an act."""
     async with ground(tmp_path) as fleet:
         for _ in range(3):
@@ -51,7 +51,7 @@
 
 
 @on_loop
-async def test_a_holder_that_stood_still_for_a_third_of_a_lease_goes_on(tmp_path: Path) -> None:
+async def test_a_holder_that_stalled_for_a_third_of_a_lease_goes_on(tmp_path: Path) -> None:
     async with ground(tmp_path, lease_ms=3_000) as fleet:
         held = await fleet.holder()
         fleet.stop(held.gateway)
@@ -62,7 +62,7 @@
 
 
 @on_loop
-async def test_all_but_the_holder_stand_still_and_it_stops_in_time(tmp_path: Path) -> None:
+async def test_all_but_the_holder_stall_and_it_stops_in_time(tmp_path: Path) -> None:
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         fleet.stop(*others(fleet, held.gateway))
@@ -108,7 +108,7 @@
 
 
 @on_loop
-async def test_of_two_halves_the_one_with_most_voters_holds(tmp_path: Path) -> None:
+async def test_of_two_partitions_the_one_with_a_majority_of_voters_holds(tmp_path: Path) -> None:
     async with ground(tmp_path, count=6, voters=5) as fleet:
         await fleet.holder()
         few, most = [0, 1, 5], [2, 3, 4]
@@ -132,7 +132,7 @@
 
 
 @on_loop
-async def test_a_bridge_between_two_halves_makes_no_second_holder(tmp_path: Path) -> None:
+async def test_a_bridge_between_two_partitions_makes_no_second_holder(tmp_path: Path) -> None:
     """Gateway 2 hears both halves, which don't hear each other: with it each has a majority."""
     async with ground(tmp_path, count=5, voters=5) as fleet:
         await fleet.holder()
@@ -157,7 +157,7 @@
 
 
 @on_loop
-async def test_epochs_grow_when_every_gateway_begins_anew_at_once(tmp_path: Path) -> None:
+async def test_tokens_grow_when_every_gateway_is_restarted_at_once(tmp_path: Path) -> None:
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         await fleet.kill(0, 1, 2)
@@ -169,7 +169,7 @@
 
 
 @on_loop
-async def test_a_fleet_that_begins_anew_with_its_clocks_an_hour_back_is_told_by_who_refuses(tmp_path: Path) -> None:
+async def test_a_fleet_restarted_with_its_clocks_an_hour_back_goes_above_the_rejected_token(tmp_path: Path) -> None:
     """No gateway remembers the last epoch, and the clocks give a lower one: the fence refuses it, and says why."""
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
@@ -188,7 +188,7 @@
 
 
 @on_loop
-async def test_datagrams_that_are_lost_doubled_late_cut_short_and_spoilt_make_no_second_holder(
+async def test_datagrams_that_are_lost_duplicated_late_truncated_and_corrupted_make_no_second_holder(
     tmp_path: Path,
 ) -> None:
     async with ground(tmp_path, count=5, voters=5) as fleet:
@@ -199,10 +199,10 @@
                 spoilt=0.02,
             )
         )  # fmt: skip
-        dice = random.Random(5)
+        rng = random.Random(5)
         for _ in range(4):
             held = await fleet.holder(after_us=now_us())
-            number = dice.choice([held.gateway, dice.randrange(fleet.count)])
+            number = rng.choice([held.gateway, rng.randrange(fleet.count)])
             fleet.stop(number)
             await fleet.wait(
                 lambda number=number: (  # type: ignore[misc]
@@ -217,7 +217,7 @@
 
 
 @on_loop
-async def test_staff_hand_a_duty_on_at_once_and_keep_a_gateway_off(tmp_path: Path) -> None:
+async def test_staff_hand_a_lease_over_at_once_and_exclude_a_gateway(tmp_path: Path) -> None:
     async with ground(tmp_path, lease_ms=10_000) as fleet:
         held = await fleet.holder(within_s=28.0)
         shown = await fleet.shown(held.gateway)
@@ -234,7 +234,7 @@
 
 
 @on_loop
-async def test_a_successor_that_is_dead_leaves_the_duty_to_the_rest(tmp_path: Path) -> None:
+async def test_a_successor_that_is_dead_leaves_the_lease_to_the_rest(tmp_path: Path) -> None:
     """The hand-over breaks off: exactly one or none holds at any time, and soon one does."""
     async with ground(tmp_path, count=5, voters=3, lease_ms=1_000) as fleet:
         held = await fleet.holder()
@@ -255,7 +255,7 @@
 
 
 @on_loop
-async def test_a_gateway_that_ends_as_planned_leaves_nothing_to_wait_for(tmp_path: Path) -> None:
+async def test_a_graceful_shutdown_leaves_nothing_to_wait_for(tmp_path: Path) -> None:
     async with ground(tmp_path, lease_ms=5_000) as fleet:
         held = await fleet.holder()
         fleet.signal(held.gateway, signal.SIGTERM)
@@ -278,7 +278,7 @@
 @pytest.mark.parametrize("hours", [-1, 1])
 @on_loop
 async def test_a_gateway_that_comes_back_with_its_clock_an_hour_off_does_no_harm(tmp_path: Path, hours: int) -> None:
-    """It has to hold the duty, and another one after it: neither may act with an older epoch."""
+    """It has to hold the lease, and another one after it: neither may act under an older token."""
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         odd = held.gateway
--- a/tests/fleet/test_duties_service.py
+++ b/tests/fleet/test_leases_zookeeper.py
@@ -35,14 +35,14 @@
 
 
 def owner(fleet: Ground, keeper: Threaded) -> Session:
-    """The session that has the duty's node."""
+    """The session that owns the lease's node."""
     node = keeper.ensemble.tree.nodes[f"/cloverkeel/duties/{fleet.duty:015x}"]
     found: Session = keeper.ensemble.sessions[node.stat.ephemeral_owner]
     return found
 
 
 @on_loop
-async def test_one_holds_by_its_node_and_another_after_it_was_killed_or_stood_still(tmp_path: Path) -> None:
+async def test_one_holds_by_its_node_and_another_after_it_was_killed_or_stalled(tmp_path: Path) -> None:
     async with served(tmp_path) as (fleet, _):
         held = await fleet.holder()
         await fleet.goes_on(held, 2 * fleet.lease_s)
@@ -97,7 +97,7 @@
 
 
 @on_loop
-async def test_answers_that_are_lost_after_they_took_effect(tmp_path: Path) -> None:
+async def test_responses_that_are_lost_after_the_request_took_effect(tmp_path: Path) -> None:
     """Every write of every gateway, for a while: creates and renewals are done, and their answers never come."""
     async with served(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
@@ -118,7 +118,9 @@
 
 
 @on_loop
-async def test_the_service_is_gone_for_longer_than_a_lease_and_comes_back_older(tmp_path: Path) -> None:
+async def test_a_service_that_was_gone_and_is_restored_from_an_older_state(
+    tmp_path: Path,
+) -> None:
     """Nobody holds meanwhile; its last changes are lost with it, the node and its epoch too."""
     async with served(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
--- a/tests/fleet/test_trials.py
+++ b/tests/fleet/test_probe_election.py
@@ -1,4 +1,4 @@
-"""Triers of hosts that are out: real gateways under load, one host that answers errors, faults between gateways."""
+"""Half-open probes: real gateways under load, one host that answers errors, faults between gateways."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
                 task.cancel()
 
 
-def triers(shown: list[dict[str, Any]]) -> list[int]:
+def probers_in(shown: list[dict[str, Any]]) -> list[int]:
     return [
         s["gateway"] for s in shown
         if any(d["phase"] == "held" and d["duty"].startswith("trier/") for d in s["duties"])
@@ -51,55 +51,55 @@
     return [await fleet.shown(number) for number in numbers]
 
 
-async def until_tried(fleet: Ground, numbers: list[int], but: int = -1) -> int:
-    """One of these tries for all, and the others have been held back since; returns which."""
+async def until_one_probes(fleet: Ground, numbers: list[int], but: int = -1) -> int:
+    """One of these probes for all, and the others' probes were suspended since; returns which."""
     before = {s["gateway"]: s["held_back"] for s in await all_shown(fleet, numbers)}
     while True:
         shown = await all_shown(fleet, numbers)
-        found = [number for number in triers(shown) if number != but]
+        found = [number for number in probers_in(shown) if number != but]
         others = [s for s in shown if s["gateway"] not in found]
         if len(found) == 1 and all(s["held_back"] > before[s["gateway"]] for s in others):
             return found[0]
         await asyncio.sleep(0.05)
 
 
-async def until_used(fleet: Ground, numbers: list[int]) -> None:
-    """No gateway holds the host for out any more."""
+async def until_recovered(fleet: Ground, numbers: list[int]) -> None:
+    """The circuit of the host is closed at each gateway."""
     while any(any(not out["well"] for out in s["outs"]) for s in await all_shown(fleet, numbers)):
         await asyncio.sleep(0.05)
 
 
 @on_loop
-async def test_one_tries_for_all_and_all_use_it_again_when_it_is_well(tmp_path: Path) -> None:
+async def test_one_gateway_probes_for_all_and_all_use_the_host_again_when_it_has_recovered(tmp_path: Path) -> None:
     async with under_load(tmp_path) as (fleet, bad):
-        await until_tried(fleet, [0, 1, 2])
+        await until_one_probes(fleet, [0, 1, 2])
         bad.script = FINE
-        await until_used(fleet, [0, 1, 2])
+        await until_recovered(fleet, [0, 1, 2])
         fleet.check()
 
 
 @on_loop
-async def test_a_trier_that_is_killed_or_stands_still_is_followed_by_another(tmp_path: Path) -> None:
+async def test_a_prober_that_is_killed_or_stalls_is_followed_by_another(tmp_path: Path) -> None:
     async with under_load(tmp_path) as (fleet, bad):
-        first = await until_tried(fleet, [0, 1, 2])
+        first = await until_one_probes(fleet, [0, 1, 2])
         await fleet.kill(first)
         rest = [number for number in range(3) if number != first]
-        second = await until_tried(fleet, rest, but=first)
+        second = await until_one_probes(fleet, rest, but=first)
         fleet.stop(second)
         (last,) = [number for number in rest if number != second]
         bad.script = FINE
-        await until_used(fleet, [last])  # alone it tries for itself
+        await until_recovered(fleet, [last])  # alone it probes for itself
         fleet.wake(second)
-        await until_used(fleet, [second])
+        await until_recovered(fleet, [second])
         fleet.check()
 
 
 @on_loop
-async def test_gateways_that_hear_nothing_try_for_themselves(tmp_path: Path) -> None:
+async def test_gateways_that_are_cut_off_probe_for_themselves(tmp_path: Path) -> None:
     async with under_load(tmp_path) as (fleet, bad):
-        await until_tried(fleet, [0, 1, 2])
+        await until_one_probes(fleet, [0, 1, 2])
         fleet.cut([0], [1, 2])
         fleet.cut([1], [2])
         bad.script = FINE
-        await until_used(fleet, [0, 1, 2])
+        await until_recovered(fleet, [0, 1, 2])
         fleet.check()
