--- a/cloverkeel/leases/probe_election.py
+++ b/cloverkeel/leases/probe_election.py
@@ -65,7 +65,9 @@
         for server, is_probed in open_circuits:
             lease_id = manager.request_lease(now_us, lease_name(self.zone, server), self)
             found.add(lease_id)
-            circuit = self.circuit_by_lease.setdefault(lease_id, OpenCircuit(server))
+            circuit = self.circuit_by_lease.get(lease_id)
+            if circuit is None:
+                circuit = self.circuit_by_lease[lease_id] = OpenCircuit(server)
             circuit.is_probed = is_probed
             circuit.closed_us = 0
         for lease_id in [lease_id for lease_id in self.circuit_by_lease if lease_id not in found]:
--- a/cloverkeel/leases/slow_start_quotas.py
+++ b/cloverkeel/leases/slow_start_quotas.py
@@ -65,7 +65,9 @@
         for server, started_us, wants_quota, is_idle in needs:
             lease_id = manager.request_lease(now_us, lease_name(server, started_us), self)
             needed.add(lease_id)
-            host = self.host_by_lease.setdefault(lease_id, WarmingHost(server, started_us))
+            host = self.host_by_lease.get(lease_id)
+            if host is None:
+                host = self.host_by_lease[lease_id] = WarmingHost(server, started_us)
             host.wants_quota = wants_quota
             host.is_idle = is_idle
         for lease_id in [lease_id for lease_id in self.host_by_lease if lease_id not in needed]:
