--- a/benchmarks/guards/mutants/leases.py
+++ b/benchmarks/guards/mutants/leases.py
@@ -7,20 +7,24 @@
 from benchmarks.guards.patching import cut, entry, swap
 
 
-@entry("lease-silence")
+@entry("lease-quarantine")
 def _() -> None:
-    """A voter that began anew votes at once."""
+    """A restarted voter votes at once."""
     from cloverkeel.leases.acceptor import Acceptor
 
-    swap(Acceptor, "speaks", lambda self, now_us: True)
+    swap(Acceptor, "can_vote", lambda self, now_us: True)
 
 
 @entry("lease-one")
 def _() -> None:
-    """A voter lets a higher ballot in though another's lease lives."""
+    """A voter lets a higher ballot in though another's lease has not expired."""
     from cloverkeel.leases.acceptor import Acceptor
 
-    cut(Acceptor, "admit", ("if held is not None and (held.number != number or held.nonce != nonce):", "if False:"))
+    cut(
+        Acceptor,
+        "check_request",
+        ("if accepted is not None and not accepted.is_held_by(gateway, nonce):", "if False:"),
+    )
 
 
 @entry("lease-consent")
@@ -28,155 +32,161 @@
     """A voter takes any ballot for its holder's consent."""
     from cloverkeel.leases.acceptor import Acceptor
 
-    cut(Acceptor, "admit", ("consent and consent == held.ballot", "consent"))
+    cut(Acceptor, "check_request", ("request.consent_ballot == accepted.ballot != 0", "request.consent_ballot != 0"))
 
 
 @entry("lease-sent")
 def _() -> None:
     """A lease counts from the moment at which the answers came."""
-    from cloverkeel.leases.lease import Lease
+    from cloverkeel.leases.quorum_lease import QuorumLease
 
-    cut(Lease, "receive", ("return self.on_won()", "self.sent_us = now_us; return self.on_won()"))
+    cut(QuorumLease, "receive", ("return self.on_acc", "self.round_started_us = now_us; return self.on_acc"))
 
 
 @entry("lease-round")
 def _() -> None:
-    """Answers to an older round count for the one that is out."""
-    from cloverkeel.leases.lease import Lease
+    """Answers to an older round count for the open one."""
+    from cloverkeel.leases.quorum_lease import QuorumLease
 
-    cut(Lease, "receive", (" or message.round != self.round or message.ballot != self.ballot", ""))
+    cut(QuorumLease, "is_of_open_round", (" and message.round == self.round and message.ballot == self.ballot", ""))
 
 
 @entry("lease-ends")
 def _() -> None:
     """A holder does not look at the time before it acts: what wakes it first is answered."""
-    from cloverkeel.leases.lease import Lease
+    from cloverkeel.leases.quorum_lease import QuorumLease
 
-    cut(Lease, "may_act", (" and now_us < self.until_us", ""))
+    cut(QuorumLease, "can_act", (" and now_us < self.valid_until_us", ""))
 
 
-@entry("lease-believed")
+@entry("lease-validity")
 def _() -> None:
-    """A holder believes that it holds the duty until somebody says otherwise."""
-    from cloverkeel.leases.lease import Terms
+    """A holder relies on its lease until somebody says otherwise."""
+    from cloverkeel.leases.lease_config import LeaseConfig
 
-    Terms.held_us = property(lambda self: 1 << 50)  # type: ignore[assignment]
+    LeaseConfig.validity_us = property(lambda self: 1 << 50)  # type: ignore[assignment]
 
 
-@entry("lease-handing")
+@entry("lease-handover")
 def _() -> None:
-    """A holder acts while it hands on."""
-    from cloverkeel.leases.lease import Lease
+    """A holder acts while it hands over."""
+    from cloverkeel.leases.quorum_lease import QuorumLease
 
-    cut(Lease, "may_act", ("self.phase is Phase.HELD", "self.phase in (Phase.HELD, Phase.HANDING_ON)"))
-    cut(Lease, "hand_on", ("self.until_us = 0", "pass"))
+    acting = "self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER)"
+    cut(QuorumLease, "can_act", ("self.phase is LeasePhase.HELD", acting))
+    cut(QuorumLease, "hand_over", ("self.valid_until_us = 0", "pass"))
 
 
 @entry("lease-clock")
 def _() -> None:
     """What comes in is answered by the time that was read last, before a stall."""
-    from cloverkeel.leases.driver import Room
+    from cloverkeel.leases.driver import LeaseDriver
 
-    cut(Room, "datagram_received", ("receive(self.clock(), head", "receive(self.gateway.still.seen_us, head"))
+    stale = "receive(self.gateway.still.seen_us, header"
+    cut(LeaseDriver, "datagram_received", ("receive(self.clock(), header", stale))
 
 
-@entry("act-late")
+@entry("reply-late")
 def _() -> None:
-    """An act is sent without a further look at the time."""
-    from cloverkeel.leases.driver import Room
+    """A holder's reply is sent without a further look at the time."""
+    from cloverkeel.leases.driver import LeaseDriver
 
-    cut(Room, "send", ("isinstance(message, Act) and not self.office.may_act(self.clock(), message.duty)", "False"))
+    check = "isinstance(message, LeaderReply) and not self.manager.can_act(self.clock(), message.lease_id)"
+    cut(LeaseDriver, "send", (check, "False"))
 
 
-@entry("epoch-fence")
+@entry("token-fencing")
 def _() -> None:
-    """Acts with an older epoch count too."""
-    from cloverkeel.leases.ballots import Fence
+    """Replies under an older fencing token count too."""
+    from cloverkeel.leases.fencing import FencingTokenCheck
 
-    swap(Fence, "admit", lambda self, duty, epoch, holder: True)
+    swap(FencingTokenCheck, "admit", lambda self, lease_id, token, process: True)
 
 
-@entry("epoch-heard")
+@entry("token-observed")
 def _() -> None:
     """Ballots follow the wall clock alone."""
-    from cloverkeel.leases.ballots import Counter
+    from cloverkeel.leases.ballots import BallotClock
 
-    swap(Counter, "hear", lambda self, now_us, counter: True)
-    cut(Counter, "next", ("max(self.highest + 1, self.wall(now_us))", "self.wall(now_us)"))
+    swap(BallotClock, "observe", lambda self, now_us, counter: True)
+    lamport = "max(self.highest + 1, self.wall_counter(now_us))"
+    cut(BallotClock, "next_ballot", (lamport, "self.wall_counter(now_us)"))
 
 
-@entry("epoch-older")
+@entry("token-stale")
 def _() -> None:
-    """A holder whose act was refused for an older epoch goes on as before."""
-    from cloverkeel.leases.lease import Lease
+    """A holder whose reply was rejected for an older token goes on as before."""
+    from cloverkeel.leases.quorum_lease import QuorumLease
 
-    swap(Lease, "is_older", lambda self, now_us, seen: [])
+    swap(QuorumLease, "on_stale_token", lambda self, now_us, newest_token: [])
 
 
-@entry("epoch-outbid")
+@entry("token-outbid")
 def _() -> None:
-    """A holder by the service whose act was refused goes on above what was seen, whoever that was."""
-    from cloverkeel.leases.lease import Began
-    from cloverkeel.leases.zookeeper_lease import ServiceLease
+    """A holder by the service whose reply was rejected goes on above what was seen, whoever that was."""
+    from cloverkeel.leases.lease import LeaseAcquired
+    from cloverkeel.leases.zookeeper_lease import ZookeeperLease
 
-    def outbid(self: ServiceLease, now_us: int, seen: int) -> list[Any]:
-        self.floor, self.epoch = seen, seen + 1
-        return [Began(self.duty, self.epoch)]
+    def outbid(self: ZookeeperLease, now_us: int, newest_token: int) -> list[Any]:
+        self.min_token, self.token = newest_token, newest_token + 1
+        return [LeaseAcquired(self.lease_id, self.token)]
 
-    swap(ServiceLease, "is_older", outbid)
+    swap(ZookeeperLease, "on_stale_token", outbid)
 
 
 @entry("voters-differ")
 def _() -> None:
     """Any number of voters is as good as one's own."""
-    from cloverkeel.leases.manager import Office
+    from cloverkeel.leases.manager import LeaseManager
 
-    cut(Office, "receive", ("head.voters != self.terms.voters or ", ""))
+    cut(LeaseManager, "receive", ("header.voters != self.config.voters or ", ""))
 
 
-@entry("portion-ends")
+@entry("grant-ends")
 def _() -> None:
-    """What was granted is used for good."""
-    from cloverkeel.leases.slow_start_budget import Holding
+    """Granted quota is used for good."""
+    from cloverkeel.leases.slow_start_budget import QuotaAccount
 
-    cut(Holding, "share", ("self.granted if now_us < self.granted_until_us else 0.0", "self.granted"))
+    cut(QuotaAccount, "usable", ("self.granted if now_us < self.granted_until_us else 0.0", "self.granted"))
 
 
 @entry("lent-counted")
 def _() -> None:
-    """A warden does not count what it has granted to others."""
-    from cloverkeel.leases.slow_start_budget import Warden
+    """A budget's leader does not count what it has granted to others."""
+    from cloverkeel.leases.slow_start_budget import SlowStartBudget
 
-    cut(Warden, "give", ("pool - others", "pool"), ("fair = pool / max(1, len(self.wants))", "fair = pool"))
+    fair = "fair = pool / max(1, len(self.wanted_us_by_gateway))"
+    cut(SlowStartBudget, "grant_quota", ("pool - others", "pool"), (fair, "fair = pool"))
 
 
 @entry("lent-once")
 def _() -> None:
-    """A part is lent to whoever holds the duty now, though an older loan has not ended."""
-    from cloverkeel.leases.slow_start_budget import Holding
+    """Quota is lent to whoever holds the lease now, though an older loan has not ended."""
+    from cloverkeel.leases.slow_start_budget import QuotaAccount
 
-    cut(Holding, "lend", ("if now_us < self.lent_until_us and to != self.lent_to:", "if False:"))
+    cut(QuotaAccount, "lend", ("if now_us < self.lent_until_us and holder_process != self.lent_to:", "if False:"))
 
 
-@entry("lent-stamp")
+@entry("lent-timestamp")
 def _() -> None:
-    """A loan counts from the moment at which the warden hears of it."""
-    from cloverkeel.leases.slow_start_budget import Warden
+    """A loan counts from the moment at which the budget's leader hears of it."""
+    from cloverkeel.leases.slow_start_budget import SlowStartBudget
 
-    cut(Warden, "on_report", ("until_us = echo_us + LEND_US", "until_us = now_us + LEND_US"))
+    cut(SlowStartBudget, "record_loan", ("until_us = echoed_us + LOAN_US", "until_us = now_us + LOAN_US"))
 
 
-@entry("trials-idle")
+@entry("probes-idle")
 def _() -> None:
-    """A holder that does not try holds the others back."""
-    from cloverkeel.leases.probe_election import Outs
+    """A holder that does not probe suspends the others' probes."""
+    from cloverkeel.leases.probe_election import ProbeElection
 
-    cut(Outs, "on_report", ("TRIED if out.tried else IDLE", "TRIED"))
+    cut(ProbeElection, "on_report", ("PROBING if circuit.is_probed else IDLE", "PROBING"))
 
 
-@entry("trials-end")
+@entry("probes-end")
 def _() -> None:
-    """Trials are held back from whenever the answer comes."""
-    from cloverkeel.leases.probe_election import Outs
+    """Probes are suspended from whenever the reply comes."""
+    from cloverkeel.leases.probe_election import ProbeElection
 
-    cut(Outs, "on_act", ("and asked_us + HOLD_US > now_us", ""), ("asked_us + HOLD_US)", "now_us + HOLD_US)"))
+    until = ("reported_us + SUSPEND_US)", "now_us + SUSPEND_US)")
+    cut(ProbeElection, "on_reply", ("and reported_us + SUSPEND_US > now_us", ""), until)
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -20,7 +20,7 @@
     from cloverkeel.discovery.merged_source import MergedMembership
     from cloverkeel.discovery.relay_client import RelayedDiscovery
     from cloverkeel.gossip.driver import GossipDriver
-    from cloverkeel.leases.driver import Room as LeaseDriver
+    from cloverkeel.leases.driver import LeaseDriver
 
 
 @dataclass(slots=True, frozen=True)
@@ -139,9 +139,9 @@
 ) -> LeaseDriver | None:
     if options.leases is None:
         return None
-    from cloverkeel.leases.driver import Room
+    from cloverkeel.leases.driver import LeaseDriver
 
-    return Room(config, options.leases, gateway, datagrams)
+    return LeaseDriver(config, options.leases, gateway, datagrams)
 
 
 def _make_gossip_driver(
