--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -11,25 +11,28 @@
 from cloverkeel.balancing.balancer import LIST_RETRY_US
 from cloverkeel.balancing.interface import ListKind, ServerList, Settings
 from cloverkeel.discovery.poll_schedule import (
-    ANSWER_S,
-    CONNECT_S,
-    FIRST_SILENT_S,
-    HOLD_S,
-    LATE_S,
-    RENEWED_S,
-    RETRY_S,
-    SLOW_ANSWER_S,
-    TOLD_S,
-    UNREACHED_S,
-    WATCH_SILENT_S,
-    Watch,
+    FIRST_REPLY_TIMEOUT_S,
+    CONNECT_TIMEOUT_S,
+    SILENT_CONNECTION_DETECTION_S,
+    LONG_POLL_HOLD_S,
+    LONG_POLL_GRACE_S,
+    LONG_POLL_RENEWAL_S,
+    MAX_RETRY_DELAY_S,
+    FIRST_REPLY_TIMEOUT_AFTER_FAILURE_S,
+    MAX_NOTIFICATION_DELAY_S,
+    UNREACHABLE_DETECTION_S,
+    SILENT_WATCH_DETECTION_S,
+    PollSchedule,
 )
 from tests.helpers import SAFE, Driver, timers
 
 
 def test_the_times_together_are_within_what_counts_as_told() -> None:
-    assert max(WATCH_SILENT_S, FIRST_SILENT_S, UNREACHED_S) < TOLD_S
-    assert LIST_RETRY_US / 1e6 <= RETRY_S and SLOW_ANSWER_S > ANSWER_S
+    assert (
+        max(SILENT_WATCH_DETECTION_S, SILENT_CONNECTION_DETECTION_S, UNREACHABLE_DETECTION_S)
+        < MAX_NOTIFICATION_DELAY_S
+    )
+    assert LIST_RETRY_US / 1e6 <= MAX_RETRY_DELAY_S and FIRST_REPLY_TIMEOUT_AFTER_FAILURE_S > FIRST_REPLY_TIMEOUT_S
 
 
 @given(failures=st.integers(1, 60), must_ask_us=st.integers(1_000, 60_000_000), seed=st.integers(0, 99))
@@ -47,16 +50,16 @@
     driver = Driver(Settings((SAFE,), list_is_pushed=False, must_ask_within_us=must_ask_us), servers=0, seed=seed)
     (timer,) = timers(driver.handle(ServerList(ListKind.DISK)))
     waited_s = (timer.due_us - driver.now_us) / 1e6
-    assert waited_s >= 0 and waited_s + CONNECT_S + ANSWER_S < TOLD_S
+    assert waited_s >= 0 and waited_s + CONNECT_TIMEOUT_S + FIRST_REPLY_TIMEOUT_S < MAX_NOTIFICATION_DELAY_S
 
 
 @given(failures=st.integers(1, 2_000), chance=st.floats(0, 1))
 def test_where_lists_are_pushed_a_retry_is_soon_and_spread(failures: int, chance: float) -> None:
-    watch = Watch()
+    schedule = PollSchedule()
     for _ in range(failures):
-        watch.on_failure()
-    assert 0.0 < watch.retry_s(chance) <= RETRY_S
-    assert watch.retry_s(0.0) < watch.retry_s(1.0)
+        schedule.on_failure()
+    assert 0.0 < schedule.retry_delay_s(chance) <= MAX_RETRY_DELAY_S
+    assert schedule.retry_delay_s(0.0) < schedule.retry_delay_s(1.0)
 
 
 STEPS = st.one_of(
@@ -68,44 +71,46 @@
 @given(st.lists(STEPS, max_size=60))
 def test_each_call_is_for_what_is_held_and_ends_in_time(steps: list[tuple[str, int, bool]]) -> None:
     """A whole list is always taken, and changes only up to a version that is not below the one held."""
-    watch, now_s, held = Watch(), 100.0, None
+    schedule, now_s, held = PollSchedule(), 100.0, None
     for what, index, whole in steps:
-        query = watch.next_query(now_s)
+        poll = schedule.next_request(now_s)
         if held is None:
-            assert query.target.endswith(b"/instances") and not query.holds
+            assert poll.target.endswith(b"/instances") and not poll.is_long_poll
         else:
-            assert b"from=%d&" % held in query.target
-        assert query.limit_s <= (HOLD_S + LATE_S if query.holds else SLOW_ANSWER_S)
+            assert b"from=%d&" % held in poll.target
+        assert poll.timeout_s <= (
+            LONG_POLL_HOLD_S + LONG_POLL_GRACE_S if poll.is_long_poll else FIRST_REPLY_TIMEOUT_AFTER_FAILURE_S
+        )
         match what:
             case "answer":
-                used = watch.on_answer(now_s, index, whole)
+                used = schedule.on_reply(now_s, index, whole)
                 assert used == (whole or held is None or index >= held)
                 held = index if used else None
             case "fails":
-                watch.on_failure()
-                watch.connected()
-                query = watch.next_query(now_s)
-                assert not query.holds and query.limit_s == SLOW_ANSWER_S
+                schedule.on_failure()
+                schedule.on_connected()
+                poll = schedule.next_request(now_s)
+                assert not poll.is_long_poll and poll.timeout_s == FIRST_REPLY_TIMEOUT_AFTER_FAILURE_S
             case "moves":
-                watch.begin_anew()
+                schedule.reset()
                 held = None
             case "connects":
-                watch.connected()
+                schedule.on_connected()
             case _:
-                now_s += RENEWED_S + 0.01  # the service holds the watch for over
-                assert not watch.next_query(now_s).holds
+                now_s += LONG_POLL_RENEWAL_S + 0.01  # the service holds the watch for over
+                assert not schedule.next_request(now_s).is_long_poll
 
 
 def test_who_failed_is_given_longer_until_it_answers() -> None:
-    watch = Watch()
-    watch.index = 4
-    assert watch.next_query(0.0).limit_s == ANSWER_S
+    schedule = PollSchedule()
+    schedule.version = 4
+    assert schedule.next_request(0.0).timeout_s == FIRST_REPLY_TIMEOUT_S
     for _ in range(3):  # given up, then refused: one does not undo the other
-        watch.on_failure()
-        assert watch.next_query(0.0).limit_s == SLOW_ANSWER_S
-    watch.on_answer(1.0, 4, False)
-    watch.connected()
-    assert watch.next_query(1.0).limit_s == ANSWER_S and CONNECT_S < ANSWER_S
+        schedule.on_failure()
+        assert schedule.next_request(0.0).timeout_s == FIRST_REPLY_TIMEOUT_AFTER_FAILURE_S
+    schedule.on_reply(1.0, 4, False)
+    schedule.on_connected()
+    assert schedule.next_request(1.0).timeout_s == FIRST_REPLY_TIMEOUT_S and CONNECT_TIMEOUT_S < FIRST_REPLY_TIMEOUT_S
 
 
 CALL_S, QUEUE_S = 0.3, 3.0  # the service below: what a first call costs it, and how long one may be under way
@@ -114,23 +119,23 @@
 def first_answers(gateways: int, seed: int, until_s: float) -> list[float]:
     """When each gateway is first answered by a service that works through calls in turn and refuses, at once, whom it
     could not answer within QUEUE_S. It does not notice who has given up. All start within 1 s."""
-    dice = random.Random(seed)
-    watches = [Watch() for _ in range(gateways)]
+    rng = random.Random(seed)
+    schedules = [PollSchedule() for _ in range(gateways)]
     free_s = 0.0  # when the calls that it has taken are worked off
     answered: list[float] = []
-    due = [(dice.random(), number) for number in range(gateways)]
+    due = [(rng.random(), number) for number in range(gateways)]
     heapq.heapify(due)
     while due and due[0][0] < until_s:
         now_s, number = heapq.heappop(due)
-        watch, limit_s, wait_s = watches[number], watches[number].next_query(now_s).limit_s, 0.0
+        schedule, limit_s, wait_s = schedules[number], schedules[number].next_request(now_s).timeout_s, 0.0
         if max(0.0, free_s - now_s) + CALL_S <= QUEUE_S:
             free_s = max(free_s, now_s) + CALL_S
             if free_s - now_s <= limit_s:
                 answered.append(free_s)
                 continue
             wait_s = limit_s
-        watch.on_failure()
-        heapq.heappush(due, (now_s + wait_s + RETRY_S * dice.uniform(0.5, 1.0), number))
+        schedule.on_failure()
+        heapq.heappush(due, (now_s + wait_s + MAX_RETRY_DELAY_S * rng.uniform(0.5, 1.0), number))
     return answered
 
 
