--- a/benchmarks/guards/mutants/discovery.py
+++ b/benchmarks/guards/mutants/discovery.py
@@ -112,7 +112,7 @@
     """A host that was taken out by hand is passed on as the list has it."""
     from cloverkeel.discovery.manual_ejections import ManualEjections
 
-    cut(ManualEjections, "presented", ("status = ServerStatus.DRAINING", "pass"))
+    cut(ManualEjections, "_overlay", ("status = ServerStatus.DRAINING", "pass"))
 
 
 @entry("ban-cold")
@@ -120,7 +120,7 @@
     """A host that is put back is as old as the list has it."""
     from cloverkeel.discovery.manual_ejections import ManualEjections
 
-    cut(ManualEjections, "restore", ("self.back[name] = now_us", "pass"))
+    cut(ManualEjections, "reinstate", ("self.reinstated_us_by_name[name] = now_us", "pass"))
 
 
 @entry("relay-move-anew")
--- a/benchmarks/guards/table/discovery.py
+++ b/benchmarks/guards/table/discovery.py
@@ -5,11 +5,11 @@
 from benchmarks.guards.row import row
 
 ROWS = (
-    row("ban", "nothing new to a host out by hand", "Bans.presented", "staff", "drain", seeds=(1,),
+    row("ban", "nothing new to a host out by hand", "ManualEjections._overlay", "staff", "drain", seeds=(1,),
         tests="operating::a_host_out_by_hand_gets_nothing_and_one_call_back_brings_it_back "
-              "bans::a_ban_only_restricts_and_ends_with_one_call"),
-    row("ban-cold", "a host that is put back is cold", "Bans.restore",
-        tests="bans::a_host_that_comes_back_before_its_restart_is_told_is_cold"),
+              "bans::an_ejection_only_restricts_and_ends_with_one_call"),
+    row("ban-cold", "a host that is put back is cold", "ManualEjections.reinstate",
+        tests="bans::a_host_reinstated_before_its_restart_is_told_warms_up"),
     row("watch-silent", "a watch that fell silent is given up in time", "PollSchedule.next_request",
         tests="crossings::a_watch_that_falls_silent_is_made_anew_in_time"),
     row("first-silent", "so is a connection silent from the first", "PollSchedule.next_request",
--- a/cloverkeel/admin/operations.py
+++ b/cloverkeel/admin/operations.py
@@ -57,7 +57,7 @@
 
     def take(self, state: State) -> None:
         """The state as this or another process has left it."""
-        self.membership.adopt(state.out, state.back)
+        self.membership.synchronize(state.out, state.back)
         if state.paused != self.state.paused and not self.ending:
             self.server.empty(paused()) if state.paused else self.server.refill()
         self.state = state
@@ -133,7 +133,7 @@
                 return self.resume()
 
     def status(self) -> tuple[bool, str]:
-        hosts = len(self.membership.bans.listed)
+        hosts = len(self.membership.ejections.listed)
         words = f"{hosts} hosts, {len(self.state.out)} out by hand, {self.server.clients} connections of clients"
         if self.ending:
             return False, "ending; " + words
@@ -145,17 +145,17 @@
         return True, "taking clients; " + words
 
     def suspend(self, name: str) -> tuple[bool, str]:
-        bans = self.membership.bans
-        if not bans.knows(name):
+        ejections = self.membership.ejections
+        if not ejections.was_listed(name):
             return False, f"{name} was never listed"
-        if not bans.has_room(name):
-            return False, f"{len(bans.out)} hosts are out by hand, and no more can be"
+        if not ejections.can_eject(name):
+            return False, f"{len(ejections.ejected_us_by_name)} hosts are out by hand, and no more can be"
         at_us = now_us()
         self.take(self.files.change(lambda state: state.suspend(at_us, name), self.state))
         return True, f"{name} is out: nothing new goes there"
 
     def restore(self, name: str) -> tuple[bool, str]:
-        if not self.membership.bans.knows(name):
+        if not self.membership.ejections.was_listed(name):
             return False, f"{name} was never listed"
         at_us = now_us()
         self.take(self.files.change(lambda state: state.restore(at_us, name), self.state))
--- a/cloverkeel/discovery/manual_ejections.py
+++ b/cloverkeel/discovery/manual_ejections.py
@@ -1,15 +1,16 @@
-"""Hosts that staff have taken out: an overlay on the list, whatever source it is from. Pure, times come from outside.
+"""Hosts that staff have ejected by hand: an overlay on the endpoint list of any source. Pure: no clock.
 
-The list's entries go in, and come out as the core is to have them: a banned host that serves is passed on as
-draining, with all else that is told of it, its restarts too.
+The list's entries go in, and come out as the core is to have them: an ejected host that serves is passed on as
+draining, with all else that the list tells of it, its restarts too. (Outlier ejection, which the balancer decides by
+itself, is another thing.) The admin address calls an ejection `suspend` and its end `restore`.
 
 Invariants:
-- a ban only restricts: what the list has as draining or gone never becomes more through it;
-- a banned id is never forgotten, and one call back ends the ban, however often it was called out;
-- no host that comes back is presented as older than the call back, unless the list has told a start of it that is
-  later than the call out: discovery tells a restart late, and it may have happened at any moment of the ban;
-- what is kept is bounded: ids that were listed once by LISTED_KEPT (banned and listed ones beyond that), bans by
-  BANS_KEPT.
+- an ejection only restricts: what the list has as draining or gone never becomes more through it;
+- an ejected host is never forgotten, and one call reinstates it, however often it was ejected;
+- no reinstated host is presented as older than its reinstatement, unless the list has told a start of it that is
+  later than the ejection: discovery tells a restart late, and it may have happened at any moment in between;
+- what is kept is bounded: names that were listed once by MAX_FORMERLY_LISTED (ejected and listed ones beyond that),
+  ejections by MAX_EJECTIONS.
 """
 
 from __future__ import annotations
@@ -23,93 +24,102 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_FORMERLY_LISTED: Final = 4_096  # ids that left the list and are still known as listed once
-MAX_EJECTIONS: Final = 1_024  # more hosts than that are not taken out by hand at one time
+MAX_FORMERLY_LISTED: Final = 4_096  # names that left the list, and are still known
+MAX_EJECTIONS: Final = 1_024  # at one time
 
 
 class ManualEjections:
-    """Who is out by hand, and the last word of the list on each host."""
+    """Who is ejected by hand, and the last entry of the list for each host. Times in µs."""
 
     def __init__(self) -> None:
         self.listed: dict[str, Endpoint] = {}
-        self.once: OrderedDict[str, None] = OrderedDict()  # left the list; the longest ago first
-        self.out: dict[str, int] = {}  # since when, µs
-        self.back: dict[str, int] = {}  # put back at this time, and no later start is told yet
+        self.formerly_listed: OrderedDict[str, None] = OrderedDict()  # the longest ago first
+        self.ejected_us_by_name: dict[str, int] = {}
+        self.reinstated_us_by_name: dict[str, int] = {}  # no later start is told yet
 
     # From the list
 
-    def take(self, kind: ListKind, entries: Iterable[Endpoint]) -> list[Endpoint]:
-        """What the core is to be told in place of these."""
-        entries = list(entries)
+    def apply(self, kind: ListKind, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+        """Note what the list tells, and return what the core is to be told in its place."""
+        endpoints = list(endpoints)
         if kind is ListKind.ERROR:
-            return entries
+            return endpoints
         if kind is not ListKind.DELTA:
-            named = {entry.name for entry in entries}
-            for name in [name for name in self.listed if name not in named]:
-                self.leave(name)
-        for entry in entries:
-            if entry.listed.status is ServerStatus.GONE:
-                self.leave(entry.name)
+            self._unlist_absent(endpoints)
+        for endpoint in endpoints:
+            if endpoint.listed.status is ServerStatus.GONE:
+                self._unlist(endpoint.name)
             else:
-                self.listed[entry.name] = entry
-                self.once.pop(entry.name, None)
-        return [self.presented(entry) for entry in entries]
+                self.listed[endpoint.name] = endpoint
+                self.formerly_listed.pop(endpoint.name, None)
+        return [self._overlay(endpoint) for endpoint in endpoints]
 
-    def leave(self, name: str) -> None:
+    def _unlist_absent(self, endpoints: list[Endpoint]) -> None:
+        present = {endpoint.name for endpoint in endpoints}
+        for name in [name for name in self.listed if name not in present]:
+            self._unlist(name)
+
+    def _unlist(self, name: str) -> None:
         if self.listed.pop(name, None) is None:
             return
-        self.note_once(name)
-
-    def note_once(self, name: str) -> None:
-        self.once.pop(name, None)
-        self.once[name] = None
-        while len(self.once) > MAX_FORMERLY_LISTED:
-            self.back.pop(self.once.popitem(last=False)[0], None)
-
-    def presented(self, entry: Endpoint) -> Endpoint:
-        listed = entry.listed
-        status, started_us = listed.status, listed.started_us
-        if entry.name in self.out and status is ServerStatus.READY:
+        self.formerly_listed.pop(name, None)
+        self.formerly_listed[name] = None
+        while len(self.formerly_listed) > MAX_FORMERLY_LISTED:
+            forgotten, _ = self.formerly_listed.popitem(last=False)
+            self.reinstated_us_by_name.pop(forgotten, None)
+
+    def _overlay(self, endpoint: Endpoint) -> Endpoint:
+        """Return an entry of the list as the core is to have it."""
+        listed = endpoint.listed
+        status = listed.status
+        if endpoint.name in self.ejected_us_by_name and status is ServerStatus.READY:
             status = ServerStatus.DRAINING
-        back_us = self.back.get(entry.name, 0)
-        if back_us >= started_us:
-            started_us = back_us
+        started_us = max(listed.started_us, self.reinstated_us_by_name.get(endpoint.name, 0))
         if (status, started_us) == (listed.status, listed.started_us):
-            return entry
-        return Endpoint(entry.name, entry.address, replace(listed, status=status, started_us=started_us))
+            return endpoint
+        return Endpoint(endpoint.name, endpoint.address, replace(listed, status=status, started_us=started_us))
 
     # From staff
 
-    def knows(self, name: str) -> bool:
-        """Whether this id was ever listed, as far as is remembered."""
-        return name in self.listed or name in self.once or name in self.out
+    def was_listed(self, name: str) -> bool:
+        """Whether this host was ever listed, as far as is remembered."""
+        return name in self.listed or name in self.formerly_listed or name in self.ejected_us_by_name
 
-    def has_room(self, name: str) -> bool:
-        return name in self.out or len(self.out) < MAX_EJECTIONS
+    def can_eject(self, name: str) -> bool:
+        """Whether this host may be ejected, or is already."""
+        return name in self.ejected_us_by_name or len(self.ejected_us_by_name) < MAX_EJECTIONS
 
-    def suspend(self, now_us: int, name: str) -> list[Endpoint]:
-        """Out by hand from now on; what the core is to be told."""
-        self.out.setdefault(name, now_us)
-        return self.word_on(name)
+    def eject(self, now_us: int, name: str) -> list[Endpoint]:
+        """Eject a host from now on; returns what the core is to be told."""
+        self.ejected_us_by_name.setdefault(name, now_us)
+        return self._current(name)
 
-    def restore(self, now_us: int, name: str) -> list[Endpoint]:
-        """Back; what the core is to be told."""
-        since_us = self.out.pop(name, None)
-        if since_us is None:
+    def reinstate(self, now_us: int, name: str) -> list[Endpoint]:
+        """End an ejection; returns what the core is to be told."""
+        ejected_us = self.ejected_us_by_name.pop(name, None)
+        if ejected_us is None:
             return []
-        entry = self.listed.get(name)
-        if entry is None or entry.listed.started_us <= since_us:
-            self.back[name] = now_us
-        return self.word_on(name)
-
-    def word_on(self, name: str) -> list[Endpoint]:
-        entry = self.listed.get(name)
-        return [self.presented(entry)] if entry is not None else []
-
-    def adopt(self, out: Mapping[str, int], back: Mapping[str, int]) -> list[Endpoint]:
-        """Take on the bans as another process of this gateway has left them; what the core is to be told."""
-        changed = {name for name in {*self.out, *out} if (name in self.out) != (name in out)}
-        changed |= {name for name, at_us in back.items() if self.back.get(name, 0) < at_us}
-        self.out = dict(out)
-        self.back = {name: max(self.back.get(name, 0), back.get(name, 0)) for name in {*self.back, *back}}
-        return [entry for name in sorted(changed) for entry in self.word_on(name)]
+        endpoint = self.listed.get(name)
+        if endpoint is None or endpoint.listed.started_us <= ejected_us:
+            self.reinstated_us_by_name[name] = now_us
+        return self._current(name)
+
+    def synchronize(
+        self, ejected_us_by_name: Mapping[str, int], reinstated_us_by_name: Mapping[str, int]
+    ) -> list[Endpoint]:
+        """Take on the ejections as another process of this gateway left them; returns what the core is to be told."""
+        before, after = self.ejected_us_by_name.keys(), ejected_us_by_name.keys()
+        changed = before ^ after
+        changed |= {
+            name for name, at_us in reinstated_us_by_name.items() if self.reinstated_us_by_name.get(name, 0) < at_us
+        }
+        self.ejected_us_by_name = dict(ejected_us_by_name)
+        self.reinstated_us_by_name = {
+            name: max(self.reinstated_us_by_name.get(name, 0), reinstated_us_by_name.get(name, 0))
+            for name in {*self.reinstated_us_by_name, *reinstated_us_by_name}
+        }
+        return [endpoint for name in sorted(changed) for endpoint in self._current(name)]
+
+    def _current(self, name: str) -> list[Endpoint]:
+        endpoint = self.listed.get(name)
+        return [self._overlay(endpoint)] if endpoint is not None else []
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,4 @@
-"""Hosts out by hand: the overlay on the list."""
+"""Hosts ejected by hand: the overlay on the list."""
 
 from __future__ import annotations
 
@@ -21,89 +21,89 @@
     return [(e.name, e.listed.status, e.listed.started_us) for e in entries]
 
 
-def test_a_banned_host_is_passed_on_as_draining_whatever_the_list_says() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("a"), entry("b")])
-    assert told(bans.suspend(5, "a")) == [("a", DRAINING, 0)]
+def test_an_ejected_host_is_passed_on_as_draining_whatever_the_list_says() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("a"), entry("b")])
+    assert told(ejections.eject(5, "a")) == [("a", DRAINING, 0)]
     for kind in (ListKind.DELTA, ListKind.FULL, ListKind.DISK):
-        assert told(bans.take(kind, [entry("a"), entry("b")])) == [("a", DRAINING, 0), ("b", READY, 0)]
-    assert told(bans.take(ListKind.DELTA, [entry("a", GONE)])) == [("a", GONE, 0)]
-    assert told(bans.take(ListKind.DELTA, [entry("a", started_us=9)])) == [("a", DRAINING, 9)]
+        assert told(ejections.apply(kind, [entry("a"), entry("b")])) == [("a", DRAINING, 0), ("b", READY, 0)]
+    assert told(ejections.apply(ListKind.DELTA, [entry("a", GONE)])) == [("a", GONE, 0)]
+    assert told(ejections.apply(ListKind.DELTA, [entry("a", started_us=9)])) == [("a", DRAINING, 9)]
 
 
-def test_one_call_back_ends_a_ban_that_was_called_out_often() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("a")])
+def test_one_call_reinstates_a_host_that_was_ejected_often() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("a")])
     for at_us in (5, 6, 7):
-        bans.suspend(at_us, "a")
-    assert bans.out == {"a": 5}
-    assert told(bans.restore(9, "a")) == [("a", READY, 9)]
-    assert bans.restore(10, "a") == []
-
-
-def test_out_back_out() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("a")])
-    bans.suspend(1, "a")
-    bans.restore(2, "a")
-    assert told(bans.suspend(3, "a")) == [("a", DRAINING, 2)]
-    assert told(bans.restore(4, "a")) == [("a", READY, 4)]
-
-
-def test_a_host_that_comes_back_before_its_restart_is_told_is_cold() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("a", started_us=100)])
-    bans.suspend(1_000, "a")
-    assert told(bans.restore(9_000, "a")) == [("a", READY, 9_000)]
-    # The list tells a start within the ban, late: the host stays as cold as it was taken for.
-    assert told(bans.take(ListKind.DELTA, [entry("a", started_us=5_000)])) == [("a", READY, 9_000)]
-    assert told(bans.take(ListKind.DELTA, [entry("a", started_us=9_500)])) == [("a", READY, 9_500)]
-
-
-def test_a_restart_that_was_told_during_the_ban_is_its_start() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("a", started_us=100)])
-    bans.suspend(1_000, "a")
-    bans.take(ListKind.DELTA, [entry("a", started_us=5_000)])
-    assert told(bans.restore(9_000, "a")) == [("a", READY, 5_000)]
-
-
-def test_a_host_that_the_list_drains_or_drops_stays_so_after_the_ban() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("a"), entry("b")])
-    bans.suspend(1, "a")
-    bans.suspend(1, "b")
-    bans.take(ListKind.DELTA, [entry("a", DRAINING), entry("b", GONE)])
-    assert told(bans.restore(2, "a")) == [("a", DRAINING, 2)]
-    assert bans.restore(2, "b") == []
-    assert told(bans.take(ListKind.DELTA, [entry("b")])) == [("b", READY, 2)]
-
-
-def test_an_id_is_known_once_it_was_listed() -> None:
-    bans = ManualEjections()
-    assert not bans.knows("a")
-    bans.take(ListKind.DISK, [entry("a"), entry("b")])
-    bans.take(ListKind.FULL, [entry("b")])
-    assert bans.knows("a") and bans.knows("b") and not bans.knows("c")
-
-
-def test_what_is_remembered_is_bounded_and_a_banned_id_is_never_forgotten() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("first")])
-    bans.suspend(1, "first")
+        ejections.eject(at_us, "a")
+    assert ejections.ejected_us_by_name == {"a": 5}
+    assert told(ejections.reinstate(9, "a")) == [("a", READY, 9)]
+    assert ejections.reinstate(10, "a") == []
+
+
+def test_ejected_reinstated_ejected() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("a")])
+    ejections.eject(1, "a")
+    ejections.reinstate(2, "a")
+    assert told(ejections.eject(3, "a")) == [("a", DRAINING, 2)]
+    assert told(ejections.reinstate(4, "a")) == [("a", READY, 4)]
+
+
+def test_a_host_reinstated_before_its_restart_is_told_warms_up() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
+    ejections.eject(1_000, "a")
+    assert told(ejections.reinstate(9_000, "a")) == [("a", READY, 9_000)]
+    # The list tells a start within the ejection, late: the host warms up as before.
+    assert told(ejections.apply(ListKind.DELTA, [entry("a", started_us=5_000)])) == [("a", READY, 9_000)]
+    assert told(ejections.apply(ListKind.DELTA, [entry("a", started_us=9_500)])) == [("a", READY, 9_500)]
+
+
+def test_a_restart_told_during_the_ejection_is_its_start() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
+    ejections.eject(1_000, "a")
+    ejections.apply(ListKind.DELTA, [entry("a", started_us=5_000)])
+    assert told(ejections.reinstate(9_000, "a")) == [("a", READY, 5_000)]
+
+
+def test_a_host_that_the_list_drains_or_drops_stays_so_after_the_ejection() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("a"), entry("b")])
+    ejections.eject(1, "a")
+    ejections.eject(1, "b")
+    ejections.apply(ListKind.DELTA, [entry("a", DRAINING), entry("b", GONE)])
+    assert told(ejections.reinstate(2, "a")) == [("a", DRAINING, 2)]
+    assert ejections.reinstate(2, "b") == []
+    assert told(ejections.apply(ListKind.DELTA, [entry("b")])) == [("b", READY, 2)]
+
+
+def test_a_host_is_known_once_it_was_listed() -> None:
+    ejections = ManualEjections()
+    assert not ejections.was_listed("a")
+    ejections.apply(ListKind.DISK, [entry("a"), entry("b")])
+    ejections.apply(ListKind.FULL, [entry("b")])
+    assert ejections.was_listed("a") and ejections.was_listed("b") and not ejections.was_listed("c")
+
+
+def test_what_is_remembered_is_bounded_and_an_ejected_host_is_never_forgotten() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("first")])
+    ejections.eject(1, "first")
     for number in range(MAX_FORMERLY_LISTED + 100):
-        bans.take(ListKind.FULL, [entry(f"s-{number}")])
-    assert len(bans.once) <= MAX_FORMERLY_LISTED and len(bans.listed) == 1
-    assert bans.knows("first")
-    assert told(bans.take(ListKind.DELTA, [entry("first")])) == [("first", DRAINING, 0)]
+        ejections.apply(ListKind.FULL, [entry(f"s-{number}")])
+    assert len(ejections.formerly_listed) <= MAX_FORMERLY_LISTED and len(ejections.listed) == 1
+    assert ejections.was_listed("first")
+    assert told(ejections.apply(ListKind.DELTA, [entry("first")])) == [("first", DRAINING, 0)]
 
 
-def test_another_process_has_changed_the_bans() -> None:
-    bans = ManualEjections()
-    bans.take(ListKind.FULL, [entry("a"), entry("b"), entry("c")])
-    bans.suspend(1, "a")
-    assert told(bans.adopt({"b": 2}, {"a": 3})) == [("a", READY, 3), ("b", DRAINING, 0)]
-    assert bans.adopt({"b": 2}, {"a": 3}) == []
+def test_another_process_has_changed_the_ejections() -> None:
+    ejections = ManualEjections()
+    ejections.apply(ListKind.FULL, [entry("a"), entry("b"), entry("c")])
+    ejections.eject(1, "a")
+    assert told(ejections.synchronize({"b": 2}, {"a": 3})) == [("a", READY, 3), ("b", DRAINING, 0)]
+    assert ejections.synchronize({"b": 2}, {"a": 3}) == []
 
 
 NAMES = st.sampled_from(["a", "b", "c"])
@@ -113,38 +113,38 @@
             st.tuples(NAMES, st.sampled_from([READY, DRAINING, GONE]), st.integers(0, 30)), max_size=3,
             unique_by=lambda raw: raw[0],
         )),
-        st.tuples(st.sampled_from(["suspend", "restore"]), NAMES),
+        st.tuples(st.sampled_from(["eject", "reinstate"]), NAMES),
     ),
     max_size=30,
 )  # fmt: skip
 
 
 @given(STEPS)
-def test_a_ban_only_restricts_and_ends_with_one_call(steps: list[tuple[object, ...]]) -> None:
-    """Against a plain model: the last word on each host, and the bans."""
-    bans = ManualEjections()
+def test_an_ejection_only_restricts_and_ends_with_one_call(steps: list[tuple[object, ...]]) -> None:
+    """Against a plain model: the last entry of each host, and the ejections."""
+    ejections = ManualEjections()
     out: dict[str, int] = {}
     listed: dict[str, Endpoint] = {}
     for at_us, step in enumerate(steps, 100):
         if step[0] == "list":
             kind, raw = step[1], step[2]
             given_ = [entry(n, s, t) for n, s, t in raw if kind is ListKind.DELTA or s is not GONE]  # type: ignore
-            passed = bans.take(kind, given_)  # type: ignore[arg-type]
+            passed = ejections.apply(kind, given_)  # type: ignore[arg-type]
             if kind is ListKind.FULL:
                 listed = {}
             for was, now in zip(given_, passed, strict=True):
                 listed[was.name] = was
                 assert STRENGTH[now.listed.status] <= STRENGTH[was.listed.status]
                 assert now.listed.started_us >= was.listed.started_us
-        elif step[0] == "suspend":
-            passed = bans.suspend(at_us, str(step[1]))
+        elif step[0] == "eject":
+            passed = ejections.eject(at_us, str(step[1]))
             out.setdefault(str(step[1]), at_us)
         else:
-            passed = bans.restore(at_us, str(step[1]))
+            passed = ejections.reinstate(at_us, str(step[1]))
             out.pop(str(step[1]), None)
         for now in passed:
             if now.name in out:
                 assert now.listed.status is not READY
             else:
                 assert now.listed.status is listed[now.name].listed.status
-        assert bans.out == out
+        assert ejections.ejected_us_by_name == out
