--- a/benchmarks/guards/mutants/discovery.py
+++ b/benchmarks/guards/mutants/discovery.py
@@ -81,22 +81,22 @@
     from cloverkeel.discovery.source_merge import ConnectionState
     from cloverkeel.discovery.merged_source import MergedEndpointSource
 
-    old = MergedEndpointSource.on_link
+    old = MergedEndpointSource.on_session_state
 
-    def on_link(self: Any, link: ConnectionState) -> None:
-        old(self, link)
-        if link is ConnectionState.LOST:
+    def on_session_state(self: Any, state: ConnectionState) -> None:
+        old(self, state)
+        if state is ConnectionState.LOST:
             self.on_nodes([])
 
-    swap(MergedEndpointSource, "on_link", on_link)
+    swap(MergedEndpointSource, "on_session_state", on_session_state)
 
 
 @entry("state-kept")
 def _() -> None:
     """A start without the service begins with the list that the configuration names."""
-    from cloverkeel.discovery import snapshot_file as state
+    from cloverkeel.discovery import snapshot_file
 
-    swap(state, "load_snapshot", lambda path: None)
+    swap(snapshot_file, "load_snapshot", lambda path: None)
 
 
 @entry("agent-checks")
@@ -104,7 +104,7 @@
     """An agent keeps the node of a box that does not answer."""
     from cloverkeel.discovery.registration import Registration
 
-    cut(Registration, "on_check", ("self.answered = False", "pass"))
+    cut(Registration, "on_health_check", ("self.is_healthy = False", "pass"))
 
 
 @entry("ban")
--- a/benchmarks/keeper_size.py
+++ b/benchmarks/keeper_size.py
@@ -24,7 +24,7 @@
 
 from cloverkeel.discovery.zookeeper_source import BackendListener, ZookeeperWatcher
 from cloverkeel.discovery.zookeeper_session import ZookeeperOptions
-from cloverkeel.discovery.source_merge import Backend
+from cloverkeel.discovery.backend import Backend
 from cloverkeel.discovery.node_codec import encode_backend
 
 from standins.parties.zookeeper.ensemble import Ensemble, KeeperConnection, Session
--- a/cloverkeel/discovery/node_reader.py
+++ b/cloverkeel/discovery/node_reader.py
@@ -15,7 +15,7 @@
 from cloverkeel.core.log import log
 from cloverkeel.discovery.errors import NodeDataError
 from cloverkeel.discovery.node_codec import decode_backend
-from cloverkeel.discovery.source_merge import Backend
+from cloverkeel.discovery.backend import Backend
 
 MAX_NODES: Final = 4_096  # more are left out, and that is logged
 
--- a/cloverkeel/discovery/zookeeper_source.py
+++ b/cloverkeel/discovery/zookeeper_source.py
@@ -22,7 +22,8 @@
 
 from cloverkeel.core.log import log
 from cloverkeel.discovery.node_reader import NodeReader
-from cloverkeel.discovery.source_merge import Backend, ConnectionState, deduplicate_by_name
+from cloverkeel.discovery.backend import Backend
+from cloverkeel.discovery.source_merge import ConnectionState, deduplicate_by_name
 from cloverkeel.discovery.zookeeper_session import STATE_BY_KAZOO_NAME, ZookeeperOptions, create_client
 
 DELETION_DELAY_S: Final = 0.2  # until it is told without a list: far under the second that the drain rule gives
--- a/tests/golden/discovery.py
+++ b/tests/golden/discovery.py
@@ -2,16 +2,15 @@
 
 from __future__ import annotations
 
-import argparse
 import tempfile
 from collections.abc import Sequence
 from dataclasses import replace
 from pathlib import Path
 from typing import Final
 
-from cloverkeel.discovery.registration_agent import RegistrationAgent
+from cloverkeel.discovery.registration_agent import AgentOptions, RegistrationAgent
 from cloverkeel.discovery.registration import RegistrationAction, Registration
-from cloverkeel.discovery.source_merge import Backend, BackendStatus
+from cloverkeel.discovery.backend import Backend, BackendStatus
 from cloverkeel.discovery.node_codec import decode_backend, encode_backend
 from cloverkeel.discovery.relay_requests import STATE_PATH, RelayPollSchedule, parse_state_age_s, identify_gateway
 from cloverkeel.discovery.relay_selection import rank_relays
@@ -38,18 +37,18 @@
 
 
 def _agent_node_path() -> bytes:
-    options = argparse.Namespace(hosts="127.0.0.1:2181", path="/cloverkeel/boxes", session_ms=2_000)
-    return RegistrationAgent(Registration(SERVING), options).node.encode()
+    options = AgentOptions(hosts="127.0.0.1:2181", path="/cloverkeel/boxes", session_ms=2_000)
+    return RegistrationAgent(Registration(SERVING), options).node_path.encode()
 
 
 def _kept_node(is_draining: bool) -> bytes:
     """Return the data that the agent's decisions want in the node."""
-    keeper = Registration(SERVING)
-    keeper.on_check(1_796_119_700_000, answers=True)
-    assert keeper.next(0.0) is RegistrationAction.CREATE
+    registration = Registration(SERVING)
+    registration.on_health_check(1_796_119_700_000, has_passed=True)
+    assert registration.next_action(0.0) is RegistrationAction.CREATE
     if is_draining:
-        keeper.on_term(0.0)
-    return keeper.data()
+        registration.on_termination(0.0)
+    return registration.node_data()
 
 
 def _saved(members: Sequence[Backend]) -> bytes:
--- a/tests/test_membership_ephemeral.py
+++ b/tests/test_membership_ephemeral.py
@@ -26,7 +26,8 @@
 from cloverkeel.core.options import Duties, Ephemeral, Options
 from cloverkeel.core.options import load as load_options
 from cloverkeel.discovery.registration import RegistrationAction, Registration
-from cloverkeel.discovery.source_merge import Backend, Source, BackendStatus
+from cloverkeel.discovery.backend import Backend, BackendStatus
+from cloverkeel.discovery.source_merge import Source
 from cloverkeel.discovery.merged_source import MergedEndpointSource
 from cloverkeel.discovery.node_codec import decode_backend, encode_backend
 
@@ -104,7 +105,7 @@
 
 def listed(program: Any) -> dict[str, Any]:
     """The decision module's list: what it may send to."""
-    names = {stable_id(name, 4): name for name in program.discovery.merge.members}
+    names = {stable_id(name, 4): name for name in program.discovery.merge.backend_by_name}
     servers = program.gateway.balancer.servers
     return {names.get(id_, "?"): server for id_, server in servers.items()}
 
@@ -163,7 +164,7 @@
         data = encode_backend(Backend("s-0", ("127.0.0.1", 9009), since_ms=2))
         service.do(Multi((Delete(f"{FOLDER}/s-0"), Create(f"{FOLDER}/s-0", data))))  # the names are as they were
         await until(lambda: listed(program)["s-0"].entry.started_us == 2_000)
-        assert program.discovery.merge.members["s-0"].address == ("127.0.0.1", 9009)
+        assert program.discovery.merge.backend_by_name["s-0"].address == ("127.0.0.1", 9009)
         again = encode_backend(Backend("s-9", ("127.0.0.1", 9009), since_ms=3))  # the same address under another name
         service.do(Multi((Delete(f"{FOLDER}/s-0"), Create(f"{FOLDER}/s-9", again))))
         await until_listed(program, "s-9")
@@ -199,13 +200,13 @@
     service.register("s-0", "127.0.0.1:9001")
     async with gateway(service) as program:
         await until_listed(program, "s-0")
-        nodes = program.discovery.nodes
-        nodes.wake_event.set = lambda: None  # as if each came just before the reader cleared it
+        watcher = program.discovery.zookeeper
+        watcher.wake_event.set = lambda: None  # as if each came just before the reader cleared it
         service.register("s-1", "127.0.0.1:9002")
         await until_listed(program, "s-0", "s-1")
         service.expire("s-0")
         await until_listed(program, "s-1")
-        del nodes.wake_event.set
+        del watcher.wake_event.set
     service.close()
 
 
@@ -219,7 +220,7 @@
         for n in range(19):
             service.expire(f"s-{n}")
         left = list[list[str]]()
-        program.discovery.catch_up(1_000_000, lambda: left.append(sorted(program.discovery.merge.members)))
+        program.discovery.catch_up(1_000_000, lambda: left.append(sorted(program.discovery.merge.backend_by_name)))
         await until(lambda: left)
         assert left == [["s-19"]]
     service.close()
@@ -235,7 +236,7 @@
         service.expire("s-0")
         await until_listed(program, "s-1", "s-2")
         service.call(service.ensemble.stop)
-        await until(lambda: program.discovery.merge.counts.suspended)
+        await until(lambda: program.discovery.merge.counters.suspended)
         await asyncio.sleep(0.1)
         assert sorted(listed(program)) == ["s-1", "s-2"]
         # The service has lost its last change: the node of s-0 is there again, and so is its session.
@@ -253,11 +254,11 @@
         await until_listed(program, "s-0")
         (mine,) = service.gateways()
         service.call(lambda: service.ensemble.expire(mine.id))
-        await until(lambda: program.discovery.merge.counts.lost)
+        await until(lambda: program.discovery.merge.counters.lost)
         assert sorted(listed(program)) == ["s-0"]
         service.register("s-1", "127.0.0.1:9002")
         await until_listed(program, "s-0", "s-1")
-        assert program.discovery.nodes.counters.connects == 2
+        assert program.discovery.zookeeper.counters.connects == 2
     service.close()
 
 
@@ -284,7 +285,7 @@
     for n in range(3):
         service.register(f"s-{n}", f"127.0.0.1:900{n + 1}", zone="b", kind="m", since_ms=7)
     async with gateway(service, config_of(known), state=str(file)) as program:
-        await until(lambda: program.discovery.nodes.counters.list_reads)
+        await until(lambda: program.discovery.zookeeper.counters.list_reads)
         service.expire("s-1")
         await until_listed(program, "s-0", "s-2")
         await until(lambda: file.exists() and len(json.loads(file.read_text())["boxes"]) == 2)
@@ -326,7 +327,7 @@
     service.register("s-3", "127.0.0.1:9004", data=json.dumps({"v": 9}).encode())
     async with gateway(service) as program:
         await until_listed(program, "s-0")
-        await until(lambda: program.discovery.nodes.counters.unusable_nodes == 3)
+        await until(lambda: program.discovery.zookeeper.counters.unusable_nodes == 3)
         service.do(SetData(f"{FOLDER}/s-1", encode_backend(Backend("s-1", ("127.0.0.1", 9002)))))
         await until_listed(program, "s-0", "s-1")
     said = capfd.readouterr().err
@@ -347,16 +348,16 @@
         await until_listed(program, "s-0")
     service.do(SetAcl(FOLDER, (Acl(31, "digest", "x:y"),)))
     async with gateway(service, config_of(known)) as program:
-        await until(lambda: program.discovery.nodes.counters.connects)
+        await until(lambda: program.discovery.zookeeper.counters.connects)
         await asyncio.sleep(0.1)
         assert sorted(listed(program)) == ["s-7"]
     async with gateway(service, config_of(known), path="/elsewhere/boxes") as program:
-        await until(lambda: program.discovery.nodes.counters.connects)
+        await until(lambda: program.discovery.zookeeper.counters.connects)
         await asyncio.sleep(0.1)
         assert sorted(listed(program)) == ["s-7"]
         service.do(Create("/elsewhere"))
         service.do(Create("/elsewhere/boxes"))
-        await until(lambda: program.discovery.nodes.counters.list_reads)
+        await until(lambda: program.discovery.zookeeper.counters.list_reads)
         await until_listed(program)  # now it is told: there is none
     service.close()
 
@@ -369,9 +370,9 @@
     service.register("s-0-again", "127.0.0.1:9009", data=twin)
     async with gateway(service) as program:
         await until_listed(program, "s-0")
-        assert program.discovery.merge.members["s-0"].address == ("127.0.0.1", 9001)
+        assert program.discovery.merge.backend_by_name["s-0"].address == ("127.0.0.1", 9001)
         service.expire("s-0")
-        await until(lambda: program.discovery.merge.members["s-0"].address == ("127.0.0.1", 9009))
+        await until(lambda: program.discovery.merge.backend_by_name["s-0"].address == ("127.0.0.1", 9009))
     service.close()
 
 
@@ -400,12 +401,12 @@
         service.register(f"s-{n}", f"127.0.0.1:{9001 + n}")
     async with gateway(service) as program:
         await until(lambda: len(listed(program)) == 64)
-        reads = program.discovery.nodes.counters.node_reads
+        reads = program.discovery.zookeeper.counters.node_reads
         for n in range(0, 60):
             service.expire(f"s-{n}")
         await until_listed(program, *(f"s-{n}" for n in range(60, 64)))
         # No storm: what is left was not read again, but for what a change between two reads touches.
-        assert program.discovery.nodes.counters.node_reads - reads <= 64
+        assert program.discovery.zookeeper.counters.node_reads - reads <= 64
     service.close()
 
 
@@ -416,69 +417,83 @@
     async with gateway(service) as program:
         merge = program.discovery.merge
         await until_listed(program, "s-0")
-        before = merge.words[Source.EPHEMERAL].confirmed_us
-        await until(lambda: merge.words[Source.EPHEMERAL].confirmed_us > before)  # asked once a second
+        before = merge.state_by_source[Source.EPHEMERAL].confirmed_us
+        await until(lambda: merge.state_by_source[Source.EPHEMERAL].confirmed_us > before)  # asked once a second
         service.call(service.ensemble.stop)
-        await until(lambda: merge.counts.suspended)
-        stood = merge.words[Source.EPHEMERAL].confirmed_us
+        await until(lambda: merge.counters.suspended)
+        stood = merge.state_by_source[Source.EPHEMERAL].confirmed_us
         await asyncio.sleep(1.2)
-        assert merge.words[Source.EPHEMERAL].confirmed_us == stood
+        assert merge.state_by_source[Source.EPHEMERAL].confirmed_us == stood
     service.close()
 
 
 # The agent's decisions
 
 
-def keeper(**changes: Any) -> Registration:
+def registration_of(**changes: Any) -> Registration:
     return Registration(Backend("s-0", ("127.0.0.1", 9001), since_ms=5), **changes)
 
 
-def carry_out(one: Registration, now_s: float) -> RegistrationAction:
-    what = one.next(now_s)
-    if what is not RegistrationAction.NOTHING:
-        one.done(what, one.data())
-    return what
+def carry_out(registration: Registration, now_s: float) -> RegistrationAction:
+    action = registration.next_action(now_s)
+    if action is not RegistrationAction.NONE:
+        registration.on_action_done(action, registration.node_data())
+    return action
 
 
 def test_no_node_before_the_box_answers_nor_after_it_stopped() -> None:
-    one = keeper(fails=3)
-    assert carry_out(one, 0) is RegistrationAction.NOTHING
-    one.on_check(10, True)
-    assert carry_out(one, 1) is RegistrationAction.CREATE and carry_out(one, 1) is RegistrationAction.NOTHING
+    registration = registration_of(max_failed_checks=3)
+    assert carry_out(registration, 0) is RegistrationAction.NONE
+    registration.on_health_check(10, True)
+    assert (
+        carry_out(registration, 1) is RegistrationAction.CREATE
+        and carry_out(registration, 1) is RegistrationAction.NONE
+    )
     for _ in range(2):
-        one.on_check(20, False)
-        assert carry_out(one, 2) is RegistrationAction.NOTHING
-    one.on_check(20, True)  # it had a slow moment: the same process
-    assert one.member.since_ms == 5 and carry_out(one, 3) is RegistrationAction.NOTHING
+        registration.on_health_check(20, False)
+        assert carry_out(registration, 2) is RegistrationAction.NONE
+    registration.on_health_check(20, True)  # it had a slow moment: the same process
+    assert registration.backend.since_ms == 5 and carry_out(registration, 3) is RegistrationAction.NONE
     for _ in range(3):
-        one.on_check(30, False)
-    assert carry_out(one, 4) is RegistrationAction.DELETE and carry_out(one, 4) is RegistrationAction.NOTHING
-    one.on_check(40, True)
-    assert carry_out(one, 5) is RegistrationAction.CREATE and one.member.since_ms == 40  # a new process
+        registration.on_health_check(30, False)
+    assert (
+        carry_out(registration, 4) is RegistrationAction.DELETE
+        and carry_out(registration, 4) is RegistrationAction.NONE
+    )
+    registration.on_health_check(40, True)
+    assert (
+        carry_out(registration, 5) is RegistrationAction.CREATE and registration.backend.since_ms == 40
+    )  # a new process
 
 
 def test_after_an_expiry_the_same_life_registers_again() -> None:
-    one = keeper()
-    one.on_check(10, True)
-    carry_out(one, 0)
-    one.on_session()
-    assert carry_out(one, 1) is RegistrationAction.CREATE and decode_backend(one.written).since_ms == 5
+    registration = registration_of()
+    registration.on_health_check(10, True)
+    carry_out(registration, 0)
+    registration.on_new_session()
+    assert (
+        carry_out(registration, 1) is RegistrationAction.CREATE
+        and decode_backend(registration.written_data).since_ms == 5
+    )
 
 
 def test_a_term_drains_then_deletes() -> None:
-    one = keeper(drain_s=2.0)
-    one.on_check(10, True)
-    carry_out(one, 0)
-    one.on_term(10.0)
-    one.on_term(11.0)  # a second one changes nothing
+    registration = registration_of(drain_s=2.0)
+    registration.on_health_check(10, True)
+    carry_out(registration, 0)
+    registration.on_termination(10.0)
+    registration.on_termination(11.0)  # a second one changes nothing
+    assert (
+        carry_out(registration, 10.0) is RegistrationAction.UPDATE
+        and decode_backend(registration.written_data).status is BackendStatus.DRAINING
+    )
     assert (
-        carry_out(one, 10.0) is RegistrationAction.UPDATE
-        and decode_backend(one.written).status is BackendStatus.DRAINING
+        carry_out(registration, 11.9) is RegistrationAction.NONE
+        and carry_out(registration, 12.0) is RegistrationAction.END
     )
-    assert carry_out(one, 11.9) is RegistrationAction.NOTHING and carry_out(one, 12.0) is RegistrationAction.END
-    idle = keeper()
-    idle.on_term(0.0)
-    assert idle.next(0.0) is RegistrationAction.END  # there was no node: nothing to wait for
+    idle = registration_of()
+    idle.on_termination(0.0)
+    assert idle.next_action(0.0) is RegistrationAction.END  # there was no node: nothing to wait for
 
 
 # The agent as a program
--- a/tests/test_membership_merge.py
+++ b/tests/test_membership_merge.py
@@ -16,12 +16,11 @@
     MAX_REMOVALS_REMEMBERED,
     BackendChanges,
     ConnectionState,
-    Backend,
     SourceMerge,
     Source,
-    BackendStatus,
     deduplicate_by_name,
 )
+from cloverkeel.discovery.backend import Backend, BackendStatus
 from cloverkeel.discovery.node_codec import MAX_DATA_BYTES, decode_backend, encode_backend
 from cloverkeel.discovery.errors import NodeDataError
 
@@ -33,77 +32,77 @@
     return replace(Backend(name, ("10.0.0.1", 80)), **changes)  # type: ignore[arg-type]
 
 
-def names(membership: SourceMerge) -> list[str]:
-    return sorted(membership.members)
+def names(merge: SourceMerge) -> list[str]:
+    return sorted(merge.backend_by_name)
 
 
 def test_a_node_deleted_while_the_session_lives_is_told_at_once_also_for_all() -> None:
-    membership = SourceMerge()
-    assert membership.whole_list(S, E, [member("a"), member("b")]).put == (member("a"), member("b"))
-    assert membership.told(2 * S, E, gone=["a"]).gone == (member("a"),)
-    assert membership.whole_list(3 * S, E, []).gone == (member("b"),)
-    assert names(membership) == []
+    merge = SourceMerge()
+    assert merge.on_snapshot(S, E, [member("a"), member("b")]).updated == (member("a"), member("b"))
+    assert merge.on_changes(2 * S, E, removed=["a"]).removed == (member("a"),)
+    assert merge.on_snapshot(3 * S, E, []).removed == (member("b"),)
+    assert names(merge) == []
 
 
 def test_a_lost_connection_tells_nothing_and_the_list_stands_with_its_age() -> None:
-    membership = SourceMerge()
-    membership.link(S, E, ConnectionState.CONNECTED)
-    membership.whole_list(S, E, [member()])
+    merge = SourceMerge()
+    merge.on_connection_state(S, E, ConnectionState.CONNECTED)
+    merge.on_snapshot(S, E, [member()])
     for link in (ConnectionState.SUSPENDED, ConnectionState.LOST):
-        assert not membership.link(2 * S, E, link)
-        membership.confirm(5 * S, E)  # nothing that is not connected can be confirmed
-        assert names(membership) == ["a"] and membership.age_us(9 * S) == 8 * S
-    membership.link(9 * S, E, ConnectionState.CONNECTED)
-    membership.confirm(10 * S, E)
-    assert membership.age_us(10 * S) == 0 and membership.age_us(S) == 0  # a clock that stepped back
-    assert (membership.counts.suspended, membership.counts.lost) == (1, 1)
+        assert not merge.on_connection_state(2 * S, E, link)
+        merge.confirm(5 * S, E)  # nothing that is not connected can be confirmed
+        assert names(merge) == ["a"] and merge.age_us(9 * S) == 8 * S
+    merge.on_connection_state(9 * S, E, ConnectionState.CONNECTED)
+    merge.confirm(10 * S, E)
+    assert merge.age_us(10 * S) == 0 and merge.age_us(S) == 0  # a clock that stepped back
+    assert (merge.counters.suspended, merge.counters.lost) == (1, 1)
 
 
 def test_what_the_first_source_told_gone_does_not_come_back_from_an_old_list() -> None:
-    membership = SourceMerge()
-    membership.known(0, [member("a"), member("b")])
-    membership.whole_list(S, R, [member("a"), member("b")])
-    membership.whole_list(S, E, [member("a"), member("b")])
-    assert membership.told(2 * S, E, gone=["a"]).gone == (member("a"),)
-    membership.link(3 * S, E, ConnectionState.LOST)
-    assert not membership.whole_list(4 * S, R, [member("a"), member("b")])
-    assert names(membership) == ["b"]
+    merge = SourceMerge()
+    merge.load_known(0, [member("a"), member("b")])
+    merge.on_snapshot(S, R, [member("a"), member("b")])
+    merge.on_snapshot(S, E, [member("a"), member("b")])
+    assert merge.on_changes(2 * S, E, removed=["a"]).removed == (member("a"),)
+    merge.on_connection_state(3 * S, E, ConnectionState.LOST)
+    assert not merge.on_snapshot(4 * S, R, [member("a"), member("b")])
+    assert names(merge) == ["b"]
     # A life that began after the word is another box, and the registry may tell of it.
     fresh = member("a", since_ms=5_000)
-    assert membership.whole_list(6 * S, R, [fresh, member("b")]).put == (fresh,)
+    assert merge.on_snapshot(6 * S, R, [fresh, member("b")]).updated == (fresh,)
 
 
 def test_the_known_list_stands_until_some_source_has_given_a_whole_one() -> None:
-    membership = SourceMerge()
-    assert membership.known(0, [member("a"), member("b")]).put
-    membership.told(S, E, [member("c")])
-    assert names(membership) == ["a", "b", "c"]
-    assert membership.whole_list(2 * S, R, [member("b")]).gone == (member("a"),)
-    assert names(membership) == ["b", "c"]
+    merge = SourceMerge()
+    assert merge.load_known(0, [member("a"), member("b")]).updated
+    merge.on_changes(S, E, [member("c")])
+    assert names(merge) == ["a", "b", "c"]
+    assert merge.on_snapshot(2 * S, R, [member("b")]).removed == (member("a"),)
+    assert names(merge) == ["b", "c"]
 
 
 def test_a_fleet_moves_from_one_source_to_the_other_without_a_gap() -> None:
     fleet = [member(name) for name in "abc"]
     there = SourceMerge((R, E))
-    there.whole_list(S, R, fleet)
+    there.on_snapshot(S, R, fleet)
     seen = [names(there)]
     for box in fleet:  # agents start
-        there.told(2 * S, E, [replace(box, czxid=7)])
+        there.on_changes(2 * S, E, [replace(box, czxid=7)])
         seen.append(names(there))
     assert seen == [["a", "b", "c"]] * 4
     moved = SourceMerge((E, R))  # the order is turned round at a restart
-    moved.whole_list(3 * S, R, fleet)
-    moved.whole_list(3 * S, E, [replace(box, czxid=7) for box in fleet])
-    moved.link(4 * S, R, ConnectionState.LOST)  # the registry is switched off
+    moved.on_snapshot(3 * S, R, fleet)
+    moved.on_snapshot(3 * S, E, [replace(box, czxid=7) for box in fleet])
+    moved.on_connection_state(4 * S, R, ConnectionState.LOST)  # the registry is switched off
     assert names(moved) == ["a", "b", "c"]
 
 
 def test_a_box_that_registers_again_is_told_with_its_new_registration() -> None:
-    membership = SourceMerge()
-    membership.whole_list(S, E, [member("a", czxid=5, since_ms=100)])
-    change = membership.whole_list(2 * S, E, [member("a", czxid=9, since_ms=100)])
-    assert [m.czxid for m in change.put] == [9] and not change.gone
-    assert membership.whole_list(3 * S, E, [member("a", czxid=9, since_ms=100)]) == BackendChanges()
+    merge = SourceMerge()
+    merge.on_snapshot(S, E, [member("a", czxid=5, since_ms=100)])
+    change = merge.on_snapshot(2 * S, E, [member("a", czxid=9, since_ms=100)])
+    assert [m.czxid for m in change.updated] == [9] and not change.removed
+    assert merge.on_snapshot(3 * S, E, [member("a", czxid=9, since_ms=100)]) == BackendChanges()
 
 
 def test_two_agents_for_one_box_are_one_box() -> None:
@@ -115,9 +114,9 @@
 
 
 def test_what_is_kept_of_the_gone_is_bounded() -> None:
-    membership = SourceMerge()
-    membership.told(S, E, gone=[f"s-{n}" for n in range(MAX_REMOVALS_REMEMBERED + 10)])
-    assert len(membership.words[E].gone) == MAX_REMOVALS_REMEMBERED
+    merge = SourceMerge()
+    merge.on_changes(S, E, removed=[f"s-{n}" for n in range(MAX_REMOVALS_REMEMBERED + 10)])
+    assert len(merge.state_by_source[E].removed_ms_by_name) == MAX_REMOVALS_REMEMBERED
 
 
 @pytest.mark.parametrize("order", [(), (Source.KNOWN,), (E, E)])
@@ -139,14 +138,14 @@
 )
 
 
-def say(membership: SourceMerge, now_us: int, source: Source, what: str, value: object) -> BackendChanges:
+def say(merge: SourceMerge, now_us: int, source: Source, what: str, value: object) -> BackendChanges:
     if what == "list":
-        return membership.whole_list(now_us, source, value)  # type: ignore[arg-type]
+        return merge.on_snapshot(now_us, source, value)  # type: ignore[arg-type]
     if what == "put":
-        return membership.told(now_us, source, [value])  # type: ignore[list-item]
+        return merge.on_changes(now_us, source, [value])  # type: ignore[list-item]
     if what == "gone":
-        return membership.told(now_us, source, gone=[value])  # type: ignore[list-item]
-    return membership.link(now_us, source, value)  # type: ignore[arg-type]
+        return merge.on_changes(now_us, source, removed=[value])  # type: ignore[list-item]
+    return merge.on_connection_state(now_us, source, value)  # type: ignore[arg-type]
 
 
 def implied(words: dict[Source, list[tuple[int, str, object]]], known: list[Backend]) -> dict[str, Backend]:
@@ -183,7 +182,7 @@
 )  # fmt: skip
 @settings(max_examples=400, deadline=None, derandomize=True)
 def test_any_interleaving_ends_in_what_the_last_words_imply(
-    one: list[tuple[str, object]], other: list[tuple[str, object]], known: list[Backend], dice: random.Random
+    one: list[tuple[str, object]], other: list[tuple[str, object]], known: list[Backend], rng: random.Random
 ) -> None:
     # Each source's events have their times; how the two are interleaved does not matter.
     words = {
@@ -192,17 +191,17 @@
     }
     wanted = implied(words, known)
     for _ in range(3):
-        membership, followed = SourceMerge(), dict[str, Backend]()
+        merge, followed = SourceMerge(), dict[str, Backend]()
         left: dict[Source, list[Any]] = {E: words[E][:], R: words[R][:], Source.KNOWN: [(0, "known", known)]}
         while any(left.values()):
-            source = dice.choice([s for s in left if left[s]])
+            source = rng.choice([s for s in left if left[s]])
             at_us, what, value = left[source].pop(0)
-            change = membership.known(0, known) if what == "known" else say(membership, at_us, source, what, value)
-            for gone in change.gone:
+            change = merge.load_known(0, known) if what == "known" else say(merge, at_us, source, what, value)
+            for gone in change.removed:
                 assert followed.pop(gone.name) == gone
-            followed |= {put.name: put for put in change.put}
-            assert followed == membership.members  # the changes told add up to the list
-        assert membership.members == wanted
+            followed |= {put.name: put for put in change.updated}
+            assert followed == merge.backend_by_name  # the changes told add up to the list
+        assert merge.backend_by_name == wanted
 
 
 # Node data
