--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -138,7 +138,7 @@
             """CPU of one answer and the longest turn of the loop until all of it is told, both in ms."""
             longest, cpu, began = 0.0, time.process_time(), time.perf_counter()
             taking = loop.create_task(discovery.handle_reply(reply))
-            while not taking.done() or gateway.slices.waiting:
+            while not taking.done() or gateway.slices.pending:
                 await asyncio.sleep(0)
                 longest, began = max(longest, time.perf_counter() - began), time.perf_counter()
             taking.result()
--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -203,7 +203,7 @@
     """What restricts waits with the rest of a long list."""
     from cloverkeel.core.list_batches import ListBatches
 
-    cut(ListBatches, "take", ("listed.status is not ServerStatus.READY or is_another(entry)", "False"))
+    cut(ListBatches, "split", ("listed.status is not ServerStatus.READY or is_another(endpoint)", "False"))
 
 
 @entry("list-parts-known")
@@ -213,8 +213,8 @@
 
     cut(
         ListBatches,
-        "take",
-        ("MAX_UNSPLIT_ENTRIES if known <= MAX_UNSPLIT_ENTRIES else BATCH_ENTRIES", "MAX_UNSPLIT_ENTRIES"),
+        "split",
+        ("MAX_UNSPLIT_ENTRIES if known_hosts <= MAX_UNSPLIT_ENTRIES else BATCH_ENTRIES", "MAX_UNSPLIT_ENTRIES"),
     )
 
 
@@ -234,7 +234,7 @@
     from cloverkeel.core import incremental_gzip as gzip_steps
     from cloverkeel.discovery import relay_client as relayed
 
-    cut(gzip_steps, "decompress_gzip", ("if reader.unused_data or at < len(body):", "if False:"))
+    cut(gzip_steps, "decompress_gzip", ("if decompressor.unused_data or offset < len(body):", "if False:"))
     swap(relayed, "decompress_gzip", gzip_steps.decompress_gzip)
 
 
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -270,9 +270,9 @@
                 if self.lists:
                     self.handle(at_us, self.take_list(*self.lists.popleft()))
                     continue
-                if self.slices.waiting and (self.part_due or not may_write):  # while it holds: all of them
+                if self.slices.pending and (self.part_due or not may_write):  # while it holds: all of them
                     self.part_due = False
-                    self.handle(at_us, self.tell(ListKind.DELTA, self.slices.next()))
+                    self.handle(at_us, self.tell(ListKind.DELTA, self.slices.next_batch()))
                     continue
                 if self.urgent:
                     happened = self.urgent.popleft()()
@@ -333,13 +333,13 @@
         gone: list[int] = []
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
             gone = self.pools.keep_only({entry.listed.server for entry in entries})
-            self.slices.forget_all()
+            self.slices.clear()
         self.entries += len(entries) if kind is not ListKind.DISK else 0
         kept = [entry for entry in entries if not self.is_namesake(entry)]
         if kind is ListKind.DISK:  # the first of all: nothing can be sent yet
             now = self.slices.take_all(kept)
         else:
-            now = self.slices.take(kept, self.pools.known(), self.is_another)
+            now = self.slices.split(kept, self.pools.known(), self.is_another)
         if len(now) == len(kept):
             return self.tell(kind, now)
         if self.turn is None:
@@ -351,16 +351,16 @@
 
     def on_turn(self) -> None:
         """Requests have been served since the last part of a list: the next one."""
-        self.part_due = bool(self.slices.waiting)
+        self.part_due = bool(self.slices.pending)
         self.work()
-        self.turn = self.loop.call_soon(self.on_turn) if self.slices.waiting and not self.closed else None
+        self.turn = self.loop.call_soon(self.on_turn) if self.slices.pending and not self.closed else None
 
     def is_another(self, entry: Endpoint) -> bool:
         return self.pools.is_another(entry.listed.server, entry.address, entry.listed.started_us)
 
     def tell(self, kind: ListKind, entries: list[Endpoint], gone: tuple[ListedServer, ...] = ()) -> Event:
         self.fresh += len(entries)
-        if self.on_told is not None and not self.slices.waiting:
+        if self.on_told is not None and not self.slices.pending:
             self.on_told(self.fresh)
             self.fresh = 0
         for entry in entries:
--- a/cloverkeel/core/list_batches.py
+++ b/cloverkeel/core/list_batches.py
@@ -1,17 +1,18 @@
-"""Long lists of hosts in parts: what restricts is told at once, the rest some hosts a turn of the loop. Pure.
+"""Apply long endpoint lists in batches: what restricts is applied at once, the rest by turns of the loop. Pure.
 
-A list of six hundred hosts, told in one piece, stops the loop for longer than a request may be held up. Between two
-parts requests are served.
+A list of six hundred hosts, applied in one piece, stalls the loop for longer than a request may be held up. Between
+two batches requests are served.
 
 Invariants:
-- what has been told and what waits are together the newest word on each host: what a newer list says of a host, or a
-  whole one by not naming it, takes the place of what waits;
-- what waits restricts nothing: hosts that drain, are gone, have moved or are new processes are told at once;
-- a list of AT_ONCE entries or fewer is told in one piece where no more hosts are known, and a list of SLICE always;
-- so is the list of a gateway that knows few hosts yet: what comes meanwhile would go to the few of the first part,
+- what was applied and what is pending are together the newest entry of each host: what a newer list says of a host,
+  or a snapshot by not naming it, takes the place of what is pending;
+- what is pending restricts nothing: hosts that drain, are gone, have moved or are new processes are applied at once;
+- a list of MAX_UNSPLIT_ENTRIES or fewer is applied in one piece where no more hosts are known, and a list of
+  BATCH_ENTRIES always;
+- so is the list of a gateway that knows few hosts yet: what arrives meanwhile would go to the few of the first batch,
   from every gateway that starts at that time. Its first list holds up nobody: without one nobody is served;
-- bounded: one entry a host, of those that a whole list named and changes since.
-It may not know who tells the module, nor what time it is.
+- bounded: one entry a host, of those that a snapshot named and changes since.
+It may not know who tells the balancer, nor what time it is.
 """
 
 from __future__ import annotations
@@ -24,51 +25,53 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_UNSPLIT_ENTRIES: Final = 200  # entries, and hosts known: the platform's whole list is no longer
-BATCH_ENTRIES: Final = 50  # entries in a turn: under a millisecond, all of them new, on a machine with other work
-MAX_GROWTH_FACTOR: Final = 4  # times the hosts known are fewer than those named: the list is told in one piece
+MAX_UNSPLIT_ENTRIES: Final = 200  # and hosts known: the platform's complete list is no longer
+BATCH_ENTRIES: Final = 50  # in a turn: under a millisecond, all of them new, on a machine with other work
+MAX_GROWTH_FACTOR: Final = 4  # a list of more entries than so many times the hosts known is applied in one piece
 
 
 class ListBatches:
-    """What waits of long lists, by the hosts' numbers, in the order they came in; a newer word has its place."""
+    """What is pending of long lists, by host and in the order they came in; a newer entry has its place."""
 
     def __init__(self) -> None:
-        self.waiting: dict[int, Endpoint] = {}
+        self.pending: dict[int, Endpoint] = {}
 
     def name_of(self, server: int) -> str | None:
-        """Of a host that waits to be told."""
-        entry = self.waiting.get(server)
-        return entry.name if entry is not None else None
-
-    def forget_all(self) -> None:
-        """A whole list has come: what waits of those before it is void."""
-        self.waiting.clear()
-
-    def take_all(self, entries: list[Endpoint]) -> list[Endpoint]:
-        """The whole of a list is told now."""
-        for entry in entries if self.waiting else ():
-            self.waiting.pop(entry.listed.server, None)
-        return entries
-
-    def take(self, entries: list[Endpoint], known: int, is_another: Callable[[Endpoint], bool]) -> list[Endpoint]:
-        """What of a list is to be told now; the rest waits.
-
-        `known`: how many hosts are known now, what the list leaves out taken off already. `is_another`: whether a
+        """Return the name of a host that is pending."""
+        endpoint = self.pending.get(server)
+        return endpoint.name if endpoint is not None else None
+
+    def clear(self) -> None:
+        """Drop what is pending: a snapshot has come."""
+        self.pending.clear()
+
+    def take_all(self, endpoints: list[Endpoint]) -> list[Endpoint]:
+        """Return a whole list, which is applied now."""
+        for endpoint in endpoints if self.pending else ():
+            self.pending.pop(endpoint.listed.server, None)
+        return endpoints
+
+    def split(
+        self, endpoints: list[Endpoint], known_hosts: int, is_another: Callable[[Endpoint], bool]
+    ) -> list[Endpoint]:
+        """Return what of a list is to be applied now; the rest is pending.
+
+        `known_hosts`: how many are known now, what the list leaves out taken off already. `is_another`: whether a
         host is known as another process, or at another address.
         """
-        least = MAX_UNSPLIT_ENTRIES if known <= MAX_UNSPLIT_ENTRIES else BATCH_ENTRIES
-        if len(entries) <= least or len(entries) > MAX_GROWTH_FACTOR * known:
-            return self.take_all(entries)
+        max_unsplit = MAX_UNSPLIT_ENTRIES if known_hosts <= MAX_UNSPLIT_ENTRIES else BATCH_ENTRIES
+        if len(endpoints) <= max_unsplit or len(endpoints) > MAX_GROWTH_FACTOR * known_hosts:
+            return self.take_all(endpoints)
         now: list[Endpoint] = []
-        for entry in entries:  # of a host that is named twice the last word is told last
-            listed = entry.listed
-            if listed.status is not ServerStatus.READY or is_another(entry):
-                self.waiting.pop(listed.server, None)
-                now.append(entry)
+        for endpoint in endpoints:  # of a host that is named twice the last entry is applied last
+            listed = endpoint.listed
+            if listed.status is not ServerStatus.READY or is_another(endpoint):
+                self.pending.pop(listed.server, None)
+                now.append(endpoint)
             else:
-                self.waiting[listed.server] = entry
+                self.pending[listed.server] = endpoint
         return now
 
-    def next(self) -> list[Endpoint]:
-        """The next part of what waits; empty where nothing does."""
-        return [self.waiting.pop(server) for server in list(islice(self.waiting, BATCH_ENTRIES))]
+    def next_batch(self) -> list[Endpoint]:
+        """Return the next batch of what is pending; empty where nothing is."""
+        return [self.pending.pop(server) for server in list(islice(self.pending, BATCH_ENTRIES))]
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -147,32 +147,32 @@
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.lists(st.sampled_from(("whole", "change", "small", "turn", "turn")), max_size=14))
 def test_in_any_order_what_is_told_and_what_waits_is_the_newest_word(seed: int, steps: list[str]) -> None:
-    dice, slices, told, truth = random.Random(seed), ListBatches(), Told(), Told()
+    rng, slices, told, truth = random.Random(seed), ListBatches(), Told(), Told()
     for step in ["whole", *steps]:
         if step == "turn":
-            told.take(slices.next())
+            told.take(slices.next_batch())
         else:
             count = {"whole": 700, "change": 300, "small": 5}[step]
             statuses = (ServerStatus.READY,) * 8 + (ServerStatus.DRAINING, ServerStatus.GONE)
-            numbers = dice.sample(range(900), count)
-            entries = [word(n, dice.choice(statuses), dice.choice((0, 0, 0, 5)), dice.random()) for n in numbers]
+            numbers = rng.sample(range(900), count)
+            entries = [word(n, rng.choice(statuses), rng.choice((0, 0, 0, 5)), rng.random()) for n in numbers]
             if step == "whole":
-                slices.forget_all()
+                slices.clear()
                 truth.hosts.clear()
                 told.hosts = {n: entry for n, entry in told.hosts.items() if n in numbers}
             truth.take(entries)
             known = len(told.hosts)
-            now = slices.take(entries, known, told.is_another)
+            now = slices.split(entries, known, told.is_another)
             told.take(now)
             assert step != "small" or now == entries
             assert now == entries or MAX_GROWTH_FACTOR * known >= len(entries) > MAX_UNSPLIT_ENTRIES
-        assert told.hosts | slices.waiting == truth.hosts  # the newest word on each host, and no other host
+        assert told.hosts | slices.pending == truth.hosts  # the newest word on each host, and no other host
         for server, entry in told.hosts.items():  # of what is in use, every restriction is told
             newest = truth.hosts[server].listed
             assert newest.status is entry.listed.status or newest.status is ServerStatus.READY
             assert newest.started_us == entry.listed.started_us
-    while slices.waiting:
-        part = slices.next()
+    while slices.pending:
+        part = slices.next_batch()
         assert 0 < len(part) <= BATCH_ENTRIES
         told.take(part)
     assert told.hosts == truth.hosts
@@ -207,11 +207,11 @@
         assert {entry.server for entry in first.servers if entry.status is ServerStatus.GONE} == gone
         assert first.servers[len(gone) :] == (anew.listed, drains.listed)
         assert not any(run.pools.knows(number) for number in gone)
-        last = next(reversed(run.gateway.slices.waiting.values()))
+        last = next(reversed(run.gateway.slices.pending.values()))
         run.gateway.on_list(ListKind.DELTA, [word(last.listed.server, ServerStatus.GONE)])
         assert lists.pop().servers[0].status is ServerStatus.GONE and not lists  # ahead of what waits
         turns = 0
-        while run.gateway.slices.waiting:
+        while run.gateway.slices.pending:
             before = len(lists)
             await asyncio.sleep(0)
             assert len(lists) <= before + 1
@@ -236,10 +236,10 @@
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         run.gateway.on_list(ListKind.DELTA, serving(range(300)))
         run.gateway.on_list(ListKind.DELTA, serving(range(300), weight=0.5))
-        assert run.gateway.slices.waiting
+        assert run.gateway.slices.pending
         run.gateway.look(run.gateway.still.seen_us + 10_000_000)  # a gap was seen: nothing may be sent
         await asyncio.sleep(0)
-        assert not run.gateway.slices.waiting and run.gateway.still.holds
+        assert not run.gateway.slices.pending and run.gateway.still.holds
         run.gateway.on_list(ListKind.DELTA, [word(7, weight=0.25)])
         weights = {number: run.module.servers[number].entry.weight for number in range(300)}
         assert weights.pop(7) == 0.25 and set(weights.values()) == {0.5}
@@ -271,7 +271,7 @@
                 hosts = [*serving(range(turn * 600, turn * 600 + 600))]
                 run.gateway.on_list(ListKind.FULL, hosts)
                 del hosts
-                while run.gateway.slices.waiting or freezer.due:
+                while run.gateway.slices.pending or freezer.due:
                     await asyncio.sleep(0)
                 if turn == 0:
                     assert freezer.freezes == 1 and gc.get_freeze_count() > 600 * 5
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -175,7 +175,7 @@
                 at_once.discovery.handle_body_at_once(body)
                 at_once.gateway.on_list(ListKind.DELTA, [])
             assert by_steps.discovery.schedule.version == at_once.discovery.schedule.version
-        while by_steps.gateway.slices.waiting or at_once.gateway.slices.waiting:
+        while by_steps.gateway.slices.pending or at_once.gateway.slices.pending:
             await asyncio.sleep(0)
         assert by_steps.state() == at_once.state()
         assert [(kind, [e.listed for e in told]) for kind, told in by_steps.told] == [
@@ -203,7 +203,7 @@
     first = {entry.server: entry for entry in lists[0].servers}
     assert first.keys() == {host_id(n) for n in (*range(50), *range(100, 650), *range(690, 700))}
     assert first[host_id(5)].status is ServerStatus.GONE and first[host_id(649)].started_us == 7_000
-    while taking.gateway.slices.waiting:
+    while taking.gateway.slices.pending:
         await asyncio.sleep(0)
     assert all(len(event.servers) <= BATCH_ENTRIES for event in lists[1:])
     assert sum(len(event.servers) for event in lists[1:]) == 90
@@ -213,12 +213,12 @@
 def test_a_list_is_short_by_what_the_gateway_knows() -> None:
     """Who knows no more than the platform has takes lists of its size as they are; who knows more, a slice."""
     entries = serving(range(MAX_UNSPLIT_ENTRIES))
-    assert ListBatches().take(entries, MAX_UNSPLIT_ENTRIES, lambda entry: False) == entries
-    assert ListBatches().take(entries[:BATCH_ENTRIES], 700, lambda entry: False) == entries[:BATCH_ENTRIES]
+    assert ListBatches().split(entries, MAX_UNSPLIT_ENTRIES, lambda entry: False) == entries
+    assert ListBatches().split(entries[:BATCH_ENTRIES], 700, lambda entry: False) == entries[:BATCH_ENTRIES]
     slices = ListBatches()
     assert (
-        not slices.take(entries, MAX_UNSPLIT_ENTRIES + 1, lambda entry: False)
-        and len(slices.waiting) == MAX_UNSPLIT_ENTRIES
+        not slices.split(entries, MAX_UNSPLIT_ENTRIES + 1, lambda entry: False)
+        and len(slices.pending) == MAX_UNSPLIT_ENTRIES
     )
 
 
@@ -369,11 +369,11 @@
 
         def hear(event: object) -> None:
             if isinstance(event, ServerList) and any(e.status is ServerStatus.DRAINING for e in event.servers):
-                waiting.append(len(run.gateway.slices.waiting))
+                waiting.append(len(run.gateway.slices.pending))
 
         overhear(run, hear)
         run.gateway.start()
-        await until(lambda: waiting and not run.gateway.slices.waiting)
+        await until(lambda: waiting and not run.gateway.slices.pending)
         assert waiting[0] > 0
         assert run.pools.hosts[host_id(MANY - 1)].drained_us is not None
         assert run.module.servers[host_id(0)].entry.weight == 0.5
