--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -39,11 +39,11 @@
         "drain", "drain", quick=True, tests="gateway_pools::nothing_starts_after_the_grace_of_a_drain"),
     row("gone-module+gone-pools+drain-pools", "nothing to a server that is gone",
         "Balancer.take_leave, Pools.remove",
-        tests="gateway_discovery::the_whole_list_drops_what_it_does_not_name"),
+        tests="discovery/http_client::a_snapshot_drops_what_it_does_not_name"),
     row("list-retry-soon", "a call that failed is made again soon", "Balancer.on_list",
-        tests="watch::the_times_together_are_within_what_counts_as_told"),
+        tests="discovery/poll_schedule::the_times_together_are_within_the_notification_delay"),
     row("list-again", "a list that failed is asked for again", "Balancer.on_list",
-        tests="gateway_discovery::a_failed_call_is_told_and_made_again_when_the_module_says"),
+        tests="discovery/http_client::a_failed_call_is_notified_and_made_again_when_the_balancer_says"),
     row("cold-budget", "a gateway keeps to its part of a cold budget", "Balancer.cold_room", COLD, "cold",
         seeds=(1,), tests="requests::cold_servers_are_kept_within_the_budget_by_all_proxies_together"
         " cold_fleet::a_cold_server_is_not_pushed_over"
@@ -109,5 +109,5 @@
     row("retry-tokens", "repeats are bounded", "Balancer.try_again",
         tests="breaker::after_a_reset_a_repeat_costs_less_and_goes_on_while_little_is_shed"),
     row("cold-told-users", "a cold host's budget is split by who has it", "Balancer.fall_budget_us",
-        tests="list_cost::the_parts_of_those_who_know_a_cold_server_never_pass_its_budget"),
+        tests="discovery/list_cost::the_quotas_of_those_who_know_a_warming_server_never_exceed_its_budget"),
 )  # fmt: skip
--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -42,17 +42,17 @@
     row("list-before-all", "a list goes ahead of what waits", "Gateway.work",
         tests="stillness::word_of_a_drain_is_read_before_a_request_that_came_first"),
     row("list-parts", "requests are served between the parts of a long list", "ListBatches.split",
-        tests="list_cost::between_the_parts_of_a_long_list_the_loop_has_its_turns"),
+        tests="discovery/list_cost::between_the_batches_of_a_long_list_the_loop_has_its_turns"),
     row("list-parts-restrict", "what restricts is told at once", "ListBatches.split",
-        tests="list_cost::between_the_parts_of_a_long_list_the_loop_has_its_turns"),
+        tests="discovery/list_cost::between_the_batches_of_a_long_list_the_loop_has_its_turns"),
     row("list-parts-known", "so are those of a zone that is back before many hosts", "ListBatches.split",
-        tests="list_reading::a_list_is_short_by_what_the_gateway_knows"),
+        tests="discovery/incremental_reading::a_list_is_short_by_what_the_gateway_knows"),
     row("gzip-limit", "a few bytes of gzip don't become more than the longest list", "unpack",
-        tests="list_reading::a_step_makes_little_whatever_was_packed"
-        " relays::a_relay_that_fails_costs_no_news_and_the_list_stands"),
+        tests="discovery/incremental_reading::a_step_makes_little_whatever_was_compressed"
+        " discovery/relay_client::a_relay_that_fails_costs_no_news_and_the_list_stands"),
     row("gzip-end", "gzip with something after its end is a call that failed", "unpack",
-        tests="list_reading::what_was_packed_is_read_and_nothing_else"
-        " relays::a_relay_that_fails_costs_no_news_and_the_list_stands"),
+        tests="discovery/incremental_reading::what_was_compressed_is_read_and_nothing_else"
+        " discovery/relay_client::a_relay_that_fails_costs_no_news_and_the_list_stands"),
     row("way-out-accepts", "what waits to be accepted is answered", "Server.drain",
         tests="gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes "
               "gateway_process::no_request_is_lost_at_a_restart_under_way"),
--- /dev/null
+++ b/tests/discovery/test_endpoint_parser.py
@@ -0,0 +1,16 @@
+"""Entries of the registry's list."""
+
+from __future__ import annotations
+
+
+from cloverkeel.core.config import Names
+from cloverkeel.discovery.endpoint_parser import parse_endpoint
+from tests.sockets import (
+    endpoint,
+)  # fmt: skip
+
+
+def test_users_of_an_entry_are_taken_where_they_are_a_count() -> None:
+    names = Names({}, {}, {}, {})
+    for told, users in ((3, 3), (0, 0), (-1, 0), (True, 0), ("7", 0), (2.5, 0)):
+        assert parse_endpoint(endpoint("s-1", "h:1", users=told, service="s1"), names).listed.users == users
--- a/tests/test_gateway_discovery.py
+++ b/tests/discovery/test_http_client.py
@@ -75,7 +75,7 @@
 
 
 @on_loop
-async def test_a_watch_that_is_let_go_is_heard_no_more() -> None:
+async def test_a_watch_that_was_stopped_is_ignored() -> None:
     async with (
         peer(silent) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
@@ -89,7 +89,7 @@
 
 
 @on_loop
-async def test_the_whole_list_drops_what_it_does_not_name() -> None:
+async def test_a_snapshot_drops_what_it_does_not_name() -> None:
     listed = endpoint("s-1", "127.0.0.1:1", zone="b", group=3, since_ms=5, weight=2)
     async with peer(answers(list_reply(12, listed))) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
@@ -123,7 +123,7 @@
     ],
 )
 @on_loop
-async def test_a_failed_call_is_told_and_made_again_when_the_module_says(script: Script) -> None:
+async def test_a_failed_call_is_notified_and_made_again_when_the_balancer_says(script: Script) -> None:
     async with peer(script) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"  # the module asks, and asks again
--- a/tests/test_list_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -43,7 +43,7 @@
     Exchange, Peer, Running, answers, configuration, endpoint, host_id, hosts_list, on_loop, overhear, peer, reply,
     request, until,
 )  # fmt: skip
-from tests.test_list_cost import serving
+from tests.discovery.test_list_cost import serving
 
 # gzip, by steps
 
@@ -59,7 +59,9 @@
 
 @settings(max_examples=60)
 @given(st.binary(max_size=2_000), st.integers(1, 200), st.integers(0, 9), st.data())
-def test_what_was_packed_is_read_and_nothing_else(some: bytes, times: int, level: int, data: st.DataObject) -> None:
+def test_what_was_compressed_is_read_and_nothing_else(
+    some: bytes, times: int, level: int, data: st.DataObject
+) -> None:
     body = some * times
     packed = gzip.compress(body, level)
     assert run_to_completion(decompress_gzip(packed, len(body))) == body
@@ -70,7 +72,7 @@
         refused(packed, len(body) - 1)
 
 
-def test_a_step_makes_little_whatever_was_packed() -> None:
+def test_a_step_makes_little_whatever_was_compressed() -> None:
     assert refused(gzip.compress(bytes(64 << 20)), 4 << 20) <= (4 << 20) // MAX_BYTES_PER_STEP
     nothing = gzip.compress(b"")[:10] + b"\0\0\0\xff\xff" * 60_000  # blocks of nothing
     assert refused(nothing) >= len(nothing) // MAX_BYTES_PER_STEP > 3
@@ -153,7 +155,7 @@
 @pytest.mark.parametrize("by_relay", [False, True], ids=["discovery", "relay"])
 @settings(max_examples=25, deadline=None)
 @given(seed=st.integers(0, 2**32), plan=st.lists(st.sampled_from(["whole", "change", "left"]), max_size=6))
-def test_whatever_the_steps_the_core_knows_what_answers_at_one_go_tell(
+def test_whatever_the_steps_the_core_knows_what_answers_read_at_once_say(
     by_relay: bool, seed: int, plan: list[str]
 ) -> None:
     """`left`: the list is superseded while it is read."""
@@ -188,7 +190,7 @@
 
 
 @on_loop
-async def test_what_restricts_is_told_first_and_in_one_piece() -> None:
+async def test_what_restricts_is_applied_first_and_in_one_piece() -> None:
     taking = Taking(by_relay=True)
     served = {n: ("SERVING", 1.0, 0) for n in range(700)}
     await taking.discovery.handle_reply(Reply(200, [], listed(1, True, served), True))
@@ -269,7 +271,7 @@
     worker.catch_up_task.cancel()
 
 
-def test_reading_is_within_the_times_in_which_a_change_is_told() -> None:
+def test_reading_is_within_the_notification_delay() -> None:
     assert (
         max(SILENT_WATCH_DETECTION_S, SILENT_CONNECTION_DETECTION_S, UNREACHABLE_DETECTION_S) + MAX_INCREMENTAL_READ_S
         < MAX_NOTIFICATION_DELAY_S
@@ -361,7 +363,7 @@
 
 
 @on_loop
-async def test_a_drain_in_the_next_answer_goes_ahead_of_a_long_list_that_is_still_told() -> None:
+async def test_a_drain_in_the_next_answer_goes_ahead_of_a_long_list_that_is_pending() -> None:
     async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
         drain = reply(200, listed(7, False, {MANY - 1: ("DRAINING", 0.5, 0)}, host.address))
         relay.script = Teller(many(5, host.address), packed(many(6, host.address, weight=0.5)), drain)
@@ -381,7 +383,7 @@
 
 @pytest.mark.parametrize("how", ["move", "fetch", "stop", "close", "unfit"])
 @on_loop
-async def test_a_list_that_is_superseded_while_it_is_read_is_never_told(how: str) -> None:
+async def test_a_list_that_is_superseded_while_it_is_read_is_never_notified(how: str) -> None:
     async with (
         peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first, False) as run,
     ):  # fmt: skip
@@ -411,7 +413,7 @@
 
 
 @on_loop
-async def test_a_list_of_a_relay_that_is_left_while_it_is_read_is_never_told() -> None:
+async def test_a_list_of_a_relay_that_is_left_while_it_is_read_is_never_notified() -> None:
     async with peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first) as run:
         first.script, other.script = Teller(packed(many(8, host.address))), Teller(many(9, host.address, count=2))
         counts: set[int] = set()
@@ -429,7 +431,7 @@
 
 
 @on_loop
-async def test_what_is_read_while_the_process_stood_still_is_told_before_anything_is_sent() -> None:
+async def test_what_is_read_while_the_process_was_stalled_is_notified_before_anything_is_sent() -> None:
     async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
         order: list[str] = []
 
--- a/tests/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -80,7 +80,9 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(1, 60), st.floats(3, 500)), min_size=1, max_size=20))
-def test_the_parts_of_those_who_know_a_cold_server_never_pass_its_budget(fleet: list[tuple[int, float]]) -> None:
+def test_the_quotas_of_those_who_know_a_warming_server_never_exceed_its_budget(
+    fleet: list[tuple[int, float]],
+) -> None:
     """Whatever each one's list and reach: by these alone, twenty of 40 that know 60 hosts took ten times it."""
     parts = 0.0
     for number, (hosts, reach) in enumerate(fleet):
@@ -94,7 +96,7 @@
     assert parts <= RULES.fall_multiple * RULES.fall_us
 
 
-def test_a_part_that_grows_brings_no_burst_along() -> None:
+def test_a_quota_that_grows_brings_no_burst_along() -> None:
     """Those that knew the server until now may just have spent theirs."""
     klass = RequestClass(aim_us=80_000, give_up_us=4_000_000)
     balancer = Balancer(replace(RULES, classes=(klass,), start_capacity=1.0), seed=1)
@@ -146,7 +148,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.lists(st.sampled_from(("whole", "change", "small", "turn", "turn")), max_size=14))
-def test_in_any_order_what_is_told_and_what_waits_is_the_newest_word(seed: int, steps: list[str]) -> None:
+def test_in_any_order_what_was_applied_and_what_is_pending_is_the_newest_entry(seed: int, steps: list[str]) -> None:
     rng, slices, told, truth = random.Random(seed), ListBatches(), Told(), Told()
     for step in ["whole", *steps]:
         if step == "turn":
@@ -194,7 +196,7 @@
 
 
 @on_loop
-async def test_between_the_parts_of_a_long_list_the_loop_has_its_turns() -> None:
+async def test_between_the_batches_of_a_long_list_the_loop_has_its_turns() -> None:
     async with running(configuration("127.0.0.1:9")) as run:
         run.gateway.on_list(ListKind.FULL, serving(range(500)))  # nearly all new: told in one piece
         lists = lists_told(run)
@@ -222,7 +224,7 @@
 
 
 @on_loop
-async def test_a_list_of_the_platforms_size_is_told_as_it_is() -> None:
+async def test_a_list_of_the_platforms_size_is_applied_as_it_is() -> None:
     async with running(configuration("127.0.0.1:9")) as run:
         lists = lists_told(run)
         for listed in (serving(range(MAX_UNSPLIT_ENTRIES)), serving(range(5, MAX_UNSPLIT_ENTRIES + 5), weight=0.5)):
@@ -231,7 +233,7 @@
 
 
 @on_loop
-async def test_after_a_gap_the_whole_list_is_told_before_anything_is_sent() -> None:
+async def test_after_a_stall_the_whole_list_is_applied_before_anything_is_sent() -> None:
     """Also what waited since before it."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         run.gateway.on_list(ListKind.DELTA, serving(range(300)))
--- a/tests/test_watch.py
+++ b/tests/discovery/test_poll_schedule.py
@@ -27,7 +27,7 @@
 from tests.helpers import SAFE, Driver, timers
 
 
-def test_the_times_together_are_within_what_counts_as_told() -> None:
+def test_the_times_together_are_within_the_notification_delay() -> None:
     assert (
         max(SILENT_WATCH_DETECTION_S, SILENT_CONNECTION_DETECTION_S, UNREACHABLE_DETECTION_S)
         < MAX_NOTIFICATION_DELAY_S
@@ -36,7 +36,7 @@
 
 
 @given(failures=st.integers(1, 60), must_ask_us=st.integers(1_000, 60_000_000), seed=st.integers(0, 99))
-def test_however_often_calls_failed_the_module_asks_again_soon(failures: int, must_ask_us: int, seed: int) -> None:
+def test_however_often_calls_failed_the_balancer_asks_again_soon(failures: int, must_ask_us: int, seed: int) -> None:
     settings = Settings((SAFE,), list_is_pushed=False, must_ask_within_us=must_ask_us)
     driver = Driver(settings, servers=0, seed=seed)
     for _ in range(failures):
--- /dev/null
+++ b/tests/discovery/test_relay_client.py
@@ -0,0 +1,267 @@
+"""A gateway behind scripted relays, on loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import gzip
+import json
+import time
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, suppress
+from typing import Any
+
+import pytest
+
+from cloverkeel.balancing.interface import WatchList
+from cloverkeel.assembly import assemble
+from cloverkeel.core.config import parse
+from cloverkeel.core.options import Options, Relays as RelayOptions
+from cloverkeel.discovery.relay_client import RelayEndpointSource
+from cloverkeel.discovery.connection import MAX_REPLY_BYTES
+from cloverkeel.discovery.relay_requests import RELAY_HOLD_S
+from cloverkeel.discovery.poll_schedule import (
+    LONG_POLL_HOLD_S,
+    LONG_POLL_GRACE_S as LONG_LATE_S,
+)
+from tests.sockets import (
+    Exchange, Peer, Running, Script, answers, configuration, endpoint, host_id, hosts_list, list_reply, on_loop, peer,
+    reply, silent, until,
+)  # fmt: skip
+
+
+def relay_list(index: int, *endpoints: dict[str, object], age_ms: object = 100, snapshot: bool = True) -> bytes:
+    return reply(200, json.dumps(hosts_list(index, *endpoints, snapshot=snapshot) | {"age_ms": age_ms}).encode())
+
+
+def holding(whole: bytes) -> Script:
+    """A relay with one list, without news."""
+
+    async def script(exchange: Exchange) -> None:
+        if "/relay/state" in exchange.message.first:
+            exchange.answer(reply(200, b'{"version":5,"age_ms":100}'))
+        elif "from=" in exchange.message.first:
+            await asyncio.sleep(RELAY_HOLD_S / 2)
+            exchange.answer(relay_list(5, snapshot=False))
+        else:
+            exchange.answer(whole)
+
+    return script
+
+
+@asynccontextmanager
+async def behind(
+    host: Peer, relays: list[Peer], discovery: str = "127.0.0.1:9", **options: Any
+) -> AsyncIterator[tuple[Running, list[Peer]]]:
+    """The gateway behind relays, and these in its order."""
+    config = parse(configuration(host, discovery=discovery))
+    addresses = tuple(("127.0.0.1", int(relay.address.split(":")[1])) for relay in relays)
+    program = assemble(config, Options(relays=RelayOptions(addresses, **options)))
+    assert isinstance(program.discovery, RelayEndpointSource)
+    ports = [relay.address[1] for relay in program.discovery.selector.ranked]
+    by_port = {relay.address[1]: relay.address for relay in program.discovery.selector.ranked}
+    assert sorted(by_port) == sorted(ports)
+    ordered = sorted(relays, key=lambda relay: ports.index(int(relay.address.split(":")[1])))
+    try:
+        yield Running(program.gateway, program.server, program.pools, program.discovery, 0), ordered
+    finally:
+        program.close()
+
+
+def drained(run: Running, number: int = 0) -> bool:
+    return run.pools.hosts[host_id(number)].drained_us is not None
+
+
+def targets(relay: Peer) -> list[str]:
+    return [exchange.message.first.split(" ")[1] for exchange in relay.seen]
+
+
+@on_loop
+async def test_it_names_itself_and_asks_one_relay_alone() -> None:
+    async with (
+        peer() as host,
+        peer() as a,
+        peer() as b,
+        peer() as discovery,
+        behind(host, [a, b], discovery.address, services=("s1", "s 2")) as (run, (first, second)),
+    ):
+        first.script = holding(relay_list(5, endpoint("s-1", host.address, service="s1", users=12)))
+        run.gateway.start()
+        await until(lambda: len(first.seen) >= 3)
+        named = "/registry/instances?gateway=n0&services=s1,s%202&wide=0"
+        assert targets(first)[:3] == [named] + [named + "&from=5&hold_ms=400"] * 2
+        assert set(run.pools.hosts) == {host_id(1)} and first.opened == 1
+        assert not second.opened and not discovery.opened
+        assert run.module.servers[host_id(1)].entry.users == 12
+
+
+def coded(body: bytes, coding: str = "gzip") -> Script:
+    return answers(reply(200, body, f"Content-Encoding: {coding}"))
+
+
+DRAIN = json.dumps(hosts_list(6, endpoint("s-0", "127.0.0.1:9", status="DRAINING"), snapshot=False)).encode()
+FAULTS: dict[str, Script] = {
+    "gzip cut short": coded(gzip.compress(DRAIN)[:-9]),
+    "more than gzip": coded(gzip.compress(DRAIN) + b"x"),
+    "no gzip": coded(DRAIN),
+    "another coding": coded(DRAIN, "br"),
+    "too long once read": coded(gzip.compress(DRAIN + b" " * MAX_REPLY_BYTES, 1)),
+    "reset": lambda exchange: exchange.reset(),
+    "refuses": answers(reply(503)),
+    "rubbish": answers(reply(200, b"not JSON")),
+    "odd age": answers(relay_list(6, age_ms="old")),
+    "no entry that can be used": answers(relay_list(6, {"name": "", "status": "SERVING"})),
+    "silent": silent,
+    "stale": lambda exchange: exchange.answer(relay_list(6, age_ms=60_000, snapshot=False)),
+}
+
+
+@pytest.mark.parametrize("fault", FAULTS)
+@on_loop
+async def test_a_relay_that_fails_costs_no_news_and_the_list_stands(fault: str) -> None:
+    async with (
+        peer() as host,
+        peer() as a,
+        peer() as b,
+        behind(host, [a, b]) as (run, (first, second)),
+    ):
+        since: list[float] = []
+
+        def script(exchange: Exchange) -> None:
+            if "from=" not in exchange.message.first and not since:
+                exchange.answer(relay_list(5, endpoint("s-0", host.address)))
+            else:
+                since.append(time.monotonic())
+                FAULTS[fault](exchange)
+
+        first.script = script
+        second.script = holding(relay_list(900, endpoint("s-0", host.address, status="DRAINING")))
+        run.gateway.start()
+        await until(lambda: since)
+        assert not drained(run)
+        await until(lambda: drained(run))
+        assert time.monotonic() - since[0] < LONG_POLL_HOLD_S + LONG_LATE_S  # when a watch of discovery is given up
+        assert "from=" not in next(target for target in targets(second) if target != "/relay/state")
+        left = len(first.seen)
+        await until(lambda: len(second.seen) >= 3)
+        assert len(first.seen) == left and first.ended == first.opened  # it rests, and its connection is closed
+
+
+@pytest.mark.parametrize("state", [b"rubbish", b'{"version":1,"age_ms":59000}', None])
+@on_loop
+async def test_a_relay_that_is_partitioned_is_left_for_one_that_says_it_is_fresh(state: bytes | None) -> None:
+    """The others are looked at meanwhile: one that says rubbish, hardly less old, or nothing is not gone to."""
+    entry = endpoint("s-0", "127.0.0.1:1")
+
+    def says(age_ms: int, answer: bytes | None) -> Script:
+        async def script(exchange: Exchange) -> None:
+            if exchange.message.first.startswith("GET /relay/state "):
+                if answer is not None:
+                    exchange.answer(reply(200, answer))
+                return
+            is_held = "from=" in exchange.message.first
+            await asyncio.sleep(RELAY_HOLD_S / 10 if is_held else 0)
+            exchange.answer(relay_list(5, *(() if is_held else (entry,)), age_ms=age_ms, snapshot=not is_held))
+
+        return script
+
+    async with peer() as host, peer() as a, peer() as b, peer() as c, behind(host, [a, b, c]) as (run, ordered):
+        ordered[0].script = says(60_000, None)
+        ordered[1].script = says(59_900, state)
+        ordered[2].script = says(300, b'{"version":7,"age_ms":300}')
+        run.gateway.start()
+        await until(lambda: run.discovery.selector.current is run.discovery.selector.ranked[2])  # type: ignore[attr-defined]
+        await until(lambda: any("from=" in target for target in targets(ordered[2])))
+        assert {target for target in targets(ordered[1])} == {"/relay/state"}
+        assert ordered[0].opened == 1
+
+
+@on_loop
+async def test_what_a_relay_answers_after_it_was_left_is_ignored() -> None:
+    async with (
+        peer() as host,
+        peer() as a,
+        peer() as b,
+        behind(host, [a, b]) as (run, (first, second)),
+    ):
+        paced: list[bool] = []
+
+        async def late(exchange: Exchange) -> None:
+            await until(lambda: run.discovery.retry_timer)  # it is between the two
+            run.gateway.carry_out(WatchList())
+            paced.append(run.discovery.poll_task is None)
+            with suppress(RuntimeError):  # closed already
+                exchange.answer(relay_list(9, endpoint("s-9", host.address)))
+
+        first.script = late
+        second.script = holding(relay_list(5, endpoint("s-0", host.address)))
+        run.gateway.start()
+        await until(lambda: len(second.seen) >= 4)
+        assert first.ended == 1 and paced == [True]
+        assert set(run.pools.hosts) == {host_id(0)}
+
+
+@pytest.mark.parametrize("age_ms", [1_500, 60_000])
+@on_loop
+async def test_a_move_at_the_moment_of_a_drain_does_not_undo_it(age_ms: int) -> None:
+    """The relay that it moves to has not heard of the drain; what it says counts once its list is as young."""
+    async with (
+        peer() as host,
+        peer() as a,
+        peer() as b,
+        behind(host, [a, b]) as (run, (first, second)),
+    ):
+
+        def told(exchange: Exchange) -> None:
+            leaving = endpoint("s-0", host.address, status="DRAINING")
+            if "from=" in exchange.message.first:
+                exchange.reset()
+            else:
+                exchange.answer(relay_list(5, leaving, endpoint("s-1", host.address)))
+
+        first.script = told
+        old = [endpoint(f"s-{n}", host.address) for n in (0, 1)]
+        second.script = holding(relay_list(5, *old, age_ms=age_ms))
+        run.gateway.start()
+        await until(lambda: len(second.seen) >= 2)  # its list has been heard
+        assert drained(run) and not drained(run, 1)
+        assert isinstance(run.discovery, RelayEndpointSource)
+        second.script = holding(relay_list(6, *old, age_ms=0))
+        await until(lambda: not drained(run))
+        assert run.discovery.moves == 2
+
+
+@on_loop
+async def test_with_all_dead_it_serves_on_asks_discovery_seldom_and_comes_back() -> None:
+    def reset(exchange: Exchange) -> None:
+        exchange.reset()
+
+    async with peer() as host, peer(reset) as a, peer(reset) as b, peer() as discovery:
+        listed = [endpoint(f"s-{n}", host.address, service=s) for n, s in ((1, "s1"), (2, "s2"))]
+        discovery.script = answers(list_reply(70, *listed))
+        async with behind(host, [a, b], discovery.address, services=("s1",), direct_per_s=1) as (run, order):
+            began_s = time.monotonic()
+            run.gateway.start()
+            await until(lambda: all(len(relay.seen) >= 2 for relay in order))
+            assert len(run.pools.hosts) == 1
+            await until(lambda: len(discovery.seen) >= 2)
+            assert len(discovery.seen) <= 1 + (time.monotonic() - began_s)
+            assert targets(discovery)[0] == "/registry/instances" and set(run.pools.hosts) == {host_id(1)}
+            order[1].script = holding(relay_list(5, endpoint("s-3", host.address)))
+            await until(lambda: set(run.pools.hosts) == {host_id(3)})
+            asked = len(discovery.seen)
+            await until(lambda: len(order[1].seen) >= 8)
+            assert len(discovery.seen) == asked
+
+
+@on_loop
+async def test_a_gateway_whose_hosts_fail_asks_for_more() -> None:
+    async with (
+        peer() as host,
+        peer() as a,
+        behind(host, [a]) as (run, (relay,)),
+    ):
+        relay.script = holding(relay_list(5, endpoint("s-0", host.address), endpoint("s-1", host.address)))
+        assert isinstance(run.discovery, RelayEndpointSource)
+        run.discovery.count_failing_hosts = lambda: 1
+        run.gateway.start()
+        await until(lambda: any("&wide=1&from=5" in target for target in targets(relay)))
--- a/tests/test_membership_merge.py
+++ b/tests/discovery/test_source_merge.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import itertools
-import json
 import random
 from dataclasses import replace
 from typing import Any
@@ -21,8 +20,6 @@
     deduplicate_by_name,
 )
 from cloverkeel.discovery.backend import Backend, BackendStatus
-from cloverkeel.discovery.node_codec import MAX_DATA_BYTES, decode_backend, encode_backend
-from cloverkeel.discovery.errors import NodeDataError
 
 E, R = Source.EPHEMERAL, Source.REGISTRY
 S = 1_000_000
@@ -36,7 +33,7 @@
     return sorted(merge.backend_by_name)
 
 
-def test_a_node_deleted_while_the_session_lives_is_told_at_once_also_for_all() -> None:
+def test_a_node_deleted_while_the_session_lives_is_removed_at_once_also_for_all() -> None:
     merge = SourceMerge()
     assert merge.on_snapshot(S, E, [member("a"), member("b")]).updated == (member("a"), member("b"))
     assert merge.on_changes(2 * S, E, removed=["a"]).removed == (member("a"),)
@@ -44,7 +41,7 @@
     assert names(merge) == []
 
 
-def test_a_lost_connection_tells_nothing_and_the_list_stands_with_its_age() -> None:
+def test_a_lost_connection_changes_nothing_and_the_list_stands_with_its_age() -> None:
     merge = SourceMerge()
     merge.on_connection_state(S, E, ConnectionState.CONNECTED)
     merge.on_snapshot(S, E, [member()])
@@ -58,7 +55,7 @@
     assert (merge.counters.suspended, merge.counters.lost) == (1, 1)
 
 
-def test_what_the_first_source_told_gone_does_not_come_back_from_an_old_list() -> None:
+def test_what_the_first_source_removed_does_not_come_back_from_an_old_list() -> None:
     merge = SourceMerge()
     merge.load_known(0, [member("a"), member("b")])
     merge.on_snapshot(S, R, [member("a"), member("b")])
@@ -72,7 +69,7 @@
     assert merge.on_snapshot(6 * S, R, [fresh, member("b")]).updated == (fresh,)
 
 
-def test_the_known_list_stands_until_some_source_has_given_a_whole_one() -> None:
+def test_the_known_list_stands_until_some_source_has_given_a_snapshot() -> None:
     merge = SourceMerge()
     assert merge.load_known(0, [member("a"), member("b")]).updated
     merge.on_changes(S, E, [member("c")])
@@ -97,7 +94,7 @@
     assert names(moved) == ["a", "b", "c"]
 
 
-def test_a_box_that_registers_again_is_told_with_its_new_registration() -> None:
+def test_a_backend_that_registers_again_is_updated_with_its_new_registration() -> None:
     merge = SourceMerge()
     merge.on_snapshot(S, E, [member("a", czxid=5, since_ms=100)])
     change = merge.on_snapshot(2 * S, E, [member("a", czxid=9, since_ms=100)])
@@ -105,7 +102,7 @@
     assert merge.on_snapshot(3 * S, E, [member("a", czxid=9, since_ms=100)]) == BackendChanges()
 
 
-def test_two_agents_for_one_box_are_one_box() -> None:
+def test_two_agents_for_one_backend_are_one_backend() -> None:
     old, new = member("a", since_ms=1, czxid=3), member("a", since_ms=1, czxid=4)
     for order in itertools.permutations({"n1": old, "n2": new, "n3": member("b")}.items()):
         assert deduplicate_by_name(dict(order)) == ({"a": new, "b": member("b")}, ["a"])
@@ -113,7 +110,7 @@
     assert deduplicate_by_name({"n1": restarted, "n2": new})[0] == {"a": restarted}
 
 
-def test_what_is_kept_of_the_gone_is_bounded() -> None:
+def test_what_is_kept_of_removed_backends_is_bounded() -> None:
     merge = SourceMerge()
     merge.on_changes(S, E, removed=[f"s-{n}" for n in range(MAX_REMOVALS_REMEMBERED + 10)])
     assert len(merge.state_by_source[E].removed_ms_by_name) == MAX_REMOVALS_REMEMBERED
@@ -181,7 +178,7 @@
     st.randoms(use_true_random=False),
 )  # fmt: skip
 @settings(max_examples=400, deadline=None, derandomize=True)
-def test_any_interleaving_ends_in_what_the_last_words_imply(
+def test_any_interleaving_ends_in_what_the_sources_said_last(
     one: list[tuple[str, object]], other: list[tuple[str, object]], known: list[Backend], rng: random.Random
 ) -> None:
     # Each source's events have their times; how the two are interleaved does not matter.
@@ -202,55 +199,3 @@
             followed |= {put.name: put for put in change.updated}
             assert followed == merge.backend_by_name  # the changes told add up to the list
         assert merge.backend_by_name == wanted
-
-
-# Node data
-
-
-FULL = member("s-1", zone="kita-room", kind="small-2c", group=3, weight=1.5, since_ms=1_700_000_000_000)
-
-
-def test_data_reads_back_and_fields_that_are_not_known_pass() -> None:
-    assert decode_backend(encode_backend(FULL)) == FULL and decode_backend(encode_backend(FULL), 9) == replace(
-        FULL, czxid=9
-    )
-    more = json.loads(encode_backend(FULL)) | {"colour": "blue", "v": 1}
-    assert decode_backend(json.dumps(more).encode()) == FULL
-    assert decode_backend(b'{"v": 1, "name": "x", "address": "[::1]:80", "status": "DRAINING"}').address == (
-        "::1",
-        80,
-    )
-
-
-@pytest.mark.parametrize(
-    ("change", "said"),
-    [
-        ({"v": 2}, "v: expected 1, found 2"), ({"v": None}, "v: expected a whole number"),
-        ({"v": True}, "v: expected"),
-        ({"name": ""}, "name: expected 1 to 255"), ({"name": 3}, "name: expected a text, found '3'"),
-        ({"address": "10.0.0.1"}, "address: expected host:port"), ({"address": "h:99999"}, "address: expected host"),
-        ({"address": "h:0"}, "address: expected host"), ({"status": "GONE"}, "status: expected SERVING or DRAINING"),
-        ({"weight": 0}, "weight: expected a number above 0"), ({"weight": "1"}, "weight: expected a number above 0"),
-        ({"since_ms": -1}, "since_ms: expected Unix milli"), ({"since_ms": 1.5}, "since_ms: expected Unix milli"),
-        ({"group": []}, "group: expected a number or a text"), ({"zone": 1}, "zone: expected a text"),
-    ],
-)  # fmt: skip
-def test_bad_data_names_the_field_and_what_was_expected(change: dict[str, object], said: str) -> None:
-    with pytest.raises(NodeDataError) as error:
-        decode_backend(json.dumps(json.loads(encode_backend(FULL)) | change).encode())
-    assert said in str(error.value)
-
-
-@pytest.mark.parametrize("data", [b"", b"{", b"[]", b"\xff", b"null", b"[" * 100_000, b" " * (MAX_DATA_BYTES + 1)])
-def test_what_is_no_object_is_refused(data: bytes) -> None:
-    with pytest.raises(NodeDataError, match="data: expected"):
-        decode_backend(data)
-
-
-@given(st.binary(max_size=300))
-@settings(max_examples=200, deadline=None, derandomize=True)
-def test_any_bytes_are_a_member_or_a_clear_error(data: bytes) -> None:
-    try:
-        decode_backend(data)
-    except NodeDataError as error:
-        assert "expected" in str(error)
--- a/tests/test_membership_ephemeral.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -1,88 +1,32 @@
-"""Ephemeral membership against the stand-in service: sessions that end, services that go, data that is bad."""
+"""Ephemeral membership against the stand-in service: sessions that expire, services that are lost, bad data."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import os
-import signal
-import subprocess
-import sys
-import threading
 import time
-from collections.abc import Callable, Iterator
-from contextlib import asynccontextmanager, contextmanager
+from contextlib import asynccontextmanager
 from dataclasses import replace
 from functools import partial
-from http.server import BaseHTTPRequestHandler, HTTPServer
 from pathlib import Path
 from typing import Any
 
 import pytest
 
 from cloverkeel.assembly import assemble
-from cloverkeel.core.config import ConfigError, stable_id
+from cloverkeel.core.config import stable_id
 from cloverkeel.core.config import parse as parse_config
-from cloverkeel.core.options import Duties, Ephemeral, Options
-from cloverkeel.core.options import load as load_options
-from cloverkeel.discovery.registration import RegistrationAction, Registration
+from cloverkeel.core.options import Ephemeral, Options
 from cloverkeel.discovery.backend import Backend, BackendStatus
 from cloverkeel.discovery.source_merge import Source
 from cloverkeel.discovery.merged_source import MergedEndpointSource
-from cloverkeel.discovery.node_codec import decode_backend, encode_backend
+from cloverkeel.discovery.node_codec import encode_backend
 
-from standins.parties.zookeeper.ensemble import Session
-from standins.parties.zookeeper.jute import Acl, Create, Delete, Mode, Multi, SetAcl, SetData
-from standins.parties.zookeeper.threaded import Threaded
+from standins.parties.zookeeper.jute import Acl, Create, Delete, Multi, SetAcl, SetData
 
+from tests.discovery.coordination import FOLDER, Service
 from tests.sockets import configuration, on_loop, peer, until
 
-ROOT = Path(__file__).parent.parent
-FOLDER = "/cloverkeel/boxes"
-
-
-class Service:
-    """The ensemble, and boxes' nodes put there by hand, each in a session of its own."""
-
-    def __init__(self) -> None:
-        self.keeper = Threaded(servers=2, timeouts_ms=(200, 40_000))
-        self.ensemble = self.keeper.ensemble
-        self.boxes: dict[str, Session] = {}
-        self.do(Create("/cloverkeel"))
-        self.do(Create(FOLDER))
-
-    def call(self, what: Callable[[], Any]) -> Any:
-        return self.keeper.call(what)
-
-    def do(self, request: Any, session: int = 0) -> None:
-        self.call(lambda: self.ensemble.commit(self.ensemble.tree.prepare(request, session)))
-
-    def register(self, name: str, address: str, data: bytes | None = None, **fields: Any) -> None:
-        host, _, port = address.rpartition(":")
-        member = replace(Backend(name, (host, int(port))), **fields)
-        session = self.call(lambda: self.ensemble.open_session(40_000, 0))
-        self.boxes[name] = session
-        content = encode_backend(member) if data is None else data
-        self.do(Create(f"{FOLDER}/{name}", content, flags=Mode.EPHEMERAL), session.id)
-
-    def expire(self, name: str) -> None:
-        self.call(lambda: self.ensemble.expire(self.boxes[name].id))
-
-    def gateways(self) -> list[Session]:
-        return [s for s in self.ensemble.sessions.values() if s not in self.boxes.values()]
-
-    def close(self) -> None:
-        self.keeper.close()
-
-
-@pytest.fixture
-def service() -> Iterator[Service]:
-    made = Service()
-    try:
-        yield made
-    finally:
-        made.close()
-
 
 def config_of(known: list[dict[str, Any]] | None = None, mode: str = "pushed", discovery: str = "127.0.0.1:9") -> Any:
     raw = configuration(discovery=discovery)
@@ -116,7 +60,7 @@
 
 
 @on_loop
-async def test_boxes_come_change_and_go_with_their_nodes() -> None:
+async def test_backends_come_change_and_go_with_their_nodes() -> None:
     service = Service()
     service.register("s-0", "127.0.0.1:9001", zone="b", kind="m", group=2, weight=0.5, since_ms=1_000)
     async with gateway(service) as program:
@@ -134,7 +78,7 @@
 
 
 @on_loop
-async def test_an_expired_box_that_registers_again_is_the_same_process_with_its_breaker() -> None:
+async def test_an_expired_backend_that_registers_again_is_the_same_process_with_its_breaker() -> None:
     service = Service()
     service.register("s-0", "127.0.0.1:9001", since_ms=1_000)
     service.register("s-1", "127.0.0.1:9002", since_ms=1_000)
@@ -172,7 +116,7 @@
 
 
 @on_loop
-async def test_a_deletion_is_told_though_the_list_cannot_be_read_any_more() -> None:
+async def test_a_deletion_is_notified_though_the_list_cannot_be_read_any_more() -> None:
     """The word came, then the service hears nothing: within the second that the drain rule gives it has to act."""
     service = Service()
     service.register("s-0", "127.0.0.1:9001")
@@ -211,7 +155,7 @@
 
 
 @on_loop
-async def test_catching_up_ends_when_all_was_told_that_the_service_had_told_before() -> None:
+async def test_catching_up_ends_when_all_that_the_service_had_sent_was_notified() -> None:
     service = Service()
     for n in range(20):
         service.register(f"s-{n}", f"127.0.0.1:90{n:02d}")
@@ -227,7 +171,7 @@
 
 
 @on_loop
-async def test_a_service_that_is_gone_tells_nothing_and_a_gone_box_stays_gone() -> None:
+async def test_a_lost_service_changes_nothing_and_a_removed_backend_stays_removed() -> None:
     service = Service()
     for n in range(3):
         service.register(f"s-{n}", f"127.0.0.1:900{n + 1}")
@@ -276,7 +220,7 @@
 
 
 @on_loop
-async def test_a_box_told_gone_does_not_come_back_at_a_restart_without_the_service(tmp_path: Path) -> None:
+async def test_a_removed_backend_does_not_come_back_at_a_restart_without_the_service(tmp_path: Path) -> None:
     service, file = Service(), tmp_path / "boxes.json"
     known = [
         {"name": f"s-{n}", "address": f"127.0.0.1:900{n + 1}", "zone": "b", "type": "m", "status": "SERVING"}
@@ -301,7 +245,7 @@
 
 
 @on_loop
-async def test_a_state_that_cannot_be_written_is_a_line_and_no_more(
+async def test_a_snapshot_that_cannot_be_written_is_a_log_line_and_no_more(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     service = Service()
@@ -319,7 +263,7 @@
 
 
 @on_loop
-async def test_bad_data_leaves_out_that_box_alone(capfd: pytest.CaptureFixture[str]) -> None:
+async def test_bad_data_leaves_out_that_backend_alone(capfd: pytest.CaptureFixture[str]) -> None:
     service = Service()
     service.register("s-0", "127.0.0.1:9001")
     service.register("s-1", "127.0.0.1:9002", data=b"{")
@@ -338,7 +282,7 @@
 
 
 @on_loop
-async def test_an_acl_that_refuses_us_and_a_folder_that_is_not_there_tell_nothing() -> None:
+async def test_an_acl_that_refuses_us_and_a_folder_that_is_missing_change_nothing() -> None:
     service = Service()
     service.register("s-0", "127.0.0.1:9001")
     service.register("s-1", "127.0.0.1:9002")
@@ -363,7 +307,7 @@
 
 
 @on_loop
-async def test_two_agents_for_one_box_are_one_box() -> None:
+async def test_two_agents_for_one_backend_are_one_backend() -> None:
     service = Service()
     service.register("s-0", "127.0.0.1:9001", since_ms=5)
     twin = encode_backend(Backend("s-0", ("127.0.0.1", 9009), since_ms=4))
@@ -377,7 +321,7 @@
 
 
 @on_loop
-async def test_the_registry_stands_in_for_boxes_that_have_no_node() -> None:
+async def test_the_registry_stands_in_for_backends_that_have_no_node() -> None:
     from tests.sockets import answers, endpoint, list_reply
 
     service = Service()
@@ -425,226 +369,3 @@
         await asyncio.sleep(1.2)
         assert merge.state_by_source[Source.EPHEMERAL].confirmed_us == stood
     service.close()
-
-
-# The agent's decisions
-
-
-def registration_of(**changes: Any) -> Registration:
-    return Registration(Backend("s-0", ("127.0.0.1", 9001), since_ms=5), **changes)
-
-
-def carry_out(registration: Registration, now_s: float) -> RegistrationAction:
-    action = registration.next_action(now_s)
-    if action is not RegistrationAction.NONE:
-        registration.on_action_done(action, registration.node_data())
-    return action
-
-
-def test_no_node_before_the_box_answers_nor_after_it_stopped() -> None:
-    registration = registration_of(max_failed_checks=3)
-    assert carry_out(registration, 0) is RegistrationAction.NONE
-    registration.on_health_check(10, True)
-    assert (
-        carry_out(registration, 1) is RegistrationAction.CREATE
-        and carry_out(registration, 1) is RegistrationAction.NONE
-    )
-    for _ in range(2):
-        registration.on_health_check(20, False)
-        assert carry_out(registration, 2) is RegistrationAction.NONE
-    registration.on_health_check(20, True)  # it had a slow moment: the same process
-    assert registration.backend.since_ms == 5 and carry_out(registration, 3) is RegistrationAction.NONE
-    for _ in range(3):
-        registration.on_health_check(30, False)
-    assert (
-        carry_out(registration, 4) is RegistrationAction.DELETE
-        and carry_out(registration, 4) is RegistrationAction.NONE
-    )
-    registration.on_health_check(40, True)
-    assert (
-        carry_out(registration, 5) is RegistrationAction.CREATE and registration.backend.since_ms == 40
-    )  # a new process
-
-
-def test_after_an_expiry_the_same_life_registers_again() -> None:
-    registration = registration_of()
-    registration.on_health_check(10, True)
-    carry_out(registration, 0)
-    registration.on_new_session()
-    assert (
-        carry_out(registration, 1) is RegistrationAction.CREATE
-        and decode_backend(registration.written_data).since_ms == 5
-    )
-
-
-def test_a_term_drains_then_deletes() -> None:
-    registration = registration_of(drain_s=2.0)
-    registration.on_health_check(10, True)
-    carry_out(registration, 0)
-    registration.on_termination(10.0)
-    registration.on_termination(11.0)  # a second one changes nothing
-    assert (
-        carry_out(registration, 10.0) is RegistrationAction.UPDATE
-        and decode_backend(registration.written_data).status is BackendStatus.DRAINING
-    )
-    assert (
-        carry_out(registration, 11.9) is RegistrationAction.NONE
-        and carry_out(registration, 12.0) is RegistrationAction.END
-    )
-    idle = registration_of()
-    idle.on_termination(0.0)
-    assert idle.next_action(0.0) is RegistrationAction.END  # there was no node: nothing to wait for
-
-
-# The agent as a program
-
-
-class Health(BaseHTTPRequestHandler):
-    well = True
-
-    def do_GET(self) -> None:  # noqa: N802  its name is the library's
-        self.send_response(200 if type(self).well else 503)
-        self.send_header("Content-Length", "0")
-        self.end_headers()
-
-    def log_message(self, format: str, *args: object) -> None:
-        pass
-
-
-@contextmanager
-def health() -> Iterator[tuple[type[Health], int]]:
-    handler = type("Mine", (Health,), {"well": True})
-    server = HTTPServer(("127.0.0.1", 0), handler)
-    thread = threading.Thread(target=server.serve_forever, args=(0.01,), daemon=True)
-    thread.start()
-    try:
-        yield handler, server.server_port
-    finally:
-        server.shutdown()
-        server.server_close()
-
-
-@contextmanager
-def agent(service: Service, port: int, *more: str) -> Iterator[subprocess.Popen[str]]:
-    process = subprocess.Popen(
-        [sys.executable, "-m", "cloverkeel", "register", "--hosts", service.ensemble.hosts, "--name", "s-0",
-         "--address", f"127.0.0.1:{port}", "--every-ms", "50", "--session-ms", "600", "--drain-s", "0.3", *more],
-        cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-    )  # fmt: skip
-    try:
-        yield process
-    finally:
-        process.kill()
-        process.communicate()
-
-
-def wait_for(condition: Callable[[], object]) -> None:
-    end = time.monotonic() + 20
-    while not condition():
-        assert time.monotonic() < end, "it did not come about"
-        time.sleep(0.005)
-
-
-def node(service: Service) -> Backend | None:
-    found = service.ensemble.tree.nodes.get(f"{FOLDER}/s-0")
-    return decode_backend(found.data, found.stat.czxid) if found is not None else None
-
-
-def test_the_agent_keeps_a_node_while_its_box_is_well_and_drains_it_at_the_end(service: Service) -> None:
-    with health() as (box, port), agent(service, port, "--zone", "kita-room", "--group", "3") as process:
-        wait_for(lambda: node(service))
-        first = node(service)
-        assert first is not None and (first.zone, first.group, first.address) == ("kita-room", 3, ("127.0.0.1", port))
-        owner = service.ensemble.tree.nodes[f"{FOLDER}/s-0"].stat.ephemeral_owner
-        service.call(lambda: service.ensemble.expire(owner))
-        wait_for(lambda: (now := node(service)) and now.czxid > first.czxid)
-        again = node(service)
-        assert again is not None and again.since_ms == first.since_ms  # the same process, a new registration
-        box.well = False
-        wait_for(lambda: node(service) is None)
-        box.well = True
-        wait_for(lambda: node(service))
-        fresh = node(service)
-        assert fresh is not None and fresh.since_ms > first.since_ms
-        process.send_signal(signal.SIGTERM)
-        wait_for(lambda: (now := node(service)) is not None and now.status is BackendStatus.DRAINING)
-        wait_for(lambda: node(service) is None)
-        assert process.wait(10) == 0
-
-
-def test_an_agent_that_is_killed_leaves_the_node_to_its_sessions_end_and_the_next_one_takes_it_over(
-    service: Service,
-) -> None:
-    with health() as (_, port):
-        with agent(service, port) as process:
-            wait_for(lambda: node(service))
-            first = node(service)
-            os.kill(process.pid, signal.SIGKILL)
-        with agent(service, port):
-            wait_for(lambda: (now := node(service)) is not None and first is not None and now.czxid > first.czxid)
-            now = node(service)
-            assert now is not None and first is not None and now.since_ms == first.since_ms
-            time.sleep(0.8)  # the killed one's session ends: the node is not its own any more
-            assert node(service) is not None
-        wait_for(lambda: node(service) is None)
-
-
-def test_bad_options_of_the_agent_are_told() -> None:
-    done = subprocess.run(
-        [sys.executable, "-m", "cloverkeel", "register", "--hosts", "h:1", "--name", "s", "--address", "nowhere"],
-        cwd=ROOT, capture_output=True, text=True,
-    )  # fmt: skip
-    assert done.returncode == 2 and "--address: expected host:port, found 'nowhere'" in done.stderr
-
-
-# Options
-
-
-@pytest.mark.parametrize(
-    ("text", "said"),
-    [
-        ("x = 1", "o.toml: x: unknown; expected one of membership"),
-        ("membership = 1", "o.toml: membership: expected a table, found 1"),
-        ("[membership]", "o.toml: membership: hosts: expected host:port,host:port, found None"),
-        ('[membership]\nhosts = "h"', "hosts: expected host:port,host:port, found 'h'"),
-        ('[membership]\nhosts = "h:1"\nspeed = 3', "o.toml: membership: speed: unknown; expected one of precedence"),
-        ('[membership]\nhosts = "h:1"\npath = "boxes"', "path: expected a path such as /cloverkeel/boxes"),
-        ('[membership]\nhosts = "h:1"\npath = "/a//b"', "path: expected a path such as /cloverkeel/boxes"),
-        ('[membership]\nhosts = "h:1"\nsession_ms = 5', "session_ms: expected a whole number from 200 to 60000"),
-        ('[membership]\nhosts = "h:1"\nprecedence = ["registry"]', "precedence: expected a list of 'ephemeral'"),
-        ('[membership]\nhosts = "h:1"\nstate = "/no/such/x"', "state: expected a file in a folder that exists"),
-        ("[[", "o.toml: not TOML"),
-        ("duties = 3", "o.toml: duties: expected a table, found 3"),
-        ("[duties]\nvoters = 4", "duties: voters: expected 3, 5 or 7, found 4"),
-        ("[duties]\nlease_ms = 5", "duties: lease_ms: expected a whole number from 200 to 60000, found 5"),
-        ('[duties]\nwarden = "no"', "duties: warden: expected true or false, found 'no'"),
-        ('[duties]\nstore = "moon"', "duties: store: expected 'peers' or 'ephemeral', found 'moon'"),
-        ('[duties]\nstore = "ephemeral"', "duties: hosts: expected host:port,host:port, found None"),
-        ("[duties]\nmoon = 1", "duties: moon: unknown; expected one of voters, lease_ms, warden, trier"),
-    ],
-)
-def test_options_that_cannot_be_used_name_file_and_key(tmp_path: Path, text: str, said: str) -> None:
-    file = tmp_path / "o.toml"
-    file.write_text(text)
-    with pytest.raises(ConfigError) as error:
-        load_options({"CLOVERKEEL_OPTIONS": str(file)})
-    assert said in str(error.value)
-
-
-def test_the_file_that_is_shipped_can_be_used_and_none_is_all_off() -> None:
-    found = load_options({"CLOVERKEEL_OPTIONS": str(ROOT / "deploy" / "ephemeral.toml")})
-    assert found.ephemeral is not None and found.ephemeral.precedence == ("ephemeral", "registry")
-    duties = load_options({"CLOVERKEEL_OPTIONS": str(ROOT / "deploy" / "duties.toml")})
-    assert duties.duties == Duties() and duties.ephemeral is None
-    assert load_options({}) == Options()
-
-
-def test_what_is_off_is_not_imported() -> None:
-    code = (
-        "import sys; from cloverkeel.core import options; from cloverkeel.assembly import assemble; options.load({});"
-        "print([m for m in sys.modules if m.startswith(('kazoo', 'tomllib', 'standins', 'rich'))"
-        " or m.startswith('cloverkeel.leases')"
-        " or m in ('cloverkeel.discovery.merged_source', 'cloverkeel.discovery.zookeeper_source')])"
-    )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -25,7 +25,7 @@
     until,
 )
 from tests.test_gateway_process import ask, connect, program
-from tests.test_relays import holding, relay_list
+from tests.discovery.test_relay_client import holding, relay_list
 
 
 def replace(folder: Path, **changes: Any) -> None:
