--- a/cloverkeel/discovery/connection.py
+++ b/cloverkeel/discovery/connection.py
@@ -8,7 +8,7 @@
 
 from cloverkeel.core.config import Address
 from cloverkeel.core.messages import Reply
-from cloverkeel.discovery.errors import DiscoveryCallError
+from cloverkeel.discovery.errors import ConnectionEndedError, DiscoveryCallError
 from cloverkeel.protocols.http1 import ReplyError, ReplyReader
 
 MAX_REPLY_BYTES: Final = 16 * 1024 * 1024  # compressed or not
@@ -65,7 +65,7 @@
         if reply is not None and self.pending_reply is not None and not self.pending_reply.done():
             self.pending_reply.set_result(reply)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Fail the request that is under way (asyncio)."""
         self.transport = None
         self.fail("the connection ended")
@@ -84,7 +84,7 @@
     async def request(self, head: bytes) -> Reply:
         """Send a request, and return its reply. DiscoveryCallError where the connection ends before that."""
         if self.transport is None or not self.is_open:
-            raise DiscoveryCallError("the connection has ended")
+            raise ConnectionEndedError
         self.pending_reply = asyncio.get_running_loop().create_future()
         self.transport.write(head)
         try:
--- a/cloverkeel/discovery/endpoint_parser.py
+++ b/cloverkeel/discovery/endpoint_parser.py
@@ -20,6 +20,7 @@
 from cloverkeel.core.config import Names, parse_address, stable_id
 from cloverkeel.core.log import log
 from cloverkeel.core.ports import Endpoint
+from cloverkeel.discovery.errors import EndpointEntryError, EndpointListError
 from cloverkeel.discovery.incremental import Incremental, run_to_completion
 
 ENTRIES_PER_STEP: Final = 8  # some 0.1 ms
@@ -47,7 +48,7 @@
     """Read one entry. KeyError, TypeError, ValueError, AttributeError or OverflowError where it cannot be used."""
     name = raw["name"]
     if not isinstance(name, str) or not name:
-        raise ValueError("no name")
+        raise EndpointEntryError("name", "no name")
     zone, kind, group = raw.get("zone", ""), raw.get("type", ""), raw.get("group", 0)
     return Endpoint(
         name,
@@ -99,7 +100,7 @@
 def parse_endpoint_list_incrementally(raw: object, names: Names) -> Incremental[EndpointList]:
     """Read an answer as `parse_endpoint_list` does, ENTRIES_PER_STEP entries a step."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints", []), list):
-        raise ValueError("not a list of hosts")
+        raise EndpointListError
     endpoint_by_server: dict[int, Endpoint] = {}
     for count, item in enumerate(raw.get("endpoints", [])):
         if count % ENTRIES_PER_STEP == 0:
@@ -128,7 +129,7 @@
 def _parse_weight(value: object) -> float:
     weight = float(value)  # type: ignore[arg-type]
     if not 0.0 < weight < MAX_WEIGHT:
-        raise ValueError("weight is out of range")
+        raise EndpointEntryError("weight", "weight is out of range")
     return weight
 
 
--- a/cloverkeel/discovery/node_codec.py
+++ b/cloverkeel/discovery/node_codec.py
@@ -31,7 +31,7 @@
     raw = _decode_object(data)
     version = _read_field(raw, "v", (int,), "a whole number")
     if version != FORMAT_VERSION:
-        raise NodeDataError(f"v: expected {FORMAT_VERSION}, found {version}")
+        raise NodeDataError("v", str(FORMAT_VERSION), str(version))
     return Backend(
         name=_read_name(raw),
         address=_read_address(raw),
@@ -57,27 +57,27 @@
 
 def _decode_object(data: bytes) -> dict[str, Any]:
     if len(data) > MAX_DATA_BYTES:
-        raise NodeDataError(f"data: expected at most {MAX_DATA_BYTES} bytes, found {len(data)}")
+        raise NodeDataError("data", f"at most {MAX_DATA_BYTES} bytes", str(len(data)))
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError):
-        raise NodeDataError("data: expected JSON in UTF-8") from None
+        raise NodeDataError("data", "JSON in UTF-8") from None
     if not isinstance(raw, dict):
-        raise NodeDataError("data: expected an object")
+        raise NodeDataError("data", "an object")
     return raw
 
 
 def _read_field(raw: dict[str, Any], name: str, types: tuple[type, ...], expected: str, default: Any = None) -> Any:
     value = raw.get(name, default)
     if not isinstance(value, types) or isinstance(value, bool):
-        raise NodeDataError(f"{name}: expected {expected}, found {str(value)[:MAX_ECHOED_CHARS]!r}")
+        raise NodeDataError(name, expected, repr(str(value)[:MAX_ECHOED_CHARS]))
     return value
 
 
 def _read_name(raw: dict[str, Any]) -> str:
     name: str = _read_field(raw, "name", (str,), "a text")
     if not 0 < len(name) <= MAX_NAME_LENGTH:
-        raise NodeDataError(f"name: expected 1 to {MAX_NAME_LENGTH} characters")
+        raise NodeDataError("name", f"1 to {MAX_NAME_LENGTH} characters")
     return name
 
 
@@ -85,26 +85,26 @@
     host, colon, port = _read_field(raw, "address", (str,), "host:port").rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not colon or not host or not is_number or not 0 < int(port) <= MAX_PORT:
-        raise NodeDataError(f"address: expected host:port, found {raw['address']!r}")
+        raise NodeDataError("address", "host:port", repr(raw["address"]))
     return host.strip("[]"), int(port)
 
 
 def _read_status(raw: dict[str, Any]) -> BackendStatus:
     status = _read_field(raw, "status", (str,), "SERVING or DRAINING")
     if status not in BackendStatus.__members__:
-        raise NodeDataError(f"status: expected SERVING or DRAINING, found {status[:MAX_ECHOED_CHARS]!r}")
+        raise NodeDataError("status", "SERVING or DRAINING", repr(status[:MAX_ECHOED_CHARS]))
     return BackendStatus[status]
 
 
 def _read_weight(raw: dict[str, Any]) -> float:
     weight = _read_field(raw, "weight", (int, float), "a number above 0", 1.0)
     if not (math.isfinite(weight) and 0 < weight < MAX_WEIGHT):
-        raise NodeDataError(f"weight: expected a number above 0, found {weight}")
+        raise NodeDataError("weight", "a number above 0", str(weight))
     return float(weight)
 
 
 def _read_since_ms(raw: dict[str, Any]) -> int:
     since_ms: int = _read_field(raw, "since_ms", (int,), "Unix milliseconds", 0)
     if not 0 <= since_ms <= MAX_SINCE_MS:
-        raise NodeDataError(f"since_ms: expected Unix milliseconds, found {since_ms}")
+        raise NodeDataError("since_ms", "Unix milliseconds", str(since_ms))
     return since_ms
--- a/cloverkeel/discovery/polling_client.py
+++ b/cloverkeel/discovery/polling_client.py
@@ -27,7 +27,7 @@
 from cloverkeel.core.log import log
 from cloverkeel.core.messages import Reply
 from cloverkeel.discovery.connection import HTTP_OK, DiscoveryConnection, get_request
-from cloverkeel.discovery.errors import DiscoveryCallError
+from cloverkeel.discovery.errors import UnexpectedStatusError
 from cloverkeel.discovery.incremental import Incremental, Result, run_to_completion
 from cloverkeel.discovery.poll_schedule import (
     CONNECT_TIMEOUT_S,
@@ -275,7 +275,7 @@
         async with asyncio.timeout(request.timeout_s):
             reply = await connection.request(head)
         if reply.status != HTTP_OK:
-            raise DiscoveryCallError(f"answered {reply.status}")
+            raise UnexpectedStatusError(reply.status)
         if not reply.keep_alive:
             connection.close()
         has_entries = await self.handle_reply(reply)
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -22,7 +22,7 @@
 from cloverkeel.core.options import Relays as RelayOptions
 from cloverkeel.discovery.connection import HTTP_OK, MAX_REPLY_BYTES, DiscoveryConnection, get_request
 from cloverkeel.discovery.endpoint_parser import ENTRIES_PER_STEP, EndpointList, parse_endpoint_list_incrementally
-from cloverkeel.discovery.errors import DiscoveryCallError
+from cloverkeel.discovery.errors import DiscoveryCallError, NotAListError, NoUsableEntryError, UnsupportedCodingError
 from cloverkeel.discovery.http_client import HttpEndpointSource
 from cloverkeel.discovery.incremental import Incremental
 from cloverkeel.discovery.known_state import KnownState, RelayAnswer, restrict_to_known
@@ -41,7 +41,6 @@
 RELAY_MAX_INCREMENTAL_READ_S: Final = 0.5  # of a long answer, before the rest is read in one piece
 FRESHNESS_CHECK_TIMEOUT_S: Final = 0.5
 WIDENING_CHECK_INTERVAL_S: Final = 1.0  # each check is a pass over all hosts
-MAX_LOGGED_CODING_BYTES: Final = 40
 
 
 class RelayEndpointSource(HttpEndpointSource):
@@ -87,7 +86,7 @@
         if coding is None or self.selector.current is None:
             return reply.body
         if coding.lower() != b"gzip":
-            raise DiscoveryCallError(f"expected gzip or no coding, found {coding[:MAX_LOGGED_CODING_BYTES]!r}")
+            raise UnsupportedCodingError(coding)
         try:
             return (yield from decompress_gzip(reply.body, MAX_REPLY_BYTES))
         except ValueError as error:
@@ -97,6 +96,7 @@
 
     def restart(self, watches: bool) -> None:
         """Poll anew, unless a move is due: that is the next call."""
+        del watches  # it is always on watch
         if self.retry_timer is not None:
             return
         if self.selector.current is None:
@@ -184,7 +184,7 @@
         """Read an answer, notify of what it may tell, and decide whether to move."""
         raw = yield from self.decode_body(body)
         if not isinstance(raw, dict):
-            raise DiscoveryCallError("no list of hosts")
+            raise NotAListError
         is_direct, age_s = self.selector.current is None, parse_age_s(raw)
         if is_direct and self.services and isinstance(raw.get("endpoints"), list):
             raw["endpoints"] = yield from _filter_by_service(raw["endpoints"], self.services)
@@ -192,7 +192,7 @@
         yield True  # the core is notified of all of it in one step
         now_s = asyncio.get_running_loop().time()
         if answer.is_snapshot and not answer.endpoints and raw.get("endpoints"):
-            raise DiscoveryCallError("a whole list without one entry that can be used")
+            raise NoUsableEntryError
         if self.schedule.on_reply(now_s, answer.version, answer.is_snapshot):
             self._notify(now_s, age_s, is_direct, answer)
         if self.is_closed:
--- a/cloverkeel/discovery/relay_requests.py
+++ b/cloverkeel/discovery/relay_requests.py
@@ -11,6 +11,7 @@
 from typing import Any, Final
 from urllib.parse import quote
 
+from cloverkeel.discovery.errors import FieldError, NoListYetError
 from cloverkeel.discovery.poll_schedule import INSTANCES_PATH, PollRequest, PollSchedule, changes_since
 
 STATE_PATH: Final = b"/relay/state"
@@ -29,18 +30,18 @@
 
 
 def parse_age_s(raw: dict[str, Any]) -> float:
-    """Return a list's age in seconds; an answer that tells none is discovery's own. ValueError for what is no age."""
+    """Return a list's age in seconds; an answer that tells none is discovery's own. FieldError for what is no age."""
     age_ms = raw.get("age_ms", 0)
     if not isinstance(age_ms, int) or isinstance(age_ms, bool) or not 0 <= age_ms < MAX_AGE_MS:
-        raise ValueError(f"age_ms: expected a whole number of milliseconds, found {age_ms!r}")
+        raise FieldError("age_ms", "a whole number of milliseconds", repr(age_ms))
     return age_ms / 1000
 
 
 def parse_state_age_s(body: bytes) -> float:
-    """Return the age in seconds of a relay's list, by the relay's state. ValueError: it has none, or tells none."""
+    """Return the age in seconds of a relay's list, by its state. NoListYetError or ValueError: it tells none."""
     raw = json.loads(body)
     if not isinstance(raw, dict) or raw.get("version") is None or raw.get("age_ms") is None:
-        raise ValueError("it has no list yet")
+        raise NoListYetError
     return parse_age_s(raw)
 
 
--- a/cloverkeel/discovery/snapshot_file.py
+++ b/cloverkeel/discovery/snapshot_file.py
@@ -16,7 +16,7 @@
 
 from cloverkeel.core.log import log
 from cloverkeel.discovery.backend import Backend
-from cloverkeel.discovery.errors import NodeDataError
+from cloverkeel.discovery.errors import SnapshotFileError
 from cloverkeel.discovery.node_codec import decode_backend, encode_backend
 
 FORMAT_VERSION: Final = 1
@@ -47,11 +47,11 @@
 
 
 def _read_entries(path: str) -> list[Any]:
-    """Return the entries of a file. NodeDataError where it is too long, or none of ours."""
+    """Return the entries of a file. SnapshotFileError where it is too long, or none of ours."""
     if os.path.getsize(path) > MAX_FILE_BYTES:
-        raise NodeDataError(f"expected at most {MAX_FILE_BYTES} bytes")
+        raise SnapshotFileError(path, f"at most {MAX_FILE_BYTES} bytes")
     raw = json.loads(Path(path).read_text())
     if not isinstance(raw, dict) or raw.get("v") != FORMAT_VERSION or not isinstance(raw.get("boxes"), list):
-        raise NodeDataError("expected an object with v 1 and a list of boxes")
+        raise SnapshotFileError(path, "an object with v 1 and a list of boxes")
     entries: list[Any] = raw["boxes"]
     return entries
--- a/cloverkeel/discovery/source_merge.py
+++ b/cloverkeel/discovery/source_merge.py
@@ -23,6 +23,7 @@
 from typing import Final
 
 from cloverkeel.discovery.backend import Backend
+from cloverkeel.discovery.errors import PrecedenceError
 
 MAX_REMOVALS_REMEMBERED: Final = 4_096  # of each source; the oldest are forgotten first
 
@@ -93,7 +94,7 @@
 
     def __init__(self, precedence: Sequence[Source] = (Source.EPHEMERAL, Source.REGISTRY)) -> None:
         if Source.KNOWN in precedence or len(set(precedence)) != len(precedence) or not precedence:
-            raise ValueError("precedence names sources other than the known list, each once")
+            raise PrecedenceError
         self.order = (*precedence, Source.KNOWN)
         self.state_by_source: dict[Source, SourceState] = {source: SourceState() for source in self.order}
         self.backend_by_name: dict[str, Backend] = {}
--- a/cloverkeel/discovery/zookeeper_source.py
+++ b/cloverkeel/discovery/zookeeper_source.py
@@ -128,7 +128,7 @@
             self.reads_everything = True  # kazoo's watches ended with the connection
         self.wake_event.set()
 
-    def _on_children_changed(self, event: Any) -> None:
+    def _on_children_changed(self, _event: Any) -> None:
         with self.lock:
             self.has_changed_children = True
         self.wake_event.set()
