--- a/cloverkeel/control_plane/config.py
+++ b/cloverkeel/control_plane/config.py
@@ -31,7 +31,7 @@
 
     connections: int = 1_024  # twelve relays before 4,600 gateways: 384 each, 767 with half of them dead, and moves
     wholes_per_s: int = 200  # 7 in 10 of 4,600 gateways start within 2 s: 269 each, none of which waits for 0.8 s
-    stale_ms: int = 6_000  # not ready beyond: what a change may take to be told (watch.py, TOLD_S)
+    stale_ms: int = 6_000  # not ready beyond: what a change may take to be told (MAX_NOTIFICATION_DELAY_S)
     idle_s: int = 30  # between an answer and the next call: a gateway asks again at once
     slow_s: int = 5  # for an answer to be taken: twice what a gateway waits for one
     unsent_mb: int = 64  # of answers that callers have not taken, all together; wholes wait beyond
--- a/cloverkeel/discovery/__init__.py
+++ b/cloverkeel/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: sources of the list of hosts. Knows no front and carries nothing."""
+"""Endpoint sources: who is there, from the registry, relays, or ephemeral nodes. Knows no frontend or upstream."""
--- a/cloverkeel/discovery/known_state.py
+++ b/cloverkeel/discovery/known_state.py
@@ -32,10 +32,10 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_STALENESS_S: Final = 3.0  # a healthy relay's is 1 s and some, at the worst; a drain counts as told after 6 s
+MAX_STALENESS_S: Final = 3.0  # a healthy relay's is 1 s and some, at the worst; a drain must be known after 6 s
 CLOCK_RATE_SLACK_S: Final = 0.05  # between two clocks' rates over the longest age
 RESTRICTION_RETENTION_S: Final = MAX_STALENESS_S + CLOCK_RATE_SLACK_S
-NO_RUN: Final = 0  # of a restriction that two runs have told: either may mean an earlier one
+NO_RUN: Final = 0  # of a restriction that two runs have named: either may mean an earlier one
 RANK_BY_STATUS: Final = {ServerStatus.READY: 2, ServerStatus.DRAINING: 1, ServerStatus.GONE: 0}
 
 
@@ -71,11 +71,11 @@
     """The status of each host that is known, and the restrictions and deferred permissions behind it."""
 
     def __init__(self) -> None:
-        self.status_by_server: dict[int, ServerStatus] = {}  # hosts that are not gone
+        self.status_by_server: dict[int, ServerStatus] = {}  # hosts that are not removed
         self.run = NO_RUN  # counts runs, from 1
         self.restriction_by_server: dict[int, Restriction] = {}  # oldest first
         self.deferred_by_server: dict[int, Endpoint] = {}  # permissions of the present relay, too old as yet
-        self.awaits_snapshot = False  # the present relay was stale, and not all that it told was accepted
+        self.awaits_snapshot = False  # the present relay was stale, and not all of its answers was accepted
 
     def begin_run(self) -> None:
         """Begin another run of answers: what they tell is in order among themselves."""
--- a/cloverkeel/discovery/manual_ejections.py
+++ b/cloverkeel/discovery/manual_ejections.py
@@ -35,7 +35,7 @@
         self.listed: dict[str, Endpoint] = {}
         self.formerly_listed: OrderedDict[str, None] = OrderedDict()  # the longest ago first
         self.ejected_us_by_name: dict[str, int] = {}
-        self.reinstated_us_by_name: dict[str, int] = {}  # no later start is told yet
+        self.reinstated_us_by_name: dict[str, int] = {}  # no later start is listed yet
 
     # From the list
 
--- a/cloverkeel/discovery/node_reader.py
+++ b/cloverkeel/discovery/node_reader.py
@@ -84,7 +84,7 @@
         try:
             data, stat = self.client.get(f"{self.path}/{name}", watch=self.on_node)
         except NoNodeError:
-            self.node_by_name.pop(name, None)  # it has gone since: the list of children tells so too
+            self.node_by_name.pop(name, None)  # it was deleted since: the list of children shows that too
             return
         except NoAuthError:
             self.log_unusable(name, 0, "it may not be read")
--- a/cloverkeel/discovery/relay_selection.py
+++ b/cloverkeel/discovery/relay_selection.py
@@ -62,7 +62,7 @@
     cooldowns: int = 0  # since it last did well
     left_s: float = -inf
     has_failed: bool = False  # the last call to it did
-    as_of_s: float = -inf  # discovery had what this relay last told then, or later
+    as_of_s: float = -inf  # discovery had what this relay last answered then, or later
     silences: int = 0  # in a row
     freshness_check: int = 0  # the number of the last one
 
--- a/cloverkeel/discovery/zookeeper_source.py
+++ b/cloverkeel/discovery/zookeeper_source.py
@@ -26,7 +26,7 @@
 from cloverkeel.discovery.source_merge import ConnectionState, deduplicate_by_name
 from cloverkeel.discovery.zookeeper_session import STATE_BY_KAZOO_NAME, ZookeeperOptions, create_client
 
-DELETION_DELAY_S: Final = 0.2  # until it is told without a list: far under the second that the drain rule gives
+DELETION_DELAY_S: Final = 0.2  # until it is notified without a list: far under the drain rule's second
 CALLBACK_FLUSH_TIMEOUT_S: Final = 1.0  # for kazoo's threads to call back
 CONFIRM_INTERVAL_S: Final = 1.0  # between checks whether the list is still the service's
 ACL_RETRY_DELAY_S: Final = 5.0  # before what an ACL refuses is asked for again
@@ -72,7 +72,7 @@
         self.deletion_by_node: dict[str, int] = {}  # nodes that went and were not read anew since
         self.deletions = 0
         self.is_deletion_timer_set = False
-        self.catch_ups: list[Callable[[], None]] = []  # who waits for what was told while the process was stalled
+        self.catch_ups: list[Callable[[], None]] = []  # who waits for what was sent while the process was stalled
         self.was_connected = False
         self.is_closed = False
         self.backend_by_node: dict[str, Backend] = {}  # what was notified last
