--- a/tests/discovery/coordination.py
+++ b/tests/discovery/coordination.py
@@ -19,12 +19,12 @@
 
 
 class Service:
-    """The ensemble, and boxes' nodes put there by hand, each in a session of its own."""
+    """The ensemble, and backends' nodes put there by hand, each in a session of its own."""
 
     def __init__(self) -> None:
         self.keeper = Threaded(servers=2, timeouts_ms=(200, 40_000))
         self.ensemble = self.keeper.ensemble
-        self.boxes: dict[str, Session] = {}
+        self.session_by_backend: dict[str, Session] = {}
         self.do(Create("/cloverkeel"))
         self.do(Create(FOLDER))
 
@@ -38,15 +38,15 @@
         host, _, port = address.rpartition(":")
         member = replace(Backend(name, (host, int(port))), **fields)
         session = self.call(lambda: self.ensemble.open_session(40_000, 0))
-        self.boxes[name] = session
+        self.session_by_backend[name] = session
         content = encode_backend(member) if data is None else data
         self.do(Create(f"{FOLDER}/{name}", content, flags=Mode.EPHEMERAL), session.id)
 
     def expire(self, name: str) -> None:
-        self.call(lambda: self.ensemble.expire(self.boxes[name].id))
+        self.call(lambda: self.ensemble.expire(self.session_by_backend[name].id))
 
     def gateways(self) -> list[Session]:
-        return [s for s in self.ensemble.sessions.values() if s not in self.boxes.values()]
+        return [s for s in self.ensemble.sessions.values() if s not in self.session_by_backend.values()]
 
     def close(self) -> None:
         self.keeper.close()
--- a/tests/discovery/test_http_client.py
+++ b/tests/discovery/test_http_client.py
@@ -30,15 +30,15 @@
 
 
 def lists(run: Running) -> list[ServerList]:
-    """What the module is told of the list from now on."""
-    told: list[ServerList] = []
+    """What the balancer is notified of the list from now on."""
+    notified: list[ServerList] = []
 
     def listen(event: object) -> None:
         if isinstance(event, ServerList):
-            told.append(event)
+            notified.append(event)
 
     overhear(run, listen)
-    return told
+    return notified
 
 
 def asked(registry: Peer) -> list[str]:
@@ -82,10 +82,10 @@
     ):
         watcher(run)
         await until(lambda: registry.seen)
-        told = lists(run)
+        notified = lists(run)
         run.gateway.carry_out(WatchList(False))
         await until(lambda: registry.ended == 1)
-        assert not told and run.discovery.poll_task is None
+        assert not notified and run.discovery.poll_task is None
 
 
 @on_loop
@@ -95,11 +95,11 @@
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request", "contract": {"mustAskInUs": 10**12}}
         async with running(config) as run:  # no call but the test's
-            told = lists(run)
+            notified = lists(run)
             run.gateway.carry_out(FetchList())
-            await until(lambda: told)
+            await until(lambda: notified)
             assert asked(registry) == ["/registry/instances"]
-            (event,) = told
+            (event,) = notified
             assert event.kind is ListKind.FULL
             (entry,) = event.servers
             assert (entry.zone, entry.group, entry.started_us, entry.weight) == (1, 3, 5_000, 2.0)
@@ -128,9 +128,9 @@
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"  # the module asks, and asks again
         async with running(config) as run:
-            told = lists(run)
-            await until(lambda: len(told) >= 2)
-            assert {event.kind for event in told} == {ListKind.ERROR}
+            notified = lists(run)
+            await until(lambda: len(notified) >= 2)
+            assert {event.kind for event in notified} == {ListKind.ERROR}
             assert set(run.pools.hosts) == {host_id(0)}  # the old list stands
             registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
             await until(lambda: host_id(3) in run.pools.hosts)
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -1,4 +1,4 @@
-"""A long list is read by steps, and may come as gzip: what is told is as ever, and others have their turns."""
+"""A long list is read in steps, and may come as gzip: what is notified is the same, and the loop serves others."""
 
 from __future__ import annotations
 
@@ -99,10 +99,10 @@
         run_to_completion(decode_json(body[: data.draw(st.integers(0, len(body) - 1))]))
 
 
-# What is told in the end
+# What is notified in the end
 
 
-def packed(reply_: bytes) -> bytes:
+def compressed(reply_: bytes) -> bytes:
     head, _, body = reply_.partition(b"\r\n\r\n")
     made = gzip.compress(body)
     return reply(200, made, *(["Content-Encoding: gzip"] if head else []))
@@ -117,8 +117,8 @@
     return json.dumps(hosts_list(index, *items, snapshot=whole)).encode()
 
 
-class Taking:
-    """A gateway whose caller is handed its answers."""
+class DetachedGateway:
+    """A gateway whose client is handed its answers."""
 
     def __init__(self, by_relay: bool) -> None:
         options = Options(relays=RelayOptions((("127.0.0.1", 9),))) if by_relay else None
@@ -129,14 +129,14 @@
         if isinstance(self.discovery, RelayEndpointSource):
             self.discovery.selector.choose(0.0)
             self.discovery.requested_s = asyncio.get_running_loop().time() + 60.0  # what it permits is newer than all
-        self.told: list[tuple[ListKind, list[Any]]] = []
+        self.notified: list[tuple[ListKind, list[Any]]] = []
         on_list = self.discovery.on_list
 
-        def hear(kind: ListKind, entries: list[Any]) -> None:
-            self.told.append((kind, entries))
+        def record_list(kind: ListKind, entries: list[Any]) -> None:
+            self.notified.append((kind, entries))
             on_list(kind, entries)
 
-        self.discovery.set_listener(hear)
+        self.discovery.set_listener(record_list)
 
     def state(self) -> dict[int, tuple[object, ...]]:
         hosts = self.program.pools.hosts
@@ -145,10 +145,10 @@
         return {n: (servers[n].entry, hosts[n].started_us, hosts[n].drained_us is None) for n in hosts}
 
 
-def some_answer(dice: random.Random, index: int, whole: bool) -> bytes:
+def some_answer(rng: random.Random, index: int, whole: bool) -> bytes:
     statuses = ("SERVING",) * 8 + ("DRAINING", "DELETED")
-    numbers = dice.sample(range(900), dice.choice((3, 60, 600)) if not whole else dice.choice((150, 700)))
-    hosts = {n: (dice.choice(statuses), dice.choice((0.5, 1.0)), dice.choice((0, 0, 0, 5))) for n in numbers}
+    numbers = rng.sample(range(900), rng.choice((3, 60, 600)) if not whole else rng.choice((150, 700)))
+    hosts = {n: (rng.choice(statuses), rng.choice((0.5, 1.0)), rng.choice((0, 0, 0, 5))) for n in numbers}
     return listed(index, whole, hosts)
 
 
@@ -161,55 +161,55 @@
     """`left`: the list is superseded while it is read."""
 
     async def play() -> None:
-        dice, at_once, by_steps = random.Random(seed), Taking(by_relay), Taking(by_relay)
+        rng, at_once, by_steps = random.Random(seed), DetachedGateway(by_relay), DetachedGateway(by_relay)
         for index, what in enumerate(["whole", *plan]):
-            body, before = some_answer(dice, index, what != "change"), len(by_steps.told)
+            body, before = some_answer(rng, index, what != "change"), len(by_steps.notified)
             steps = by_steps.discovery.handle_body(body)
-            last = dice.randrange(20) if what == "left" else 10**9
+            last = rng.randrange(20) if what == "left" else 10**9
             for step, _ in enumerate(steps):
-                assert len(by_steps.told) == before  # nothing until all was read
+                assert len(by_steps.notified) == before  # nothing until all was read
                 if step == last:
                     break
-                if dice.random() < 0.2:
+                if rng.random() < 0.2:
                     await asyncio.sleep(0)  # a part of what waits of an earlier list
             steps.close()
-            if len(by_steps.told) > before:
+            if len(by_steps.notified) > before:
                 at_once.discovery.handle_body_at_once(body)
                 at_once.gateway.on_list(ListKind.DELTA, [])
             assert by_steps.discovery.schedule.version == at_once.discovery.schedule.version
         while by_steps.gateway.slices.pending or at_once.gateway.slices.pending:
             await asyncio.sleep(0)
         assert by_steps.state() == at_once.state()
-        assert [(kind, [e.listed for e in told]) for kind, told in by_steps.told] == [
-            (kind, [e.listed for e in told]) for kind, told in at_once.told
+        assert [(kind, [e.listed for e in entries]) for kind, entries in by_steps.notified] == [
+            (kind, [e.listed for e in entries]) for kind, entries in at_once.notified
         ]
-        for taking in (at_once, by_steps):
-            taking.program.close()
+        for gateway in (at_once, by_steps):
+            gateway.program.close()
 
     asyncio.run(play())
 
 
 @on_loop
 async def test_what_restricts_is_applied_first_and_in_one_piece() -> None:
-    taking = Taking(by_relay=True)
+    gateway = DetachedGateway(by_relay=True)
     served = {n: ("SERVING", 1.0, 0) for n in range(700)}
-    await taking.discovery.handle_reply(Reply(200, [], listed(1, True, served), True))
+    await gateway.discovery.handle_reply(Reply(200, [], listed(1, True, served), True))
     lists: list[ServerList] = []
-    run = Running(taking.gateway, taking.program.server, taking.program.pools, taking.discovery, 0)
+    run = Running(gateway.gateway, gateway.program.server, gateway.program.pools, gateway.discovery, 0)
     overhear(run, lambda event: lists.append(event) if isinstance(event, ServerList) else None)
-    assert isinstance(taking.discovery, RelayEndpointSource)
-    taking.discovery.requested_s += 1.0
+    assert isinstance(gateway.discovery, RelayEndpointSource)
+    gateway.discovery.requested_s += 1.0
     changed = {n: ("SERVING", 0.5, 0) for n in range(50, 690)}
     changed |= {n: ("DRAINING", 0.5, 0) for n in range(100, 400)} | {n: ("SERVING", 0.5, 7) for n in range(400, 650)}
-    await taking.discovery.handle_reply(Reply(200, [], listed(2, True, changed), True))
+    await gateway.discovery.handle_reply(Reply(200, [], listed(2, True, changed), True))
     first = {entry.server: entry for entry in lists[0].servers}
     assert first.keys() == {host_id(n) for n in (*range(50), *range(100, 650), *range(690, 700))}
     assert first[host_id(5)].status is ServerStatus.GONE and first[host_id(649)].started_us == 7_000
-    while taking.gateway.slices.pending:
+    while gateway.gateway.slices.pending:
         await asyncio.sleep(0)
     assert all(len(event.servers) <= BATCH_ENTRIES for event in lists[1:])
     assert sum(len(event.servers) for event in lists[1:]) == 90
-    taking.program.close()
+    gateway.program.close()
 
 
 def test_a_list_is_short_by_what_the_gateway_knows() -> None:
@@ -249,11 +249,11 @@
 
     async def work(self, size: int) -> list[int]:
         self.turns = [0]
-        taking = asyncio.create_task(self.handle_reply(Reply(200, [], bytes(size), True)))
-        while not taking.done():
+        handling = asyncio.create_task(self.handle_reply(Reply(200, [], bytes(size), True)))
+        while not handling.done():
             await asyncio.sleep(0)
             self.turns.append(0)
-        assert taking.result() and not self.is_reading
+        assert handling.result() and not self.is_reading
         return [turn for turn in self.turns if turn]
 
 
@@ -267,7 +267,7 @@
     turns = await worker.work(worker.max_atomic_read_bytes + 1)
     assert len(turns) <= 11 and turns[-1] >= 30  # its time is over: the rest in one piece
     worker.max_incremental_read_s, worker.catch_up_task = 60.0, asyncio.create_task(asyncio.sleep(60))
-    assert await worker.work(worker.max_atomic_read_bytes + 1) == [40]  # nothing is sent before it is told
+    assert await worker.work(worker.max_atomic_read_bytes + 1) == [40]  # nothing is sent before it is notified
     worker.catch_up_task.cancel()
 
 
@@ -288,15 +288,15 @@
     return reply(200, listed(index, True, {n: (status, weight, 0) for n in range(count)}, address))
 
 
-class Teller:
+class ScriptedSource:
     """A scripted relay or discovery: these answers in order, then nothing new."""
 
-    def __init__(self, *told: bytes) -> None:
-        self.told = list(told)
+    def __init__(self, *answers_: bytes) -> None:
+        self.answers = list(answers_)
 
     async def __call__(self, exchange: Exchange) -> None:
-        if self.told:
-            exchange.answer(self.told.pop(0))
+        if self.answers:
+            exchange.answer(self.answers.pop(0))
             return
         await asyncio.sleep(RELAY_HOLD_S / 2)
         index = exchange.message.first.partition("from=")[2].split("&")[0]
@@ -304,10 +304,10 @@
 
 
 @asynccontextmanager
-async def beside(host: Peer, teller: Peer, by_relay: bool = True) -> AsyncIterator[Running]:
+async def beside(host: Peer, source: Peer, by_relay: bool = True) -> AsyncIterator[Running]:
     """The gateway, serving, behind this relay or this discovery."""
-    options = Options(relays=RelayOptions((("127.0.0.1", int(teller.address.split(":")[1])),)))
-    program = assemble(parse(configuration(host, discovery=teller.address)), options if by_relay else None)
+    options = Options(relays=RelayOptions((("127.0.0.1", int(source.address.split(":")[1])),)))
+    program = assemble(parse(configuration(host, discovery=source.address)), options if by_relay else None)
     await program.server.start()
     assert program.server.listener is not None and isinstance(program.discovery, HttpEndpointSource)
     port = program.server.listener.getsockname()[1]
@@ -329,7 +329,7 @@
 @on_loop
 async def test_requests_are_served_while_a_long_gzip_list_is_read() -> None:
     async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
-        relay.script = Teller(packed(many(5, host.address)))
+        relay.script = ScriptedSource(compressed(many(5, host.address)))
         client = await run.connect()
         run.gateway.start()
         served = 0
@@ -344,7 +344,7 @@
 @on_loop
 async def test_discovery_itself_is_asked_as_ever() -> None:
     async with peer(answers(reply())) as host, peer() as discovery, beside(host, discovery, False) as run:
-        discovery.script = Teller(many(5, host.address, count=3))
+        discovery.script = ScriptedSource(many(5, host.address, count=3))
         run.gateway.start()
         await until(lambda: len(discovery.seen) >= 3)
         assert all(exchange.message.headers.keys() == {"host"} for exchange in discovery.seen)
@@ -352,28 +352,28 @@
 
 @on_loop
 async def test_of_discovery_that_answers_for_lost_relays_no_gzip_is_asked() -> None:
-    taking = Taking(by_relay=True)
-    assert isinstance(taking.discovery, RelayEndpointSource)
-    assert taking.discovery.extra_headers()
-    taking.discovery.selector.current = None
-    assert not taking.discovery.extra_headers()
+    gateway = DetachedGateway(by_relay=True)
+    assert isinstance(gateway.discovery, RelayEndpointSource)
+    assert gateway.discovery.extra_headers()
+    gateway.discovery.selector.current = None
+    assert not gateway.discovery.extra_headers()
     odd = Reply(200, [(b"content-encoding", b"x")], b"as it is", True)
-    assert run_to_completion(taking.discovery.decode_content(odd)) == b"as it is"
-    taking.program.close()
+    assert run_to_completion(gateway.discovery.decode_content(odd)) == b"as it is"
+    gateway.program.close()
 
 
 @on_loop
 async def test_a_drain_in_the_next_answer_goes_ahead_of_a_long_list_that_is_pending() -> None:
     async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
         drain = reply(200, listed(7, False, {MANY - 1: ("DRAINING", 0.5, 0)}, host.address))
-        relay.script = Teller(many(5, host.address), packed(many(6, host.address, weight=0.5)), drain)
+        relay.script = ScriptedSource(many(5, host.address), compressed(many(6, host.address, weight=0.5)), drain)
         waiting: list[int] = []
 
-        def hear(event: object) -> None:
+        def on_event(event: object) -> None:
             if isinstance(event, ServerList) and any(e.status is ServerStatus.DRAINING for e in event.servers):
                 waiting.append(len(run.gateway.slices.pending))
 
-        overhear(run, hear)
+        overhear(run, on_event)
         run.gateway.start()
         await until(lambda: waiting and not run.gateway.slices.pending)
         assert waiting[0] > 0
@@ -390,7 +390,7 @@
         long, short = many(8, host.address), many(9, host.address, count=2)
         if how == "unfit":
             long = reply(200, long.partition(b"\r\n\r\n")[2][:-1])
-        first.script, other.script = Teller(long, short), Teller(short)
+        first.script, other.script = ScriptedSource(long, short), ScriptedSource(short)
         counts: set[int] = set()
         overhear(run, lambda event: counts.add(run.pools.known()))
         run.gateway.start()
@@ -415,7 +415,10 @@
 @on_loop
 async def test_a_list_of_a_relay_that_is_left_while_it_is_read_is_never_notified() -> None:
     async with peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first) as run:
-        first.script, other.script = Teller(packed(many(8, host.address))), Teller(many(9, host.address, count=2))
+        first.script, other.script = (
+            ScriptedSource(compressed(many(8, host.address))),
+            ScriptedSource(many(9, host.address, count=2)),
+        )
         counts: set[int] = set()
         overhear(run, lambda event: counts.add(run.pools.known()))
         run.gateway.start()
@@ -435,14 +438,14 @@
     async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
         order: list[str] = []
 
-        def hear(event: object) -> None:
+        def on_event(event: object) -> None:
             if isinstance(event, ServerList) and len(event.servers) > 2:
                 order.append("list")
             elif isinstance(event, RequestArrived):
                 order.append("request")
 
-        overhear(run, hear)
-        relay.script = Teller(packed(many(5, host.address)))
+        overhear(run, on_event)
+        relay.script = ScriptedSource(compressed(many(5, host.address)))
         run.gateway.start()
         client = await run.connect()
         await reading(run)
--- a/tests/discovery/test_known_state.py
+++ b/tests/discovery/test_known_state.py
@@ -27,10 +27,10 @@
 def test_no_relay_undoes_a_restriction_that_is_known(part: int) -> None:
     """Discovery changes twice a second; each relay is behind it as it likes, and tells the least age that is true."""
     for seed in range(part * 250, part * 250 + 250):
-        wander(random.Random(seed))
+        check_random_walk(random.Random(seed))
 
 
-def wander(chance: random.Random) -> None:
+def check_random_walk(chance: random.Random) -> None:
     history = [(chance.randrange(HOSTS), chance.choice(list(ServerStatus))) for _ in range(120)]
     known_state, now_s, run, of = KnownState(), 2.0, -1, 0
     shown: dict[int, ServerStatus] = {}
@@ -82,8 +82,8 @@
     known_state.accept(RelayAnswer(10.3, 10.2, 1.0, True, listed(ServerStatus.READY, ServerStatus.READY)))
     assert list(known_state.deferred_by_server) == [0]
     known_state.accept(RelayAnswer(14.0, 13.8, MAX_STALENESS_S + 1.0, False, listed(ServerStatus.DRAINING)))
-    told = known_state.accept(RelayAnswer(15.0, 14.8, 0.0, False, [])).endpoints
-    assert not told and list(known_state.status_by_server) == [1]
+    accepted = known_state.accept(RelayAnswer(15.0, 14.8, 0.0, False, [])).endpoints
+    assert not accepted and list(known_state.status_by_server) == [1]
 
 
 def test_what_was_restricted_long_ago_is_not_kept() -> None:
--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -122,14 +122,14 @@
 # Parts of long lists
 
 
-def word(
+def entry_of(
     number: int, status: ServerStatus = ServerStatus.READY, started_us: int = 0, weight: float = 1.0
 ) -> Endpoint:
     return Endpoint(f"h-{number}", ("10.0.0.1", number), ListedServer(number, status, weight, started_us=started_us))
 
 
-class Told:
-    """What the module and the pools have been told: the newest word on each host that is not gone."""
+class Applied:
+    """What was applied to the balancer and the pools: the newest entry of each host that is not removed."""
 
     def __init__(self) -> None:
         self.hosts: dict[int, Endpoint] = {}
@@ -149,59 +149,59 @@
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.lists(st.sampled_from(("whole", "change", "small", "turn", "turn")), max_size=14))
 def test_in_any_order_what_was_applied_and_what_is_pending_is_the_newest_entry(seed: int, steps: list[str]) -> None:
-    rng, slices, told, truth = random.Random(seed), ListBatches(), Told(), Told()
+    rng, slices, applied, truth = random.Random(seed), ListBatches(), Applied(), Applied()
     for step in ["whole", *steps]:
         if step == "turn":
-            told.take(slices.next_batch())
+            applied.take(slices.next_batch())
         else:
             count = {"whole": 700, "change": 300, "small": 5}[step]
             statuses = (ServerStatus.READY,) * 8 + (ServerStatus.DRAINING, ServerStatus.GONE)
             numbers = rng.sample(range(900), count)
-            entries = [word(n, rng.choice(statuses), rng.choice((0, 0, 0, 5)), rng.random()) for n in numbers]
+            entries = [entry_of(n, rng.choice(statuses), rng.choice((0, 0, 0, 5)), rng.random()) for n in numbers]
             if step == "whole":
                 slices.clear()
                 truth.hosts.clear()
-                told.hosts = {n: entry for n, entry in told.hosts.items() if n in numbers}
+                applied.hosts = {n: entry for n, entry in applied.hosts.items() if n in numbers}
             truth.take(entries)
-            known = len(told.hosts)
-            now = slices.split(entries, known, told.is_another)
-            told.take(now)
+            known = len(applied.hosts)
+            now = slices.split(entries, known, applied.is_another)
+            applied.take(now)
             assert step != "small" or now == entries
             assert now == entries or MAX_GROWTH_FACTOR * known >= len(entries) > MAX_UNSPLIT_ENTRIES
-        assert told.hosts | slices.pending == truth.hosts  # the newest word on each host, and no other host
-        for server, entry in told.hosts.items():  # of what is in use, every restriction is told
+        assert applied.hosts | slices.pending == truth.hosts  # the newest entry of each host, and no other host
+        for server, entry in applied.hosts.items():  # of what is in use, every restriction is applied
             newest = truth.hosts[server].listed
             assert newest.status is entry.listed.status or newest.status is ServerStatus.READY
             assert newest.started_us == entry.listed.started_us
     while slices.pending:
         part = slices.next_batch()
         assert 0 < len(part) <= BATCH_ENTRIES
-        told.take(part)
-    assert told.hosts == truth.hosts
+        applied.take(part)
+    assert applied.hosts == truth.hosts
 
 
 def lists_told(run: Running) -> list[ServerList]:
     lists: list[ServerList] = []
 
-    def hear(event: object) -> None:
+    def on_event(event: object) -> None:
         if isinstance(event, ServerList) and event.kind is not ListKind.ERROR:  # nobody answers there
             lists.append(event)
 
-    overhear(run, hear)
+    overhear(run, on_event)
     return lists
 
 
 def serving(numbers: range, weight: float = 1.0) -> list[Endpoint]:
-    return [word(number, weight=weight) for number in numbers]
+    return [entry_of(number, weight=weight) for number in numbers]
 
 
 @on_loop
 async def test_between_the_batches_of_a_long_list_the_loop_has_its_turns() -> None:
     async with running(configuration("127.0.0.1:9")) as run:
-        run.gateway.on_list(ListKind.FULL, serving(range(500)))  # nearly all new: told in one piece
+        run.gateway.on_list(ListKind.FULL, serving(range(500)))  # nearly all new: applied in one piece
         lists = lists_told(run)
         gone = {*range(20), *range(491, 499), *run.module.servers} - {*range(20, 491), 499}
-        anew, drains = word(490, started_us=BEGIN_US), word(499, ServerStatus.DRAINING)
+        anew, drains = entry_of(490, started_us=BEGIN_US), entry_of(499, ServerStatus.DRAINING)
         listed = [*serving(range(20, 490), weight=0.5), *serving(range(500, 600)), anew, drains]
         run.gateway.on_list(ListKind.FULL, listed)
         first = lists.pop()
@@ -210,7 +210,7 @@
         assert first.servers[len(gone) :] == (anew.listed, drains.listed)
         assert not any(run.pools.knows(number) for number in gone)
         last = next(reversed(run.gateway.slices.pending.values()))
-        run.gateway.on_list(ListKind.DELTA, [word(last.listed.server, ServerStatus.GONE)])
+        run.gateway.on_list(ListKind.DELTA, [entry_of(last.listed.server, ServerStatus.GONE)])
         assert lists.pop().servers[0].status is ServerStatus.GONE and not lists  # ahead of what waits
         turns = 0
         while run.gateway.slices.pending:
@@ -242,7 +242,7 @@
         run.gateway.look(run.gateway.still.seen_us + 10_000_000)  # a gap was seen: nothing may be sent
         await asyncio.sleep(0)
         assert not run.gateway.slices.pending and run.gateway.still.holds
-        run.gateway.on_list(ListKind.DELTA, [word(7, weight=0.25)])
+        run.gateway.on_list(ListKind.DELTA, [entry_of(7, weight=0.25)])
         weights = {number: run.module.servers[number].entry.weight for number in range(300)}
         assert weights.pop(7) == 0.25 and set(weights.values()) == {0.5}
         run.gateway.on_list(ListKind.DELTA, serving(range(300), weight=0.75))
--- a/tests/discovery/test_manual_ejections.py
+++ b/tests/discovery/test_manual_ejections.py
@@ -17,18 +17,18 @@
     return Endpoint(name, ("127.0.0.1", 1), ListedServer(hash(name) & 0xFFFF, status, started_us=started_us))
 
 
-def told(entries: list[Endpoint]) -> list[tuple[str, ServerStatus, int]]:
+def summary(entries: list[Endpoint]) -> list[tuple[str, ServerStatus, int]]:
     return [(e.name, e.listed.status, e.listed.started_us) for e in entries]
 
 
 def test_an_ejected_host_is_passed_on_as_draining_whatever_the_list_says() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b")])
-    assert told(ejections.eject(5, "a")) == [("a", DRAINING, 0)]
+    assert summary(ejections.eject(5, "a")) == [("a", DRAINING, 0)]
     for kind in (ListKind.DELTA, ListKind.FULL, ListKind.DISK):
-        assert told(ejections.apply(kind, [entry("a"), entry("b")])) == [("a", DRAINING, 0), ("b", READY, 0)]
-    assert told(ejections.apply(ListKind.DELTA, [entry("a", GONE)])) == [("a", GONE, 0)]
-    assert told(ejections.apply(ListKind.DELTA, [entry("a", started_us=9)])) == [("a", DRAINING, 9)]
+        assert summary(ejections.apply(kind, [entry("a"), entry("b")])) == [("a", DRAINING, 0), ("b", READY, 0)]
+    assert summary(ejections.apply(ListKind.DELTA, [entry("a", GONE)])) == [("a", GONE, 0)]
+    assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=9)])) == [("a", DRAINING, 9)]
 
 
 def test_one_call_reinstates_a_host_that_was_ejected_often() -> None:
@@ -37,7 +37,7 @@
     for at_us in (5, 6, 7):
         ejections.eject(at_us, "a")
     assert ejections.ejected_us_by_name == {"a": 5}
-    assert told(ejections.reinstate(9, "a")) == [("a", READY, 9)]
+    assert summary(ejections.reinstate(9, "a")) == [("a", READY, 9)]
     assert ejections.reinstate(10, "a") == []
 
 
@@ -46,18 +46,18 @@
     ejections.apply(ListKind.FULL, [entry("a")])
     ejections.eject(1, "a")
     ejections.reinstate(2, "a")
-    assert told(ejections.eject(3, "a")) == [("a", DRAINING, 2)]
-    assert told(ejections.reinstate(4, "a")) == [("a", READY, 4)]
+    assert summary(ejections.eject(3, "a")) == [("a", DRAINING, 2)]
+    assert summary(ejections.reinstate(4, "a")) == [("a", READY, 4)]
 
 
 def test_a_host_reinstated_before_its_restart_is_told_warms_up() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
     ejections.eject(1_000, "a")
-    assert told(ejections.reinstate(9_000, "a")) == [("a", READY, 9_000)]
+    assert summary(ejections.reinstate(9_000, "a")) == [("a", READY, 9_000)]
     # The list tells a start within the ejection, late: the host warms up as before.
-    assert told(ejections.apply(ListKind.DELTA, [entry("a", started_us=5_000)])) == [("a", READY, 9_000)]
-    assert told(ejections.apply(ListKind.DELTA, [entry("a", started_us=9_500)])) == [("a", READY, 9_500)]
+    assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=5_000)])) == [("a", READY, 9_000)]
+    assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=9_500)])) == [("a", READY, 9_500)]
 
 
 def test_a_restart_told_during_the_ejection_is_its_start() -> None:
@@ -65,7 +65,7 @@
     ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
     ejections.eject(1_000, "a")
     ejections.apply(ListKind.DELTA, [entry("a", started_us=5_000)])
-    assert told(ejections.reinstate(9_000, "a")) == [("a", READY, 5_000)]
+    assert summary(ejections.reinstate(9_000, "a")) == [("a", READY, 5_000)]
 
 
 def test_a_host_that_the_list_drains_or_drops_stays_so_after_the_ejection() -> None:
@@ -74,9 +74,9 @@
     ejections.eject(1, "a")
     ejections.eject(1, "b")
     ejections.apply(ListKind.DELTA, [entry("a", DRAINING), entry("b", GONE)])
-    assert told(ejections.reinstate(2, "a")) == [("a", DRAINING, 2)]
+    assert summary(ejections.reinstate(2, "a")) == [("a", DRAINING, 2)]
     assert ejections.reinstate(2, "b") == []
-    assert told(ejections.apply(ListKind.DELTA, [entry("b")])) == [("b", READY, 2)]
+    assert summary(ejections.apply(ListKind.DELTA, [entry("b")])) == [("b", READY, 2)]
 
 
 def test_a_host_is_known_once_it_was_listed() -> None:
@@ -95,14 +95,14 @@
         ejections.apply(ListKind.FULL, [entry(f"s-{number}")])
     assert len(ejections.formerly_listed) <= MAX_FORMERLY_LISTED and len(ejections.listed) == 1
     assert ejections.was_listed("first")
-    assert told(ejections.apply(ListKind.DELTA, [entry("first")])) == [("first", DRAINING, 0)]
+    assert summary(ejections.apply(ListKind.DELTA, [entry("first")])) == [("first", DRAINING, 0)]
 
 
 def test_another_process_has_changed_the_ejections() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b"), entry("c")])
     ejections.eject(1, "a")
-    assert told(ejections.synchronize({"b": 2}, {"a": 3})) == [("a", READY, 3), ("b", DRAINING, 0)]
+    assert summary(ejections.synchronize({"b": 2}, {"a": 3})) == [("a", READY, 3), ("b", DRAINING, 0)]
     assert ejections.synchronize({"b": 2}, {"a": 3}) == []
 
 
--- a/tests/discovery/test_registration_agent.py
+++ b/tests/discovery/test_registration_agent.py
@@ -75,7 +75,7 @@
 
 
 def test_the_agent_keeps_a_node_while_its_backend_is_healthy_and_drains_it_at_the_end(service: Service) -> None:
-    with health() as (box, port), agent(service, port, "--zone", "kita-room", "--group", "3") as process:
+    with health() as (backend, port), agent(service, port, "--zone", "kita-room", "--group", "3") as process:
         wait_for(lambda: node(service))
         first = node(service)
         assert first is not None and (first.zone, first.group, first.address) == ("kita-room", 3, ("127.0.0.1", port))
@@ -84,9 +84,9 @@
         wait_for(lambda: (now := node(service)) and now.czxid > first.czxid)
         again = node(service)
         assert again is not None and again.since_ms == first.since_ms  # the same process, a new registration
-        box.well = False
+        backend.well = False
         wait_for(lambda: node(service) is None)
-        box.well = True
+        backend.well = True
         wait_for(lambda: node(service))
         fresh = node(service)
         assert fresh is not None and fresh.since_ms > first.since_ms
--- a/tests/discovery/test_relay_client.py
+++ b/tests/discovery/test_relay_client.py
@@ -211,14 +211,14 @@
         behind(host, [a, b]) as (run, (first, second)),
     ):
 
-        def told(exchange: Exchange) -> None:
+        def drain_then_reset(exchange: Exchange) -> None:
             leaving = endpoint("s-0", host.address, status="DRAINING")
             if "from=" in exchange.message.first:
                 exchange.reset()
             else:
                 exchange.answer(relay_list(5, leaving, endpoint("s-1", host.address)))
 
-        first.script = told
+        first.script = drain_then_reset
         old = [endpoint(f"s-{n}", host.address) for n in (0, 1)]
         second.script = holding(relay_list(5, *old, age_ms=age_ms))
         run.gateway.start()
--- a/tests/discovery/test_source_merge.py
+++ b/tests/discovery/test_source_merge.py
@@ -1,4 +1,4 @@
-"""The merge of sources: any interleaving ends in what the last words imply; told gone is not not-known."""
+"""The merge of sources: any interleaving ends in what was said last; removed is not unknown."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     merge.on_connection_state(3 * S, E, ConnectionState.LOST)
     assert not merge.on_snapshot(4 * S, R, [member("a"), member("b")])
     assert names(merge) == ["b"]
-    # A life that began after the word is another box, and the registry may tell of it.
+    # A life that began after the removal is another backend, and the registry may tell of it.
     fresh = member("a", since_ms=5_000)
     assert merge.on_snapshot(6 * S, R, [fresh, member("b")]).updated == (fresh,)
 
@@ -83,13 +83,13 @@
     there = SourceMerge((R, E))
     there.on_snapshot(S, R, fleet)
     seen = [names(there)]
-    for box in fleet:  # agents start
-        there.on_changes(2 * S, E, [replace(box, czxid=7)])
+    for backend in fleet:  # agents start
+        there.on_changes(2 * S, E, [replace(backend, czxid=7)])
         seen.append(names(there))
     assert seen == [["a", "b", "c"]] * 4
     moved = SourceMerge((E, R))  # the order is turned round at a restart
     moved.on_snapshot(3 * S, R, fleet)
-    moved.on_snapshot(3 * S, E, [replace(box, czxid=7) for box in fleet])
+    moved.on_snapshot(3 * S, E, [replace(backend, czxid=7) for backend in fleet])
     moved.on_connection_state(4 * S, R, ConnectionState.LOST)  # the registry is switched off
     assert names(moved) == ["a", "b", "c"]
 
@@ -122,20 +122,20 @@
         SourceMerge(order)
 
 
-BOXES = ("a", "b", "c")
+BACKENDS = ("a", "b", "c")
 MEMBERS = st.builds(
-    Backend, st.sampled_from(BOXES), st.just(("10.0.0.1", 80)), st.sampled_from(BackendStatus),
+    Backend, st.sampled_from(BACKENDS), st.just(("10.0.0.1", 80)), st.sampled_from(BackendStatus),
     since_ms=st.sampled_from([0, 500, 2_500, 10_000]), czxid=st.integers(1, 3),
 )  # fmt: skip
 EVENTS = st.one_of(
     st.tuples(st.just("list"), st.lists(MEMBERS, max_size=3)),
     st.tuples(st.just("put"), MEMBERS),
-    st.tuples(st.just("gone"), st.sampled_from(BOXES)),
+    st.tuples(st.just("gone"), st.sampled_from(BACKENDS)),
     st.tuples(st.just("link"), st.sampled_from(ConnectionState)),
 )
 
 
-def say(merge: SourceMerge, now_us: int, source: Source, what: str, value: object) -> BackendChanges:
+def apply_event(merge: SourceMerge, now_us: int, source: Source, what: str, value: object) -> BackendChanges:
     if what == "list":
         return merge.on_snapshot(now_us, source, value)  # type: ignore[arg-type]
     if what == "put":
@@ -145,31 +145,33 @@
     return merge.on_connection_state(now_us, source, value)  # type: ignore[arg-type]
 
 
-def implied(words: dict[Source, list[tuple[int, str, object]]], known: list[Backend]) -> dict[str, Backend]:
-    """What the last words of each source imply, box by box, worked out by another way than the module's."""
+def implied(
+    events_by_source: dict[Source, list[tuple[int, str, object]]], known: list[Backend]
+) -> dict[str, Backend]:
+    """What each source said last implies, backend by backend, worked out by another way than the module's."""
     found: dict[str, Backend] = {}
-    listed = any(what == "list" for events in words.values() for _, what, _ in events)
-    for box in BOXES:
+    listed = any(what == "list" for events in events_by_source.values() for _, what, _ in events)
+    for name in BACKENDS:
         last: list[Backend | int | None] = []
         for source in (E, R):
-            word: Backend | int | None = None
-            for at_us, what, value in words[source]:
+            state: Backend | int | None = None
+            for at_us, what, value in events_by_source[source]:
                 if what == "list":
-                    mine = [m for m in value if m.name == box]  # type: ignore[attr-defined]
-                    word = mine[-1] if mine else at_us // 1000 if isinstance(word, Backend) else word
-                elif what == "put" and value.name == box:  # type: ignore[attr-defined]
-                    word = value  # type: ignore[assignment]
-                elif what == "gone" and value == box:
-                    word = at_us // 1000
-            last.append(word)
-        mine = [m for m in known if m.name == box]
+                    mine = [m for m in value if m.name == name]  # type: ignore[attr-defined]
+                    state = mine[-1] if mine else at_us // 1000 if isinstance(state, Backend) else state
+                elif what == "put" and value.name == name:  # type: ignore[attr-defined]
+                    state = value  # type: ignore[assignment]
+                elif what == "gone" and value == name:
+                    state = at_us // 1000
+            last.append(state)
+        mine = [m for m in known if m.name == name]
         if not listed:
             last.append(mine[-1] if mine else None)
-        before = itertools.takewhile(lambda word: not isinstance(word, Backend), last)
-        told = [word for word in before if isinstance(word, int)]
-        first = next((word for word in last if isinstance(word, Backend)), None)
-        if first is not None and (not told or first.since_ms > max(told)):
-            found[box] = first
+        before = itertools.takewhile(lambda state: not isinstance(state, Backend), last)
+        removals = [state for state in before if isinstance(state, int)]
+        first = next((state for state in last if isinstance(state, Backend)), None)
+        if first is not None and (not removals or first.since_ms > max(removals)):
+            found[name] = first
     return found
 
 
@@ -182,20 +184,24 @@
     one: list[tuple[str, object]], other: list[tuple[str, object]], known: list[Backend], rng: random.Random
 ) -> None:
     # Each source's events have their times; how the two are interleaved does not matter.
-    words = {
+    events_by_source = {
         E: [((n + 1) * S, *event) for n, event in enumerate(one)],
         R: [((n + 1) * S, *event) for n, event in enumerate(other)],
     }
-    wanted = implied(words, known)
+    wanted = implied(events_by_source, known)
     for _ in range(3):
         merge, followed = SourceMerge(), dict[str, Backend]()
-        left: dict[Source, list[Any]] = {E: words[E][:], R: words[R][:], Source.KNOWN: [(0, "known", known)]}
+        left: dict[Source, list[Any]] = {
+            E: events_by_source[E][:],
+            R: events_by_source[R][:],
+            Source.KNOWN: [(0, "known", known)],
+        }
         while any(left.values()):
             source = rng.choice([s for s in left if left[s]])
             at_us, what, value = left[source].pop(0)
-            change = merge.load_known(0, known) if what == "known" else say(merge, at_us, source, what, value)
+            change = merge.load_known(0, known) if what == "known" else apply_event(merge, at_us, source, what, value)
             for gone in change.removed:
                 assert followed.pop(gone.name) == gone
             followed |= {put.name: put for put in change.updated}
-            assert followed == merge.backend_by_name  # the changes told add up to the list
+            assert followed == merge.backend_by_name  # the changes add up to the list
         assert merge.backend_by_name == wanted
--- a/tests/discovery/test_zookeeper_source.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -117,7 +117,7 @@
 
 @on_loop
 async def test_a_deletion_is_notified_though_the_list_cannot_be_read_any_more() -> None:
-    """The word came, then the service hears nothing: within the second that the drain rule gives it has to act."""
+    """The watch event came, then the service receives nothing: it has to act within the drain rule's second."""
     service = Service()
     service.register("s-0", "127.0.0.1:9001")
     service.register("s-1", "127.0.0.1:9002")
@@ -215,7 +215,7 @@
         assert sorted(listed(program)) == ["s-0"] and program.gateway.can_serve
         service.call(service.ensemble.come_back)
         service.register("s-1", "127.0.0.1:9002")
-        await until_listed(program, "s-1")  # the whole list is told, and s-0 is not on it
+        await until_listed(program, "s-1")  # the whole list is applied, and s-0 is not on it
     service.close()
 
 
@@ -237,8 +237,8 @@
     async with gateway(service, config_of(known), state=str(file)) as program:
         assert sorted(listed(program)) == ["s-0", "s-2"]
         assert listed(program)["s-0"].entry.zone == 1 and listed(program)["s-0"].entry.started_us == 7_000
-    for spoilt in ("{", "[]", '{"v": 2, "boxes": []}', '{"v": 1, "boxes": [3]}'):
-        file.write_text(spoilt)  # cannot be used: the list that is given serves
+    for corrupt in ("{", "[]", '{"v": 2, "boxes": []}', '{"v": 1, "boxes": [3]}'):
+        file.write_text(corrupt)  # cannot be used: the list that is given serves
         async with gateway(service, config_of(known), state=str(file)) as program:
             assert len(listed(program)) == 3
     service.close()
@@ -302,7 +302,7 @@
         service.do(Create("/elsewhere"))
         service.do(Create("/elsewhere/boxes"))
         await until(lambda: program.discovery.zookeeper.counters.list_reads)
-        await until_listed(program)  # now it is told: there is none
+        await until_listed(program)  # now it is known that there is none
     service.close()
 
 
@@ -333,7 +333,7 @@
             await until_listed(program, "s-0", "s-1")
             assert listed(program)["s-1"].entry.zone == 1
             await until(lambda: listed(program)["s-0"].entry.weight == 0.5)
-            service.expire("s-0")  # told gone, whatever the registry lists
+            service.expire("s-0")  # removed, whatever the registry lists
             await until_listed(program, "s-1")
     service.close()
 
