--- a/cloverkeel/discovery/endpoint_parser.py
+++ b/cloverkeel/discovery/endpoint_parser.py
@@ -61,7 +61,7 @@
             group=group if isinstance(group, int) else stable_id(str(group), SERVER_ID_BYTES),
             kind=index_of_name(kind, names.kinds),
             started_us=int(raw.get("since_ms") or 0) * 1000,
-            users=_parse_user_count(raw.get("users", 0)),
+            users=_parse_user_count(raw["users"]) if "users" in raw else 0,
         ),
     )
 
@@ -105,9 +105,13 @@
     for count, item in enumerate(raw.get("endpoints", [])):
         if count % ENTRIES_PER_STEP == 0:
             yield None
-        endpoint = _parse_or_log(item, names)
-        if endpoint is None:
-            continue
+        try:
+            endpoint = parse_endpoint(item, names)
+        except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
+            departed = _salvage(item, error)
+            if departed is None:
+                continue
+            endpoint = departed
         other = endpoint_by_server.get(endpoint.listed.server)
         if other is not None and other.name != endpoint.name:
             log(f"discovery: entry skipped, name={endpoint.name}, cause=id collides with {other.name}")
@@ -116,14 +120,12 @@
     return EndpointList(int(raw["index"]), bool(raw.get("snapshot", False)), list(endpoint_by_server.values()))
 
 
-def _parse_or_log(item: Any, names: Names) -> Endpoint | None:
-    try:
-        return parse_endpoint(item, names)
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        departed = parse_departed_endpoint(item)
-        event = "entry skipped" if departed is None else "entry taken for a deletion"
-        log(f"discovery: {event}, cause={error!r}, entry={str(item)[:MAX_LOGGED_CHARS]}")
-        return departed
+def _salvage(item: object, error: Exception) -> Endpoint | None:
+    """Log an entry that cannot be used, and return what can be known of it: that its host leaves, if it does."""
+    departed = parse_departed_endpoint(item)
+    event = "entry skipped" if departed is None else "entry taken for a deletion"
+    log(f"discovery: {event}, cause={error!r}, entry={str(item)[:MAX_LOGGED_CHARS]}")
+    return departed
 
 
 def _parse_weight(value: object) -> float:
