--- a/cloverkeel/discovery/endpoint_parser.py
+++ b/cloverkeel/discovery/endpoint_parser.py
@@ -20,6 +20,7 @@
 from cloverkeel.core.config import Names, parse_address, stable_id
 from cloverkeel.core.log import log
 from cloverkeel.core.ports import Endpoint
+from cloverkeel.discovery.errors import EndpointEntryError, EndpointListError
 from cloverkeel.discovery.incremental import Incremental, run_to_completion
 
 ENTRIES_PER_STEP: Final = 8  # some 0.1 ms
@@ -47,7 +48,7 @@
     """Read one entry. KeyError, TypeError, ValueError, AttributeError or OverflowError where it cannot be used."""
     name = raw["name"]
     if not isinstance(name, str) or not name:
-        raise ValueError("no name")
+        raise EndpointEntryError("name", "no name")
     zone, kind, group = raw.get("zone", ""), raw.get("type", ""), raw.get("group", 0)
     return Endpoint(
         name,
@@ -60,7 +61,7 @@
             group=group if isinstance(group, int) else stable_id(str(group), SERVER_ID_BYTES),
             kind=index_of_name(kind, names.kinds),
             started_us=int(raw.get("since_ms") or 0) * 1000,
-            users=_parse_user_count(raw.get("users", 0)),
+            users=_parse_user_count(raw["users"]) if "users" in raw else 0,
         ),
     )
 
@@ -99,14 +100,18 @@
 def parse_endpoint_list_incrementally(raw: object, names: Names) -> Incremental[EndpointList]:
     """Read an answer as `parse_endpoint_list` does, ENTRIES_PER_STEP entries a step."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints", []), list):
-        raise ValueError("not a list of hosts")
+        raise EndpointListError
     endpoint_by_server: dict[int, Endpoint] = {}
     for count, item in enumerate(raw.get("endpoints", [])):
         if count % ENTRIES_PER_STEP == 0:
             yield None
-        endpoint = _parse_or_log(item, names)
-        if endpoint is None:
-            continue
+        try:
+            endpoint = parse_endpoint(item, names)
+        except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
+            departed = _salvage(item, error)
+            if departed is None:
+                continue
+            endpoint = departed
         other = endpoint_by_server.get(endpoint.listed.server)
         if other is not None and other.name != endpoint.name:
             log(f"discovery: entry skipped, name={endpoint.name}, cause=id collides with {other.name}")
@@ -115,20 +120,18 @@
     return EndpointList(int(raw["index"]), bool(raw.get("snapshot", False)), list(endpoint_by_server.values()))
 
 
-def _parse_or_log(item: Any, names: Names) -> Endpoint | None:
-    try:
-        return parse_endpoint(item, names)
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        departed = parse_departed_endpoint(item)
-        event = "entry skipped" if departed is None else "entry taken for a deletion"
-        log(f"discovery: {event}, cause={error!r}, entry={str(item)[:MAX_LOGGED_CHARS]}")
-        return departed
+def _salvage(item: object, error: Exception) -> Endpoint | None:
+    """Log an entry that cannot be used, and return what can be known of it: that its host leaves, if it does."""
+    departed = parse_departed_endpoint(item)
+    event = "entry skipped" if departed is None else "entry taken for a deletion"
+    log(f"discovery: {event}, cause={error!r}, entry={str(item)[:MAX_LOGGED_CHARS]}")
+    return departed
 
 
 def _parse_weight(value: object) -> float:
     weight = float(value)  # type: ignore[arg-type]
     if not 0.0 < weight < MAX_WEIGHT:
-        raise ValueError("weight is out of range")
+        raise EndpointEntryError("weight", "weight is out of range")
     return weight
 
 
