--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -504,44 +504,45 @@
     Hosts began at moments of the last four days, in milliseconds, as 9,800 starts a day of 38,000 come to; those of a
     zone that is back within some seconds. With `since_ms` alike a body takes a third less.
     """
-    from cloverkeel.control_plane.messages import Answer, Asker
-    from cloverkeel.control_plane.encoding import LEAST, zipped
-    from cloverkeel.control_plane.endpoint_cache import Feed, Topic
-    from cloverkeel.control_plane.fleet_roster import parse_roster
-    from cloverkeel.control_plane.http_server import let_go
-    from cloverkeel.control_plane.discovery_source import SHORT
-    from cloverkeel.control_plane.incremental_update import take_in
+    from cloverkeel.control_plane.messages import ListResponse, Subscriber
+    from cloverkeel.control_plane.encoding import MIN_GZIP_BYTES, gzip_body
+    from cloverkeel.control_plane.endpoint_cache import EndpointCache
+    from cloverkeel.control_plane.endpoint_table import SubscriptionKey
+    from cloverkeel.control_plane.roster_parser import parse_roster
+    from cloverkeel.control_plane.http_server import free_incrementally
+    from cloverkeel.control_plane.discovery_source import MAX_SINGLE_STEP_BYTES
+    from cloverkeel.control_plane.incremental_update import apply_list_incrementally
     from cloverkeel.core.incremental_json import decode
 
     made = fleet(gateways_at(size), size)
     dice = random.Random(2)
     listed = [host.entry(since_ms=dice.randrange(NOW_MS - SPREAD_MS, NOW_MS)) for host in made.hosts]
     share = max(1, round(len(made.gateways) / PLAN.control_machines))
-    askers = [Asker(front.name) for front in random.Random(1).sample(made.gateways, share)]
+    askers = [Subscriber(front.name) for front in random.Random(1).sample(made.gateways, share)]
     bodies = [_answer(1, True, listed)]
     before = kib("self", "VmRSS")
-    feed = Feed(parse_roster(json.dumps(made.roster()), "the plan"), 1)
+    cache = EndpointCache(parse_roster(json.dumps(made.roster()), "the plan"), 1)
     gc.collect()
     gc.freeze()
     gc.disable()  # as the program does
     held: dict[str, int] = {}
-    topics = {asker: frozenset(feed.topics(asker)) for asker in askers}
+    topics = {asker: frozenset(cache.subscription_keys(asker)) for asker in askers}
     costs: Costs = {}
     longest = 0.0
 
-    def long(whole: bool, body: bytes) -> Iterator[frozenset[Topic] | None]:
+    def long(whole: bool, body: bytes) -> Iterator[frozenset[SubscriptionKey] | None]:
         raw = yield from decode(body)
-        touched = yield from take_in(feed, whole, raw["endpoints"])
+        touched = yield from apply_list_incrementally(cache, whole, raw["endpoints"])
         yield touched
-        for _ in let_go(raw["endpoints"]):
+        for _ in free_incrementally(raw["endpoints"]):
             yield touched
 
-    def take(whole: bool, body: bytes) -> frozenset[Topic]:
+    def take(whole: bool, body: bytes) -> frozenset[SubscriptionKey]:
         nonlocal longest
-        touched: frozenset[Topic] | None = None
+        touched: frozenset[SubscriptionKey] | None = None
         began = time.perf_counter()
-        if len(body) <= SHORT:
-            touched = feed.take(whole, json.loads(body)["endpoints"])
+        if len(body) <= MAX_SINGLE_STEP_BYTES:
+            touched = cache.apply_list(whole, json.loads(body)["endpoints"])
         else:
             for step in long(whole, body):
                 longest, began = max(longest, time.perf_counter() - began), time.perf_counter()
@@ -551,9 +552,9 @@
             raise RuntimeError("the relay took the plan's list for rubbish")
         return touched
 
-    def sent(answer: Answer) -> int:
+    def sent(answer: ListResponse) -> int:
         body = answer.body(0)
-        return len(zipped(body) if len(body) >= LEAST else body)
+        return len(gzip_body(body) if len(body) >= MIN_GZIP_BYTES else body)
 
     def told(items: list[dict[str, Any]]) -> tuple[float, float, list[int]]:
         """CPU and the longest step, in ms, and the bytes to each gateway that is told something."""
@@ -565,7 +566,7 @@
             if topics[asker].isdisjoint(touched):
                 continue
             began = time.perf_counter()
-            answer = feed.answer(asker, held.get(asker.gateway))
+            answer = cache.respond(asker, held.get(asker.gateway))
             if answer is not None:
                 sizes.append(sent(answer))
                 held[asker.gateway] = answer.index
@@ -578,7 +579,7 @@
     costs["relay_take_stop_ms"] = longest * 1e3
     cpu, sizes = time.process_time(), []
     for asker in askers:
-        answer = feed.answer(asker, None)
+        answer = cache.respond(asker, None)
         assert answer is not None
         sizes.append(sent(answer))
         held[asker.gateway] = answer.index
--- a/benchmarks/guards/mutants/control_plane.py
+++ b/benchmarks/guards/mutants/control_plane.py
@@ -8,136 +8,138 @@
 @entry("relay-even-places")
 def _() -> None:
     """A gateway's window begins at a hash of its own, not evenly spaced by its rank."""
-    from cloverkeel.control_plane.subsetting import Ring
+    from cloverkeel.control_plane.subsetting import HashRing
 
-    cut(Ring, "window", ("start(count, gateways, group.place(gateway))", "stable_id(gateway, 8) % count"))
+    cut(
+        HashRing,
+        "window",
+        ("window_start(count, gateways, group.rank(gateway))", "__import__('zlib').crc32(gateway.encode()) % count"),
+    )
 
 
 @entry("relay-own-share")
 def _() -> None:
     """Who has widened takes a full share of each cold host that it has by that."""
-    from cloverkeel.control_plane.subsetting import Host
+    from cloverkeel.control_plane.entry_codec import Host
 
-    cut(Host, "entry", ("users * APART", "users"))
+    cut(Host, "subset_entry", ("users * WIDENED_USERS_FACTOR", "users"))
 
 
 @entry("relay-drains")
 def _() -> None:
     """A host that drains is told as gone."""
-    from cloverkeel.control_plane.endpoint_cache import Feed
+    from cloverkeel.control_plane.deltas import SubsetResponses
 
-    cut(Feed, "answer_delta", ("if now is None or now.serves or", "if True or"))
+    cut(SubsetResponses, "_departed_hosts", ("if now is None or now.is_serving or", "if True or"))
 
 
 @entry("relay-index")
 def _() -> None:
     """Changes are told from the gateway's last answer, whichever `from` names."""
-    from cloverkeel.control_plane.endpoint_cache import Feed
+    from cloverkeel.control_plane.endpoint_cache import EndpointCache
 
-    last = "self.answer_delta(asker, post, max(self.views[asker.gateway]))"
-    known = ("not self.knows(asker, since)", "not self.views.get(asker.gateway)")
-    cut(Feed, "answer", known, ("self.answer_delta(asker, post, since)", last))
+    last = "self.subsets.delta(subscription, max(self.subsets.snapshots_by_gateway[subscription.gateway]))"
+    known = (
+        "not self.is_known(subscriber, known_index)",
+        "not self.subsets.snapshots_by_gateway.get(subscriber.gateway)",
+    )
+    cut(EndpointCache, "respond", known, ("self.subsets.delta(subscription, known_index)", last))
 
 
 @entry("relay-restricts-first")
 def _() -> None:
     """What serves is said before what restricts."""
-    from cloverkeel.control_plane.endpoint_cache import Feed
+    from cloverkeel.control_plane import deltas
 
-    ordered = "(*sorted(deleted), *sorted(drains), *sorted(came.items()))"
-    cut(Feed, "answer_delta", (ordered, "(*sorted(came.items()), *sorted(drains), *sorted(deleted))"))
+    ordered = "(*sorted(deleted), *sorted(draining), *sorted(added.items()))"
+    reversed_order = "(*sorted(added.items()), *sorted(draining), *sorted(deleted))"
+    cut(deltas, "_in_order_of_restriction", (ordered, reversed_order))
 
 
 @entry("relay-not-ready")
 def _() -> None:
     """A relay that has no list says that nobody serves."""
-    from cloverkeel.control_plane.endpoint_cache import Feed
+    from cloverkeel.control_plane.endpoint_cache import EndpointCache
 
-    cut(Feed, "answer", ("raise NotReady", "pass"))
+    cut(EndpointCache, "respond", ("raise NotReadyError", "pass"))
 
 
 @entry("relay-spill")
 def _() -> None:
     """A region's gateways have its own hosts only, however few."""
-    from cloverkeel.control_plane.subsetting import Service
+    from cloverkeel.control_plane.subsetting import ServiceRings
 
-    cut(Service, "shape", ("< self.sizes.serving:", "< 0:"))
+    cut(ServiceRings, "assign_rings", ("< self.sizes.min_serving:", "< 0:"))
 
 
 @entry("relay-rubbish")
 def _() -> None:
     """A whole list that is mostly rubbish is taken."""
-    from cloverkeel.control_plane.endpoint_cache import Feed
+    from cloverkeel.control_plane.endpoint_cache import EndpointCache
 
-    cut(Feed, "take", ("(len(items) - skipped) < USABLE * len(items) or ", ""))
+    cut(EndpointCache, "apply_list", ("self.has_few_usable(len(items), parsed.skipped) or ", ""))
 
 
 @entry("relay-metered")
 def _() -> None:
     """A relay serves all wholes at once."""
-    from cloverkeel.control_plane.http_server import Server
+    from cloverkeel.control_plane.snapshot_queue import SnapshotQueue
 
-    cut(Server, "on_whole", ("if waiting < ", "if True or waiting < "))
+    cut(SnapshotQueue, "enqueue", ("if waiting < capacity", "if True or waiting < capacity"))
 
 
 @entry("relay-age")
 def _() -> None:
     """A relay's list counts as of the moment in which its answer was read."""
-    from cloverkeel.control_plane.discovery_source import Source
+    from cloverkeel.control_plane.discovery_source import DiscoverySource
 
-    cut(
-        Source,
-        "hear",
-        (
-            "self.index_of_discovery, self.confirmed_us = index, self.asked_us",
-            "self.index_of_discovery, self.confirmed_us = index, now_us()",
-        ),
-    )
+    cut(DiscoverySource, "_apply", ("= listed.index, self.request_sent_us", "= listed.index, now_us()"))
 
 
 @entry("relay-gzip-asked")
 def _() -> None:
     """Whoever says Accept-Encoding gets gzip, whatever weight it gives."""
-    from cloverkeel.control_plane import http_server as server
+    from cloverkeel.control_plane import connection
 
-    swap(server, "takes_gzip", lambda value: b"gzip" in value)
+    swap(connection, "accepts_gzip", lambda value: b"gzip" in value)
 
 
 @entry("relay-roster-shaped")
 def _() -> None:
     """After another roster a service stays as it was until its hosts change."""
-    from cloverkeel.control_plane.endpoint_cache import Feed
+    from cloverkeel.control_plane.endpoint_table import EndpointTable
 
-    cut(Feed, "service", ("name in self.regrouped", "False"))
+    cut(EndpointTable, "rings_of", ("service in self.pending_groups", "False"))
 
 
 @entry("relay-roster-found")
 def _() -> None:
     """A caller that asks as before is found as before, whatever the roster says now."""
-    from cloverkeel.control_plane.http_server import Server
+    from cloverkeel.control_plane.long_poll import LongPolls
 
-    cut(Server, "find_by", (" and caller.roster is self.feed.roster", ""))
+    cut(LongPolls, "_set_subscriber", (" and connection.keys_roster is self.cache.roster", ""))
 
 
 @entry("relay-list-moment")
 def _() -> None:
     """A whole list made by steps counts as of their end."""
-    from cloverkeel.control_plane.endpoint_cache import Feed
+    from cloverkeel.control_plane.full_list import FullListResponses
 
-    cut(Feed, "listing", ("self.index_of(number)", "self.index_of(self.number)"))
+    current = ("self._index_of(change_number)", "self._index_of(self.table.change_number)")
+    cut(FullListResponses, "snapshot_incrementally", current)
 
 
 @entry("relay-list-age")
 def _() -> None:
     """The age of a whole list counts from what is known as it is written, though the list went on."""
-    from cloverkeel.control_plane.http_server import Server
+    from cloverkeel.control_plane.snapshot_queue import SnapshotQueue
 
-    cut(Server, "go_listed", ("if listed.number == self.feed.number:", "if True:"))
+    cut(SnapshotQueue, "_send_full_list", ("if not is_outdated:", "if True:"))
 
 
 @entry("relay-slices")
 def _() -> None:
     """All who are behind are answered in one go."""
-    from cloverkeel.control_plane.http_server import Server
+    from cloverkeel.control_plane.long_poll import LongPolls
 
-    cut(Server, "look", ("self.loop.time() >= end_s", "False"))
+    cut(LongPolls, "_answer_overdue", ("self.loop.time() >= slice_end_s", "False"))
--- a/benchmarks/relay_model.py
+++ b/benchmarks/relay_model.py
@@ -22,14 +22,19 @@
 import time
 from collections import deque
 from collections.abc import Iterable, Iterator, Sequence
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field, fields, replace
 from typing import Any, Final
 
+from cloverkeel.control_plane.deltas import ClientSnapshot, SubsetWindow
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.endpoint_table import EndpointTable
+from cloverkeel.control_plane.entry_codec import WIDENED_USERS_FACTOR
+from cloverkeel.control_plane.errors import NotReadyError
+from cloverkeel.control_plane.fleet_roster import FleetRoster
+from cloverkeel.control_plane.messages import ListResponse, Subscriber
+from cloverkeel.control_plane.roster_parser import parse_roster
+from cloverkeel.control_plane.subsetting import HashRing, RingShare, ServiceRings, SubsetSizes
 from cloverkeel.core.config import stable_id
-from cloverkeel.control_plane.messages import Answer, Asker
-from cloverkeel.control_plane.endpoint_cache import Feed, NotReady, View, Window
-from cloverkeel.control_plane.fleet_roster import Roster, parse_roster
-from cloverkeel.control_plane.subsetting import APART, Ring, Service, Sizes
 
 Event = tuple[str, int]
 Shares = tuple[set[str], set[tuple[str, str]]]  # names of hosts; rings, by service and zone
@@ -49,16 +54,16 @@
 
     rosters: tuple[dict[str, Any], ...]
     hosts: tuple[Entry, ...]
-    askers: tuple[Asker, ...]
+    askers: tuple[Subscriber, ...]
     shifts: tuple[tuple[str, str], ...]  # service and zone
-    sizes: Sizes
-    parsed: tuple[Roster, ...] = ()
+    sizes: SubsetSizes
+    parsed: tuple[FleetRoster, ...] = ()
     known: dict[tuple[object, ...], Shares] = field(default_factory=dict)  # what `shares` has worked out
 
     def ready(self) -> Scene:
         return replace(self, parsed=tuple(parse_roster(json.dumps(raw), "a scene") for raw in self.rosters))
 
-    def shares(self, roster: int, asker: Asker, listed: List) -> Shares:
+    def shares(self, roster: int, asker: Subscriber, listed: List) -> Shares:
         """`plainly`, each question once."""
         states = sorted((e["name"], e["service"], e["zone"], e["status"]) for e in listed.values())
         key = (roster, asker, tuple(states))
@@ -75,7 +80,7 @@
 # The page, written again
 
 
-def plainly(roster: dict[str, Any], sizes: Sizes, asker: Asker, listed: List) -> Shares:
+def plainly(roster: dict[str, Any], sizes: SubsetSizes, asker: Subscriber, listed: List) -> Shares:
     """Names of an asker's hosts in a list, and the (service, zone) that it shares. By what the page says."""
     post = roster["gateways"].get(asker.gateway)
     regions = roster["regions"]
@@ -102,7 +107,7 @@
             of = [name for name, each in listed.items() if (each["service"], each["zone"], each["status"]) == its]
             return sorted(of, key=lambda name: (stable_id(f"{service}\0{zone}\0{name}", 8), name))
 
-        if sum(len(serving(zone)) for zone in own) < sizes.serving:
+        if sum(len(serving(zone)) for zone in own) < sizes.min_serving:
             own = zones
         for zone in own:
             shared.add((service, zone))
@@ -110,7 +115,7 @@
             group = [n for n, region in fronts.items() if zone in lent or region == mine] or list(fronts)
             hashes = [stable_id(f"{service}\0{n}", 8) for n in group]
             place = sum(number < stable_id(f"{service}\0{asker.gateway}", 8) for number in hashes)
-            count, least = max(len(group), 1), sizes.least << asker.wide
+            count, least = max(len(group), 1), sizes.min_hosts << asker.widenings
             for number in range(min(len(hosts), max(least, -(-least * len(hosts) // count)))):
                 first = int((place + 0.5) * len(hosts) / count)
                 names.add(hosts[(first + number) % len(hosts)])
@@ -125,7 +130,7 @@
 
     __slots__ = ("asker", "held", "index", "relay")
 
-    def __init__(self, asker: Asker, relay: int) -> None:
+    def __init__(self, asker: Subscriber, relay: int) -> None:
         self.asker, self.relay = asker, relay
         self.index: int | None = None
         self.held: dict[str, bytes] = {}
@@ -135,12 +140,12 @@
         made.index, made.held = self.index, dict(self.held)
         return made
 
-    def apply(self, answer: Answer) -> None:
+    def apply(self, answer: ListResponse) -> None:
         """As Watch.on_answer has it: changes up to a version below the one held are of another life."""
-        if not answer.whole and self.index is not None and answer.index < self.index:
+        if not answer.is_snapshot and self.index is not None and answer.index < self.index:
             self.index = None
             return
-        if answer.whole:
+        if answer.is_snapshot:
             self.held = {}
         self.index = answer.index
         for told in answer.entries:
@@ -152,20 +157,20 @@
 
 
 class Relay:
-    """A feed, and what it has heard of discovery."""
+    """A cache, and what it has heard of discovery."""
 
-    __slots__ = ("feed", "heard", "life", "listed", "roster")
+    __slots__ = ("cache", "heard", "life", "listed", "roster")
 
     def __init__(self, scene: Scene, life: int = 0, roster: int = 0) -> None:
         self.life, self.roster = life, roster
-        self.feed = Feed(scene.parsed[roster], FIRST_INDEX + life * NEXT_LIFE, scene.sizes)
+        self.cache = EndpointCache(scene.parsed[roster], FIRST_INDEX + life * NEXT_LIFE, scene.sizes)
         self.heard = -1  # changes of discovery's; -1: no list yet
         self.listed: List = {}
 
     def copy(self) -> Relay:
         made = Relay.__new__(Relay)
         made.life, made.roster, made.heard, made.listed = self.life, self.roster, self.heard, dict(self.listed)
-        made.feed = copy_feed(self.feed)
+        made.cache = copy_cache(self.cache)
         return made
 
 
@@ -194,13 +199,13 @@
     def key(self) -> tuple[object, ...]:
         """What any later event can depend on. Numbers of changes and indexes count by their order alone."""
         relays = tuple(
-            (relay.roster, relay.heard - len(self.changes), relay.life, key_of_feed(relay.feed))
+            (relay.roster, relay.heard - len(self.changes), relay.life, key_of_cache(relay.cache))
             for relay in self.relays
         )
         holders = tuple(
             (
-                holder.relay, holder.asker.wide, tuple(sorted(holder.held.items())),
-                None if holder.index is None else holder.index - self.relays[holder.relay].feed.index,
+                holder.relay, holder.asker.widenings, tuple(sorted(holder.held.items())),
+                None if holder.index is None else holder.index - self.relays[holder.relay].cache.indexes.last,
             )
             for holder in self.holders
         )  # fmt: skip
@@ -239,20 +244,20 @@
             self.hear(number)
         elif what == "list":
             relay = self.relays[number]
-            relay.feed.take(True, list(self.listed.values()))
+            relay.cache.apply_list(True, list(self.listed.values()))
             relay.heard, relay.listed = len(self.changes), dict(self.listed)
         elif what == "restart":
             self.relays[number] = Relay(self.scene, self.relays[number].life + 1, self.relays[number].roster)
         elif what == "roster":
             relay = self.relays[number]
             relay.roster = (relay.roster + 1) % len(self.scene.rosters)
-            relay.feed.set_roster(self.scene.parsed[relay.roster])
+            relay.cache.replace_roster(self.scene.parsed[relay.roster])
         elif what == "move":
             holder = self.holders[number]
             holder.relay, holder.index = 1 - holder.relay, None
         elif what == "wide":
             holder = self.holders[number]
-            holder.asker = replace(holder.asker, wide=1 - holder.asker.wide)
+            holder.asker = replace(holder.asker, widenings=1 - holder.asker.widenings)
         else:
             self.ask(number, what == "lose")
 
@@ -277,7 +282,7 @@
         relay = self.relays[number]
         if -1 < relay.heard < len(self.changes):
             now = self.changes[relay.heard]
-            relay.feed.take(False, [now])
+            relay.cache.apply_list(False, [now])
             take_in(relay.listed, now)
             relay.heard += 1
 
@@ -285,8 +290,8 @@
         holder = self.holders[number]
         relay = self.relays[holder.relay]
         try:
-            answer = relay.feed.answer(holder.asker, holder.index)
-        except NotReady:
+            answer = relay.cache.respond(holder.asker, holder.index)
+        except NotReadyError:
             self.require(relay.heard == -1, "a relay that has a list gave no answer")
             return
         self.require(relay.heard >= 0, "a relay that has no list gave an answer")
@@ -321,15 +326,15 @@
         if not holds and not self.wrong:
             self.wrong = wrong
 
-    def judge_answer(self, holder: Holder, relay: Relay, answer: Answer) -> None:
+    def judge_answer(self, holder: Holder, relay: Relay, answer: ListResponse) -> None:
         raws = [json.loads(each) for each in answer.entries]
         ranks = [ORDER.index(raw["status"]) for raw in raws]
-        self.require(answer.whole or ranks == sorted(ranks), "what restricts was not said first")
+        self.require(answer.is_snapshot or ranks == sorted(ranks), "what restricts was not said first")
         names = [raw["name"] for raw in raws]
         self.require(len(set(names)) == len(names), "a host was told twice in one answer")
-        self.require(answer.whole or bool(raws), "an answer with nothing in it")
-        self.require(holder.index is not None or answer.whole, "changes for one that holds nothing")
-        if answer.whole:
+        self.require(answer.is_snapshot or bool(raws), "an answer with nothing in it")
+        self.require(holder.index is not None or answer.is_snapshot, "changes for one that holds nothing")
+        if answer.is_snapshot:
             return
         _, shared = self.scene.shares(relay.roster, holder.asker, relay.listed)
         for raw in raws:
@@ -355,12 +360,13 @@
                 self.require((users or least) >= least, "more gateways have a host than `users` says")
         self.require(serving == names, "a gateway has another subset than its relay's list gives")
 
-    def least_users(self, relay: Relay, asker: Asker, name: str) -> int:
-        """Gateways of the roster that have this host and have not widened; APART times that where it came by that."""
-        fronts = [Asker(gateway) for gateway in self.scene.rosters[relay.roster]["gateways"]]
+    def least_users(self, relay: Relay, asker: Subscriber, name: str) -> int:
+        """Gateways of the roster that have this host and have not widened; WIDENED_USERS_FACTOR times that where it
+        came by that."""
+        fronts = [Subscriber(gateway) for gateway in self.scene.rosters[relay.roster]["gateways"]]
         users = sum(name in self.scene.shares(relay.roster, front, relay.listed)[0] for front in fronts)
-        own, _ = self.scene.shares(relay.roster, replace(asker, wide=0), relay.listed)
-        return users if name in own else users * APART
+        own, _ = self.scene.shares(relay.roster, replace(asker, widenings=0), relay.listed)
+        return users if name in own else users * WIDENED_USERS_FACTOR
 
 
 def text_of(raw: Entry) -> str:
@@ -378,73 +384,90 @@
         listed[now["name"]] = now
 
 
-def copy_feed(feed: Feed) -> Feed:
-    """Hosts, windows and views are never changed, so both may have them."""
-    made = Feed(feed.roster, feed.index + 1, feed.sizes)
-    made.ready, made.number, made.hosts = feed.ready, feed.number, dict(feed.hosts)
-    made.changed, made.changed_floor = feed.changed.copy(), feed.changed_floor
-    made.views = {gateway: dict(views) for gateway, views in feed.views.items()}
-    made.log, made.log_floor = feed.log.copy(), feed.log_floor
-    made.wholes, made.all_entries, made.counts = feed.wholes.copy(), feed.all_entries, replace(feed.counts)
-    for name, service in feed.services.items():
-        copied = made.services[name] = Service.__new__(Service)
-        copied.sizes, copied.groups, copied.spilling = service.sizes, service.groups, service.spilling
-        copied.rings = {zone: copy_ring(ring) for zone, ring in service.rings.items()}
-        copied.reach = {
-            region: tuple((copied.rings[ring.zone], group) for ring, group in reach)
-            for region, reach in service.reach.items()
-        }
+def copy_cache(cache: EndpointCache) -> EndpointCache:
+    """Hosts, windows and snapshots are never changed, so both may have them."""
+    made = EndpointCache(cache.roster, cache.indexes.last + 1, cache.table.sizes)
+    made.is_ready = cache.is_ready
+    for counter in fields(cache.counters):
+        setattr(made.counters, counter.name, getattr(cache.counters, counter.name))
+    copy_table(cache.table, made.table)
+    snapshots = cache.subsets.snapshots_by_gateway
+    made.subsets.snapshots_by_gateway = {gateway: dict(its) for gateway, its in snapshots.items()}
+    made.full_list.change_by_index = cache.full_list.change_by_index.copy()
+    made.full_list.entries, made.full_list.entries_change = cache.full_list.entries, cache.full_list.entries_change
     return made
 
 
-def copy_ring(ring: Ring) -> Ring:
-    made = Ring(ring.zone, ring.least)
-    made.hosts, made.known, made.changed, made.groups = list(ring.hosts), ring.known, ring.changed, ring.groups
+def copy_table(table: EndpointTable, made: EndpointTable) -> None:
+    made.change_number, made.host_by_name = table.change_number, dict(table.host_by_name)
+    made.change_by_service = table.change_by_service.copy()
+    made.change_by_service_floor = table.change_by_service_floor
+    made.change_log.entries, made.change_log.floor = table.change_log.entries.copy(), table.change_log.floor
+    for name, rings in table.rings_by_service.items():
+        copied = made.rings_by_service[name] = ServiceRings.__new__(ServiceRings)
+        copied.sizes, copied.groups, copied.spillover_regions = rings.sizes, rings.groups, rings.spillover_regions
+        copied.ring_by_zone = {zone: copy_ring(ring) for zone, ring in rings.ring_by_zone.items()}
+        copied.shares_by_region = {
+            region: tuple(RingShare(copied.ring_by_zone[share.ring.zone], share.group) for share in shares)
+            for region, shares in rings.shares_by_region.items()
+        }
+
+
+def copy_ring(ring: HashRing) -> HashRing:
+    made = HashRing(ring.zone, ring.min_hosts)
+    made.hosts, made.known_hosts, made.changed_at = list(ring.hosts), ring.known_hosts, ring.changed_at
+    made.group_sizes = ring.group_sizes
     return made
 
 
-def key_of_feed(feed: Feed) -> tuple[object, ...]:
+def key_of_cache(cache: EndpointCache) -> tuple[object, ...]:
     """Its state, with numbers of changes replaced by their order, and indexes by their distance from the last."""
-    views = [view for each in feed.views.values() for view in each.values()]
-    numbers = {feed.number, feed.log_floor, feed.changed_floor, *feed.changed.values(), *feed.wholes.values()}
-    numbers.update(number for number, _ in feed.log)
-    numbers.update(view.number for view in views)
-    numbers.update(ring.changed for service in feed.services.values() for ring in service.rings.values())
-    numbers.update(w.changed for view in views for zones in view.windows.values() for w in zones.values())
+    table, by_gateway = cache.table, cache.subsets.snapshots_by_gateway
+    log, by_index, last = table.change_log, cache.full_list.change_by_index, cache.indexes.last
+    snapshots = [snapshot for each in by_gateway.values() for snapshot in each.values()]
+    windows = [w for each in snapshots for zones in each.windows_by_service.values() for w in zones.values()]
+    all_rings = [ring for rings in table.rings_by_service.values() for ring in rings.ring_by_zone.values()]
+    numbers = {table.change_number, log.floor, table.change_by_service_floor}
+    numbers.update(table.change_by_service.values(), by_index.values())
+    numbers.update(number for number, _ in log.entries)
+    numbers.update(snapshot.change_number for snapshot in snapshots)
+    numbers.update(ring.changed_at for ring in all_rings)
+    numbers.update(window.changed_at for window in windows)
     rank = {number: place for place, number in enumerate(sorted(numbers))}
 
-    def of_window(window: Window) -> object:
-        hosts = tuple((host.serves, host.rest) for host in window.hosts)
-        return rank[window.changed], window.users, window.own, hosts
+    def of_window(window: SubsetWindow) -> object:
+        hosts = tuple((host.is_serving, host.fields) for host in window.hosts)
+        return rank[window.changed_at], window.max_users, window.own_hosts, hosts
 
-    def of_view(view: View) -> object:
+    def of_snapshot(snapshot: ClientSnapshot) -> object:
         windows = tuple(
             (name, zone, of_window(window))
-            for name, zones in sorted(view.windows.items()) for zone, window in sorted(zones.items())
+            for name, zones in sorted(snapshot.windows_by_service.items()) for zone, window in sorted(zones.items())
         )  # fmt: skip
-        draining = tuple((host.serves, host.rest) for _, host in sorted(view.draining.items()))
-        return rank[view.number], view.roster.digest, view.services, view.wide, windows, draining
+        draining = tuple((host.is_serving, host.fields) for _, host in sorted(snapshot.draining_by_name.items()))
+        its = snapshot.subscription
+        return rank[snapshot.change_number], its.roster.digest, its.services, its.widenings, windows, draining
 
     rings = tuple(
-        (name, zone, rank[ring.changed], ring.known, tuple(host.rest for host in ring.hosts))
-        for name, service in sorted(feed.services.items()) for zone, ring in sorted(service.rings.items())
+        (name, zone, rank[ring.changed_at], ring.known_hosts, tuple(host.fields for host in ring.hosts))
+        for name, its in sorted(table.rings_by_service.items()) for zone, ring in sorted(its.ring_by_zone.items())
     )  # fmt: skip
     return (
-        feed.ready, rank[feed.number], rings,
-        tuple((host.serves, host.rest) for _, host in sorted(feed.hosts.items())),
-        tuple((name, rank[number]) for name, number in sorted(feed.changed.items())),
-        tuple((rank[number], host.serves, host.rest) for number, host in feed.log),
-        tuple((index - feed.index, rank[number]) for index, number in feed.wholes.items()),
+        cache.is_ready, rank[table.change_number], rings,
+        tuple((host.is_serving, host.fields) for _, host in sorted(table.host_by_name.items())),
+        tuple((name, rank[number]) for name, number in sorted(table.change_by_service.items())),
+        tuple((rank[number], host.is_serving, host.fields) for number, host in log.entries),
+        tuple((index - last, rank[number]) for index, number in by_index.items()),
         tuple(
-            (gateway, tuple((index - feed.index, of_view(view)) for index, view in sorted(each.items())))
-            for gateway, each in sorted(feed.views.items())
+            (gateway, tuple((index - last, of_snapshot(each)) for index, each in sorted(its.items())))
+            for gateway, its in sorted(by_gateway.items())
         ),
     )  # fmt: skip
 
 
 # Where a search begins
 
-SMALL: Final = Sizes(least=1, serving=1)
+SMALL: Final = SubsetSizes(min_hosts=1, min_serving=1)
 
 
 def ring() -> Scene:
@@ -452,7 +475,7 @@
     roster = {"regions": {"r": ["z"]}, "gateways": {"g0": {"zone": "z"}, "g1": {"zone": "z"}}}
     fewer = {"regions": {"r": ["z"]}, "gateways": {"g0": {"zone": "z"}}}  # g1 has the whole list by it
     hosts = tuple(entry(f"h{n}", "", "z") for n in range(3))
-    return Scene((roster, fewer), hosts, (Asker("g0"), Asker("g1")), (("", "z"), ("a", "z")), SMALL).ready()
+    return Scene((roster, fewer), hosts, (Subscriber("g0"), Subscriber("g1")), (("", "z"), ("a", "z")), SMALL).ready()
 
 
 def spill() -> Scene:
@@ -460,7 +483,9 @@
     gateways = {"g0": {"zone": "z0"}, "g1": {"zone": "z1"}}
     roster = {"regions": {"r0": ["z0"], "r1": ["z1"]}, "gateways": gateways}
     hosts = tuple(entry(f"h{n}", "", f"z{n % 2}") for n in range(3))
-    return Scene((roster,), hosts, (Asker("g0"), Asker("g1")), (("", "z0"), ("", "z1"), ("", "far")), SMALL).ready()
+    return Scene(
+        (roster,), hosts, (Subscriber("g0"), Subscriber("g1")), (("", "z0"), ("", "z1"), ("", "far")), SMALL
+    ).ready()
 
 
 def services() -> Scene:
@@ -469,7 +494,9 @@
     roster = {"regions": {"r": ["z"]}, "gateways": gateways}
     other = {"regions": {"r": ["z"]}, "gateways": gateways | {"g0": {"zone": "z", "services": ["b"]}}}
     hosts = tuple(entry(f"h{n}", "a" if n < 2 else "b", "z") for n in range(3))
-    return Scene((roster, other), hosts, (Asker("g0"), Asker("g1")), (("a", "z"), ("b", "z")), SMALL).ready()
+    return Scene(
+        (roster, other), hosts, (Subscriber("g0"), Subscriber("g1")), (("a", "z"), ("b", "z")), SMALL
+    ).ready()
 
 
 STARTS: Final = {"ring": ring, "spill": spill, "services": services}
@@ -567,21 +594,21 @@
 }  # fmt: skip
 
 
-def draw(dice: random.Random, state: State) -> Event:
+def draw(rng: random.Random, state: State) -> Event:
     events = list(state.events())
     kinds = sorted({event[0] for event in events})
-    (kind,) = dice.choices(kinds, [WEIGHTS[kind] for kind in kinds])
-    return dice.choice([event for event in events if event[0] == kind])
+    (kind,) = rng.choices(kinds, [WEIGHTS[kind] for kind in kinds])
+    return rng.choice([event for event in events if event[0] == kind])
 
 
 def walk(scene: Scene, walks: int, steps: int, seed: int) -> Found:
     """Long traces drawn at random; what goes wrong is cut down."""
     found = Found()
     for number in range(walks):
-        dice, state, trace = random.Random(f"{seed}/{number}"), begun(scene), list[Event]()
+        rng, state, trace = random.Random(f"{seed}/{number}"), begun(scene), list[Event]()
         state.used = dict.fromkeys(BUDGETS, -steps)  # no bound but the walk's own
         for step in range(steps):
-            event = draw(dice, state)
+            event = draw(rng, state)
             trace.append(event)
             state.apply(event)
             found.states += 1
--- a/cloverkeel/control_plane/command.py
+++ b/cloverkeel/control_plane/command.py
@@ -7,112 +7,145 @@
 import signal
 import sys
 from collections.abc import Sequence
-from typing import Final
+from types import FrameType
+from typing import TYPE_CHECKING, Final
 
 from cloverkeel.core.config import ConfigError, parse_address
 
+if TYPE_CHECKING:
+    from cloverkeel.control_plane.config import RelayConfig
+    from cloverkeel.control_plane.fleet_roster import FleetRoster
+    from cloverkeel.control_plane.http_server import RelayServer
+
 USAGE: Final = """python -m cloverkeel relay FILE          run a control-plane relay; FILE is TOML (deploy/relay.toml)
 python -m cloverkeel relay show ADDRESS  what a relay says of itself, as JSON; ADDRESS is host:port"""
-SHOW_S: Final = 2.0  # for a relay to answer
-SHOW_MOST: Final = 1_000_000  # bytes of it
-FILES_BESIDE: Final = 32  # open files beside callers' connections
-LAST_S: Final = 1.0  # for answers on their way at the end
+SHOW_TIMEOUT_S: Final = 2.0  # for a relay to answer
+MAX_SHOW_BYTES: Final = 1_000_000
+OTHER_OPEN_FILES: Final = 32  # beside those of connections
+SHUTDOWN_TIMEOUT_S: Final = 1.0  # for responses on their way at the end
+SHUTDOWN_CHECK_INTERVAL_S: Final = 0.01
+EXIT_OK, EXIT_FAILURE, EXIT_USAGE = 0, 1, 2
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Exit code; 2 for a mistake in the call or the file."""
-    if len(arguments) == 1 and arguments[0] in ("-h", "--help"):
-        print(USAGE)
-        return 0
-    if len(arguments) == 2 and arguments[0] == "show":
-        return show(arguments[1])
-    if len(arguments) != 1 or arguments[0].startswith("-") or arguments[0] == "show":
-        print(f"cloverkeel relay: expected FILE, or show ADDRESS\n{USAGE}", file=sys.stderr)
-        return 2
-    return run(arguments[0])
-
-
-def show(text: str) -> int:
+    """Carry out the command; returns its exit code, EXIT_USAGE for a mistake in the arguments or the file."""
+    match list(arguments):
+        case ["-h"] | ["--help"]:
+            print(USAGE)
+            return EXIT_OK
+        case ["show", address]:
+            return show(address)
+        case [path] if path != "show" and not path.startswith("-"):
+            return run(path)
+    print(f"cloverkeel relay: expected FILE, or show ADDRESS\n{USAGE}", file=sys.stderr)
+    return EXIT_USAGE
+
+
+def show(address: str) -> int:
+    """Print the state of the relay at `address` (host:port); returns the exit code."""
     import http.client
 
     try:
-        host, port = parse_address(text, text)
+        host, port = parse_address(address, address)
     except ConfigError as error:
         print(f"cloverkeel relay: {error}", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
     try:
-        to = http.client.HTTPConnection(host, port, timeout=SHOW_S)
-        to.request("GET", "/relay/state")
-        answer = to.getresponse()
-        said = json.loads(answer.read(SHOW_MOST))
+        connection = http.client.HTTPConnection(host, port, timeout=SHOW_TIMEOUT_S)
+        connection.request("GET", "/relay/state")
+        state = json.loads(connection.getresponse().read(MAX_SHOW_BYTES))
     except (OSError, ValueError, http.client.HTTPException) as error:
-        print(f"cloverkeel relay: {text}: {error or type(error).__name__}", file=sys.stderr)
-        return 1
-    print(json.dumps(said, indent=2))
-    return 0
+        print(f"cloverkeel relay: {address}: {error or type(error).__name__}", file=sys.stderr)
+        return EXIT_FAILURE
+    print(json.dumps(state, indent=2))
+    return EXIT_OK
 
 
-def _end_early(signum: int, frame: object) -> None:
-    """A signal before anything is held: there is nothing to finish."""
-    os._exit(0)
+def _exit_early(_signum: int, _frame: FrameType | None) -> None:
+    """Handle a signal before anything is held: there is nothing to finish."""
+    os._exit(EXIT_OK)
 
 
 def run(path: str) -> int:
-    early: list[int] = []  # SIGHUP before the loop runs
-    signal.signal(signal.SIGHUP, lambda signum, frame: early.append(signum))
+    """Run the relay whose file is at `path` until it is told to stop; returns the exit code."""
+    early_reloads: list[int] = []  # SIGHUP before the loop runs
+    signal.signal(signal.SIGHUP, lambda signum, _: early_reloads.append(signum))
     for signum in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signum, _end_early)
-    from cloverkeel.control_plane import config as ours
+        signal.signal(signum, _exit_early)
+    from cloverkeel.control_plane.config import load, load_roster
 
     try:
-        config = ours.load(path)
-        roster = ours.load_roster(config.roster)
+        config = load(path)
+        roster = load_roster(config.roster)
     except ConfigError as error:
         print(f"cloverkeel: {error}", file=sys.stderr)
-        return 2
+        return EXIT_USAGE
 
     import asyncio
-    import gc
-    import resource
 
     import uvloop
 
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        return runner.run(_serve(config, roster, early_reloads))
+
+
+async def _serve(config: RelayConfig, roster: FleetRoster, early_reloads: Sequence[int]) -> int:
+    """Serve until a signal to stop; returns the exit code."""
+    import asyncio
+    import gc
+
+    from cloverkeel.control_plane.endpoint_cache import EndpointCache
+    from cloverkeel.control_plane.http_server import RelayServer
+    from cloverkeel.control_plane.reload import RosterReloader
     from cloverkeel.core.clock import now_us
     from cloverkeel.core.log import log
-    from cloverkeel.control_plane.endpoint_cache import Feed
-    from cloverkeel.control_plane.reload import Rereader
-    from cloverkeel.control_plane.http_server import Server
-
-    async def serve() -> int:
-        loop = asyncio.get_running_loop()
-        stop = asyncio.Event()
-        for signum in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(signum, stop.set)
-        # A later process of this relay begins beyond all that this one has named.
-        server = Server(config, Feed(roster, now_us()))
-        rereader = Rereader(config.roster, server)
-        loop.add_signal_handler(signal.SIGHUP, rereader.ask)
-        try:
-            await server.start()
-        except OSError as error:
-            log(f"cannot listen on {config.listen[0]}:{config.listen[1]}: {error.strerror}")
-            return 1
-        files, most = resource.getrlimit(resource.RLIMIT_NOFILE)[0], config.limits.connections
-        if files < most + FILES_BESIDE:
-            log(f"limits.connections: {most} and {FILES_BESIDE} besides are more files than may be open, {files}")
-        log(f"relay {config.name}: roster {roster.digest}, {len(roster.gateways)} gateways")
-        if early:
-            rereader.ask()
-        gc.collect()
-        gc.freeze()
-        gc.disable()  # from here on at the server's sweeps
-        await stop.wait()
-        server.close()
-        end_s = loop.time() + LAST_S
-        while server.callers and loop.time() < end_s:
-            await asyncio.sleep(0.01)
-        server.close_all()
-        return 0
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(serve())
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, stop.set)
+    # A later process of this relay begins beyond all that this one has named.
+    server = RelayServer(config, EndpointCache(roster, now_us()))
+    reloader = RosterReloader(config.roster, server)
+    loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
+    try:
+        await server.start()
+    except OSError as error:
+        log(f"relay: cannot listen, address={config.listen[0]}:{config.listen[1]} error={error.strerror}")
+        return EXIT_FAILURE
+    _check_open_files(config)
+    gateways = len(roster.placement_by_gateway)
+    log(f"relay: started, name={config.name} roster={roster.digest} gateways={gateways}")
+    if early_reloads:
+        reloader.request_reload()
+    gc.collect()
+    gc.freeze()
+    gc.disable()  # from here on at the server's scans
+    await stop.wait()
+    await _shut_down(server)
+    return EXIT_OK
+
+
+def _check_open_files(config: RelayConfig) -> None:
+    """Log where the limit of open files does not allow as many connections as the file does."""
+    import resource
+
+    from cloverkeel.core.log import log
+
+    open_files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    connections = config.limits.max_connections
+    if open_files < connections + OTHER_OPEN_FILES:
+        needed = connections + OTHER_OPEN_FILES
+        log(f"relay: limits.connections is above the limit of open files, needed={needed} allowed={open_files}")
+
+
+async def _shut_down(server: RelayServer) -> None:
+    """Stop serving, and wait for responses on their way."""
+    import asyncio
+
+    server.close()
+    loop = asyncio.get_running_loop()
+    deadline_s = loop.time() + SHUTDOWN_TIMEOUT_S
+    while server.connections and loop.time() < deadline_s:
+        await asyncio.sleep(SHUTDOWN_CHECK_INTERVAL_S)
+    server.abort_connections()
--- /dev/null
+++ b/cloverkeel/control_plane/cooperative.py
@@ -0,0 +1,28 @@
+"""Run incremental work in slices on the event loop, so that connections are served between them."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Final
+
+from cloverkeel.control_plane.incremental import Incremental, Result
+
+SLICE_S: Final = 0.002  # of work before others get their turn; up to five kinds of it may have one in a row
+
+
+async def run_cooperatively(steps: Incremental[Result]) -> Result:
+    """Run the steps in slices of SLICE_S, and return what they make.
+
+    Nothing else runs between the last step and what follows this call.
+    """
+    loop = asyncio.get_running_loop()
+    slice_end_s = loop.time() + SLICE_S
+    while True:
+        try:
+            next(steps)
+        except StopIteration as stop:
+            result: Result = stop.value
+            return result
+        if loop.time() > slice_end_s:
+            await asyncio.sleep(0)
+            slice_end_s = loop.time() + SLICE_S
--- a/cloverkeel/control_plane/discovery_source.py
+++ b/cloverkeel/control_plane/discovery_source.py
@@ -1,140 +1,179 @@
-"""The call to discovery: a relay asks as one caller, for the whole list, and knows when it was last told the truth.
+"""Poll discovery: a relay asks as one client, for the full list, and knows when what it has was last known to be
+true.
 
 Invariants:
-- at `confirmed_us` or later discovery had just what is held: it is when the call was made whose answer said so. So an
-  answer that was long on its way, or waited in the kernel while this process stood still, is no younger than it is;
-- an answer that cannot be read changes nothing: what is held stays, its age grows, and the whole list is asked for;
-- a long list is taken in by steps, and discovery is not asked meanwhile; of one that is not taken to its end all is
-  asked for anew, and its age is not told before;
-- after a gap of this process discovery is asked anew at once, on another connection.
+- at `confirmed_us` or later discovery had just what is cached: it is when the request was sent whose response said
+  so. So a response that was long on its way, or waited in the kernel while this process was stalled, is no younger
+  than it is;
+- a response that cannot be read changes nothing: what is cached stays, its age grows, and a snapshot is asked for;
+- a long list is applied incrementally, and discovery is not asked meanwhile; of one that is not applied to its end
+  a snapshot is asked for, and its age is not told before;
+- after a stall of this process discovery is asked anew at once, on another connection.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Generator
+from dataclasses import dataclass
 from math import inf
 from typing import Any, Final, Protocol
 
+from cloverkeel.control_plane.errors import UnusableListError
+from cloverkeel.control_plane.incremental import Incremental
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Address
 from cloverkeel.core.log import log
 from cloverkeel.discovery.http_client import Caller, Steps
 from cloverkeel.discovery.poll_schedule import LATE_S, LIST, Query, Watch
 
-BEAT_S: Final = 0.05  # between two looks at the clock
-GAP_US: Final = 1_000_000  # between looks: more, and discovery is asked anew, on another connection
-HELD_S: Final = 0.25  # of a call for news: an age is up to twice that. 4 calls a second of each relay
-SHORT: Final = 32 << 10  # bytes: an answer of no more is taken in at one go, some 150 entries
-SLICE_S: Final = 0.005  # of taking in a longer one, before others get their turn
-LOG_MOST: Final = 200  # letters of what could not be read
+CLOCK_CHECK_INTERVAL_S: Final = 0.05
+STALL_THRESHOLD_US: Final = (
+    1_000_000  # between clock checks: more, and discovery is asked anew, on another connection
+)
+HOLD_S: Final = 0.25  # of a poll: an age is up to twice that. 4 requests a second of each relay
+MAX_SINGLE_STEP_BYTES: Final = 32 << 10  # a response of no more is applied at one go, some 150 entries
+SLICE_S: Final = 0.005  # of applying a longer one, before others get their turn
+MAX_ERROR_CHARS: Final = 200  # of what could not be read
+# Why a response cannot be used: as `last_wrong` of /relay/state has it, with the name of the error's type.
+NO_LIST: Final = "not a list of hosts"
+NO_SNAPSHOT: Final = "expected the whole list, found changes"
+FEW_HOSTS: Final = "too few of its entries are hosts"
 
 
-class Taker(Protocol):
-    """Who is told what discovery says."""
+class ListConsumer(Protocol):
+    """Who is given discovery's lists."""
 
-    def hear(self, whole: bool, items: list[Any]) -> bool:
-        """Whether it could be used; if not, nothing has changed."""
+    def apply_list(self, is_snapshot: bool, items: list[Any]) -> bool:
+        """Return whether the list could be used; if not, nothing has changed."""
 
-    def hear_long(self, whole: bool, items: list[Any]) -> Generator[None, None, bool]:
-        """The same, by steps."""
+    def apply_list_incrementally(self, is_snapshot: bool, items: list[Any]) -> Incremental[bool]:
+        """Do the same step by step."""
 
 
-class SourceWatch(Watch):
-    """As a gateway's, but each call is held for a shorter time."""
+class DiscoveryPollSchedule(Watch):
+    """As a gateway's, but each poll is held for a shorter time."""
 
     def next_query(self, now_s: float) -> Query:
+        """Return the next request."""
         query = super().next_query(now_s)
         if not query.holds:
             return query
-        return Query(LIST + b"?from=%d&hold_ms=%d" % (self.index or 0, int(HELD_S * 1000)), HELD_S + LATE_S, True)
+        return Query(LIST + b"?from=%d&hold_ms=%d" % (self.index or 0, int(HOLD_S * 1000)), HOLD_S + LATE_S, True)
 
 
-class Source(Caller):
-    """Asks discovery for the whole list and its changes, for as long as it runs."""
+@dataclass(slots=True, frozen=True)
+class _DiscoveryList:
+    """A response of discovery."""
 
-    long = SHORT
+    index: int
+    is_snapshot: bool
+    entries: list[Any]
+
+
+def _read_list(raw: Any, is_snapshot_requested: bool) -> _DiscoveryList:
+    index, is_snapshot, entries = raw["index"], raw.get("snapshot", False), raw.get("endpoints", [])
+    is_list = isinstance(index, int) and isinstance(is_snapshot, bool) and isinstance(entries, list)
+    if not is_list:
+        raise ValueError(NO_LIST)
+    if is_snapshot_requested and not is_snapshot:
+        raise ValueError(NO_SNAPSHOT)
+    return _DiscoveryList(index, is_snapshot, entries)
+
+
+class DiscoverySource(Caller):
+    """Asks discovery for a snapshot and its changes, for as long as it runs."""
+
+    long = MAX_SINGLE_STEP_BYTES
     slice_s = SLICE_S
-    read_s = inf  # the feed bounds a list by its hosts, and all of them at once would be a silence to gateways
+    read_s = inf  # the cache bounds a list by its hosts, and all of them at once would be a silence to gateways
 
-    def __init__(self, address: Address, taker: Taker) -> None:
+    def __init__(self, address: Address, consumer: ListConsumer) -> None:
         super().__init__(address, pushed=True)
-        self.plan = SourceWatch()
-        self.taker = taker
-        self.asked_us = 0  # when the call that is out was made
-        self.asked_whole = True  # what it asks for
-        self.confirmed_us: int | None = None  # discovery had just this then, or later; None: nothing was heard
-        self.looked_us = now_us()
-        self.index_of_discovery: int | None = None
-        self.rubbish = self.failures = 0  # answers that could not be used; calls that failed
-        self.last_wrong = ""
-        self.gaps = 0
-        self.longest_stop_us = self.longest_gap_us = 0
-        self.beating: asyncio.TimerHandle | None = None
+        self.plan = DiscoveryPollSchedule()
+        self.consumer = consumer
+        self.request_sent_us = 0  # of the request that is out
+        self.is_snapshot_requested = True  # by it
+        self.confirmed_us: int | None = None  # discovery had just this then, or later; None: there was no list
+        self.last_clock_check_us = now_us()
+        self.clock_check_timer: asyncio.TimerHandle | None = None
+        self.discovery_index: int | None = None  # of the list that is cached
+        self.unusable_responses = 0
+        self.failed_requests = 0
+        self.last_error = ""
+        self.stalls = 0
+        self.longest_stall_us = 0
+        self.longest_delay_us = 0  # of a clock check, where it was no stall
 
     def start(self) -> None:
-        self.beat()
+        """Begin to poll, and to check the clock."""
+        self.check_clock()
         self.watch(True)
 
     def close(self) -> None:
-        if self.beating is not None:
-            self.beating.cancel()
+        """Poll no more."""
+        if self.clock_check_timer is not None:
+            self.clock_check_timer.cancel()
         super().close()
 
     def age_ms(self, at_us: int) -> int:
-        """Since discovery had just this, at the most."""
+        """Return how long ago discovery had just this, at the most."""
         return 0 if self.confirmed_us is None else max(0, at_us - self.confirmed_us) // 1000
 
-    # The clock
-
-    def beat(self) -> None:
-        at_us = now_us()
-        stop_us = at_us - self.looked_us - int(BEAT_S * 1e6)
-        self.looked_us = at_us
-        self.beating = asyncio.get_running_loop().call_later(BEAT_S, self.beat)
-        if stop_us < GAP_US:
-            self.longest_stop_us = max(self.longest_stop_us, stop_us)
+    def check_clock(self) -> None:
+        """Find out whether this process was stalled since the last check; if so, ask discovery anew."""
+        checked_us = now_us()
+        delay_us = checked_us - self.last_clock_check_us - int(CLOCK_CHECK_INTERVAL_S * 1e6)
+        self.last_clock_check_us = checked_us
+        loop = asyncio.get_running_loop()
+        self.clock_check_timer = loop.call_later(CLOCK_CHECK_INTERVAL_S, self.check_clock)
+        if delay_us < STALL_THRESHOLD_US:
+            self.longest_delay_us = max(self.longest_delay_us, delay_us)
             return
-        self.gaps += 1
-        self.longest_gap_us = max(self.longest_gap_us, stop_us)
-        log(f"stood still for {stop_us // 1000} ms; discovery is asked anew")
+        self.stalls += 1
+        self.longest_stall_us = max(self.longest_stall_us, delay_us)
+        log(f"discovery: process was stalled, polling anew, stall_ms={delay_us // 1000}")
         if not self.closed:
             self.begin(watches=True)
 
-    # The caller's seams
+    # What the polling client calls
 
     def target(self, query: Query) -> bytes:
-        self.asked_us, self.asked_whole = now_us(), self.plan.index is None
+        """Return the request's target, and note when it is sent and what it asks for."""
+        self.request_sent_us, self.is_snapshot_requested = now_us(), self.plan.index is None
         return query.target
 
     def hear(self, body: bytes) -> Steps[bool]:
-        """Take an answer in; returns whether it had any entry. ValueError: it cannot be used, and is counted."""
-        is_over = False
+        """Apply a response; returns whether it had any entry.
+
+        Raises UnusableListError, after it was counted, for one that cannot be used.
+        """
+        is_applied = False
         try:
             raw = yield from self.read(body)
-            index, whole, entries = raw["index"], raw.get("snapshot", False), raw.get("endpoints", [])
-            if not isinstance(index, int) or not isinstance(whole, bool) or not isinstance(entries, list):
-                raise ValueError("not a list of hosts")
-            if self.asked_whole and not whole:
-                raise ValueError("expected the whole list, found changes")
-            usable = self.plan.on_answer(asyncio.get_running_loop().time(), index, whole)
-            if usable:
-                if len(body) <= SHORT:
-                    fit = self.taker.hear(whole, entries)
-                else:
-                    fit = yield from self.taker.hear_long(whole, entries)
-                if not fit:
-                    raise ValueError("too few of its entries are hosts")
-                self.index_of_discovery, self.confirmed_us = index, self.asked_us
-            is_over = True
-            return bool(entries)
+            listed = _read_list(raw, self.is_snapshot_requested)
+            yield from self._apply(listed, is_long=len(body) > MAX_SINGLE_STEP_BYTES)
+            is_applied = True
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-            self.rubbish += 1
-            self.last_wrong = f"{type(error).__name__}: {error}"[:LOG_MOST]
-            raise ValueError(f"an answer cannot be used ({self.last_wrong}); what is held stays") from None
+            self.unusable_responses += 1
+            self.last_error = f"{type(error).__name__}: {error}"[:MAX_ERROR_CHARS]
+            raise UnusableListError(self.last_error) from None
         finally:
-            if not is_over:
-                self.plan.ask_whole()  # what is held may lack what this would have told
+            if not is_applied:
+                self.plan.ask_whole()  # what is cached may lack what this would have told
+        return bool(listed.entries)
+
+    def _apply(self, listed: _DiscoveryList, is_long: bool) -> Steps[None]:
+        now_s = asyncio.get_running_loop().time()
+        if not self.plan.on_answer(now_s, listed.index, listed.is_snapshot):
+            return
+        if is_long:
+            is_usable = yield from self.consumer.apply_list_incrementally(listed.is_snapshot, listed.entries)
+        else:
+            is_usable = self.consumer.apply_list(listed.is_snapshot, listed.entries)
+        if not is_usable:
+            raise ValueError(FEW_HOSTS)
+        self.discovery_index, self.confirmed_us = listed.index, self.request_sent_us
 
     def failed(self) -> None:
-        self.failures += 1
+        """Count a request that failed."""
+        self.failed_requests += 1
--- a/cloverkeel/control_plane/incremental_update.py
+++ b/cloverkeel/control_plane/incremental_update.py
@@ -1,66 +1,92 @@
-"""A long list of discovery's taken in by steps, so that callers get their turn between them. Pure: no I/O, no clock.
+"""Apply a long list of discovery step by step, so that connections are served between the steps. Pure.
 
 Invariants:
-- nothing of the feed is changed before the list was read to its end and found fit: rubbish leaves all as it is;
-- after the last step the feed is as after `Feed.take` of the same list; in between it has some of the changes, what
-  restricts first, the rest service by service. Whoever stops early must ask for the whole list.
+- nothing of the cache is changed before the list was read to its end and found usable: an unusable one leaves all
+  as it is;
+- after the last step the cache is as after `EndpointCache.apply_list` of the same list; in between it has some of
+  the changes, what restricts first, the rest service by service. Whoever stops early must ask for a snapshot.
 """
 
 from __future__ import annotations
 
-from collections.abc import Generator
+from dataclasses import dataclass, field
 from typing import Any, Final
 
-from cloverkeel.control_plane.endpoint_cache import MOST_HOSTS, USABLE, Feed, Topic
-from cloverkeel.control_plane.subsetting import Host
-
-SORT_STEP: Final = 2_048  # entries: some 2 ms
-STEP: Final = 32  # entries: some 2 ms each on a busy machine
-
-
-def take_in(feed: Feed, whole: bool, items: list[Any]) -> Generator[None, None, frozenset[Topic] | None]:
-    """Returns whose waiting it ends, as Feed.take; None: it is rubbish."""
-    told: set[str] = set()  # names
-    changes: dict[str, Host | None] = {}
-    skipped = 0
-    for begin in range(0, len(items), STEP):
-        some, unfit = feed.read(items[begin : begin + STEP], whole)
-        skipped += unfit
-        told.update(some)
-        for name, host in some.items():
-            if feed.hosts.get(name) is not host:
-                changes[name] = host
-            else:
-                changes.pop(name, None)  # said twice: the last word counts
-        yield
-    feed.counts.skipped += skipped
-    is_rubbish = whole and len(items) - skipped < USABLE * len(items)
-    is_long = len(told if whole else feed.hosts.keys() | changes.keys()) > MOST_HOSTS
-    if is_rubbish or is_long or (not whole and not feed.ready):
-        feed.counts.rubbish_lists += 1
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.endpoint_table import MAX_HOSTS, HostChange, SubscriptionKey
+from cloverkeel.control_plane.entry_codec import Host
+from cloverkeel.control_plane.incremental import Incremental
+
+CHANGES_SORTED_PER_STEP: Final = 2_048  # some 2 ms
+ENTRIES_PER_STEP: Final = 32  # some 2 ms each on a busy machine
+
+
+@dataclass(slots=True)
+class _ReadList:
+    """What a list says, against what is cached."""
+
+    names: set[str] = field(default_factory=set)
+    changes: dict[str, Host | None] = field(default_factory=dict)
+    skipped: int = 0
+
+
+def apply_list_incrementally(
+    cache: EndpointCache, is_snapshot: bool, items: list[Any]
+) -> Incremental[frozenset[SubscriptionKey] | None]:
+    """Apply a list as EndpointCache.apply_list, and return the same keys; None: it cannot be used."""
+    read = yield from _read_list(cache, is_snapshot, items)
+    cache.counters.skipped_entries += read.skipped
+    if not _is_usable(cache, is_snapshot, len(items), read):
+        cache.counters.unusable_lists += 1
         return None
-    if whole:
-        feed.counts.lists += 1
-        changes.update(dict.fromkeys(feed.hosts.keys() - told))
+    if is_snapshot:
+        cache.counters.snapshots_applied += 1
+        read.changes.update(dict.fromkeys(cache.table.host_by_name.keys() - read.names))
     yield
-    ordered: list[tuple[str, Host | None]] = []
-    by_service: dict[tuple[bool, str], list[tuple[str, Host | None]]] = {}
+    ordered = yield from _order_changes(cache, read.changes)
+    keys: set[SubscriptionKey] = set()
+    for begin in range(0, len(ordered), ENTRIES_PER_STEP):
+        keys |= cache.table.apply_changes(ordered[begin : begin + ENTRIES_PER_STEP])
+        yield
+    cache.is_ready = True
+    return frozenset(keys)
+
+
+def _read_list(cache: EndpointCache, is_snapshot: bool, items: list[Any]) -> Incremental[_ReadList]:
+    read = _ReadList()
+    for begin in range(0, len(items), ENTRIES_PER_STEP):
+        parsed = cache.parse_entries(items[begin : begin + ENTRIES_PER_STEP], is_snapshot)
+        read.skipped += parsed.skipped
+        read.names.update(parsed.host_by_name)
+        for name, host in parsed.host_by_name.items():
+            if cache.table.host_by_name.get(name) is not host:
+                read.changes[name] = host
+            else:
+                read.changes.pop(name, None)  # listed twice: the last entry counts
+        yield
+    return read
+
+
+def _is_usable(cache: EndpointCache, is_snapshot: bool, entries: int, read: _ReadList) -> bool:
+    if is_snapshot:
+        return not cache.has_few_usable(entries, read.skipped) and len(read.names) <= MAX_HOSTS
+    return cache.is_ready and len(cache.table.host_by_name.keys() | read.changes.keys()) <= MAX_HOSTS
+
+
+def _order_changes(cache: EndpointCache, changes: dict[str, Host | None]) -> Incremental[list[HostChange]]:
+    """Put what restricts first, and hosts of one service side by side, as the rings of each are assigned anew."""
+    changes_by_rank: dict[tuple[bool, str], list[HostChange]] = {}
     for count, change in enumerate(changes.items(), 1):
-        by_service.setdefault(_order(feed, *change), []).append(change)
-        if not count % SORT_STEP:
+        changes_by_rank.setdefault(_rank(cache, *change), []).append(change)
+        if not count % CHANGES_SORTED_PER_STEP:
             yield
-    for key in sorted(by_service):
-        ordered += by_service[key]
+    ordered: list[HostChange] = []
+    for rank in sorted(changes_by_rank):
+        ordered += changes_by_rank[rank]
     yield
-    topics: set[Topic] = set()
-    for begin in range(0, len(ordered), STEP):
-        topics |= feed.apply(ordered[begin : begin + STEP])
-        yield
-    feed.ready = True
-    return frozenset(topics)
+    return ordered
 
 
-def _order(feed: Feed, name: str, host: Host | None) -> tuple[bool, str]:
-    """What restricts first; hosts of one service side by side, as each service touched is worked out anew."""
-    held = host or feed.hosts.get(name)
-    return host is not None and host.serves, held.service if held is not None else ""
+def _rank(cache: EndpointCache, name: str, host: Host | None) -> tuple[bool, str]:
+    known = host or cache.table.host_by_name.get(name)
+    return host is not None and host.is_serving, known.service if known is not None else ""
--- a/tests/golden/control_plane.py
+++ b/tests/golden/control_plane.py
@@ -12,18 +12,20 @@
 from typing import Any, Final, cast
 from unittest import mock
 
+from cloverkeel.control_plane import command
+from cloverkeel.control_plane.config import Limits, RelayConfig
+from cloverkeel.control_plane.connection import ClientConnection
+from cloverkeel.control_plane.discovery_source import DiscoveryPollSchedule
+from cloverkeel.control_plane.encoding import IncrementalBody
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.errors import RequestError
+from cloverkeel.control_plane.http_server import RelayServer
+from cloverkeel.control_plane.messages import ListResponse, Subscriber
+from cloverkeel.control_plane.requests import PollRequest, parse_poll_request
+from cloverkeel.control_plane.roster_parser import parse_roster
 from cloverkeel.core.config import Names
 from cloverkeel.core.incremental_gzip import unpack
 from cloverkeel.discovery.http_client import parse_list
-from cloverkeel.control_plane import command
-from cloverkeel.control_plane.messages import Answer, Asker
-from cloverkeel.control_plane.requests import Ask, CallError, read_query
-from cloverkeel.control_plane.config import Limits, RelayConfig
-from cloverkeel.control_plane.encoding import LongBody
-from cloverkeel.control_plane.endpoint_cache import Feed
-from cloverkeel.control_plane.fleet_roster import parse_roster
-from cloverkeel.control_plane.http_server import Caller, Server
-from cloverkeel.control_plane.discovery_source import SourceWatch
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import PATIENCE_S
 
@@ -42,12 +44,15 @@
 })  # fmt: skip
 LIST: Final = "/registry/instances"
 
-FULL_CALL: Final = Ask(Asker("g/0", ("a", "b,c", "ö"), 2), 41, 400)
+FULL_CALL: Final = PollRequest(Subscriber("g/0", ("a", "b,c", "ö"), 2), 41, 400)
 QUERIES: Final = {
-    "nothing": (b"", Ask(Asker(), None)),
+    "nothing": (b"", PollRequest(Subscriber(), None)),
     "all_keys": (b"gateway=g%2F0&services=a,b%2Cc,%C3%B6&wide=2&from=41&hold_ms=400", FULL_CALL),
-    "longest_hold": (b"gateway=g0&services=&wide=0&from=1&hold_ms=99999999", Ask(Asker("g0"), 1, 60_000)),
-    "unknown_key": (b"gateway=g0&later=1", Ask(Asker("g0"), None)),
+    "longest_hold": (
+        b"gateway=g0&services=&wide=0&from=1&hold_ms=99999999",
+        PollRequest(Subscriber("g0"), 1, 60_000),
+    ),
+    "unknown_key": (b"gateway=g0&later=1", PollRequest(Subscriber("g0"), None)),
 }
 ODD_QUERIES: Final = (b"wide=4", b"from=x", b"gateway=%FF", b"gateway=" + b"g" * 257, b"services=" + b"," * 2_000)
 
@@ -101,27 +106,27 @@
 
     def __init__(self, is_ready: bool) -> None:
         config = RelayConfig("here", "relay-1", ("127.0.0.1", 0), ("127.0.0.1", 9), "roster", Limits())
-        self.server = Server(config, Feed(parse_roster(ROSTER, "roster"), FIRST_INDEX))
+        self.server = RelayServer(config, EndpointCache(parse_roster(ROSTER, "roster"), FIRST_INDEX))
         if is_ready:
-            self.hear(True, ENTRIES)
+            self.apply_list(True, ENTRIES)
 
-    def hear(self, is_snapshot: bool, entries: Sequence[dict[str, Any]]) -> None:
+    def apply_list(self, is_snapshot: bool, entries: Sequence[dict[str, Any]]) -> None:
         """Take a list in as if discovery had just given it."""
-        assert self.server.hear(is_snapshot, list(entries))
-        self.server.source.index_of_discovery = SOURCE_INDEX
+        assert self.server.apply_list(is_snapshot, list(entries))
+        self.server.source.discovery_index = SOURCE_INDEX
         self.server.source.confirmed_us = CONFIRMED_US
 
     async def ask(self, target: str, *headers: str, method: str = "GET") -> bytes:
         """Return the whole HTTP answer to one call on a connection of its own."""
         transport = _RecordingTransport()
-        caller = Caller(self.server)
-        caller.connection_made(transport)
+        connection = ClientConnection(self.server)
+        connection.connection_made(transport)
         lines = (f"{method} {target} HTTP/1.1", "Host: r", *headers)
-        caller.data_received("\r\n".join(lines).encode() + b"\r\n\r\n")
+        connection.data_received("\r\n".join(lines).encode() + b"\r\n\r\n")
         while not transport.written:
             assert not transport.is_closed
             await asyncio.sleep(0)
-        caller.connection_lost(None)
+        connection.connection_lost(None)
         return transport.written[0]
 
 
@@ -136,6 +141,7 @@
 
     with (
         mock.patch("cloverkeel.control_plane.http_server.now_us", return_value=NOW_US),
+        mock.patch("cloverkeel.control_plane.response_sender.now_us", return_value=NOW_US),
         mock.patch("cloverkeel.control_plane.discovery_source.now_us", return_value=NOW_US),
     ):
         return asyncio.run(run())
@@ -150,7 +156,7 @@
 
     async def use(relay: _Relay) -> bytes:
         whole = _body(await relay.ask(f"{LIST}?{query}"))
-        relay.hear(False, CHANGES)
+        relay.apply_list(False, CHANGES)
         return await relay.ask(f"{LIST}?{query}&from={json.loads(whole)['index']}&hold_ms=0")
 
     return lambda: _with_relay(use)
@@ -213,11 +219,11 @@
 
 def _long_body() -> bytes:
     """Return an answer that is encoded by steps."""
-    answer = Answer(7, True, tuple(b'{"name":"%d"}' % number for number in range(600)))
-    body = LongBody(gzip=False)
+    answer = ListResponse(7, True, tuple(b'{"name":"%d"}' % number for number in range(600)))
+    body = IncrementalBody(gzip=False)
     for _ in body.encode(answer):
         pass
-    return b"".join(body.parts) + body.end(250)
+    return b"".join(body.chunks) + body.tail(250)
 
 
 def _refusals() -> bytes:
@@ -225,20 +231,20 @@
     reasons = []
     for query in ODD_QUERIES:
         try:
-            read_query(query)
-        except CallError as error:
+            parse_poll_request(query)
+        except RequestError as error:
             reasons.append(str(error))
     assert len(reasons) == len(ODD_QUERIES)
     return "\n".join(reasons).encode()
 
 
-def _query(query: bytes, ask: Ask) -> Sample:
-    return Sample(lambda: query, read_query, ask)
+def _query(query: bytes, request: PollRequest) -> Sample:
+    return Sample(lambda: query, parse_poll_request, request)
 
 
 def _source_targets() -> bytes:
     """Return what a relay asks of discovery: the whole list, on a new connection, and for news."""
-    plan = SourceWatch()
+    plan = DiscoveryPollSchedule()
     targets = [plan.next_query(0.0).target]
     plan.on_answer(0.0, SOURCE_INDEX, whole=True)
     targets.append(plan.next_query(0.1).target)
@@ -261,7 +267,7 @@
 
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
     "relay_calls": {
-        **{name: _query(query, ask) for name, (query, ask) in QUERIES.items()},
+        **{name: _query(query, request) for name, (query, request) in QUERIES.items()},
         "refusals": Sample(_refusals),
         "to_discovery": Sample(_source_targets),
     },
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -18,19 +18,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cloverkeel.control_plane import long_poll, response_sender
+from cloverkeel.control_plane.config import Limits, RelayConfig, load
+from cloverkeel.control_plane.connection import MAX_REQUEST_BYTES, ClientConnection
+from cloverkeel.control_plane.encoding import MIN_GZIP_BYTES, IncrementalBody
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.errors import RequestError
+from cloverkeel.control_plane.fleet_roster import FleetRoster, GroupsByService
+from cloverkeel.control_plane.http_server import RelayServer
+from cloverkeel.control_plane.incremental_update import apply_list_incrementally
+from cloverkeel.control_plane.messages import ListResponse, Subscriber
+from cloverkeel.control_plane.rate_limiter import SnapshotRateLimiter
+from cloverkeel.control_plane.reload import RosterReloader
+from cloverkeel.control_plane.requests import PollRequest, parse_poll_request
+from cloverkeel.control_plane.roster_parser import parse_roster
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import ConfigError
 from cloverkeel.core.incremental_json import decode
-from cloverkeel.control_plane import http_server as server_module
-from cloverkeel.control_plane.requests import Ask, CallError, Meter, read_query
-from cloverkeel.control_plane.messages import Answer, Asker
-from cloverkeel.control_plane.config import Limits, RelayConfig, load
-from cloverkeel.control_plane.encoding import LEAST, LongBody
-from cloverkeel.control_plane.endpoint_cache import Feed, Groups
-from cloverkeel.control_plane.reload import Rereader
-from cloverkeel.control_plane.fleet_roster import Roster, parse_roster
-from cloverkeel.control_plane.http_server import HEAD_MOST, Server
-from cloverkeel.control_plane.incremental_update import take_in
 from standins.ledger import Ledger
 from standins.parties.network import reserve
 from standins.parties.registry import Entry, Registry
@@ -53,15 +57,15 @@
     """A relay, and the discovery that it asks."""
 
     registry: Registry
-    server: Server
+    server: RelayServer
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection("127.0.0.1", self.server.port))
 
     async def get(self, target: str, client: Client | None = None, *headers: str) -> Message:
-        caller = client or await self.client()
+        connection = client or await self.client()
         lines = (f"GET {target} HTTP/1.1", "Host: r", *headers)
-        return await caller.ask("\r\n".join(lines).encode() + b"\r\n\r\n")
+        return await connection.ask("\r\n".join(lines).encode() + b"\r\n\r\n")
 
     async def listed(self, query: str, client: Client | None = None) -> dict[str, Any]:
         answer = await self.get(f"/registry/instances?{query}", client)
@@ -78,7 +82,11 @@
 
     async def has(self, count: int) -> None:
         server = self.server
-        await until(lambda: server.feed.ready and len(server.feed.hosts) == count and server.passing is None)
+        await until(
+            lambda: server.cache.is_ready
+            and len(server.cache.table.host_by_name) == count
+            and server.long_polls.notify_task is None
+        )
 
 
 def entry(number: int, service: str = "s") -> Entry:
@@ -86,16 +94,16 @@
 
 
 @asynccontextmanager
-async def relay(address: str, limits: Limits | None = None) -> AsyncIterator[Server]:
+async def relay(address: str, limits: Limits | None = None) -> AsyncIterator[RelayServer]:
     host, _, port = address.rpartition(":")
     config = RelayConfig("here", "relay-1", ("127.0.0.1", 0), (host, int(port)), "roster", limits or Limits())
-    server = Server(config, Feed(parse_roster(ROSTER, "roster"), now_us()))
+    server = RelayServer(config, EndpointCache(parse_roster(ROSTER, "roster"), now_us()))
     await server.start()
     try:
         yield server
     finally:
         server.close()
-        server.close_all()
+        server.abort_connections()
 
 
 async def passes() -> None:
@@ -163,11 +171,11 @@
             asyncio.create_task(one.listed(f"gateway={name}&from={held['index']}{HOLD}", client))
             for name, held, client in (("g0", first, mine), ("g1", second, other))
         ]
-        await until(lambda: sum(caller.ask is not None for caller in one.server.callers) == 2)
+        await until(lambda: sum(connection.pending_request is not None for connection in one.server.connections) == 2)
         one.change(("s-1", "DRAINING"))
         told = await waits[0]
         assert told["snapshot"] is False and names(told) == {"s-1": "DRAINING"} and told["index"] > first["index"]
-        assert not waits[1].done() and one.server.counts["touched"] == 1
+        assert not waits[1].done() and one.server.counters.checked_connections == 1
         one.change(("t-2", "DELETED"))
         assert names(await waits[1]) == {"t-2": "DELETED"}
 
@@ -187,20 +195,20 @@
 @on_loop
 async def test_changes_that_come_together_are_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     async with desk() as one:
-        monkeypatch.setattr(server_module, "TICK_S", 0.5)  # the machine may be slow
+        monkeypatch.setattr(long_poll, "BATCH_INTERVAL_S", 0.5)  # the machine may be slow
         client = await one.client()
         held = await one.listed("gateway=g0", client)
         wait = asyncio.create_task(one.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(caller.ask for caller in one.server.callers))
-        passed = one.server.counts["passes"]
+        await until(lambda: any(connection.pending_request for connection in one.server.connections))
+        passed = one.server.counters.notification_rounds
         for number in range(3):  # three answers of discovery, one tick
-            one.server.hear(False, [{
+            one.server.apply_list(False, [{
                 "name": f"s-{number}", "address": "127.0.0.1:1", "zone": "a", "service": "s", "status": "DRAINING",
             }])  # fmt: skip
             for _ in range(5):
                 await asyncio.sleep(0)
         assert set(names(await wait)) == {"s-0", "s-1", "s-2"}
-        assert one.server.counts["passes"] == passed + 1 and one.server.counts["changes"] == 1
+        assert one.server.counters.notification_rounds == passed + 1 and one.server.counters.deltas == 1
 
 
 @on_loop
@@ -209,11 +217,13 @@
         client = await one.client()
         held = await one.listed("gateway=g0", client)
         wait = asyncio.create_task(one.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(caller.ask for caller in one.server.callers))
-        (caller,) = (caller for caller in one.server.callers if caller.ask is not None)
-        assert caller.ask is not None
-        one.server.hear(False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}])
-        one.server.end_hold(caller, caller.ask)  # before the tick is over
+        await until(lambda: any(connection.pending_request for connection in one.server.connections))
+        (connection,) = (
+            connection for connection in one.server.connections if connection.pending_request is not None
+        )
+        assert connection.pending_request is not None
+        one.server.apply_list(False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}])
+        one.server.long_polls.on_hold_expired(connection, connection.pending_request)  # before the tick is over
         assert names(await wait) == {"s-0": "DELETED"}
 
 
@@ -246,14 +256,14 @@
     async with desk() as one:
         client = await one.client()
         plain = (await one.get("/registry/instances?gateway=g2", client)).body
-        assert len(plain) > LEAST
+        assert len(plain) > MIN_GZIP_BYTES
         answer = await one.get("/registry/instances?gateway=g2", client, *headers)
         assert (answer.headers.get("content-encoding") == "gzip") == is_zipped
         assert (len(answer.body) < len(plain) / 2) == is_zipped
         told = [json.loads(each) for each in (plain, gzip.decompress(answer.body) if is_zipped else answer.body)]
         assert told[0]["endpoints"] == told[1]["endpoints"] and "age_ms" in told[1]
         short = await one.get("/registry/instances?gateway=g0&services=none", client, *headers)
-        assert len(short.body) < LEAST and "content-encoding" not in short.headers and json.loads(short.body)
+        assert len(short.body) < MIN_GZIP_BYTES and "content-encoding" not in short.headers and json.loads(short.body)
         again = await one.get("/registry/instances?gateway=g2", client)
         assert "content-encoding" not in again.headers, "what an earlier call took is not asked of this one"
 
@@ -264,18 +274,18 @@
 @on_loop
 async def test_wholes_are_served_in_turn_and_refused_beyond_while_changes_go_on() -> None:
     rate = 10
-    async with desk(Limits(wholes_per_s=rate)) as one:
+    async with desk(Limits(snapshots_per_s=rate)) as one:
         client = await one.client()
         held = await one.listed("gateway=g0", client)
         wait = asyncio.create_task(one.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(caller.ask for caller in one.server.callers))
+        await until(lambda: any(connection.pending_request for connection in one.server.connections))
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         asked = [asyncio.create_task(one.get("/registry/instances?gateway=g1")) for _ in range(4 * rate)]
-        await until(lambda: one.server.counts["wholes_refused"] > 0)
+        await until(lambda: one.server.counters.rejected_snapshots > 0)
         one.change(("s-0", "DRAINING"))
         await wait
-        assert one.server.queue, "the change came while wholes waited"
+        assert one.server.snapshots.queue, "the change came while wholes waited"
         answers = await asyncio.gather(*asked)
         took_s = loop.time() - begun_s
         served = sum(answer.status == 200 for answer in answers)
@@ -292,7 +302,7 @@
 
 def fill(one: Desk, count: int = 3_000) -> None:
     """With hosts of a service more, whose entries make more than a MB."""
-    one.server.hear(False, [
+    one.server.apply_list(False, [
         {"name": f"u-{n}", "address": "127.0.0.1:1", "type": f"{n * n}x" * 40, "service": "u", "status": "SERVING"}
         for n in range(count)
     ])  # fmt: skip
@@ -333,8 +343,8 @@
                 if steps_made % 20 == 0:
                     assert (await one.get("/health/ready", other)).status == 200
 
-        monkeypatch.setattr(server_module, "by_steps", with_calls_between)
-        made: list[LongBody] = []
+        monkeypatch.setattr(response_sender, "run_cooperatively", with_calls_between)
+        made: list[IncrementalBody] = []
         for _ in range(2):  # the second time it is there
             clients = [await one.client() for _ in range(6)]
             asked = [
@@ -345,13 +355,13 @@
             assert all(each["endpoints"] == told[0]["endpoints"] for each in told)
             assert len(told[0]["endpoints"]) == 3_008 and len({each["index"] for each in told}) == 1
             assert steps_made > 100
-            bodies = [one.server.listed[which].body for which in (False, True)]
+            bodies = [one.server.snapshots.encoded_lists[which].body for which in (False, True)]
             assert made in ([], bodies)
             made = bodies
-        assert made[1].size < made[0].size / 2
+        assert made[1].size_bytes < made[0].size_bytes / 2
         one.change(("s-0", "DELETED"))
         await one.has(3_007)
-        assert not one.server.listed, "what is no longer so is not kept"
+        assert not one.server.snapshots.encoded_lists, "what is no longer so is not kept"
 
 
 @on_loop
@@ -360,8 +370,8 @@
 ) -> None:
     async with desk() as one:
         fill(one, 20_000)
-        monkeypatch.setattr(server_module, "by_steps", turn_by_turn)
-        for when in (lambda: one.server.making, lambda: one.server.unsent):
+        monkeypatch.setattr(response_sender, "run_cooperatively", turn_by_turn)
+        for when in (lambda: one.server.sender.background_task, lambda: one.server.sender.unsent_bytes):
             gone, stays = await one.client(), await one.client()
             gone.writer.transport.pause_reading()  # type: ignore[attr-defined]
             gone.send(f"GET {ALL} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
@@ -369,11 +379,11 @@
             wait = asyncio.create_task(one.get(ALL, stays, "Accept-Encoding: gzip"))
             gone.writer.transport.abort()
             assert len(read(await wait)["endpoints"]) == 20_008
-            await until(lambda: not one.server.unsent and len(one.server.callers) == 1)
+            await until(lambda: not one.server.sender.unsent_bytes and len(one.server.connections) == 1)
             stays.close()
-            await until(lambda: not one.server.callers)
-            one.server.listed.clear()
-            one.server.feed.all_entries = (-1, ())
+            await until(lambda: not one.server.connections)
+            one.server.snapshots.encoded_lists.clear()
+            one.server.cache.full_list.entries_change = -1
 
 
 @on_loop
@@ -382,16 +392,16 @@
         fill(one)
         held = await one.listed("gateway=g2&services=s")
         asked = "/registry/instances?gateway=g2&services=s,u&wide=3"
-        make, steps = one.server.make, list[object]()
+        make, steps = one.server.sender.run_in_background, list[object]()
 
         def noted(each: Generator[None, None, None]) -> None:
             steps.append(each)
             make(each)
 
-        monkeypatch.setattr(one.server, "make", noted)
-        one.server.feed.sizes = replace(one.server.feed.sizes, least=500)  # its part is long
-        one.server.feed.services.clear()
-        one.server.feed.hosts.clear()
+        monkeypatch.setattr(one.server.sender, "run_in_background", noted)
+        one.server.cache.table.sizes = replace(one.server.cache.table.sizes, min_hosts=500)  # its part is long
+        one.server.cache.table.rings_by_service.clear()
+        one.server.cache.table.host_by_name.clear()
         fill(one)
         for more, header in (("", "X: y"), ("", "Accept-Encoding: gzip"), (f"&from={held['index']}", "X: y")):
             told = read(await one.get(asked + more, None, header))
@@ -407,15 +417,15 @@
         server = one.server
         server.source.close()
         server.source.confirmed_us = now_us() - 5_000_000
-        sound = server.feed.listing
+        sound = server.cache.full_list.snapshot_incrementally
 
-        def listing() -> Generator[None, None, Answer]:
+        def listing() -> Generator[None, None, ListResponse]:
             made = yield from sound()
-            server.hear(False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}])
+            server.apply_list(False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}])
             server.source.confirmed_us = now_us()
             return made
 
-        monkeypatch.setattr(server.feed, "listing", listing)
+        monkeypatch.setattr(server.cache.full_list, "snapshot_incrementally", listing)
         told = await one.listed("")
         assert "s-0" in names(told) and told["age_ms"] >= 5_000
         after = await one.listed(f"from={told['index']}")
@@ -426,23 +436,23 @@
 async def test_who_asks_and_is_behind_is_answered_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
     async with desk() as one:
         turn, turns = 0, []
-        sound, loop = one.server.feed.answer, asyncio.get_running_loop()
+        sound, loop = one.server.cache.respond, asyncio.get_running_loop()
 
         def tick() -> None:
             nonlocal turn
             turn += 1
             loop.call_soon(tick)
 
-        def noted(asker: Asker, since: int | None) -> Answer | None:
+        def noted(asker: Subscriber, since: int | None) -> ListResponse | None:
             turns.append(turn)
             return sound(asker, since)
 
         clients = [await one.client() for _ in range(8)]
         held = [await one.listed(f"gateway=g{n % 3}", client) for n, client in enumerate(clients[:3])]
         held += [await one.listed("", client) for client in clients[3:]]
-        one.server.hear(False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}])
-        monkeypatch.setattr(server_module, "SLICE_S", 0.0)  # one each
-        monkeypatch.setattr(one.server.feed, "answer", noted)
+        one.server.apply_list(False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}])
+        monkeypatch.setattr(long_poll, "SLICE_S", 0.0)  # one each
+        monkeypatch.setattr(one.server.cache, "respond", noted)
         tick()
         queries = [f"gateway=g{n}" * (n < 3) + f"&from={each['index']}" for n, each in enumerate(held)]
         for client, query in zip(clients, queries, strict=True):
@@ -455,10 +465,10 @@
 
 @on_loop
 async def test_calls_leave_no_cycles() -> None:
-    """The collector looks only through what is new, and never again (Server.sweep)."""
+    """The collector looks only through what is new, and never again (RelayServer._scan)."""
 
     def callers() -> int:
-        return sum(isinstance(each, server_module.Caller) for each in gc.get_objects())
+        return sum(isinstance(each, ClientConnection) for each in gc.get_objects())
 
     async with desk() as one:
         before = callers()
@@ -472,20 +482,20 @@
             held = await one.listed("gateway=g0")
             client = await one.client()
             client.send(f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\n\r\n".encode())
-            await until(lambda: any(caller.ask for caller in one.server.callers))
+            await until(lambda: any(connection.pending_request for connection in one.server.connections))
             client.close()
-            await until(lambda: not one.server.callers)
+            await until(lambda: not one.server.connections)
             await until(lambda: callers() == before)
         finally:
             gc.enable()
 
 
 def test_a_large_whole_is_paid_for_by_those_after_it() -> None:
-    meter = Meter(rate=10.0, burst=2.0)
-    assert meter.wait_s(100.0) == 0.0
-    meter.went(4 << 20)
-    assert meter.wait_s(100.0) > 1.0
-    assert meter.wait_s(102.0) == 0.0
+    limiter = SnapshotRateLimiter(rate_per_s=10.0, burst=2.0)
+    assert limiter.delay_s(100.0) == 0.0
+    limiter.consume(4 << 20)
+    assert limiter.delay_s(100.0) > 1.0
+    assert limiter.delay_s(102.0) == 0.0
 
 
 # Bounds
@@ -493,29 +503,29 @@
 
 @on_loop
 async def test_a_caller_that_takes_no_answer_is_closed_and_wholes_wait_meanwhile() -> None:
-    async with desk(Limits(slow_s=1, unsent_mb=1)) as one:
-        one.server.hear(False, [
+    async with desk(Limits(write_timeout_s=1, max_unsent_mib=1)) as one:
+        one.server.apply_list(False, [
             {"name": f"t-{n}", "address": "127.0.0.1:1", "type": "x" * 4_000, "service": "t", "status": "SERVING"}
             for n in range(3_000)
         ])  # fmt: skip
         slow = await one.client()
         slow.writer.transport.pause_reading()  # type: ignore[attr-defined]
         slow.send(b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n")
-        await until(lambda: one.server.unsent > 1 << 20)
+        await until(lambda: one.server.sender.unsent_bytes > 1 << 20)
         assert (await one.get("/registry/instances?gateway=g0")).status == 503, "it waited for its turn in vain"
-        await until(lambda: one.server.counts["closed_slow"] == 1 and not one.server.unsent)
+        await until(lambda: one.server.counters.closed_slow == 1 and not one.server.sender.unsent_bytes)
         assert len((await one.listed("gateway=g0"))["endpoints"]) == 4
         slow.close()
 
 
 @on_loop
 async def test_connections_are_bounded_and_idle_ones_end() -> None:
-    async with desk(Limits(connections=2, idle_s=2)) as one:
+    async with desk(Limits(max_connections=2, idle_timeout_s=2)) as one:
         first, second, third = [await one.client() for _ in range(3)]
         assert await third.reader.read() == b"", "beyond the bound"
         assert (await one.get("/health/ready", first)).status == 200
         assert await second.reader.read() == b"" and await first.reader.read() == b""
-        assert one.server.counts["closed_idle"] == 2
+        assert one.server.counters.closed_idle == 2
 
 
 @pytest.mark.parametrize(
@@ -524,7 +534,7 @@
         (b"GET /registry/instances?wide=9 HTTP/1.1\r\nHost: r\r\n\r\n", 400),
         (b"GET /registry/instances?from=x HTTP/1.1\r\nHost: r\r\n\r\n", 400),
         (b"POST /registry/instances HTTP/1.1\r\nHost: r\r\nContent-Length: 1\r\n\r\nx", 400),
-        (b"GET /registry/instances?services=" + b"x" * HEAD_MOST, 431),
+        (b"GET /registry/instances?services=" + b"x" * MAX_REQUEST_BYTES, 431),
         (b"no call\r\n\r\n", 400),
         (b"GET /health/ready HTTP/1.1\r\nHost: r\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n", 400),
     ],
@@ -547,7 +557,7 @@
         call = f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\nHost: r\r\n\r\n".encode()
         client.send(call + call)
         assert (await client.answer()).status == 400
-        await until(lambda: not one.server.waiting and not one.server.callers)
+        await until(lambda: not one.server.long_polls.connections_by_key and not one.server.connections)
 
 
 @on_loop
@@ -559,31 +569,31 @@
         held = [await one.listed(f"gateway=g{n}&services=s", client) for n, client in enumerate(clients)]
         calls = [f"/registry/instances?gateway=g{n}&services=s&from={held[n]['index']}{HOLD}" for n in range(2)]
         clients[0].send(f"GET {calls[0]} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
-        await until(lambda: any(caller.ask for caller in one.server.callers))
+        await until(lambda: any(connection.pending_request for connection in one.server.connections))
         wait = asyncio.create_task(one.get(calls[1], clients[1]))
-        await until(lambda: sum(caller.ask is not None for caller in one.server.callers) == 2)
-        sound = one.server.feed.answer
+        await until(lambda: sum(connection.pending_request is not None for connection in one.server.connections) == 2)
+        sound = one.server.cache.respond
 
-        def spoilt(asker: Asker, since: int | None) -> Answer | None:
+        def spoilt(asker: Subscriber, since: int | None) -> ListResponse | None:
             if asker.gateway == "g0":
                 raise RuntimeError("spoilt")
             return sound(asker, since)
 
-        monkeypatch.setattr(one.server.feed, "answer", spoilt)
+        monkeypatch.setattr(one.server.cache, "respond", spoilt)
         one.change(("s-0", "DRAINING"))
         assert (await wait).status == 200
         assert await clients[0].reader.read() == b"" and "DEFECT" in capsys.readouterr().err
 
 
 def test_a_call_is_read_and_what_it_does_not_know_is_left() -> None:
-    assert read_query(b"gateway=g%201&services=a,b%2Cc&wide=2&from=7&hold_ms=99999999&x=1") == Ask(
-        Asker("g 1", ("a", "b,c"), 2), 7, 60_000
+    assert parse_poll_request(b"gateway=g%201&services=a,b%2Cc&wide=2&from=7&hold_ms=99999999&x=1") == PollRequest(
+        Subscriber("g 1", ("a", "b,c"), 2), 7, 60_000
     )
-    assert read_query(b"") == Ask(Asker(), None)
+    assert parse_poll_request(b"") == PollRequest(Subscriber(), None)
     names = (b"gateway=%ff", b"gateway=" + b"x" * 300, b"services=" + b"," * 9_999)
     for query in (b"wide=4", b"from=-1", b"hold_ms=", *names):
-        with pytest.raises(CallError):
-            read_query(query)
+        with pytest.raises(RequestError):
+            parse_poll_request(query)
 
 
 # What discovery says
@@ -620,7 +630,7 @@
 async def test_rubbish_from_discovery_leaves_what_is_held_and_its_age_grows(rubbish: bytes) -> None:
     async with scripted() as (answers, discovery):
         answers.append(whole(5, "s-0", "s-1"))
-        async with relay(discovery.address, Limits(stale_ms=1_000)) as server:
+        async with relay(discovery.address, Limits(max_age_ms=1_000)) as server:
             one = Desk(Registry(Ledger()), server)
             await one.has(2)
             answers.append(rubbish)
@@ -656,10 +666,10 @@
         source = one.server.source
         await until(lambda: source.age_ms(now_us()) < 1_500)
         # As after a stop of 5 s: the call that is out was made before it, and so was the last look at the clock.
-        source.asked_us = source.looked_us = now_us() - 5_000_000
+        source.request_sent_us = source.last_clock_check_us = now_us() - 5_000_000
         source.take(b'{"index": 1, "snapshot": false, "endpoints": []}')
         assert source.age_ms(now_us()) >= 5_000
-        await until(lambda: source.gaps == 1 and source.age_ms(now_us()) < 1_500)
+        await until(lambda: source.stalls == 1 and source.age_ms(now_us()) < 1_500)
 
 
 # Long lists, by steps
@@ -683,19 +693,19 @@
 @settings(max_examples=40)
 @given(st.lists(st.tuples(st.booleans(), st.lists(HOST, max_size=120)), max_size=6))
 def test_a_list_taken_in_by_steps_is_as_one_taken_at_once(lists: list[tuple[bool, list[Any]]]) -> None:
-    at_once, by_steps = (Feed(parse_roster(ROSTER, "roster"), 1) for _ in range(2))
+    taken_at_once, taken_by_steps = (EndpointCache(parse_roster(ROSTER, "roster"), 1) for _ in range(2))
     for whole, hosts in [(True, []), *lists]:
         items = [
             {"name": f"h-{n}", "address": "127.0.0.1:1", "zone": zone, "service": service, "status": status}
             for n, status, service, zone in hosts
         ]
-        at_once.take(whole, items)
-        finished(take_in(by_steps, whole, items))
-        assert {name: (host.rest, host.serves) for name, host in by_steps.hosts.items()} == {
-            name: (host.rest, host.serves) for name, host in at_once.hosts.items()
+        taken_at_once.apply_list(whole, items)
+        finished(apply_list_incrementally(taken_by_steps, whole, items))
+        assert {name: (host.fields, host.is_serving) for name, host in taken_by_steps.table.host_by_name.items()} == {
+            name: (host.fields, host.is_serving) for name, host in taken_at_once.table.host_by_name.items()
         }
-        for asker in (Asker("g0"), Asker("g1"), Asker("g2"), Asker()):
-            told = [feed.answer(asker, None) for feed in (at_once, by_steps)]
+        for asker in (Subscriber("g0"), Subscriber("g1"), Subscriber("g2"), Subscriber()):
+            told = [cache.respond(asker, None) for cache in (taken_at_once, taken_by_steps)]
             assert told[0] is not None and told[1] is not None and told[0].entries == told[1].entries
 
 
@@ -744,11 +754,11 @@
             server.source.slice_s = 0.0  # each step ends its slice, however fast the machine is
             answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
             calls = 0
-            while server.source.index_of_discovery != 6:
+            while server.source.discovery_index != 6:
                 await one.get("/health/ready", client)
                 calls += bool(server.source.taking)
             assert calls > MIN_CALLS_BETWEEN_STEPS
-            assert len(server.feed.hosts) == 3_000 and server.is_ready
+            assert len(server.cache.table.host_by_name) == 3_000 and server.is_ready
 
 
 @on_loop
@@ -759,13 +769,13 @@
             one = Desk(Registry(Ledger()), server)
             await one.has(1)
             answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
-            await until(lambda: 1 < len(server.feed.hosts) < 3_000)
-            assert server.source.index_of_discovery == 5
+            await until(lambda: 1 < len(server.cache.table.host_by_name) < 3_000)
+            assert server.source.discovery_index == 5
             server.source.begin(watches=True)
             asked = len(discovery.seen)
-            await until(lambda: server.source.index_of_discovery == 6)
+            await until(lambda: server.source.discovery_index == 6)
             assert "from=" not in discovery.seen[asked].message.first
-            assert len(server.feed.hosts) == 3_000
+            assert len(server.cache.table.host_by_name) == 3_000
 
 
 # The roster
@@ -777,17 +787,17 @@
 ) -> None:
     file = tmp_path / "roster.json"
     async with desk() as one:
-        client, rereader = await one.client(), Rereader(str(file), one.server)
+        client, reloader = await one.client(), RosterReloader(str(file), one.server)
         held = await one.listed("gateway=g0", client)
         wait = asyncio.create_task(one.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(caller.ask for caller in one.server.callers))
-        digest = one.server.feed.roster.digest
+        await until(lambda: any(connection.pending_request for connection in one.server.connections))
+        digest = one.server.cache.roster.digest
         file.write_bytes(b"{}")
-        rereader.ask()
-        await until(lambda: rereader.reading is None)
-        assert one.server.feed.roster.digest == digest and "stays as it is" in capsys.readouterr().err
+        reloader.request_reload()
+        await until(lambda: reloader.reload_task is None)
+        assert one.server.cache.roster.digest == digest and "stays as it is" in capsys.readouterr().err
         file.write_bytes(ROSTER.replace(b'["s"]', b'["s", "t"]'))
-        rereader.ask()
+        reloader.request_reload()
         assert set(names(await wait)) == {f"t-{n}" for n in range(4)}
         assert (await one.state())["roster"] != digest
 
@@ -798,8 +808,8 @@
 ) -> None:
     file = tmp_path / "roster.json"
     async with desk() as one:
-        server, feed = one.server, one.server.feed
-        rereader, sound = Rereader(str(file), server), feed.prepare
+        server, cache = one.server, one.server.cache
+        reloader, sound = RosterReloader(str(file), server), cache.prepare_roster
         clients = [await one.client() for _ in range(2)]
         held = [await one.listed(f"gateway=g{n}", client) for n, client in enumerate(clients)]
         forever = "&hold_ms=60000"  # longer than this test may take
@@ -807,37 +817,39 @@
             asyncio.create_task(one.listed(f"gateway=g{n}&from={held[n]['index']}{forever}", clients[n]))
             for n in range(2)
         ]
-        await until(lambda: sum(caller.ask is not None for caller in server.callers) == 2)
+        await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
         others: list[dict[str, str]] = []
 
-        def prepare(roster: Roster) -> Generator[None, None, Groups]:
+        def prepare(roster: FleetRoster) -> Generator[None, None, GroupsByService]:
             steps = sound(roster)
             next(steps)
             if not others:
                 others.append({})
-                server.hear(False, [{"name": "t-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "t"}])
+                server.apply_list(
+                    False, [{"name": "t-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "t"}]
+                )
                 file.write_bytes(ROSTER.replace(b'["s"]', b'["t"]'))
-                rereader.ask()
+                reloader.request_reload()
                 for gateway in ("g0", "g1"):  # by the old one, though most of the other is worked out
-                    answer = feed.answer(Asker(gateway), None)
+                    answer = cache.respond(Subscriber(gateway), None)
                     assert answer is not None
                     others[0] |= {json.loads(each)["name"]: gateway for each in answer.entries}
             return (yield from steps)
 
-        monkeypatch.setattr(feed, "prepare", prepare)
+        monkeypatch.setattr(cache, "prepare_roster", prepare)
         file.write_bytes(ROSTER.replace(b'["t"]', b'["s"]'))
-        rereader.ask()
-        await until(lambda: others and rereader.reading is None)
+        reloader.request_reload()
+        await until(lambda: others and reloader.reload_task is None)
         assert others[0] == {f"s-{n}": "g0" for n in range(4)} | {f"t-{n}": "g1" for n in range(1, 4)}
         last = parse_roster(file.read_bytes(), "roster")
-        assert feed.roster.digest == last.digest
+        assert cache.roster.digest == last.digest
         for n, wait in enumerate(waits):
             told = await wait
             while set(names(told)) != {"t-1", "t-2", "t-3"}:  # however its answers were cut by the two
                 told = await one.listed(f"gateway=g{n}", clients[n])
             waits[n] = asyncio.create_task(one.listed(f"gateway=g{n}&from={told['index']}{forever}", clients[n]))
-        await until(lambda: sum(caller.ask is not None for caller in server.callers) == 2)
-        await until(lambda: server.passing is None)
+        await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
+        await until(lambda: server.long_polls.notify_task is None)
         one.change(("t-1", "DRAINING"))
         assert [names(await wait) for wait in waits] == [{"t-1": "DRAINING"}] * 2, "found by what it is now before"
 
@@ -853,7 +865,7 @@
     config = load(str(file))
     assert (config.listen, config.discovery) == (("127.0.0.1", 1), ("127.0.0.1", 2))
     assert config.roster == str(tmp_path / "roster.json")
-    assert config.limits == replace(Limits(), wholes_per_s=7)
+    assert config.limits == replace(Limits(), snapshots_per_s=7)
 
 
 @pytest.mark.parametrize(
@@ -906,7 +918,7 @@
     try:
         assert process.stderr is not None
         line = (await process.stderr.readline()).decode()
-        assert "relay-1: roster" in line and "3 gateways" in line
+        assert "relay: started, name=relay-1 roster=" in line and "gateways=3" in line
         while '"ready": true' not in (shown := await asyncio.to_thread(command, "show", here)).stdout:
             await asyncio.sleep(0.02)
         state = json.loads(shown.stdout)
@@ -914,7 +926,7 @@
         assert state["version"] >= before_us, "beyond all that an earlier process has named"
         roster.write_bytes(ROSTER.replace(b"g2", b"g3"))
         process.send_signal(signal.SIGHUP)
-        assert "3 gateways" in (await process.stderr.readline()).decode()
+        assert "gateways=3" in (await process.stderr.readline()).decode()
         process.send_signal(signal.SIGTERM)
         rest = await process.stderr.read()
         assert await process.wait() == 0 and b"relay ends" in rest and b"Traceback" not in rest
--- a/tests/test_relay_subset.py
+++ b/tests/test_relay_subset.py
@@ -17,13 +17,16 @@
 
 from benchmarks.capacity.plan import fleet
 from benchmarks.relay_model import entry, plainly
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.entry_codec import WIDENED_USERS_FACTOR, Host
+from cloverkeel.control_plane.errors import RosterError
+from cloverkeel.control_plane.fleet_roster import FleetRoster, GatewayGroup, GatewayPlacement, gateway_hash
+from cloverkeel.control_plane.messages import MAX_WIDENINGS, Subscriber
+from cloverkeel.control_plane.roster_parser import parse_roster
+from cloverkeel.control_plane.subsetting import DEFAULT_SIZES, HashRing, window_size
 from cloverkeel.core.config import stable_id
-from cloverkeel.control_plane.messages import WIDEST, Asker
-from cloverkeel.control_plane.endpoint_cache import Feed
-from cloverkeel.control_plane.fleet_roster import Group, Post, Roster, RosterError, hash_of, parse_roster
-from cloverkeel.control_plane.subsetting import APART, SIZES, Host, Ring, width
 
-LEAST = SIZES.least
+MIN_HOSTS = DEFAULT_SIZES.min_hosts
 COUNTS = st.integers(1, 150)
 
 
@@ -31,15 +34,15 @@
     return Host(f"h{number}", "s", "z", True, b"")
 
 
-def ring(hosts: Iterable[Host], *sizes: int) -> Ring:
-    made = Ring("z", LEAST)
-    made.change((), list(hosts))
-    made.share(sizes)
+def ring(hosts: Iterable[Host], *sizes: int) -> HashRing:
+    made = HashRing("z", MIN_HOSTS)
+    made.replace_hosts((), list(hosts))
+    made.set_group_sizes(sizes)
     return made
 
 
-def group(names: Sequence[str]) -> Group:
-    return Group("s", array("Q", sorted(hash_of("s", name) for name in names)))
+def group(names: Sequence[str]) -> GatewayGroup:
+    return GatewayGroup("s", array("Q", sorted(gateway_hash("s", name) for name in names)))
 
 
 def windows(hosts: Iterable[Host], names: Sequence[str], wide: int = 0) -> dict[str, set[str]]:
@@ -59,15 +62,15 @@
     } | more
 
 
-def fed(roster: dict[str, Any], entries: list[dict[str, Any]]) -> Feed:
-    feed = Feed(parse_roster(json.dumps(roster), "roster.json"), 1)
-    feed.take(True, entries)
-    return feed
+def fed(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
+    cache = EndpointCache(parse_roster(json.dumps(roster), "roster.json"), 1)
+    cache.apply_list(True, entries)
+    return cache
 
 
-def told(feed: Feed, asker: Asker) -> dict[str, dict[str, Any]]:
-    answer = feed.answer(asker, None)
-    assert answer is not None and answer.whole
+def told(cache: EndpointCache, asker: Subscriber) -> dict[str, dict[str, Any]]:
+    answer = cache.respond(asker, None)
+    assert answer is not None and answer.is_snapshot
     entries: list[dict[str, Any]] = json.loads(answer.body(0))["endpoints"]
     return {each["name"]: each for each in entries}
 
@@ -75,47 +78,47 @@
 # Balance and movement
 
 
-@given(COUNTS, COUNTS, st.integers(0, WIDEST))
+@given(COUNTS, COUNTS, st.integers(0, MAX_WIDENINGS))
 def test_each_host_has_as_many_gateways_as_any_other(hosts: int, gateways: int, wide: int) -> None:
     names = [f"g{n}" for n in range(gateways)]
     made = windows(map(host, range(hosts)), names, wide)
     have = Counter(name for each in made.values() for name in each)
-    each_has = width(hosts, gateways, LEAST << wide)
-    assert {len(each) for each in made.values()} == {each_has} and each_has >= min(hosts, LEAST << wide)
+    each_has = window_size(hosts, gateways, MIN_HOSTS << wide)
+    assert {len(each) for each in made.values()} == {each_has} and each_has >= min(hosts, MIN_HOSTS << wide)
     fan = [have[f"h{n}"] for n in range(hosts)]
     mean = gateways * each_has / hosts
     assert min(fan) >= 1 and max(fan) - min(fan) <= 1
-    if gateways >= LEAST:
-        assert mean >= LEAST and max(fan) <= 1.3 * mean and min(fan) >= mean / 1.3
+    if gateways >= MIN_HOSTS:
+        assert mean >= MIN_HOSTS and max(fan) <= 1.3 * mean and min(fan) >= mean / 1.3
     if not wide:
-        assert max(fan) <= ring(map(host, range(hosts)), gateways).users() <= 1.25 * math.ceil(mean) + 2
+        assert max(fan) <= ring(map(host, range(hosts)), gateways).max_users() <= 1.25 * math.ceil(mean) + 2
 
 
-@given(COUNTS, st.lists(st.integers(0, WIDEST), min_size=1, max_size=150))
+@given(COUNTS, st.lists(st.integers(0, MAX_WIDENINGS), min_size=1, max_size=150))
 def test_whoever_widens_the_shares_of_a_host_stay_within_its_budget(hosts: int, wides: list[int]) -> None:
     """A cold host's budget is split by `users`: of all gateways that have it, each by what it was told."""
-    feed = fed({"regions": {"r": ["z"]}, "gateways": {f"g{n}": {"zone": "z"} for n in range(len(wides))}},
+    cache = fed({"regions": {"r": ["z"]}, "gateways": {f"g{n}": {"zone": "z"} for n in range(len(wides))}},
                [entry(f"h{n}", "s", "z") for n in range(hosts)])  # fmt: skip
     shares: Counter[str] = Counter()
     for number, wide in enumerate(wides):
-        own = told(feed, Asker(f"g{number}"))
-        for name, each in told(feed, Asker(f"g{number}", (), wide)).items():
+        own = told(cache, Subscriber(f"g{number}"))
+        for name, each in told(cache, Subscriber(f"g{number}", (), wide)).items():
             shares[name] += 1 / each["users"]
             assert name not in own or each["users"] == own[name]["users"]  # who widens keeps its own
-    assert len(shares) == hosts and max(shares.values()) <= 1 + 8 / APART
+    assert len(shares) == hosts and max(shares.values()) <= 1 + 8 / WIDENED_USERS_FACTOR
 
 
 def test_a_gateway_that_widens_is_told_only_what_is_new_to_it_and_back_only_that_it_left() -> None:
-    feed = fed(**made_fleet(300, 40))
-    own = feed.answer(Asker("g0"), None)
+    cache = fed(**made_fleet(300, 40))
+    own = cache.respond(Subscriber("g0"), None)
     assert own is not None
     names = {json.loads(each)["name"] for each in own.entries}
-    wider = feed.answer(Asker("g0", (), 1), own.index)
-    assert wider is not None and not wider.whole
+    wider = cache.respond(Subscriber("g0", (), 1), own.index)
+    assert wider is not None and not wider.is_snapshot
     came = [json.loads(each) for each in wider.entries]
     assert came and {each["status"] for each in came} == {"SERVING"} and not names & {each["name"] for each in came}
-    back = feed.answer(Asker("g0"), wider.index)
-    assert back is not None and not back.whole
+    back = cache.respond(Subscriber("g0"), wider.index)
+    assert back is not None and not back.is_snapshot
     left = [json.loads(each) for each in back.entries]
     assert {each["status"] for each in left} == {"DELETED"} and len(left) == len(came)
 
@@ -133,7 +136,7 @@
     names = [f"g{n}" for n in range(gateways)]
     fewer, more = (windows(map(host, range(hosts)), each) for each in (names, [*names, f"other{other}"]))
     shift = math.ceil(hosts / (gateways + 1))
-    narrower = math.ceil(LEAST * hosts / (gateways * (gateways + 1)))
+    narrower = math.ceil(MIN_HOSTS * hosts / (gateways * (gateways + 1)))
     for name in names:
         assert len(more[name] - fewer[name]) <= shift
         assert len(fewer[name] - more[name]) <= shift + narrower
@@ -141,42 +144,46 @@
 
 def test_a_zone_that_goes_leaves_the_windows_in_the_others_as_they_are() -> None:
     made = made_fleet(300, 40)
-    feed, asker = fed(made["roster"], made["entries"]), Asker("g0")
-    before = told(feed, asker)
-    feed.take(False, [each | {"status": "DELETED"} for each in made["entries"] if each["zone"] == "r0-a"])
-    after = told(feed, asker)
+    cache, asker = fed(made["roster"], made["entries"]), Subscriber("g0")
+    before = told(cache, asker)
+    cache.apply_list(False, [each | {"status": "DELETED"} for each in made["entries"] if each["zone"] == "r0-a"])
+    after = told(cache, asker)
     assert {each["zone"] for each in before.values()} == {"r0-a", "r0-b"}
-    assert after == {name: each for name, each in before.items() if each["zone"] == "r0-b"} and len(after) >= LEAST
+    assert (
+        after == {name: each for name, each in before.items() if each["zone"] == "r0-b"} and len(after) >= MIN_HOSTS
+    )
 
 
 def test_what_fails_for_a_gateway_is_widened_by_doubling_and_only_grows() -> None:
-    feed = fed(**made_fleet(300, 40))
-    subsets = [told(feed, Asker("g0", (), wide)) for wide in range(WIDEST + 2)]
-    assert [len(each) for each in subsets] == [2 * width(100, 27, LEAST << wide) for wide in (0, 1, 2, 3, 3)]
+    cache = fed(**made_fleet(300, 40))
+    subsets = [told(cache, Subscriber("g0", (), wide)) for wide in range(MAX_WIDENINGS + 2)]
+    assert [len(each) for each in subsets] == [
+        2 * window_size(100, 27, MIN_HOSTS << wide) for wide in (0, 1, 2, 3, 3)
+    ]
     assert all(less.keys() <= more.keys() for less, more in pairwise(subsets))
 
 
 def test_fewer_than_three_that_serve_in_a_region_bring_in_the_other() -> None:
     made = made_fleet(9, 9)
-    feed = fed(made["roster"], made["entries"])
-    assert {each["zone"] for each in told(feed, Asker("g0")).values()} == {"r0-a", "r0-b"}
+    cache = fed(made["roster"], made["entries"])
+    assert {each["zone"] for each in told(cache, Subscriber("g0")).values()} == {"r0-a", "r0-b"}
     its = [each for each in made["entries"] if each["zone"] != "r1-a"]
-    feed.take(False, [each | {"status": "DRAINING"} for each in its[:3]])
-    assert {each["zone"] for each in told(feed, Asker("g0")).values()} == {"r0-a", "r0-b"}
-    feed.take(False, [its[3] | {"status": "DRAINING"}])
-    spilt = told(feed, Asker("g0"))
+    cache.apply_list(False, [each | {"status": "DRAINING"} for each in its[:3]])
+    assert {each["zone"] for each in told(cache, Subscriber("g0")).values()} == {"r0-a", "r0-b"}
+    cache.apply_list(False, [its[3] | {"status": "DRAINING"}])
+    spilt = told(cache, Subscriber("g0"))
     assert Counter(each["zone"] for each in spilt.values()) == {"r0-a": 1, "r0-b": 1, "r1-a": 3}
     assert {each["users"] for each in spilt.values() if each["zone"] == "r1-a"} == {9}  # both regions' gateways
-    assert {each["zone"] for each in told(feed, Asker("g2")).values()} == {"r1-a"}
+    assert {each["zone"] for each in told(cache, Subscriber("g2")).values()} == {"r1-a"}
 
 
 def test_no_host_is_left_without_a_gateway() -> None:
     """Where nobody of its region is before its service, or its zone is in no region, all before it have it."""
     made = made_fleet(90, 0)
     made["roster"]["gateways"] = {f"g{n}": {"zone": "r0-a", "services": ["s"]} for n in range(30)}
-    feed = fed(made["roster"], [*made["entries"], *(entry(f"far{n}", "s", "no-zone") for n in range(40))])
-    have = Counter(name for n in range(30) for name in told(feed, Asker(f"g{n}")))
-    assert len(have) == 130 and min(have.values()) >= LEAST
+    cache = fed(made["roster"], [*made["entries"], *(entry(f"far{n}", "s", "no-zone") for n in range(40))])
+    have = Counter(name for n in range(30) for name in told(cache, Subscriber(f"g{n}")))
+    assert len(have) == 130 and min(have.values()) >= MIN_HOSTS
 
 
 def test_a_service_of_one_host_and_one_of_nine_thousand_and_such_as_name_none() -> None:
@@ -184,38 +191,38 @@
     bare = [entry(f"bare{n}", "", "r0-a") for n in range(3)]
     for each in bare:
         del each["service"]
-    feed = fed(made_fleet(0, 60)["roster"], [*entries, *bare])
-    subset = told(feed, Asker("g0"))
+    cache = fed(made_fleet(0, 60)["roster"], [*entries, *bare])
+    subset = told(cache, Subscriber("g0"))
     assert Counter(each.get("service") for each in subset.values()) == {"one": 1, "many": 9_000 * 8 // 40, None: 3}
-    assert told(feed, Asker("g0", ("one",))).keys() == {"alone"}
-    assert told(feed, Asker("g0", ("", "one", "none"))).keys() == {"alone", "bare0", "bare1", "bare2"}
+    assert told(cache, Subscriber("g0", ("one",))).keys() == {"alone"}
+    assert told(cache, Subscriber("g0", ("", "one", "none"))).keys() == {"alone", "bare0", "bare1", "bare2"}
 
 
-@given(st.integers(0, 60), st.integers(0, 30), st.integers(0, WIDEST), st.randoms(use_true_random=False))
+@given(st.integers(0, 60), st.integers(0, 30), st.integers(0, MAX_WIDENINGS), st.randoms(use_true_random=False))
 def test_two_relays_give_the_same_subset_whatever_they_heard_on_the_way(
-    hosts: int, gateways: int, wide: int, dice: Any
+    hosts: int, gateways: int, wide: int, rng: Any
 ) -> None:
     made = made_fleet(hosts, gateways + 3)
     listed = {each["name"]: each for each in made["entries"]}
-    for name in dice.sample(sorted(listed), hosts // 4):
+    for name in rng.sample(sorted(listed), hosts // 4):
         listed[name] = listed[name] | {"status": "DRAINING"}
     first, second = fed(made["roster"], list(listed.values())), fed(made["roster"], [])
     deltas = [*listed.values(), *(entry(f"gone{n}", "s", "r0-a") for n in range(5)), *made["entries"][:7]]
-    dice.shuffle(deltas)
+    rng.shuffle(deltas)
     for each in deltas:
-        second.take(False, [each])
-    second.take(False, [entry(f"gone{n}", "s", "r0-a") | {"status": "DELETED"} for n in range(5)])
-    second.take(False, dice.sample(list(listed.values()), len(listed)))
+        second.apply_list(False, [each])
+    second.apply_list(False, [entry(f"gone{n}", "s", "r0-a") | {"status": "DELETED"} for n in range(5)])
+    second.apply_list(False, rng.sample(list(listed.values()), len(listed)))
     for number in (0, 1, 2, gateways, gateways + 2):
-        asker = Asker(f"g{number}", (), wide)
+        asker = Subscriber(f"g{number}", (), wide)
         assert told(first, asker) == told(second, asker)
-        assert told(first, asker).keys() == plainly(made["roster"], SIZES, asker, listed)[0]
+        assert told(first, asker).keys() == plainly(made["roster"], DEFAULT_SIZES, asker, listed)[0]
 
 
 def test_the_plans_shape_at_a_tenth_gives_all_hosts_gateways_and_all_gateways_hosts() -> None:
     small = fleet(460, 3_800)
-    feed = fed(small.roster(), [each.entry() for each in small.hosts])
-    subsets = {each.name: told(feed, Asker(each.name)) for each in small.gateways}
+    cache = fed(small.roster(), [each.entry() for each in small.hosts])
+    subsets = {each.name: told(cache, Subscriber(each.name)) for each in small.gateways}
     have = Counter(name for subset in subsets.values() for name in subset)
     assert have.keys() == {each.name for each in small.hosts} and min(have.values()) >= 3
     most = {name: each["users"] for subset in subsets.values() for name, each in subset.items()}
@@ -237,12 +244,15 @@
 def test_a_roster_says_where_each_gateway_is_and_before_what() -> None:
     raw = GOOD | {"gateways": GOOD["gateways"] | {"g9": {"zone": "r1-a", "services": ["a", "b"]}}}
     made = parse_roster(json.dumps(raw), "f")
-    assert made.gateways["g9"] == Post("r1-a", "r1", frozenset("ab")) and made.gateways["g0"].services is None
+    assert (
+        made.placement_by_gateway["g9"] == GatewayPlacement("r1-a", "r1", frozenset("ab"))
+        and made.placement_by_gateway["g0"].services is None
+    )
     assert {region: each.size for region, each in made.groups("a").items()} == {"": 5, "r0": 3, "r1": 2}
     assert {region: each.size for region, each in made.groups("c").items()} == {"": 4, "r0": 3, "r1": 1}
     everyone = made.groups("a")[""]
-    assert sorted(everyone.place(name) for name in made.gateways) == list(range(5))
-    assert everyone.place("nobody") == sum(number < hash_of("a", "nobody") for number in everyone.hashes)
+    assert sorted(everyone.rank(name) for name in made.placement_by_gateway) == list(range(5))
+    assert everyone.rank("nobody") == sum(number < gateway_hash("a", "nobody") for number in everyone.hashes)
     shuffled = json.dumps(dict(reversed(raw.items())), indent=1)
     text = json.dumps(raw, sort_keys=True, separators=(",", ":"))
     assert made.digest == f"{stable_id(text, 8):016x}"
@@ -272,20 +282,20 @@
 
 def test_another_roster_counts_from_the_next_answer_on() -> None:
     made = made_fleet(30, 6)
-    feed, asker = fed(made["roster"], made["entries"]), Asker("g0")
-    first = feed.answer(asker, None)
-    assert first is not None and feed.answer(asker, first.index) is None
+    cache, asker = fed(made["roster"], made["entries"]), Subscriber("g0")
+    first = cache.respond(asker, None)
+    assert first is not None and cache.respond(asker, first.index) is None
     gateways = {"g0": {"zone": "r1-a"}, "g1": {"zone": "r0-a"}}
-    feed.set_roster(parse_roster(json.dumps(made["roster"] | {"gateways": gateways}), "f"))
-    moved = feed.answer(asker, first.index)
-    assert moved is not None and not moved.whole
+    cache.replace_roster(parse_roster(json.dumps(made["roster"] | {"gateways": gateways}), "f"))
+    moved = cache.respond(asker, first.index)
+    assert moved is not None and not moved.is_snapshot
     assert {each["zone"]: each["status"] for each in map(json.loads, moved.entries)} == {
         "r0-a": "DELETED", "r0-b": "DELETED", "r1-a": "SERVING",
     }  # fmt: skip
-    assert told(feed, replace(asker, gateway="g5")).keys() == {each["name"] for each in made["entries"]}
+    assert told(cache, replace(asker, gateway="g5")).keys() == {each["name"] for each in made["entries"]}
 
 
 def test_a_roster_is_bounded() -> None:
     with pytest.raises(RosterError, match="expected at most 1024 zones, found '1025'"):
         parse_roster(json.dumps({"regions": {"r": [f"z{n}" for n in range(1_025)]}, "gateways": {"g": {}}}), "f")
-    assert isinstance(parse_roster(json.dumps(GOOD).encode(), "f"), Roster)
+    assert isinstance(parse_roster(json.dumps(GOOD).encode(), "f"), FleetRoster)
