--- a/cloverkeel/control_plane/deltas.py
+++ b/cloverkeel/control_plane/deltas.py
@@ -144,10 +144,11 @@
     def delta(self, subscription: Subscription, index: int) -> ListResponse | None:
         """Return the changes of a gateway's subset since a response that is known; None: there are none."""
         base = self.snapshots_by_gateway[subscription.gateway][index]
-        if base.change_number == self.table.change_number and base.subscription == subscription:
+        is_same = base.subscription == subscription
+        if is_same and base.change_number == self.table.change_number:
             return None
-        services = self._services_to_compare(base, subscription)
-        changes = self._compare_subsets(base, subscription, services)
+        services = self._services_to_compare(base, subscription, is_same)
+        changes = self._compare_subsets(base, subscription, is_same, services)
         departed = self._departed_hosts(base, frozenset(services), changes)
         windows, draining = changes.windows_by_service, departed.draining_by_name
         snapshot = ClientSnapshot(self.table.change_number, subscription, windows, draining)
@@ -188,24 +189,25 @@
                 windows[ring.zone] = SubsetWindow(ring.changed_at, ring.max_users(), own_hosts, hosts)
         return windows
 
-    def _services_to_compare(self, base: ClientSnapshot, subscription: Subscription) -> Collection[str]:
+    def _services_to_compare(
+        self, base: ClientSnapshot, subscription: Subscription, is_same: bool
+    ) -> Collection[str]:
         """Return the services in which the subset may be another than in the base."""
-        if base.subscription == subscription and base.change_number >= self.table.change_by_service_floor:
+        if is_same and base.change_number >= self.table.change_by_service_floor:
             return self.table.services_changed_since(base.change_number, subscription.services)
         services = self.table.rings_by_service.keys() if subscription.services is None else subscription.services
         draining = {host.service for host in base.draining_by_name.values()}
         return draining | base.windows_by_service.keys() | services
 
     def _compare_subsets(
-        self, base: ClientSnapshot, subscription: Subscription, services: Collection[str]
+        self, base: ClientSnapshot, subscription: Subscription, is_same: bool, services: Collection[str]
     ) -> SubsetChanges:
         changes = SubsetChanges(dict(base.windows_by_service))
-        has_same_subscription = base.subscription == subscription
         for service in services:
             before = base.windows_by_service.get(service, {})
             after: WindowByZone = {}
             if subscription.has_service(service):
-                after = self._windows_of(service, subscription, before if has_same_subscription else {})
+                after = self._windows_of(service, subscription, before if is_same else {})
             changes.replace_windows(service, before, after)
         return changes
 
--- a/cloverkeel/control_plane/endpoint_table.py
+++ b/cloverkeel/control_plane/endpoint_table.py
@@ -13,7 +13,7 @@
 
 import itertools
 from collections import Counter, OrderedDict, defaultdict, deque
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 from typing import Final
 
@@ -113,9 +113,7 @@
     def apply_changes(self, changes: Iterable[HostChange]) -> frozenset[SubscriptionKey]:
         """Apply changes of hosts, and return the keys of the subscribers that they may matter to."""
         self.change_number += 1
-        changes_by_service: defaultdict[str, RingChanges] = defaultdict(RingChanges)
-        for name, host in changes:
-            self._apply_change(name, host, changes_by_service)
+        changes_by_service = self._replace_hosts(changes)
         self.change_log.truncate()
         keys: set[SubscriptionKey] = {ALL_HOSTS_KEY}
         for service, ring_changes in changes_by_service.items():
@@ -128,17 +126,21 @@
             self.change_by_service_floor = self.change_by_service.popitem(last=False)[1]
         return frozenset(keys)
 
-    def _apply_change(self, name: str, host: Host | None, changes_by_service: defaultdict[str, RingChanges]) -> None:
-        previous = self.host_by_name.pop(name, None)
-        if previous is not None:
-            changes_by_service[previous.service].remove(previous)
-        if host is not None:
-            self.host_by_name[name] = host
-            changes_by_service[host.service].add(host)
-        published = host or previous
-        if published is not None:
-            self.counters.changed_hosts += 1
-            self.change_log.append(self.change_number, published)
+    def _replace_hosts(self, changes: Iterable[HostChange]) -> Mapping[str, RingChanges]:
+        """Change and log the hosts, and return what that means for the rings of each service."""
+        changes_by_service: defaultdict[str, RingChanges] = defaultdict(RingChanges)
+        for name, host in changes:
+            previous = self.host_by_name.pop(name, None)
+            if previous is not None:
+                changes_by_service[previous.service].remove(previous)
+            if host is not None:
+                self.host_by_name[name] = host
+                changes_by_service[host.service].add(host)
+            published = host or previous
+            if published is not None:
+                self.counters.changed_hosts += 1
+                self.change_log.append(self.change_number, published)
+        return changes_by_service
 
     def _update_rings(self, service: str, changes: RingChanges) -> set[str]:
         """Change a service's rings, and return the regions whose gateways it may matter to."""
--- a/cloverkeel/control_plane/entry_codec.py
+++ b/cloverkeel/control_plane/entry_codec.py
@@ -21,7 +21,6 @@
 WIDENED_USERS_FACTOR: Final = 64  # as many times the users of a host that a gateway has only by widening
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 STATUSES: Final = (SERVING, DRAINING, DELETED)
-UNKEPT_KEYS: Final = ("status", "users")  # of an entry: encoded anew for each gateway
 # What parse_entry raises for an entry that cannot be used.
 UNUSABLE_ENTRY_ERRORS: Final = (KeyError, TypeError, ValueError, OverflowError, AttributeError, RecursionError)
 
@@ -93,7 +92,7 @@
     parse_address(raw["address"], "address")
     if status == DELETED:
         return name, None
-    fields = encode_json({key: value for key, value in raw.items() if key not in UNKEPT_KEYS}).encode()[1:-1]
+    fields = encode_json({key: value for key, value in raw.items() if key not in ("status", "users")}).encode()[1:-1]
     if len(fields) > MAX_ENTRY_BYTES:
         raise EntryError("entry", f"at most {MAX_ENTRY_BYTES} bytes")
     is_serving, known = status == SERVING, host_by_name.get(name)
--- a/cloverkeel/control_plane/incremental_update.py
+++ b/cloverkeel/control_plane/incremental_update.py
@@ -9,6 +9,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any, Final
 
@@ -53,13 +54,13 @@
 
 
 def _read_list(cache: EndpointCache, is_snapshot: bool, items: list[Any]) -> Incremental[_ReadList]:
-    read = _ReadList()
+    read, known = _ReadList(), cache.table.host_by_name
     for begin in range(0, len(items), ENTRIES_PER_STEP):
         parsed = cache.parse_entries(items[begin : begin + ENTRIES_PER_STEP], is_snapshot)
         read.skipped += parsed.skipped
         read.names.update(parsed.host_by_name)
         for name, host in parsed.host_by_name.items():
-            if cache.table.host_by_name.get(name) is not host:
+            if known.get(name) is not host:
                 read.changes[name] = host
             else:
                 read.changes.pop(name, None)  # listed twice: the last entry counts
@@ -75,9 +76,10 @@
 
 def _order_changes(cache: EndpointCache, changes: dict[str, Host | None]) -> Incremental[list[HostChange]]:
     """Put what restricts first, and hosts of one service side by side, as the rings of each are assigned anew."""
+    known = cache.table.host_by_name
     changes_by_rank: dict[tuple[bool, str], list[HostChange]] = {}
     for count, change in enumerate(changes.items(), 1):
-        changes_by_rank.setdefault(_rank(cache, *change), []).append(change)
+        changes_by_rank.setdefault(_rank(known, *change), []).append(change)
         if not count % CHANGES_SORTED_PER_STEP:
             yield
     ordered: list[HostChange] = []
@@ -87,6 +89,6 @@
     return ordered
 
 
-def _rank(cache: EndpointCache, name: str, host: Host | None) -> tuple[bool, str]:
-    known = host or cache.table.host_by_name.get(name)
-    return host is not None and host.is_serving, known.service if known is not None else ""
+def _rank(known: Mapping[str, Host], name: str, host: Host | None) -> tuple[bool, str]:
+    listed = host or known.get(name)
+    return host is not None and host.is_serving, listed.service if listed is not None else ""
