--- /dev/null
+++ b/tests/control_plane/relay_harness.py
@@ -0,0 +1,151 @@
+"""A relay in this process, between a discovery (a stand-in, or scripted) and scripted clients."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import AsyncIterator, Generator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
+from typing import Any
+
+from cloverkeel.control_plane.config import Limits, RelayConfig
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.http_server import RelayServer
+from cloverkeel.control_plane.roster_parser import parse_roster
+from cloverkeel.core.clock import now_us
+from standins.ledger import Ledger
+from standins.parties.registry import Entry, Registry
+from tests.sockets import Client, Message, Peer, list_reply, peer, until
+
+ROSTER = json.dumps({
+    "regions": {"r0": ["a", "b"]},
+    "gateways": {
+        "g0": {"zone": "a", "services": ["s"]}, "g1": {"zone": "b", "services": ["t"]}, "g2": {"zone": "a"},
+    },
+}).encode()  # fmt: skip
+
+
+HOLD = "&hold_ms=20000"
+
+
+ALL = "/registry/instances"
+
+
+@dataclass
+class Desk:
+    """A relay, and the discovery that it asks."""
+
+    registry: Registry
+    server: RelayServer
+
+    async def client(self) -> Client:
+        return Client(*await asyncio.open_connection("127.0.0.1", self.server.port))
+
+    async def get(self, target: str, client: Client | None = None, *headers: str) -> Message:
+        connection = client or await self.client()
+        lines = (f"GET {target} HTTP/1.1", "Host: r", *headers)
+        return await connection.ask("\r\n".join(lines).encode() + b"\r\n\r\n")
+
+    async def listed(self, query: str, client: Client | None = None) -> dict[str, Any]:
+        answer = await self.get(f"/registry/instances?{query}", client)
+        assert answer.status == 200, answer
+        found: dict[str, Any] = json.loads(answer.body)
+        return found
+
+    async def state(self) -> dict[str, Any]:
+        found: dict[str, Any] = json.loads((await self.get("/relay/state")).body)
+        return found
+
+    def change(self, *changes: tuple[str, str]) -> None:
+        self.registry.change([(self.registry.entries[name], status) for name, status in changes])
+
+    async def has(self, count: int) -> None:
+        server = self.server
+        await until(
+            lambda: server.cache.is_ready
+            and len(server.cache.table.host_by_name) == count
+            and server.long_polls.notify_task is None
+        )
+
+
+def entry(number: int, service: str = "s") -> Entry:
+    return Entry(f"{service}-{number}", "ab"[number % 2], "m", 0, 0, service=service)
+
+
+@asynccontextmanager
+async def relay(address: str, limits: Limits | None = None) -> AsyncIterator[RelayServer]:
+    host, _, port = address.rpartition(":")
+    config = RelayConfig("here", "relay-1", ("127.0.0.1", 0), (host, int(port)), "roster", limits or Limits())
+    server = RelayServer(config, EndpointCache(parse_roster(ROSTER, "roster"), now_us()))
+    await server.start()
+    try:
+        yield server
+    finally:
+        server.close()
+        server.abort_connections()
+
+
+async def passes() -> None:
+    return None
+
+
+@asynccontextmanager
+async def desk(limits: Limits | None = None, ready: bool = True) -> AsyncIterator[Desk]:
+    """A relay that has heard of four hosts of each of two services."""
+    registry = Registry(Ledger())
+    for service in "st":
+        for number in range(4):
+            registry.put(entry(number, service))
+    view = await registry.open("relay", lambda name: ("127.0.0.1", 9000 + ord(name[0]) + int(name[2:])), passes)
+    if not ready:
+        await registry.set_down("503")
+    assert view.address is not None
+    try:
+        async with relay(f"{view.address[0]}:{view.address[1]}", limits) as server:
+            one = Desk(registry, server)
+            if ready:
+                await one.has(8)
+            yield one
+    finally:
+        registry.close()
+
+
+def names(listed: dict[str, Any]) -> dict[str, str]:
+    return {item["name"]: item["status"] for item in listed["endpoints"]}
+
+
+@asynccontextmanager
+async def scripted() -> AsyncIterator[tuple[list[bytes], Peer]]:
+    """A discovery that answers what stands last in the list."""
+    answers: list[bytes] = []
+    async with peer(lambda exchange: exchange.answer(answers[-1])) as one:
+        yield answers, one
+
+
+def whole(index: int, *hosts: str) -> bytes:
+    entries: list[dict[str, object]] = [
+        {"name": name, "address": "127.0.0.1:1", "zone": "a", "status": "SERVING", "service": "s"} for name in hosts
+    ]  # fmt: skip
+    return list_reply(index, *entries)
+
+
+def finished(steps: Generator[None, None, Any]) -> tuple[int, Any]:
+    """How many steps there were, and what they came to."""
+    count = 0
+    while True:
+        try:
+            next(steps)
+        except StopIteration as stop:
+            return count, stop.value
+        count += 1
+
+
+async def turn_by_turn(steps: Generator[None, None, Any]) -> Any:
+    """As server.by_steps, but others get their turn after each step."""
+    while True:
+        try:
+            next(steps)
+        except StopIteration as stop:
+            return stop.value
+        await asyncio.sleep(0)
--- /dev/null
+++ b/tests/control_plane/subset_helpers.py
@@ -0,0 +1,36 @@
+"""A fleet of hosts and gateways, and its subsets."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from benchmarks.relay_model import entry
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.messages import Subscriber
+from cloverkeel.control_plane.roster_parser import parse_roster
+
+
+def made_fleet(hosts: int, gateways: int, service: str = "s", **more: Any) -> dict[str, Any]:
+    """A roster and the entries of a service, evenly over two zones of one region and one zone of another."""
+    zones = ["r0-a", "r0-b", "r1-a"]
+    return {
+        "roster": {
+            "regions": {"r0": zones[:2], "r1": zones[2:]},
+            "gateways": {f"g{n}": {"zone": zones[n % 3]} for n in range(gateways)},
+        },
+        "entries": [entry(f"h{n}", service, zones[n % 3]) for n in range(hosts)],
+    } | more
+
+
+def fed(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
+    cache = EndpointCache(parse_roster(json.dumps(roster), "roster.json"), 1)
+    cache.apply_list(True, entries)
+    return cache
+
+
+def told(cache: EndpointCache, asker: Subscriber) -> dict[str, dict[str, Any]]:
+    answer = cache.respond(asker, None)
+    assert answer is not None and answer.is_snapshot
+    entries: list[dict[str, Any]] = json.loads(answer.body(0))["endpoints"]
+    return {each["name"]: each for each in entries}
--- /dev/null
+++ b/tests/control_plane/test_discovery_source.py
@@ -0,0 +1,118 @@
+"""What a relay makes of discovery's responses, and how old what it has is."""
+
+from __future__ import annotations
+
+import pytest
+
+from cloverkeel.control_plane.config import Limits
+from cloverkeel.core.clock import now_us
+from standins.ledger import Ledger
+from standins.parties.registry import Registry
+from tests.control_plane.relay_harness import (
+    Desk,
+    desk,
+    names,
+    relay,
+    scripted,
+    whole,
+)
+from tests.sockets import list_reply, on_loop, reply, until
+
+MAX_SLICE_S = 0.005  # that callers wait while a long list is taken in
+
+
+MIN_CALLS_BETWEEN_STEPS = 40  # of some 190 steps for 3,000 hosts, and three turns of the loop for a call
+
+
+@pytest.mark.parametrize(
+    "rubbish",
+    [
+        reply(200, b'{"index":'),
+        reply(200, b"[]"),
+        reply(200, b'{"index":9,"snapshot":true,"endpoints":{}}'),
+        reply(200, b'{"index":9,"snapshot":true,"endpoints":[1,2,3]}'),
+        reply(200, b"[" * 100_000),
+        reply(500),
+    ],
+    ids=["cut short", "no object", "no entries", "no host", "deep", "a failure"],
+)
+@on_loop
+async def test_rubbish_from_discovery_leaves_what_is_held_and_its_age_grows(rubbish: bytes) -> None:
+    async with scripted() as (answers, discovery):
+        answers.append(whole(5, "s-0", "s-1"))
+        async with relay(discovery.address, Limits(max_age_ms=1_000)) as server:
+            one = Desk(Registry(Ledger()), server)
+            await one.has(2)
+            answers.append(rubbish)
+            await until(lambda: not server.is_ready)
+            listed = await one.listed("gateway=g0")
+            assert set(names(listed)) == {"s-0", "s-1"} and listed["age_ms"] > 1_000
+            state = await one.state()
+            if state["discovery_rubbish"]:  # what it should have told is not known: all is asked for
+                assert "from=" not in discovery.seen[-1].message.first
+            assert state["ready"] is False and (state["discovery_rubbish"] or state["discovery_failures"])
+            answers.append(whole(1, "s-1", "s-2"))  # it begins anew
+            await until(lambda: server.is_ready)
+            told = await one.listed(f"gateway=g0&from={listed['index']}")
+            assert names(told) == {"s-0": "DELETED", "s-2": "SERVING"}
+
+
+@on_loop
+async def test_changes_where_all_was_asked_for_are_no_list() -> None:
+    async with scripted() as (answers, discovery):
+        answers.append(list_reply(5, snapshot=False))
+        async with relay(discovery.address) as server:
+            one = Desk(Registry(Ledger()), server)
+            await until(lambda: len(discovery.seen) > 2)
+            assert not any("from=" in exchange.message.first for exchange in discovery.seen)
+            assert (await one.get("/registry/instances?gateway=g0")).status == 503
+            answers.append(whole(5, "s-0"))
+            await one.has(1)
+
+
+@on_loop
+async def test_an_answer_that_waited_while_the_process_stood_still_is_as_old_as_it_is() -> None:
+    async with desk() as one:
+        source = one.server.source
+        await until(lambda: source.age_ms(now_us()) < 1_500)
+        # As after a stop of 5 s: the call that is out was made before it, and so was the last look at the clock.
+        source.request_sent_us = source.last_clock_check_us = now_us() - 5_000_000
+        source.take(b'{"index": 1, "snapshot": false, "endpoints": []}')
+        assert source.age_ms(now_us()) >= 5_000
+        await until(lambda: source.stalls == 1 and source.age_ms(now_us()) < 1_500)
+
+
+@on_loop
+async def test_callers_are_answered_while_a_long_list_is_taken_in() -> None:
+    async with scripted() as (answers, discovery):
+        answers.append(whole(5, "s-0"))
+        async with relay(discovery.address) as server:
+            one = Desk(Registry(Ledger()), server)
+            await one.has(1)
+            client = await one.client()
+            assert server.source.slice_s <= MAX_SLICE_S
+            server.source.slice_s = 0.0  # each step ends its slice, however fast the machine is
+            answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
+            calls = 0
+            while server.source.discovery_index != 6:
+                await one.get("/health/ready", client)
+                calls += bool(server.source.taking)
+            assert calls > MIN_CALLS_BETWEEN_STEPS
+            assert len(server.cache.table.host_by_name) == 3_000 and server.is_ready
+
+
+@on_loop
+async def test_a_long_list_that_is_not_taken_to_its_end_is_asked_for_anew() -> None:
+    async with scripted() as (answers, discovery):
+        answers.append(whole(5, "s-0"))
+        async with relay(discovery.address) as server:
+            one = Desk(Registry(Ledger()), server)
+            await one.has(1)
+            answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
+            await until(lambda: 1 < len(server.cache.table.host_by_name) < 3_000)
+            assert server.source.discovery_index == 5
+            server.source.begin(watches=True)
+            asked = len(discovery.seen)
+            await until(lambda: server.source.discovery_index == 6)
+            assert "from=" not in discovery.seen[asked].message.first
+            assert len(server.cache.table.host_by_name) == 3_000
--- a/tests/test_relay_feed.py
+++ b/tests/control_plane/test_endpoint_cache.py
@@ -1,125 +1,40 @@
-"""What a relay tells whom: the model in every order of events, larger fleets at random, and single cases."""
+"""What subscribers are sent: snapshots, deltas, and what touches whom."""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Generator, Iterator
 from typing import Any
 
 import pytest
-from hypothesis import example, given, settings
+from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.relay_model import STARTS, Entry, Scene, draw, entry, parse, replay, search, shorten, walk, wrong_of
-from benchmarks.relay_model import State as Fleet
+from benchmarks.relay_model import entry
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.endpoint_table import ALL_HOSTS_KEY, MAX_CHANGED_SERVICES, MAX_HOSTS, MAX_LOGGED_CHANGES
 from cloverkeel.control_plane.errors import NotReadyError
 from cloverkeel.control_plane.messages import ListResponse, Subscriber
 from cloverkeel.control_plane.roster_parser import parse_roster
-from cloverkeel.control_plane.subsetting import SubsetSizes
-
-ROSTER: dict[str, Any] = {
-    "regions": {"r0": ["a", "b"], "r1": ["c"]},
-    "gateways": {f"g{n}": {"zone": "abc"[n % 3]} for n in range(20)} | {"only": {"zone": "a", "services": ["s"]}},
-}
-HOSTS = [entry(f"h{n:02}", "st"[n % 2], "abc"[n % 3]) for n in range(60)]
-G0, G2, ONLY, NOBODY = Subscriber("g0"), Subscriber("g2"), Subscriber("only"), Subscriber()
-
-
-def feed_of(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
-    made = EndpointCache(parse_roster(json.dumps(ROSTER), "roster.json"), first_index)
-    made.apply_list(True, hosts)
-    return made
-
-
-def ask(cache: EndpointCache, asker: Subscriber, since: int | None = None) -> ListResponse:
-    answer = cache.respond(asker, since)
-    assert answer is not None
-    return answer
+from tests.control_plane.cache_helpers import (
+    G0,
+    G2,
+    HOSTS,
+    NOBODY,
+    ONLY,
+    ROSTER,
+    ask,
+    drained,
+    feed_of,
+    gone,
+    raws,
+    states,
+)
 
 
 def statuses(answer: ListResponse) -> list[str]:
     return [raw["status"] for raw in raws(answer)]
 
 
-def raws(answer: ListResponse) -> list[Entry]:
-    entries: list[Entry] = json.loads(answer.body(0))["endpoints"]
-    return entries
-
-
-def states(answer: ListResponse) -> dict[str, str]:
-    return {raw["name"]: raw["status"] for raw in raws(answer)}
-
-
-def drained(raw: Entry) -> Entry:
-    return raw | {"status": "DRAINING"}
-
-
-def gone(raw: Entry) -> Entry:
-    return raw | {"status": "DELETED"}
-
-
-# The model
-
-
-@pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_order_of_events_leaves_a_gateway_with_another_subset(start: str) -> None:
-    found = search(STARTS[start](), depth=9, most=800)
-    assert not found.wrong, found.trace
-    assert found.states == 800 and found.depth >= 3
-
-
-@pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_order_of_changes_and_lost_answers_does(start: str) -> None:
-    found = search(STARTS[start](), depth=9, most=1_200, only=("change", "hear", "ask", "lose"))
-    assert not found.wrong, found.trace
-    assert found.states == 1_200 and found.depth >= 5
-
-
-@pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_long_walk_does(start: str) -> None:
-    found = walk(STARTS[start](), walks=100, steps=60, seed=1)
-    assert not found.wrong, found.trace
-    assert found.states == 100 * 60
-
-
-@settings(max_examples=50)
-@given(
-    st.integers(1, 40), st.integers(1, 12), st.integers(1, 3), st.integers(1, 3), st.randoms(use_true_random=False)
-)
-def test_no_walk_of_a_larger_fleet_does(hosts: int, gateways: int, least: int, serving: int, rng: Any) -> None:
-    regions = {"r0": ["z0", "z1"], "r1": ["z2"]}
-    posts = [{"zone": f"z{n % 3}"} | ({"services": rng.sample("ab", rng.choice((1, 2)))} if n % 4 else {})
-             for n in range(gateways)]  # fmt: skip
-    rosters = tuple(
-        {"regions": regions, "gateways": {f"g{n}": post for n, post in enumerate(posts) if n < most}}
-        for most in (gateways, max(1, gateways - 2))
-    )
-    places = [(service, zone) for service in "ab" for zone in ("z0", "z1", "z2", "far")]
-    fleet = tuple(entry(f"h{n}", *rng.choice(places)) for n in range(hosts))
-    askers = (*(Subscriber(f"g{n}") for n in range(gateways)), Subscriber(), Subscriber("g0", ("b",)))
-    state = Fleet(Scene(rosters, fleet, askers, tuple(places), SubsetSizes(least, serving)).ready())
-    state.used = dict.fromkeys(state.used, -1_000)
-    for _ in range(60):
-        state.apply(draw(rng, state))
-        assert not state.wrong
-    assert not wrong_of(state)
-
-
-def test_a_trace_replays() -> None:
-    trace = parse("change:0 hear:1 lose:1 ask:1 move:0 restart:1 roster:1 wide:0 shift:2 list:1 ask:0")
-    first, second = replay(STARTS["services"](), trace), replay(STARTS["services"](), trace)
-    assert first.key() == second.key() and not wrong_of(first)
-    assert first.relays[1].life == 1 and first.holders[0].relay == 1
-    assert shorten(STARTS["services"](), trace) == trace  # nothing is wrong, so nothing can be left out
-    with pytest.raises(ValueError, match="expected words such as ask:0"):
-        parse("moon:1")
-
-
-# What is told, and to whom
-
-
 def test_a_relay_that_has_no_list_yet_says_so_and_takes_no_changes() -> None:
     cache = EndpointCache(parse_roster(json.dumps(ROSTER), "f"), 1)
     for items in (HOSTS[:3], "rubbish"):
@@ -310,90 +225,3 @@
             answer = cache.respond(asker, index[asker])
             assert answer is None or touched & set(cache.subscription_keys(asker))
             index[asker] = index[asker] if answer is None else answer.index
-
-
-# By steps
-
-SMALL: list[dict[str, Any]] = [
-    ROSTER,
-    ROSTER | {"gateways": ROSTER["gateways"] | {"g0": {"zone": "c"}}},
-    ROSTER | {"gateways": ROSTER["gateways"] | {"only": {"zone": "a", "services": ["t"]}}},
-    {"regions": {"r0": ["a"], "r1": ["b", "c"]}, "gateways": {f"g{n}": {"zone": "abc"[n % 3]} for n in range(3, 12)}},
-]
-DOING = st.one_of(
-    st.tuples(st.just("roster"), st.integers(0, 3)),
-    st.tuples(st.just("step"), st.integers(1, 4)),
-    st.tuples(st.just("ask"), st.integers(0, 5)),
-    st.tuples(st.sampled_from(("SERVING", "DRAINING", "DELETED")), st.integers(0, 59)),
-)
-
-
-def by_steps(cache: EndpointCache, raw: dict[str, Any]) -> Generator[None, None, None]:
-    """As the relay does it."""
-    roster = parse_roster(json.dumps(raw), "f")
-    cache.switch_roster(roster, (yield from cache.prepare_roster(roster)))
-    yield
-    yield from cache.finish_roster_switch()
-
-
-@settings(max_examples=200)
-@given(st.lists(DOING, max_size=40))
-@example([("roster", 3), ("step", 3), ("ask", 1), ("roster", 3), ("roster", 0)])  # the same roster twice
-def test_a_roster_taken_in_by_steps_counts_for_all_from_one_moment(doing: list[tuple[str, int]]) -> None:
-    """Whatever is heard and asked between the steps: as with one that is taken at once where the steps switch."""
-    fed = [feed_of(HOSTS[:30]) for _ in range(2)]
-    stepped, whole = fed
-    askers = [G0, G2, ONLY, Subscriber("g5", ("t",), 1), Subscriber("g15"), NOBODY]
-    held: dict[Subscriber, int] = {}
-    steps: Iterator[None] = iter(())
-    coming = ROSTER
-
-    def advance() -> bool:
-        """Take one step; where it switches the roster, the other one switches too. Returns whether there was one."""
-        before = stepped.roster
-        is_over = next(steps, "over") == "over"
-        if stepped.roster is not before:
-            whole.replace_roster(parse_roster(json.dumps(coming), "f"))
-        return not is_over
-
-    for what, number in [*doing, ("step", 99), *(("ask", n) for n in range(6))]:
-        if what == "roster" and not advance():  # one at a time
-            coming = SMALL[number]
-            steps = by_steps(stepped, coming)
-        elif what == "step":
-            for _ in range(number):
-                advance()
-        elif what == "ask":
-            answers = [cache.respond(askers[number], held.get(askers[number])) for cache in fed]
-            assert answers[0] == answers[1]
-            if answers[0] is not None:
-                held[askers[number]] = answers[0].index
-        elif what != "roster":
-            for cache in fed:
-                cache.apply_list(False, [HOSTS[number] | {"status": what}])
-        assert stepped.roster.digest == whole.roster.digest
-    fresh = EndpointCache(stepped.roster, 1)
-    fresh.apply_list(True, [json.loads(host.plain_entry()) for host in stepped.table.host_by_name.values()])
-    for asker in askers:
-        assert states(ask(fresh, asker)) == states(ask(stepped, asker))
-
-
-@given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=30))
-def test_a_whole_list_made_by_steps_is_as_it_was_when_they_began(changes: list[tuple[int, str]]) -> None:
-    cache = feed_of(HOSTS[:40])
-    steps, made = cache.full_list.snapshot_incrementally(), None
-    next(steps)
-    for number, status in changes:
-        cache.apply_list(False, [HOSTS[number] | {"status": status}])
-        next(steps)
-    while made is None:
-        try:
-            next(steps)
-        except StopIteration as stop:
-            made = stop.value
-    assert sorted(raws(made), key=lambda raw: raw["name"]) == HOSTS[:40]
-    after = cache.respond(NOBODY, made.index)
-    told = {raw["name"]: raw for raw in raws(made)} | {raw["name"]: raw for raw in (raws(after) if after else ())}
-    left = {name: raw for name, raw in told.items() if raw["status"] != "DELETED"}
-    assert left == {raw["name"]: raw for raw in raws(ask(cache, NOBODY))}
-    assert after is None or after.index > made.index
--- /dev/null
+++ b/tests/control_plane/test_incremental_json.py
@@ -0,0 +1,47 @@
+"""A long body decoded step by step (core/incremental_json.py)."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from cloverkeel.core.incremental_json import decode
+from tests.control_plane.relay_harness import (
+    finished,
+)
+
+TEXTS = st.recursive(
+    st.none() | st.booleans() | st.integers() | st.text(max_size=9),
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=3), inner, max_size=3),
+    max_leaves=6,
+)
+
+
+@settings(max_examples=40)
+@given(st.dictionaries(st.sampled_from(["index", "snapshot", "endpoints", "x"]), TEXTS), st.sampled_from([None, 1]))
+def test_a_long_body_is_decoded_as_any_json(raw: dict[str, Any], indent: int | None) -> None:
+    assert finished(decode(json.dumps(raw, indent=indent).encode()))[1] == raw
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"[]",
+        b"{",
+        b'{"endpoints":[{}',
+        b'{"endpoints":[{} {}]}',
+        b'{"endpoints":[{},]}',
+        b'{"a":1,}',
+        b"{} {}",
+        b'{"a":1 "b":2}',
+        b"{1:2}",
+    ],
+)
+def test_a_long_body_that_is_cut_or_no_object_is_rubbish(body: bytes) -> None:
+    with pytest.raises(ValueError):
+        finished(decode(body))
--- /dev/null
+++ b/tests/control_plane/test_roster_switch.py
@@ -0,0 +1,112 @@
+"""Another roster, prepared incrementally, and the full list made so."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Generator, Iterator
+from typing import Any
+
+from hypothesis import example, given, settings
+from hypothesis import strategies as st
+
+from cloverkeel.control_plane.endpoint_cache import EndpointCache
+from cloverkeel.control_plane.messages import Subscriber
+from cloverkeel.control_plane.roster_parser import parse_roster
+from tests.control_plane.cache_helpers import (
+    G0,
+    G2,
+    HOSTS,
+    NOBODY,
+    ONLY,
+    ROSTER,
+    ask,
+    feed_of,
+    raws,
+    states,
+)
+
+SMALL: list[dict[str, Any]] = [
+    ROSTER,
+    ROSTER | {"gateways": ROSTER["gateways"] | {"g0": {"zone": "c"}}},
+    ROSTER | {"gateways": ROSTER["gateways"] | {"only": {"zone": "a", "services": ["t"]}}},
+    {"regions": {"r0": ["a"], "r1": ["b", "c"]}, "gateways": {f"g{n}": {"zone": "abc"[n % 3]} for n in range(3, 12)}},
+]
+
+
+DOING = st.one_of(
+    st.tuples(st.just("roster"), st.integers(0, 3)),
+    st.tuples(st.just("step"), st.integers(1, 4)),
+    st.tuples(st.just("ask"), st.integers(0, 5)),
+    st.tuples(st.sampled_from(("SERVING", "DRAINING", "DELETED")), st.integers(0, 59)),
+)
+
+
+def by_steps(cache: EndpointCache, raw: dict[str, Any]) -> Generator[None, None, None]:
+    """As the relay does it."""
+    roster = parse_roster(json.dumps(raw), "f")
+    cache.switch_roster(roster, (yield from cache.prepare_roster(roster)))
+    yield
+    yield from cache.finish_roster_switch()
+
+
+@settings(max_examples=200)
+@given(st.lists(DOING, max_size=40))
+@example([("roster", 3), ("step", 3), ("ask", 1), ("roster", 3), ("roster", 0)])  # the same roster twice
+def test_a_roster_taken_in_by_steps_counts_for_all_from_one_moment(doing: list[tuple[str, int]]) -> None:
+    """Whatever is heard and asked between the steps: as with one that is taken at once where the steps switch."""
+    fed = [feed_of(HOSTS[:30]) for _ in range(2)]
+    stepped, whole = fed
+    askers = [G0, G2, ONLY, Subscriber("g5", ("t",), 1), Subscriber("g15"), NOBODY]
+    held: dict[Subscriber, int] = {}
+    steps: Iterator[None] = iter(())
+    coming = ROSTER
+
+    def advance() -> bool:
+        """Take one step; where it switches the roster, the other one switches too. Returns whether there was one."""
+        before = stepped.roster
+        is_over = next(steps, "over") == "over"
+        if stepped.roster is not before:
+            whole.replace_roster(parse_roster(json.dumps(coming), "f"))
+        return not is_over
+
+    for what, number in [*doing, ("step", 99), *(("ask", n) for n in range(6))]:
+        if what == "roster" and not advance():  # one at a time
+            coming = SMALL[number]
+            steps = by_steps(stepped, coming)
+        elif what == "step":
+            for _ in range(number):
+                advance()
+        elif what == "ask":
+            answers = [cache.respond(askers[number], held.get(askers[number])) for cache in fed]
+            assert answers[0] == answers[1]
+            if answers[0] is not None:
+                held[askers[number]] = answers[0].index
+        elif what != "roster":
+            for cache in fed:
+                cache.apply_list(False, [HOSTS[number] | {"status": what}])
+        assert stepped.roster.digest == whole.roster.digest
+    fresh = EndpointCache(stepped.roster, 1)
+    fresh.apply_list(True, [json.loads(host.plain_entry()) for host in stepped.table.host_by_name.values()])
+    for asker in askers:
+        assert states(ask(fresh, asker)) == states(ask(stepped, asker))
+
+
+@given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=30))
+def test_a_whole_list_made_by_steps_is_as_it_was_when_they_began(changes: list[tuple[int, str]]) -> None:
+    cache = feed_of(HOSTS[:40])
+    steps, made = cache.full_list.snapshot_incrementally(), None
+    next(steps)
+    for number, status in changes:
+        cache.apply_list(False, [HOSTS[number] | {"status": status}])
+        next(steps)
+    while made is None:
+        try:
+            next(steps)
+        except StopIteration as stop:
+            made = stop.value
+    assert sorted(raws(made), key=lambda raw: raw["name"]) == HOSTS[:40]
+    after = cache.respond(NOBODY, made.index)
+    told = {raw["name"]: raw for raw in raws(made)} | {raw["name"]: raw for raw in (raws(after) if after else ())}
+    left = {name: raw for name, raw in told.items() if raw["status"] != "DELETED"}
+    assert left == {raw["name"]: raw for raw in raws(ask(cache, NOBODY))}
+    assert after is None or after.index > made.index
--- a/tests/test_relay_subset.py
+++ b/tests/control_plane/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Who has which hosts: balance, movement, zones and regions kept; and the file that says which gateways there are."""
+"""Subsets: balance, movement, zones and regions kept."""
 
 from __future__ import annotations
 
@@ -7,26 +7,23 @@
 from array import array
 from collections import Counter
 from collections.abc import Iterable, Sequence
-from dataclasses import replace
 from itertools import pairwise
 from typing import Any
 
-import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from benchmarks.capacity.plan import fleet
 from benchmarks.relay_model import entry, plainly
-from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.entry_codec import WIDENED_USERS_FACTOR, Host
-from cloverkeel.control_plane.errors import RosterError
-from cloverkeel.control_plane.fleet_roster import FleetRoster, GatewayGroup, GatewayPlacement, gateway_hash
+from cloverkeel.control_plane.fleet_roster import GatewayGroup, gateway_hash
 from cloverkeel.control_plane.messages import MAX_WIDENINGS, Subscriber
-from cloverkeel.control_plane.roster_parser import parse_roster
 from cloverkeel.control_plane.subsetting import DEFAULT_SIZES, HashRing, window_size
-from cloverkeel.core.config import stable_id
+from tests.control_plane.subset_helpers import fed, made_fleet, told
 
 MIN_HOSTS = DEFAULT_SIZES.min_hosts
+
+
 COUNTS = st.integers(1, 150)
 
 
@@ -50,34 +47,6 @@
     return {name: {each.name for each in made.window(before, name, wide)} for name in names}
 
 
-def made_fleet(hosts: int, gateways: int, service: str = "s", **more: Any) -> dict[str, Any]:
-    """A roster and the entries of a service, evenly over two zones of one region and one zone of another."""
-    zones = ["r0-a", "r0-b", "r1-a"]
-    return {
-        "roster": {
-            "regions": {"r0": zones[:2], "r1": zones[2:]},
-            "gateways": {f"g{n}": {"zone": zones[n % 3]} for n in range(gateways)},
-        },
-        "entries": [entry(f"h{n}", service, zones[n % 3]) for n in range(hosts)],
-    } | more
-
-
-def fed(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
-    cache = EndpointCache(parse_roster(json.dumps(roster), "roster.json"), 1)
-    cache.apply_list(True, entries)
-    return cache
-
-
-def told(cache: EndpointCache, asker: Subscriber) -> dict[str, dict[str, Any]]:
-    answer = cache.respond(asker, None)
-    assert answer is not None and answer.is_snapshot
-    entries: list[dict[str, Any]] = json.loads(answer.body(0))["endpoints"]
-    return {each["name"]: each for each in entries}
-
-
-# Balance and movement
-
-
 @given(COUNTS, COUNTS, st.integers(0, MAX_WIDENINGS))
 def test_each_host_has_as_many_gateways_as_any_other(hosts: int, gateways: int, wide: int) -> None:
     names = [f"g{n}" for n in range(gateways)]
@@ -229,73 +198,3 @@
     assert all(have[name] <= most[name] for name in have)
     before = {each.name: set(each.services) for each in small.gateways}
     assert all({each["service"] for each in subset.values()} <= before[name] for name, subset in subsets.items())
-
-
-# The roster
-
-
-GOOD = made_fleet(0, 4)["roster"]
-
-
-def of_g(post: str) -> str:
-    return '{"regions": {"r": ["z"]}, "gateways": {"g": %s}}' % post  # noqa: UP031 - braces
-
-
-def test_a_roster_says_where_each_gateway_is_and_before_what() -> None:
-    raw = GOOD | {"gateways": GOOD["gateways"] | {"g9": {"zone": "r1-a", "services": ["a", "b"]}}}
-    made = parse_roster(json.dumps(raw), "f")
-    assert (
-        made.placement_by_gateway["g9"] == GatewayPlacement("r1-a", "r1", frozenset("ab"))
-        and made.placement_by_gateway["g0"].services is None
-    )
-    assert {region: each.size for region, each in made.groups("a").items()} == {"": 5, "r0": 3, "r1": 2}
-    assert {region: each.size for region, each in made.groups("c").items()} == {"": 4, "r0": 3, "r1": 1}
-    everyone = made.groups("a")[""]
-    assert sorted(everyone.rank(name) for name in made.placement_by_gateway) == list(range(5))
-    assert everyone.rank("nobody") == sum(number < gateway_hash("a", "nobody") for number in everyone.hashes)
-    shuffled = json.dumps(dict(reversed(raw.items())), indent=1)
-    text = json.dumps(raw, sort_keys=True, separators=(",", ":"))
-    assert made.digest == f"{stable_id(text, 8):016x}"
-    assert parse_roster(shuffled, "f").digest == made.digest != parse_roster(json.dumps(GOOD), "f").digest
-
-
-@pytest.mark.parametrize(("text", "said"), [
-    ("{", "f: expected JSON"),
-    ("[" * 100_000, "f: expected JSON"),
-    ("[]", 'f: the file: expected an object with "regions" and "gateways", found'),
-    ('{"regions": {"r": ["z"]}, "gateways": {}}', "f: gateways: expected an object of 1 to 16384"),
-    ('{"regions": {"r": ["z"]}, "gateways": {"g": {"zone": "z"}}, "more": 1}', "f: more: expected no key but"),
-    ('{"regions": {"r": []}, "gateways": {"g": {"zone": "z"}}}', "f: regions.r: expected a list of zones"),
-    ('{"regions": {"r": ["z"], "q": ["z"]}, "gateways": {"g": {}}}', "f: regions.q: expected each zone to be in one"),
-    (of_g('{"zone": "y"}'), "f: gateways.g.zone: expected a zone of one of"),
-    (of_g('{"zone": "z", "service": []}'), "f: gateways.g.service: expected"),
-    (of_g('{"zone": "z", "services": []}'), "f: gateways.g.services: expected"),
-    (of_g('{"zone": "z", "services": ["a", "a"]}'), "f: gateways.g.services: expected each service once"),
-    ('{"regions": {"r": ["z"]}, "gateways": {"g": {"zone": "z"}, "g": {"zone": "z"}}}', "f: g: expected a key to be"),
-    ('{"regions": {"r": ["z"]}, "gateways": {"": {"zone": "z"}}}', "f: gateways: expected a name of 1 to 255"),
-])  # fmt: skip
-def test_a_roster_that_cannot_be_used_is_refused_by_file_and_key(text: str, said: str) -> None:
-    with pytest.raises(RosterError, match=r"^f: ") as raised:
-        parse_roster(text, "f")
-    assert said in str(raised.value)
-
-
-def test_another_roster_counts_from_the_next_answer_on() -> None:
-    made = made_fleet(30, 6)
-    cache, asker = fed(made["roster"], made["entries"]), Subscriber("g0")
-    first = cache.respond(asker, None)
-    assert first is not None and cache.respond(asker, first.index) is None
-    gateways = {"g0": {"zone": "r1-a"}, "g1": {"zone": "r0-a"}}
-    cache.replace_roster(parse_roster(json.dumps(made["roster"] | {"gateways": gateways}), "f"))
-    moved = cache.respond(asker, first.index)
-    assert moved is not None and not moved.is_snapshot
-    assert {each["zone"]: each["status"] for each in map(json.loads, moved.entries)} == {
-        "r0-a": "DELETED", "r0-b": "DELETED", "r1-a": "SERVING",
-    }  # fmt: skip
-    assert told(cache, replace(asker, gateway="g5")).keys() == {each["name"] for each in made["entries"]}
-
-
-def test_a_roster_is_bounded() -> None:
-    with pytest.raises(RosterError, match="expected at most 1024 zones, found '1025'"):
-        parse_roster(json.dumps({"regions": {"r": [f"z{n}" for n in range(1_025)]}, "gateways": {"g": {}}}), "f")
-    assert isinstance(parse_roster(json.dumps(GOOD).encode(), "f"), FleetRoster)
