--- a/tests/control_plane/cache_helpers.py
+++ b/tests/control_plane/cache_helpers.py
@@ -22,14 +22,14 @@
 G0, G2, ONLY, NOBODY = Subscriber("g0"), Subscriber("g2"), Subscriber("only"), Subscriber()
 
 
-def feed_of(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
+def cache_of(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
     made = EndpointCache(parse_roster(json.dumps(ROSTER), "roster.json"), first_index)
     made.apply_list(True, hosts)
     return made
 
 
-def ask(cache: EndpointCache, asker: Subscriber, since: int | None = None) -> ListResponse:
-    answer = cache.respond(asker, since)
+def ask(cache: EndpointCache, subscriber: Subscriber, since: int | None = None) -> ListResponse:
+    answer = cache.respond(subscriber, since)
     assert answer is not None
     return answer
 
--- a/tests/control_plane/relay_harness.py
+++ b/tests/control_plane/relay_harness.py
@@ -24,16 +24,12 @@
         "g0": {"zone": "a", "services": ["s"]}, "g1": {"zone": "b", "services": ["t"]}, "g2": {"zone": "a"},
     },
 }).encode()  # fmt: skip
-
-
 HOLD = "&hold_ms=20000"
-
-
 ALL = "/registry/instances"
 
 
 @dataclass
-class Desk:
+class RelayHarness:
     """A relay, and the discovery that it asks."""
 
     registry: Registry
@@ -74,7 +70,7 @@
 
 
 @asynccontextmanager
-async def relay(address: str, limits: Limits | None = None) -> AsyncIterator[RelayServer]:
+async def running_relay(address: str, limits: Limits | None = None) -> AsyncIterator[RelayServer]:
     host, _, port = address.rpartition(":")
     config = RelayConfig("here", "relay-1", ("127.0.0.1", 0), (host, int(port)), "roster", limits or Limits())
     server = RelayServer(config, EndpointCache(parse_roster(ROSTER, "roster"), now_us()))
@@ -86,51 +82,51 @@
         server.abort_connections()
 
 
-async def passes() -> None:
+async def allow_all() -> None:
     return None
 
 
 @asynccontextmanager
-async def desk(limits: Limits | None = None, ready: bool = True) -> AsyncIterator[Desk]:
+async def relay_with_registry(limits: Limits | None = None, ready: bool = True) -> AsyncIterator[RelayHarness]:
     """A relay that has heard of four hosts of each of two services."""
     registry = Registry(Ledger())
     for service in "st":
         for number in range(4):
             registry.put(entry(number, service))
-    view = await registry.open("relay", lambda name: ("127.0.0.1", 9000 + ord(name[0]) + int(name[2:])), passes)
+    view = await registry.open("relay", lambda name: ("127.0.0.1", 9000 + ord(name[0]) + int(name[2:])), allow_all)
     if not ready:
         await registry.set_down("503")
     assert view.address is not None
     try:
-        async with relay(f"{view.address[0]}:{view.address[1]}", limits) as server:
-            one = Desk(registry, server)
+        async with running_relay(f"{view.address[0]}:{view.address[1]}", limits) as server:
+            harness = RelayHarness(registry, server)
             if ready:
-                await one.has(8)
-            yield one
+                await harness.has(8)
+            yield harness
     finally:
         registry.close()
 
 
-def names(listed: dict[str, Any]) -> dict[str, str]:
+def status_by_name(listed: dict[str, Any]) -> dict[str, str]:
     return {item["name"]: item["status"] for item in listed["endpoints"]}
 
 
 @asynccontextmanager
-async def scripted() -> AsyncIterator[tuple[list[bytes], Peer]]:
+async def scripted_discovery() -> AsyncIterator[tuple[list[bytes], Peer]]:
     """A discovery that answers what stands last in the list."""
     answers: list[bytes] = []
-    async with peer(lambda exchange: exchange.answer(answers[-1])) as one:
-        yield answers, one
+    async with peer(lambda exchange: exchange.answer(answers[-1])) as discovery:
+        yield answers, discovery
 
 
-def whole(index: int, *hosts: str) -> bytes:
+def snapshot_reply(index: int, *hosts: str) -> bytes:
     entries: list[dict[str, object]] = [
         {"name": name, "address": "127.0.0.1:1", "zone": "a", "status": "SERVING", "service": "s"} for name in hosts
     ]  # fmt: skip
     return list_reply(index, *entries)
 
 
-def finished(steps: Generator[None, None, Any]) -> tuple[int, Any]:
+def count_steps(steps: Generator[None, None, Any]) -> tuple[int, Any]:
     """How many steps there were, and what they came to."""
     count = 0
     while True:
@@ -141,8 +137,8 @@
         count += 1
 
 
-async def turn_by_turn(steps: Generator[None, None, Any]) -> Any:
-    """As server.by_steps, but others get their turn after each step."""
+async def run_turn_by_turn(steps: Generator[None, None, Any]) -> Any:
+    """As cooperative.run_cooperatively, but others get their turn after each step."""
     while True:
         try:
             next(steps)
--- a/tests/control_plane/subset_helpers.py
+++ b/tests/control_plane/subset_helpers.py
@@ -23,14 +23,14 @@
     } | more
 
 
-def fed(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
+def cache_of(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
     cache = EndpointCache(parse_roster(json.dumps(roster), "roster.json"), 1)
     cache.apply_list(True, entries)
     return cache
 
 
-def told(cache: EndpointCache, asker: Subscriber) -> dict[str, dict[str, Any]]:
-    answer = cache.respond(asker, None)
+def subset_of(cache: EndpointCache, subscriber: Subscriber) -> dict[str, dict[str, Any]]:
+    answer = cache.respond(subscriber, None)
     assert answer is not None and answer.is_snapshot
     entries: list[dict[str, Any]] = json.loads(answer.body(0))["endpoints"]
     return {each["name"]: each for each in entries}
--- a/tests/control_plane/test_command.py
+++ b/tests/control_plane/test_command.py
@@ -18,17 +18,13 @@
 from standins.parties.network import reserve
 from standins.parties.registry import Registry
 from tests import sockets
-from tests.control_plane.relay_harness import (
-    ROSTER,
-    entry,
-    passes,
-)
+from tests.control_plane.relay_harness import ROSTER, allow_all, entry
 from tests.sockets import on_loop
 
 FILE = 'name = "relay-1"\nlisten = "127.0.0.1:1"\ndiscovery = "127.0.0.1:2"\nroster = "roster.json"\n'
 
 
-def test_the_file_gives_addresses_and_limits(tmp_path: Path) -> None:
+def test_file_gives_addresses_and_limits(tmp_path: Path) -> None:
     file = tmp_path / "relay.toml"
     file.write_text(FILE + "[limits]\nwholes_per_s = 7\n")
     config = load(str(file))
@@ -51,9 +47,7 @@
         ("name =", "=", "not TOML"),
     ],
 )
-def test_a_mistake_in_the_file_names_file_key_and_what_was_expected(
-    tmp_path: Path, old: str, new: str, said: str
-) -> None:
+def test_error_names_file_key_and_what_was_expected(tmp_path: Path, old: str, new: str, said: str) -> None:
     file = tmp_path / "relay.toml"
     file.write_text(FILE.replace(old, new))
     with pytest.raises(ConfigError) as raised:
@@ -62,10 +56,10 @@
 
 
 @on_loop
-async def test_the_command_runs_shows_and_ends(tmp_path: Path) -> None:
+async def test_command_runs_shows_and_ends(tmp_path: Path) -> None:
     registry = Registry(Ledger())
     registry.put(entry(0))
-    view = await registry.open("relay", lambda name: ("127.0.0.1", 9000), passes)
+    view = await registry.open("relay", lambda name: ("127.0.0.1", 9000), allow_all)
     assert view.address is not None
     held = reserve()
     here = f"127.0.0.1:{held.getsockname()[1]}"
--- a/tests/control_plane/test_discovery_source.py
+++ b/tests/control_plane/test_discovery_source.py
@@ -9,19 +9,19 @@
 from standins.ledger import Ledger
 from standins.parties.registry import Registry
 from tests.control_plane.relay_harness import (
-    Desk,
-    desk,
-    names,
-    relay,
-    scripted,
-    whole,
+    RelayHarness,
+    relay_with_registry,
+    running_relay,
+    scripted_discovery,
+    snapshot_reply,
+    status_by_name,
 )
 from tests.sockets import list_reply, on_loop, reply, until
 
-MAX_SLICE_S = 0.005  # that callers wait while a long list is taken in
+MAX_SLICE_S = 0.005  # that callers wait while a long list is applied
 
 
-MIN_CALLS_BETWEEN_STEPS = 40  # of some 190 steps for 3,000 hosts, and three turns of the loop for a call
+MIN_REQUESTS_BETWEEN_STEPS = 40  # of some 190 steps for 3,000 hosts, and three turns of the loop for a call
 
 
 @pytest.mark.parametrize(
@@ -37,43 +37,43 @@
     ids=["cut short", "no object", "no entries", "no host", "deep", "a failure"],
 )
 @on_loop
-async def test_rubbish_from_discovery_leaves_what_is_held_and_its_age_grows(rubbish: bytes) -> None:
-    async with scripted() as (answers, discovery):
-        answers.append(whole(5, "s-0", "s-1"))
-        async with relay(discovery.address, Limits(max_age_ms=1_000)) as server:
-            one = Desk(Registry(Ledger()), server)
-            await one.has(2)
+async def test_unusable_response_of_discovery_keeps_the_list_and_its_age_grows(rubbish: bytes) -> None:
+    async with scripted_discovery() as (answers, discovery):
+        answers.append(snapshot_reply(5, "s-0", "s-1"))
+        async with running_relay(discovery.address, Limits(max_age_ms=1_000)) as server:
+            harness = RelayHarness(Registry(Ledger()), server)
+            await harness.has(2)
             answers.append(rubbish)
             await until(lambda: not server.is_ready)
-            listed = await one.listed("gateway=g0")
-            assert set(names(listed)) == {"s-0", "s-1"} and listed["age_ms"] > 1_000
-            state = await one.state()
-            if state["discovery_rubbish"]:  # what it should have told is not known: all is asked for
+            listed = await harness.listed("gateway=g0")
+            assert set(status_by_name(listed)) == {"s-0", "s-1"} and listed["age_ms"] > 1_000
+            state = await harness.state()
+            if state["discovery_rubbish"]:  # what it should have sent is not known: all is asked for
                 assert "from=" not in discovery.seen[-1].message.first
             assert state["ready"] is False and (state["discovery_rubbish"] or state["discovery_failures"])
-            answers.append(whole(1, "s-1", "s-2"))  # it begins anew
+            answers.append(snapshot_reply(1, "s-1", "s-2"))  # it begins anew
             await until(lambda: server.is_ready)
-            told = await one.listed(f"gateway=g0&from={listed['index']}")
-            assert names(told) == {"s-0": "DELETED", "s-2": "SERVING"}
+            sent = await harness.listed(f"gateway=g0&from={listed['index']}")
+            assert status_by_name(sent) == {"s-0": "DELETED", "s-2": "SERVING"}
 
 
 @on_loop
-async def test_changes_where_all_was_asked_for_are_no_list() -> None:
-    async with scripted() as (answers, discovery):
+async def test_changes_where_a_snapshot_was_requested_are_unusable() -> None:
+    async with scripted_discovery() as (answers, discovery):
         answers.append(list_reply(5, snapshot=False))
-        async with relay(discovery.address) as server:
-            one = Desk(Registry(Ledger()), server)
+        async with running_relay(discovery.address) as server:
+            harness = RelayHarness(Registry(Ledger()), server)
             await until(lambda: len(discovery.seen) > 2)
             assert not any("from=" in exchange.message.first for exchange in discovery.seen)
-            assert (await one.get("/registry/instances?gateway=g0")).status == 503
-            answers.append(whole(5, "s-0"))
-            await one.has(1)
+            assert (await harness.get("/registry/instances?gateway=g0")).status == 503
+            answers.append(snapshot_reply(5, "s-0"))
+            await harness.has(1)
 
 
 @on_loop
-async def test_an_answer_that_waited_while_the_process_stood_still_is_as_old_as_it_is() -> None:
-    async with desk() as one:
-        source = one.server.source
+async def test_response_that_waited_during_a_stall_is_as_old_as_it_is() -> None:
+    async with relay_with_registry() as harness:
+        source = harness.server.source
         await until(lambda: source.age_ms(now_us()) < 1_500)
         # As after a stop of 5 s: the call that is out was made before it, and so was the last look at the clock.
         source.request_sent_us = source.last_clock_check_us = now_us() - 5_000_000
@@ -83,32 +83,32 @@
 
 
 @on_loop
-async def test_callers_are_answered_while_a_long_list_is_taken_in() -> None:
-    async with scripted() as (answers, discovery):
-        answers.append(whole(5, "s-0"))
-        async with relay(discovery.address) as server:
-            one = Desk(Registry(Ledger()), server)
-            await one.has(1)
-            client = await one.client()
+async def test_requests_are_answered_while_a_long_list_is_applied() -> None:
+    async with scripted_discovery() as (answers, discovery):
+        answers.append(snapshot_reply(5, "s-0"))
+        async with running_relay(discovery.address) as server:
+            harness = RelayHarness(Registry(Ledger()), server)
+            await harness.has(1)
+            client = await harness.client()
             assert server.source.slice_s <= MAX_SLICE_S
             server.source.slice_s = 0.0  # each step ends its slice, however fast the machine is
-            answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
+            answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
             calls = 0
             while server.source.discovery_index != 6:
-                await one.get("/health/ready", client)
+                await harness.get("/health/ready", client)
                 calls += bool(server.source.taking)
-            assert calls > MIN_CALLS_BETWEEN_STEPS
+            assert calls > MIN_REQUESTS_BETWEEN_STEPS
             assert len(server.cache.table.host_by_name) == 3_000 and server.is_ready
 
 
 @on_loop
-async def test_a_long_list_that_is_not_taken_to_its_end_is_asked_for_anew() -> None:
-    async with scripted() as (answers, discovery):
-        answers.append(whole(5, "s-0"))
-        async with relay(discovery.address) as server:
-            one = Desk(Registry(Ledger()), server)
-            await one.has(1)
-            answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
+async def test_long_list_that_is_not_applied_to_its_end_is_requested_again() -> None:
+    async with scripted_discovery() as (answers, discovery):
+        answers.append(snapshot_reply(5, "s-0"))
+        async with running_relay(discovery.address) as server:
+            harness = RelayHarness(Registry(Ledger()), server)
+            await harness.has(1)
+            answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
             await until(lambda: 1 < len(server.cache.table.host_by_name) < 3_000)
             assert server.source.discovery_index == 5
             server.source.begin(watches=True)
--- a/tests/control_plane/test_endpoint_cache.py
+++ b/tests/control_plane/test_endpoint_cache.py
@@ -23,8 +23,8 @@
     ONLY,
     ROSTER,
     ask,
+    cache_of,
     drained,
-    feed_of,
     gone,
     raws,
     states,
@@ -35,51 +35,51 @@
     return [raw["status"] for raw in raws(answer)]
 
 
-def test_a_relay_that_has_no_list_yet_says_so_and_takes_no_changes() -> None:
+def test_cache_without_snapshot_is_not_ready_and_applies_no_changes() -> None:
     cache = EndpointCache(parse_roster(json.dumps(ROSTER), "f"), 1)
     for items in (HOSTS[:3], "rubbish"):
         assert not cache.apply_list(False, items) and not cache.is_ready
-    for asker in (G0, NOBODY):
+    for subscriber in (G0, NOBODY):
         with pytest.raises(NotReadyError):
-            cache.respond(asker, None)
+            cache.respond(subscriber, None)
     assert cache.apply_list(True, []) == frozenset() and cache.is_ready  # discovery has nobody, and says so
     assert ask(cache, G0) == ListResponse(1, True, ())
 
 
-def test_a_drain_goes_to_who_has_the_host_and_its_end_too() -> None:
-    cache = feed_of()
+def test_drain_and_deletion_reach_the_gateways_that_have_the_host() -> None:
+    cache = cache_of()
     had = {name: ask(cache, Subscriber(name)) for name in ROSTER["gateways"]}
     name = raws(had["g0"])[0]["name"]
     raw = next(each for each in HOSTS if each["name"] == name)
     cache.apply_list(False, [drained(raw)])
     its = {gateway for gateway, answer in had.items() if name in states(answer)}
     drains = {gateway: cache.respond(Subscriber(gateway), answer.index) for gateway, answer in had.items()}
-    told = {gateway for gateway, answer in drains.items() if answer is not None and name in states(answer)}
-    assert told == its and "g0" in its
+    sent = {gateway for gateway, answer in drains.items() if answer is not None and name in states(answer)}
+    assert sent == its and "g0" in its
     assert all(raws(answer)[0] == drained(raw) for answer in drains.values() if answer and name in states(answer))
-    assert name not in states(ask(cache, G0))  # who asks for the whole has it no longer
+    assert name not in states(ask(cache, G0))  # a snapshot has it no longer
     after = drains["g0"]
     assert after is not None and cache.respond(G0, after.index) is None
     cache.apply_list(False, [gone(raw)])
     assert states(ask(cache, G0, after.index)) == {name: "DELETED"}
 
 
-def test_what_restricts_is_said_first() -> None:
-    cache = feed_of()
+def test_deletions_and_drains_precede_serving_hosts() -> None:
+    cache = cache_of()
     wide = Subscriber("only", (), 1)  # it has them all
     index, everyone = ask(cache, wide).index, ask(cache, NOBODY).index
     its = [each for each in HOSTS if each["service"] == "s" and each["zone"] == "a"]
     serving = [its[0] | {"weight": 2.0}, entry("aa", "s", "a")]
     cache.apply_list(False, [*serving, drained(its[1]), gone(its[2]), drained(its[3])])
     assert statuses(ask(cache, NOBODY, everyone)) == ["DELETED", *["DRAINING"] * 2, *["SERVING"] * 2]
-    told = ask(cache, wide, index)  # its own window has moved on too: some serve with another share
-    assert statuses(told)[:3] == ["DELETED", *["DRAINING"] * 2] and set(statuses(told)[3:]) == {"SERVING"}
-    assert {each["name"] for each in serving} <= {raw["name"] for raw in raws(told)[3:]}
+    sent = ask(cache, wide, index)  # its own window has moved on too: some serve with another share
+    assert statuses(sent)[:3] == ["DELETED", *["DRAINING"] * 2] and set(statuses(sent)[3:]) == {"SERVING"}
+    assert {each["name"] for each in serving} <= {raw["name"] for raw in raws(sent)[3:]}
     assert [raw["status"] for raw in raws(ask(cache, NOBODY))][:3] == ["DRAINING", "DRAINING", "SERVING"]
 
 
-def test_an_index_that_names_no_answer_of_its_asker_is_answered_with_the_whole() -> None:
-    cache, other = feed_of(first_index=100), feed_of(first_index=500)
+def test_unknown_index_is_answered_with_a_snapshot() -> None:
+    cache, other = cache_of(first_index=100), cache_of(first_index=500)
     first, foreign, twin = ask(cache, G0), ask(other, G0), ask(cache, Subscriber("g3"))
     for index in (foreign.index, twin.index, ask(cache, NOBODY).index, 0, -1):
         assert ask(cache, G0, index).is_snapshot
@@ -87,8 +87,8 @@
     assert cache.counters.unknown_indexes == 7 and other.counters.unknown_indexes == 0
 
 
-def test_of_each_gateway_two_views_are_kept() -> None:
-    cache = feed_of()
+def test_two_client_snapshots_are_kept_of_each_gateway() -> None:
+    cache = cache_of()
     index = ask(cache, G0).index
     for number in range(50):
         cache.apply_list(False, [HOSTS[0] | {"weight": 1.0 + number}])
@@ -100,8 +100,8 @@
     assert len(cache.subsets.snapshots_by_gateway["g0"]) == 2 and ask(cache, G0, index).is_snapshot
 
 
-def test_who_is_not_in_the_roster_gets_the_list_as_discovery_has_it() -> None:
-    cache = feed_of()
+def test_subscriber_without_placement_gets_the_full_list() -> None:
+    cache = cache_of()
     first = ask(cache, NOBODY)
     assert first.is_snapshot and sorted(raws(first), key=lambda raw: raw["name"]) == HOSTS
     again = ask(cache, Subscriber("unknown", ("s",)))
@@ -115,12 +115,12 @@
     assert ask(cache, NOBODY, first.index).is_snapshot and len(cache.table.change_log.entries) == MAX_LOGGED_CHANGES
 
 
-def test_entries_are_encoded_once_for_all_who_have_them() -> None:
+def test_entries_are_encoded_once_for_all_subscribers() -> None:
     """Once for those whose own it is, and once for those who have widened."""
-    cache = feed_of()
-    askers = [Subscriber(name, ("s",), wide) for name in ("only", "g0") for wide in (1, 2)]
+    cache = cache_of()
+    subscribers = [Subscriber(name, ("s",), wide) for name in ("only", "g0") for wide in (1, 2)]
     forms: dict[str, set[int]] = {}
-    answers = [ask(cache, asker) for asker in askers + askers]
+    answers = [ask(cache, subscriber) for subscriber in subscribers + subscribers]
     for answer in answers:
         for each in answer.entries:
             forms.setdefault(json.loads(each)["name"], set()).add(id(each))
@@ -128,8 +128,8 @@
     assert all(len(answer.entries) == 20 for answer in answers)
 
 
-def test_rubbish_is_counted_and_leaves_what_is_held() -> None:
-    cache = feed_of()
+def test_unusable_lists_are_counted_and_change_nothing() -> None:
+    cache = cache_of()
     held, number = dict(cache.table.host_by_name), cache.table.change_number
     for rubbish in (None, "x", {"name": "h"}, 7):
         assert cache.apply_list(True, rubbish) == frozenset()
@@ -147,24 +147,24 @@
     assert HOSTS[0]["name"] not in cache.table.host_by_name
 
 
-def test_of_a_name_that_is_listed_twice_the_last_counts() -> None:
-    cache = feed_of([HOSTS[0] | {"address": "10.0.0.9:1"}, HOSTS[1], HOSTS[0]])
+def test_last_entry_of_a_duplicate_name_counts() -> None:
+    cache = cache_of([HOSTS[0] | {"address": "10.0.0.9:1"}, HOSTS[1], HOSTS[0]])
     assert {raw["name"]: raw for raw in raws(ask(cache, NOBODY))} == {raw["name"]: raw for raw in HOSTS[:2]}
     index = ask(cache, NOBODY).index
     cache.apply_list(False, [gone(HOSTS[1]), HOSTS[1] | {"weight": 3.0}])
     assert raws(ask(cache, NOBODY, index)) == [HOSTS[1] | {"weight": 3.0}]
 
 
-def test_a_list_that_is_as_the_last_changes_nothing_for_anybody() -> None:
-    """Discovery that begins anew, at whatever version, is a whole list."""
-    cache = feed_of()
+def test_unchanged_list_changes_nothing() -> None:
+    """Discovery that begins anew, at whatever version, is a snapshot."""
+    cache = cache_of()
     index = ask(cache, G0).index
     assert cache.apply_list(True, [dict(reversed(each.items())) for each in reversed(HOSTS)]) == frozenset()
     assert cache.respond(G0, index) is None
 
 
-def test_more_hosts_than_there_is_room_for_are_not_taken() -> None:
-    cache = feed_of(HOSTS[:1])
+def test_hosts_beyond_the_bound_are_skipped() -> None:
+    cache = cache_of(HOSTS[:1])
     cache.table.host_by_name |= dict.fromkeys(
         map(str, range(MAX_HOSTS - 2)), cache.table.host_by_name["h00"]
     )  # as if there were so many
@@ -172,8 +172,8 @@
     assert len(cache.table.host_by_name) == MAX_HOSTS and cache.counters.skipped_entries == 2
 
 
-def test_a_change_touches_who_waits_for_it_and_no_other() -> None:
-    cache = feed_of()
+def test_change_returns_the_subscription_keys_it_matters_to() -> None:
+    cache = cache_of()
     assert cache.subscription_keys(G0) == ((None, "r0"),) and cache.subscription_keys(ONLY) == (("s", "r0"),)
     assert cache.subscription_keys(NOBODY) == (ALL_HOSTS_KEY,)
     assert set(cache.subscription_keys(Subscriber("g2", ("s", "t")))) == {("s", "r1"), ("t", "r1")}
@@ -184,23 +184,23 @@
     assert spilt == {("s", "r1"), (None, "r1"), ("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
 
 
-def test_the_last_host_of_a_zone_that_goes_touches_who_had_it() -> None:
-    cache = feed_of([entry(f"h{n}", "s", "abbccc"[n % 6]) for n in range(18)])
+def test_deletion_of_the_last_host_of_a_zone_returns_the_keys_that_had_it() -> None:
+    cache = cache_of([entry(f"h{n}", "s", "abbccc"[n % 6]) for n in range(18)])
     cache.apply_list(False, [gone(entry("h0", "s", "a")), gone(entry("h6", "s", "a"))])
     assert cache.apply_list(False, [gone(entry("h12", "s", "a"))]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
 
 
-def test_who_asks_for_other_services_is_told_those_and_that_the_rest_is_gone() -> None:
-    cache = feed_of()
+def test_other_services_are_added_and_the_former_deleted() -> None:
+    cache = cache_of()
     first = ask(cache, Subscriber("g0", ("s",)))
     second = ask(cache, Subscriber("g0", ("t",)), first.index)
-    told = {raw["service"]: raw["status"] for raw in raws(second)}
-    assert not second.is_snapshot and told == {"s": "DELETED", "t": "SERVING"}
+    sent = {raw["service"]: raw["status"] for raw in raws(second)}
+    assert not second.is_snapshot and sent == {"s": "DELETED", "t": "SERVING"}
     assert len(raws(second)) == 2 * len(raws(first)) and cache.respond(Subscriber("g0", ("t",)), second.index) is None
 
 
-def test_a_service_whose_change_is_long_ago_is_looked_at_all_the_same() -> None:
-    cache = feed_of()
+def test_service_beyond_the_remembered_changes_is_compared_all_the_same() -> None:
+    cache = cache_of()
     first = ask(cache, G0)
     name = raws(first)[0]["name"]
     cache.apply_list(False, [drained(next(each for each in HOSTS if each["name"] == name))])
@@ -215,13 +215,13 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=40))
-def test_who_is_not_touched_has_nothing_to_be_told(changes: list[tuple[int, str]]) -> None:
-    cache = feed_of()
-    askers = [G0, G2, ONLY, Subscriber("g5", ("t",)), NOBODY]
-    index = {asker: ask(cache, asker).index for asker in askers}
+def test_subscriber_without_a_returned_key_has_nothing_new(changes: list[tuple[int, str]]) -> None:
+    cache = cache_of()
+    subscribers = [G0, G2, ONLY, Subscriber("g5", ("t",)), NOBODY]
+    index = {subscriber: ask(cache, subscriber).index for subscriber in subscribers}
     for number, status in changes:
         touched = cache.apply_list(False, [HOSTS[number] | {"status": status}])
-        for asker in askers:
-            answer = cache.respond(asker, index[asker])
-            assert answer is None or touched & set(cache.subscription_keys(asker))
-            index[asker] = index[asker] if answer is None else answer.index
+        for subscriber in subscribers:
+            answer = cache.respond(subscriber, index[subscriber])
+            assert answer is None or touched & set(cache.subscription_keys(subscriber))
+            index[subscriber] = index[subscriber] if answer is None else answer.index
--- a/tests/control_plane/test_fleet_roster.py
+++ b/tests/control_plane/test_fleet_roster.py
@@ -12,7 +12,7 @@
 from cloverkeel.control_plane.messages import Subscriber
 from cloverkeel.control_plane.roster_parser import parse_roster
 from cloverkeel.core.config import stable_id
-from tests.control_plane.subset_helpers import fed, made_fleet, told
+from tests.control_plane.subset_helpers import cache_of, made_fleet, subset_of
 
 GOOD = made_fleet(0, 4)["roster"]
 
@@ -21,7 +21,7 @@
     return '{"regions": {"r": ["z"]}, "gateways": {"g": %s}}' % post  # noqa: UP031 - braces
 
 
-def test_a_roster_says_where_each_gateway_is_and_before_what() -> None:
+def test_roster_gives_placements_groups_and_digest() -> None:
     raw = GOOD | {"gateways": GOOD["gateways"] | {"g9": {"zone": "r1-a", "services": ["a", "b"]}}}
     made = parse_roster(json.dumps(raw), "f")
     assert (
@@ -54,28 +54,28 @@
     ('{"regions": {"r": ["z"]}, "gateways": {"g": {"zone": "z"}, "g": {"zone": "z"}}}', "f: g: expected a key to be"),
     ('{"regions": {"r": ["z"]}, "gateways": {"": {"zone": "z"}}}', "f: gateways: expected a name of 1 to 255"),
 ])  # fmt: skip
-def test_a_roster_that_cannot_be_used_is_refused_by_file_and_key(text: str, said: str) -> None:
+def test_unusable_roster_error_names_file_and_key(text: str, said: str) -> None:
     with pytest.raises(RosterError, match=r"^f: ") as raised:
         parse_roster(text, "f")
     assert said in str(raised.value)
 
 
-def test_another_roster_counts_from_the_next_answer_on() -> None:
+def test_another_roster_counts_from_the_next_response_on() -> None:
     made = made_fleet(30, 6)
-    cache, asker = fed(made["roster"], made["entries"]), Subscriber("g0")
-    first = cache.respond(asker, None)
-    assert first is not None and cache.respond(asker, first.index) is None
+    cache, subscriber = cache_of(made["roster"], made["entries"]), Subscriber("g0")
+    first = cache.respond(subscriber, None)
+    assert first is not None and cache.respond(subscriber, first.index) is None
     gateways = {"g0": {"zone": "r1-a"}, "g1": {"zone": "r0-a"}}
     cache.replace_roster(parse_roster(json.dumps(made["roster"] | {"gateways": gateways}), "f"))
-    moved = cache.respond(asker, first.index)
+    moved = cache.respond(subscriber, first.index)
     assert moved is not None and not moved.is_snapshot
     assert {each["zone"]: each["status"] for each in map(json.loads, moved.entries)} == {
         "r0-a": "DELETED", "r0-b": "DELETED", "r1-a": "SERVING",
     }  # fmt: skip
-    assert told(cache, replace(asker, gateway="g5")).keys() == {each["name"] for each in made["entries"]}
+    assert subset_of(cache, replace(subscriber, gateway="g5")).keys() == {each["name"] for each in made["entries"]}
 
 
-def test_a_roster_is_bounded() -> None:
+def test_roster_is_bounded() -> None:
     with pytest.raises(RosterError, match="expected at most 1024 zones, found '1025'"):
         parse_roster(json.dumps({"regions": {"r": [f"z{n}" for n in range(1_025)]}, "gateways": {"g": {}}}), "f")
     assert isinstance(parse_roster(json.dumps(GOOD).encode(), "f"), FleetRoster)
--- a/tests/control_plane/test_incremental_json.py
+++ b/tests/control_plane/test_incremental_json.py
@@ -10,9 +10,7 @@
 from hypothesis import strategies as st
 
 from cloverkeel.core.incremental_json import decode
-from tests.control_plane.relay_harness import (
-    finished,
-)
+from tests.control_plane.relay_harness import count_steps
 
 TEXTS = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=9),
@@ -23,8 +21,8 @@
 
 @settings(max_examples=40)
 @given(st.dictionaries(st.sampled_from(["index", "snapshot", "endpoints", "x"]), TEXTS), st.sampled_from([None, 1]))
-def test_a_long_body_is_decoded_as_any_json(raw: dict[str, Any], indent: int | None) -> None:
-    assert finished(decode(json.dumps(raw, indent=indent).encode()))[1] == raw
+def test_long_body_is_decoded_as_any_json(raw: dict[str, Any], indent: int | None) -> None:
+    assert count_steps(decode(json.dumps(raw, indent=indent).encode()))[1] == raw
 
 
 @pytest.mark.parametrize(
@@ -42,6 +40,6 @@
         b"{1:2}",
     ],
 )
-def test_a_long_body_that_is_cut_or_no_object_is_rubbish(body: bytes) -> None:
+def test_long_body_that_is_cut_or_no_object_is_unusable(body: bytes) -> None:
     with pytest.raises(ValueError):
-        finished(decode(body))
+        count_steps(decode(body))
--- a/tests/control_plane/test_rate_limiter.py
+++ b/tests/control_plane/test_rate_limiter.py
@@ -5,7 +5,7 @@
 from cloverkeel.control_plane.rate_limiter import SnapshotRateLimiter
 
 
-def test_a_large_whole_is_paid_for_by_those_after_it() -> None:
+def test_large_snapshot_delays_those_after_it() -> None:
     limiter = SnapshotRateLimiter(rate_per_s=10.0, burst=2.0)
     assert limiter.delay_s(100.0) == 0.0
     limiter.consume(4 << 20)
--- a/tests/control_plane/test_relay_model.py
+++ b/tests/control_plane/test_relay_model.py
@@ -22,14 +22,14 @@
 
 
 @pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_order_of_changes_and_lost_answers_does(start: str) -> None:
+def test_no_order_of_changes_and_lost_responses_does(start: str) -> None:
     found = search(STARTS[start](), depth=9, most=1_200, only=("change", "hear", "ask", "lose"))
     assert not found.wrong, found.trace
     assert found.states == 1_200 and found.depth >= 5
 
 
 @pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_long_walk_does(start: str) -> None:
+def test_no_long_random_walk_does(start: str) -> None:
     found = walk(STARTS[start](), walks=100, steps=60, seed=1)
     assert not found.wrong, found.trace
     assert found.states == 100 * 60
@@ -39,7 +39,7 @@
 @given(
     st.integers(1, 40), st.integers(1, 12), st.integers(1, 3), st.integers(1, 3), st.randoms(use_true_random=False)
 )
-def test_no_walk_of_a_larger_fleet_does(hosts: int, gateways: int, least: int, serving: int, rng: Any) -> None:
+def test_no_random_walk_of_a_larger_fleet_does(hosts: int, gateways: int, least: int, serving: int, rng: Any) -> None:
     regions = {"r0": ["z0", "z1"], "r1": ["z2"]}
     posts = [{"zone": f"z{n % 3}"} | ({"services": rng.sample("ab", rng.choice((1, 2)))} if n % 4 else {})
              for n in range(gateways)]  # fmt: skip
@@ -49,8 +49,8 @@
     )
     places = [(service, zone) for service in "ab" for zone in ("z0", "z1", "z2", "far")]
     fleet = tuple(entry(f"h{n}", *rng.choice(places)) for n in range(hosts))
-    askers = (*(Subscriber(f"g{n}") for n in range(gateways)), Subscriber(), Subscriber("g0", ("b",)))
-    state = Fleet(Scene(rosters, fleet, askers, tuple(places), SubsetSizes(least, serving)).ready())
+    subscribers = (*(Subscriber(f"g{n}") for n in range(gateways)), Subscriber(), Subscriber("g0", ("b",)))
+    state = Fleet(Scene(rosters, fleet, subscribers, tuple(places), SubsetSizes(least, serving)).ready())
     state.used = dict.fromkeys(state.used, -1_000)
     for _ in range(60):
         state.apply(draw(rng, state))
@@ -58,7 +58,7 @@
     assert not wrong_of(state)
 
 
-def test_a_trace_replays() -> None:
+def test_trace_replays() -> None:
     trace = parse("change:0 hear:1 lose:1 ask:1 move:0 restart:1 roster:1 wide:0 shift:2 list:1 ask:0")
     first, second = replay(STARTS["services"](), trace), replay(STARTS["services"](), trace)
     assert first.key() == second.key() and not wrong_of(first)
--- a/tests/control_plane/test_reload.py
+++ b/tests/control_plane/test_reload.py
@@ -13,56 +13,51 @@
 from cloverkeel.control_plane.messages import Subscriber
 from cloverkeel.control_plane.reload import RosterReloader
 from cloverkeel.control_plane.roster_parser import parse_roster
-from tests.control_plane.relay_harness import (
-    HOLD,
-    ROSTER,
-    desk,
-    names,
-)
+from tests.control_plane.relay_harness import HOLD, ROSTER, relay_with_registry, status_by_name
 from tests.sockets import on_loop, until
 
 
 @on_loop
-async def test_the_roster_is_read_again_and_a_bad_one_changes_nothing(
+async def test_roster_is_reloaded_and_a_bad_one_changes_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "roster.json"
-    async with desk() as one:
-        client, reloader = await one.client(), RosterReloader(str(file), one.server)
-        held = await one.listed("gateway=g0", client)
-        wait = asyncio.create_task(one.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(connection.pending_request for connection in one.server.connections))
-        digest = one.server.cache.roster.digest
+    async with relay_with_registry() as harness:
+        client, reloader = await harness.client(), RosterReloader(str(file), harness.server)
+        held = await harness.listed("gateway=g0", client)
+        poll = asyncio.create_task(harness.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
+        await until(lambda: any(connection.pending_request for connection in harness.server.connections))
+        digest = harness.server.cache.roster.digest
         file.write_bytes(b"{}")
         reloader.request_reload()
         await until(lambda: reloader.reload_task is None)
-        assert one.server.cache.roster.digest == digest and "stays as it is" in capsys.readouterr().err
+        assert harness.server.cache.roster.digest == digest and "stays as it is" in capsys.readouterr().err
         file.write_bytes(ROSTER.replace(b'["s"]', b'["s", "t"]'))
         reloader.request_reload()
-        assert set(names(await wait)) == {f"t-{n}" for n in range(4)}
-        assert (await one.state())["roster"] != digest
+        assert set(status_by_name(await poll)) == {f"t-{n}" for n in range(4)}
+        assert (await harness.state())["roster"] != digest
 
 
 @on_loop
-async def test_a_change_and_another_file_that_come_while_a_roster_is_taken_in_are_not_lost(
+async def test_change_and_reload_during_a_roster_switch_are_not_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "roster.json"
-    async with desk() as one:
-        server, cache = one.server, one.server.cache
-        reloader, sound = RosterReloader(str(file), server), cache.prepare_roster
-        clients = [await one.client() for _ in range(2)]
-        held = [await one.listed(f"gateway=g{n}", client) for n, client in enumerate(clients)]
+    async with relay_with_registry() as harness:
+        server, cache = harness.server, harness.server.cache
+        reloader, original = RosterReloader(str(file), server), cache.prepare_roster
+        clients = [await harness.client() for _ in range(2)]
+        held = [await harness.listed(f"gateway=g{n}", client) for n, client in enumerate(clients)]
         forever = "&hold_ms=60000"  # longer than this test may take
-        waits = [
-            asyncio.create_task(one.listed(f"gateway=g{n}&from={held[n]['index']}{forever}", clients[n]))
+        polls = [
+            asyncio.create_task(harness.listed(f"gateway=g{n}&from={held[n]['index']}{forever}", clients[n]))
             for n in range(2)
         ]
         await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
         others: list[dict[str, str]] = []
 
         def prepare(roster: FleetRoster) -> Generator[None, None, GroupsByService]:
-            steps = sound(roster)
+            steps = original(roster)
             next(steps)
             if not others:
                 others.append({})
@@ -84,12 +79,14 @@
         assert others[0] == {f"s-{n}": "g0" for n in range(4)} | {f"t-{n}": "g1" for n in range(1, 4)}
         last = parse_roster(file.read_bytes(), "roster")
         assert cache.roster.digest == last.digest
-        for n, wait in enumerate(waits):
-            told = await wait
-            while set(names(told)) != {"t-1", "t-2", "t-3"}:  # however its answers were cut by the two
-                told = await one.listed(f"gateway=g{n}", clients[n])
-            waits[n] = asyncio.create_task(one.listed(f"gateway=g{n}&from={told['index']}{forever}", clients[n]))
+        for n, poll in enumerate(polls):
+            sent = await poll
+            while set(status_by_name(sent)) != {"t-1", "t-2", "t-3"}:  # however its answers were cut by the two
+                sent = await harness.listed(f"gateway=g{n}", clients[n])
+            polls[n] = asyncio.create_task(harness.listed(f"gateway=g{n}&from={sent['index']}{forever}", clients[n]))
         await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
         await until(lambda: server.long_polls.notify_task is None)
-        one.change(("t-1", "DRAINING"))
-        assert [names(await wait) for wait in waits] == [{"t-1": "DRAINING"}] * 2, "found by what it is now before"
+        harness.change(("t-1", "DRAINING"))
+        assert [status_by_name(await poll) for poll in polls] == [
+            {"t-1": "DRAINING"}
+        ] * 2, "found by what it is now before"
--- a/tests/control_plane/test_requests.py
+++ b/tests/control_plane/test_requests.py
@@ -9,7 +9,7 @@
 from cloverkeel.control_plane.requests import PollRequest, parse_poll_request
 
 
-def test_a_call_is_read_and_what_it_does_not_know_is_left() -> None:
+def test_query_is_parsed_and_unknown_keys_are_ignored() -> None:
     assert parse_poll_request(b"gateway=g%201&services=a,b%2Cc&wide=2&from=7&hold_ms=99999999&x=1") == PollRequest(
         Subscriber("g 1", ("a", "b,c"), 2), 7, 60_000
     )
--- a/tests/control_plane/test_roster_switch.py
+++ b/tests/control_plane/test_roster_switch.py
@@ -12,18 +12,7 @@
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.messages import Subscriber
 from cloverkeel.control_plane.roster_parser import parse_roster
-from tests.control_plane.cache_helpers import (
-    G0,
-    G2,
-    HOSTS,
-    NOBODY,
-    ONLY,
-    ROSTER,
-    ask,
-    feed_of,
-    raws,
-    states,
-)
+from tests.control_plane.cache_helpers import G0, G2, HOSTS, NOBODY, ONLY, ROSTER, ask, cache_of, raws, states
 
 SMALL: list[dict[str, Any]] = [
     ROSTER,
@@ -41,7 +30,7 @@
 )
 
 
-def by_steps(cache: EndpointCache, raw: dict[str, Any]) -> Generator[None, None, None]:
+def switch_incrementally(cache: EndpointCache, raw: dict[str, Any]) -> Generator[None, None, None]:
     """As the relay does it."""
     roster = parse_roster(json.dumps(raw), "f")
     cache.switch_roster(roster, (yield from cache.prepare_roster(roster)))
@@ -52,11 +41,11 @@
 @settings(max_examples=200)
 @given(st.lists(DOING, max_size=40))
 @example([("roster", 3), ("step", 3), ("ask", 1), ("roster", 3), ("roster", 0)])  # the same roster twice
-def test_a_roster_taken_in_by_steps_counts_for_all_from_one_moment(doing: list[tuple[str, int]]) -> None:
+def test_roster_prepared_incrementally_counts_for_all_from_one_moment(doing: list[tuple[str, int]]) -> None:
     """Whatever is heard and asked between the steps: as with one that is taken at once where the steps switch."""
-    fed = [feed_of(HOSTS[:30]) for _ in range(2)]
-    stepped, whole = fed
-    askers = [G0, G2, ONLY, Subscriber("g5", ("t",), 1), Subscriber("g15"), NOBODY]
+    caches = [cache_of(HOSTS[:30]) for _ in range(2)]
+    stepped, at_once = caches
+    subscribers = [G0, G2, ONLY, Subscriber("g5", ("t",), 1), Subscriber("g15"), NOBODY]
     held: dict[Subscriber, int] = {}
     steps: Iterator[None] = iter(())
     coming = ROSTER
@@ -66,34 +55,34 @@
         before = stepped.roster
         is_over = next(steps, "over") == "over"
         if stepped.roster is not before:
-            whole.replace_roster(parse_roster(json.dumps(coming), "f"))
+            at_once.replace_roster(parse_roster(json.dumps(coming), "f"))
         return not is_over
 
     for what, number in [*doing, ("step", 99), *(("ask", n) for n in range(6))]:
         if what == "roster" and not advance():  # one at a time
             coming = SMALL[number]
-            steps = by_steps(stepped, coming)
+            steps = switch_incrementally(stepped, coming)
         elif what == "step":
             for _ in range(number):
                 advance()
         elif what == "ask":
-            answers = [cache.respond(askers[number], held.get(askers[number])) for cache in fed]
+            answers = [cache.respond(subscribers[number], held.get(subscribers[number])) for cache in caches]
             assert answers[0] == answers[1]
             if answers[0] is not None:
-                held[askers[number]] = answers[0].index
+                held[subscribers[number]] = answers[0].index
         elif what != "roster":
-            for cache in fed:
+            for cache in caches:
                 cache.apply_list(False, [HOSTS[number] | {"status": what}])
-        assert stepped.roster.digest == whole.roster.digest
+        assert stepped.roster.digest == at_once.roster.digest
     fresh = EndpointCache(stepped.roster, 1)
     fresh.apply_list(True, [json.loads(host.plain_entry()) for host in stepped.table.host_by_name.values()])
-    for asker in askers:
-        assert states(ask(fresh, asker)) == states(ask(stepped, asker))
+    for subscriber in subscribers:
+        assert states(ask(fresh, subscriber)) == states(ask(stepped, subscriber))
 
 
 @given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=30))
-def test_a_whole_list_made_by_steps_is_as_it_was_when_they_began(changes: list[tuple[int, str]]) -> None:
-    cache = feed_of(HOSTS[:40])
+def test_full_list_made_incrementally_is_as_it_was_at_its_begin(changes: list[tuple[int, str]]) -> None:
+    cache = cache_of(HOSTS[:40])
     steps, made = cache.full_list.snapshot_incrementally(), None
     next(steps)
     for number, status in changes:
@@ -106,7 +95,7 @@
             made = stop.value
     assert sorted(raws(made), key=lambda raw: raw["name"]) == HOSTS[:40]
     after = cache.respond(NOBODY, made.index)
-    told = {raw["name"]: raw for raw in raws(made)} | {raw["name"]: raw for raw in (raws(after) if after else ())}
-    left = {name: raw for name, raw in told.items() if raw["status"] != "DELETED"}
+    sent = {raw["name"]: raw for raw in raws(made)} | {raw["name"]: raw for raw in (raws(after) if after else ())}
+    left = {name: raw for name, raw in sent.items() if raw["status"] != "DELETED"}
     assert left == {raw["name"]: raw for raw in raws(ask(cache, NOBODY))}
     assert after is None or after.index > made.index
--- a/tests/control_plane/test_subsetting.py
+++ b/tests/control_plane/test_subsetting.py
@@ -19,7 +19,7 @@
 from cloverkeel.control_plane.fleet_roster import GatewayGroup, gateway_hash
 from cloverkeel.control_plane.messages import MAX_WIDENINGS, Subscriber
 from cloverkeel.control_plane.subsetting import DEFAULT_SIZES, HashRing, window_size
-from tests.control_plane.subset_helpers import fed, made_fleet, told
+from tests.control_plane.subset_helpers import cache_of, made_fleet, subset_of
 
 MIN_HOSTS = DEFAULT_SIZES.min_hosts
 
@@ -64,21 +64,21 @@
 
 
 @given(COUNTS, st.lists(st.integers(0, MAX_WIDENINGS), min_size=1, max_size=150))
-def test_whoever_widens_the_shares_of_a_host_stay_within_its_budget(hosts: int, wides: list[int]) -> None:
-    """A cold host's budget is split by `users`: of all gateways that have it, each by what it was told."""
-    cache = fed({"regions": {"r": ["z"]}, "gateways": {f"g{n}": {"zone": "z"} for n in range(len(wides))}},
+def test_shares_of_a_host_stay_within_its_budget_whoever_widens(hosts: int, wides: list[int]) -> None:
+    """A cold host's budget is split by `users`: of all gateways that have it, each by what it was sent."""
+    cache = cache_of({"regions": {"r": ["z"]}, "gateways": {f"g{n}": {"zone": "z"} for n in range(len(wides))}},
                [entry(f"h{n}", "s", "z") for n in range(hosts)])  # fmt: skip
     shares: Counter[str] = Counter()
     for number, wide in enumerate(wides):
-        own = told(cache, Subscriber(f"g{number}"))
-        for name, each in told(cache, Subscriber(f"g{number}", (), wide)).items():
+        own = subset_of(cache, Subscriber(f"g{number}"))
+        for name, each in subset_of(cache, Subscriber(f"g{number}", (), wide)).items():
             shares[name] += 1 / each["users"]
             assert name not in own or each["users"] == own[name]["users"]  # who widens keeps its own
     assert len(shares) == hosts and max(shares.values()) <= 1 + 8 / WIDENED_USERS_FACTOR
 
 
-def test_a_gateway_that_widens_is_told_only_what_is_new_to_it_and_back_only_that_it_left() -> None:
-    cache = fed(**made_fleet(300, 40))
+def test_widening_sends_only_new_hosts_and_narrowing_only_deletions() -> None:
+    cache = cache_of(**made_fleet(300, 40))
     own = cache.respond(Subscriber("g0"), None)
     assert own is not None
     names = {json.loads(each)["name"] for each in own.entries}
@@ -93,7 +93,7 @@
 
 
 @given(st.integers(1, 150), st.integers(9, 150), st.integers(0, 10_000))
-def test_one_host_more_changes_two_of_a_window_at_the_most(hosts: int, gateways: int, other: int) -> None:
+def test_one_more_host_changes_at_most_two_of_a_window(hosts: int, gateways: int, other: int) -> None:
     names = [f"g{n}" for n in range(gateways)]
     fewer, more = (windows(map(host, numbers), names) for numbers in (range(hosts), (*range(hosts), 10_000 + other)))
     for name in names:
@@ -101,7 +101,7 @@
 
 
 @given(COUNTS, COUNTS, st.integers(0, 10_000))
-def test_one_gateway_more_moves_its_share_of_a_window_at_the_most(hosts: int, gateways: int, other: int) -> None:
+def test_one_more_gateway_moves_at_most_its_share_of_a_window(hosts: int, gateways: int, other: int) -> None:
     names = [f"g{n}" for n in range(gateways)]
     fewer, more = (windows(map(host, range(hosts)), each) for each in (names, [*names, f"other{other}"]))
     shift = math.ceil(hosts / (gateways + 1))
@@ -111,71 +111,71 @@
         assert len(fewer[name] - more[name]) <= shift + narrower
 
 
-def test_a_zone_that_goes_leaves_the_windows_in_the_others_as_they_are() -> None:
+def test_losing_a_zone_leaves_the_windows_in_the_others_unchanged() -> None:
     made = made_fleet(300, 40)
-    cache, asker = fed(made["roster"], made["entries"]), Subscriber("g0")
-    before = told(cache, asker)
+    cache, subscriber = cache_of(made["roster"], made["entries"]), Subscriber("g0")
+    before = subset_of(cache, subscriber)
     cache.apply_list(False, [each | {"status": "DELETED"} for each in made["entries"] if each["zone"] == "r0-a"])
-    after = told(cache, asker)
+    after = subset_of(cache, subscriber)
     assert {each["zone"] for each in before.values()} == {"r0-a", "r0-b"}
     assert (
         after == {name: each for name, each in before.items() if each["zone"] == "r0-b"} and len(after) >= MIN_HOSTS
     )
 
 
-def test_what_fails_for_a_gateway_is_widened_by_doubling_and_only_grows() -> None:
-    cache = fed(**made_fleet(300, 40))
-    subsets = [told(cache, Subscriber("g0", (), wide)) for wide in range(MAX_WIDENINGS + 2)]
+def test_widening_doubles_the_subset_and_only_adds_hosts() -> None:
+    cache = cache_of(**made_fleet(300, 40))
+    subsets = [subset_of(cache, Subscriber("g0", (), wide)) for wide in range(MAX_WIDENINGS + 2)]
     assert [len(each) for each in subsets] == [
         2 * window_size(100, 27, MIN_HOSTS << wide) for wide in (0, 1, 2, 3, 3)
     ]
     assert all(less.keys() <= more.keys() for less, more in pairwise(subsets))
 
 
-def test_fewer_than_three_that_serve_in_a_region_bring_in_the_other() -> None:
+def test_fewer_than_three_serving_hosts_in_a_region_bring_in_the_other() -> None:
     made = made_fleet(9, 9)
-    cache = fed(made["roster"], made["entries"])
-    assert {each["zone"] for each in told(cache, Subscriber("g0")).values()} == {"r0-a", "r0-b"}
+    cache = cache_of(made["roster"], made["entries"])
+    assert {each["zone"] for each in subset_of(cache, Subscriber("g0")).values()} == {"r0-a", "r0-b"}
     its = [each for each in made["entries"] if each["zone"] != "r1-a"]
     cache.apply_list(False, [each | {"status": "DRAINING"} for each in its[:3]])
-    assert {each["zone"] for each in told(cache, Subscriber("g0")).values()} == {"r0-a", "r0-b"}
+    assert {each["zone"] for each in subset_of(cache, Subscriber("g0")).values()} == {"r0-a", "r0-b"}
     cache.apply_list(False, [its[3] | {"status": "DRAINING"}])
-    spilt = told(cache, Subscriber("g0"))
+    spilt = subset_of(cache, Subscriber("g0"))
     assert Counter(each["zone"] for each in spilt.values()) == {"r0-a": 1, "r0-b": 1, "r1-a": 3}
     assert {each["users"] for each in spilt.values() if each["zone"] == "r1-a"} == {9}  # both regions' gateways
-    assert {each["zone"] for each in told(cache, Subscriber("g2")).values()} == {"r1-a"}
+    assert {each["zone"] for each in subset_of(cache, Subscriber("g2")).values()} == {"r1-a"}
 
 
 def test_no_host_is_left_without_a_gateway() -> None:
     """Where nobody of its region is before its service, or its zone is in no region, all before it have it."""
     made = made_fleet(90, 0)
     made["roster"]["gateways"] = {f"g{n}": {"zone": "r0-a", "services": ["s"]} for n in range(30)}
-    cache = fed(made["roster"], [*made["entries"], *(entry(f"far{n}", "s", "no-zone") for n in range(40))])
-    have = Counter(name for n in range(30) for name in told(cache, Subscriber(f"g{n}")))
+    cache = cache_of(made["roster"], [*made["entries"], *(entry(f"far{n}", "s", "no-zone") for n in range(40))])
+    have = Counter(name for n in range(30) for name in subset_of(cache, Subscriber(f"g{n}")))
     assert len(have) == 130 and min(have.values()) >= MIN_HOSTS
 
 
-def test_a_service_of_one_host_and_one_of_nine_thousand_and_such_as_name_none() -> None:
+def test_services_of_one_host_of_nine_thousand_and_without_a_name() -> None:
     entries = [entry("alone", "one", "r0-a"), *(entry(f"h{n}", "many", "r0-a") for n in range(9_000))]
     bare = [entry(f"bare{n}", "", "r0-a") for n in range(3)]
     for each in bare:
         del each["service"]
-    cache = fed(made_fleet(0, 60)["roster"], [*entries, *bare])
-    subset = told(cache, Subscriber("g0"))
+    cache = cache_of(made_fleet(0, 60)["roster"], [*entries, *bare])
+    subset = subset_of(cache, Subscriber("g0"))
     assert Counter(each.get("service") for each in subset.values()) == {"one": 1, "many": 9_000 * 8 // 40, None: 3}
-    assert told(cache, Subscriber("g0", ("one",))).keys() == {"alone"}
-    assert told(cache, Subscriber("g0", ("", "one", "none"))).keys() == {"alone", "bare0", "bare1", "bare2"}
+    assert subset_of(cache, Subscriber("g0", ("one",))).keys() == {"alone"}
+    assert subset_of(cache, Subscriber("g0", ("", "one", "none"))).keys() == {"alone", "bare0", "bare1", "bare2"}
 
 
 @given(st.integers(0, 60), st.integers(0, 30), st.integers(0, MAX_WIDENINGS), st.randoms(use_true_random=False))
-def test_two_relays_give_the_same_subset_whatever_they_heard_on_the_way(
+def test_two_relays_give_the_same_subset_whatever_changes_they_applied(
     hosts: int, gateways: int, wide: int, rng: Any
 ) -> None:
     made = made_fleet(hosts, gateways + 3)
     listed = {each["name"]: each for each in made["entries"]}
     for name in rng.sample(sorted(listed), hosts // 4):
         listed[name] = listed[name] | {"status": "DRAINING"}
-    first, second = fed(made["roster"], list(listed.values())), fed(made["roster"], [])
+    first, second = cache_of(made["roster"], list(listed.values())), cache_of(made["roster"], [])
     deltas = [*listed.values(), *(entry(f"gone{n}", "s", "r0-a") for n in range(5)), *made["entries"][:7]]
     rng.shuffle(deltas)
     for each in deltas:
@@ -183,15 +183,15 @@
     second.apply_list(False, [entry(f"gone{n}", "s", "r0-a") | {"status": "DELETED"} for n in range(5)])
     second.apply_list(False, rng.sample(list(listed.values()), len(listed)))
     for number in (0, 1, 2, gateways, gateways + 2):
-        asker = Subscriber(f"g{number}", (), wide)
-        assert told(first, asker) == told(second, asker)
-        assert told(first, asker).keys() == plainly(made["roster"], DEFAULT_SIZES, asker, listed)[0]
+        subscriber = Subscriber(f"g{number}", (), wide)
+        assert subset_of(first, subscriber) == subset_of(second, subscriber)
+        assert subset_of(first, subscriber).keys() == plainly(made["roster"], DEFAULT_SIZES, subscriber, listed)[0]
 
 
 def test_the_plans_shape_at_a_tenth_gives_all_hosts_gateways_and_all_gateways_hosts() -> None:
     small = fleet(460, 3_800)
-    cache = fed(small.roster(), [each.entry() for each in small.hosts])
-    subsets = {each.name: told(cache, Subscriber(each.name)) for each in small.gateways}
+    cache = cache_of(small.roster(), [each.entry() for each in small.hosts])
+    subsets = {each.name: subset_of(cache, Subscriber(each.name)) for each in small.gateways}
     have = Counter(name for subset in subsets.values() for name in subset)
     assert have.keys() == {each.name for each in small.hosts} and min(have.values()) >= 3
     most = {name: each["users"] for subset in subsets.values() for name, each in subset.items()}
