--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -39,7 +39,7 @@
 from standins.ledger import now_us
 from standins.parties.network import BACK, FORWARD
 from tests import sockets
-from tests.fleet.relayed import GATEWAYS, Relayed, started
+from tests.control_plane.relay_fleet import GATEWAYS, RelayFleet, running_relay_fleet
 
 HOSTS, STEADY = 5, 2  # the first of them always serve
 LENGTH_S: Final = 8.0  # in which events begin
@@ -254,7 +254,7 @@
 class Player:
     """Plays one schedule, and notes what did not work when."""
 
-    def __init__(self, fleet: Relayed, schedule: Schedule) -> None:
+    def __init__(self, fleet: RelayFleet, schedule: Schedule) -> None:
         self.fleet, self.schedule = fleet, schedule
         self.weights = dict.fromkeys(range(HOSTS), 1.0)
 
@@ -292,35 +292,35 @@
         is_relay = event.what == "stop-relay"
         part: Part = ("relay" if is_relay else "gateway", number)
         process = (self.fleet.relays if is_relay else self.fleet.gateways)[number]
-        self.fleet.begin(part)
+        self.fleet.begin_outage(part)
         process.signal(signal.SIGSTOP)
         await asyncio.sleep(event.for_ms / 1000)
         process.signal(signal.SIGCONT)
-        self.fleet.end(part)
+        self.fleet.end_outage(part)
 
     async def kill(self, relay: int, for_s: float) -> None:
-        self.fleet.begin(("relay", relay))
+        self.fleet.begin_outage(("relay", relay))
         await self.fleet.kill(relay)
         await asyncio.sleep(for_s)
         self.fleet.relays[relay].start()
-        await self.fleet.ready(relay)
+        await self.fleet.wait_until_ready(relay)
         self.fleet.note(f"relay-{relay} is ready")
-        self.fleet.end(("relay", relay))
+        self.fleet.end_outage(("relay", relay))
 
     async def cut(self, event: Event, for_s: float) -> None:
         fleet, (sides, _, end) = self.fleet, event.how.partition(",")
         part: Part = ("link", *event.who) if len(event.who) == 2 else ("feed", event.who[0])
         link = fleet.to_relay[event.who[0], event.who[1]] if len(event.who) == 2 else fleet.to_discovery[event.who[0]]
-        fleet.begin(part)
+        fleet.begin_outage(part)
         link.cut({"both": (FORWARD, BACK), "forward": (FORWARD,), "back": (BACK,)}[sides])
         await asyncio.sleep(for_s)
         link.heal(reset=end == "reset")
-        fleet.end(part)
+        fleet.end_outage(part)
 
     async def discovery(self, event: Event) -> None:
         (number,) = event.who
         discovery = self.fleet.discoveries[number]
-        self.fleet.begin(("discovery", number))
+        self.fleet.begin_outage(("discovery", number))
         if event.how == "rubbish":
             discovery.faults.garble = True
         else:
@@ -328,13 +328,13 @@
         await asyncio.sleep(event.for_ms / 1000)
         discovery.faults.garble = False
         await discovery.set_down("")
-        self.fleet.end(("discovery", number))
+        self.fleet.end_outage(("discovery", number))
 
     async def roster(self, event: Event) -> None:
         """A gateway is taken from the roster of one relay, a while later from those of the others."""
         for relay, process in enumerate(self.fleet.relays):
             self.fleet.write_roster(relay, [f"n{event.who[0]}"])
-            if ("relay", relay) not in self.fleet.open_downs:  # a start would end by it, and reads the file anyway
+            if ("relay", relay) not in self.fleet.open_outages:  # a start would end by it, and reads the file anyway
                 process.signal(signal.SIGHUP)
             if relay == 0:
                 await asyncio.sleep(event.for_ms / 1000)
@@ -347,11 +347,11 @@
             status = "SERVING"
         numbers = range(len(self.fleet.discoveries))
         if not event.for_ms:
-            self.fleet.tell(host, status, weight=self.weights[host])
+            self.fleet.publish_status(host, status, weight=self.weights[host])
             return
-        self.fleet.tell(host, status, first, weight=self.weights[host])
+        self.fleet.publish_status(host, status, first, weight=self.weights[host])
         await asyncio.sleep(event.for_ms / 1000)
-        self.fleet.tell(host, status, *(n for n in numbers if n != first), weight=self.weights[host])
+        self.fleet.publish_status(host, status, *(n for n in numbers if n != first), weight=self.weights[host])
 
     # After
 
@@ -363,10 +363,10 @@
         wanted = {(gateway, host) for gateway in range(GATEWAYS) for host in serving}
         end = time.monotonic() + SETTLE_S
         while True:
-            since, until_us = len(fleet.seen), now_us() + int(QUIET_S * 1e6)
+            since, until_us = len(fleet.requests_seen), now_us() + int(QUIET_S * 1e6)
             while now_us() < until_us:
                 await asyncio.sleep(0.02)
-            used = {(gateway, host) for _, gateway, host in fleet.seen[since:]}
+            used = {(gateway, host) for _, gateway, host in fleet.requests_seen[since:]}
             if used == wanted:
                 return ""
             if time.monotonic() > end:
@@ -376,7 +376,7 @@
 
 async def play(schedule: Schedule, folder: Path) -> Played:
     played, began_s = Played(schedule), time.monotonic()
-    async with started(folder, HOSTS, schedule.feeds, is_spread=True) as fleet:
+    async with running_relay_fleet(folder, HOSTS, schedule.feeds, is_spread=True) as fleet:
         player = Player(fleet, schedule)
         try:
             await player.play()
--- a/tests/fleet/relayed.py
+++ b/tests/control_plane/relay_fleet.py
@@ -25,22 +25,24 @@
 
 GATEWAYS = 3
 CLIENTS = 4  # of each gateway
-TOOK_S, REST_S = 0.05, 0.01  # of a host for an answer: a busy machine's delays are small beside it; between requests
-REFUSED_MOST = 0.02  # of all requests, where the machine was slow for a moment; nobody serving is all of a second's
+RESPONSE_DELAY_S = 0.05  # of a host: a busy machine's delays are small beside it
+REQUEST_INTERVAL_S = 0.01  # of a client, between two requests
+MAX_REJECTED_RATIO = 0.02  # where the machine was slow for a moment; nobody serving is all of a second's requests
 DIRECT_PER_S = 1  # calls of the whole fleet to discovery itself
-BEGIN_INDEX = 1_000  # a discovery that begins anew at 1 does not come to the versions that it had
-BEAT_S, STILL_S = 0.05, 0.2  # between looks at whether this process goes on itself; noted from so much on
+FIRST_INDEX = 1_000  # a discovery that begins anew at 1 does not come to the versions that it had
+STALL_CHECK_INTERVAL_S = 0.05  # between checks whether this process goes on itself
+MIN_STALL_S = 0.2  # that is noted
 
 
 @dataclass
-class Relayed:
+class RelayFleet:
     """The parties."""
 
     folder: Path
     network: Network
     hosts: list[Peer]
     discoveries: list[Registry]
-    feeds: tuple[int, ...]  # by relay: which of them it asks
+    discovery_by_relay: tuple[int, ...]  # by relay: which of them it asks
     is_spread: bool  # whom gateways ask first: another relay each, or all relay-0
     ledger: Ledger = field(default_factory=Ledger)
     views: dict[str, View] = field(default_factory=dict)
@@ -49,13 +51,13 @@
     gateways: list[Gateway] = field(default_factory=list)
     relays: list[Gateway] = field(default_factory=list)
     begun_us: int = 0
-    seen: list[tuple[int, int, int]] = field(default_factory=list)  # when, by which gateway, at which host
-    answering: int = 0  # hosts, just now
-    asks: list[Asked] = field(default_factory=list)
+    requests_seen: list[tuple[int, int, int]] = field(default_factory=list)  # when, by which gateway, at which host
+    responses_in_progress: int = 0  # hosts, just now
+    client_requests: list[Asked] = field(default_factory=list)
     starts: dict[int, int] = field(default_factory=dict)  # of hosts that were gone: since when, in milliseconds
     changes: list[Change] = field(default_factory=list)
-    downs: list[Down] = field(default_factory=list)
-    open_downs: dict[Part, int] = field(default_factory=dict)  # since when
+    outages: list[Down] = field(default_factory=list)
+    open_outages: dict[Part, int] = field(default_factory=dict)  # since when
     statuses: Counter[int] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)  # by gateway
     notes: list[tuple[int, str]] = field(default_factory=list)
@@ -71,7 +73,7 @@
 
     # Doing
 
-    def tell(self, host: int, status: str, *discoveries: int, weight: float = 1.0) -> int:
+    def publish_status(self, host: int, status: str, *discoveries: int, weight: float = 1.0) -> int:
         """A change at these discoveries, all where none is named; returns when. Who was gone has started anew."""
         at_us = now_us()
         if status == "DELETED":
@@ -88,9 +90,9 @@
     def entry(self, host: int) -> Entry:
         return Entry(f"s-{host}", "a", "m", 0, self.starts.get(host, 0), service="web")
 
-    def first(self, gateway: int) -> int:
+    def first_relay_of(self, gateway: int) -> int:
         """The relay that it asks first."""
-        return gateway % len(self.feeds) if self.is_spread else 0
+        return gateway % len(self.discovery_by_relay) if self.is_spread else 0
 
     def signal(self, relay: int, signum: signal.Signals) -> int:
         at_us = self.note(f"relay-{relay}: {signum.name}")
@@ -110,127 +112,136 @@
         file.with_suffix(".new").write_text(json.dumps({"regions": {"r": ["a"]}, "gateways": named}))
         file.with_suffix(".new").replace(file)
 
-    async def ask_on(self, gateway: int) -> None:
+    async def send_requests(self, gateway: int) -> None:
         client = Client(*await asyncio.open_connection("127.0.0.1", self.gateways[gateway].port))
         try:
             while True:
-                call = f"{gateway:02x}{len(self.asks):014x}"
+                call = f"{gateway:02x}{len(self.client_requests):014x}"
                 asked = Asked(now_us(), gateway)
-                self.asks.append(asked)
+                self.client_requests.append(asked)
                 answer = await client.ask(request("search", x_call_id=call))
                 asked.answered_us, asked.status = now_us(), answer.status
                 asked.is_own = answer.status != 200 or answer.body == call.encode()
                 self.statuses[answer.status] += 1
                 self.answers[gateway] += 1
-                await asyncio.sleep(REST_S)
+                await asyncio.sleep(REQUEST_INTERVAL_S)
         finally:
             client.close()
 
-    # What does not work, for the judge
+    # Outages, for the judge
 
-    def begin(self, *parts: Part) -> None:
+    def begin_outage(self, *parts: Part) -> None:
         for part in parts:
-            self.open_downs.setdefault(part, now_us())
+            self.open_outages.setdefault(part, now_us())
 
-    def end(self, *parts: Part) -> None:
+    def end_outage(self, *parts: Part) -> None:
         for part in parts:
-            if part in self.open_downs:
-                self.downs.append(Down(self.open_downs.pop(part), now_us(), part))
+            if part in self.open_outages:
+                self.outages.append(Down(self.open_outages.pop(part), now_us(), part))
 
-    async def beat(self) -> None:
-        """Times at which this process stood still itself: what it saw then, it saw late."""
-        looked_us = now_us()
+    async def watch_for_stalls(self) -> None:
+        """Note the times at which this process was stalled itself: what it saw then, it saw late."""
+        checked_us = now_us()
         while True:
-            await asyncio.sleep(BEAT_S)
-            before_us, looked_us = looked_us, now_us()
-            if looked_us - before_us > (BEAT_S + STILL_S) * 1e6:
-                self.note(f"the test itself stood still for {(looked_us - before_us) / 1e6:.3f} s")
-                self.downs += [Down(before_us, looked_us, ("gateway", n)) for n in range(GATEWAYS)]
+            await asyncio.sleep(STALL_CHECK_INTERVAL_S)
+            before_us, checked_us = checked_us, now_us()
+            if checked_us - before_us > (STALL_CHECK_INTERVAL_S + MIN_STALL_S) * 1e6:
+                self.note(f"the test itself was stalled for {(checked_us - before_us) / 1e6:.3f} s")
+                self.outages += [Down(before_us, checked_us, ("gateway", n)) for n in range(GATEWAYS)]
 
     def record(self) -> Record:
         end_us = now_us()
-        open_downs = [Down(begin_us, end_us, part) for part, begin_us in self.open_downs.items()]
+        open_outages = [Down(begin_us, end_us, part) for part, begin_us in self.open_outages.items()]
         exits = [p for p in self.ledger.of(Process) if p.what == "exit" and not p.asked]
         return Record(
-            self.begun_us, end_us, GATEWAYS, len(self.hosts), self.feeds, GATEWAYS * 1_000_000 // DIRECT_PER_S,
+            self.begun_us, end_us, GATEWAYS, len(self.hosts), self.discovery_by_relay,
+            GATEWAYS * 1_000_000 // DIRECT_PER_S,
             sorted(self.changes, key=lambda change: change.at_us),
-            [Arrival(*seen) for seen in self.seen], self.asks, self.downs + open_downs,
+            [Arrival(*seen) for seen in self.requests_seen], self.client_requests, self.outages + open_outages,
             [(call.at_us, int(call.gateway[1:])) for call in self.ledger.of(Listening) if call.gateway[0] == "n"],
             [(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
 
     # Waiting for what is seen
 
-    async def wait(self, condition: Callable[[], Any], what: str) -> None:
+    async def wait_for(self, condition: Callable[[], Any], what: str) -> None:
         end = time.monotonic() + 20.0
         while not condition():
             if time.monotonic() > end:
                 raise AssertionError(f"not within 20 s: {what}\n{self.timeline()}")
             await asyncio.sleep(0.005)
 
-    async def go_on(self, count: int = 40) -> None:
+    async def serve_more_requests(self, count: int = 40) -> None:
         """Each gateway answers so many further requests."""
         before = dict(self.answers)
-        await self.wait(
+        await self.wait_for(
             lambda: all(self.answers[n] >= before.get(n, 0) + count for n in range(GATEWAYS)), "requests go on"
         )
 
-    async def until(self, at_us: int) -> None:
-        await self.wait(lambda: now_us() >= at_us, "time goes by")
-        await self.go_on()
+    async def wait_until(self, at_us: int) -> None:
+        await self.wait_for(lambda: now_us() >= at_us, "time goes by")
+        await self.serve_more_requests()
 
-    async def ready(self, relay: int) -> None:
+    async def wait_until_ready(self, relay: int) -> None:
         while not await processes.is_ready(self.relays[relay].address):
             await asyncio.sleep(0.02)
 
-    def callers(self, relay: int) -> set[int]:
+    def gateways_connected_to(self, relay: int) -> set[int]:
         """The gateways that have a connection to this relay."""
         return {gateway for (gateway, to), link in self.to_relay.items() if to == relay and link.flows}
 
-    async def all_at(self, relay: int) -> None:
-        await self.wait(lambda: self.callers(relay) == set(range(GATEWAYS)), f"all at relay-{relay}")
+    async def wait_until_all_ask(self, relay: int) -> None:
+        await self.wait_for(
+            lambda: self.gateways_connected_to(relay) == set(range(GATEWAYS)), f"all at relay-{relay}"
+        )
 
-    async def serve(self, *hosts: int) -> None:
+    async def wait_until_served(self, *hosts: int) -> None:
         """Each gateway sends to each of these."""
-        since = len(self.seen)
+        since = len(self.requests_seen)
         wanted = {(gateway, host) for gateway in range(GATEWAYS) for host in hosts}
-        await self.wait(lambda: wanted <= {(g, h) for _, g, h in self.seen[since:]}, f"requests at {hosts}")
+        await self.wait_for(
+            lambda: wanted <= {(g, h) for _, g, h in self.requests_seen[since:]}, f"requests at {hosts}"
+        )
 
     # Judging
 
-    def last(self, host: int) -> int:
-        return max((at_us for at_us, _, to in self.seen if to == host), default=0)
+    def last_request_us(self, host: int) -> int:
+        return max((at_us for at_us, _, to in self.requests_seen if to == host), default=0)
 
-    def left(self, host: int, since_us: int, within_s: float) -> None:
+    def assert_left_within(self, host: int, since_us: int, within_s: float) -> None:
         """Nobody sends to a host that drains, later than so long after discovery had it."""
-        late_us = self.last(host) - since_us
+        late_us = self.last_request_us(host) - since_us
         assert late_us <= within_s * 1e6, f"s-{host} saw a request {late_us / 1e6:.3f} s after\n{self.timeline()}"
 
-    def direct_calls(self) -> int:
+    def direct_polls(self) -> int:
         """Of gateways at discovery itself."""
         return sum(call.gateway.startswith("n") for call in self.ledger.of(Listening))
 
     def faults(self) -> list[str]:
         return [fault for process in self.gateways + self.relays for fault in process.faults()]
 
-    def check(self) -> None:
+    def assert_healthy(self) -> None:
         """Requests were served, and no process has a defect on its log."""
         assert set(self.statuses) <= {200, 503}, f"{self.statuses}\n{self.timeline()}"
-        assert self.statuses[503] <= REFUSED_MOST * len(self.asks), f"{self.statuses}\n{self.timeline()}"
+        assert self.statuses[503] <= MAX_REJECTED_RATIO * len(
+            self.client_requests
+        ), f"{self.statuses}\n{self.timeline()}"
         assert not self.faults(), f"{self.faults()}\n{self.timeline()}"
 
     def timeline(self) -> str:
         lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.of(Process)]
         begun = min((at_us for at_us, _ in lines), default=0)
-        said = [f"{(at_us - begun) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
+        text_lines = [f"{(at_us - begun) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
         for n in range(len(self.hosts)):
-            said.append(f"last request at s-{n}: {(self.last(n) - begun) / 1e6:.3f}")
+            text_lines.append(f"last request at s-{n}: {(self.last_request_us(n) - begun) / 1e6:.3f}")
         for process in self.gateways + self.relays:
             log = self.folder / f"{process.name}.log"
             if log.exists():
-                told = [line for line in log.read_text(errors="replace").splitlines() if "tally" not in line]
-                said += [f"   {process.name}: {line}" for line in told[-20:]]
-        return "\n".join(said)
+                lines_of_process = [
+                    line for line in log.read_text(errors="replace").splitlines() if "tally" not in line
+                ]
+                text_lines += [f"   {process.name}: {line}" for line in lines_of_process[-20:]]
+        return "\n".join(text_lines)
 
 
 def order_of(gateway: str, links: list[TcpLink]) -> list[TcpLink]:
@@ -239,23 +250,23 @@
 
 
 @asynccontextmanager
-async def started(
-    folder: Path, hosts: int = 4, feeds: tuple[int, ...] = (0, 0), is_spread: bool = False
-) -> AsyncIterator[Relayed]:
-    """All run and are ready, and each gateway has clients that ask one request after another.
+async def running_relay_fleet(
+    folder: Path, hosts: int = 4, discovery_by_relay: tuple[int, ...] = (0, 0), is_spread: bool = False
+) -> AsyncIterator[RelayFleet]:
+    """All run and are ready, and each gateway has clients that send one request after another.
 
-    `feeds`: for each relay the number of the discovery that it asks.
+    `discovery_by_relay`: for each relay the number of the discovery that it asks.
     """
-    made: Relayed | None = None
+    fleet: RelayFleet | None = None
 
     def script(host: int) -> Callable[[Exchange], Any]:
         async def answer(exchange: Exchange) -> None:
-            assert made is not None
+            assert fleet is not None
             call = exchange.message.headers["x-call-id"]
-            made.seen.append((now_us(), int(call[:2], 16), host))
-            made.answering += 1
-            await asyncio.sleep(TOOK_S)
-            made.answering -= 1
+            fleet.requests_seen.append((now_us(), int(call[:2], 16), host))
+            fleet.responses_in_progress += 1
+            await asyncio.sleep(RESPONSE_DELAY_S)
+            fleet.responses_in_progress -= 1
             if not exchange.writer.transport.is_closing():
                 exchange.answer(reply(body=call.encode()))
 
@@ -263,79 +274,82 @@
 
     network, ledger = Network(1), Ledger()
     peers = [peer(script(n)) for n in range(hosts)]
-    listening = [await one.__aenter__() for one in peers]
+    listening = [await each.__aenter__() for each in peers]
     tasks: list[asyncio.Task[None]] = []
 
     def address_of(name: str) -> Address:
         at, _, port = listening[int(name[2:])].address.rpartition(":")
         return at, int(port)
 
-    async def passes() -> None:
+    async def allow_all() -> None:
         return None
 
-    discoveries = [Registry(ledger) for _ in range(max(feeds) + 1)]
-    made = Relayed(folder, network, listening, discoveries, feeds, is_spread, ledger)
+    discoveries = [Registry(ledger) for _ in range(max(discovery_by_relay) + 1)]
+    fleet = RelayFleet(folder, network, listening, discoveries, discovery_by_relay, is_spread, ledger)
     try:
         for discovery in discoveries:
-            discovery.index = BEGIN_INDEX
+            discovery.index = FIRST_INDEX
             for n in range(hosts):
-                discovery.put(made.entry(n))
-        for n, feed in enumerate(feeds):
-            made.views[f"relay-{n}"] = await discoveries[feed].open(f"relay-{n}", address_of, passes)
+                discovery.put(fleet.entry(n))
+        for n, discovery_number in enumerate(discovery_by_relay):
+            fleet.views[f"relay-{n}"] = await discoveries[discovery_number].open(f"relay-{n}", address_of, allow_all)
         for n in range(GATEWAYS):
-            made.views[f"n{n}"] = await made.discovery.open(f"n{n}", address_of, passes)
-        for n in range(len(feeds)):
-            made.write_roster(n)
-            made.relays.append(_relay(made, n))
+            fleet.views[f"n{n}"] = await fleet.discovery.open(f"n{n}", address_of, allow_all)
+        for n in range(len(discovery_by_relay)):
+            fleet.write_roster(n)
+            fleet.relays.append(_relay(fleet, n))
         for n in range(GATEWAYS):
-            made.gateways.append(_gateway(made, n))
-        with processes.Fleet(made.relays + made.gateways):
-            for relay in made.relays:
+            fleet.gateways.append(_gateway(fleet, n))
+        with processes.Fleet(fleet.relays + fleet.gateways):
+            for relay in fleet.relays:
                 relay.start()
-            for n in range(len(feeds)):
-                await made.ready(n)
-            for gateway in made.gateways:
+            for n in range(len(discovery_by_relay)):
+                await fleet.wait_until_ready(n)
+            for gateway in fleet.gateways:
                 gateway.start()
-            for gateway in made.gateways:
+            for gateway in fleet.gateways:
                 while not await processes.is_ready(gateway.address):
                     await asyncio.sleep(0.02)
-            await made.wait(lambda: all(made.callers(made.first(n)) >= {n} for n in range(GATEWAYS)), "all ask first")
-            made.begun_us = now_us()
-            tasks.append(asyncio.create_task(made.beat()))
-            clients = [asyncio.create_task(made.ask_on(n)) for n in range(GATEWAYS) for _ in range(CLIENTS)]
+            await fleet.wait_for(
+                lambda: all(fleet.gateways_connected_to(fleet.first_relay_of(n)) >= {n} for n in range(GATEWAYS)),
+                "all ask first",
+            )
+            fleet.begun_us = now_us()
+            tasks.append(asyncio.create_task(fleet.watch_for_stalls()))
+            clients = [asyncio.create_task(fleet.send_requests(n)) for n in range(GATEWAYS) for _ in range(CLIENTS)]
             tasks += clients
-            await made.serve(*range(hosts))
-            yield made
-            assert not any(client.done() for client in clients), f"a client's connection ended\n{made.timeline()}"
+            await fleet.wait_until_served(*range(hosts))
+            yield fleet
+            assert not any(client.done() for client in clients), f"a client's connection ended\n{fleet.timeline()}"
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        while made.answering:
+        while fleet.responses_in_progress:
             await asyncio.sleep(0.005)
         for discovery in discoveries:
             discovery.close()
         network.close()
-        for one in peers:
-            await one.__aexit__(None, None, None)
+        for each in peers:
+            await each.__aexit__(None, None, None)
 
 
 @asynccontextmanager
-async def relayed(folder: Path, feeds: tuple[int, ...] = (0, 0)) -> AsyncIterator[Relayed]:
+async def relay_fleet(folder: Path, discovery_by_relay: tuple[int, ...] = (0, 0)) -> AsyncIterator[RelayFleet]:
     """All gateways ask relay-0 first; at the end all is as it should be."""
-    async with started(folder, feeds=feeds) as made:
-        yield made
-        await made.go_on()
-        made.check()
+    async with running_relay_fleet(folder, discovery_by_relay=discovery_by_relay) as fleet:
+        yield fleet
+        await fleet.serve_more_requests()
+        fleet.assert_healthy()
 
 
-def _relay(made: Relayed, number: int) -> Gateway:
+def _relay(fleet: RelayFleet, number: int) -> Gateway:
     name = f"relay-{number}"
-    link = made.network.tcp(name, f"discovery-{made.feeds[number]}", lambda: made.views[name].address)
+    link = fleet.network.tcp(name, f"discovery-{fleet.discovery_by_relay[number]}", lambda: fleet.views[name].address)
     link.open()
-    made.to_discovery.append(link)
-    file = made.folder / f"{name}.toml"
-    relay = Gateway(name, 0, made.folder, dict, made.ledger, command=(*sockets.PROGRAM, "relay", str(file)))
+    fleet.to_discovery.append(link)
+    file = fleet.folder / f"{name}.toml"
+    relay = Gateway(name, 0, fleet.folder, dict, fleet.ledger, command=(*sockets.PROGRAM, "relay", str(file)))
     file.write_text(
         f'name = "{name}"\nlisten = "127.0.0.1:{relay.port}"\nroster = "roster-{number}.json"\n'
         f'discovery = "127.0.0.1:{link.address[1]}"\n'
@@ -343,29 +357,31 @@
     return relay
 
 
-def _gateway(made: Relayed, number: int) -> Gateway:
-    name, relays = f"n{number}", len(made.feeds)
-    links = [made.network.tcp(name, f"relay-{n}", lambda: None) for n in range(relays)]
+def _gateway(fleet: RelayFleet, number: int) -> Gateway:
+    name, relays = f"n{number}", len(fleet.discovery_by_relay)
+    links = [fleet.network.tcp(name, f"relay-{n}", lambda: None) for n in range(relays)]
     for link in links:
         link.open()
     for place, link in enumerate(order_of(name, links)):
-        to = (made.first(number) + place) % relays
-        made.to_relay[number, to] = link
-        link.target = lambda to=to: made.relays[to].address  # type: ignore[misc]
+        to = (fleet.first_relay_of(number) + place) % relays
+        fleet.to_relay[number, to] = link
+        link.target = lambda to=to: fleet.relays[to].address  # type: ignore[misc]
 
     def configure() -> dict[str, Any]:
-        view = made.views[name]
+        view = fleet.views[name]
         assert view.address is not None
         config = configuration(discovery=f"{view.address[0]}:{view.address[1]}")
-        known = [endpoint(f"s-{n}", host.address) for n, host in enumerate(made.hosts)]
+        known = [endpoint(f"s-{n}", host.address) for n, host in enumerate(fleet.hosts)]
         return config | {
             "name": name, "listen": f"127.0.0.1:{gateway.port}", "known": hosts_list(7, *known),
             "seed": f"5eed{number}", "settings": config["settings"] | {"balancers": GATEWAYS, "index": number},
         }  # fmt: skip
 
-    options = made.folder / f"{name}.toml"
+    options = fleet.folder / f"{name}.toml"
     named = ", ".join(f'"127.0.0.1:{link.address[1]}"' for link in links)
     options.write_text(f"[relays]\naddresses = [{named}]\ndirect_per_s = {DIRECT_PER_S}\n")
     environment = {"CLOVERKEEL_OPTIONS": str(options)}
-    gateway = Gateway(name, 0, made.folder, configure, made.ledger, environment=environment, command=sockets.PROGRAM)
+    gateway = Gateway(
+        name, 0, fleet.folder, configure, fleet.ledger, environment=environment, command=sockets.PROGRAM
+    )
     return gateway
