--- a/cloverkeel/control_plane/__init__.py
+++ b/cloverkeel/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""Control-plane relay: asks discovery as one caller and tells each gateway its subset (docs/relay-design.md)."""
+"""The control plane's relay: polls discovery as one client, and sends each gateway its subset."""
--- a/cloverkeel/control_plane/command.py
+++ b/cloverkeel/control_plane/command.py
@@ -62,12 +62,12 @@
 
 
 def _exit_early(_signum: int, _frame: FrameType | None) -> None:
-    """Handle a signal before anything is held: there is nothing to finish."""
+    """Handle a signal before there is anything to finish."""
     os._exit(EXIT_OK)
 
 
 def run(path: str) -> int:
-    """Run the relay whose file is at `path` until it is told to stop; returns the exit code."""
+    """Run the relay whose file is at `path` until a signal to stop; returns the exit code."""
     early_reloads: list[int] = []  # SIGHUP before the loop runs
     signal.signal(signal.SIGHUP, lambda signum, _: early_reloads.append(signum))
     for signum in (signal.SIGTERM, signal.SIGINT):
--- a/cloverkeel/control_plane/config.py
+++ b/cloverkeel/control_plane/config.py
@@ -29,7 +29,9 @@
         1_024  # twelve relays before 4,600 gateways: 384 each, 767 with half of them dead, and moves
     )
     snapshots_per_s: int = 200  # 7 in 10 of 4,600 gateways start within 2 s: 269 each, none of which waits for 0.8 s
-    max_age_ms: int = 6_000  # of the list, to be ready: what a change may take to be told (poll_schedule.py, TOLD_S)
+    max_age_ms: int = (
+        6_000  # of the list, to be ready: what a change may take to reach gateways (discovery/poll_schedule.py)
+    )
     idle_timeout_s: int = 30  # between a response and the next request: a gateway polls again at once
     write_timeout_s: int = 5  # for a response to be read: twice what a gateway waits for one
     max_unsent_mib: int = 64  # of responses not yet read by their connections, together; snapshots wait beyond
--- a/cloverkeel/control_plane/connection.py
+++ b/cloverkeel/control_plane/connection.py
@@ -47,7 +47,7 @@
 
 
 class ConnectionHandler(Protocol):
-    """Who is told what happens to a connection."""
+    """Who handles what happens to a connection."""
 
     loop: asyncio.AbstractEventLoop
     limits: Limits
@@ -90,12 +90,12 @@
         self.accepts_gzip = False  # by the request that is open
         self.is_request_open = False
         self.is_kept_alive = True  # the connection goes on after the response
-        self.pending_request: PollRequest | None = None  # that waits for a change, or to be looked at
+        self.pending_request: PollRequest | None = None  # that waits for a change, or for its turn
         self.hold_timer: asyncio.TimerHandle | None = None  # for the end of its wait
         self.subscriber: Subscriber | None = None  # by whose keys it is found
         self.keys_roster: FleetRoster | None = None  # by which they were made
         self.subscription_keys: tuple[SubscriptionKey, ...] = ()
-        self.deadline_s = 0.0  # for the client's next step; 0.0: it is the relay's turn
+        self.deadline_s = 0.0  # for the client's next step; 0.0: the relay is to act
         self.is_write_paused = False  # the client does not read what it was sent
         self.unsent_bytes = 0  # of large responses, until it has read them
         self.is_closed = False
--- a/cloverkeel/control_plane/deltas.py
+++ b/cloverkeel/control_plane/deltas.py
@@ -121,7 +121,7 @@
         return snapshot.subscription == subscription
 
     def snapshot(self, subscription: Subscription) -> ListResponse:
-        """Return a gateway's whole subset."""
+        """Return all hosts of a gateway's subset."""
         services = self.table.rings_by_service if subscription.services is None else subscription.services
         windows_by_service: WindowsByService = {}
         for service in sorted(services):
--- a/cloverkeel/control_plane/discovery_source.py
+++ b/cloverkeel/control_plane/discovery_source.py
@@ -7,7 +7,7 @@
   than it is;
 - a response that cannot be read changes nothing: what is cached stays, its age grows, and a snapshot is asked for;
 - a long list is applied incrementally, and discovery is not asked meanwhile; of one that is not applied to its end
-  a snapshot is asked for, and its age is not told before;
+  a snapshot is asked for, and its age does not change before;
 - after a stall of this process discovery is asked anew at once, on another connection.
 """
 
@@ -159,7 +159,7 @@
             raise UnusableListError(self.last_error) from None
         finally:
             if not is_applied:
-                self.plan.ask_whole()  # what is cached may lack what this would have told
+                self.plan.ask_whole()  # what is cached may lack changes of this one
         return bool(listed.entries)
 
     def _apply(self, listed: _DiscoveryList, is_long: bool) -> Steps[None]:
--- a/cloverkeel/control_plane/endpoint_cache.py
+++ b/cloverkeel/control_plane/endpoint_cache.py
@@ -27,7 +27,7 @@
 from cloverkeel.control_plane.subscriptions import subscription_of
 from cloverkeel.control_plane.subsetting import DEFAULT_SIZES, SubsetSizes
 
-MIN_USABLE_RATIO: Final = 0.5  # of a snapshot's entries, or the list is unusable as a whole
+MIN_USABLE_RATIO: Final = 0.5  # of a snapshot's entries, or all of the list is unusable
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,7 +86,7 @@
 
     @staticmethod
     def has_few_usable(entries: int, skipped: int) -> bool:
-        """Return whether so few entries of a snapshot can be used that it is unusable as a whole."""
+        """Return whether so few entries of a snapshot can be used that all of it is unusable."""
         return entries - skipped < MIN_USABLE_RATIO * entries
 
     def parse_entries(self, items: list[object], is_snapshot: bool) -> ParsedEntries:
@@ -139,7 +139,7 @@
         return (ALL_HOSTS_KEY,) if subscription is None else subscription.keys
 
     def respond(self, subscriber: Subscriber, known_index: int | None) -> ListResponse | None:
-        """Return what a subscriber is to be told; None: it has it all, and may wait.
+        """Return the response to a subscriber; None: it has all of it, and may wait.
 
         known_index: of the response that it has; None: it has none. Raises NotReadyError where there is no list yet.
         """
@@ -156,13 +156,13 @@
         return self.subsets.delta(subscription, known_index)
 
     def is_known(self, subscriber: Subscriber, index: int) -> bool:
-        """Return whether this is a response after which the subscriber can be told the changes."""
+        """Return whether this is a response after which the changes can be sent."""
         if subscriber.gateway in self.roster.placement_by_gateway:
             return self.subsets.is_known(subscriber.gateway, index)
         return self.full_list.is_known(index)
 
     def is_up_to_date(self, subscriber: Subscriber, index: int) -> bool:
-        """Return whether there is surely nothing to tell after this response; costs next to nothing."""
+        """Return whether there is surely nothing new after this response; costs next to nothing."""
         subscription = subscription_of(subscriber, self.roster)
         if subscription is None:
             return self.full_list.is_up_to_date(index)
--- a/cloverkeel/control_plane/full_list.py
+++ b/cloverkeel/control_plane/full_list.py
@@ -32,7 +32,7 @@
         self.entries_change = -1  # number of the last change that `entries` have
 
     def is_known(self, index: int) -> bool:
-        """Return whether the changes after this response can be told."""
+        """Return whether the changes after this response can be sent."""
         return self.change_by_index.get(index, -1) >= self.table.change_log.floor
 
     def is_up_to_date(self, index: int) -> bool:
--- a/cloverkeel/control_plane/long_poll.py
+++ b/cloverkeel/control_plane/long_poll.py
@@ -5,7 +5,7 @@
   slices of SLICE_S;
 - who polls and is not up to date is answered in turn, in slices: all may do so at once, after another roster;
 - a response without entries says that there was nothing new as it was written, not as it was asked for;
-- changes never wait for snapshots: who is up to date is not held up by a wave of starts.
+- changes never wait for snapshots: who is up to date is not delayed by a wave of starts.
 """
 
 from __future__ import annotations
--- a/cloverkeel/control_plane/subscriptions.py
+++ b/cloverkeel/control_plane/subscriptions.py
@@ -1,4 +1,4 @@
-"""What a subscriber is to be told of, by the roster. Pure."""
+"""What a subscriber is to be sent, by the roster. Pure."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     roster: FleetRoster
 
     def has_service(self, service: str) -> bool:
-        """Return whether it is to be told of this service."""
+        """Return whether it is to have the hosts of this service."""
         return self.services is None or service in self.services
 
     @property
