--- a/cloverkeel/control_plane/endpoint_table.py
+++ b/cloverkeel/control_plane/endpoint_table.py
@@ -206,7 +206,9 @@
         """Use another roster from now on; `groups`: what `prepare_roster` has made of it."""
         self.roster = roster
         self.change_number += 1
-        self.pending_groups.update((name, its) for name, its in groups.items() if name in self.rings_by_service)
+        for service, groups_by_region in groups.items():
+            if service in self.rings_by_service:
+                self.pending_groups[service] = groups_by_region
 
     def assign_pending_rings(self) -> Incremental[None]:
         """Assign the rings that nobody has read since the roster was switched. It changes no response."""
--- a/cloverkeel/control_plane/roster_parser.py
+++ b/cloverkeel/control_plane/roster_parser.py
@@ -42,12 +42,12 @@
 
 def _read_json(text: str | bytes, file: str) -> object:
     def without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-        made = dict(pairs)
-        if len(made) != len(pairs):
+        value_by_key = dict(pairs)
+        if len(value_by_key) != len(pairs):
             names = [name for name, _ in pairs]
             duplicate = next(name for name in names if names.count(name) > 1)
             raise RosterError(file, duplicate, "a key to be there once", "it twice")
-        return made
+        return value_by_key
 
     try:
         return json.loads(text, object_pairs_hook=without_duplicates)
--- a/cloverkeel/control_plane/subsetting.py
+++ b/cloverkeel/control_plane/subsetting.py
@@ -8,9 +8,9 @@
 - how many gateways have a host differs by at most one between any two hosts, and is never none; where none has
   widened, it is at most max_users(H, (N,), min_hosts);
 - the window of a gateway that has widened begins with its own, that of no widening, and what is beyond that is sent
-  with WIDENED_USERS_FACTOR times as many users. So whoever widens, the shares 1 / `users` of a host add up to 1 + 8
-  / WIDENED_USERS_FACTOR at the most: of its own, to 1; of the others there are at most 8 times as many as `users`,
-  as a window is doubled three times;
+  with WIDENED_USERS_FACTOR times as many users. So whoever widens, the shares 1 / `users` of a host add up to
+  1 + 8 / WIDENED_USERS_FACTOR at the most: of its own, to 1; of the others there are at most 8 times as many as
+  `users`, as a window is doubled three times;
 - one host more or less brings at most 2 hosts into a window and takes at most 2 out of it;
 - the ring is the same for the same hosts, in whatever order they came.
 ServiceRings says who shares which ring. Where fewer than SubsetSizes.min_serving hosts of a region's own rings
