--- a/benchmarks/guards/table/control_plane.py
+++ b/benchmarks/guards/table/control_plane.py
@@ -25,7 +25,7 @@
         tests="control_plane/snapshot_queue::snapshots_are_rate_limited_and_rejected_beyond_while_changes_go_on"),
     row("relay-age", "what waited while a relay stood still is as old as it is", "DiscoverySource._apply",
         tests="control_plane/discovery_source::response_that_waited_during_a_stall_is_as_old_as_it_is"),
-    row("relay-gzip-asked", "who does not take gzip gets none", "encoding.takes_gzip",
+    row("relay-gzip-asked", "who does not take gzip gets none", "encoding.accepts_gzip",
         tests="control_plane/connection::gzip_is_used_where_it_is_accepted_and_the_body_is_long"),
     row("relay-roster-shaped", "another roster counts for all from one moment", "EndpointTable.rings_of",
         tests="control_plane/roster_switch::roster_prepared_incrementally_counts_for_all_from_one_moment"),
