--- a/cloverkeel/control_plane/cooperative.py
+++ b/cloverkeel/control_plane/cooperative.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Final
 
-from cloverkeel.control_plane.incremental import Incremental, Result
+from cloverkeel.core.incremental import Incremental, Result
 
 SLICE_S: Final = 0.002  # of work before others get their turn; up to five kinds of it may have one in a row
 
--- a/cloverkeel/control_plane/deltas.py
+++ b/cloverkeel/control_plane/deltas.py
@@ -20,7 +20,7 @@
 from cloverkeel.control_plane.counters import CacheCounters
 from cloverkeel.control_plane.endpoint_table import SERVICES_PER_STEP, EndpointTable
 from cloverkeel.control_plane.entry_codec import Host
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.messages import ListResponse
 from cloverkeel.control_plane.response_indexes import ResponseIndexes
 from cloverkeel.control_plane.subscriptions import Subscription
--- a/cloverkeel/control_plane/discovery_source.py
+++ b/cloverkeel/control_plane/discovery_source.py
@@ -22,7 +22,7 @@
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Address
 from cloverkeel.core.log import log
-from cloverkeel.discovery.incremental import Incremental
+from cloverkeel.core.incremental import HintedIncremental
 from cloverkeel.discovery.poll_schedule import INSTANCES_PATH, LONG_POLL_GRACE_S, PollRequest, PollSchedule
 from cloverkeel.discovery.polling_client import PollingClient
 
@@ -46,7 +46,7 @@
     def apply_list(self, is_snapshot: bool, items: list[Any]) -> bool:
         """Return whether the list could be used; if not, nothing has changed."""
 
-    def apply_list_incrementally(self, is_snapshot: bool, items: list[Any]) -> Incremental[bool]:
+    def apply_list_incrementally(self, is_snapshot: bool, items: list[Any]) -> HintedIncremental[bool]:
         """Do the same step by step."""
 
 
@@ -144,7 +144,7 @@
         self.request_sent_us, self.is_snapshot_requested = now_us(), self.schedule.version is None
         return request.target
 
-    def handle_body(self, body: bytes) -> Incremental[bool]:
+    def handle_body(self, body: bytes) -> HintedIncremental[bool]:
         """Apply a response; returns whether it had any entry.
 
         Raises UnusableListError, after it was counted, for one that cannot be used.
@@ -164,7 +164,7 @@
                 self.schedule.require_snapshot()  # what is cached may lack changes of this one
         return bool(listed.entries)
 
-    def _apply(self, listed: _DiscoveryList, is_long: bool) -> Incremental[None]:
+    def _apply(self, listed: _DiscoveryList, is_long: bool) -> HintedIncremental[None]:
         now_s = asyncio.get_running_loop().time()
         if not self.schedule.on_reply(now_s, listed.index, listed.is_snapshot):
             return
--- a/cloverkeel/control_plane/encoding.py
+++ b/cloverkeel/control_plane/encoding.py
@@ -18,7 +18,7 @@
 import zlib
 from typing import Final
 
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.messages import ListResponse, encode_tail
 
 GZIP_LEVEL: Final = 1
--- a/cloverkeel/control_plane/endpoint_cache.py
+++ b/cloverkeel/control_plane/endpoint_cache.py
@@ -21,7 +21,7 @@
 from cloverkeel.control_plane.errors import NotReadyError
 from cloverkeel.control_plane.fleet_roster import FleetRoster, GroupsByService
 from cloverkeel.control_plane.full_list import FullListResponses
-from cloverkeel.control_plane.incremental import Incremental, run_to_completion
+from cloverkeel.core.incremental import Incremental, run_to_completion
 from cloverkeel.control_plane.messages import ListResponse, Subscriber
 from cloverkeel.control_plane.response_indexes import ResponseIndexes
 from cloverkeel.control_plane.subscriptions import subscription_of
--- a/cloverkeel/control_plane/endpoint_table.py
+++ b/cloverkeel/control_plane/endpoint_table.py
@@ -20,7 +20,7 @@
 from cloverkeel.control_plane.counters import CacheCounters
 from cloverkeel.control_plane.entry_codec import Host
 from cloverkeel.control_plane.fleet_roster import FleetRoster, GroupsByService
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.subsetting import HashRing, ServiceRings, SubsetSizes
 
 MAX_HOSTS: Final = 131_072  # 3.4 times the plan's
--- a/cloverkeel/control_plane/fleet_roster.py
+++ b/cloverkeel/control_plane/fleet_roster.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from cloverkeel.control_plane.incremental import Incremental, run_to_completion
+from cloverkeel.core.incremental import Incremental, run_to_completion
 from cloverkeel.core.config import stable_id
 
 ALL_REGIONS: Final = ""  # the key of the group of all gateways, whatever their region
--- a/cloverkeel/control_plane/full_list.py
+++ b/cloverkeel/control_plane/full_list.py
@@ -13,7 +13,7 @@
 from cloverkeel.control_plane.counters import CacheCounters
 from cloverkeel.control_plane.endpoint_table import MAX_LOGGED_CHANGES, EndpointTable
 from cloverkeel.control_plane.entry_codec import HASH_BITS, Host
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.messages import ListResponse
 from cloverkeel.control_plane.response_indexes import ResponseIndexes
 
--- a/cloverkeel/control_plane/http_server.py
+++ b/cloverkeel/control_plane/http_server.py
@@ -31,7 +31,7 @@
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.errors import RequestError
 from cloverkeel.control_plane.fleet_roster import FleetRoster
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.incremental_update import apply_list_incrementally
 from cloverkeel.control_plane.long_poll import LongPolls
 from cloverkeel.control_plane.requests import LIST_PATH, PollRequest, parse_poll_request
--- a/cloverkeel/control_plane/incremental_update.py
+++ b/cloverkeel/control_plane/incremental_update.py
@@ -16,7 +16,7 @@
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.endpoint_table import MAX_HOSTS, HostChange, SubscriptionKey
 from cloverkeel.control_plane.entry_codec import Host
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 
 CHANGES_SORTED_PER_STEP: Final = 2_048  # some 2 ms
 ENTRIES_PER_STEP: Final = 32  # some 2 ms each on a busy machine
--- a/cloverkeel/control_plane/response_sender.py
+++ b/cloverkeel/control_plane/response_sender.py
@@ -17,7 +17,7 @@
 from cloverkeel.control_plane.cooperative import run_cooperatively
 from cloverkeel.control_plane.discovery_source import DiscoverySource
 from cloverkeel.control_plane.encoding import IncrementalBody
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.messages import ListResponse
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.log import log
--- a/cloverkeel/control_plane/snapshot_queue.py
+++ b/cloverkeel/control_plane/snapshot_queue.py
@@ -18,7 +18,7 @@
 from cloverkeel.control_plane.counters import ServerCounters
 from cloverkeel.control_plane.encoding import IncrementalBody
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
-from cloverkeel.control_plane.incremental import Incremental
+from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.rate_limiter import SnapshotRateLimiter
 from cloverkeel.control_plane.requests import PollRequest
 from cloverkeel.control_plane.response_sender import ResponseSender, abort_on_failure, log_failed_response
--- a/cloverkeel/discovery/incremental.py
+++ b/cloverkeel/core/incremental.py
@@ -9,10 +9,11 @@
 from typing import TypeVar, cast
 
 Result = TypeVar("Result")
-Incremental = Generator[bool | None, None, Result]  # yields True where the next step is a long one
+Incremental = Generator[None, None, Result]
+HintedIncremental = Generator[bool | None, None, Result]  # yields True where the next step is a long one
 
 
-def run_to_completion(steps: Incremental[Result]) -> Result:
+def run_to_completion(steps: HintedIncremental[Result]) -> Result:
     """Run all steps without suspending, and return the result."""
     while True:
         try:
--- a/cloverkeel/core/reload.py
+++ b/cloverkeel/core/reload.py
@@ -38,6 +38,11 @@
         self._is_requested = False
         self._task: asyncio.Task[None] | None = None
 
+    @property
+    def is_idle(self) -> bool:
+        """Tell whether every request so far was carried out."""
+        return self._task is None
+
     def request_reload(self) -> None:
         """Read the files again, now or once the reading that goes on is done. To be called on the loop."""
         self._is_requested = True
--- a/cloverkeel/discovery/endpoint_parser.py
+++ b/cloverkeel/discovery/endpoint_parser.py
@@ -21,7 +21,7 @@
 from cloverkeel.core.log import log
 from cloverkeel.core.ports import Endpoint
 from cloverkeel.discovery.errors import EndpointEntryError, EndpointListError
-from cloverkeel.discovery.incremental import Incremental, run_to_completion
+from cloverkeel.core.incremental import HintedIncremental, run_to_completion
 
 ENTRIES_PER_STEP: Final = 8  # some 0.1 ms
 MAX_WEIGHT: Final = 1e9
@@ -97,7 +97,7 @@
     return run_to_completion(parse_endpoint_list_incrementally(raw, names))
 
 
-def parse_endpoint_list_incrementally(raw: object, names: Names) -> Incremental[EndpointList]:
+def parse_endpoint_list_incrementally(raw: object, names: Names) -> HintedIncremental[EndpointList]:
     """Read an answer as `parse_endpoint_list` does, ENTRIES_PER_STEP entries a step."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints", []), list):
         raise EndpointListError
--- a/cloverkeel/discovery/http_client.py
+++ b/cloverkeel/discovery/http_client.py
@@ -11,7 +11,7 @@
 from cloverkeel.core.log import log
 from cloverkeel.core.ports import Endpoint, OnEndpointList
 from cloverkeel.discovery.endpoint_parser import parse_endpoint_list, parse_endpoint_list_incrementally
-from cloverkeel.discovery.incremental import Incremental
+from cloverkeel.core.incremental import HintedIncremental
 from cloverkeel.discovery.polling_client import PollingClient
 
 
@@ -40,7 +40,7 @@
         if self.pushed:
             self.watch(True)
 
-    def handle_body(self, body: bytes) -> Incremental[bool]:
+    def handle_body(self, body: bytes) -> HintedIncremental[bool]:
         """Read a list, and notify of it."""
         raw = yield from self.decode_body(body)
         answer = yield from parse_endpoint_list_incrementally(raw, self.names)
--- a/cloverkeel/discovery/polling_client.py
+++ b/cloverkeel/discovery/polling_client.py
@@ -28,7 +28,7 @@
 from cloverkeel.core.messages import Reply
 from cloverkeel.discovery.connection import HTTP_OK, DiscoveryConnection, get_request
 from cloverkeel.discovery.errors import UnexpectedStatusError
-from cloverkeel.discovery.incremental import Incremental, Result, run_to_completion
+from cloverkeel.core.incremental import HintedIncremental, Result, run_to_completion
 from cloverkeel.discovery.poll_schedule import (
     CONNECT_TIMEOUT_S,
     EMPTY_REPLY_PAUSE_S,
@@ -84,13 +84,13 @@
         """Return further header lines of a call, each with its line end."""
         return b""
 
-    def decode_content(self, reply: Reply) -> Incremental[bytes]:
+    def decode_content(self, reply: Reply) -> HintedIncremental[bytes]:
         """Undo the content coding of a 200's body."""
         yield from ()
         return reply.body
 
     @abstractmethod
-    def handle_body(self, body: bytes) -> Incremental[bool]:
+    def handle_body(self, body: bytes) -> HintedIncremental[bool]:
         """Read an answer, notify of it, and tell `schedule`; returns whether it had any entry.
 
         Whatever this raises is a failed call. It may be closed at any step, and has notified of nothing then.
@@ -102,7 +102,7 @@
 
     # Reading an answer
 
-    def decode_body(self, body: bytes) -> Incremental[Any]:
+    def decode_body(self, body: bytes) -> HintedIncremental[Any]:
         """Decode the JSON of an answer."""
         if len(body) > self.max_atomic_read_bytes:
             return (yield from decode_json(body))
@@ -124,7 +124,7 @@
         finally:
             self.is_reading = False
 
-    async def _run_cooperatively(self, steps: Incremental[Result], deadline_s: float) -> Result:
+    async def _run_cooperatively(self, steps: HintedIncremental[Result], deadline_s: float) -> Result:
         slice_end_s = time.monotonic() + self.read_slice_s
         try:
             while True:
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -24,7 +24,7 @@
 from cloverkeel.discovery.endpoint_parser import ENTRIES_PER_STEP, EndpointList, parse_endpoint_list_incrementally
 from cloverkeel.discovery.errors import DiscoveryCallError, NotAListError, NoUsableEntryError, UnsupportedCodingError
 from cloverkeel.discovery.http_client import HttpEndpointSource
-from cloverkeel.discovery.incremental import Incremental
+from cloverkeel.core.incremental import HintedIncremental
 from cloverkeel.discovery.known_state import KnownState, RelayAnswer, restrict_to_known
 from cloverkeel.discovery.poll_schedule import PollRequest
 from cloverkeel.discovery.relay_requests import (
@@ -80,7 +80,7 @@
         """Tell relays alone that answers may be compressed."""
         return b"" if self.selector.current is None else b"Accept-Encoding: gzip\r\n"
 
-    def decode_content(self, reply: Reply) -> Incremental[bytes]:
+    def decode_content(self, reply: Reply) -> HintedIncremental[bytes]:
         """Decompress a relay's answer. DiscoveryCallError where its coding is another, or it is broken."""
         coding = header(reply.headers, b"content-encoding")
         if coding is None or self.selector.current is None:
@@ -180,7 +180,7 @@
 
     # Answers
 
-    def handle_body(self, body: bytes) -> Incremental[bool]:
+    def handle_body(self, body: bytes) -> HintedIncremental[bool]:
         """Read an answer, notify of what it may tell, and decide whether to move."""
         raw = yield from self.decode_body(body)
         if not isinstance(raw, dict):
@@ -223,7 +223,7 @@
             self.widening.update(now_s, self.count_failing_hosts(), self.known_state.count_serving())
 
 
-def _filter_by_service(entries: list[Any], services: Collection[str]) -> Incremental[list[Any]]:
+def _filter_by_service(entries: list[Any], services: Collection[str]) -> HintedIncremental[list[Any]]:
     """Return the entries of these services: those asked for when the list came, others may be asked for meanwhile."""
     chosen: list[Any] = []
     for first in range(0, len(entries), ENTRIES_PER_STEP):
--- a/tests/control_plane/test_discovery_source.py
+++ b/tests/control_plane/test_discovery_source.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import asyncio
+
 import pytest
 
 from cloverkeel.control_plane.config import Limits
@@ -108,8 +110,11 @@
         async with running_relay(discovery.address) as server:
             harness = RelayHarness(Registry(Ledger()), server)
             await harness.has(1)
+            server.source.read_slice_s = 0.0  # each step ends its slice, however fast the machine is
             answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
-            await until(lambda: 1 < len(server.cache.table.host_by_name) < 3_000)
+            while not 1 < len(server.cache.table.host_by_name) < 3_000:
+                assert server.source.discovery_index == 5
+                await asyncio.sleep(0)  # a look at each turn of the loop: none between two steps is missed
             assert server.source.discovery_index == 5
             server.source.restart(watches=True)
             asked = len(discovery.seen)
--- a/tests/control_plane/test_reload.py
+++ b/tests/control_plane/test_reload.py
@@ -30,7 +30,7 @@
         digest = harness.server.cache.roster.digest
         file.write_bytes(b"{}")
         reloader.request_reload()
-        await until(lambda: reloader.reload_task is None)
+        await until(lambda: reloader.is_idle)
         assert harness.server.cache.roster.digest == digest and "stays as it is" in capsys.readouterr().err
         file.write_bytes(ROSTER.replace(b'["s"]', b'["s", "t"]'))
         reloader.request_reload()
@@ -75,7 +75,7 @@
         monkeypatch.setattr(cache, "prepare_roster", prepare)
         file.write_bytes(ROSTER.replace(b'["t"]', b'["s"]'))
         reloader.request_reload()
-        await until(lambda: others and reloader.reload_task is None)
+        await until(lambda: others and reloader.is_idle)
         assert others[0] == {f"s-{n}": "g0" for n in range(4)} | {f"t-{n}": "g1" for n in range(1, 4)}
         last = parse_roster(file.read_bytes(), "roster")
         assert cache.roster.digest == last.digest
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -27,7 +27,7 @@
 from cloverkeel.discovery.endpoint_parser import ENTRIES_PER_STEP
 from cloverkeel.discovery.polling_client import PollingClient
 from cloverkeel.discovery.http_client import HttpEndpointSource
-from cloverkeel.discovery.incremental import Incremental, run_to_completion
+from cloverkeel.core.incremental import HintedIncremental, run_to_completion
 from cloverkeel.discovery.relay_client import RelayEndpointSource
 from cloverkeel.discovery.relay_requests import RELAY_HOLD_S, RELAY_GRACE_S
 from cloverkeel.discovery.relay_selection import MAX_FIRST_FAILOVER_DELAY_S
@@ -235,7 +235,7 @@
         self.steps, self.step_s = steps, step_s
         self.turns: list[int] = []  # how many steps each had
 
-    def handle_body(self, body: bytes) -> Incremental[bool]:
+    def handle_body(self, body: bytes) -> HintedIncremental[bool]:
         for _ in range(self.steps):
             until_s = time.monotonic() + self.step_s
             while time.monotonic() < until_s:
