--- a/benchmarks/differential.py
+++ b/benchmarks/differential.py
@@ -1,33 +1,29 @@
 """The same events through the compiled decisions and the plain ones, in separate processes: any difference is told.
 
-    python -m benchmarks.differential [--seeds 0-199] [--events 2000] [--workers 4] [--against REV]
+    python -m benchmarks.differential [--seeds 0-199] [--events 2000] [--workers 4] [--against CHECKOUT]
 
-With --against, through the plain ones of a commit and of this folder: for a change that is to change no decision.
+With --against, through this checkout's and another's (a folder or a commit), each in the build that it has, or the
+plain ones with CLOVERKEEL_PLAIN=1: for a change that is to change no decision.
 Exit code: 0 no stream differs, 1 one does (the first difference is printed), 2 there is nothing to compare with.
 """
 
 from __future__ import annotations
 
 import argparse
-import hashlib
-import io
 import json
 import os
-import shutil
 import subprocess
 import sys
-import tarfile
-import tempfile
 import time
 from collections import Counter
-from collections.abc import Iterator, Sequence
-from contextlib import contextmanager, nullcontext
+from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
 import caperdrift
 from caperdrift.native import PLAIN
 
+from benchmarks.checkout_differential import CheckoutError, compare_checkouts, open_checkout
 from benchmarks.streams import Stream, digest
 
 ROOT = Path(__file__).parent.parent
@@ -41,53 +37,31 @@
 
 @dataclass(frozen=True)
 class Side:
-    """Decisions to play through: their name in messages, where they lie, and which build of them."""
+    """Decisions to play through: their name in messages, and which build of them."""
 
     name: str
     plain: bool
-    root: Path = ROOT
-    told: bool = True  # whether the events may say what an older module has no word for
 
 
 BUILDS = (Side("plain", True), Side("compiled", False))
 
 
-def play(seeds: Sequence[int], events: int, whole: bool, told: bool) -> None:
+def play(seeds: Sequence[int], events: int, whole: bool) -> None:
     """In a process of its own: one line for each stream, or for each event of it."""
     print(json.dumps(caperdrift.BUILD))
     for seed in seeds:
         if whole:
-            for event, came in Stream(seed, events, told).play():
+            for event, came in Stream(seed, events).play():
                 print(json.dumps([repr(event), came]))
-        elif told:
+        else:
             print(json.dumps([seed, digest(Stream(seed, events))]))
-        else:  # an event's own words may differ from an older module's
-            lines = [came for _, came in Stream(seed, events, told).play()]
-            print(json.dumps([seed, hashlib.blake2b("\n".join(lines).encode(), digest_size=16).hexdigest()]))
 
 
 def start(seeds: Sequence[int], events: int, side: Side, whole: bool = False) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "benchmarks.differential", "--events", str(events), "--child"]
-    command += ["--seeds", f"{seeds[0]}-{seeds[-1]}"] + ["--whole"] * whole + ["--untold"] * (not side.told)
+    command += ["--seeds", f"{seeds[0]}-{seeds[-1]}"] + ["--whole"] * whole
     environment = os.environ | {PLAIN: "1" if side.plain else "0"}
-    return subprocess.Popen(command, cwd=side.root, env=environment, stdout=subprocess.PIPE, text=True)
-
-
-@contextmanager
-def decisions_of(revision: str) -> Iterator[tuple[Side, Side]]:
-    """The plain decisions of a commit, and those of this folder; RuntimeError where there is no such commit."""
-    with tempfile.TemporaryDirectory() as folder:
-        archive = ["git", "archive", "--format=tar", revision, "caperdrift"]
-        done = subprocess.run(archive, cwd=ROOT, capture_output=True)
-        if done.returncode:
-            raise RuntimeError(f"--against: expected a commit, found {revision!r}: {done.stderr.decode().strip()}")
-        with tarfile.open(fileobj=io.BytesIO(done.stdout)) as files:
-            files.extractall(folder, filter="data")
-        there = Path(folder) / "benchmarks"
-        there.mkdir()
-        for name in ("__init__", "differential", "streams"):
-            shutil.copy(ROOT / "benchmarks" / f"{name}.py", there)
-        yield Side("there", True, Path(folder), told=False), Side("here", True, told=False)
+    return subprocess.Popen(command, cwd=ROOT, env=environment, stdout=subprocess.PIPE, text=True)
 
 
 def read(process: subprocess.Popen[str]) -> tuple[str, list[list[str]]]:
@@ -100,7 +74,7 @@
 def first_difference(seed: int, events: int, sides: tuple[Side, Side] = BUILDS) -> str:
     pair = [read(start([seed], events, side, whole=True))[1] for side in sides]
     for number, (one, other) in enumerate(zip(*pair, strict=False)):
-        if one[1] != other[1] or (sides[0].told and one != other):
+        if one != other:
             first, second = (f"\n  {side.name + ':':9} " for side in sides)
             return f"seed {seed}, event {number}: {one[0]}{first}{one[1]}{second}{other[1]}"
     return f"seed {seed}: {len(pair[0])} events against {len(pair[1])}"
@@ -121,19 +95,28 @@
     return differ
 
 
+def compare_with_checkout(place: str, seeds: range, events: int, workers: int) -> list[int]:
+    """The seeds whose streams differ from another checkout's; prints both builds and the first difference."""
+    with open_checkout(place) as checkout:
+        comparison = compare_checkouts(seeds, events, workers, checkout)
+    print(f"here {comparison.build_here}, there {comparison.build_there}")
+    for difference in comparison.differences[:1]:
+        print(difference)
+    return [difference.seed for difference in comparison.differences]
+
+
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seeds", type=parse_seeds, default=range(200))
     parser.add_argument("--events", type=int, default=2_000)
     parser.add_argument("--workers", type=int, default=max(1, (os.cpu_count() or 2) // 2))
-    parser.add_argument("--against", metavar="REV", help="compare with the decisions of this commit")
+    parser.add_argument("--against", metavar="CHECKOUT", help="compare with the decisions of this folder or commit")
     parser.add_argument("--child", action="store_true", help=argparse.SUPPRESS)
-    parser.add_argument("--untold", action="store_true", help=argparse.SUPPRESS)
     parser.add_argument("--whole", action="store_true", help=argparse.SUPPRESS)
     parser.add_argument("--kinds", action="store_true", help="count what came of the events of the first stream")
     options = parser.parse_args()
     if options.child:
-        play(options.seeds, options.events, options.whole, not options.untold)
+        play(options.seeds, options.events, options.whole)
         return 0
     if options.kinds:
         stream = Stream(options.seeds[0], options.events)
@@ -141,11 +124,13 @@
         return 0
     began = time.monotonic()
     try:
-        with decisions_of(options.against) if options.against else nullcontext(BUILDS) as sides:
-            differ = compare(options.seeds, options.events, options.workers, sides)
+        if options.against:
+            differ = compare_with_checkout(options.against, options.seeds, options.events, options.workers)
+        else:
+            differ = compare(options.seeds, options.events, options.workers)
             for seed in differ[:1]:
-                print(first_difference(seed, options.events, sides))
-    except RuntimeError as error:
+                print(first_difference(seed, options.events))
+    except (RuntimeError, CheckoutError) as error:
         print(f"differential: {error}", file=sys.stderr)
         return 2
     print(
--- /dev/null
+++ b/benchmarks/replay.py
@@ -0,0 +1,148 @@
+"""Replays recorded events through the decision module of whichever checkout is first on the import path.
+
+Run as a script, so that another checkout's module can be played by it: a line of JSON for each recording on standard
+input, a line with what came of each of its events on standard output. The first line says which build was loaded.
+
+A value is its class's name and the values of its fields in their order, an enumeration's member its place: so neither
+a renamed field nor a class that has moved to another module makes a difference. A class that has been renamed is
+listed in FORMER_NAMES. The text of a log line is no decision and is left out.
+
+Exit code: 0 all was replayed, 2 the checkout has no decision module of a known layout.
+"""
+
+from __future__ import annotations
+
+import importlib
+import json
+import sys
+from collections.abc import Iterator
+from dataclasses import dataclass, fields, is_dataclass
+from enum import Enum
+from types import ModuleType
+from typing import Any
+
+JsonValue = Any
+
+FORMER_NAMES: dict[str, str] = {}  # a class's name here -> its name in checkouts from before its renaming
+
+
+class LayoutError(Exception):
+    """The checkout's decision module is not laid out in any way that is known here."""
+
+
+@dataclass(frozen=True)
+class Layout:
+    """Where a checkout keeps its decision module."""
+
+    balancer_module: str
+    balancer_class: str
+    data_modules: tuple[str, ...]  # settings, events and actions
+
+
+LAYOUTS = (
+    Layout("caperdrift.balance", "Balancer", ("caperdrift.interface",)),
+    Layout(
+        "cloverkeel.balancing.balancer",
+        "Balancer",
+        (
+            "cloverkeel.balancing.settings",
+            "cloverkeel.balancing.events",
+            "cloverkeel.balancing.actions",
+        ),
+    ),
+)
+
+
+def encode(value: object) -> JsonValue:
+    """Make JSON of settings, an event or an action."""
+    if isinstance(value, Enum):
+        return {"enum": canonical_name(type(value)), "index": list(type(value)).index(value)}
+    if is_dataclass(value):
+        name = canonical_name(type(value))
+        compared = [] if name == "Log" else [field.name for field in fields(value)]
+        return {"class": name, "values": [encode(getattr(value, field_name)) for field_name in compared]}
+    if isinstance(value, bytes):
+        return {"bytes": value.hex()}
+    if isinstance(value, list | tuple):
+        return [encode(item) for item in value]
+    return value
+
+
+def encode_result(result: object) -> JsonValue:
+    """Make JSON of what came of an event: the actions, or the type of the exception that was raised."""
+    if isinstance(result, Exception):
+        return {"raised": canonical_name(type(result))}
+    return encode(result)
+
+
+def canonical_name(class_: type) -> str:
+    return FORMER_NAMES.get(class_.__name__, class_.__name__)
+
+
+class DecisionModule:
+    """The decision module of the checkout that is first on the import path."""
+
+    def __init__(self) -> None:
+        self.layout, balancer_module = find_layout()
+        self.build = "plain" if str(balancer_module.__file__).endswith(".py") else "compiled"
+        self.balancer_class = getattr(balancer_module, self.layout.balancer_class)
+        self.class_by_name: dict[str, type] = {}
+        for module_name in self.layout.data_modules:
+            for value in vars(importlib.import_module(module_name)).values():
+                if isinstance(value, type):
+                    self.class_by_name[canonical_name(value)] = value
+
+    def decode(self, value: JsonValue) -> Any:
+        """Make this checkout's own object of what `encode` made."""
+        if isinstance(value, list):
+            return tuple(self.decode(item) for item in value)
+        if not isinstance(value, dict):
+            return value
+        if "bytes" in value:
+            return bytes.fromhex(value["bytes"])
+        if "enum" in value:
+            return list(self.find_class(value["enum"]))[value["index"]]  # type: ignore[call-overload]
+        return self.find_class(value["class"])(*(self.decode(item) for item in value["values"]))
+
+    def find_class(self, name: str) -> type:
+        try:
+            return self.class_by_name[name]
+        except KeyError:
+            raise LayoutError(f"no class {name} in {', '.join(self.layout.data_modules)}") from None
+
+    def replay(self, recording: JsonValue) -> Iterator[JsonValue]:
+        """Play one recording through a balancer of its own; what came of each event, in turn."""
+        balancer = self.balancer_class(self.decode(recording["settings"]), recording["seed"])
+        for at_us, encoded_event in recording["events"]:
+            event = self.decode(encoded_event)
+            try:
+                result: object = balancer.handle(at_us, event)
+            except Exception as error:
+                result = error
+            yield encode_result(result)
+
+
+def find_layout() -> tuple[Layout, ModuleType]:
+    for layout in LAYOUTS:
+        try:
+            return layout, importlib.import_module(layout.balancer_module)
+        except ModuleNotFoundError as error:
+            if not layout.balancer_module.startswith(error.name or "-"):
+                raise
+    raise LayoutError(f"none of {', '.join(layout.balancer_module for layout in LAYOUTS)} is there")
+
+
+def main() -> int:
+    try:
+        module = DecisionModule()
+        print(json.dumps(module.build), flush=True)
+        for line in sys.stdin:
+            print(json.dumps(list(module.replay(json.loads(line)))), flush=True)
+    except LayoutError as error:
+        print(f"replay: {error}", file=sys.stderr)
+        return 2
+    return 0
+
+
+if __name__ == "__main__":
+    raise SystemExit(main())
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -13,9 +13,10 @@
 
 from caperdrift.balance import Balancer
 from caperdrift.interface import (
-    Action, AttemptEnded, Cancel, ColdShare, Effect, Event, Goal, ListedServer, ListKind, LoadReport, Outcome,
-    PeerMessage, Prices, Probed, Refuse, Fail, Reports, RequestArrived, RequestClass, RequestGone, Scope, Send,
-    ServerList, ServerStatus, SetTimer, Settings, StreamStarted, Tenant, TimerFired, TrialsHeld,
+    Action, AnswerAll, AttemptEnded, Cancel, ColdShare, Effect, Event, Fail, Goal, Hearsay, ListedServer, ListKind,
+    LoadReport, Outcome, PeerMessage, Prices, Probed, ProcessesChanged, Refuse, Reports, RequestArrived, RequestClass,
+    RequestGone, RetryRights, Scope, Send, ServerList, ServerStatus, SetTimer, Settings, StreamStarted, Tenant,
+    TimerFired, TrialsHeld,
 )  # fmt: skip
 
 HUGE = 2**70 + 3  # past any machine word
@@ -55,7 +56,6 @@
 
     seed: int
     events: int = 2_000
-    told: bool = True  # lists say how many proxies know a server; False for decisions that know no such word
     now_us: int = 50_000_000
     count: int = 0
     out: list[tuple[str, int, int, int]] = field(default_factory=list)  # request, attempt, server, sent
@@ -67,17 +67,19 @@
         self.dice = random.Random(self.seed)
         self.settings = draw_settings(self.dice)
         self.balancer = Balancer(self.settings, self.seed)
-        self.servers = self.dice.choice((1, 3, 12, 64, 300))
+        # Every third has few faults: what decides among servers that are well shows there, and refusals hide nothing.
+        self.is_calm = self.seed % 3 == 2
+        self.servers = self.dice.choice((3, 12, 24) if self.is_calm else (1, 3, 12, 64, 300))
         self.slow = 1.0
 
     def listed(self, number: int) -> ListedServer:
         dice = self.dice
         started_us = dice.choice((0, 0, self.now_us, self.now_us - dice.randrange(20_000_000)))
         status = dice.choice((ServerStatus.READY,) * 8 + (ServerStatus.DRAINING, ServerStatus.GONE))
-        words = {"users": dice.choice((0, 1, 7, 40))} if self.told and self.seed % 2 else {}
+        users = dice.choice((0, 1, 7, 40)) if self.seed % 2 else 0
         return ListedServer(
             number, status, dice.choice((0.5, 1.0, 1.0, 2.0)), dice.randrange(3), dice.randrange(3), 0, started_us,
-            **words,
+            users,
         )  # fmt: skip
 
     def list_event(self, kind: ListKind) -> ServerList:
@@ -105,7 +107,7 @@
             number, outcome = dice.choice((0, 1, -1, 99)), dice.choice(list(Outcome))
             return AttemptEnded(name, number, 5, outcome, dice.randrange(10**6))
         request, attempt, server, sent_us = self.out.pop(dice.randrange(len(self.out)))
-        outcome = dice.choice((Outcome.OK,) * 12 + tuple(Outcome))
+        outcome = dice.choice((Outcome.OK,) * (200 if self.is_calm else 12) + tuple(Outcome))
         latency_us = max(1, int(self.slow * dice.expovariate(1 / 40_000)))
         if outcome is Outcome.TIMEOUT:
             latency_us = self.now_us - sent_us
@@ -116,33 +118,53 @@
         dice = self.dice
         self.now_us += dice.choice((0, 200, 2_000, 5_000, 40_000)) if dice.random() < 0.98 else 3_000_000
         if dice.random() < 0.01:
-            self.slow = dice.choice((1.0, 1.0, 5.0, 30.0))
+            self.slow = dice.choice((0.2, 0.5, 1.0, 2.0) if self.is_calm else (1.0, 1.0, 5.0, 30.0))
         self.timers.sort()
         if self.timers and self.timers[0][0] <= self.now_us:
             return TimerFired(self.timers.pop(0)[1])
         roll = dice.random()
-        if roll < 0.45:
+        if roll < 0.43:
             return self.arrival()
-        if roll < 0.90:
+        if roll < 0.86:
             return self.ended()
-        if roll < 0.93:
+        if roll < 0.89:
             return self.list_event(dice.choice(list(ListKind)))
-        if roll < 0.95 and self.open:
+        if roll < 0.91 and self.open:
             return RequestGone(dice.choice(sorted(self.open)))
-        if roll < 0.96:
+        if roll < 0.92:
             return StreamStarted(f"r{dice.randint(1, self.count + 1)}", dice.choice((0, 0, 1, -1, HUGE)))
-        if roll < 0.97:
+        if roll < 0.93:
             return TimerFired(dice.choice((0, 1, 2, dice.randrange(10_000), HUGE)))
-        if roll < 0.98:
+        if roll < 0.94:
             return Probed(5, dice.choice(list(Outcome)), dice.randrange(10**6))
-        if roll < 0.985:
-            servers = sorted(self.balancer.servers) or [5]
-            server = dice.choice((*servers, -1, 99))
-            started_us = self.balancer.servers[server].entry.started_us if server in self.balancer.servers else 0
+        if roll < 0.95:
+            server, started_us = self.some_process()
             lent_us, granted_us = (self.now_us + dice.choice((-1, 800_000, 2_000_000)) for _ in range(2))
             return ColdShare(server, started_us, lent_us, dice.choice((0.0, 0.5, 3.0)), granted_us)
-        if roll < 0.99:
+        if roll < 0.96:
             return TrialsHeld(dice.choice((*self.balancer.servers, 99)), dice.choice((0, 1, self.now_us + 1_200_000)))
+        return self.fleet_event()
+
+    def some_process(self) -> tuple[int, int]:
+        """A server, known or not, and when its process started."""
+        known = self.balancer.servers
+        server = self.dice.choice((*(sorted(known) or [5]), -1, 99))
+        return server, known[server].entry.started_us if server in known else 0
+
+    def fleet_event(self) -> Event:
+        """What other gateways, or this one's own processes, make known."""
+        dice = self.dice
+        roll = dice.random()
+        if roll < 0.8:
+            server, started_us = self.some_process()
+            good, bad = dice.choice((0.0, 3.0, 40.0)), dice.choice((0.0, 2.0, 25.0, 200.0))
+            until_us = self.now_us + dice.choice((-1, 500_000, 3_000_000, 10_000_000))
+            return Hearsay(server, started_us, good, bad, dice.randrange(5), dice.randrange(5), until_us)
+        if roll < 0.92:
+            moved = dice.choice((0.0, 1.5, -1.0))
+            return RetryRights(dice.choice((0.0, 3.0, 30.0)), moved, self.now_us + dice.choice((0, 2_000_000)))
+        if roll < 0.95:
+            return ProcessesChanged(dice.choice((1, 1, 2, 4)))
         return PeerMessage(dice.randrange(9), b"word")
 
     def take(self, actions: list[Action]) -> None:
@@ -161,20 +183,28 @@
         if len(self.attempts) > KEPT:
             del self.attempts[next(iter(self.attempts))]
 
-    def play(self) -> Iterator[tuple[Event, str]]:
-        """Each event, and what came of it in words: the actions, or the exception's type."""
+    def steps(self) -> Iterator[tuple[int, Event, list[Action] | Exception]]:
+        """When each event came, the event, and what came of it: the actions, or the exception that was raised."""
         for number in range(self.events):
-            event = self.list_event(ListKind.DISK) if number == 0 else self.draw()
+            if number == 0:
+                event: Event = self.list_event(ListKind.DISK)
+            else:
+                event = self.draw() if number < self.events - 1 else AnswerAll()
             at_us = self.now_us if self.dice.random() < 0.99 else self.now_us - 1_000_000
             try:
                 actions = self.balancer.handle(at_us, event)
             except Exception as error:
-                yield event, f"raised {type(error).__name__}"
+                yield at_us, event, error
                 continue
             self.take(actions)
             if isinstance(event, AttemptEnded) and event.finished:
                 self.open.discard(event.request)
-            yield event, repr(actions)
+            yield at_us, event, actions
+
+    def play(self) -> Iterator[tuple[Event, str]]:
+        """Each event, and what came of it in words: the actions, or the exception's type."""
+        for _, event, came in self.steps():
+            yield event, f"raised {type(came).__name__}" if isinstance(came, Exception) else repr(came)
 
 
 def digest(stream: Stream) -> str:
