--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -24,7 +24,7 @@
 import sys
 import tempfile
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -135,7 +135,10 @@
         await run(None, keeper.call, some)
 
 
-async def schedule(seed: int, folder: Path, store: str) -> Played:
+async def schedule(
+    seed: int, folder: Path, store: str, before_start: Callable[[Ground], None] = lambda fleet: None
+) -> Played:
+    """Play the faults that a seed draws; `before_start` may change the gateways before their processes start."""
     dice = random.Random(f"duties/{seed}")
     count, played = dice.randint(5, 9), Played(seed)
     voters = dice.choice((3, 5))
@@ -148,6 +151,7 @@
             word = dice.choice(("", "", "rate=0.999", "rate=1.001", f"wall={dice.uniform(-3600, 3600):.0f}"))
             if word:
                 gateway.command = (sys.executable, "-m", "tests.fleet.clocks", word, *gateway.command[2:])
+        before_start(fleet)
         fleet.start(*range(count))
         await fleet.ready(*range(count))
         await fleet.holder()
--- a/standins/parties/fleet.py
+++ b/standins/parties/fleet.py
@@ -51,6 +51,7 @@
     on_exit: Callable[[Gateway], None] = lambda gateway: None
     environment: dict[str, str] = field(default_factory=dict)
     command: tuple[str, ...] = PROGRAM
+    checkout: Path = ROOT  # whose program runs
     sockets: int = 0  # descriptors that its process may have; 0: as many as this one
     has_ops: bool = False  # it has a second address, for staff; each process one of its own
     held_ops: socket.socket | None = None
@@ -105,7 +106,7 @@
             folder.mkdir(exist_ok=True)
             environment |= {"LB_OPS": f"127.0.0.1:{self.held_ops.getsockname()[1]}", "TMPDIR": str(folder)}
         return subprocess.Popen(
-            self.command, cwd=ROOT, env=environment,
+            self.command, cwd=self.checkout, env=environment,
             stdin=subprocess.DEVNULL, stdout=self.log, stderr=self.log, preexec_fn=self.confine,
         )  # fmt: skip
 
--- a/tests/fleet/shared.py
+++ b/tests/fleet/shared.py
@@ -34,7 +34,8 @@
     statuses: Counter[int] = field(default_factory=Counter)
 
     def options(self) -> str:
-        return "[sharing]\n" if self.on else ""
+        duties = super().options() if self.voters else ""
+        return duties + ("[sharing]\n" if self.on else "")
 
     def configure(self, number: int) -> Callable[[], dict[str, Any]]:
         def made() -> dict[str, Any]:
@@ -139,9 +140,10 @@
 @asynccontextmanager
 async def shared(
     folder: Path, count: int = 6, hosts: int = 3, zones: tuple[int, ...] = (), on: bool = True,
-    commands: dict[int, tuple[str, ...]] | None = None,
+    commands: dict[int, tuple[str, ...]] | None = None, checkouts: dict[int, Path] | None = None, voters: int = 0,
+    lease_ms: int = 0,
 ) -> AsyncIterator[Shared]:  # fmt: skip
-    """Gateways that run and are ready, before hosts that answer; all ended after."""
+    """Gateways that run and are ready, before hosts that answer; all ended after. With voters: duties are on too."""
     made: Shared | None = None
 
     def script(n: int) -> Callable[[Exchange], Any]:
@@ -161,7 +163,9 @@
     opened = [await one.__aenter__() for one in peers]
     try:
         await mesh.open()
-        made = Shared(folder, count, 0, 0, opened[0], network, mesh, 0, now_us(), hosts=opened, zones=zones, on=on)
+        made = Shared(
+            folder, count, voters, lease_ms, opened[0], network, mesh, 0, now_us(), hosts=opened, zones=zones, on=on
+        )
         for number in range(count):
             for n, host in enumerate(opened):
                 at, _, port = host.address.rpartition(":")
@@ -170,6 +174,7 @@
                 made.links[number, n] = link
             gateway = made.add(number)
             gateway.command = (commands or {}).get(number, gateway.command)
+            gateway.checkout = (checkouts or {}).get(number, gateway.checkout)
         with processes.Fleet(made.gateways):
             made.start(*range(count))
             await made.ready(*range(count))
