--- a/benchmarks/clean_plays.py
+++ b/benchmarks/clean_plays.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from standins.judging.auditor import audit
+from standins.checker.auditor import audit
 from standins.ledger import Asked, Lag
 from standins.playing.stage import play
 from standins.playing.scenario import load
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from standins.judging.auditor import audit
+from standins.checker.auditor import audit
 from standins.parties.box import Box
 from standins.playing.keeper_play import FOLDER, EphemeralWorld
 from standins.ledger import Asked, Run, Usage, now_us
--- a/benchmarks/keeper_waves.py
+++ b/benchmarks/keeper_waves.py
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from standins.judging.auditor import audit
+from standins.checker.auditor import audit
 from standins.playing.keeper_play import EphemeralWorld
 from standins.ledger import Answered, Asked, Process, now_us
 from standins.parties.network import TcpLink
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -26,7 +26,7 @@
 from rich.table import Table
 
 from benchmarks.guards.__main__ import parse_seeds
-from standins.judging.auditor import Auditor
+from standins.checker.auditor import Auditor
 from standins.ledger import Ledger, Run
 from standins.playing.scenario import load
 from standins.playing.stage import play
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from standins.judging.auditor import Auditor
+from standins.checker.auditor import Auditor
 from standins.playing.keeper_play import EphemeralWorld
 from standins.ledger import Answered, Asked, Process, Run, Told
 from standins.playing.play import World
--- a/standins/parties/mesh.py
+++ b/standins/parties/mesh.py
@@ -18,7 +18,7 @@
 from itertools import combinations
 from typing import cast
 
-from standins.judging.duties import Seen
+from standins.checker.duties import Seen
 from standins.ledger import now_us
 from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
 
--- a/standins/playing/command.py
+++ b/standins/playing/command.py
@@ -14,7 +14,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from standins.judging.auditor import Auditor, Breach, audit
+from standins.checker.auditor import Auditor, Breach, audit
 from standins.ledger import Ledger
 from standins.playing.play import World
 from standins.playing.stage import play
--- a/standins/showing/report.py
+++ b/standins/showing/report.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from standins.judging.auditor import Breach
+from standins.checker.auditor import Breach
 from standins.ledger import BoxLoad, Ledger, Trouble, Wanted
 from standins.site import CLASSES
 from standins.showing.summary import Summary, latencies, quantile, served_in_time
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from standins.judging.auditor import RULES, Auditor
+from standins.checker.auditor import RULES, Auditor
 from standins.ledger import Answered, Asked, BoxLoad, Ledger, Process, Rude, Run, Unanswered, Usage, Wanted
 from standins.site import CLASSES, Klass
 
--- a/tests/fleet/relayed.py
+++ b/tests/fleet/relayed.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from cloverkeel.core.config import stable_id
-from standins.judging.relays import Arrival, Asked, Change, Down, Part, Record
+from standins.checker.relays import Arrival, Asked, Change, Down, Part, Record
 from standins.ledger import Ledger, Listening, Process, now_us
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
--- a/tests/fleet/test_duties_service.py
+++ b/tests/fleet/test_duties_service.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from standins.judging.duties import Seen
+from standins.checker.duties import Seen
 from standins.ledger import now_us
 from standins.parties.zookeeper.ensemble import Session
 from standins.parties.zookeeper.threaded import Threaded
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standins.judging.auditor import Auditor, Breach, audit
+from standins.checker.auditor import Auditor, Breach, audit
 from standins.ledger import (
     Answered,
     Asked,
--- a/tests/test_membership_pause.py
+++ b/tests/test_membership_pause.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 
-from standins.judging.auditor import audit
+from standins.checker.auditor import audit
 from standins.ledger import Process, Told
 from standins.playing.play import World
 from standins.playing.stage import play
--- a/tests/test_relay_judge.py
+++ b/tests/test_relay_judge.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks.relay_schedules import draw, parse
-from standins.judging.relays import Arrival, Asked, Change, Down, Part, Record, judge
+from standins.checker.relays import Arrival, Asked, Change, Down, Part, Record, judge
 
 S = 1_000_000
 
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from standins.judging.duties import Seen, gaps, judge
+from standins.checker.duties import Seen, gaps, judge
 from standins.parties.mesh import Mesh, duty_number, free_udp, own_host
 from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
 from tests.sockets import on_loop, until
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from standins.judging.auditor import RULES, Auditor, audit
+from standins.checker.auditor import RULES, Auditor, audit
 from standins.parties.fleet import ROOT
 from standins.playing.keeper_play import EphemeralWorld
 from standins.ledger import Answered, Asked, Banned, BoxDown, Lag, Ledger, Process, Run, Told, Wanted
