--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.plan import fleet
 from benchmarks.capacity.run_parts import Order, Stops, clock_us, cpu_us, raise_descriptors, serve
 from benchmarks.capacity.run_sizes import host_ports
-from standins.ledger import Ledger
+from standins.event_log import Ledger
 from standins.parties.halves import Change, Halves
 from standins.parties.network import Address
 from standins.parties.registry import Bodies, Entry, Registry, View
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -21,7 +21,7 @@
 
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.run_parts import Stops, clock_us
-from standins.ledger import Answered, Asked, Entry, Ledger, Process, Run, Unanswered, now_us
+from standins.event_log import Answered, Asked, Entry, Ledger, Process, Run, Unanswered, now_us
 from standins.parties.box import Box, Shelf
 from standins.parties.clients import Clients, Door, Front, Habits
 from standins.parties.fleet import Fleet, Gateway
--- a/benchmarks/clean_plays.py
+++ b/benchmarks/clean_plays.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from standins.checker.auditor import audit
-from standins.ledger import Asked, Lag
+from standins.event_log import Asked, Lag
 from standins.playing.stage import play
 from standins.playing.scenario import load
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -37,7 +37,7 @@
 from cloverkeel.leases.lease import Terms
 from cloverkeel.leases.messages import encode
 from cloverkeel.leases.manager import Office
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties.network import Conditions
 from standins.parties.zookeeper.threaded import Threaded
 from tests.fleet.ground import Ground, ground
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -22,7 +22,7 @@
 from standins.checker.auditor import audit
 from standins.parties.box import Box
 from standins.playing.keeper_play import FOLDER, EphemeralWorld
-from standins.ledger import Asked, Run, Usage, now_us
+from standins.event_log import Asked, Run, Usage, now_us
 from standins.playing.scenario import Scenario
 from standins.site import ROOMS
 from standins.showing.summary import quantile
--- a/benchmarks/keeper_waves.py
+++ b/benchmarks/keeper_waves.py
@@ -18,7 +18,7 @@
 
 from standins.checker.auditor import audit
 from standins.playing.keeper_play import EphemeralWorld
-from standins.ledger import Answered, Asked, Process, now_us
+from standins.event_log import Answered, Asked, Process, now_us
 from standins.parties.network import TcpLink
 from standins.playing.scenario import Scenario, Trouble
 
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -27,7 +27,7 @@
 
 from benchmarks.guards.__main__ import parse_seeds
 from standins.checker.auditor import Auditor
-from standins.ledger import Ledger, Run
+from standins.event_log import Ledger, Run
 from standins.playing.scenario import load
 from standins.playing.stage import play
 from standins.showing.summary import summarise
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -29,7 +29,7 @@
     judge,
 )
 from benchmarks.overload.plan import Terms
-from standins.ledger import Answered, Asked, Ledger, Unanswered, Wanted, now_us
+from standins.event_log import Answered, Asked, Ledger, Unanswered, Wanted, now_us
 from standins.parties.box import Job
 from standins.parties.clients import Habits
 from standins.parties.fleet import Gateway
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -21,7 +21,7 @@
 
 from standins.checker.auditor import Auditor
 from standins.playing.keeper_play import EphemeralWorld
-from standins.ledger import Answered, Asked, Process, Run, Told
+from standins.event_log import Answered, Asked, Process, Run, Told
 from standins.playing.play import World
 from standins.playing.scenario import Scenario, Trouble
 from standins.showing.summary import summarise
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -24,7 +24,7 @@
 
 from cloverkeel.compiled.loader import PLAIN
 from standins.parties.fleet import Fleet, Gateway
-from standins.ledger import Ledger, Usage
+from standins.event_log import Ledger, Usage
 from standins.parties.mesh import free_udp, own_host
 from standins.site import BoxKind, Rules, configuration, settings
 from standins.parties.zookeeper.ensemble import Ensemble
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -36,7 +36,7 @@
 import uvloop
 
 from standins.checker.relays import Part, judge
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties.network import BACK, FORWARD
 from tests import sockets
 from tests.fleet.relayed import GATEWAYS, Relayed, started
--- a/standins/checker/auditor.py
+++ b/standins/checker/auditor.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field, replace
 from itertools import pairwise
 
-from standins.ledger import (
+from standins.event_log import (
     Answered, Asked, Banned, BoxDown, BoxUp, Changed, Extra, Lag, Left, Ledger, Listening, Process, Rude, Run, Terms,
     Told, Unanswered, Usage,
 )  # fmt: skip
--- a/standins/parties/box.py
+++ b/standins/parties/box.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from standins.ledger import BoxDown, BoxLoad, BoxUp, Ledger, Run, now_us
+from standins.event_log import BoxDown, BoxLoad, BoxUp, Ledger, Run, now_us
 from standins.parties.network import Address, Flow, Network
 from standins.parties.strain import Choke, Strain
 from standins.site import CLASSES, BoxKind, Klass, Rules, draw
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from standins.ledger import Answered, Asked, Extra, Left, Ledger, Rude, Unanswered, Wanted, now_us
+from standins.event_log import Answered, Asked, Extra, Left, Ledger, Rude, Unanswered, Wanted, now_us
 from standins.parties.network import Address
 from standins.site import CLASSES, ROOMS, TENANTS, Klass, draw
 
--- a/standins/parties/fleet.py
+++ b/standins/parties/fleet.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from standins.ledger import Ledger, Process, Usage, now_us
+from standins.event_log import Ledger, Process, Usage, now_us
 from standins.parties.network import Address, reserve
 
 ROOT = Path(__file__).parent.parent.parent
--- a/standins/parties/halves.py
+++ b/standins/parties/halves.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties.registry import Entry, Registry
 
 
--- a/standins/parties/mesh.py
+++ b/standins/parties/mesh.py
@@ -19,7 +19,7 @@
 from typing import cast
 
 from standins.checker.duties import Seen
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
 
 HEAD = struct.Struct(">BBBBHIQ")
--- a/standins/parties/network.py
+++ b/standins/parties/network.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from standins.ledger import now_us
+from standins.event_log import now_us
 
 HELD = 256 * 1024  # bytes kept for one direction of a connection; past that its sender is not read
 BACKLOG = 512
--- a/standins/parties/registry.py
+++ b/standins/parties/registry.py
@@ -16,7 +16,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from standins.ledger import Changed, Ledger, Listening, Told, now_us
+from standins.event_log import Changed, Ledger, Listening, Told, now_us
 from standins.parties.network import Address
 
 HISTORY = 512  # changes kept for watches; who asks from before them gets the whole list
--- a/standins/playing/command.py
+++ b/standins/playing/command.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from standins.checker.auditor import Auditor, Breach, audit
-from standins.ledger import Ledger
+from standins.event_log import Ledger
 from standins.playing.play import World
 from standins.playing.stage import play
 from standins.showing.report import render
--- a/standins/playing/keeper_play.py
+++ b/standins/playing/keeper_play.py
@@ -13,7 +13,7 @@
 
 from standins.parties.box import Box
 from standins.parties.fleet import ROOT, _die_with_parent
-from standins.ledger import BoxDown, Told, Trouble, now_us
+from standins.event_log import BoxDown, Told, Trouble, now_us
 from standins.parties.network import Address, TcpLink
 from standins.playing.play import DRAINS_S, World
 from standins.playing.scenario import Scenario
--- a/standins/playing/play.py
+++ b/standins/playing/play.py
@@ -13,7 +13,7 @@
 from standins.parties.box import Box, Shelf
 from standins.parties.clients import Clients, Door, Front, Habits, be_rude
 from standins.parties.fleet import PROGRAM, Fleet, Gateway
-from standins.ledger import Banned, BoxDown, Lag, Ledger, Trouble, now_us
+from standins.event_log import Banned, BoxDown, Lag, Ledger, Trouble, now_us
 from standins.parties.mesh import Mesh
 from standins.parties.network import Address, Conditions, Network, TcpLink
 from standins.parties.registry import Entry, Registry, View
--- a/standins/showing/report.py
+++ b/standins/showing/report.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from standins.checker.auditor import Breach
-from standins.ledger import BoxLoad, Ledger, Trouble, Wanted
+from standins.event_log import BoxLoad, Ledger, Trouble, Wanted
 from standins.site import CLASSES
 from standins.showing.summary import Summary, latencies, quantile, served_in_time
 
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from standins.checker.auditor import RULES, Auditor
-from standins.ledger import Answered, Asked, BoxLoad, Ledger, Process, Rude, Run, Unanswered, Usage, Wanted
+from standins.event_log import Answered, Asked, BoxLoad, Ledger, Process, Rude, Run, Unanswered, Usage, Wanted
 from standins.site import CLASSES, Klass
 
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from standins.ledger import Terms, now_us
+from standins.event_log import Terms, now_us
 
 ROOMS = ("kita-room", "higashi-room")
 TENANTS = ("central", "university", "schools", "coast")
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -19,7 +19,7 @@
 
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
-from standins.ledger import Ledger, Process, now_us
+from standins.event_log import Ledger, Process, now_us
 from standins.checker.duties import Seen, Wrong, gaps, judge
 from standins.parties.mesh import Mesh, duty_number, host_number
 from standins.parties.network import Network
--- a/tests/fleet/relayed.py
+++ b/tests/fleet/relayed.py
@@ -15,7 +15,7 @@
 
 from cloverkeel.core.config import stable_id
 from standins.checker.relays import Arrival, Asked, Change, Down, Part, Record
-from standins.ledger import Ledger, Listening, Process, now_us
+from standins.event_log import Ledger, Listening, Process, now_us
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
 from standins.parties.network import Address, Network, TcpLink
--- a/tests/fleet/shared.py
+++ b/tests/fleet/shared.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties import fleet as processes
 from standins.parties.mesh import Mesh
 from standins.parties.network import Network, TcpLink
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties.network import Conditions
 from tests.fleet.ground import Ground, ground
 from tests.sockets import on_loop
--- a/tests/fleet/test_duties_service.py
+++ b/tests/fleet/test_duties_service.py
@@ -11,7 +11,7 @@
 import pytest
 
 from standins.checker.duties import Seen
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties.zookeeper.ensemble import Session
 from standins.parties.zookeeper.threaded import Threaded
 from tests.fleet.ground import Ground, ground
--- a/tests/fleet/test_relays.py
+++ b/tests/fleet/test_relays.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks.relay_schedules import draw, play
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties import fleet as processes
 from tests.fleet.relayed import GATEWAYS, relayed
 from tests.sockets import on_loop
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from standins.checker.auditor import Auditor, Breach, audit
-from standins.ledger import (
+from standins.event_log import (
     Answered,
     Asked,
     Banned,
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -25,7 +25,7 @@
 from benchmarks.capacity.run_world import HOLLOW, TWINS, World, twinned
 from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
 from cloverkeel.core.ports import Endpoint as HostEntry
-from standins.ledger import Ledger, Told
+from standins.event_log import Ledger, Told
 from standins.parties.halves import Change, Halves
 from standins.parties.registry import Bodies, Entry, Registry, View
 
--- a/tests/test_membership_pause.py
+++ b/tests/test_membership_pause.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from standins.checker.auditor import audit
-from standins.ledger import Process, Told
+from standins.event_log import Process, Told
 from standins.playing.play import World
 from standins.playing.stage import play
 from standins.playing.scenario import parse
--- a/tests/test_overload_picture.py
+++ b/tests/test_overload_picture.py
@@ -14,7 +14,7 @@
 from benchmarks.overload.account import Account, Machine, Row, Sample, Told, Try, Want, Window, Work, judge, voids
 from benchmarks.overload.plan import LOADS, Step, Terms, steps
 from benchmarks.overload.play import OWN, Mark, Play, between, rounded, told_of, wants_of
-from standins.ledger import Answered, Asked, Ledger, Unanswered, Wanted
+from standins.event_log import Answered, Asked, Ledger, Unanswered, Wanted
 from standins.parties.strain import Choke
 
 S = 1_000_000
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -31,7 +31,7 @@
 from cloverkeel.control_plane.fleet_roster import Roster, parse_roster
 from cloverkeel.control_plane.http_server import HEAD_MOST, Server
 from cloverkeel.control_plane.incremental_update import take_in
-from standins.ledger import Ledger
+from standins.event_log import Ledger
 from standins.parties.network import reserve
 from standins.parties.registry import Entry, Registry
 from tests import sockets
--- a/tests/test_standin_box.py
+++ b/tests/test_standin_box.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from standins.parties.box import MORE, SPOILT, Box, Shelf
-from standins.ledger import BoxDown, BoxUp, Ledger, Run, now_us
+from standins.event_log import BoxDown, BoxUp, Ledger, Run, now_us
 from standins.parties.network import Network
 from standins.parties.strain import Choke, Strain
 from standins.site import BoxKind
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -19,7 +19,7 @@
 
 from standins.parties.clients import MAY_BE_SERVED, Clients, Door, Front, Habits, be_rude, rude_requests
 from standins.parties.fleet import ROOT, Fleet, Gateway, usage_of
-from standins.ledger import Answered, Asked, Extra, Ledger, Process, Rude, Unanswered, Wanted
+from standins.event_log import Answered, Asked, Extra, Ledger, Process, Rude, Unanswered, Wanted
 from standins.parties.network import Address
 from standins.site import CLASSES
 
@@ -240,7 +240,7 @@
     code = textwrap.dedent(f"""
         import asyncio, json, pathlib, sys
         from standins.parties.fleet import Fleet, Gateway
-        from standins.ledger import Ledger
+        from standins.event_log import Ledger
         async def main():
             folder = pathlib.Path({str(tmp_path)!r})
             config = json.loads((folder / "config").read_text())
--- a/tests/test_standin_network.py
+++ b/tests/test_standin_network.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties.network import BACK, FORWARD, Flow, Network, TcpLink, UdpLink, reserve
 
 from tests.sockets import on_loop, until
--- a/tests/test_standin_registry.py
+++ b/tests/test_standin_registry.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from standins.ledger import Ledger, Listening, Told
+from standins.event_log import Ledger, Listening, Told
 from standins.parties.network import Address
 from standins.parties.registry import Entry, Registry, View
 
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -18,7 +18,7 @@
 from standins.checker.auditor import RULES, Auditor, audit
 from standins.parties.fleet import ROOT
 from standins.playing.keeper_play import EphemeralWorld
-from standins.ledger import Answered, Asked, Banned, BoxDown, Lag, Ledger, Process, Run, Told, Wanted
+from standins.event_log import Answered, Asked, Banned, BoxDown, Lag, Ledger, Process, Run, Told, Wanted
 from standins.playing.play import World
 from standins.playing.stage import play
 from standins.playing.scenario import ACTIONS, ScenarioError, load, names, parse
