--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -14,7 +14,7 @@
 from benchmarks.capacity.plan import fleet
 from benchmarks.capacity.run_parts import Order, Stops, clock_us, cpu_us, raise_descriptors, serve
 from benchmarks.capacity.run_sizes import host_ports
-from standins.event_log import Ledger
+from standins.event_log import EventLog
 from standins.parties.halves import Change, Halves
 from standins.parties.network import Address
 from standins.parties.registry import Bodies, Entry, Registry, View
@@ -22,7 +22,7 @@
 HISTORY: Final = 32_768  # changes kept for watches: two zones' worth at the plan's size
 
 
-class Nothing(Ledger):
+class Nothing(EventLog):
     """No account is kept: the run judges by what gateways got."""
 
     def add(self, entry: object) -> None:
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -21,7 +21,16 @@
 
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.run_parts import Stops, clock_us
-from standins.event_log import Answered, Asked, Entry, Ledger, Process, Run, Unanswered, now_us
+from standins.event_log import (
+    BackendAttempt,
+    Event,
+    EventLog,
+    ProcessEvent,
+    RequestSent,
+    ResponseMissing,
+    ResponseReceived,
+    now_us,
+)
 from standins.parties.box import Box, Shelf
 from standins.parties.clients import Clients, Door, Front, Habits
 from standins.parties.fleet import Fleet, Gateway
@@ -35,7 +44,7 @@
 LEAST_CALLS: Final = 3  # for a median
 DIRECT_PER_S: Final = 40.0  # requests without a gateway
 READ: Final = 64 * 1024
-KEPT: Final = (Asked, Answered, Unanswered, Run, Process)
+KEPT: Final = (RequestSent, ResponseReceived, ResponseMissing, BackendAttempt, ProcessEvent)
 TOLD_US: Final = 6_000_000  # a change counts as told by then, whatever fails (the terms in force)
 GRACE_US: Final = 1_000_000  # after that, nothing new to a host that leaves
 _LEDGER_AHEAD_US: Final = now_us() - clock_us()  # of the run's clock
@@ -44,10 +53,10 @@
 _numbers = itertools.count()  # of connections through taps
 
 
-class Account(Ledger):
+class Account(EventLog):
     """Only what is judged here."""
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: Event) -> None:
         if isinstance(entry, KEPT):
             super().add(entry)
 
@@ -187,8 +196,8 @@
         self.direct = Clients(self.ledger, self.straight, seed + 1, DIRECT_PER_S, habits)
         self.fleet = Fleet([])
         self.work: list[asyncio.Task[None]] = []
-        self.open: dict[str, Asked] = {}  # asked, not answered yet
-        self.runs: dict[str, Run] = {}  # at hosts, of those
+        self.open: dict[str, RequestSent] = {}  # asked, not answered yet
+        self.runs: dict[str, BackendAttempt] = {}  # at hosts, of those
         self.leaving: dict[str, int] = {}  # racks that have left or are about to: since when
         self.used: Counter[str] = Counter()  # racks that were sent to between the last two looks
         self.served = Served()
@@ -238,18 +247,18 @@
         made = self.served
         used: Counter[str] = Counter()
         for entry in entries:
-            if isinstance(entry, Asked):
+            if isinstance(entry, RequestSent):
                 self.open[entry.id] = entry
-            elif isinstance(entry, Run):
+            elif isinstance(entry, BackendAttempt):
                 self.runs[entry.id] = entry
                 if self.open.get(entry.id) is None or self.open[entry.id].gateway != "direct":
                     used[entry.box] += 1
                     self.judge_send(entry, made)
-            elif isinstance(entry, Answered | Unanswered):
+            elif isinstance(entry, ResponseReceived | ResponseMissing):
                 self.judge_end(entry, made)
         self.used = used
 
-    def judge_send(self, run: Run, made: Served) -> None:
+    def judge_send(self, run: BackendAttempt, made: Served) -> None:
         since_us = self.leaving.get(run.box)
         if since_us is None:
             return
@@ -257,17 +266,17 @@
         made.last_send_s = max(made.last_send_s, after_us / 1e6)
         made.late += after_us > TOLD_US + GRACE_US
 
-    def judge_end(self, end: Answered | Unanswered, made: Served) -> None:
+    def judge_end(self, end: ResponseReceived | ResponseMissing, made: Served) -> None:
         asked, run = self.open.pop(end.id, None), self.runs.pop(end.id, None)
         if asked is None:
             return
         is_direct = asked.gateway == "direct"
         made.asked += not is_direct
-        if isinstance(end, Answered) and end.status in (429, 503):
+        if isinstance(end, ResponseReceived) and end.status in (429, 503):
             made.refused += 1
-        elif (isinstance(end, Unanswered) or end.status != 200) and self.is_starved(asked, end, run):
+        elif (isinstance(end, ResponseMissing) or end.status != 200) and self.is_starved(asked, end, run):
             made.starved += 1
-        elif isinstance(end, Unanswered):
+        elif isinstance(end, ResponseMissing):
             made.lost += 1
         elif end.status != 200:
             made.failed += 1
@@ -276,7 +285,9 @@
             added_ms = (end.at_us - asked.at_us - (run.over_us - run.at_us)) / 1e3
             (made.direct_ms if is_direct else made.added_ms).append(added_ms)
 
-    def is_starved(self, asked: Asked, end: Answered | Unanswered, run: Run | None) -> bool:
+    def is_starved(
+        self, asked: RequestSent, end: ResponseReceived | ResponseMissing, run: BackendAttempt | None
+    ) -> bool:
         """Guards against laying the machine's at the gateway's door: who judges stood still, or the host did."""
         if run is not None and (run.over_us or end.at_us) - run.at_us > asked.budget_us * SLOW_HOST:
             return True
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -27,7 +27,7 @@
 
 from benchmarks.guards.__main__ import parse_seeds
 from standins.checker.auditor import Auditor
-from standins.event_log import Ledger, Run
+from standins.event_log import BackendAttempt, EventLog
 from standins.playing.scenario import load
 from standins.playing.stage import play
 from standins.showing.summary import summarise
@@ -51,9 +51,9 @@
     breaches: int
 
 
-def lost(ledger: Ledger) -> tuple[int, int]:
+def lost(ledger: EventLog) -> tuple[int, int]:
     """Runs at boxes that ended with an error, and that were given up or never ended."""
-    hows = [run.how for run in ledger.of(Run) if run.whole_us]
+    hows = [run.how for run in ledger.of(BackendAttempt) if run.whole_us]
     return hows.count("error"), sum(how in ("cancelled", "crashed", "waiting", "running") for how in hows)
 
 
@@ -65,8 +65,8 @@
     breaches = auditor.breaches()
     found = summarise(auditor, scenario, seed, world.seconds)
     errors, given_up = lost(world.ledger)
-    sent = sum(1 for run in world.ledger.of(Run) if run.whole_us)
-    requests = len({run.id for run in world.ledger.of(Run) if run.whole_us})
+    sent = sum(1 for run in world.ledger.of(BackendAttempt) if run.whole_us)
+    requests = len({run.id for run in world.ledger.of(BackendAttempt) if run.whole_us})
     return Row(
         gateways, sharing, seed, found.service, found.classes["search"].service, found.classes["transfer"].p99,
         found.connections, errors, given_up, sent / max(1, requests), found.cpu_us, len(breaches) + len(world.faults),
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -29,7 +29,7 @@
     judge,
 )
 from benchmarks.overload.plan import Terms
-from standins.event_log import Answered, Asked, Ledger, Unanswered, Wanted, now_us
+from standins.event_log import EventLog, OperationStarted, RequestSent, ResponseMissing, ResponseReceived, now_us
 from standins.parties.box import Job
 from standins.parties.clients import Habits
 from standins.parties.fleet import Gateway
@@ -192,18 +192,22 @@
         return made
 
 
-def wants_of(ledger: Ledger) -> list[Want]:
+def wants_of(ledger: EventLog) -> list[Want]:
     """What clients wanted, with each try and what became of it."""
     wants: dict[str, Want] = {}
     tries: dict[str, Try] = {}
     for entry in ledger.entries:
-        if isinstance(entry, Wanted):
+        if isinstance(entry, OperationStarted):
             wants[entry.id] = Want(entry.at_us, entry.klass)
-        elif isinstance(entry, Asked) and entry.id not in tries:
+        elif isinstance(entry, RequestSent) and entry.id not in tries:
             tries[entry.id] = wants[entry.first].tries[entry.id] = Try(entry.at_us, entry.at_us + entry.budget_us)
-        elif isinstance(entry, Answered | Unanswered) and entry.id in tries and not tries[entry.id].ended_us:
+        elif (
+            isinstance(entry, ResponseReceived | ResponseMissing)
+            and entry.id in tries
+            and not tries[entry.id].ended_us
+        ):
             tries[entry.id].ended_us = entry.at_us
-            tries[entry.id].status = entry.status if isinstance(entry, Answered) else 0
+            tries[entry.id].status = entry.status if isinstance(entry, ResponseReceived) else 0
     return list(wants.values())
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -24,7 +24,7 @@
 
 from cloverkeel.compiled.loader import PLAIN
 from standins.parties.fleet import Fleet, Gateway
-from standins.event_log import Ledger, Usage
+from standins.event_log import EventLog, ResourceUsage
 from standins.parties.mesh import free_udp, own_host
 from standins.site import BoxKind, Rules, configuration, settings
 from standins.parties.zookeeper.ensemble import Ensemble
@@ -135,7 +135,7 @@
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 5:
         print("fewer than five cores: the processes share them, and figures scatter", file=sys.stderr)
-    loop, ledger = asyncio.get_running_loop(), Ledger()
+    loop, ledger = asyncio.get_running_loop(), EventLog()
     servers = [await loop.create_server(Host, "127.0.0.1", 0) for _ in range(3)]
     known = [
         {"name": f"s-{n}", "address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}",
@@ -212,18 +212,18 @@
         await fleet.stop()
     if keeper is not None:
         keeper.close()
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(Usage)}
+        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(ResourceUsage)}
         print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
         against = [found["ephemeral"] / found["gateway"] for found in rounds]
         print(f"with ephemeral membership: {statistics.median(against):.3f} of the CPU without it")
     if parts:
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(Usage)}
+        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(ResourceUsage)}
         print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
     for part in parts:
         on = [found[part] / found["gateway"] for found in rounds]
         print(f"with {part} on: {statistics.median(on):.3f} of the CPU without ({min(on):.3f} to {max(on):.3f})")
     if options.plain:
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(Usage)}
+        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(ResourceUsage)}
         print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
         plain = [found["plain"] / found["bare"] for found in rounds]
         print(f"plain sources: ratio {statistics.median(plain):.2f} ({min(plain):.2f} to {max(plain):.2f})")
--- a/standins/checker/auditor.py
+++ b/standins/checker/auditor.py
@@ -24,9 +24,25 @@
 from itertools import pairwise
 
 from standins.event_log import (
-    Answered, Asked, Banned, BoxDown, BoxUp, Changed, Extra, Lag, Left, Ledger, Listening, Process, Rude, Run, Terms,
-    Told, Unanswered, Usage,
-)  # fmt: skip
+    BackendAttempt,
+    BackendStarted,
+    BackendStopped,
+    ClientDisconnected,
+    DiscoveryPoll,
+    EndpointChanged,
+    EventLog,
+    ManualEjection,
+    MisbehavingClient,
+    NotificationDelivered,
+    ProcessEvent,
+    RequestSent,
+    ResourceUsage,
+    ResponseMissing,
+    ResponseReceived,
+    RuleOverrides,
+    SchedulingDelay,
+    UnexpectedBytes,
+)
 from standins.site import CLASSES, Rules
 
 RULES = ("missing", "twice", "drain", "cold", "crash", "bounds", "owed")
@@ -62,61 +78,61 @@
 class Auditor:
     """One reading of a ledger. `breaches()` gives all of them, by time."""
 
-    def __init__(self, ledger: Ledger, rules: Rules | None = None) -> None:
+    def __init__(self, ledger: EventLog, rules: Rules | None = None) -> None:
         self.rules, self.classes = rules or Rules(), dict(CLASSES)
         self.ledger = ledger
-        self.asked: dict[str, list[Asked]] = defaultdict(list)
-        self.finals: dict[str, list[Answered | Unanswered]] = defaultdict(list)
-        self.runs: dict[str, list[Run]] = defaultdict(list)
-        self.told: dict[tuple[str, str], list[Told]] = defaultdict(list)
-        self.banned: dict[tuple[str, str], list[Banned]] = defaultdict(list)
+        self.asked: dict[str, list[RequestSent]] = defaultdict(list)
+        self.finals: dict[str, list[ResponseReceived | ResponseMissing]] = defaultdict(list)
+        self.runs: dict[str, list[BackendAttempt]] = defaultdict(list)
+        self.told: dict[tuple[str, str], list[NotificationDelivered]] = defaultdict(list)
+        self.banned: dict[tuple[str, str], list[ManualEjection]] = defaultdict(list)
         self.lives: dict[str, list[Life]] = defaultdict(list)
         self.left: dict[str, int] = {}
-        self.extras: list[Extra] = []
-        self.rude: list[Rude] = []
-        self.ups: list[BoxUp] = []
-        self.fallen: list[BoxDown] = []
-        self.lags: list[Lag] = []
-        self.usage: dict[str, list[Usage]] = defaultdict(list)
+        self.extras: list[UnexpectedBytes] = []
+        self.rude: list[MisbehavingClient] = []
+        self.ups: list[BackendStarted] = []
+        self.fallen: list[BackendStopped] = []
+        self.lags: list[SchedulingDelay] = []
+        self.usage: dict[str, list[ResourceUsage]] = defaultdict(list)
         self.found: list[Breach] = []
         self.cold_peaks: dict[tuple[str, int], float] = {}  # most that a cold box was sent, as a share of its limit
         self.end_us = 0
-        changed, calls = list[Changed](), list[Listening]()
+        changed, calls = list[EndpointChanged](), list[DiscoveryPoll]()
         for entry in ledger.entries:
             self.end_us = max(self.end_us, entry.at_us)
             match entry:
-                case Asked():
+                case RequestSent():
                     self.asked[entry.id].append(entry)
-                case Answered() | Unanswered():
+                case ResponseReceived() | ResponseMissing():
                     self.finals[entry.id].append(entry)
-                case Run():
+                case BackendAttempt():
                     self.runs[entry.id].append(entry)
-                case Told():
+                case NotificationDelivered():
                     self.told[entry.gateway, entry.box].append(entry)
-                case Banned():
+                case ManualEjection():
                     self.banned[entry.gateway, entry.box].append(entry)
-                case Process():
+                case ProcessEvent():
                     self.on_process(entry)
-                case Left():
+                case ClientDisconnected():
                     self.left[entry.id] = entry.at_us
-                case Extra():
+                case UnexpectedBytes():
                     self.extras.append(entry)
-                case Rude():
+                case MisbehavingClient():
                     self.rude.append(entry)
-                case BoxUp():
+                case BackendStarted():
                     self.ups.append(entry)
-                case BoxDown(how="fell"):
+                case BackendStopped(how="fell"):
                     self.fallen.append(entry)
-                case Lag():
+                case SchedulingDelay():
                     self.lags.append(entry)
-                case Usage():
+                case ResourceUsage():
                     self.usage[entry.gateway].append(entry)
-                case Terms() if rules is None:
+                case RuleOverrides() if rules is None:
                     self.rules = replace(self.rules, **entry.rules)
                     self.classes |= {name: replace(CLASSES[name], **of) for name, of in entry.classes.items()}
-                case Changed():
+                case EndpointChanged():
                     changed.append(entry)
-                case Listening():
+                case DiscoveryPoll():
                     calls.append(entry)
                 case _:
                     pass
@@ -125,7 +141,7 @@
 
     # What is known of gateways
 
-    def on_process(self, entry: Process) -> None:
+    def on_process(self, entry: ProcessEvent) -> None:
         lives = self.lives[entry.gateway]
         if entry.what == "start":
             lives.append(Life(entry.at_us))
@@ -157,7 +173,7 @@
                 return life
         return None
 
-    def tell_the_silent(self, changed: list[Changed], calls: list[Listening]) -> None:
+    def tell_the_silent(self, changed: list[EndpointChanged], calls: list[DiscoveryPoll]) -> None:
         """A gateway that neither watched nor asked for so long counts as told of what it could have heard."""
         by_gateway: dict[str, list[tuple[int, int]]] = defaultdict(list)
         for call in calls:
@@ -171,7 +187,9 @@
                     if since_us <= at_us < until_us:
                         at_us = until_us
                 if at_us < self.end_us:
-                    self.told[gateway, change.box].append(Told(at_us, gateway, change.box, change.status))
+                    self.told[gateway, change.box].append(
+                        NotificationDelivered(at_us, gateway, change.box, change.status)
+                    )
         for told in self.told.values():
             told.sort(key=lambda entry: entry.at_us)
 
@@ -214,12 +232,12 @@
 
     # 1. Nothing goes missing
 
-    def judge_answers(self, id_: str, asked: list[Asked]) -> None:
+    def judge_answers(self, id_: str, asked: list[RequestSent]) -> None:
         last = asked[-1]
         limit_us = last.at_us + last.budget_us + self.rules.slack_us
         finals = self.finals.get(id_, [])
         left_us = self.left.get(id_, FOREVER_US)
-        answers = [final for final in finals if isinstance(final, Answered)]
+        answers = [final for final in finals if isinstance(final, ResponseReceived)]
         if len(answers) > 1:
             self.about(id_, "missing", answers[1].at_us, "a second answer")
         if not finals:
@@ -227,7 +245,7 @@
                 self.about(id_, "missing", limit_us, "no answer at all")
             return
         final = finals[0]
-        if isinstance(final, Unanswered):
+        if isinstance(final, ResponseMissing):
             # Within its time, a close loses it; past it, so does silence.
             if left_us > final.at_us and not self.is_excused(last, final.at_us):
                 what = {"none": "no answer in its time"}.get(final.how, f"its connection was ended ({final.how})")
@@ -247,7 +265,7 @@
             if after_us > self.lag_us(final.at_us, run.at_us):
                 self.about(id_, "missing", run.at_us, f"sent to {run.box} after its final answer")
 
-    def is_excused(self, asked: Asked, until_us: int) -> bool:
+    def is_excused(self, asked: RequestSent, until_us: int) -> bool:
         """Whether its gateway was killed outright or stopped while it held the request."""
         life = self.life(asked.gateway, asked.at_us)
         if life is None:
@@ -261,7 +279,7 @@
 
     # 2. Nothing takes effect twice
 
-    def judge_repeats(self, id_: str, asked: list[Asked]) -> None:
+    def judge_repeats(self, id_: str, asked: list[RequestSent]) -> None:
         klass = self.classes.get(asked[0].klass)
         runs = sorted(self.runs.get(id_, []), key=lambda run: run.at_us)
         self.judge_copies(id_, [run for run in runs if run.whole_us])
@@ -285,19 +303,19 @@
                 what = f"repeated {age_us / 1e6:.3f} s after it was first sent; repeats are dropped for"
                 self.about(id_, "twice", run.at_us, f"{what} {klass.window_us / 1e6:g} s")
         for final in self.finals.get(id_, []):
-            if isinstance(final, Answered) and final.status in REFUSALS:
-                answerer = Run(final.at_us, "", 0, 0, gateway=asked[-1].gateway)
+            if isinstance(final, ResponseReceived) and final.status in REFUSALS:
+                answerer = BackendAttempt(final.at_us, "", 0, 0, gateway=asked[-1].gateway)
                 ran = [r for r in runs if r.whole_us and not was_turned_away(r, final.at_us)]
                 ran = [r for r in ran if r.at_us <= final.at_us and not self.is_of_the_dead(r, answerer)]
                 if ran:
                     what = f"refused with {final.status}: harmless to repeat, but it may have run at {ran[0].box}"
                     self.about(id_, "twice", final.at_us, what)
 
-    def judge_copies(self, id_: str, runs: list[Run]) -> None:
+    def judge_copies(self, id_: str, runs: list[BackendAttempt]) -> None:
         """How often one process may send a request, and whether two of its attempts may be out together."""
         if len(runs) < 2:
             return
-        by_life: dict[int, list[Run]] = defaultdict(list)
+        by_life: dict[int, list[BackendAttempt]] = defaultdict(list)
         for run in runs:
             by_life[id(self.life(self.sender(run), run.at_us))].append(run)
         for sent in by_life.values():
@@ -309,14 +327,14 @@
                 if not self.rules.second_copies and run.at_us < out_us:
                     self.about(id_, "twice", run.at_us, f"sent to {run.box} while an attempt is out at {before.box}")
 
-    def is_of_the_dead(self, earlier: Run, run: Run) -> bool:
+    def is_of_the_dead(self, earlier: BackendAttempt, run: BackendAttempt) -> bool:
         """Whether it was sent by a process that was killed since: what that held is the client's to ask again."""
         life = self.life(self.sender(earlier), earlier.at_us)
         if life is None or life.kill_us > run.at_us:
             return False
         return life is not self.life(self.sender(run), run.at_us)
 
-    def sender(self, run: Run) -> str:
+    def sender(self, run: BackendAttempt) -> str:
         """The gateway that sent it: the link told, or else it is the one that had been asked."""
         if run.gateway:
             return run.gateway
@@ -325,7 +343,7 @@
 
     # 3. Drains hold
 
-    def judge_drain(self, run: Run) -> None:
+    def judge_drain(self, run: BackendAttempt) -> None:
         gateway = self.sender(run)
         life = self.life(gateway, run.at_us)
         since_us = life.start_us if life is not None else 0
@@ -353,7 +371,7 @@
     # 4. Cold hosts are spared
 
     def judge_cold(self) -> None:
-        by_box: dict[tuple[str, int], list[Run]] = defaultdict(list)
+        by_box: dict[tuple[str, int], list[BackendAttempt]] = defaultdict(list)
         for runs in self.runs.values():
             for run in runs:
                 if run.whole_us:
@@ -369,7 +387,7 @@
                 lines = self.box_timeline(up, runs, fell[0].at_us)
                 self.breach("cold", fell[0].at_us, up.box, "it fell over", lines)
 
-    def overdriven(self, up: BoxUp, runs: list[Run]) -> tuple[int, str] | None:
+    def overdriven(self, up: BackendStarted, runs: list[BackendAttempt]) -> tuple[int, str] | None:
         """When it was first sent more than it stands while it warms up, and how much."""
         rules, first, total, found = self.rules, 0, 0, None
         for run in runs:
@@ -399,7 +417,7 @@
             owed_us = (rude.ended_us or FOREVER_US) - limit_us
             if owed_us <= self.rules.slack_us or limit_us > self.end_us:
                 continue
-            asked = Asked(rude.at_us, "", "", rude.gateway, 0)
+            asked = RequestSent(rude.at_us, "", "", rude.gateway, 0)
             if not self.is_excused(asked, limit_us) and owed_us > self.lag_us(rude.at_us, limit_us + owed_us):
                 what = f"neither an error nor a close in {self.rules.rude_us / 1e6:g} s for a client that sent: "
                 self.breach("owed", limit_us, rude.gateway, what + rude.what)
@@ -442,7 +460,7 @@
                 if told.at_us <= run.at_us and told.at_us > run.at_us - 10_000_000:
                     lines.append((told.at_us, f"registry: told {told.gateway} that {told.box} is {told.status}"))
         for final in self.finals.get(id_, []):
-            said = f"answer {final.status}" if isinstance(final, Answered) else f"no answer ({final.how})"
+            said = f"answer {final.status}" if isinstance(final, ResponseReceived) else f"no answer ({final.how})"
             lines.append((final.at_us, f"client: {said}"))
         if id_ in self.left:
             lines.append((self.left[id_], "client: went away"))
@@ -453,7 +471,7 @@
                         lines.append((moment_us, f"gateway {gateway}: {text}"))
         return in_order(lines, self.asked[id_][0].at_us if self.asked.get(id_) else None)
 
-    def box_timeline(self, up: BoxUp, runs: list[Run], at_us: int) -> list[str]:
+    def box_timeline(self, up: BackendStarted, runs: list[BackendAttempt], at_us: int) -> list[str]:
         """A box's life so far, and who sent what in the window before."""
         lines = [(up.at_us, f"{up.box}#{up.incarnation}: up, {up.cold_share:.0%} of {up.cores} cores")]
         for run in runs:
@@ -463,7 +481,7 @@
         return in_order(lines, up.at_us)
 
 
-def was_turned_away(run: Run, by_us: int) -> bool:
+def was_turned_away(run: BackendAttempt, by_us: int) -> bool:
     """Whether whoever sent it had been told by then that it never ran."""
     return run.how == "rejected" and 0 < run.over_us <= by_us
 
@@ -475,6 +493,6 @@
     return [f"{(at_us - (zero_us or 0)) / 1e3:+10.1f} ms  {text}" for at_us, text in lines]
 
 
-def audit(ledger: Ledger, rules: Rules | None = None) -> list[Breach]:
+def audit(ledger: EventLog, rules: Rules | None = None) -> list[Breach]:
     """All breaches, by time. The ledger says what it is judged by; `rules` has the last word."""
     return Auditor(ledger, rules).breaches()
--- a/standins/event_log.py
+++ b/standins/event_log.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Terms:
+class RuleOverrides:
     """What a play is judged by, where that is not the usual: fields of Rules, and of classes by their names."""
 
     at_us: int
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Wanted:
+class OperationStarted:
     """A client wants something, and will ask for it in one try or several."""
 
     at_us: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class RequestSent:
     """A client has written the last byte of a request to a connection that a gateway's machine accepted."""
 
     at_us: int
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Answered:
+class ResponseReceived:
     """The last byte of an answer has come."""
 
     at_us: int
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Unanswered:
+class ResponseMissing:
     """A client's connection ended, or it stopped waiting, with no whole answer."""
 
     at_us: int
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Left:
+class ClientDisconnected:
     """A client went away of its own will; nothing is owed to it any more."""
 
     at_us: int
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Extra:
+class UnexpectedBytes:
     """Bytes that came on a connection of a client where none were owed."""
 
     at_us: int
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Rude:
+class MisbehavingClient:
     """What a client that breaks the protocol got."""
 
     at_us: int  # when it had connected
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Run:
+class BackendAttempt:
     """A request at a box, from its first byte on. It is filled in as it goes on.
 
     `how`: "coming" (not whole), "waiting", "running", "ok", "duplicate" (dropped, answered from memory),
@@ -134,7 +134,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class BoxUp:
+class BackendStarted:
     at_us: int
     box: str
     incarnation: int
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class BoxDown:
+class BackendStopped:
     at_us: int
     box: str
     incarnation: int
@@ -152,7 +152,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class BoxLoad:
+class BackendLoad:
     """A look at a box, a few times a second."""
 
     at_us: int
@@ -165,7 +165,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Told:
+class NotificationDelivered:
     """The registry has written an entry to a gateway; in a whole list, also those missing from it."""
 
     at_us: int
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Banned:
+class ManualEjection:
     """Staff have taken a box out at a gateway, and were told yes; whatever the registry says meanwhile."""
 
     at_us: int
@@ -185,7 +185,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Changed:
+class EndpointChanged:
     """The registry could have told this from now on."""
 
     at_us: int
@@ -194,7 +194,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Listening:
+class DiscoveryPoll:
     """A gateway's call to the registry, or a time in which none could reach it."""
 
     at_us: int
@@ -203,7 +203,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Process:
+class ProcessEvent:
     """What happened to a gateway's process."""
 
     at_us: int
@@ -214,7 +214,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Usage:
+class ResourceUsage:
     """What a gateway's process holds."""
 
     at_us: int
@@ -226,7 +226,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Lag:
+class SchedulingDelay:
     """The stand-ins themselves stood still: what they saw in this time, came late by this much at most."""
 
     at_us: int  # the end of it
@@ -234,41 +234,75 @@
 
 
 @dataclass(slots=True, eq=False)
-class Trouble:
+class FaultInjected:
     """What the scenario did, for the time lines and plots."""
 
     at_us: int
     text: str
 
 
-Entry = (
-    Terms | Wanted | Asked | Answered | Unanswered | Left | Extra | Rude | Run | BoxUp | BoxDown | BoxLoad | Told
-    | Banned | Changed | Listening | Process | Usage | Lag | Trouble
-)  # fmt: skip
-KINDS: dict[str, type[Any]] = {
-    kind.__name__: kind
-    for kind in (
-        Terms, Wanted, Asked, Answered, Unanswered, Left, Extra, Rude, Run, BoxUp, BoxDown, BoxLoad, Told, Banned,
-        Changed,
-        Listening, Process, Usage, Lag, Trouble,
-    )
-}  # fmt: skip
-T = TypeVar("T")
-LIMIT = 5_000_000  # entries: a play that writes more is not kept whole, and says so
+Event = (
+    RuleOverrides
+    | OperationStarted
+    | RequestSent
+    | ResponseReceived
+    | ResponseMissing
+    | ClientDisconnected
+    | UnexpectedBytes
+    | MisbehavingClient
+    | BackendAttempt
+    | BackendStarted
+    | BackendStopped
+    | BackendLoad
+    | NotificationDelivered
+    | ManualEjection
+    | EndpointChanged
+    | DiscoveryPoll
+    | ProcessEvent
+    | ResourceUsage
+    | SchedulingDelay
+    | FaultInjected
+)
+# What a log file calls each event: files stay readable by, and from, earlier versions.
+EVENT_TYPES: dict[str, type[Any]] = {
+    "Terms": RuleOverrides,
+    "Wanted": OperationStarted,
+    "Asked": RequestSent,
+    "Answered": ResponseReceived,
+    "Unanswered": ResponseMissing,
+    "Left": ClientDisconnected,
+    "Extra": UnexpectedBytes,
+    "Rude": MisbehavingClient,
+    "Run": BackendAttempt,
+    "BoxUp": BackendStarted,
+    "BoxDown": BackendStopped,
+    "BoxLoad": BackendLoad,
+    "Told": NotificationDelivered,
+    "Banned": ManualEjection,
+    "Changed": EndpointChanged,
+    "Listening": DiscoveryPoll,
+    "Process": ProcessEvent,
+    "Usage": ResourceUsage,
+    "Lag": SchedulingDelay,
+    "Trouble": FaultInjected,
+}
+KIND_BY_TYPE = {event_type: kind for kind, event_type in EVENT_TYPES.items()}
+EventT = TypeVar("EventT")
+MAX_EVENTS = 5_000_000  # entries: a play that writes more is not kept whole, and says so
 
 
 @dataclass
-class Ledger:
-    entries: list[Entry] = field(default_factory=list)
-    dropped: int = 0  # entries beyond LIMIT; the auditor refuses an account that is not whole
+class EventLog:
+    entries: list[Event] = field(default_factory=list)
+    dropped: int = 0  # entries beyond MAX_EVENTS; the auditor refuses an account that is not whole
 
-    def add(self, entry: Entry) -> None:
-        if len(self.entries) >= LIMIT:
+    def add(self, entry: Event) -> None:
+        if len(self.entries) >= MAX_EVENTS:
             self.dropped += 1
             return
         self.entries.append(entry)
 
-    def of(self, kind: type[T]) -> Iterator[T]:
+    def of(self, kind: type[EventT]) -> Iterator[EventT]:
         """Entries of one kind, in the order in which they were written."""
         return (entry for entry in self.entries if isinstance(entry, kind))
 
@@ -276,16 +310,16 @@
         """One JSON object a line, so that a play can be audited again."""
         with path.open("w") as file:
             for entry in self.entries:
-                file.write(json.dumps({"kind": type(entry).__name__} | asdict(entry)) + "\n")
+                file.write(json.dumps({"kind": KIND_BY_TYPE[type(entry)]} | asdict(entry)) + "\n")
 
     @classmethod
-    def load(cls, path: Path) -> Ledger:
+    def load(cls, path: Path) -> EventLog:
         """ValueError names the line that is no entry."""
         ledger = cls()
         for number, line in enumerate(path.read_text().splitlines(), 1):
             try:
                 raw = json.loads(line)
-                ledger.add(KINDS[raw.pop("kind")](**raw))
+                ledger.add(EVENT_TYPES[raw.pop("kind")](**raw))
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 raise ValueError(f"{path}, line {number}: not an entry of a ledger ({error!r})") from None
         return ledger
--- a/standins/parties/box.py
+++ b/standins/parties/box.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from standins.event_log import BoxDown, BoxLoad, BoxUp, Ledger, Run, now_us
+from standins.event_log import BackendAttempt, BackendLoad, BackendStarted, BackendStopped, EventLog, now_us
 from standins.parties.network import Address, Flow, Network
 from standins.parties.strain import Choke, Strain
 from standins.site import CLASSES, BoxKind, Klass, Rules, draw
@@ -63,7 +63,7 @@
     """One front box. `start`, `crash`, `stop` and `faults` may be used at any time while the loop runs."""
 
     def __init__(
-        self, name: str, room: int, shelf: Shelf, ledger: Ledger, network: Network,
+        self, name: str, room: int, shelf: Shelf, ledger: EventLog, network: Network,
         kind: BoxKind | None = None, rules: Rules | None = None, seed: int = 0,
         on_listening: Callable[[bool], None] = lambda up: None, law: Choke | None = None,
     ) -> None:  # fmt: skip
@@ -111,7 +111,7 @@
         self.address = self.server.sockets[0].getsockname()
         share = self.kind.cold_share if cold else 1.0
         self.ledger.add(
-            BoxUp(self.started_us, self.name, self.incarnation, self.kind.cores, share, self.kind.warm_us)
+            BackendStarted(self.started_us, self.name, self.incarnation, self.kind.cores, share, self.kind.warm_us)
         )
         self.on_listening(True)
         self.tick()
@@ -120,7 +120,7 @@
         """The process dies: its connections are reset, new ones refused, what it did is lost."""
         if self.server is None:
             return
-        self.ledger.add(BoxDown(now_us(), self.name, self.incarnation, how))
+        self.ledger.add(BackendStopped(now_us(), self.name, self.incarnation, how))
         self.on_listening(False)
         self.server.close()
         self.server = None
@@ -136,7 +136,7 @@
         """The machine is cut off: it reads nothing, says nothing, and goes on working."""
         self.faults.silent = on
         if on:
-            self.ledger.add(BoxDown(now_us(), self.name, self.incarnation, "silent"))
+            self.ledger.add(BackendStopped(now_us(), self.name, self.incarnation, "silent"))
         for connection in list(self.connections):
             connection.heed()
 
@@ -246,7 +246,7 @@
         if not self.reports or now - self.reports[-1][0] >= self.kind.report_us:
             self.reports.append((now, fields))
         self.ledger.add(
-            BoxLoad(
+            BackendLoad(
                 now,
                 self.name,
                 self.state,
@@ -267,7 +267,7 @@
 class Job:
     """One request at a box, until its answer."""
 
-    def __init__(self, box: Box, connection: BoxConnection, run: Run, klass: Klass) -> None:
+    def __init__(self, box: Box, connection: BoxConnection, run: BackendAttempt, klass: Klass) -> None:
         self.box, self.connection, self.run, self.klass = box, connection, run, klass
         self.hint_us = 0  # the work, where the client told it
         self.handshake_us = 0
@@ -403,7 +403,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.passed = 0  # bytes read before the present piece
-        self.run: Run | None = None  # being read
+        self.run: BackendAttempt | None = None  # being read
         self.job: Job | None = None
         self.headers: dict[str, str] = {}
         self.target = b""
@@ -448,7 +448,7 @@
         flow = self.flow
         at_us = flow.sent_at(offset) if flow is not None else now_us()
         gateway = flow.link.near if flow is not None else ""
-        self.run = Run(at_us, self.box.name, self.box.incarnation, self.box.shelf.group, gateway=gateway)
+        self.run = BackendAttempt(at_us, self.box.name, self.box.incarnation, self.box.shelf.group, gateway=gateway)
 
     def on_message_begin(self) -> None:
         self.headers, self.target = {}, b""
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -13,7 +13,17 @@
 
 import httptools
 
-from standins.event_log import Answered, Asked, Extra, Left, Ledger, Rude, Unanswered, Wanted, now_us
+from standins.event_log import (
+    ClientDisconnected,
+    EventLog,
+    MisbehavingClient,
+    OperationStarted,
+    RequestSent,
+    ResponseMissing,
+    ResponseReceived,
+    UnexpectedBytes,
+    now_us,
+)
 from standins.parties.network import Address
 from standins.site import CLASSES, ROOMS, TENANTS, Klass, draw
 
@@ -84,7 +94,7 @@
         self.door, self.on_extra = door, on_extra
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.answer: asyncio.Future[Answered | Unanswered] | None = None
+        self.answer: asyncio.Future[ResponseReceived | ResponseMissing] | None = None
         self.id = ""
         self.left = uses
         self.answers = 0
@@ -101,7 +111,7 @@
     def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def send(self, id_: str, data: bytes) -> asyncio.Future[Answered | Unanswered]:
+    def send(self, id_: str, data: bytes) -> asyncio.Future[ResponseReceived | ResponseMissing]:
         assert self.transport is not None
         self.id, self.has_begun = id_, False
         self.left -= 1
@@ -140,7 +150,7 @@
         self.keep = self.parser.should_keep_alive() and self.left > 0
         self.answers += 1
         names = self.body.split(b" ", 1)[0].decode("latin-1") if status == 200 else ""
-        self.answer.set_result(Answered(now_us(), self.id, status, names, self.retry_after_us))
+        self.answer.set_result(ResponseReceived(now_us(), self.id, status, names, self.retry_after_us))
         if not self.keep:
             self.abort()
 
@@ -150,7 +160,7 @@
 
     def end(self, how: str) -> None:
         if self.answer is not None and not self.answer.done():
-            self.answer.set_result(Unanswered(now_us(), self.id, how))
+            self.answer.set_result(ResponseMissing(now_us(), self.id, how))
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -175,7 +185,7 @@
 class Clients:
     """All clients of a play."""
 
-    ledger: Ledger
+    ledger: EventLog
     front: Front
     seed: int = 0
     rate: float = 100.0  # wants a second; may be changed while they run
@@ -227,7 +237,7 @@
         key = f"k{first}" if klass.effect == "keyed" else ""
         tenant = dice.choice(TENANTS)
         end_us = now_us() + klass.give_up_us
-        self.ledger.add(Wanted(now_us(), first, klass.name, ROOMS[room]))
+        self.ledger.add(OperationStarted(now_us(), first, klass.name, ROOMS[room]))
         for number in range(habits.retries + 1):
             budget_us = min(int(klass.give_up_us * habits.try_share), end_us - now_us())
             if budget_us < 1_000:
@@ -237,7 +247,7 @@
             head = self.request(klass, id_, tenant, budget_us, slip, key, int(cost * habits.hint))
             final = await self.ask(room, klass, id_, head, budget_us, key, tenant, first, leaves)
             wait_s = habits.wait_s
-            if isinstance(final, Answered):
+            if isinstance(final, ResponseReceived):
                 if final.status == 200:
                     return
                 if final.status not in (429, 503) and klass.effect == "unsafe":
@@ -268,7 +278,7 @@
     async def ask(
         self, room: int, klass: Klass, id_: str, data: bytes, budget_us: int, key: str, tenant: str, first: str,
         leaves: bool,
-    ) -> Answered | Unanswered | None:  # fmt: skip
+    ) -> ResponseReceived | ResponseMissing | None:  # fmt: skip
         """One try; None if no gateway took it."""
         again = False
         while True:
@@ -278,7 +288,7 @@
             asked_us = now_us()
             future = connection.send(id_, data)
             gateway = connection.door.name
-            asked = Asked(asked_us, id_, klass.name, gateway, budget_us, key, tenant, first, again)
+            asked = RequestSent(asked_us, id_, klass.name, gateway, budget_us, key, tenant, first, again)
             self.ledger.add(asked)
             wait_us = budget_us + WAITED_US
             if leaves:
@@ -287,16 +297,18 @@
             done, _ = await asyncio.wait((future,), timeout=wait_us / 1e6)
             self.asking.pop(id_, None)
             if not done:
-                self.ledger.add(Left(now_us(), id_) if leaves else Unanswered(now_us(), id_, "none"))
+                self.ledger.add(
+                    ClientDisconnected(now_us(), id_) if leaves else ResponseMissing(now_us(), id_, "none")
+                )
                 connection.abort()
-                return Unanswered(now_us(), id_, "none")
+                return ResponseMissing(now_us(), id_, "none")
             final = future.result()
-            if isinstance(final, Unanswered) and not is_new and not again and final.how != "cut":
+            if isinstance(final, ResponseMissing) and not is_new and not again and final.how != "cut":
                 # Its closing crossed the request: once more, on a new connection.
                 again = True
                 continue
             self.ledger.add(final)
-            if isinstance(final, Answered) and connection.keep and connection.is_open:
+            if isinstance(final, ResponseReceived) and connection.keep and connection.is_open:
                 self.idle[room].append(connection)
             return final
 
@@ -321,7 +333,7 @@
         return (made, True) if made.is_open else (None, True)
 
     def on_extra(self, id_: str, data: bytes) -> None:
-        self.ledger.add(Extra(now_us(), id_, data[:80].decode("latin-1")))
+        self.ledger.add(UnexpectedBytes(now_us(), id_, data[:80].decode("latin-1")))
 
     def close(self) -> None:
         for task in self.tasks:
@@ -367,8 +379,8 @@
 
 
 async def be_rude(
-    ledger: Ledger, door: Door, dice: random.Random, kind: str = "", open_id: Callable[[str], str] = lambda door: ""
-) -> Rude | None:
+    ledger: EventLog, door: Door, dice: random.Random, kind: str = "", open_id: Callable[[str], str] = lambda door: ""
+) -> MisbehavingClient | None:
     """Break the protocol once; None if no connection came up, or there is nothing to break it with."""
     taken = open_id(door.name)
     requests = rude_requests(dice, taken)
@@ -384,7 +396,7 @@
         reader, writer = await asyncio.open_connection(*door.address)
     except OSError:
         return None
-    rude = Rude(now_us(), kind, door.name, may_be_served=kind in MAY_BE_SERVED)
+    rude = MisbehavingClient(now_us(), kind, door.name, may_be_served=kind in MAY_BE_SERVED)
     ledger.add(rude)
     sending = asyncio.create_task(_send_all(writer, requests[kind]))
     try:
--- a/standins/parties/fleet.py
+++ b/standins/parties/fleet.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from standins.event_log import Ledger, Process, Usage, now_us
+from standins.event_log import EventLog, ProcessEvent, ResourceUsage, now_us
 from standins.parties.network import Address, reserve
 
 ROOT = Path(__file__).parent.parent.parent
@@ -46,7 +46,7 @@
     room: int
     folder: Path
     configure: Callable[[], dict[str, Any]]  # the configuration for the next start
-    ledger: Ledger
+    ledger: EventLog
     on_ready: Callable[[Gateway], None] = lambda gateway: None
     on_exit: Callable[[Gateway], None] = lambda gateway: None
     environment: dict[str, str] = field(default_factory=dict)
@@ -90,7 +90,7 @@
         self.write_configuration()
         self.log = self.log or (self.folder / f"{self.name}.log").open("ab")
         self.asked, self.stopped, self.is_over = False, False, False
-        self.ledger.add(Process(now_us(), self.name, "start"))
+        self.ledger.add(ProcessEvent(now_us(), self.name, "start"))
         self.process = self.launch()
         self.spawn(self.follow(self.process))
         self.spawn(self.await_ready(self.process))
@@ -168,12 +168,12 @@
                 due = loop.time() + USAGE_S
                 usage = usage_of(process.pid)
                 if usage is not None:
-                    self.ledger.add(Usage(now_us(), self.name, *usage))
+                    self.ledger.add(ResourceUsage(now_us(), self.name, *usage))
             await asyncio.sleep(POLL_S)
         if process is not self.process and code == 0:
             return  # it was replaced: the gateway goes on
         self.exits.append(code)
-        self.ledger.add(Process(now_us(), self.name, "exit", code, self.asked))
+        self.ledger.add(ProcessEvent(now_us(), self.name, "exit", code, self.asked))
         self.is_over = True
         self.on_exit(self)
 
@@ -181,7 +181,7 @@
         end = asyncio.get_running_loop().time() + READY_S
         while process.poll() is None and asyncio.get_running_loop().time() < end:
             if await is_ready(self.address):
-                self.ledger.add(Process(now_us(), self.name, "ready"))
+                self.ledger.add(ProcessEvent(now_us(), self.name, "ready"))
                 self.on_ready(self)
                 return
             await asyncio.sleep(POLL_S)
@@ -199,7 +199,7 @@
         assert self.process is not None
         self.asked = self.asked or signum in (signal.SIGTERM, signal.SIGINT, signal.SIGKILL)
         self.stopped = signum is signal.SIGSTOP or (self.stopped and signum is not signal.SIGCONT)
-        self.ledger.add(Process(now_us(), self.name, signum.name.removeprefix("SIG")))
+        self.ledger.add(ProcessEvent(now_us(), self.name, signum.name.removeprefix("SIG")))
         self.process.send_signal(signum)
 
     async def ended(self, within_s: float) -> bool:
@@ -277,11 +277,11 @@
         for gateway in self.gateways:
             gateway.start()
 
-    async def ready(self, ledger: Ledger, within_s: float = READY_S) -> bool:
+    async def ready(self, ledger: EventLog, within_s: float = READY_S) -> bool:
         """Whether all have said that they are ready within this time."""
         end = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < end:
-            if {p.gateway for p in ledger.of(Process) if p.what == "ready"} >= {g.name for g in self.gateways}:
+            if {p.gateway for p in ledger.of(ProcessEvent) if p.what == "ready"} >= {g.name for g in self.gateways}:
                 return True
             await asyncio.sleep(POLL_S)
         return False
--- a/standins/parties/registry.py
+++ b/standins/parties/registry.py
@@ -16,7 +16,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from standins.event_log import Changed, Ledger, Listening, Told, now_us
+from standins.event_log import DiscoveryPoll, EndpointChanged, EventLog, NotificationDelivered, now_us
 from standins.parties.network import Address
 
 HISTORY = 512  # changes kept for watches; who asks from before them gets the whole list
@@ -114,7 +114,7 @@
 class Registry:
     """`history`: how many changes are kept for watches."""
 
-    def __init__(self, ledger: Ledger, seed: int = 0, history: int = HISTORY) -> None:
+    def __init__(self, ledger: EventLog, seed: int = 0, history: int = HISTORY) -> None:
         self.ledger, self.dice = ledger, random.Random(f"{seed}/registry")
         self.faults = RegistryFaults()
         self.index = 1
@@ -130,7 +130,7 @@
     def put(self, entry: Entry) -> None:
         """Register at once: for the start of a play."""
         self.entries[entry.name] = entry
-        self.ledger.add(Changed(now_us(), entry.name, entry.status))
+        self.ledger.add(EndpointChanged(now_us(), entry.name, entry.status))
 
     def announce(self, entry: Entry, status: str, lag_s: float | None = None) -> None:
         """A change that this registry learns of after its lag."""
@@ -157,7 +157,7 @@
                 self.entries[entry.name] = entry
                 self.changed[entry.name] = self.index
             self.history.append((self.index, entry.name, self.form(entry)))
-            self.ledger.add(Changed(now_us(), entry.name, status))
+            self.ledger.add(EndpointChanged(now_us(), entry.name, status))
         at_us = now_us()
         self.wake()
         return at_us
@@ -239,7 +239,7 @@
                 if view.bodies is not None:
                     await self.answer(view, head, writer)
                     continue
-                listening = Listening(now_us(), view.gateway)
+                listening = DiscoveryPoll(now_us(), view.gateway)
                 self.ledger.add(listening)
                 try:
                     await self.answer(view, head, writer)
@@ -327,7 +327,7 @@
             for name in view.told.keys() - statuses.keys():
                 statuses[name] = "DELETED"
         for name, status in statuses.items():
-            self.ledger.add(Told(at_us, view.gateway, name, status))
+            self.ledger.add(NotificationDelivered(at_us, view.gateway, name, status))
             if status == "DELETED":
                 view.told.pop(name, None)
             else:
--- a/standins/playing/command.py
+++ b/standins/playing/command.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from standins.checker.auditor import Auditor, Breach, audit
-from standins.event_log import Ledger
+from standins.event_log import EventLog
 from standins.playing.play import World
 from standins.playing.stage import play
 from standins.showing.report import render
@@ -85,7 +85,7 @@
 
 
 def judge_again(console: Console, path: Path) -> int:
-    breaches = audit(Ledger.load(path))
+    breaches = audit(EventLog.load(path))
     for breach in breaches:
         console.print(str(breach), markup=False, highlight=False)
     console.print(f"{len(breaches)} breaches")
--- a/standins/playing/keeper_play.py
+++ b/standins/playing/keeper_play.py
@@ -13,7 +13,7 @@
 
 from standins.parties.box import Box
 from standins.parties.fleet import ROOT, _die_with_parent
-from standins.event_log import BoxDown, Told, Trouble, now_us
+from standins.event_log import BackendStopped, FaultInjected, NotificationDelivered, now_us
 from standins.parties.network import Address, TcpLink
 from standins.playing.play import DRAINS_S, World
 from standins.playing.scenario import Scenario
@@ -162,7 +162,7 @@
                 self.tell(gateway, name, json.loads(found)["status"])
 
     def tell(self, gateway: str, box: str, status: str) -> None:
-        self.ledger.add(Told(now_us(), gateway, box, status))
+        self.ledger.add(NotificationDelivered(now_us(), gateway, box, status))
         if status == "DELETED":
             self.told[gateway].discard(box)
         else:
@@ -236,7 +236,7 @@
             if asyncio.get_running_loop().time() > end:
                 raise RuntimeError(f"the session of {box.name} did not end")
             await asyncio.sleep(0.002)
-        self.ledger.add(BoxDown(now_us(), box.name, box.incarnation, "expired"))
+        self.ledger.add(BackendStopped(now_us(), box.name, box.incarnation, "expired"))
 
     async def do_expire_all(self) -> None:
         """All sessions end at once, the gateways' too, and everybody is well."""
@@ -249,7 +249,7 @@
                 raise RuntimeError("not every box was registered again")
             await asyncio.sleep(0.01)
         text = f"every box is registered again after {(now_us() - begun_us) / 1e6:.2f} s"
-        self.ledger.add(Trouble(now_us(), text))
+        self.ledger.add(FaultInjected(now_us(), text))
         self.on_progress(text)
 
     async def do_keeper_leader(self, for_s: float) -> None:
--- a/standins/playing/play.py
+++ b/standins/playing/play.py
@@ -13,7 +13,7 @@
 from standins.parties.box import Box, Shelf
 from standins.parties.clients import Clients, Door, Front, Habits, be_rude
 from standins.parties.fleet import PROGRAM, Fleet, Gateway
-from standins.event_log import Banned, BoxDown, Lag, Ledger, Trouble, now_us
+from standins.event_log import BackendStopped, EventLog, FaultInjected, ManualEjection, SchedulingDelay, now_us
 from standins.parties.mesh import Mesh
 from standins.parties.network import Address, Conditions, Network, TcpLink
 from standins.parties.registry import Entry, Registry, View
@@ -37,7 +37,7 @@
         self.scenario, self.seed, self.seconds = scenario, seed, seconds
         self.scale = seconds / scenario.seconds
         self.dice = random.Random(f"{seed}/{scenario.name}")
-        self.ledger = Ledger()
+        self.ledger = EventLog()
         self.rules = Rules(
             attempts=scenario.attempts, second_copies=scenario.second_copies, memory_mib=scenario.memory_mib,
             sockets=scenario.sockets,
@@ -251,7 +251,7 @@
             now = now_us()
             late_us = now - last_us - int(BEAT_S * 1e6)
             if late_us > LATE_US:
-                self.ledger.add(Lag(now, late_us))
+                self.ledger.add(SchedulingDelay(now, late_us))
             last_us = now
 
     async def on_time(self, start: float, planned: Planned) -> None:
@@ -261,7 +261,7 @@
             if key in keys:
                 keys[f"{key}_s"] = keys.pop(key) * self.scale
         text = planned.do + "".join(f" {key}={value}" for key, value in keys.items())
-        self.ledger.add(Trouble(now_us(), text))
+        self.ledger.add(FaultInjected(now_us(), text))
         self.on_progress(text)
         await getattr(self, f"do_{planned.do}")(**keys)
 
@@ -334,7 +334,7 @@
         for box in chosen:
             box.faults = replace(box.faults, **faults)
             if faults.get("hang"):
-                self.ledger.add(BoxDown(now_us(), box.name, box.incarnation, "hang"))
+                self.ledger.add(BackendStopped(now_us(), box.name, box.incarnation, "hang"))
         await asyncio.sleep(for_s)
         for box in chosen:
             box.faults = type(box.faults)()
@@ -472,11 +472,11 @@
 
     async def do_suspend(self, for_s: float, boxes: int = 1) -> None:
         """Boxes are taken out by hand at every gateway, started anew meanwhile, and put back."""
-        chosen, bans = self.choose(boxes), list[Banned]()
+        chosen, bans = self.choose(boxes), list[ManualEjection]()
         for box in chosen:
             for gateway in self.gateways:
                 await self.staff_call(gateway, f"SUSPEND {box.name}")
-                bans.append(Banned(now_us(), gateway.name, box.name))
+                bans.append(ManualEjection(now_us(), gateway.name, box.name))
                 self.ledger.add(bans[-1])
         await asyncio.sleep(for_s / 2)
         for box in chosen:
--- a/standins/showing/report.py
+++ b/standins/showing/report.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from standins.checker.auditor import Breach
-from standins.event_log import BoxLoad, Ledger, Trouble, Wanted
+from standins.event_log import BackendLoad, EventLog, FaultInjected, OperationStarted
 from standins.site import CLASSES
 from standins.showing.summary import Summary, latencies, quantile, served_in_time
 
@@ -80,7 +80,7 @@
         )  # fmt: skip
 
 
-def service_plot(ledger: Ledger, start_us: int, seconds: float, troubles: Sequence[tuple[float, str]]) -> str:
+def service_plot(ledger: EventLog, start_us: int, seconds: float, troubles: Sequence[tuple[float, str]]) -> str:
     """Share answered within the aim, for each second in which it was wanted."""
     plot = Plot(200, seconds)
     bottom, top = 176.0, 12.0
@@ -90,7 +90,7 @@
     served = served_in_time(ledger)
     for name in CLASSES:
         bins: dict[int, list[int]] = defaultdict(lambda: [0, 0])
-        for want in ledger.of(Wanted):
+        for want in ledger.of(OperationStarted):
             if want.klass == name:
                 one = bins[int((want.at_us - start_us) / 1e6)]
                 one[0] += 1
@@ -103,7 +103,7 @@
     return plot.svg()
 
 
-def latency_plot(ledger: Ledger, start_us: int, seconds: float, troubles: Sequence[tuple[float, str]]) -> str:
+def latency_plot(ledger: EventLog, start_us: int, seconds: float, troubles: Sequence[tuple[float, str]]) -> str:
     """Median (dashed) and 99th percentile of served tries, for each second."""
     plot = Plot(220, seconds)
     bottom, top = 196.0, 12.0
@@ -126,9 +126,9 @@
     return plot.svg()
 
 
-def spells(loads: Sequence[BoxLoad], start_us: int) -> list[tuple[float, float, BoxLoad]]:
+def spells(loads: Sequence[BackendLoad], start_us: int) -> list[tuple[float, float, BackendLoad]]:
     """Stretches of one state, in seconds; where a box was not looked at for a second, it was down."""
-    found: list[tuple[float, float, BoxLoad]] = []
+    found: list[tuple[float, float, BackendLoad]] = []
     for load in loads:
         second = (load.at_us - start_us) / 1e6
         if found and second - found[-1][1] > 1.0:
@@ -140,10 +140,10 @@
     return found
 
 
-def boxes_plot(ledger: Ledger, start_us: int, seconds: float, troubles: Sequence[tuple[float, str]]) -> str:
+def boxes_plot(ledger: EventLog, start_us: int, seconds: float, troubles: Sequence[tuple[float, str]]) -> str:
     """Each box's state as colour, and what it holds (running and waiting) as a line."""
-    by_box: dict[str, list[BoxLoad]] = defaultdict(list)
-    for load in ledger.of(BoxLoad):
+    by_box: dict[str, list[BackendLoad]] = defaultdict(list)
+    for load in ledger.of(BackendLoad):
         by_box[load.box].append(load)
     row = 34
     plot = Plot(row * len(by_box) + 20, seconds)
@@ -182,11 +182,11 @@
     return "<table><tr>" + "".join(f"<th>{cell}</th>" for cell in head) + "</tr>" + "".join(rows) + "</table>"
 
 
-def render(ledger: Ledger, summary: Summary, breaches: Sequence[Breach], about: str) -> str:
+def render(ledger: EventLog, summary: Summary, breaches: Sequence[Breach], about: str) -> str:
     """The whole page."""
-    starts = [want.at_us for want in ledger.of(Wanted)]
+    starts = [want.at_us for want in ledger.of(OperationStarted)]
     start_us = min(starts, default=0)
-    troubles = [((trouble.at_us - start_us) / 1e6, trouble.text) for trouble in ledger.of(Trouble)]
+    troubles = [((trouble.at_us - start_us) / 1e6, trouble.text) for trouble in ledger.of(FaultInjected)]
     seconds = max(summary.seconds, max(starts, default=0) / 1e6 - start_us / 1e6)
     verdicts = "".join(
         f'<tr><td>{rule}</td><td class="{"broken" if count else "kept"}">'
--- a/standins/site.py
+++ b/standins/site.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from standins.event_log import Terms, now_us
+from standins.event_log import RuleOverrides, now_us
 
 ROOMS = ("kita-room", "higashi-room")
 TENANTS = ("central", "university", "schools", "coast")
@@ -79,14 +79,14 @@
     idle_us: int = 60_000_000
 
 
-def terms(rules: Rules, classes: Mapping[str, Klass]) -> Terms:
+def terms(rules: Rules, classes: Mapping[str, Klass]) -> RuleOverrides:
     """What differs from the usual, for the ledger: who judges it later has nothing else."""
     usual = asdict(Rules())
     changed = {
         name: {key: value for key, value in asdict(klass).items() if value != asdict(CLASSES[name])[key]}
         for name, klass in classes.items()
     }
-    return Terms(
+    return RuleOverrides(
         now_us(), {key: value for key, value in asdict(rules).items() if value != usual[key]},
         {name: of for name, of in changed.items() if of},
     )  # fmt: skip
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -19,7 +19,7 @@
 
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
-from standins.event_log import Ledger, Process, now_us
+from standins.event_log import EventLog, ProcessEvent, now_us
 from standins.checker.duties import Seen, Wrong, gaps, judge
 from standins.parties.mesh import Mesh, duty_number, host_number
 from standins.parties.network import Network
@@ -44,7 +44,7 @@
     mesh: Mesh
     duty: int
     started_us: int
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: EventLog = field(default_factory=EventLog)
     gateways: list[Gateway] = field(default_factory=list)
     notes: list[tuple[int, str]] = field(default_factory=list)
     keeper: Threaded | None = None  # the coordination service, where it decides who holds
@@ -196,7 +196,7 @@
 
     def stops(self) -> Counter[int]:
         """How often each gateway's process was stopped."""
-        return Counter(int(p.gateway[1:]) for p in self.ledger.of(Process) if p.what == "STOP")
+        return Counter(int(p.gateway[1:]) for p in self.ledger.of(ProcessEvent) if p.what == "STOP")
 
     def judged(self) -> list[Wrong]:
         return judge(self.acts, self.stops(), self.blanks, self.lease_ms * 1000, self.expiries)
@@ -211,7 +211,7 @@
     def timeline(self) -> str:
         """What happened, by all that was seen: orders of the test, processes, changes of holder, logs."""
         lines = [(at_us, f"test: {text}") for at_us, text in self.notes]
-        lines += [(p.at_us, f"{p.gateway}: {p.what} {p.code or ''}") for p in self.ledger.of(Process)]
+        lines += [(p.at_us, f"{p.gateway}: {p.what} {p.code or ''}") for p in self.ledger.of(ProcessEvent)]
         lines += [
             (at_us + gap_us, f"watcher: n{to} acts, {gap_us / 1000:.0f} ms after the last act")
             for at_us, gap_us, to in gaps(self.acts, self.duty)
--- a/tests/fleet/relayed.py
+++ b/tests/fleet/relayed.py
@@ -15,7 +15,7 @@
 
 from cloverkeel.core.config import stable_id
 from standins.checker.relays import Arrival, Asked, Change, Down, Part, Record
-from standins.event_log import Ledger, Listening, Process, now_us
+from standins.event_log import DiscoveryPoll, EventLog, ProcessEvent, now_us
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
 from standins.parties.network import Address, Network, TcpLink
@@ -42,7 +42,7 @@
     discoveries: list[Registry]
     feeds: tuple[int, ...]  # by relay: which of them it asks
     is_spread: bool  # whom gateways ask first: another relay each, or all relay-0
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: EventLog = field(default_factory=EventLog)
     views: dict[str, View] = field(default_factory=dict)
     to_relay: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # by gateway, relay
     to_discovery: list[TcpLink] = field(default_factory=list)  # by relay
@@ -150,12 +150,12 @@
     def record(self) -> Record:
         end_us = now_us()
         open_downs = [Down(begin_us, end_us, part) for part, begin_us in self.open_downs.items()]
-        exits = [p for p in self.ledger.of(Process) if p.what == "exit" and not p.asked]
+        exits = [p for p in self.ledger.of(ProcessEvent) if p.what == "exit" and not p.asked]
         return Record(
             self.begun_us, end_us, GATEWAYS, len(self.hosts), self.feeds, GATEWAYS * 1_000_000 // DIRECT_PER_S,
             sorted(self.changes, key=lambda change: change.at_us),
             [Arrival(*seen) for seen in self.seen], self.asks, self.downs + open_downs,
-            [(call.at_us, int(call.gateway[1:])) for call in self.ledger.of(Listening) if call.gateway[0] == "n"],
+            [(call.at_us, int(call.gateway[1:])) for call in self.ledger.of(DiscoveryPoll) if call.gateway[0] == "n"],
             [(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
 
@@ -208,7 +208,7 @@
 
     def direct_calls(self) -> int:
         """Of gateways at discovery itself."""
-        return sum(call.gateway.startswith("n") for call in self.ledger.of(Listening))
+        return sum(call.gateway.startswith("n") for call in self.ledger.of(DiscoveryPoll))
 
     def faults(self) -> list[str]:
         return [fault for process in self.gateways + self.relays for fault in process.faults()]
@@ -220,7 +220,7 @@
         assert not self.faults(), f"{self.faults()}\n{self.timeline()}"
 
     def timeline(self) -> str:
-        lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.of(Process)]
+        lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.of(ProcessEvent)]
         begun = min((at_us for at_us, _ in lines), default=0)
         said = [f"{(at_us - begun) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
         for n in range(len(self.hosts)):
@@ -261,7 +261,7 @@
 
         return answer
 
-    network, ledger = Network(1), Ledger()
+    network, ledger = Network(1), EventLog()
     peers = [peer(script(n)) for n in range(hosts)]
     listening = [await one.__aenter__() for one in peers]
     tasks: list[asyncio.Task[None]] = []
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -25,7 +25,7 @@
 from benchmarks.capacity.run_world import HOLLOW, TWINS, World, twinned
 from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
 from cloverkeel.core.ports import Endpoint as HostEntry
-from standins.event_log import Ledger, Told
+from standins.event_log import EventLog, NotificationDelivered
 from standins.parties.halves import Change, Halves
 from standins.parties.registry import Bodies, Entry, Registry, View
 
@@ -157,7 +157,7 @@
 
 
 def halves(count: int = 3) -> Halves:
-    made = Halves({"r0": Registry(Ledger()), "r1": Registry(Ledger())})
+    made = Halves({"r0": Registry(EventLog()), "r1": Registry(EventLog())})
     for n in range(count):
         made.put(Entry(f"s-{n}", "a", "m", 0, 0))
     return made
@@ -247,7 +247,7 @@
 
 @asynccontextmanager
 async def shared(history: int = 512) -> AsyncIterator[tuple[Registry, View, Bodies]]:
-    registry = Registry(Ledger(), history=history)
+    registry = Registry(EventLog(), history=history)
     for n in range(3):
         registry.put(Entry(f"s-{n}", "a", "m", 0, 0, service="pay" if n else None))
 
@@ -283,7 +283,7 @@
         assert "service" not in first["endpoints"][0] and first["endpoints"][1]["service"] == "pay"
         assert bodies.body(None) is bodies.body(None)
         assert (view.counts.calls, view.counts.wholes) == (2, 2) and view.counts.sent > 400
-        assert not list(registry.ledger.of(Told)) and not view.told
+        assert not list(registry.ledger.of(NotificationDelivered)) and not view.told
 
 
 @on_loop
--- a/tests/test_overload_picture.py
+++ b/tests/test_overload_picture.py
@@ -14,7 +14,7 @@
 from benchmarks.overload.account import Account, Machine, Row, Sample, Told, Try, Want, Window, Work, judge, voids
 from benchmarks.overload.plan import LOADS, Step, Terms, steps
 from benchmarks.overload.play import OWN, Mark, Play, between, rounded, told_of, wants_of
-from standins.event_log import Answered, Asked, Ledger, Unanswered, Wanted
+from standins.event_log import EventLog, OperationStarted, RequestSent, ResponseMissing, ResponseReceived
 from standins.parties.strain import Choke
 
 S = 1_000_000
@@ -126,13 +126,14 @@
 
 
 def test_a_ledger_tells_each_want_its_tries_and_what_became_of_them() -> None:
-    ledger = Ledger()
+    ledger = EventLog()
     for entry in (
-        Wanted(1, "a", "hold", "kita-room"), Asked(2, "a", "hold", "n0", 100, first="a"),
+        OperationStarted(1, "a", "hold", "kita-room"), RequestSent(2, "a", "hold", "n0", 100, first="a"),
         # Its connection was closed before it was read: the same try, once more.
-        Asked(3, "a", "hold", "n1", 100, first="a", again=True), Answered(50, "a", 503, "", 20_000),
-        Asked(70, "a-1", "hold", "n0", 100, first="a"), Answered(171, "a-1", 200, "a-1"),
-        Asked(180, "a-2", "hold", "n0", 50, first="a"), Unanswered(500, "a-2", "none"), Answered(501, "a-2", 200),
+        RequestSent(3, "a", "hold", "n1", 100, first="a", again=True), ResponseReceived(50, "a", 503, "", 20_000),
+        RequestSent(70, "a-1", "hold", "n0", 100, first="a"), ResponseReceived(171, "a-1", 200, "a-1"),
+        RequestSent(180, "a-2", "hold", "n0", 50, first="a"), ResponseMissing(500, "a-2", "none"),
+        ResponseReceived(501, "a-2", 200),
     ):  # fmt: skip
         ledger.add(entry)
     (only,) = wants_of(ledger)
--- a/tests/test_relay_server.py
+++ b/tests/test_relay_server.py
@@ -31,7 +31,7 @@
 from cloverkeel.control_plane.fleet_roster import Roster, parse_roster
 from cloverkeel.control_plane.http_server import HEAD_MOST, Server
 from cloverkeel.control_plane.incremental_update import take_in
-from standins.event_log import Ledger
+from standins.event_log import EventLog
 from standins.parties.network import reserve
 from standins.parties.registry import Entry, Registry
 from tests import sockets
@@ -103,7 +103,7 @@
 @asynccontextmanager
 async def desk(limits: Limits | None = None, ready: bool = True) -> AsyncIterator[Desk]:
     """A relay that has heard of four hosts of each of two services."""
-    registry = Registry(Ledger())
+    registry = Registry(EventLog())
     for service in "st":
         for number in range(4):
             registry.put(entry(number, service))
@@ -619,7 +619,7 @@
     async with scripted() as (answers, discovery):
         answers.append(whole(5, "s-0", "s-1"))
         async with relay(discovery.address, Limits(stale_ms=1_000)) as server:
-            one = Desk(Registry(Ledger()), server)
+            one = Desk(Registry(EventLog()), server)
             await one.has(2)
             answers.append(rubbish)
             await until(lambda: not server.is_ready)
@@ -640,7 +640,7 @@
     async with scripted() as (answers, discovery):
         answers.append(list_reply(5, snapshot=False))
         async with relay(discovery.address) as server:
-            one = Desk(Registry(Ledger()), server)
+            one = Desk(Registry(EventLog()), server)
             await until(lambda: len(discovery.seen) > 2)
             assert not any("from=" in exchange.message.first for exchange in discovery.seen)
             assert (await one.get("/registry/instances?gateway=g0")).status == 503
@@ -735,7 +735,7 @@
     async with scripted() as (answers, discovery):
         answers.append(whole(5, "s-0"))
         async with relay(discovery.address) as server:
-            one = Desk(Registry(Ledger()), server)
+            one = Desk(Registry(EventLog()), server)
             await one.has(1)
             client = await one.client()
             answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
@@ -752,7 +752,7 @@
     async with scripted() as (answers, discovery):
         answers.append(whole(5, "s-0"))
         async with relay(discovery.address) as server:
-            one = Desk(Registry(Ledger()), server)
+            one = Desk(Registry(EventLog()), server)
             await one.has(1)
             answers.append(whole(6, *(f"s-{n}" for n in range(3_000))))
             await until(lambda: 1 < len(server.feed.hosts) < 3_000)
@@ -878,7 +878,7 @@
 
 @on_loop
 async def test_the_command_runs_shows_and_ends(tmp_path: Path) -> None:
-    registry = Registry(Ledger())
+    registry = Registry(EventLog())
     registry.put(entry(0))
     view = await registry.open("relay", lambda name: ("127.0.0.1", 9000), passes)
     assert view.address is not None
--- a/tests/test_standin_box.py
+++ b/tests/test_standin_box.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from standins.parties.box import MORE, SPOILT, Box, Shelf
-from standins.event_log import BoxDown, BoxUp, Ledger, Run, now_us
+from standins.event_log import BackendAttempt, BackendStarted, BackendStopped, EventLog, now_us
 from standins.parties.network import Network
 from standins.parties.strain import Choke, Strain
 from standins.site import BoxKind
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def box(kind: BoxKind = KIND, cold: bool = False, name: str = "s-0") -> AsyncIterator[Box]:
-    made = Box(name, 0, Shelf(0, 1_000_000), Ledger(), Network(), kind, seed=1)
+    made = Box(name, 0, Shelf(0, 1_000_000), EventLog(), Network(), kind, seed=1)
     await made.start(cold)
     try:
         yield made
@@ -47,8 +47,8 @@
     return False
 
 
-def runs(of: Box) -> list[Run]:
-    return list(of.ledger.of(Run))
+def runs(of: Box) -> list[BackendAttempt]:
+    return list(of.ledger.of(BackendAttempt))
 
 
 @on_loop
@@ -142,7 +142,7 @@
 async def test_a_cold_box_warms_up_and_falls_over_when_pushed() -> None:
     kind = BoxKind(cores=1, queue=50, handshake_us=0, cold_share=0.3, warm_us=60_000_000)
     async with box(kind, cold=True) as one:
-        (up,) = one.ledger.of(BoxUp)
+        (up,) = one.ledger.of(BackendStarted)
         assert up.cold_share == 0.3 and one.capacity() < 0.31 and one.state == "cold"
         one.started_us -= 30_000_000
         assert 0.64 < one.capacity() < 0.66
@@ -154,7 +154,7 @@
         assert not one.fell
         clients[3].send(request(x_call_cost="400000"))
         await until(lambda: one.fell)
-        assert [down.how for down in one.ledger.of(BoxDown)] == ["fell"]
+        assert [down.how for down in one.ledger.of(BackendStopped)] == ["fell"]
         with pytest.raises(ConnectionRefusedError):
             await connect(one)
 
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -18,7 +18,18 @@
 from standins.checker.auditor import RULES, Auditor, audit
 from standins.parties.fleet import ROOT
 from standins.playing.keeper_play import EphemeralWorld
-from standins.event_log import Answered, Asked, Banned, BoxDown, Lag, Ledger, Process, Run, Told, Wanted
+from standins.event_log import (
+    BackendAttempt,
+    BackendStopped,
+    EventLog,
+    ManualEjection,
+    NotificationDelivered,
+    OperationStarted,
+    ProcessEvent,
+    RequestSent,
+    ResponseReceived,
+    SchedulingDelay,
+)
 from standins.playing.play import World
 from standins.playing.stage import play
 from standins.playing.scenario import ACTIONS, ScenarioError, load, names, parse
@@ -192,9 +203,9 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(parse(text, "x", "x.toml"), 2))
     assert [str(breach) for breach in audit(world.ledger)] == [] and not world.faults
-    bans = list(world.ledger.of(Banned))
+    bans = list(world.ledger.of(ManualEjection))
     assert len(bans) == 4 and all(ban.until_us > ban.at_us for ban in bans)
-    assert sum(run.may_have_run for run in world.ledger.of(Run)) > 50
+    assert sum(run.may_have_run for run in world.ledger.of(BackendAttempt)) > 50
 
 
 @pytest.mark.alone
@@ -225,15 +236,15 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(parse(text, "sessions", "sessions"), 3))
     assert not audit(world.ledger)
-    ended = [down for down in world.ledger.of(BoxDown) if down.how == "expired"]
+    ended = [down for down in world.ledger.of(BackendStopped) if down.how == "expired"]
     assert len(ended) == 1
     box, since_us = ended[0].box, ended[0].at_us - 100_000
-    told = [entry for entry in world.ledger.of(Told) if entry.box == box and entry.at_us >= since_us]
+    told = [entry for entry in world.ledger.of(NotificationDelivered) if entry.box == box and entry.at_us >= since_us]
     assert {entry.status for entry in told} == {"DELETED", "SERVING"}  # gone at once, and back
     # A gateway is ready only once it knows a box, and the service is lost to the end: none came back empty.
-    ready = [p.at_us for p in world.ledger.of(Process) if p.what == "ready"]
+    ready = [p.at_us for p in world.ledger.of(ProcessEvent) if p.what == "ready"]
     assert len(ready) == 4
-    served = [a for a in world.ledger.of(Answered) if a.status == 200 and a.at_us > ready[2]]
+    served = [a for a in world.ledger.of(ResponseReceived) if a.status == 200 and a.at_us > ready[2]]
     assert served
     assert all(gateway.exits == [0, 0] for gateway in world.gateways)
 
@@ -317,7 +328,7 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(load("calm"), seed, 2.0))
     assert not audit(world.ledger)
-    assert sum(1 for _ in world.ledger.of(Wanted)) > 100
+    assert sum(1 for _ in world.ledger.of(OperationStarted)) > 100
     assert all(gateway.exits == [0] for gateway in world.gateways)
 
 
@@ -345,17 +356,17 @@
 
 
 def test_figures_count_wants_not_tries() -> None:
-    ledger = Ledger()
-    ledger.add(Wanted(1_000_000, "a", "search", "kita-room"))
-    ledger.add(Asked(1_000_000, "a", "search", "n0", 300_000, first="a"))
-    ledger.add(Answered(1_050_000, "a", 503))
-    ledger.add(Asked(1_100_000, "a-1", "search", "n0", 300_000, first="a"))
-    ledger.add(Answered(1_290_000, "a-1", 200, "a-1"))
-    ledger.add(Wanted(2_000_000, "b", "search", "kita-room"))
-    ledger.add(Asked(2_000_000, "b", "search", "n0", 400_000, first="b"))
-    ledger.add(Answered(2_310_000, "b", 200, "b"))  # past its aim
-    ledger.add(Run(1_100_100, "s-0", 1, 0, "a-1", "search", whole_us=1_100_200, how="ok"))
-    ledger.add(Lag(3_000_000, 0))
+    ledger = EventLog()
+    ledger.add(OperationStarted(1_000_000, "a", "search", "kita-room"))
+    ledger.add(RequestSent(1_000_000, "a", "search", "n0", 300_000, first="a"))
+    ledger.add(ResponseReceived(1_050_000, "a", 503))
+    ledger.add(RequestSent(1_100_000, "a-1", "search", "n0", 300_000, first="a"))
+    ledger.add(ResponseReceived(1_290_000, "a-1", 200, "a-1"))
+    ledger.add(OperationStarted(2_000_000, "b", "search", "kita-room"))
+    ledger.add(RequestSent(2_000_000, "b", "search", "n0", 400_000, first="b"))
+    ledger.add(ResponseReceived(2_310_000, "b", 200, "b"))  # past its aim
+    ledger.add(BackendAttempt(1_100_100, "s-0", 1, 0, "a-1", "search", whole_us=1_100_200, how="ok"))
+    ledger.add(SchedulingDelay(3_000_000, 0))
     summary = summarise(Auditor(ledger), "x", 1, 2.0)
     figures = summary.classes["search"]
     assert (figures.wanted, figures.in_time, figures.tries, figures.attempts) == (2, 1, 3, 1.0)
