--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -243,7 +243,7 @@
 
     def look(self) -> None:
         """Judge what has come. Call it before hosts that have left are back."""
-        entries, self.ledger.entries = self.ledger.entries, []
+        entries, self.ledger.events = self.ledger.events, []
         made = self.served
         used: Counter[str] = Counter()
         for entry in entries:
--- a/benchmarks/clean_plays.py
+++ b/benchmarks/clean_plays.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from standins.checker.auditor import audit
+from standins.checker.checker import find_violations
 from standins.event_log import RequestSent, SchedulingDelay
 from standins.playing.stage import play
 from standins.playing.scenario import load
@@ -28,9 +28,9 @@
     for seed in range(1, options.plays + 1):
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             world = runner.run(play(load(options.scenario), seed, options.seconds))
-        breaches = audit(world.ledger)
-        asked = sum(1 for _ in world.ledger.of(RequestSent))
-        lag_ms = max((lag.lag_us for lag in world.ledger.of(SchedulingDelay)), default=0) / 1e3
+        breaches = find_violations(world.ledger)
+        asked = sum(1 for _ in world.ledger.events_of(RequestSent))
+        lag_ms = max((lag.lag_us for lag in world.ledger.events_of(SchedulingDelay)), default=0) / 1e3
         found, requests = found + len(breaches), requests + asked
         print(f"seed {seed:3}: {asked:6} requests, {len(breaches)} breaches, stood still {lag_ms:.1f} ms at most")
         for breach in breaches[:3]:
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from standins.checker.auditor import audit
+from standins.checker.checker import find_violations
 from standins.parties.box import Box
 from standins.playing.keeper_play import FOLDER, EphemeralWorld
 from standins.event_log import BackendAttempt, RequestSent, ResourceUsage, now_us
@@ -99,7 +99,7 @@
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(run(options, Path(folder)))
     by_box: dict[str, list[int]] = {}
-    for entry in world.ledger.of(BackendAttempt):
+    for entry in world.ledger.events_of(BackendAttempt):
         by_box.setdefault(entry.box, []).append(entry.at_us)
     last_ms, first_ms, sent_before = list[float](), list[float](), 0
     for box, end_us, again_us in world.ended:
@@ -114,9 +114,9 @@
         shares = " ".join(f"p{int(share * 100)} {quantile(values, share):.1f}" for share in (0.5, 0.9, 0.99))
         return f"{shares} most {max(values, default=0.0):.1f} ms"
 
-    breaches = audit(world.ledger)
-    asked = sum(1 for _ in world.ledger.of(RequestSent))
-    memory: dict[str, Any] = {entry.gateway: entry.rss_kib for entry in world.ledger.of(ResourceUsage)}
+    breaches = find_violations(world.ledger)
+    asked = sum(1 for _ in world.ledger.events_of(RequestSent))
+    memory: dict[str, Any] = {entry.gateway: entry.rss_kib for entry in world.ledger.events_of(ResourceUsage)}
     sent = sum(value > 0 for value in last_ms)
     print(f"{options.boxes} boxes, {options.gateways} gateways, {asked} requests, {len(world.ended)} sessions ended")
     print(
--- a/benchmarks/guards/playing.py
+++ b/benchmarks/guards/playing.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from standins.checker.auditor import Auditor
+from standins.checker.checker import Checker
 from standins.playing.play import World
 from standins.playing.stage import play
 from standins.playing.scenario import load
@@ -69,9 +69,9 @@
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(scenario, one.seed, one.seconds, on_world))
-    auditor = Auditor(world.ledger)
-    breaches = auditor.breaches()
-    summary = summarise(auditor, scenario.name, one.seed, world.seconds)
+    checker = Checker(world.ledger)
+    breaches = checker.find_violations()
+    summary = summarise(checker, scenario.name, one.seed, world.seconds)
     first: dict[str, str] = {}
     for breach in breaches:
         first.setdefault(breach.rule, f"{breach.subject}: {breach.what}")
--- a/benchmarks/keeper_waves.py
+++ b/benchmarks/keeper_waves.py
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from standins.checker.auditor import audit
+from standins.checker.checker import find_violations
 from standins.playing.keeper_play import EphemeralWorld
 from standins.event_log import ProcessEvent, RequestSent, ResponseReceived, now_us
 from standins.parties.network import TcpLink
@@ -61,11 +61,11 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world, down_us, back_us = runner.run(run(options, Path(folder)))
-    during = [p for p in world.ledger.of(ProcessEvent) if down_us < p.at_us < back_us]
+    during = [p for p in world.ledger.events_of(ProcessEvent) if down_us < p.at_us < back_us]
     starts = sum(p.what == "start" for p in during)
     ready = sum(p.what == "ready" for p in during)
-    asked = [a.id for a in world.ledger.of(RequestSent) if down_us < a.at_us < back_us]
-    served = {a.id for a in world.ledger.of(ResponseReceived) if a.status == 200}
+    asked = [a.id for a in world.ledger.events_of(RequestSent) if down_us < a.at_us < back_us]
+    served = {a.id for a in world.ledger.events_of(ResponseReceived) if a.status == 200}
     came = sorted(at for k in world.network.links if isinstance(k, TcpLink) and k.far.startswith("keeper")
                   for at in k.came)  # fmt: skip
     by_second = Counter((at - down_us) // 1_000_000 for at in came if down_us < at < back_us)
@@ -78,7 +78,7 @@
         f"by {options.gateways} gateways"
     )
     print(f"at its return, by second: {[herd[n] for n in range(5)]}")
-    breaches = audit(world.ledger)
+    breaches = find_violations(world.ledger)
     print(f"{len(breaches)} breaches")
     for breach in breaches[:3]:
         print(breach)
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -26,7 +26,7 @@
 from rich.table import Table
 
 from benchmarks.guards.__main__ import parse_seeds
-from standins.checker.auditor import Auditor
+from standins.checker.checker import Checker
 from standins.event_log import BackendAttempt, EventLog
 from standins.playing.scenario import load
 from standins.playing.stage import play
@@ -53,7 +53,7 @@
 
 def lost(ledger: EventLog) -> tuple[int, int]:
     """Runs at boxes that ended with an error, and that were given up or never ended."""
-    hows = [run.how for run in ledger.of(BackendAttempt) if run.whole_us]
+    hows = [run.how for run in ledger.events_of(BackendAttempt) if run.whole_us]
     return hows.count("error"), sum(how in ("cancelled", "crashed", "waiting", "running") for how in hows)
 
 
@@ -61,12 +61,12 @@
     made = replace(load(scenario), gateways=gateways, sharing=sharing)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(made, seed))
-    auditor = Auditor(world.ledger)
-    breaches = auditor.breaches()
-    found = summarise(auditor, scenario, seed, world.seconds)
+    checker = Checker(world.ledger)
+    breaches = checker.find_violations()
+    found = summarise(checker, scenario, seed, world.seconds)
     errors, given_up = lost(world.ledger)
-    sent = sum(1 for run in world.ledger.of(BackendAttempt) if run.whole_us)
-    requests = len({run.id for run in world.ledger.of(BackendAttempt) if run.whole_us})
+    sent = sum(1 for run in world.ledger.events_of(BackendAttempt) if run.whole_us)
+    requests = len({run.id for run in world.ledger.events_of(BackendAttempt) if run.whole_us})
     return Row(
         gateways, sharing, seed, found.service, found.classes["search"].service, found.classes["transfer"].p99,
         found.connections, errors, given_up, sent / max(1, requests), found.cpu_us, len(breaches) + len(world.faults),
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -196,7 +196,7 @@
     """What clients wanted, with each try and what became of it."""
     wants: dict[str, Want] = {}
     tries: dict[str, Try] = {}
-    for entry in ledger.entries:
+    for entry in ledger.events:
         if isinstance(entry, OperationStarted):
             wants[entry.id] = Want(entry.at_us, entry.klass)
         elif isinstance(entry, RequestSent) and entry.id not in tries:
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from standins.checker.auditor import Auditor
+from standins.checker.checker import Checker
 from standins.playing.keeper_play import EphemeralWorld
 from standins.event_log import BackendAttempt, NotificationDelivered, ProcessEvent, RequestSent, ResponseReceived
 from standins.playing.play import World
@@ -70,21 +70,21 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(run(options, Path(folder)))
-    auditor = Auditor(world.ledger)
-    breaches = auditor.breaches()
+    checker = Checker(world.ledger)
+    breaches = checker.find_violations()
     stops: dict[str, list[tuple[int, int]]] = {}
-    for entry in world.ledger.of(ProcessEvent):
+    for entry in world.ledger.events_of(ProcessEvent):
         if entry.what == "STOP":
             stops.setdefault(entry.gateway, []).append((entry.at_us, 0))
         elif entry.what == "CONT" and entry.gateway in stops:
             stops[entry.gateway][-1] = (stops[entry.gateway][-1][0], entry.at_us)
-    told = [t for t in world.ledger.of(NotificationDelivered) if t.status != "SERVING"]
+    told = [t for t in world.ledger.events_of(NotificationDelivered) if t.status != "SERVING"]
     runs: dict[str, list[int]] = {}
-    for sent in world.ledger.of(BackendAttempt):
+    for sent in world.ledger.events_of(BackendAttempt):
         if sent.gateway and sent.whole_us:
             runs.setdefault(sent.gateway, []).append(sent.at_us)
     asked: dict[str, list[int]] = {}
-    for ask in world.ledger.of(RequestSent):
+    for ask in world.ledger.events_of(RequestSent):
         asked.setdefault(ask.gateway, []).append(ask.at_us)
     first_ms, waited, inside = list[float](), list[int](), 0
     for gateway, pauses in stops.items():
@@ -96,8 +96,8 @@
             if at < len(sends):
                 first_ms.append((sends[at] - cont_us) / 1e3)
     lengths = [(cont - stop) / 1e6 for pauses in stops.values() for stop, cont in pauses]
-    summary = summarise(auditor, "pauses", options.seed, world.seconds)
-    statuses = sum(1 for a in world.ledger.of(ResponseReceived))
+    summary = summarise(checker, "pauses", options.seed, world.seconds)
+    statuses = sum(1 for a in world.ledger.events_of(ResponseReceived))
     print(
         f"{len(lengths)} pauses of {min(lengths):.2f} to {max(lengths):.2f} s, word came inside {inside} of them; "
         f"{min(waited)} to {max(waited)} requests came meanwhile"
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -212,18 +212,18 @@
         await fleet.stop()
     if keeper is not None:
         keeper.close()
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(ResourceUsage)}
+        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.events_of(ResourceUsage)}
         print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
         against = [found["ephemeral"] / found["gateway"] for found in rounds]
         print(f"with ephemeral membership: {statistics.median(against):.3f} of the CPU without it")
     if parts:
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(ResourceUsage)}
+        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.events_of(ResourceUsage)}
         print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
     for part in parts:
         on = [found[part] / found["gateway"] for found in rounds]
         print(f"with {part} on: {statistics.median(on):.3f} of the CPU without ({min(on):.3f} to {max(on):.3f})")
     if options.plain:
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.of(ResourceUsage)}
+        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.events_of(ResourceUsage)}
         print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
         plain = [found["plain"] / found["bare"] for found in rounds]
         print(f"plain sources: ratio {statistics.median(plain):.2f} ({min(plain):.2f} to {max(plain):.2f})")
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -35,7 +35,7 @@
 
 import uvloop
 
-from standins.checker.relays import Part, judge
+from standins.checker.relays import Component, check_relays
 from standins.event_log import now_us
 from standins.parties.network import BACK, FORWARD
 from tests import sockets
@@ -290,7 +290,7 @@
     async def stop(self, event: Event) -> None:
         (number,) = event.who
         is_relay = event.what == "stop-relay"
-        part: Part = ("relay" if is_relay else "gateway", number)
+        part: Component = ("relay" if is_relay else "gateway", number)
         process = (self.fleet.relays if is_relay else self.fleet.gateways)[number]
         self.fleet.begin(part)
         process.signal(signal.SIGSTOP)
@@ -309,7 +309,7 @@
 
     async def cut(self, event: Event, for_s: float) -> None:
         fleet, (sides, _, end) = self.fleet, event.how.partition(",")
-        part: Part = ("link", *event.who) if len(event.who) == 2 else ("feed", event.who[0])
+        part: Component = ("link", *event.who) if len(event.who) == 2 else ("feed", event.who[0])
         link = fleet.to_relay[event.who[0], event.who[1]] if len(event.who) == 2 else fleet.to_discovery[event.who[0]]
         fleet.begin(part)
         link.cut({"both": (FORWARD, BACK), "forward": (FORWARD,), "back": (BACK,)}[sides])
@@ -386,7 +386,7 @@
         except* AssertionError as errors:
             played.wrong += [str(error) for error in errors.exceptions]
         record = fleet.record()
-        played.wrong += [f"{wrong.who}: {wrong.what}" for wrong in judge(record)]
+        played.wrong += [f"{wrong.who}: {wrong.what}" for wrong in check_relays(record)]
         played.wrong += fleet.faults()
         played.asked, played.refused = len(record.asked), fleet.statuses[503]
         played.direct, played.took_s = len(record.direct), time.monotonic() - began_s
--- a/standins/checker/auditor.py
+++ b/standins/checker/checker.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Breach:
+class Violation:
     rule: str  # one of RULES
     at_us: int
     subject: str  # the request's id, the box, or the gateway
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessLifetime:
     """One process of a gateway."""
 
     start_us: int
@@ -75,18 +75,18 @@
     stops: list[tuple[int, int]] = field(default_factory=list)  # SIGSTOP to SIGCONT
 
 
-class Auditor:
+class Checker:
     """One reading of a ledger. `breaches()` gives all of them, by time."""
 
     def __init__(self, ledger: EventLog, rules: Rules | None = None) -> None:
         self.rules, self.classes = rules or Rules(), dict(CLASSES)
-        self.ledger = ledger
+        self.event_log = ledger
         self.asked: dict[str, list[RequestSent]] = defaultdict(list)
         self.finals: dict[str, list[ResponseReceived | ResponseMissing]] = defaultdict(list)
         self.runs: dict[str, list[BackendAttempt]] = defaultdict(list)
         self.told: dict[tuple[str, str], list[NotificationDelivered]] = defaultdict(list)
         self.banned: dict[tuple[str, str], list[ManualEjection]] = defaultdict(list)
-        self.lives: dict[str, list[Life]] = defaultdict(list)
+        self.lives: dict[str, list[ProcessLifetime]] = defaultdict(list)
         self.left: dict[str, int] = {}
         self.extras: list[UnexpectedBytes] = []
         self.rude: list[MisbehavingClient] = []
@@ -94,11 +94,13 @@
         self.fallen: list[BackendStopped] = []
         self.lags: list[SchedulingDelay] = []
         self.usage: dict[str, list[ResourceUsage]] = defaultdict(list)
-        self.found: list[Breach] = []
-        self.cold_peaks: dict[tuple[str, int], float] = {}  # most that a cold box was sent, as a share of its limit
+        self.violations: list[Violation] = []
+        self.slow_start_peaks: dict[
+            tuple[str, int], float
+        ] = {}  # most that a cold box was sent, as a share of its limit
         self.end_us = 0
         changed, calls = list[EndpointChanged](), list[DiscoveryPoll]()
-        for entry in ledger.entries:
+        for entry in ledger.events:
             self.end_us = max(self.end_us, entry.at_us)
             match entry:
                 case RequestSent():
@@ -144,7 +146,7 @@
     def on_process(self, entry: ProcessEvent) -> None:
         lives = self.lives[entry.gateway]
         if entry.what == "start":
-            lives.append(Life(entry.at_us))
+            lives.append(ProcessLifetime(entry.at_us))
             return
         if not lives:
             return
@@ -162,11 +164,11 @@
                 life.end_us = entry.at_us
                 if not entry.asked or (entry.code != 0 and life.kill_us == FOREVER_US):
                     what = f"ended with code {entry.code}" + ("" if entry.asked else ", and nobody had asked")
-                    self.breach("crash", entry.at_us, entry.gateway, what)
+                    self.report("crash", entry.at_us, entry.gateway, what)
             case _:
                 pass
 
-    def life(self, gateway: str, at_us: int) -> Life | None:
+    def process_at(self, gateway: str, at_us: int) -> ProcessLifetime | None:
         """The process that ran then."""
         for life in reversed(self.lives.get(gateway, [])):
             if life.start_us <= at_us:
@@ -205,15 +207,15 @@
 
     # Breaches
 
-    def breach(self, rule: str, at_us: int, subject: str, what: str, timeline: Iterable[str] = ()) -> None:
-        self.found.append(Breach(rule, at_us, subject, what, tuple(timeline)))
+    def report(self, rule: str, at_us: int, subject: str, what: str, timeline: Iterable[str] = ()) -> None:
+        self.violations.append(Violation(rule, at_us, subject, what, tuple(timeline)))
 
     def about(self, id_: str, rule: str, at_us: int, what: str) -> None:
-        self.breach(rule, at_us, id_, what, self.timeline(id_))
+        self.report(rule, at_us, id_, what, self.timeline(id_))
 
-    def breaches(self) -> list[Breach]:
-        if self.ledger.dropped:
-            self.breach("missing", self.end_us, "ledger", f"{self.ledger.dropped} entries did not fit: no account")
+    def find_violations(self) -> list[Violation]:
+        if self.event_log.dropped:
+            self.report("missing", self.end_us, "ledger", f"{self.event_log.dropped} entries did not fit: no account")
         for id_, asked in self.asked.items():
             self.judge_answers(id_, asked)
             self.judge_repeats(id_, asked)
@@ -227,8 +229,8 @@
         self.judge_rude()
         self.judge_bounds()
         self.judge_cold()
-        self.found.sort(key=lambda breach: breach.at_us)
-        return self.found
+        self.violations.sort(key=lambda breach: breach.at_us)
+        return self.violations
 
     # 1. Nothing goes missing
 
@@ -267,7 +269,7 @@
 
     def is_excused(self, asked: RequestSent, until_us: int) -> bool:
         """Whether its gateway was killed outright or stopped while it held the request."""
-        life = self.life(asked.gateway, asked.at_us)
+        life = self.process_at(asked.gateway, asked.at_us)
         if life is None:
             return not self.lives.get(asked.gateway)  # nobody wrote down its processes: then nothing is excused
         if asked.at_us >= life.end_us:
@@ -317,7 +319,7 @@
             return
         by_life: dict[int, list[BackendAttempt]] = defaultdict(list)
         for run in runs:
-            by_life[id(self.life(self.sender(run), run.at_us))].append(run)
+            by_life[id(self.process_at(self.sender(run), run.at_us))].append(run)
         for sent in by_life.values():
             if len(sent) > self.rules.attempts:
                 what = f"sent {len(sent)} times, {self.rules.attempts} at most"
@@ -329,10 +331,10 @@
 
     def is_of_the_dead(self, earlier: BackendAttempt, run: BackendAttempt) -> bool:
         """Whether it was sent by a process that was killed since: what that held is the client's to ask again."""
-        life = self.life(self.sender(earlier), earlier.at_us)
+        life = self.process_at(self.sender(earlier), earlier.at_us)
         if life is None or life.kill_us > run.at_us:
             return False
-        return life is not self.life(self.sender(run), run.at_us)
+        return life is not self.process_at(self.sender(run), run.at_us)
 
     def sender(self, run: BackendAttempt) -> str:
         """The gateway that sent it: the link told, or else it is the one that had been asked."""
@@ -345,7 +347,7 @@
 
     def judge_drain(self, run: BackendAttempt) -> None:
         gateway = self.sender(run)
-        life = self.life(gateway, run.at_us)
+        life = self.process_at(gateway, run.at_us)
         since_us = life.start_us if life is not None else 0
         bad_us: int | None = None
         for told in self.told.get((gateway, run.box), ()):
@@ -382,10 +384,10 @@
             fell = [d for d in self.fallen if (d.box, d.incarnation) == (up.box, up.incarnation)]
             if over is not None:
                 at_us, what = over
-                self.breach("cold", at_us, up.box, what, self.box_timeline(up, runs, at_us))
+                self.report("cold", at_us, up.box, what, self.box_timeline(up, runs, at_us))
             elif fell:
                 lines = self.box_timeline(up, runs, fell[0].at_us)
-                self.breach("cold", fell[0].at_us, up.box, "it fell over", lines)
+                self.report("cold", fell[0].at_us, up.box, "it fell over", lines)
 
     def overdriven(self, up: BackendStarted, runs: list[BackendAttempt]) -> tuple[int, str] | None:
         """When it was first sent more than it stands while it warms up, and how much."""
@@ -401,7 +403,7 @@
             share = up.cold_share + (1 - up.cold_share) * age_us / up.warm_us
             limit = rules.multiple * share * up.cores * rules.fall_us
             of, box = total / limit, (up.box, up.incarnation)
-            self.cold_peaks[box] = max(self.cold_peaks.get(box, 0.0), of)
+            self.slow_start_peaks[box] = max(self.slow_start_peaks.get(box, 0.0), of)
             if total > limit and found is None:
                 what = f"sent {total / 1e3:.1f} ms of work in {rules.fall_us / 1e6:g} s, {limit / 1e3:.1f} at most"
                 found = run.whole_us, f"{what}: it is {age_us / 1e6:.2f} s old"
@@ -412,7 +414,7 @@
     def judge_rude(self) -> None:
         for rude in self.rude:
             if rude.status == 200 and not rude.may_be_served:
-                self.breach("missing", rude.ended_us, rude.gateway, f"served a client that sent: {rude.what}")
+                self.report("missing", rude.ended_us, rude.gateway, f"served a client that sent: {rude.what}")
             limit_us = rude.at_us + self.rules.rude_us
             owed_us = (rude.ended_us or FOREVER_US) - limit_us
             if owed_us <= self.rules.slack_us or limit_us > self.end_us:
@@ -420,14 +422,14 @@
             asked = RequestSent(rude.at_us, "", "", rude.gateway, 0)
             if not self.is_excused(asked, limit_us) and owed_us > self.lag_us(rude.at_us, limit_us + owed_us):
                 what = f"neither an error nor a close in {self.rules.rude_us / 1e6:g} s for a client that sent: "
-                self.breach("owed", limit_us, rude.gateway, what + rude.what)
+                self.report("owed", limit_us, rude.gateway, what + rude.what)
 
     def judge_bounds(self) -> None:
         """Once for each process: it would have been killed."""
         for gateway, usage in self.usage.items():
             seen: set[int] = set()
             for entry in usage:
-                life = id(self.life(gateway, entry.at_us))
+                life = id(self.process_at(gateway, entry.at_us))
                 said = [
                     f"{found} {unit}, {most} at most"
                     for found, unit, most in (
@@ -438,7 +440,7 @@
                 ]
                 if said and life not in seen:
                     seen.add(life)
-                    self.breach("bounds", entry.at_us, gateway, "; ".join(said))
+                    self.report("bounds", entry.at_us, gateway, "; ".join(said))
 
     # Time lines
 
@@ -493,6 +495,6 @@
     return [f"{(at_us - (zero_us or 0)) / 1e3:+10.1f} ms  {text}" for at_us, text in lines]
 
 
-def audit(ledger: EventLog, rules: Rules | None = None) -> list[Breach]:
+def find_violations(ledger: EventLog, rules: Rules | None = None) -> list[Violation]:
     """All breaches, by time. The ledger says what it is judged by; `rules` has the last word."""
-    return Auditor(ledger, rules).breaches()
+    return Checker(ledger, rules).find_violations()
--- a/standins/checker/duties.py
+++ b/standins/checker/leases.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class ObservedAct:
     """One act, as it came."""
 
     at_us: int
@@ -22,21 +22,24 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wrong:
+class LeaseViolation:
     """One thing that must not be."""
 
     what: str
-    act: Seen
-    before: Seen
+    act: ObservedAct
+    before: ObservedAct
 
 
 SLACK_US = 250_000  # beyond a lease: what a busy machine may take between a look at the time and the write
 
 
-def judge(
-    acts: Sequence[Seen], stops: Mapping[int, int] | None = None, blanks: Sequence[int] = (), lease_us: int = 0,
+def check_leases(
+    acts: Sequence[ObservedAct],
+    stops: Mapping[int, int] | None = None,
+    blanks: Sequence[int] = (),
+    lease_us: int = 0,
     expiries: Sequence[int] = (),
-) -> list[Wrong]:  # fmt: skip
+) -> list[LeaseViolation]:
     """Never two that a fence accepts, and tokens only grow; from the acts as they came. Pure.
 
     One socket takes them in the order in which they were sent, so an act with an older epoch than the one before was
@@ -51,11 +54,11 @@
     `expiries`: moments at which sessions were ended before their time, by order: who held by one believes so until it
     hears of it, for a lease at the most, under the epoch that it had. The fence refuses it.
     """
-    found: list[Wrong] = []
+    found: list[LeaseViolation] = []
     left = dict(stops or {})
-    newest: dict[tuple[int, int], Seen] = {}  # by duty and how many blanks were before
-    highest: dict[int, Seen] = {}  # by duty: what the fence has seen
-    refused: dict[tuple[int, int, int, int], Seen] = {}  # first acts under it: duty, epoch, gateway, process
+    newest: dict[tuple[int, int], ObservedAct] = {}  # by duty and how many blanks were before
+    highest: dict[int, ObservedAct] = {}  # by duty: what the fence has seen
+    refused: dict[tuple[int, int, int, int], ObservedAct] = {}  # first acts under it: duty, epoch, gateway, process
     begun: dict[tuple[int, int, int, int], int] = {}  # when each holder's epoch was first seen
     for act in acts:
         began_us = begun.setdefault((act.duty, act.epoch, act.gateway, act.nonce), act.at_us)
@@ -70,10 +73,10 @@
                 left[act.gateway] = left.get(act.gateway, 0) - 1
                 if left[act.gateway] >= 0:
                     continue
-                found.append(Wrong("an act after a newer holder's", act, before))
+                found.append(LeaseViolation("an act after a newer holder's", act, before))
                 continue
             if act.epoch == before.epoch and (act.gateway, act.nonce) != (before.gateway, before.nonce):
-                found.append(Wrong("two holders with one epoch", act, before))
+                found.append(LeaseViolation("two holders with one epoch", act, before))
         newest[era] = act
         top = highest.setdefault(act.duty, act)
         if act.epoch >= top.epoch:
@@ -81,14 +84,14 @@
             continue
         first = refused.setdefault((act.duty, act.epoch, act.gateway, act.nonce), act)
         if act.at_us - first.at_us > lease_us + SLACK_US:
-            found.append(Wrong("it goes on under an epoch that was refused", act, top))
+            found.append(LeaseViolation("it goes on under an epoch that was refused", act, top))
     return found
 
 
-def gaps(acts: Sequence[Seen], duty: int) -> list[tuple[int, int, int]]:
+def leadership_gaps(acts: Sequence[ObservedAct], duty: int) -> list[tuple[int, int, int]]:
     """Changes of holder: when the old one acted last, the time until the new one did, and the new one's number."""
     found = []
-    last: Seen | None = None
+    last: ObservedAct | None = None
     for act in acts:
         if act.duty != duty:
             continue
--- a/standins/checker/relays.py
+++ b/standins/checker/relays.py
@@ -28,21 +28,21 @@
 OTHERS: Final = 80  # requests elsewhere with none here: this host was left
 
 # ("gateway", n), ("relay", n), ("link", gateway, relay), ("feed", relay): to its discovery, ("discovery", n)
-Part = tuple[str, int] | tuple[str, int, int]
+Component = tuple[str, int] | tuple[str, int, int]
 Span = tuple[int, int]
 
 
 @dataclass(slots=True, frozen=True)
-class Down:
+class Outage:
     """Something did not work, from then until then."""
 
     begin_us: int
     end_us: int
-    part: Part
+    part: Component
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class EndpointChange:
     """A discovery could tell this from now on."""
 
     at_us: int
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Arrival:
+class BackendArrival:
     """A request of this gateway at this host."""
 
     at_us: int
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     """A client's request, and what it got."""
 
     at_us: int
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wrong:
+class RelayViolation:
     """One thing that must not be."""
 
     what: str
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class Record:
+class RunRecord:
     """What was seen of one play."""
 
     begin_us: int
@@ -90,10 +90,10 @@
     hosts: int
     feeds: tuple[int, ...]  # by relay: the discovery that it asks
     direct_every_us: int
-    changes: list[Change] = field(default_factory=list)  # in order; all hosts serve at the beginning
-    arrivals: list[Arrival] = field(default_factory=list)  # in order
-    asked: list[Asked] = field(default_factory=list)
-    downs: list[Down] = field(default_factory=list)
+    changes: list[EndpointChange] = field(default_factory=list)  # in order; all hosts serve at the beginning
+    arrivals: list[BackendArrival] = field(default_factory=list)  # in order
+    asked: list[ClientRequest] = field(default_factory=list)
+    downs: list[Outage] = field(default_factory=list)
     direct: list[tuple[int, int]] = field(default_factory=list)  # when, and which gateway
     exits: list[tuple[int, str]] = field(default_factory=list)  # of processes that nobody had told to end
 
@@ -117,8 +117,8 @@
     return sum(end_us - begin_us for begin_us, end_us in spans)
 
 
-class Judge:
-    def __init__(self, record: Record) -> None:
+class RelayChecker:
+    def __init__(self, record: RunRecord) -> None:
         self.record = record
         self.broken = {
             (gateway, relay): merged([(d.begin_us, d.end_us) for d in record.downs if d.part in parts])
@@ -140,9 +140,9 @@
             [a.at_us for a in record.arrivals if a.gateway == gateway] for gateway in range(record.gateways)
         ]
 
-    def judge(self) -> list[Wrong]:
+    def find_violations(self) -> list[RelayViolation]:
         found = [*self.of_hosts(), *self.of_answers(), *self.of_direct()]
-        found += [Wrong("a process ended by itself", at_us, name) for at_us, name in self.record.exits]
+        found += [RelayViolation("a process ended by itself", at_us, name) for at_us, name in self.record.exits]
         return sorted(found, key=lambda wrong: wrong.at_us)
 
     def is_late(self, gateway: int, since_us: int, at_us: int, bound_us: int) -> bool:
@@ -168,7 +168,7 @@
                 since_us, state = change.at_us, now
         yield since_us, self.record.end_us, state
 
-    def of_hosts(self) -> Iterator[Wrong]:
+    def of_hosts(self) -> Iterator[RelayViolation]:
         for host in range(self.record.hosts):
             for since_us, until_us, state in self.states(host):
                 for gateway in range(self.record.gateways):
@@ -177,7 +177,7 @@
                     elif state == "serves" and since_us > self.record.begin_us:
                         yield from self.of_back(gateway, host, since_us, until_us)
 
-    def of_left(self, gateway: int, host: int, since_us: int, until_us: int) -> Iterator[Wrong]:
+    def of_left(self, gateway: int, host: int, since_us: int, until_us: int) -> Iterator[RelayViolation]:
         who, one_says = f"n{gateway} s-{host}", len(set(self.record.feeds)) == 1
         times, everywhere = self.at[gateway, host], self.all_at[gateway]
         first = bisect_right(times, since_us)
@@ -189,13 +189,15 @@
                 late_us = at_us
             others = bisect_right(everywhere, at_us) - bisect_right(everywhere, before_us)
             if one_says and before_us and others > OTHERS:
-                yield Wrong(f"left, and used again after {(at_us - before_us) / 1e6:.3f} s", at_us, who)
+                yield RelayViolation(f"left, and used again after {(at_us - before_us) / 1e6:.3f} s", at_us, who)
                 return
             before_us = at_us
         if late_us:
-            yield Wrong(f"sent to until {(late_us - since_us) / 1e6:.3f} s after it was to be left", late_us, who)
+            yield RelayViolation(
+                f"sent to until {(late_us - since_us) / 1e6:.3f} s after it was to be left", late_us, who
+            )
 
-    def of_back(self, gateway: int, host: int, since_us: int, until_us: int) -> Iterator[Wrong]:
+    def of_back(self, gateway: int, host: int, since_us: int, until_us: int) -> Iterator[RelayViolation]:
         times = self.at[gateway, host]
         place = bisect_right(times, since_us)
         used_us = min(times[place] if place < len(times) else until_us, until_us)
@@ -203,26 +205,26 @@
         for at_us in sorted([*ends, used_us]):
             if self.is_late(gateway, since_us, at_us, TOLD_US + USE_US):
                 said = f"not used for {(used_us - since_us) / 1e6:.3f} s after it was back"
-                yield Wrong(said, at_us, f"n{gateway} s-{host}")
+                yield RelayViolation(said, at_us, f"n{gateway} s-{host}")
                 return
 
     # Clients
 
-    def of_answers(self) -> Iterator[Wrong]:
+    def of_answers(self) -> Iterator[RelayViolation]:
         for asked in self.record.asked:
             who, end_us = f"n{asked.gateway}", asked.answered_us or self.record.end_us
             stopped = within(self.stopped[asked.gateway], asked.at_us, end_us)
             if end_us - asked.at_us - length(stopped) > ANSWER_US:
                 what = "answered late" if asked.answered_us else "not answered"
-                yield Wrong(f"{what}, {(end_us - asked.at_us) / 1e6:.3f} s", asked.at_us, who)
+                yield RelayViolation(f"{what}, {(end_us - asked.at_us) / 1e6:.3f} s", asked.at_us, who)
             if asked.answered_us and asked.status not in (200, 503):
-                yield Wrong(f"answered {asked.status}", asked.answered_us, who)
+                yield RelayViolation(f"answered {asked.status}", asked.answered_us, who)
             if not asked.is_own:
-                yield Wrong("the answer is another request's", asked.answered_us, who)
+                yield RelayViolation("the answer is another request's", asked.answered_us, who)
         for gateway in range(self.record.gateways):
             yield from self.of_refusals(gateway)
 
-    def of_refusals(self, gateway: int) -> Iterator[Wrong]:
+    def of_refusals(self, gateway: int) -> Iterator[RelayViolation]:
         began_us = 0
         answered = [a for a in self.record.asked if a.gateway == gateway and a.answered_us]
         for asked in sorted(answered, key=lambda a: a.answered_us):
@@ -232,12 +234,12 @@
             began_us = began_us or asked.answered_us
             for_us = asked.answered_us - began_us
             if for_us - length(within(self.stopped[gateway], began_us, asked.answered_us)) > REFUSED_US:
-                yield Wrong(f"all was refused for {for_us / 1e6:.3f} s", asked.answered_us, f"n{gateway}")
+                yield RelayViolation(f"all was refused for {for_us / 1e6:.3f} s", asked.answered_us, f"n{gateway}")
                 return
 
     # Discovery
 
-    def of_direct(self) -> Iterator[Wrong]:
+    def of_direct(self) -> Iterator[RelayViolation]:
         for gateway in range(self.record.gateways):
             times = [at_us for at_us, who in self.record.direct if who == gateway]
             for first, at_us in enumerate(times):
@@ -246,10 +248,10 @@
                 for number, last_us in enumerate(times[first + 1 :], 1):
                     if last_us - at_us + slack_us < number * self.record.direct_every_us:
                         what = f"asked discovery itself {number + 1} times in {(last_us - at_us) / 1e6:.3f} s"
-                        yield Wrong(what, last_us, f"n{gateway}")
+                        yield RelayViolation(what, last_us, f"n{gateway}")
                         return
 
 
-def judge(record: Record) -> list[Wrong]:
+def check_relays(record: RunRecord) -> list[RelayViolation]:
     """What must not be, in order of time."""
-    return Judge(record).judge()
+    return RelayChecker(record).find_violations()
--- a/standins/event_log.py
+++ b/standins/event_log.py
@@ -293,23 +293,23 @@
 
 @dataclass
 class EventLog:
-    entries: list[Event] = field(default_factory=list)
+    events: list[Event] = field(default_factory=list)
     dropped: int = 0  # entries beyond MAX_EVENTS; the auditor refuses an account that is not whole
 
     def add(self, entry: Event) -> None:
-        if len(self.entries) >= MAX_EVENTS:
+        if len(self.events) >= MAX_EVENTS:
             self.dropped += 1
             return
-        self.entries.append(entry)
+        self.events.append(entry)
 
-    def of(self, kind: type[EventT]) -> Iterator[EventT]:
+    def events_of(self, kind: type[EventT]) -> Iterator[EventT]:
         """Entries of one kind, in the order in which they were written."""
-        return (entry for entry in self.entries if isinstance(entry, kind))
+        return (entry for entry in self.events if isinstance(entry, kind))
 
     def dump(self, path: Path) -> None:
         """One JSON object a line, so that a play can be audited again."""
         with path.open("w") as file:
-            for entry in self.entries:
+            for entry in self.events:
                 file.write(json.dumps({"kind": KIND_BY_TYPE[type(entry)]} | asdict(entry)) + "\n")
 
     @classmethod
--- a/standins/parties/fleet.py
+++ b/standins/parties/fleet.py
@@ -281,7 +281,9 @@
         """Whether all have said that they are ready within this time."""
         end = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < end:
-            if {p.gateway for p in ledger.of(ProcessEvent) if p.what == "ready"} >= {g.name for g in self.gateways}:
+            if {p.gateway for p in ledger.events_of(ProcessEvent) if p.what == "ready"} >= {
+                g.name for g in self.gateways
+            }:
                 return True
             await asyncio.sleep(POLL_S)
         return False
--- a/standins/parties/mesh.py
+++ b/standins/parties/mesh.py
@@ -18,7 +18,7 @@
 from itertools import combinations
 from typing import cast
 
-from standins.checker.duties import Seen
+from standins.checker.leases import ObservedAct
 from standins.event_log import now_us
 from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
 
@@ -111,7 +111,7 @@
 
     mesh: Mesh
     duties: list[int] = field(default_factory=list)
-    acts: list[Seen] = field(default_factory=list)
+    acts: list[ObservedAct] = field(default_factory=list)
     transport: asyncio.DatagramTransport | None = None
     asker: asyncio.TimerHandle | None = None
     address: Address = ("", 0)
@@ -150,7 +150,7 @@
         _, _, kind, _, number, nonce, _ = HEAD.unpack_from(said)
         if kind == ACT and len(self.acts) < ACTS_MOST:
             duty, epoch, _, _ = struct.unpack_from(">QQQQ", said, HEAD.size)
-            self.acts.append(Seen(now_us(), duty, epoch, number, nonce))
+            self.acts.append(ObservedAct(now_us(), duty, epoch, number, nonce))
             seen = self.newest[duty] = max(epoch, self.newest.get(duty, 0))
             if epoch < seen and number < self.mesh.count and self.transport is not None:
                 # As a resource with a fence does: it refuses, and tells what it has seen.
@@ -168,6 +168,6 @@
 
     # What it saw
 
-    def holder(self, duty: int) -> Seen | None:
+    def holder(self, duty: int) -> ObservedAct | None:
         """The last act of a duty."""
         return next((act for act in reversed(self.acts) if act.duty == duty), None)
--- a/standins/playing/command.py
+++ b/standins/playing/command.py
@@ -14,7 +14,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from standins.checker.auditor import Auditor, Breach, audit
+from standins.checker.checker import Checker, Violation, find_violations
 from standins.event_log import EventLog
 from standins.playing.play import World
 from standins.playing.stage import play
@@ -70,9 +70,9 @@
     except (RuntimeError, ValueError, OSError) as error:
         print(f"cloverkeel: the play could not go on: {error}", file=sys.stderr)
         return 2
-    auditor = Auditor(world.ledger)
-    breaches = auditor.breaches()
-    summary = summarise(auditor, scenario.name, options.seed, world.seconds)
+    checker = Checker(world.ledger)
+    breaches = checker.find_violations()
+    summary = summarise(checker, scenario.name, options.seed, world.seconds)
     show(console, summary, breaches, world.faults)
     if options.json is not None:
         found = summary.as_object() | {"found": [str(breach) for breach in breaches], "faults": world.faults}
@@ -85,7 +85,7 @@
 
 
 def judge_again(console: Console, path: Path) -> int:
-    breaches = audit(EventLog.load(path))
+    breaches = find_violations(EventLog.load(path))
     for breach in breaches:
         console.print(str(breach), markup=False, highlight=False)
     console.print(f"{len(breaches)} breaches")
@@ -119,7 +119,7 @@
             return runner.run(play(scenario, seed, seconds, on_world))
 
 
-def show(console: Console, summary: Summary, breaches: Sequence[Breach], faults: Sequence[str]) -> None:
+def show(console: Console, summary: Summary, breaches: Sequence[Violation], faults: Sequence[str]) -> None:
     """The table at the end."""
     shown = Table(title=f"{summary.scenario}, seed {summary.seed}, {summary.seconds:g} s")
     for name in ("class", "wanted", "in time", "p50 ms", "p90", "p99", "longest", "sent"):
--- a/standins/showing/report.py
+++ b/standins/showing/report.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from standins.checker.auditor import Breach
+from standins.checker.checker import Violation
 from standins.event_log import BackendLoad, EventLog, FaultInjected, OperationStarted
 from standins.site import CLASSES
 from standins.showing.summary import Summary, latencies, quantile, served_in_time
@@ -90,7 +90,7 @@
     served = served_in_time(ledger)
     for name in CLASSES:
         bins: dict[int, list[int]] = defaultdict(lambda: [0, 0])
-        for want in ledger.of(OperationStarted):
+        for want in ledger.events_of(OperationStarted):
             if want.klass == name:
                 one = bins[int((want.at_us - start_us) / 1e6)]
                 one[0] += 1
@@ -143,7 +143,7 @@
 def boxes_plot(ledger: EventLog, start_us: int, seconds: float, troubles: Sequence[tuple[float, str]]) -> str:
     """Each box's state as colour, and what it holds (running and waiting) as a line."""
     by_box: dict[str, list[BackendLoad]] = defaultdict(list)
-    for load in ledger.of(BackendLoad):
+    for load in ledger.events_of(BackendLoad):
         by_box[load.box].append(load)
     row = 34
     plot = Plot(row * len(by_box) + 20, seconds)
@@ -182,11 +182,11 @@
     return "<table><tr>" + "".join(f"<th>{cell}</th>" for cell in head) + "</tr>" + "".join(rows) + "</table>"
 
 
-def render(ledger: EventLog, summary: Summary, breaches: Sequence[Breach], about: str) -> str:
+def render(ledger: EventLog, summary: Summary, breaches: Sequence[Violation], about: str) -> str:
     """The whole page."""
-    starts = [want.at_us for want in ledger.of(OperationStarted)]
+    starts = [want.at_us for want in ledger.events_of(OperationStarted)]
     start_us = min(starts, default=0)
-    troubles = [((trouble.at_us - start_us) / 1e6, trouble.text) for trouble in ledger.of(FaultInjected)]
+    troubles = [((trouble.at_us - start_us) / 1e6, trouble.text) for trouble in ledger.events_of(FaultInjected)]
     seconds = max(summary.seconds, max(starts, default=0) / 1e6 - start_us / 1e6)
     verdicts = "".join(
         f'<tr><td>{rule}</td><td class="{"broken" if count else "kept"}">'
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from standins.checker.auditor import RULES, Auditor
+from standins.checker.checker import RULES, Checker
 from standins.event_log import (
     BackendAttempt,
     BackendLoad,
@@ -68,9 +68,9 @@
 
 def latencies(ledger: EventLog) -> dict[str, list[tuple[int, float]]]:
     """By class: when served tries were asked, and how long they took in ms."""
-    asked = {entry.id: entry for entry in ledger.of(RequestSent)}
+    asked = {entry.id: entry for entry in ledger.events_of(RequestSent)}
     found: dict[str, list[tuple[int, float]]] = defaultdict(list)
-    for final in ledger.of(ResponseReceived):
+    for final in ledger.events_of(ResponseReceived):
         if final.status == 200 and final.id in asked:
             ask = asked[final.id]
             found[ask.klass].append((ask.at_us, (final.at_us - ask.at_us) / 1e3))
@@ -79,35 +79,38 @@
 
 def served_in_time(ledger: EventLog, classes: Mapping[str, Klass] = CLASSES) -> dict[str, int]:
     """First tries' ids of what was answered within its aim, and when it was wanted."""
-    wanted = {entry.id: entry for entry in ledger.of(OperationStarted)}
-    firsts = {entry.id: entry.first for entry in ledger.of(RequestSent)}
+    wanted = {entry.id: entry for entry in ledger.events_of(OperationStarted)}
+    firsts = {entry.id: entry.first for entry in ledger.events_of(RequestSent)}
     served: dict[str, int] = {}
-    for final in ledger.of(ResponseReceived):
+    for final in ledger.events_of(ResponseReceived):
         want = wanted.get(firsts.get(final.id, ""))
         if final.status == 200 and want and final.at_us - want.at_us <= classes[want.klass].aim_us:
             served[want.id] = want.at_us
     return served
 
 
-def summarise(auditor: Auditor, scenario: str, seed: int, seconds: float) -> Summary:
+def summarise(checker: Checker, scenario: str, seed: int, seconds: float) -> Summary:
     """Of a ledger that has been judged."""
-    ledger = auditor.ledger
+    ledger = checker.event_log
     figures = {name: ClassFigures() for name in CLASSES}
     served = served_in_time(ledger)
-    for want in ledger.of(OperationStarted):
+    for want in ledger.events_of(OperationStarted):
         figures[want.klass].wanted += 1
         figures[want.klass].in_time += want.id in served
-    asked = {entry.id: entry for entry in ledger.of(RequestSent)}
+    asked = {entry.id: entry for entry in ledger.events_of(RequestSent)}
     for entry in asked.values():
         figures[entry.klass].tries += 1
     statuses: dict[str, Counter[str]] = defaultdict(Counter)
-    finals: list[ResponseReceived | ResponseMissing] = [*ledger.of(ResponseReceived), *ledger.of(ResponseMissing)]
+    finals: list[ResponseReceived | ResponseMissing] = [
+        *ledger.events_of(ResponseReceived),
+        *ledger.events_of(ResponseMissing),
+    ]
     for final in finals:
         if final.id in asked:
             said = str(final.status) if isinstance(final, ResponseReceived) else final.how
             statuses[asked[final.id].klass][said] += 1
     sent: dict[str, Counter[str]] = defaultdict(Counter)
-    for run in ledger.of(BackendAttempt):
+    for run in ledger.events_of(BackendAttempt):
         if run.whole_us:
             sent[run.klass][run.id] += 1
     times = latencies(ledger)
@@ -121,18 +124,19 @@
         one.attempts = sum(sent[name].values()) / len(sent[name]) if sent[name] else 0.0
         worth += CLASSES[name].worth * one.in_time
         asked_worth += CLASSES[name].worth * one.wanted
-    rude = list(ledger.of(MisbehavingClient))
-    usage = list(ledger.of(ResourceUsage))
+    rude = list(ledger.events_of(MisbehavingClient))
+    usage = list(ledger.events_of(ResourceUsage))
     tries = sum(one.tries for one in figures.values())
-    found = Counter(breach.rule for breach in auditor.found)
+    found = Counter(breach.rule for breach in checker.violations)
     return Summary(
         scenario, seed, seconds, worth / asked_worth if asked_worth else 0.0, figures,
-        float(max((load.connections for load in ledger.of(BackendLoad)), default=0)),
+        float(max((load.connections for load in ledger.events_of(BackendLoad)), default=0)),
         len(rude), found["owed"],
         max((u.rss_kib for u in usage), default=0) / 1024, max((u.descriptors for u in usage), default=0),
         cpu_of(usage) / tries if tries else 0.0,
-        sum(p.what == "start" for p in ledger.of(ProcessEvent)) - len({p.gateway for p in ledger.of(ProcessEvent)}),
-        max(auditor.cold_peaks.values(), default=0.0), {rule: found[rule] for rule in RULES},
+        sum(p.what == "start" for p in ledger.events_of(ProcessEvent))
+        - len({p.gateway for p in ledger.events_of(ProcessEvent)}),
+        max(checker.slow_start_peaks.values(), default=0.0), {rule: found[rule] for rule in RULES},
     )  # fmt: skip
 
 
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -20,7 +20,7 @@
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
 from standins.event_log import EventLog, ProcessEvent, now_us
-from standins.checker.duties import Seen, Wrong, gaps, judge
+from standins.checker.leases import ObservedAct, LeaseViolation, leadership_gaps, check_leases
 from standins.parties.mesh import Mesh, duty_number, host_number
 from standins.parties.network import Network
 from standins.parties.zookeeper.threaded import Threaded
@@ -162,22 +162,22 @@
         return found
 
     @property
-    def acts(self) -> list[Seen]:
+    def acts(self) -> list[ObservedAct]:
         return self.mesh.watcher.acts
 
-    async def holder(self, but: int | None = None, after_us: int = 0, within_s: float = 20.0) -> Seen:
+    async def holder(self, but: int | None = None, after_us: int = 0, within_s: float = 20.0) -> ObservedAct:
         """Who acts, at or after this moment; not that one."""
 
-        def acting() -> Seen | None:
+        def acting() -> ObservedAct | None:
             act = self.mesh.watcher.holder(self.duty)
             return act if act is not None and act.at_us >= after_us and act.gateway != but else None
 
         found = await self.wait(acting, f"a holder{f' but n{but}' if but is not None else ''}", within_s)
-        assert isinstance(found, Seen)
+        assert isinstance(found, ObservedAct)
         self.note(f"n{found.gateway} holds, epoch {found.epoch}")
         return found
 
-    async def goes_on(self, held: Seen, for_s: float) -> None:
+    async def goes_on(self, held: ObservedAct, for_s: float) -> None:
         """The same holder acts, with the same epoch, until then; what is older is for the fence (`check`)."""
         first, until_us = len(self.acts), now_us() + int(for_s * 1e6)
         await self.wait(
@@ -196,10 +196,10 @@
 
     def stops(self) -> Counter[int]:
         """How often each gateway's process was stopped."""
-        return Counter(int(p.gateway[1:]) for p in self.ledger.of(ProcessEvent) if p.what == "STOP")
+        return Counter(int(p.gateway[1:]) for p in self.ledger.events_of(ProcessEvent) if p.what == "STOP")
 
-    def judged(self) -> list[Wrong]:
-        return judge(self.acts, self.stops(), self.blanks, self.lease_ms * 1000, self.expiries)
+    def judged(self) -> list[LeaseViolation]:
+        return check_leases(self.acts, self.stops(), self.blanks, self.lease_ms * 1000, self.expiries)
 
     def check(self) -> None:
         """Never two, tokens only grow, and no defect on any log."""
@@ -211,10 +211,10 @@
     def timeline(self) -> str:
         """What happened, by all that was seen: orders of the test, processes, changes of holder, logs."""
         lines = [(at_us, f"test: {text}") for at_us, text in self.notes]
-        lines += [(p.at_us, f"{p.gateway}: {p.what} {p.code or ''}") for p in self.ledger.of(ProcessEvent)]
+        lines += [(p.at_us, f"{p.gateway}: {p.what} {p.code or ''}") for p in self.ledger.events_of(ProcessEvent)]
         lines += [
             (at_us + gap_us, f"watcher: n{to} acts, {gap_us / 1000:.0f} ms after the last act")
-            for at_us, gap_us, to in gaps(self.acts, self.duty)
+            for at_us, gap_us, to in leadership_gaps(self.acts, self.duty)
         ]
         lines.sort()
         begun = lines[0][0] if lines else 0
--- a/tests/fleet/relayed.py
+++ b/tests/fleet/relayed.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from cloverkeel.core.config import stable_id
-from standins.checker.relays import Arrival, Asked, Change, Down, Part, Record
+from standins.checker.relays import BackendArrival, ClientRequest, EndpointChange, Outage, Component, RunRecord
 from standins.event_log import DiscoveryPoll, EventLog, ProcessEvent, now_us
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
@@ -51,11 +51,11 @@
     begun_us: int = 0
     seen: list[tuple[int, int, int]] = field(default_factory=list)  # when, by which gateway, at which host
     answering: int = 0  # hosts, just now
-    asks: list[Asked] = field(default_factory=list)
+    asks: list[ClientRequest] = field(default_factory=list)
     starts: dict[int, int] = field(default_factory=dict)  # of hosts that were gone: since when, in milliseconds
-    changes: list[Change] = field(default_factory=list)
-    downs: list[Down] = field(default_factory=list)
-    open_downs: dict[Part, int] = field(default_factory=dict)  # since when
+    changes: list[EndpointChange] = field(default_factory=list)
+    downs: list[Outage] = field(default_factory=list)
+    open_downs: dict[Component, int] = field(default_factory=dict)  # since when
     statuses: Counter[int] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)  # by gateway
     notes: list[tuple[int, str]] = field(default_factory=list)
@@ -81,7 +81,7 @@
             entry = discovery.entries.get(name) or self.entry(host)
             entry.weight = weight
             discovery.change([(entry, status)])
-            self.changes.append(Change(now_us(), number, host, status))
+            self.changes.append(EndpointChange(now_us(), number, host, status))
             self.note(f"{name} {status}, weight {weight:g}, at discovery-{number}")
         return at_us
 
@@ -115,7 +115,7 @@
         try:
             while True:
                 call = f"{gateway:02x}{len(self.asks):014x}"
-                asked = Asked(now_us(), gateway)
+                asked = ClientRequest(now_us(), gateway)
                 self.asks.append(asked)
                 answer = await client.ask(request("search", x_call_id=call))
                 asked.answered_us, asked.status = now_us(), answer.status
@@ -128,14 +128,14 @@
 
     # What does not work, for the judge
 
-    def begin(self, *parts: Part) -> None:
+    def begin(self, *parts: Component) -> None:
         for part in parts:
             self.open_downs.setdefault(part, now_us())
 
-    def end(self, *parts: Part) -> None:
+    def end(self, *parts: Component) -> None:
         for part in parts:
             if part in self.open_downs:
-                self.downs.append(Down(self.open_downs.pop(part), now_us(), part))
+                self.downs.append(Outage(self.open_downs.pop(part), now_us(), part))
 
     async def beat(self) -> None:
         """Times at which this process stood still itself: what it saw then, it saw late."""
@@ -145,17 +145,20 @@
             before_us, looked_us = looked_us, now_us()
             if looked_us - before_us > (BEAT_S + STILL_S) * 1e6:
                 self.note(f"the test itself stood still for {(looked_us - before_us) / 1e6:.3f} s")
-                self.downs += [Down(before_us, looked_us, ("gateway", n)) for n in range(GATEWAYS)]
+                self.downs += [Outage(before_us, looked_us, ("gateway", n)) for n in range(GATEWAYS)]
 
-    def record(self) -> Record:
+    def record(self) -> RunRecord:
         end_us = now_us()
-        open_downs = [Down(begin_us, end_us, part) for part, begin_us in self.open_downs.items()]
-        exits = [p for p in self.ledger.of(ProcessEvent) if p.what == "exit" and not p.asked]
-        return Record(
+        open_downs = [Outage(begin_us, end_us, part) for part, begin_us in self.open_downs.items()]
+        exits = [p for p in self.ledger.events_of(ProcessEvent) if p.what == "exit" and not p.asked]
+        return RunRecord(
             self.begun_us, end_us, GATEWAYS, len(self.hosts), self.feeds, GATEWAYS * 1_000_000 // DIRECT_PER_S,
             sorted(self.changes, key=lambda change: change.at_us),
-            [Arrival(*seen) for seen in self.seen], self.asks, self.downs + open_downs,
-            [(call.at_us, int(call.gateway[1:])) for call in self.ledger.of(DiscoveryPoll) if call.gateway[0] == "n"],
+            [BackendArrival(*seen) for seen in self.seen], self.asks, self.downs + open_downs,
+            [
+                (call.at_us, int(call.gateway[1:]))
+                for call in self.ledger.events_of(DiscoveryPoll) if call.gateway[0] == "n"
+            ],
             [(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
 
@@ -208,7 +211,7 @@
 
     def direct_calls(self) -> int:
         """Of gateways at discovery itself."""
-        return sum(call.gateway.startswith("n") for call in self.ledger.of(DiscoveryPoll))
+        return sum(call.gateway.startswith("n") for call in self.ledger.events_of(DiscoveryPoll))
 
     def faults(self) -> list[str]:
         return [fault for process in self.gateways + self.relays for fault in process.faults()]
@@ -220,7 +223,7 @@
         assert not self.faults(), f"{self.faults()}\n{self.timeline()}"
 
     def timeline(self) -> str:
-        lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.of(ProcessEvent)]
+        lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.events_of(ProcessEvent)]
         begun = min((at_us for at_us, _ in lines), default=0)
         said = [f"{(at_us - begun) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
         for n in range(len(self.hosts)):
--- a/tests/fleet/test_duties_service.py
+++ b/tests/fleet/test_duties_service.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from standins.checker.duties import Seen
+from standins.checker.leases import ObservedAct
 from standins.event_log import now_us
 from standins.parties.zookeeper.ensemble import Session
 from standins.parties.zookeeper.threaded import Threaded
@@ -131,7 +131,7 @@
         assert after.gateway < fleet.count and held.epoch > 0
 
         # The watcher tells nobody what it has seen, the gateways do: another holder goes on above it.
-        def is_above(act: Seen | None) -> bool:
+        def is_above(act: ObservedAct | None) -> bool:
             same = act is not None and (act.nonce, act.epoch) == (held.nonce, held.epoch)
             return act is not None and (same or act.epoch > held.epoch)
 
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standins.checker.auditor import Auditor, Breach, audit
+from standins.checker.checker import Checker, Violation, find_violations
 from standins.event_log import (
     BackendAttempt,
     BackendStarted,
@@ -446,7 +446,7 @@
 ]
 
 
-def judge(entries: list[Event]) -> list[Breach]:
+def judge(entries: list[Event]) -> list[Violation]:
     # Written down in another order than they happened in: the account of each party has its own.
     shuffled = entries[:]
     random.Random(7).shuffle(shuffled)
@@ -455,7 +455,7 @@
     for entry in shuffled:
         ledger.add(replace(entry))
     ledger.add(SchedulingDelay(T0 + 20 * S, 0))  # the play goes on for a while
-    return audit(ledger)
+    return find_violations(ledger)
 
 
 @pytest.mark.parametrize(("rule", "name", "breach", "miss"), PLANTED, ids=[p[1] for p in PLANTED])
@@ -490,14 +490,14 @@
 
 def test_an_account_that_is_not_whole_is_not_passed() -> None:
     ledger = EventLog(list(CLEAN), dropped=1)
-    assert audit(ledger)
+    assert find_violations(ledger)
 
 
 def test_a_ledger_reads_back_as_it_was_written(tmp_path: Path) -> None:
     ledger = EventLog([entry for planted in PLANTED for entry in planted[2]])
     ledger.dump(tmp_path / "ledger")
     again = EventLog.load(tmp_path / "ledger")
-    assert list(map(repr, again.entries)) == list(map(repr, ledger.entries))
+    assert list(map(repr, again.events)) == list(map(repr, ledger.events))
     (tmp_path / "ledger").write_text('{"kind": "Run"}\n')
     with pytest.raises(ValueError, match="line 1"):
         EventLog.load(tmp_path / "ledger")
@@ -561,7 +561,7 @@
 def test_a_life_is_the_process_of_that_moment() -> None:
     whats = [(0, "start"), (S, "KILL"), (S, "exit"), (2 * S, "start")]
     ledger = EventLog([ProcessEvent(T0 + after_us, "n0", what, -9) for after_us, what in whats])
-    auditor = Auditor(ledger)
-    first, second = auditor.life("n0", T0 + S), auditor.life("n0", T0 + 3 * S)
+    checker = Checker(ledger)
+    first, second = checker.process_at("n0", T0 + S), checker.process_at("n0", T0 + 3 * S)
     assert first is not None and second is not None and first.kill_us == T0 + S and second.start_us == T0 + 2 * S
-    assert auditor.life("n0", T0 - 1) is None and auditor.life("n1", T0) is None
+    assert checker.process_at("n0", T0 - 1) is None and checker.process_at("n1", T0) is None
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -283,7 +283,7 @@
         assert "service" not in first["endpoints"][0] and first["endpoints"][1]["service"] == "pay"
         assert bodies.body(None) is bodies.body(None)
         assert (view.counts.calls, view.counts.wholes) == (2, 2) and view.counts.sent > 400
-        assert not list(registry.ledger.of(NotificationDelivered)) and not view.told
+        assert not list(registry.ledger.events_of(NotificationDelivered)) and not view.told
 
 
 @on_loop
--- a/tests/test_relay_judge.py
+++ b/tests/test_relay_judge.py
@@ -8,31 +8,39 @@
 import pytest
 
 from benchmarks.relay_schedules import draw, parse
-from standins.checker.relays import Arrival, Asked, Change, Down, Part, Record, judge
+from standins.checker.relays import (
+    BackendArrival,
+    ClientRequest,
+    EndpointChange,
+    Outage,
+    Component,
+    RunRecord,
+    check_relays,
+)
 
 S = 1_000_000
 
 
-def record(until_s: float = 20.0, feeds: tuple[int, ...] = (0, 0)) -> Record:
-    return Record(0, int(until_s * S), 1, 2, feeds, 3 * S)
+def record(until_s: float = 20.0, feeds: tuple[int, ...] = (0, 0)) -> RunRecord:
+    return RunRecord(0, int(until_s * S), 1, 2, feeds, 3 * S)
 
 
-def uses(made: Record, host: int, begin_s: float, end_s: float) -> None:
+def uses(made: RunRecord, host: int, begin_s: float, end_s: float) -> None:
     """Twenty requests a second."""
-    made.arrivals += [Arrival(at, 0, host) for at in range(int(begin_s * S), int(end_s * S), S // 20)]
+    made.arrivals += [BackendArrival(at, 0, host) for at in range(int(begin_s * S), int(end_s * S), S // 20)]
     made.arrivals.sort(key=lambda arrival: arrival.at_us)
 
 
-def change(made: Record, at_s: float, status: str, discovery: int = 0) -> None:
-    made.changes.append(Change(int(at_s * S), discovery, 1, status))
+def change(made: RunRecord, at_s: float, status: str, discovery: int = 0) -> None:
+    made.changes.append(EndpointChange(int(at_s * S), discovery, 1, status))
 
 
-def down(made: Record, begin_s: float, end_s: float, *parts: Part) -> None:
-    made.downs += [Down(int(begin_s * S), int(end_s * S), part) for part in parts]
+def down(made: RunRecord, begin_s: float, end_s: float, *parts: Component) -> None:
+    made.downs += [Outage(int(begin_s * S), int(end_s * S), part) for part in parts]
 
 
-def found(made: Record) -> list[str]:
-    return [wrong.what for wrong in judge(made)]
+def found(made: RunRecord) -> list[str]:
+    return [wrong.what for wrong in check_relays(made)]
 
 
 @pytest.mark.parametrize("status", ["DRAINING", "DELETED"])
@@ -46,7 +54,7 @@
 
 
 def test_time_in_which_no_chain_is_whole_extends_the_bound() -> None:
-    cut: tuple[Part, ...] = (("link", 0, 0), ("feed", 1))
+    cut: tuple[Component, ...] = (("link", 0, 0), ("feed", 1))
     made = record()
     change(made, 2.0, "DRAINING")
     uses(made, 1, 0.5, 11.2)
@@ -117,9 +125,9 @@
     assert found(made) == ["sent to until 8.950 s after it was to be left"]
 
 
-def asked(made: Record, at_s: float, took_s: float | None = 0.1, status: int = 200, is_own: bool = True) -> None:
+def asked(made: RunRecord, at_s: float, took_s: float | None = 0.1, status: int = 200, is_own: bool = True) -> None:
     answered_us = 0 if took_s is None else int((at_s + took_s) * S)
-    made.asked.append(Asked(int(at_s * S), 0, answered_us, status if answered_us else 0, is_own))
+    made.asked.append(ClientRequest(int(at_s * S), 0, answered_us, status if answered_us else 0, is_own))
 
 
 def test_each_request_gets_its_own_answer_in_time() -> None:
--- a/tests/test_standin_box.py
+++ b/tests/test_standin_box.py
@@ -48,7 +48,7 @@
 
 
 def runs(of: Box) -> list[BackendAttempt]:
-    return list(of.ledger.of(BackendAttempt))
+    return list(of.ledger.events_of(BackendAttempt))
 
 
 @on_loop
@@ -142,7 +142,7 @@
 async def test_a_cold_box_warms_up_and_falls_over_when_pushed() -> None:
     kind = BoxKind(cores=1, queue=50, handshake_us=0, cold_share=0.3, warm_us=60_000_000)
     async with box(kind, cold=True) as one:
-        (up,) = one.ledger.of(BackendStarted)
+        (up,) = one.ledger.events_of(BackendStarted)
         assert up.cold_share == 0.3 and one.capacity() < 0.31 and one.state == "cold"
         one.started_us -= 30_000_000
         assert 0.64 < one.capacity() < 0.66
@@ -154,7 +154,7 @@
         assert not one.fell
         clients[3].send(request(x_call_cost="400000"))
         await until(lambda: one.fell)
-        assert [down.how for down in one.ledger.of(BackendStopped)] == ["fell"]
+        assert [down.how for down in one.ledger.events_of(BackendStopped)] == ["fell"]
         with pytest.raises(ConnectionRefusedError):
             await connect(one)
 
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -56,12 +56,12 @@
     async with peer(echo) as gateway:
         clients = clients_of(door(gateway))
         await clients.run(1.0)
-        wanted = list(clients.ledger.of(OperationStarted))
+        wanted = list(clients.ledger.events_of(OperationStarted))
         assert 120 < len(wanted) < 300
         shares = Counter(want.klass for want in wanted)
         for klass in CLASSES.values():
             assert abs(shares[klass.name] / len(wanted) - klass.share) < 0.12
-        answers = list(clients.ledger.of(ResponseReceived))
+        answers = list(clients.ledger.events_of(ResponseReceived))
         assert len(answers) == len(wanted) and all(a.status == 200 and a.names == a.id for a in answers)
         posts = [x.message for x in gateway.seen if x.message.first.startswith("POST /hold")]
         assert posts and all("idempotency-key" in message.headers for message in posts)
@@ -76,7 +76,7 @@
             for _ in range(30):
                 clients.spawn()
             await asyncio.wait(clients.tasks)
-            return sorted(want.klass for want in clients.ledger.of(OperationStarted))
+            return sorted(want.klass for want in clients.ledger.events_of(OperationStarted))
 
     assert await drawn(3) == await drawn(3)
 
@@ -89,12 +89,12 @@
     async with peer(refuse) as gateway:
         clients = clients_of(door(gateway))
         await clients.want(CLASSES["transfer"])
-        assert [asked.id for asked in clients.ledger.of(RequestSent)] == ["1.1", "1.1-1", "1.1-2"]
-        assert {asked.first for asked in clients.ledger.of(RequestSent)} == {"1.1"}
-        assert next(iter(clients.ledger.of(ResponseReceived))).retry_after_us == 1000
+        assert [asked.id for asked in clients.ledger.events_of(RequestSent)] == ["1.1", "1.1-1", "1.1-2"]
+        assert {asked.first for asked in clients.ledger.events_of(RequestSent)} == {"1.1"}
+        assert next(iter(clients.ledger.events_of(ResponseReceived))).retry_after_us == 1000
         gateway.script = lambda exchange: exchange.answer(reply(502, b""))
         await clients.want(CLASSES["transfer"])
-        assert [asked.id for asked in clients.ledger.of(RequestSent)][3:] == ["1.2"]
+        assert [asked.id for asked in clients.ledger.events_of(RequestSent)][3:] == ["1.2"]
         await clients.want(CLASSES["hold"])
         keys = [x.message.headers["idempotency-key"] for x in gateway.seen[4:]]
         assert len(keys) == 3 and len(set(keys)) == 1  # the same thing, so the same key
@@ -121,7 +121,7 @@
         if kept:
             assert isinstance(await ask("one"), ResponseReceived)
         final = await ask("two")
-        asked = [(entry.id, entry.again) for entry in clients.ledger.of(RequestSent)]
+        asked = [(entry.id, entry.again) for entry in clients.ledger.events_of(RequestSent)]
         if kept:
             assert isinstance(final, ResponseReceived) and final.names == "two" and gateway.opened == 2
             assert asked == [("one", False), ("two", False), ("two", True)]
@@ -129,7 +129,7 @@
             assert (
                 isinstance(final, ResponseMissing) and final.how in ("reset", "closed") and asked == [("two", False)]
             )
-        assert [entry.id for entry in clients.ledger.of(ResponseMissing)] == ([] if kept else ["two"])
+        assert [entry.id for entry in clients.ledger.events_of(ResponseMissing)] == ([] if kept else ["two"])
 
 
 @on_loop
@@ -137,7 +137,7 @@
     async with peer(lambda exchange: None) as gateway:
         clients = clients_of(door(gateway), retries=0, try_share=0.05, leave=0.0)
         await clients.want(CLASSES["search"])
-        assert [lost.how for lost in clients.ledger.of(ResponseMissing)] == ["none"]
+        assert [lost.how for lost in clients.ledger.events_of(ResponseMissing)] == ["none"]
 
         def twice(exchange: Exchange) -> None:
             echo(exchange)
@@ -145,7 +145,7 @@
 
         gateway.script = twice
         await clients.want(CLASSES["search"])
-        await until(lambda: list(clients.ledger.of(UnexpectedBytes)))
+        await until(lambda: list(clients.ledger.events_of(UnexpectedBytes)))
 
 
 @on_loop
@@ -186,7 +186,7 @@
             asked.send(request(x_call_id="mine"))
             await until(lambda: host.seen)
         rude = await be_rude(ledger, door, random.Random(1), kind, lambda gateway: "mine")
-        assert rude is not None and list(ledger.of(MisbehavingClient)) == [rude]
+        assert rude is not None and list(ledger.events_of(MisbehavingClient)) == [rude]
         assert rude.ended_us - rude.at_us < 3_000_000 and rude.ended_us
         assert rude.status == 0 or rude.status >= 400 or kind in MAY_BE_SERVED
         assert kind in MAY_BE_SERVED or len(host.seen) == (kind == "the id of an open request")
@@ -220,10 +220,10 @@
             await until(lambda: len(ready) == 3)
             await fleet.stop()
         assert gateway.exits == [0, -9, 0] and exits == ["n0"] * 3
-        whats = [entry.what for entry in ledger.of(ProcessEvent)]
+        whats = [entry.what for entry in ledger.events_of(ProcessEvent)]
         assert whats == ["start", "ready", "HUP", "TERM", "exit", "start", "ready", "KILL", "exit", "start", "ready",
                          "TERM", "exit"]  # fmt: skip
-        assert all(entry.asked for entry in ledger.of(ProcessEvent))
+        assert all(entry.asked for entry in ledger.events_of(ProcessEvent))
 
 
 @on_loop
@@ -233,7 +233,7 @@
         with Fleet([gateway]) as fleet:
             fleet.start()
             await until(lambda: gateway.exits)
-        (ended,) = [entry for entry in ledger.of(ProcessEvent) if entry.what == "exit"]
+        (ended,) = [entry for entry in ledger.events_of(ProcessEvent) if entry.what == "exit"]
         assert ended.code == 2 and not ended.asked
 
 
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from standins.checker.duties import Seen, gaps, judge
+from standins.checker.leases import ObservedAct, leadership_gaps, check_leases
 from standins.parties.mesh import Mesh, duty_number, free_udp, own_host
 from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
 from tests.sockets import on_loop, until
@@ -117,44 +117,46 @@
         again.bind(mesh.listens[0])  # nothing was left behind
 
 
-def act(at_ms: int, epoch: int, gateway: int, nonce: int = 1, duty: int = 7) -> Seen:
-    return Seen(at_ms * 1000, duty, epoch, gateway, nonce)
+def act(at_ms: int, epoch: int, gateway: int, nonce: int = 1, duty: int = 7) -> ObservedAct:
+    return ObservedAct(at_ms * 1000, duty, epoch, gateway, nonce)
 
 
 def test_the_judge_finds_an_act_after_a_newer_holders_and_two_with_one_epoch() -> None:
     clean = [act(0, 5, 1), act(10, 5, 1), act(20, 9, 2), act(30, 9, 2), act(40, 3, 1, duty=8)]
-    assert judge(clean) == []
-    late = judge([*clean, act(50, 5, 1)])
+    assert check_leases(clean) == []
+    late = check_leases([*clean, act(50, 5, 1)])
     assert [wrong.what for wrong in late] == ["an act after a newer holder's"]
-    assert judge([*clean, act(50, 5, 1)], {1: 1}) == []  # it was stopped once: the fence's to refuse
-    assert len(judge([*clean, act(50, 5, 1), act(60, 5, 1)], {1: 1})) == 1
-    twice = judge([*clean, act(50, 9, 3)])
+    assert check_leases([*clean, act(50, 5, 1)], {1: 1}) == []  # it was stopped once: the fence's to refuse
+    assert len(check_leases([*clean, act(50, 5, 1), act(60, 5, 1)], {1: 1})) == 1
+    twice = check_leases([*clean, act(50, 9, 3)])
     assert [wrong.what for wrong in twice] == ["two holders with one epoch"]
-    assert judge([*clean, act(50, 9, 2, nonce=2)])  # another process of the same gateway is another holder
+    assert check_leases([*clean, act(50, 9, 2, nonce=2)])  # another process of the same gateway is another holder
 
 
 def test_when_all_began_anew_a_lower_epoch_is_refused_and_may_go_on_for_a_lease_and_no_longer() -> None:
     acts = [act(0, 9, 1), act(1000, 5, 2), act(1600, 5, 2), act(1700, 11, 2)]
-    assert judge(acts, blanks=[500_000], lease_us=600_000) == []
-    assert judge(acts, lease_us=600_000)  # it did not begin anew: somebody remembered
+    assert check_leases(acts, blanks=[500_000], lease_us=600_000) == []
+    assert check_leases(acts, lease_us=600_000)  # it did not begin anew: somebody remembered
     on = [act(0, 9, 1), act(1000, 5, 2), act(2000, 5, 2)]
-    assert [w.what for w in judge(on, blanks=[500_000], lease_us=600_000)] == [
+    assert [w.what for w in check_leases(on, blanks=[500_000], lease_us=600_000)] == [
         "it goes on under an epoch that was refused"
     ]
     two = [act(0, 9, 1), act(1000, 5, 2), act(1100, 4, 3)]  # the holders of after are judged among themselves
-    assert [w.what for w in judge(two, blanks=[500_000], lease_us=600_000)] == ["an act after a newer holder's"]
+    assert [w.what for w in check_leases(two, blanks=[500_000], lease_us=600_000)] == [
+        "an act after a newer holder's"
+    ]
 
 
 def test_who_lost_its_session_before_its_time_may_be_refused_and_may_not_outbid() -> None:
     acts = [act(0, 5, 1), act(100, 9, 2), act(110, 5, 1), act(120, 9, 2)]
-    assert judge(acts, lease_us=600_000, expiries=[50_000]) == []
-    assert judge(acts, lease_us=600_000)  # nobody ended a session: two hold
-    assert judge([*acts, act(1000, 5, 1)], lease_us=600_000, expiries=[50_000])  # a lease is over
+    assert check_leases(acts, lease_us=600_000, expiries=[50_000]) == []
+    assert check_leases(acts, lease_us=600_000)  # nobody ended a session: two hold
+    assert check_leases([*acts, act(1000, 5, 1)], lease_us=600_000, expiries=[50_000])  # a lease is over
     outbid = [act(0, 5, 1), act(100, 9, 2), act(110, 10, 1), act(120, 9, 2)]
-    assert judge(outbid, lease_us=600_000, expiries=[50_000])
+    assert check_leases(outbid, lease_us=600_000, expiries=[50_000])
 
 
 def test_changes_of_holder_are_timed_from_the_last_act_to_the_first() -> None:
     acts = [act(0, 5, 1), act(10, 5, 1), act(700, 9, 2), act(710, 9, 2), act(900, 11, 1)]
-    assert gaps(acts, 7) == [(10_000, 690_000, 2), (710_000, 190_000, 1)]
+    assert leadership_gaps(acts, 7) == [(10_000, 690_000, 2), (710_000, 190_000, 1)]
     assert duty_number("warden/1/0") < 2**60
--- a/tests/test_standin_registry.py
+++ b/tests/test_standin_registry.py
@@ -38,7 +38,7 @@
         return found
 
     def told(self) -> list[tuple[str, str]]:
-        return [(told.box, told.status) for told in self.registry.ledger.of(NotificationDelivered)]
+        return [(told.box, told.status) for told in self.registry.ledger.events_of(NotificationDelivered)]
 
 
 def entry(name: str) -> Entry:
@@ -78,7 +78,7 @@
 async def test_a_watch_waits_for_news_and_tells_only_these() -> None:
     async with desk() as one:
         watch = asyncio.create_task(one.listed("?from=1&hold_ms=20000"))
-        await until(lambda: list(one.registry.ledger.of(DiscoveryPoll)))
+        await until(lambda: list(one.registry.ledger.events_of(DiscoveryPoll)))
         assert not watch.done()
         one.registry.announce(one.registry.entries["s-1"], "DRAINING", lag_s=0.02)
         listed = await watch
@@ -137,7 +137,7 @@
     async with desk() as one:
         client = await one.client()
         watch = asyncio.create_task(one.ask("?from=1&hold_ms=60000", client))
-        await until(lambda: list(one.registry.ledger.of(DiscoveryPoll)))
+        await until(lambda: list(one.registry.ledger.events_of(DiscoveryPoll)))
         await one.registry.set_down(how)
         if how == "503":
             assert (await watch).status == 503
@@ -181,7 +181,7 @@
     async with desk() as one:
         one.held.clear()
         call = asyncio.create_task(one.listed())
-        await until(lambda: list(one.registry.ledger.of(DiscoveryPoll)))
+        await until(lambda: list(one.registry.ledger.events_of(DiscoveryPoll)))
         done, _ = await asyncio.wait((call,), timeout=0.05)
         assert not done and not one.told()
         one.held.set()
@@ -200,6 +200,6 @@
 async def test_each_call_is_an_interval_of_listening() -> None:
     async with desk() as one:
         await one.listed("?from=1&hold_ms=40")
-        (call,) = one.registry.ledger.of(DiscoveryPoll)
+        (call,) = one.registry.ledger.events_of(DiscoveryPoll)
         await until(lambda: call.until_us)
         assert call.until_us - call.at_us >= 38_000 and call.gateway == "n0"
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from standins.checker.auditor import RULES, Auditor, audit
+from standins.checker.checker import RULES, Checker, find_violations
 from standins.parties.fleet import ROOT
 from standins.playing.keeper_play import EphemeralWorld
 from standins.event_log import (
@@ -202,10 +202,10 @@
 """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(parse(text, "x", "x.toml"), 2))
-    assert [str(breach) for breach in audit(world.ledger)] == [] and not world.faults
-    bans = list(world.ledger.of(ManualEjection))
+    assert [str(breach) for breach in find_violations(world.ledger)] == [] and not world.faults
+    bans = list(world.ledger.events_of(ManualEjection))
     assert len(bans) == 4 and all(ban.until_us > ban.at_us for ban in bans)
-    assert sum(run.may_have_run for run in world.ledger.of(BackendAttempt)) > 50
+    assert sum(run.may_have_run for run in world.ledger.events_of(BackendAttempt)) > 50
 
 
 @pytest.mark.alone
@@ -235,16 +235,20 @@
 """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(parse(text, "sessions", "sessions"), 3))
-    assert not audit(world.ledger)
-    ended = [down for down in world.ledger.of(BackendStopped) if down.how == "expired"]
+    assert not find_violations(world.ledger)
+    ended = [down for down in world.ledger.events_of(BackendStopped) if down.how == "expired"]
     assert len(ended) == 1
     box, since_us = ended[0].box, ended[0].at_us - 100_000
-    told = [entry for entry in world.ledger.of(NotificationDelivered) if entry.box == box and entry.at_us >= since_us]
+    told = [
+        entry
+        for entry in world.ledger.events_of(NotificationDelivered)
+        if entry.box == box and entry.at_us >= since_us
+    ]
     assert {entry.status for entry in told} == {"DELETED", "SERVING"}  # gone at once, and back
     # A gateway is ready only once it knows a box, and the service is lost to the end: none came back empty.
-    ready = [p.at_us for p in world.ledger.of(ProcessEvent) if p.what == "ready"]
+    ready = [p.at_us for p in world.ledger.events_of(ProcessEvent) if p.what == "ready"]
     assert len(ready) == 4
-    served = [a for a in world.ledger.of(ResponseReceived) if a.status == 200 and a.at_us > ready[2]]
+    served = [a for a in world.ledger.events_of(ResponseReceived) if a.status == 200 and a.at_us > ready[2]]
     assert served
     assert all(gateway.exits == [0, 0] for gateway in world.gateways)
 
@@ -288,11 +292,11 @@
     """Judged by what the boxes got: none was pushed over, and more than one gateway's part of four came to them."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(parse(UNEVEN, "uneven", "uneven"), 1))
-    auditor = Auditor(world.ledger)
-    assert not auditor.breaches() and not world.faults
-    assert len(auditor.cold_peaks) == 2
+    checker = Checker(world.ledger)
+    assert not checker.find_violations() and not world.faults
+    assert len(checker.slow_start_peaks) == 2
     # Of what pushes it over one part of four, with its burst, is a tenth: 0.27 was seen, 0.09 to 0.11 without.
-    assert all(peak > 0.15 for peak in auditor.cold_peaks.values()), auditor.cold_peaks
+    assert all(peak > 0.15 for peak in checker.slow_start_peaks.values()), checker.slow_start_peaks
 
 
 CARELESS = """
@@ -318,7 +322,7 @@
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(parse(CARELESS, "careless", "careless"), 1, None, on_world))
-    breaches = audit(world.ledger)
+    breaches = find_violations(world.ledger)
     assert any(b.rule == "twice" and "may have run" in b.what for b in breaches)
     assert any(b.rule == "crash" for b in breaches)  # it heeds no SIGTERM
 
@@ -327,8 +331,8 @@
 def test_a_clean_play_raises_no_alarm(seed: int) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(play(load("calm"), seed, 2.0))
-    assert not audit(world.ledger)
-    assert sum(1 for _ in world.ledger.of(OperationStarted)) > 100
+    assert not find_violations(world.ledger)
+    assert sum(1 for _ in world.ledger.events_of(OperationStarted)) > 100
     assert all(gateway.exits == [0] for gateway in world.gateways)
 
 
@@ -367,7 +371,7 @@
     ledger.add(ResponseReceived(2_310_000, "b", 200, "b"))  # past its aim
     ledger.add(BackendAttempt(1_100_100, "s-0", 1, 0, "a-1", "search", whole_us=1_100_200, how="ok"))
     ledger.add(SchedulingDelay(3_000_000, 0))
-    summary = summarise(Auditor(ledger), "x", 1, 2.0)
+    summary = summarise(Checker(ledger), "x", 1, 2.0)
     figures = summary.classes["search"]
     assert (figures.wanted, figures.in_time, figures.tries, figures.attempts) == (2, 1, 3, 1.0)
     assert summary.service == 0.5
