--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -252,14 +252,14 @@
             elif isinstance(entry, BackendAttempt):
                 self.runs[entry.id] = entry
                 if self.open.get(entry.id) is None or self.open[entry.id].gateway != "direct":
-                    used[entry.box] += 1
+                    used[entry.backend] += 1
                     self.judge_send(entry, made)
             elif isinstance(entry, ResponseReceived | ResponseMissing):
                 self.judge_end(entry, made)
         self.used = used
 
     def judge_send(self, run: BackendAttempt, made: Served) -> None:
-        since_us = self.leaving.get(run.box)
+        since_us = self.leaving.get(run.backend)
         if since_us is None:
             return
         after_us = run.at_us - _LEDGER_AHEAD_US - since_us
@@ -282,14 +282,14 @@
             made.failed += 1
         elif run is not None:
             made.answered += 1
-            added_ms = (end.at_us - asked.at_us - (run.over_us - run.at_us)) / 1e3
+            added_ms = (end.at_us - asked.at_us - (run.ended_us - run.at_us)) / 1e3
             (made.direct_ms if is_direct else made.added_ms).append(added_ms)
 
     def is_starved(
         self, asked: RequestSent, end: ResponseReceived | ResponseMissing, run: BackendAttempt | None
     ) -> bool:
         """Guards against laying the machine's at the gateway's door: who judges stood still, or the host did."""
-        if run is not None and (run.over_us or end.at_us) - run.at_us > asked.budget_us * SLOW_HOST:
+        if run is not None and (run.ended_us or end.at_us) - run.at_us > asked.budget_us * SLOW_HOST:
             return True
         return any(asked.at_us - _LEDGER_AHEAD_US < to_us and from_us < end.at_us - _LEDGER_AHEAD_US
                    for from_us, to_us in self.stops.stood)  # fmt: skip
--- a/benchmarks/clean_plays.py
+++ b/benchmarks/clean_plays.py
@@ -30,7 +30,7 @@
             world = runner.run(play(load(options.scenario), seed, options.seconds))
         breaches = find_violations(world.ledger)
         asked = sum(1 for _ in world.ledger.events_of(RequestSent))
-        lag_ms = max((lag.lag_us for lag in world.ledger.events_of(SchedulingDelay)), default=0) / 1e3
+        lag_ms = max((lag.delay_us for lag in world.ledger.events_of(SchedulingDelay)), default=0) / 1e3
         found, requests = found + len(breaches), requests + asked
         print(f"seed {seed:3}: {asked:6} requests, {len(breaches)} breaches, stood still {lag_ms:.1f} ms at most")
         for breach in breaches[:3]:
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -100,7 +100,7 @@
         world = runner.run(run(options, Path(folder)))
     by_box: dict[str, list[int]] = {}
     for entry in world.ledger.events_of(BackendAttempt):
-        by_box.setdefault(entry.box, []).append(entry.at_us)
+        by_box.setdefault(entry.backend, []).append(entry.at_us)
     last_ms, first_ms, sent_before = list[float](), list[float](), 0
     for box, end_us, again_us in world.ended:
         after = [at_us for at_us in by_box.get(box, []) if end_us < at_us < again_us]
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -53,7 +53,7 @@
 
 def lost(ledger: EventLog) -> tuple[int, int]:
     """Runs at boxes that ended with an error, and that were given up or never ended."""
-    hows = [run.how for run in ledger.events_of(BackendAttempt) if run.whole_us]
+    hows = [run.how for run in ledger.events_of(BackendAttempt) if run.received_us]
     return hows.count("error"), sum(how in ("cancelled", "crashed", "waiting", "running") for how in hows)
 
 
@@ -65,8 +65,8 @@
     breaches = checker.find_violations()
     found = summarise(checker, scenario, seed, world.seconds)
     errors, given_up = lost(world.ledger)
-    sent = sum(1 for run in world.ledger.events_of(BackendAttempt) if run.whole_us)
-    requests = len({run.id for run in world.ledger.events_of(BackendAttempt) if run.whole_us})
+    sent = sum(1 for run in world.ledger.events_of(BackendAttempt) if run.received_us)
+    requests = len({run.id for run in world.ledger.events_of(BackendAttempt) if run.received_us})
     return Row(
         gateways, sharing, seed, found.service, found.classes["search"].service, found.classes["transfer"].p99,
         found.connections, errors, given_up, sent / max(1, requests), found.cpu_us, len(breaches) + len(world.faults),
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -152,7 +152,7 @@
         run = job.run
         self.works.append(
             Work(
-                run.id, run.whole_us, run.began_us, job.freed_us, run.over_us, run.work_us - job.handshake_us,
+                run.id, run.received_us, run.started_us, job.freed_us, run.ended_us, run.work_us - job.handshake_us,
                 job.handshake_us, job.took_us, job.gone_us, run.how,
             )
         )  # fmt: skip
@@ -198,9 +198,9 @@
     tries: dict[str, Try] = {}
     for entry in ledger.events:
         if isinstance(entry, OperationStarted):
-            wants[entry.id] = Want(entry.at_us, entry.klass)
+            wants[entry.id] = Want(entry.at_us, entry.request_class)
         elif isinstance(entry, RequestSent) and entry.id not in tries:
-            tries[entry.id] = wants[entry.first].tries[entry.id] = Try(entry.at_us, entry.at_us + entry.budget_us)
+            tries[entry.id] = wants[entry.first_id].tries[entry.id] = Try(entry.at_us, entry.at_us + entry.budget_us)
         elif (
             isinstance(entry, ResponseReceived | ResponseMissing)
             and entry.id in tries
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -81,7 +81,7 @@
     told = [t for t in world.ledger.events_of(NotificationDelivered) if t.status != "SERVING"]
     runs: dict[str, list[int]] = {}
     for sent in world.ledger.events_of(BackendAttempt):
-        if sent.gateway and sent.whole_us:
+        if sent.gateway and sent.received_us:
             runs.setdefault(sent.gateway, []).append(sent.at_us)
     asked: dict[str, list[int]] = {}
     for ask in world.ledger.events_of(RequestSent):
--- a/standins/checker/checker.py
+++ b/standins/checker/checker.py
@@ -110,9 +110,9 @@
                 case BackendAttempt():
                     self.runs[entry.id].append(entry)
                 case NotificationDelivered():
-                    self.told[entry.gateway, entry.box].append(entry)
+                    self.told[entry.gateway, entry.backend].append(entry)
                 case ManualEjection():
-                    self.banned[entry.gateway, entry.box].append(entry)
+                    self.banned[entry.gateway, entry.backend].append(entry)
                 case ProcessEvent():
                     self.on_process(entry)
                 case ClientDisconnected():
@@ -162,8 +162,8 @@
                 life.stops[-1] = (life.stops[-1][0], entry.at_us)
             case "exit":
                 life.end_us = entry.at_us
-                if not entry.asked or (entry.code != 0 and life.kill_us == FOREVER_US):
-                    what = f"ended with code {entry.code}" + ("" if entry.asked else ", and nobody had asked")
+                if not entry.was_requested or (entry.code != 0 and life.kill_us == FOREVER_US):
+                    what = f"ended with code {entry.code}" + ("" if entry.was_requested else ", and nobody had asked")
                     self.report("crash", entry.at_us, entry.gateway, what)
             case _:
                 pass
@@ -189,8 +189,8 @@
                     if since_us <= at_us < until_us:
                         at_us = until_us
                 if at_us < self.end_us:
-                    self.told[gateway, change.box].append(
-                        NotificationDelivered(at_us, gateway, change.box, change.status)
+                    self.told[gateway, change.backend].append(
+                        NotificationDelivered(at_us, gateway, change.backend, change.status)
                     )
         for told in self.told.values():
             told.sort(key=lambda entry: entry.at_us)
@@ -199,7 +199,7 @@
         """For how long the stand-ins stood still in this time."""
         total = 0
         for lag in self.lags[bisect_left(self.lag_ends, from_us) :]:
-            start_us = lag.at_us - lag.lag_us  # they follow one another, so their beginnings do too
+            start_us = lag.at_us - lag.delay_us  # they follow one another, so their beginnings do too
             if start_us >= to_us:
                 break
             total += min(lag.at_us, to_us) - max(start_us, from_us)
@@ -258,14 +258,14 @@
             self.about(id_, "missing", final.at_us, f"answered {late_us / 1e3:.1f} ms past its time and the slack")
         runs = self.runs.get(id_, [])
         if final.status == 200:
-            made = [run for run in runs if run.how in ("ok", "duplicate") and run.over_us <= final.at_us]
-            if final.names != id_ or not made:
-                of = f" (it names {final.names!r})" if final.names != id_ else ""
+            made = [run for run in runs if run.how in ("ok", "duplicate") and run.ended_us <= final.at_us]
+            if final.echoed_id != id_ or not made:
+                of = f" (it names {final.echoed_id!r})" if final.echoed_id != id_ else ""
                 self.about(id_, "missing", final.at_us, f"served with what no box made for it{of}")
         for run in runs:
             after_us = run.at_us - final.at_us - self.rules.slack_us
             if after_us > self.lag_us(final.at_us, run.at_us):
-                self.about(id_, "missing", run.at_us, f"sent to {run.box} after its final answer")
+                self.about(id_, "missing", run.at_us, f"sent to {run.backend} after its final answer")
 
     def is_excused(self, asked: RequestSent, until_us: int) -> bool:
         """Whether its gateway was killed outright or stopped while it held the request."""
@@ -282,24 +282,26 @@
     # 2. Nothing takes effect twice
 
     def judge_repeats(self, id_: str, asked: list[RequestSent]) -> None:
-        klass = self.classes.get(asked[0].klass)
+        klass = self.classes.get(asked[0].request_class)
         runs = sorted(self.runs.get(id_, []), key=lambda run: run.at_us)
-        self.judge_copies(id_, [run for run in runs if run.whole_us])
+        self.judge_copies(id_, [run for run in runs if run.received_us])
         if klass is None or klass.effect == "safe":
             return
         for index, run in enumerate(runs):
-            if not run.whole_us:
+            if not run.received_us:
                 continue  # it never came whole: no attempt
-            earlier = [e for e in runs[:index] if e.whole_us and not was_turned_away(e, run.at_us)]
+            earlier = [e for e in runs[:index] if e.received_us and not was_turned_away(e, run.at_us)]
             earlier = [e for e in earlier if not self.is_of_the_dead(e, run)]
             if not earlier:
                 continue
             if klass.effect == "unsafe":
-                self.about(id_, "twice", run.at_us, f"sent to {run.box} when it may have run at {earlier[0].box}")
+                self.about(
+                    id_, "twice", run.at_us, f"sent to {run.backend} when it may have run at {earlier[0].backend}"
+                )
                 continue
             age_us = run.at_us - earlier[0].at_us
             if any(e.group != run.group for e in earlier):
-                what = f"repeated at {run.box}, not of the group of {earlier[0].box}, where it may have run"
+                what = f"repeated at {run.backend}, not of the group of {earlier[0].backend}, where it may have run"
                 self.about(id_, "twice", run.at_us, what)
             elif age_us >= klass.window_us:
                 what = f"repeated {age_us / 1e6:.3f} s after it was first sent; repeats are dropped for"
@@ -307,10 +309,10 @@
         for final in self.finals.get(id_, []):
             if isinstance(final, ResponseReceived) and final.status in REFUSALS:
                 answerer = BackendAttempt(final.at_us, "", 0, 0, gateway=asked[-1].gateway)
-                ran = [r for r in runs if r.whole_us and not was_turned_away(r, final.at_us)]
+                ran = [r for r in runs if r.received_us and not was_turned_away(r, final.at_us)]
                 ran = [r for r in ran if r.at_us <= final.at_us and not self.is_of_the_dead(r, answerer)]
                 if ran:
-                    what = f"refused with {final.status}: harmless to repeat, but it may have run at {ran[0].box}"
+                    what = f"refused with {final.status}: harmless to repeat, but it may have run at {ran[0].backend}"
                     self.about(id_, "twice", final.at_us, what)
 
     def judge_copies(self, id_: str, runs: list[BackendAttempt]) -> None:
@@ -325,9 +327,11 @@
                 what = f"sent {len(sent)} times, {self.rules.attempts} at most"
                 self.about(id_, "twice", sent[self.rules.attempts].at_us, what)
             for before, run in pairwise(sent):
-                out_us = before.over_us - self.rules.slack_us if before.over_us else FOREVER_US
+                out_us = before.ended_us - self.rules.slack_us if before.ended_us else FOREVER_US
                 if not self.rules.second_copies and run.at_us < out_us:
-                    self.about(id_, "twice", run.at_us, f"sent to {run.box} while an attempt is out at {before.box}")
+                    self.about(
+                        id_, "twice", run.at_us, f"sent to {run.backend} while an attempt is out at {before.backend}"
+                    )
 
     def is_of_the_dead(self, earlier: BackendAttempt, run: BackendAttempt) -> bool:
         """Whether it was sent by a process that was killed since: what that held is the client's to ask again."""
@@ -350,7 +354,7 @@
         life = self.process_at(gateway, run.at_us)
         since_us = life.start_us if life is not None else 0
         bad_us: int | None = None
-        for told in self.told.get((gateway, run.box), ()):
+        for told in self.told.get((gateway, run.backend), ()):
             if told.at_us > run.at_us:
                 break
             if told.at_us < since_us:
@@ -359,7 +363,7 @@
                 bad_us = None
             elif bad_us is None:
                 bad_us = told.at_us
-        for ban in self.banned.get((gateway, run.box), ()):  # it holds over restarts too
+        for ban in self.banned.get((gateway, run.backend), ()):  # it holds over restarts too
             if ban.at_us <= run.at_us < (ban.until_us or FOREVER_US):
                 bad_us = min(ban.at_us, FOREVER_US if bad_us is None else bad_us)
         if bad_us is None:
@@ -367,7 +371,7 @@
         limit_us = bad_us + self.rules.grace_us + self.rules.slack_us
         late_us = run.at_us - limit_us
         if late_us > 0 and late_us > self.lag_us(limit_us - self.rules.slack_us, run.at_us):
-            what = f"{run.box} was sent it {(run.at_us - bad_us) / 1e6:.3f} s after {gateway} was told"
+            what = f"{run.backend} was sent it {(run.at_us - bad_us) / 1e6:.3f} s after {gateway} was told"
             self.about(run.id, "drain", run.at_us, what)
 
     # 4. Cold hosts are spared
@@ -376,37 +380,37 @@
         by_box: dict[tuple[str, int], list[BackendAttempt]] = defaultdict(list)
         for runs in self.runs.values():
             for run in runs:
-                if run.whole_us:
-                    by_box[run.box, run.incarnation].append(run)
+                if run.received_us:
+                    by_box[run.backend, run.incarnation].append(run)
         for up in self.ups:
-            runs = sorted(by_box[up.box, up.incarnation], key=lambda run: run.whole_us)
-            over = self.overdriven(up, runs) if up.cold_share < 1.0 else None
-            fell = [d for d in self.fallen if (d.box, d.incarnation) == (up.box, up.incarnation)]
+            runs = sorted(by_box[up.backend, up.incarnation], key=lambda run: run.received_us)
+            over = self.overdriven(up, runs) if up.initial_capacity < 1.0 else None
+            fell = [d for d in self.fallen if (d.backend, d.incarnation) == (up.backend, up.incarnation)]
             if over is not None:
                 at_us, what = over
-                self.report("cold", at_us, up.box, what, self.box_timeline(up, runs, at_us))
+                self.report("cold", at_us, up.backend, what, self.box_timeline(up, runs, at_us))
             elif fell:
                 lines = self.box_timeline(up, runs, fell[0].at_us)
-                self.report("cold", fell[0].at_us, up.box, "it fell over", lines)
+                self.report("cold", fell[0].at_us, up.backend, "it fell over", lines)
 
     def overdriven(self, up: BackendStarted, runs: list[BackendAttempt]) -> tuple[int, str] | None:
         """When it was first sent more than it stands while it warms up, and how much."""
         rules, first, total, found = self.rules, 0, 0, None
         for run in runs:
-            age_us = run.whole_us - up.at_us
-            if age_us >= up.warm_us:
+            age_us = run.received_us - up.at_us
+            if age_us >= up.slow_start_us:
                 break
             total += run.work_us
-            while runs[first].whole_us <= run.whole_us - rules.fall_us:
+            while runs[first].received_us <= run.received_us - rules.fall_us:
                 total -= runs[first].work_us
                 first += 1
-            share = up.cold_share + (1 - up.cold_share) * age_us / up.warm_us
+            share = up.initial_capacity + (1 - up.initial_capacity) * age_us / up.slow_start_us
             limit = rules.multiple * share * up.cores * rules.fall_us
-            of, box = total / limit, (up.box, up.incarnation)
+            of, box = total / limit, (up.backend, up.incarnation)
             self.slow_start_peaks[box] = max(self.slow_start_peaks.get(box, 0.0), of)
             if total > limit and found is None:
                 what = f"sent {total / 1e3:.1f} ms of work in {rules.fall_us / 1e6:g} s, {limit / 1e3:.1f} at most"
-                found = run.whole_us, f"{what}: it is {age_us / 1e6:.2f} s old"
+                found = run.received_us, f"{what}: it is {age_us / 1e6:.2f} s old"
         return found
 
     # Beside the four
@@ -448,19 +452,23 @@
         """All that any party saw of a request, in milliseconds since it was asked."""
         lines: list[tuple[int, str]] = []
         for asked in self.asked.get(id_, []):
-            text = f"client: {asked.klass} to {asked.gateway}, {asked.budget_us // 1000} ms"
-            text += f", key {asked.key}" if asked.key else ""
-            text += f", a try of {asked.first}" if asked.first not in ("", id_) else ""
-            lines.append((asked.at_us, text + (", once more on a new connection" if asked.again else "")))
+            text = f"client: {asked.request_class} to {asked.gateway}, {asked.budget_us // 1000} ms"
+            text += f", key {asked.idempotency_key}" if asked.idempotency_key else ""
+            text += f", a try of {asked.first_id}" if asked.first_id not in ("", id_) else ""
+            lines.append((asked.at_us, text + (", once more on a new connection" if asked.is_resend else "")))
         for run in self.runs.get(id_, []):
-            at = f"{run.box}#{run.incarnation}"
+            at = f"{run.backend}#{run.incarnation}"
             lines.append((run.at_us, f"gateway {run.gateway or '?'}: first byte to {at} (group {run.group})"))
-            for moment_us, text in ((run.whole_us, "came whole"), (run.began_us, "began"), (run.over_us, run.how)):
+            for moment_us, text in (
+                (run.received_us, "came whole"),
+                (run.started_us, "began"),
+                (run.ended_us, run.how),
+            ):
                 if moment_us:
                     lines.append((moment_us, f"{at}: {text}"))
-            for told in self.told.get((self.sender(run), run.box), ()):
+            for told in self.told.get((self.sender(run), run.backend), ()):
                 if told.at_us <= run.at_us and told.at_us > run.at_us - 10_000_000:
-                    lines.append((told.at_us, f"registry: told {told.gateway} that {told.box} is {told.status}"))
+                    lines.append((told.at_us, f"registry: told {told.gateway} that {told.backend} is {told.status}"))
         for final in self.finals.get(id_, []):
             said = f"answer {final.status}" if isinstance(final, ResponseReceived) else f"no answer ({final.how})"
             lines.append((final.at_us, f"client: {said}"))
@@ -475,17 +483,18 @@
 
     def box_timeline(self, up: BackendStarted, runs: list[BackendAttempt], at_us: int) -> list[str]:
         """A box's life so far, and who sent what in the window before."""
-        lines = [(up.at_us, f"{up.box}#{up.incarnation}: up, {up.cold_share:.0%} of {up.cores} cores")]
+        lines = [(up.at_us, f"{up.backend}#{up.incarnation}: up, {up.initial_capacity:.0%} of {up.cores} cores")]
         for run in runs:
-            if at_us - self.rules.fall_us < run.whole_us <= at_us:
-                text = f"{run.gateway or '?'}: {run.klass} {run.id}, {run.work_us / 1e3:.1f} ms of work, {run.how}"
-                lines.append((run.whole_us, text))
+            if at_us - self.rules.fall_us < run.received_us <= at_us:
+                text = f"{run.gateway or '?'}: {run.request_class} {run.id}, "
+                text += f"{run.work_us / 1e3:.1f} ms of work, {run.how}"
+                lines.append((run.received_us, text))
         return in_order(lines, up.at_us)
 
 
 def was_turned_away(run: BackendAttempt, by_us: int) -> bool:
     """Whether whoever sent it had been told by then that it never ran."""
-    return run.how == "rejected" and 0 < run.over_us <= by_us
+    return run.how == "rejected" and 0 < run.ended_us <= by_us
 
 
 def in_order(lines: list[tuple[int, str]], zero_us: int | None) -> list[str]:
--- a/standins/event_log.py
+++ b/standins/event_log.py
@@ -37,8 +37,8 @@
 
     at_us: int
     id: str  # of the first try
-    klass: str
-    room: str
+    request_class: str
+    zone: str
 
 
 @dataclass(slots=True, eq=False)
@@ -47,13 +47,13 @@
 
     at_us: int
     id: str
-    klass: str
+    request_class: str
     gateway: str
     budget_us: int
-    key: str = ""  # Idempotency-Key
+    idempotency_key: str = ""  # Idempotency-Key
     tenant: str = ""
-    first: str = ""  # id of the first try of what the client wants
-    again: bool = False  # the same request once more: its first connection was closed before it was read
+    first_id: str = ""  # id of the first try of what the client wants
+    is_resend: bool = False  # the same request once more: its first connection was closed before it was read
 
 
 @dataclass(slots=True, eq=False)
@@ -63,7 +63,7 @@
     at_us: int
     id: str
     status: int
-    names: str = ""  # the request that the body says it was made for
+    echoed_id: str = ""  # the request that the body says it was made for
     retry_after_us: int = 0
 
 
@@ -114,39 +114,39 @@
     """
 
     at_us: int  # its first byte was sent
-    box: str
+    backend: str
     incarnation: int
     group: int
     id: str = ""
-    klass: str = ""
-    key: str = ""
+    request_class: str = ""
+    idempotency_key: str = ""
     gateway: str = ""
-    whole_us: int = 0  # its last byte has come; 0: never
-    began_us: int = 0  # work began; 0: never
-    over_us: int = 0  # the last byte of the answer was written, or it ended otherwise
+    received_us: int = 0  # its last byte has come; 0: never
+    started_us: int = 0  # work began; 0: never
+    ended_us: int = 0  # the last byte of the answer was written, or it ended otherwise
     how: str = "coming"
     work_us: int = 0  # on a standard core, before what a remembered key saves
 
     @property
     def may_have_run(self) -> bool:
         """What a gateway has to take for granted: it went out whole and was not turned away."""
-        return self.whole_us > 0 and self.how != "rejected"
+        return self.received_us > 0 and self.how != "rejected"
 
 
 @dataclass(slots=True, eq=False)
 class BackendStarted:
     at_us: int
-    box: str
+    backend: str
     incarnation: int
     cores: float
-    cold_share: float  # of its capacity at the start; 1: warm
-    warm_us: int  # after the start, at the latest
+    initial_capacity: float  # of its capacity at the start; 1: warm
+    slow_start_us: int  # after the start, at the latest
 
 
 @dataclass(slots=True, eq=False)
 class BackendStopped:
     at_us: int
-    box: str
+    backend: str
     incarnation: int
     how: str  # "crash", "silent", "hang", "drained", "fell"
 
@@ -156,7 +156,7 @@
     """A look at a box, a few times a second."""
 
     at_us: int
-    box: str
+    backend: str
     state: str
     running: int
     waiting: int
@@ -170,7 +170,7 @@
 
     at_us: int
     gateway: str
-    box: str
+    backend: str
     status: str  # "SERVING", "DRAINING" or "DELETED"
 
 
@@ -180,7 +180,7 @@
 
     at_us: int
     gateway: str
-    box: str
+    backend: str
     until_us: int = 0  # the call back; 0: not yet
 
 
@@ -189,7 +189,7 @@
     """The registry could have told this from now on."""
 
     at_us: int
-    box: str
+    backend: str
     status: str
 
 
@@ -210,7 +210,7 @@
     gateway: str
     what: str  # "start", "ready", "TERM", "KILL", "HUP", "STOP", "CONT", "exit"
     code: int = 0  # of an exit
-    asked: bool = True  # for an exit: it had been signalled to
+    was_requested: bool = True  # for an exit: it had been signalled to
 
 
 @dataclass(slots=True, eq=False)
@@ -230,7 +230,7 @@
     """The stand-ins themselves stood still: what they saw in this time, came late by this much at most."""
 
     at_us: int  # the end of it
-    lag_us: int
+    delay_us: int
 
 
 @dataclass(slots=True, eq=False)
@@ -287,6 +287,24 @@
     "Trouble": FaultInjected,
 }
 KIND_BY_TYPE = {event_type: kind for kind, event_type in EVENT_TYPES.items()}
+# What a log file calls a field, where the code's name is another; by type, and by name in the code.
+FILE_KEYS: dict[type[Any], dict[str, str]] = {
+    OperationStarted: {"request_class": "klass", "zone": "room"},
+    RequestSent: {"request_class": "klass", "idempotency_key": "key", "first_id": "first", "is_resend": "again"},
+    ResponseReceived: {"echoed_id": "names"},
+    BackendAttempt: {
+        "backend": "box", "request_class": "klass", "idempotency_key": "key", "received_us": "whole_us",
+        "started_us": "began_us", "ended_us": "over_us",
+    },
+    BackendStarted: {"backend": "box", "initial_capacity": "cold_share", "slow_start_us": "warm_us"},
+    BackendStopped: {"backend": "box"},
+    BackendLoad: {"backend": "box"},
+    NotificationDelivered: {"backend": "box"},
+    ManualEjection: {"backend": "box"},
+    EndpointChanged: {"backend": "box"},
+    ProcessEvent: {"was_requested": "asked"},
+    SchedulingDelay: {"delay_us": "lag_us"},
+}  # fmt: skip
 EventT = TypeVar("EventT")
 MAX_EVENTS = 5_000_000  # entries: a play that writes more is not kept whole, and says so
 
@@ -310,7 +328,9 @@
         """One JSON object a line, so that a play can be audited again."""
         with path.open("w") as file:
             for entry in self.events:
-                file.write(json.dumps({"kind": KIND_BY_TYPE[type(entry)]} | asdict(entry)) + "\n")
+                keys = FILE_KEYS.get(type(entry), {})
+                raw = {keys.get(name, name): value for name, value in asdict(entry).items()}
+                file.write(json.dumps({"kind": KIND_BY_TYPE[type(entry)]} | raw) + "\n")
 
     @classmethod
     def load(cls, path: Path) -> EventLog:
@@ -319,7 +339,9 @@
         for number, line in enumerate(path.read_text().splitlines(), 1):
             try:
                 raw = json.loads(line)
-                ledger.add(EVENT_TYPES[raw.pop("kind")](**raw))
+                event_type = EVENT_TYPES[raw.pop("kind")]
+                names = {key: name for name, key in FILE_KEYS.get(event_type, {}).items()}
+                ledger.add(event_type(**{names.get(key, key): value for key, value in raw.items()}))
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 raise ValueError(f"{path}, line {number}: not an entry of a ledger ({error!r})") from None
         return ledger
--- a/standins/parties/box.py
+++ b/standins/parties/box.py
@@ -282,8 +282,8 @@
     def begin(self) -> None:
         box, run, now = self.box, self.run, now_us()
         self.has_core = True
-        run.began_us, run.how = now, "running"
-        if run.key and box.shelf.is_repeat(run.key, now):
+        run.started_us, run.how = now, "running"
+        if run.idempotency_key and box.shelf.is_repeat(run.idempotency_key, now):
             self.finish("duplicate")
             return
         saved = box.saved(self.path)
@@ -305,7 +305,7 @@
     def finish(self, how: str) -> None:
         """The work is done: answer, as well as the faults allow."""
         box, faults, dice = self.box, self.box.faults, self.box.dice
-        box.served.append((now_us(), (now_us() - self.run.began_us) / 1e3))
+        box.served.append((now_us(), (now_us() - self.run.started_us) / 1e3))
         self.free_core()
         self.timer = None
         if faults.hang:
@@ -370,11 +370,11 @@
         self.end("rejected")
 
     def end(self, how: str) -> None:
-        if self.run.over_us:
+        if self.run.ended_us:
             return
         if self.gone_us and how != "crashed":
             how = "cancelled"  # nobody has it
-        self.run.how, self.run.over_us = how, now_us()
+        self.run.how, self.run.ended_us = how, now_us()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -389,7 +389,7 @@
     def give_up(self) -> None:
         """Whoever asked has gone: work for it stops, or goes on to its end."""
         law = self.box.law
-        if law is None or not law.stale or (self.run.began_us and self.timer is None):
+        if law is None or not law.stale or (self.run.started_us and self.timer is None):
             self.end("cancelled")
         else:
             self.gone_us = now_us()
@@ -443,7 +443,7 @@
 
     def begun(self, offset: int) -> None:
         """The first byte of a request, if none is being read."""
-        if self.run is not None or (self.job is not None and not self.job.run.over_us):
+        if self.run is not None or (self.job is not None and not self.job.run.ended_us):
             return
         flow = self.flow
         at_us = flow.sent_at(offset) if flow is not None else now_us()
@@ -462,7 +462,7 @@
     def on_headers_complete(self) -> None:
         if self.run is not None:
             self.run.id = self.headers.get("x-call-id", "")
-            self.run.key = self.headers.get("idempotency-key", "")
+            self.run.idempotency_key = self.headers.get("idempotency-key", "")
             self.box.ledger.add(self.run) if self.run.id else None
 
     def on_message_complete(self) -> None:
@@ -476,12 +476,12 @@
         if run is None or not run.id or klass is None:
             self.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
             return
-        run.klass, run.whole_us = klass.name, now_us()
+        run.request_class, run.received_us = klass.name, now_us()
         job = self.job = Job(self.box, self, run, klass)
         job.path = path
         hint, budget = self.headers.get("x-call-cost", ""), self.headers.get("x-budget-ms", "")
         job.hint_us = int(hint) if hint.isdigit() else 0
-        job.until_us = run.whole_us + int(budget) * 1000 if budget.isdigit() else 0
+        job.until_us = run.received_us + int(budget) * 1000 if budget.isdigit() else 0
         if self.fresh:
             self.fresh = False
             job.handshake_us = self.box.kind.handshake_us
--- a/standins/playing/play.py
+++ b/standins/playing/play.py
@@ -486,7 +486,7 @@
         await asyncio.sleep(for_s / 2)
         for ban in bans:
             ban.until_us = now_us()
-            await self.staff_call(next(g for g in self.gateways if g.name == ban.gateway), f"RESTORE {ban.box}")
+            await self.staff_call(next(g for g in self.gateways if g.name == ban.gateway), f"RESTORE {ban.backend}")
         self.busy.difference_update(box.name for box in chosen)
 
     async def do_empty(self, for_s: float, gateways: int = 1) -> None:
--- a/standins/showing/report.py
+++ b/standins/showing/report.py
@@ -91,7 +91,7 @@
     for name in CLASSES:
         bins: dict[int, list[int]] = defaultdict(lambda: [0, 0])
         for want in ledger.events_of(OperationStarted):
-            if want.klass == name:
+            if want.request_class == name:
                 one = bins[int((want.at_us - start_us) / 1e6)]
                 one[0] += 1
                 one[1] += want.id in served
@@ -144,7 +144,7 @@
     """Each box's state as colour, and what it holds (running and waiting) as a line."""
     by_box: dict[str, list[BackendLoad]] = defaultdict(list)
     for load in ledger.events_of(BackendLoad):
-        by_box[load.box].append(load)
+        by_box[load.backend].append(load)
     row = 34
     plot = Plot(row * len(by_box) + 20, seconds)
     most = max((load.running + load.waiting for loads in by_box.values() for load in loads), default=1) or 1
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -73,18 +73,18 @@
     for final in ledger.events_of(ResponseReceived):
         if final.status == 200 and final.id in asked:
             ask = asked[final.id]
-            found[ask.klass].append((ask.at_us, (final.at_us - ask.at_us) / 1e3))
+            found[ask.request_class].append((ask.at_us, (final.at_us - ask.at_us) / 1e3))
     return found
 
 
 def served_in_time(ledger: EventLog, classes: Mapping[str, Klass] = CLASSES) -> dict[str, int]:
     """First tries' ids of what was answered within its aim, and when it was wanted."""
     wanted = {entry.id: entry for entry in ledger.events_of(OperationStarted)}
-    firsts = {entry.id: entry.first for entry in ledger.events_of(RequestSent)}
+    firsts = {entry.id: entry.first_id for entry in ledger.events_of(RequestSent)}
     served: dict[str, int] = {}
     for final in ledger.events_of(ResponseReceived):
         want = wanted.get(firsts.get(final.id, ""))
-        if final.status == 200 and want and final.at_us - want.at_us <= classes[want.klass].aim_us:
+        if final.status == 200 and want and final.at_us - want.at_us <= classes[want.request_class].aim_us:
             served[want.id] = want.at_us
     return served
 
@@ -95,11 +95,11 @@
     figures = {name: ClassFigures() for name in CLASSES}
     served = served_in_time(ledger)
     for want in ledger.events_of(OperationStarted):
-        figures[want.klass].wanted += 1
-        figures[want.klass].in_time += want.id in served
+        figures[want.request_class].wanted += 1
+        figures[want.request_class].in_time += want.id in served
     asked = {entry.id: entry for entry in ledger.events_of(RequestSent)}
     for entry in asked.values():
-        figures[entry.klass].tries += 1
+        figures[entry.request_class].tries += 1
     statuses: dict[str, Counter[str]] = defaultdict(Counter)
     finals: list[ResponseReceived | ResponseMissing] = [
         *ledger.events_of(ResponseReceived),
@@ -108,11 +108,11 @@
     for final in finals:
         if final.id in asked:
             said = str(final.status) if isinstance(final, ResponseReceived) else final.how
-            statuses[asked[final.id].klass][said] += 1
+            statuses[asked[final.id].request_class][said] += 1
     sent: dict[str, Counter[str]] = defaultdict(Counter)
     for run in ledger.events_of(BackendAttempt):
-        if run.whole_us:
-            sent[run.klass][run.id] += 1
+        if run.received_us:
+            sent[run.request_class][run.id] += 1
     times = latencies(ledger)
     worth = asked_worth = 0.0
     for name, one in figures.items():
--- a/tests/fleet/relayed.py
+++ b/tests/fleet/relayed.py
@@ -150,7 +150,7 @@
     def record(self) -> RunRecord:
         end_us = now_us()
         open_downs = [Outage(begin_us, end_us, part) for part, begin_us in self.open_downs.items()]
-        exits = [p for p in self.ledger.events_of(ProcessEvent) if p.what == "exit" and not p.asked]
+        exits = [p for p in self.ledger.events_of(ProcessEvent) if p.what == "exit" and not p.was_requested]
         return RunRecord(
             self.begun_us, end_us, GATEWAYS, len(self.hosts), self.feeds, GATEWAYS * 1_000_000 // DIRECT_PER_S,
             sorted(self.changes, key=lambda change: change.at_us),
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -44,7 +44,7 @@
 
 
 def asked(id_: str = "r", klass: str = "search", at_us: int = T0, budget_us: int = BUDGET) -> RequestSent:
-    return RequestSent(at_us, id_, klass, "n0", budget_us, key=f"k-{id_}" if klass == "hold" else "")
+    return RequestSent(at_us, id_, klass, "n0", budget_us, idempotency_key=f"k-{id_}" if klass == "hold" else "")
 
 
 def ran(
@@ -53,10 +53,10 @@
 ) -> BackendAttempt:  # fmt: skip
     run = BackendAttempt(at_us, box, incarnation, group, id_, klass, gateway="n0", work_us=work_us, how=how)
     if whole:
-        run.whole_us = at_us + 100
+        run.received_us = at_us + 100
     if how not in ("rejected", "coming"):
-        run.began_us = at_us + 200
-    run.over_us = at_us + took_us
+        run.started_us = at_us + 200
+    run.ended_us = at_us + took_us
     return run
 
 
@@ -235,7 +235,7 @@
             *started("n1"),
             asked(klass="transfer"),
             ran(klass="transfer", how="cancelled"),
-            replace(asked(klass="transfer", at_us=T0 + 50 * MS), gateway="n1", again=True),
+            replace(asked(klass="transfer", at_us=T0 + 50 * MS), gateway="n1", is_resend=True),
             replace(ran(klass="transfer", at_us=T0 + 51 * MS, took_us=30 * MS), gateway="n1"),
             answered(),
         ],
@@ -246,7 +246,7 @@
             ran(klass="transfer", how="cancelled"),
             ProcessEvent(T0 + 40 * MS, "n0", "KILL"),
             ProcessEvent(T0 + 41 * MS, "n0", "exit", -9),
-            replace(asked(klass="transfer", at_us=T0 + 50 * MS), gateway="n1", again=True),
+            replace(asked(klass="transfer", at_us=T0 + 50 * MS), gateway="n1", is_resend=True),
             replace(ran(klass="transfer", at_us=T0 + 51 * MS, took_us=30 * MS), gateway="n1"),
             answered(),
         ],
@@ -379,7 +379,7 @@
     (
         "crash",
         "an exit that nobody asked for, and one after SIGTERM",
-        [*CLEAN, ProcessEvent(T0 + S, "n0", "exit", 1, asked=False)],
+        [*CLEAN, ProcessEvent(T0 + S, "n0", "exit", 1, was_requested=False)],
         [*CLEAN, ProcessEvent(T0 + S, "n0", "TERM"), ProcessEvent(T0 + 2 * S, "n0", "exit", 0)],
     ),
     (
@@ -550,8 +550,12 @@
         else e
         for e in breach
     ]
-    planted = [replace(e, names="planted-" + e.names if e.names else "") if isinstance(e, ResponseReceived) else e
-               for e in planted]  # fmt: skip
+    planted = [
+        replace(e, echoed_id="planted-" + e.echoed_id if e.echoed_id else "")
+        if isinstance(e, ResponseReceived)
+        else e
+        for e in planted
+    ]
     strangers = [e for e in planted if not isinstance(e, ProcessEvent | DiscoveryPoll)]
     lives = [e for e in breach if isinstance(e, ProcessEvent | DiscoveryPoll)]
     others = [e for e in entries if not isinstance(e, ProcessEvent | DiscoveryPoll | BackendStarted)]
--- a/tests/test_membership_pause.py
+++ b/tests/test_membership_pause.py
@@ -49,6 +49,6 @@
         if t.gateway == stopped.gateway and t.at_us > woken.at_us
     ]
     # Its session had ended: the whole list is read again, and the box that died meanwhile is not on it.
-    assert {t.box for t in told if t.status == "SERVING"} >= set(world.boxes) - {b for b in world.busy}
+    assert {t.backend for t in told if t.status == "SERVING"} >= set(world.boxes) - {b for b in world.busy}
     assert all(gateway.exits == [0] for gateway in world.gateways)
     assert not find_violations(world.ledger)
--- a/tests/test_overload_picture.py
+++ b/tests/test_overload_picture.py
@@ -128,11 +128,12 @@
 def test_a_ledger_tells_each_want_its_tries_and_what_became_of_them() -> None:
     ledger = EventLog()
     for entry in (
-        OperationStarted(1, "a", "hold", "kita-room"), RequestSent(2, "a", "hold", "n0", 100, first="a"),
+        OperationStarted(1, "a", "hold", "kita-room"), RequestSent(2, "a", "hold", "n0", 100, first_id="a"),
         # Its connection was closed before it was read: the same try, once more.
-        RequestSent(3, "a", "hold", "n1", 100, first="a", again=True), ResponseReceived(50, "a", 503, "", 20_000),
-        RequestSent(70, "a-1", "hold", "n0", 100, first="a"), ResponseReceived(171, "a-1", 200, "a-1"),
-        RequestSent(180, "a-2", "hold", "n0", 50, first="a"), ResponseMissing(500, "a-2", "none"),
+        RequestSent(3, "a", "hold", "n1", 100, first_id="a", is_resend=True),
+        ResponseReceived(50, "a", 503, "", 20_000),
+        RequestSent(70, "a-1", "hold", "n0", 100, first_id="a"), ResponseReceived(171, "a-1", 200, "a-1"),
+        RequestSent(180, "a-2", "hold", "n0", 50, first_id="a"), ResponseMissing(500, "a-2", "none"),
         ResponseReceived(501, "a-2", 200),
     ):  # fmt: skip
         ledger.add(entry)
--- a/tests/test_standin_box.py
+++ b/tests/test_standin_box.py
@@ -59,9 +59,9 @@
         answer = await client.ask(request(x_call_id="abc", **QUICK))
         assert answer.status == 200 and answer.body.startswith(b"abc s-0 ")
         (run,) = runs(one)
-        assert (run.id, run.klass, run.how, run.box) == ("abc", "search", "ok", "s-0")
-        assert before <= run.at_us <= run.whole_us <= run.began_us < run.over_us <= now_us()
-        assert run.over_us - run.began_us >= 28_000  # it waits on others
+        assert (run.id, run.request_class, run.how, run.backend) == ("abc", "search", "ok", "s-0")
+        assert before <= run.at_us <= run.received_us <= run.started_us < run.ended_us <= now_us()
+        assert run.ended_us - run.started_us >= 28_000  # it waits on others
         assert (await client.ask(request(x_call_id="def", **QUICK))).status == 200  # kept alive
 
 
@@ -120,7 +120,7 @@
         here, there = await connect(one), await connect(twin)
         again: dict[str, Any] = {"idempotency_key": "k", **QUICK}
         await here.ask(request("hold", **again))
-        begun_us = runs(one)[0].began_us
+        begun_us = runs(one)[0].started_us
         assert (await there.ask(request("hold", **again))).status == 200
         await asyncio.sleep(max(0.0, (begun_us + 1_020_000 - now_us()) / 1e6))
         await there.ask(request("hold", **again))
@@ -135,7 +135,7 @@
         for _ in range(2):
             await client.ask(request(x_call_cost="150000"))
         first, second = runs(one)
-        assert second.over_us - second.began_us < (first.over_us - first.began_us) / 2
+        assert second.ended_us - second.started_us < (first.ended_us - first.started_us) / 2
 
 
 @on_loop
@@ -143,7 +143,7 @@
     kind = BoxKind(cores=1, queue=50, handshake_us=0, cold_share=0.3, warm_us=60_000_000)
     async with box(kind, cold=True) as one:
         (up,) = one.ledger.events_of(BackendStarted)
-        assert up.cold_share == 0.3 and one.capacity() < 0.31 and one.state == "cold"
+        assert up.initial_capacity == 0.3 and one.capacity() < 0.31 and one.state == "cold"
         one.started_us -= 30_000_000
         assert 0.64 < one.capacity() < 0.66
         one.started_us += 30_000_000
@@ -203,9 +203,9 @@
         assert now_us() - begun >= 80_000
         one.faults.slow, one.faults.hang = 1.0, True
         client.send(request(x_call_id="hung", **QUICK))
-        await until(lambda: runs(one)[-1].id == "hung" and runs(one)[-1].began_us and not one.running)
+        await until(lambda: runs(one)[-1].id == "hung" and runs(one)[-1].started_us and not one.running)
         assert await is_silent(client)
-        assert runs(one)[-1].over_us == 0
+        assert runs(one)[-1].ended_us == 0
         client.close()
         await until(lambda: runs(one)[-1].how == "cancelled")
         one.faults.hang = False
@@ -257,7 +257,7 @@
             assert data.count(b"abc s-0 ") >= 1 and good in data
         else:
             assert kind == "short" or not data.startswith(good) or b": -" in data
-        await until(lambda: runs(one)[0].over_us)
+        await until(lambda: runs(one)[0].ended_us)
         assert runs(one)[0].how == ("spoilt" if kind in SPOILT else "ok")
 
 
@@ -331,7 +331,7 @@
         job.wait_on_others()  # its time on the core is over
         assert (await second.answer()).status == 200  # past its time, and begun anyway
         await until(lambda: sorted(over) == ["left", "waits"])
-        assert job.run.how == "cancelled" and job.freed_us <= waits.run.began_us < waits.run.over_us
+        assert job.run.how == "cancelled" and job.freed_us <= waits.run.started_us < waits.run.ended_us
 
 
 @on_loop
@@ -347,7 +347,7 @@
         (waits,) = one.jobs - {job}
         await until(lambda: now_us() > waits.until_us)
         job.free_core()
-        assert (await second.answer()).status == 504 and not waits.run.began_us
+        assert (await second.answer()).status == 504 and not waits.run.started_us
 
 
 @on_loop
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -58,11 +58,11 @@
         await clients.run(1.0)
         wanted = list(clients.ledger.events_of(OperationStarted))
         assert 120 < len(wanted) < 300
-        shares = Counter(want.klass for want in wanted)
+        shares = Counter(want.request_class for want in wanted)
         for klass in CLASSES.values():
             assert abs(shares[klass.name] / len(wanted) - klass.share) < 0.12
         answers = list(clients.ledger.events_of(ResponseReceived))
-        assert len(answers) == len(wanted) and all(a.status == 200 and a.names == a.id for a in answers)
+        assert len(answers) == len(wanted) and all(a.status == 200 and a.echoed_id == a.id for a in answers)
         posts = [x.message for x in gateway.seen if x.message.first.startswith("POST /hold")]
         assert posts and all("idempotency-key" in message.headers for message in posts)
 
@@ -76,7 +76,7 @@
             for _ in range(30):
                 clients.spawn()
             await asyncio.wait(clients.tasks)
-            return sorted(want.klass for want in clients.ledger.events_of(OperationStarted))
+            return sorted(want.request_class for want in clients.ledger.events_of(OperationStarted))
 
     assert await drawn(3) == await drawn(3)
 
@@ -90,7 +90,7 @@
         clients = clients_of(door(gateway))
         await clients.want(CLASSES["transfer"])
         assert [asked.id for asked in clients.ledger.events_of(RequestSent)] == ["1.1", "1.1-1", "1.1-2"]
-        assert {asked.first for asked in clients.ledger.events_of(RequestSent)} == {"1.1"}
+        assert {asked.first_id for asked in clients.ledger.events_of(RequestSent)} == {"1.1"}
         assert next(iter(clients.ledger.events_of(ResponseReceived))).retry_after_us == 1000
         gateway.script = lambda exchange: exchange.answer(reply(502, b""))
         await clients.want(CLASSES["transfer"])
@@ -121,9 +121,9 @@
         if kept:
             assert isinstance(await ask("one"), ResponseReceived)
         final = await ask("two")
-        asked = [(entry.id, entry.again) for entry in clients.ledger.events_of(RequestSent)]
+        asked = [(entry.id, entry.is_resend) for entry in clients.ledger.events_of(RequestSent)]
         if kept:
-            assert isinstance(final, ResponseReceived) and final.names == "two" and gateway.opened == 2
+            assert isinstance(final, ResponseReceived) and final.echoed_id == "two" and gateway.opened == 2
             assert asked == [("one", False), ("two", False), ("two", True)]
         else:
             assert (
@@ -223,7 +223,7 @@
         whats = [entry.what for entry in ledger.events_of(ProcessEvent)]
         assert whats == ["start", "ready", "HUP", "TERM", "exit", "start", "ready", "KILL", "exit", "start", "ready",
                          "TERM", "exit"]  # fmt: skip
-        assert all(entry.asked for entry in ledger.events_of(ProcessEvent))
+        assert all(entry.was_requested for entry in ledger.events_of(ProcessEvent))
 
 
 @on_loop
@@ -234,7 +234,7 @@
             fleet.start()
             await until(lambda: gateway.exits)
         (ended,) = [entry for entry in ledger.events_of(ProcessEvent) if entry.what == "exit"]
-        assert ended.code == 2 and not ended.asked
+        assert ended.code == 2 and not ended.was_requested
 
 
 def is_alive(pid: int) -> bool:
--- a/tests/test_standin_registry.py
+++ b/tests/test_standin_registry.py
@@ -38,7 +38,7 @@
         return found
 
     def told(self) -> list[tuple[str, str]]:
-        return [(told.box, told.status) for told in self.registry.ledger.events_of(NotificationDelivered)]
+        return [(told.backend, told.status) for told in self.registry.ledger.events_of(NotificationDelivered)]
 
 
 def entry(name: str) -> Entry:
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -238,11 +238,11 @@
     assert not find_violations(world.ledger)
     ended = [down for down in world.ledger.events_of(BackendStopped) if down.how == "expired"]
     assert len(ended) == 1
-    box, since_us = ended[0].box, ended[0].at_us - 100_000
+    box, since_us = ended[0].backend, ended[0].at_us - 100_000
     told = [
         entry
         for entry in world.ledger.events_of(NotificationDelivered)
-        if entry.box == box and entry.at_us >= since_us
+        if entry.backend == box and entry.at_us >= since_us
     ]
     assert {entry.status for entry in told} == {"DELETED", "SERVING"}  # gone at once, and back
     # A gateway is ready only once it knows a box, and the service is lost to the end: none came back empty.
@@ -362,14 +362,14 @@
 def test_figures_count_wants_not_tries() -> None:
     ledger = EventLog()
     ledger.add(OperationStarted(1_000_000, "a", "search", "kita-room"))
-    ledger.add(RequestSent(1_000_000, "a", "search", "n0", 300_000, first="a"))
+    ledger.add(RequestSent(1_000_000, "a", "search", "n0", 300_000, first_id="a"))
     ledger.add(ResponseReceived(1_050_000, "a", 503))
-    ledger.add(RequestSent(1_100_000, "a-1", "search", "n0", 300_000, first="a"))
+    ledger.add(RequestSent(1_100_000, "a-1", "search", "n0", 300_000, first_id="a"))
     ledger.add(ResponseReceived(1_290_000, "a-1", 200, "a-1"))
     ledger.add(OperationStarted(2_000_000, "b", "search", "kita-room"))
-    ledger.add(RequestSent(2_000_000, "b", "search", "n0", 400_000, first="b"))
+    ledger.add(RequestSent(2_000_000, "b", "search", "n0", 400_000, first_id="b"))
     ledger.add(ResponseReceived(2_310_000, "b", 200, "b"))  # past its aim
-    ledger.add(BackendAttempt(1_100_100, "s-0", 1, 0, "a-1", "search", whole_us=1_100_200, how="ok"))
+    ledger.add(BackendAttempt(1_100_100, "s-0", 1, 0, "a-1", "search", received_us=1_100_200, how="ok"))
     ledger.add(SchedulingDelay(3_000_000, 0))
     summary = summarise(Checker(ledger), "x", 1, 2.0)
     figures = summary.classes["search"]
