--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -164,9 +164,9 @@
         except AssertionError as error:
             played.wrong.append(f"nobody holds after all is healed: {error}")
         found = fleet.judged()
-        played.wrong += [f"{wrong.what}: {wrong.act} after {wrong.before}" for wrong in found]
+        played.wrong += [f"{wrong.what}: {wrong.act} after {wrong.earlier}" for wrong in found]
         played.wrong += [fault for gateway in fleet.gateways for fault in gateway.faults()]
-        played.holders, played.acts = len({(act.duty, act.epoch) for act in fleet.acts}), len(fleet.acts)
+        played.holders, played.acts = len({(act.role, act.fencing_token) for act in fleet.acts}), len(fleet.acts)
         if played.wrong:
             played.timeline = fleet.timeline()
     if keeper is not None:
@@ -196,11 +196,11 @@
             (duty,) = [d["duty"] for d in (await fleet.shown(held.gateway))["duties"]]
             assert (await fleet.call(held.gateway, f"HANDON {duty}")).startswith("ACK")
         after = await fleet.holder(but=held.gateway)
-        last = max(act.at_us for act in fleet.acts if act.epoch == held.epoch)
+        last = max(act.at_us for act in fleet.acts if act.fencing_token == held.fencing_token)
         assert not fleet.judged()
         if kind == "stall":
             fleet.wake(held.gateway)
-        first = min(act.at_us for act in fleet.acts if act.epoch == after.epoch)
+        first = min(act.at_us for act in fleet.acts if act.fencing_token == after.fencing_token)
         return (first - last) / 1e6
 
 
@@ -223,7 +223,7 @@
         end = time.monotonic() + minutes * 60
         while time.monotonic() < end:
             await asyncio.sleep(1.0)
-        return len({act.epoch for act in fleet.acts[first:]})
+        return len({act.fencing_token for act in fleet.acts[first:]})
 
 
 def cost(gateways: int, colds: int, seconds: int = 20) -> tuple[float, float]:
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -386,10 +386,10 @@
         except* AssertionError as errors:
             played.wrong += [str(error) for error in errors.exceptions]
         record = fleet.record()
-        played.wrong += [f"{wrong.who}: {wrong.what}" for wrong in check_relays(record)]
+        played.wrong += [f"{wrong.subject}: {wrong.what}" for wrong in check_relays(record)]
         played.wrong += fleet.faults()
-        played.asked, played.refused = len(record.asked), fleet.statuses[503]
-        played.direct, played.took_s = len(record.direct), time.monotonic() - began_s
+        played.asked, played.refused = len(record.requests), fleet.statuses[503]
+        played.direct, played.took_s = len(record.direct_polls), time.monotonic() - began_s
         if played.wrong:
             played.timeline = fleet.timeline()
     return played
--- a/standins/checker/leases.py
+++ b/standins/checker/leases.py
@@ -15,10 +15,10 @@
     """One act, as it came."""
 
     at_us: int
-    duty: int
-    epoch: int
+    role: int
+    fencing_token: int
     gateway: int
-    nonce: int  # of its process
+    process_nonce: int  # of its process
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
 
     what: str
     act: ObservedAct
-    before: ObservedAct
+    earlier: ObservedAct
 
 
 SLACK_US = 250_000  # beyond a lease: what a busy machine may take between a look at the time and the write
@@ -61,28 +61,31 @@
     refused: dict[tuple[int, int, int, int], ObservedAct] = {}  # first acts under it: duty, epoch, gateway, process
     begun: dict[tuple[int, int, int, int], int] = {}  # when each holder's epoch was first seen
     for act in acts:
-        began_us = begun.setdefault((act.duty, act.epoch, act.gateway, act.nonce), act.at_us)
+        began_us = begun.setdefault((act.role, act.fencing_token, act.gateway, act.process_nonce), act.at_us)
         if any(began_us <= at_us <= act.at_us <= at_us + lease_us + SLACK_US for at_us in expiries):
-            top = highest.get(act.duty)
-            if top is not None and act.epoch < top.epoch:
+            top = highest.get(act.role)
+            if top is not None and act.fencing_token < top.fencing_token:
                 continue
-        era = (act.duty, bisect_right(blanks, act.at_us))
+        era = (act.role, bisect_right(blanks, act.at_us))
         before = newest.get(era)
         if before is not None:
-            if act.epoch < before.epoch:
+            if act.fencing_token < before.fencing_token:
                 left[act.gateway] = left.get(act.gateway, 0) - 1
                 if left[act.gateway] >= 0:
                     continue
                 found.append(LeaseViolation("an act after a newer holder's", act, before))
                 continue
-            if act.epoch == before.epoch and (act.gateway, act.nonce) != (before.gateway, before.nonce):
+            if act.fencing_token == before.fencing_token and (act.gateway, act.process_nonce) != (
+                before.gateway,
+                before.process_nonce,
+            ):
                 found.append(LeaseViolation("two holders with one epoch", act, before))
         newest[era] = act
-        top = highest.setdefault(act.duty, act)
-        if act.epoch >= top.epoch:
-            highest[act.duty] = act
+        top = highest.setdefault(act.role, act)
+        if act.fencing_token >= top.fencing_token:
+            highest[act.role] = act
             continue
-        first = refused.setdefault((act.duty, act.epoch, act.gateway, act.nonce), act)
+        first = refused.setdefault((act.role, act.fencing_token, act.gateway, act.process_nonce), act)
         if act.at_us - first.at_us > lease_us + SLACK_US:
             found.append(LeaseViolation("it goes on under an epoch that was refused", act, top))
     return found
@@ -93,9 +96,9 @@
     found = []
     last: ObservedAct | None = None
     for act in acts:
-        if act.duty != duty:
+        if act.role != duty:
             continue
-        if last is not None and (act.gateway, act.epoch) != (last.gateway, last.epoch):
+        if last is not None and (act.gateway, act.fencing_token) != (last.gateway, last.fencing_token):
             found.append((last.at_us, act.at_us - last.at_us, act.gateway))
         last = act
     return found
--- a/standins/checker/relays.py
+++ b/standins/checker/relays.py
@@ -38,7 +38,7 @@
 
     begin_us: int
     end_us: int
-    part: Component
+    component: Component
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +77,7 @@
 
     what: str
     at_us: int
-    who: str
+    subject: str
 
 
 @dataclass(slots=True)
@@ -88,13 +88,13 @@
     end_us: int
     gateways: int
     hosts: int
-    feeds: tuple[int, ...]  # by relay: the discovery that it asks
-    direct_every_us: int
+    discovery_by_relay: tuple[int, ...]  # by relay: the discovery that it asks
+    direct_poll_interval_us: int
     changes: list[EndpointChange] = field(default_factory=list)  # in order; all hosts serve at the beginning
     arrivals: list[BackendArrival] = field(default_factory=list)  # in order
-    asked: list[ClientRequest] = field(default_factory=list)
-    downs: list[Outage] = field(default_factory=list)
-    direct: list[tuple[int, int]] = field(default_factory=list)  # when, and which gateway
+    requests: list[ClientRequest] = field(default_factory=list)
+    outages: list[Outage] = field(default_factory=list)
+    direct_polls: list[tuple[int, int]] = field(default_factory=list)  # when, and which gateway
     exits: list[tuple[int, str]] = field(default_factory=list)  # of processes that nobody had told to end
 
 
@@ -121,15 +121,15 @@
     def __init__(self, record: RunRecord) -> None:
         self.record = record
         self.broken = {
-            (gateway, relay): merged([(d.begin_us, d.end_us) for d in record.downs if d.part in parts])
-            for gateway in range(record.gateways) for relay, discovery in enumerate(record.feeds)
+            (gateway, relay): merged([(d.begin_us, d.end_us) for d in record.outages if d.component in parts])
+            for gateway in range(record.gateways) for relay, discovery in enumerate(record.discovery_by_relay)
             for parts in [{
                 ("gateway", gateway), ("relay", relay), ("link", gateway, relay), ("feed", relay),
                 ("discovery", discovery),
             }]
         }  # fmt: skip
         self.stopped = [
-            merged([(d.begin_us, d.end_us) for d in record.downs if d.part == ("gateway", gateway)])
+            merged([(d.begin_us, d.end_us) for d in record.outages if d.component == ("gateway", gateway)])
             for gateway in range(record.gateways)
         ]
         self.at = {
@@ -147,7 +147,7 @@
 
     def is_late(self, gateway: int, since_us: int, at_us: int, bound_us: int) -> bool:
         """Whether by some relay it has had so long to be told, interruptions and what each costs left out."""
-        for relay in range(len(self.record.feeds)):
+        for relay in range(len(self.record.discovery_by_relay)):
             gone = within(self.broken[gateway, relay], since_us, at_us)
             if at_us - since_us - length(gone) - COST_US * len(gone) > bound_us:
                 return True
@@ -157,7 +157,7 @@
 
     def states(self, host: int) -> Iterator[tuple[int, int, str]]:
         """Stretches in which all discoveries say the same: from, until, and whether it serves."""
-        said = dict.fromkeys(set(self.record.feeds), "SERVING")
+        said = dict.fromkeys(set(self.record.discovery_by_relay), "SERVING")
         since_us, state = self.record.begin_us, "serves"
         for change in [c for c in self.record.changes if c.host == host and c.discovery in said]:
             said[change.discovery] = change.status
@@ -178,7 +178,7 @@
                         yield from self.of_back(gateway, host, since_us, until_us)
 
     def of_left(self, gateway: int, host: int, since_us: int, until_us: int) -> Iterator[RelayViolation]:
-        who, one_says = f"n{gateway} s-{host}", len(set(self.record.feeds)) == 1
+        who, one_says = f"n{gateway} s-{host}", len(set(self.record.discovery_by_relay)) == 1
         times, everywhere = self.at[gateway, host], self.all_at[gateway]
         first = bisect_right(times, since_us)
         before_us, late_us = times[first - 1] if first else 0, 0
@@ -201,7 +201,7 @@
         times = self.at[gateway, host]
         place = bisect_right(times, since_us)
         used_us = min(times[place] if place < len(times) else until_us, until_us)
-        ends = [d.begin_us for d in self.record.downs if since_us < d.begin_us < used_us]
+        ends = [d.begin_us for d in self.record.outages if since_us < d.begin_us < used_us]
         for at_us in sorted([*ends, used_us]):
             if self.is_late(gateway, since_us, at_us, TOLD_US + USE_US):
                 said = f"not used for {(used_us - since_us) / 1e6:.3f} s after it was back"
@@ -211,7 +211,7 @@
     # Clients
 
     def of_answers(self) -> Iterator[RelayViolation]:
-        for asked in self.record.asked:
+        for asked in self.record.requests:
             who, end_us = f"n{asked.gateway}", asked.answered_us or self.record.end_us
             stopped = within(self.stopped[asked.gateway], asked.at_us, end_us)
             if end_us - asked.at_us - length(stopped) > ANSWER_US:
@@ -226,7 +226,7 @@
 
     def of_refusals(self, gateway: int) -> Iterator[RelayViolation]:
         began_us = 0
-        answered = [a for a in self.record.asked if a.gateway == gateway and a.answered_us]
+        answered = [a for a in self.record.requests if a.gateway == gateway and a.answered_us]
         for asked in sorted(answered, key=lambda a: a.answered_us):
             if asked.status != 503:
                 began_us = 0
@@ -241,12 +241,12 @@
 
     def of_direct(self) -> Iterator[RelayViolation]:
         for gateway in range(self.record.gateways):
-            times = [at_us for at_us, who in self.record.direct if who == gateway]
+            times = [at_us for at_us, who in self.record.direct_polls if who == gateway]
             for first, at_us in enumerate(times):
                 # What was decided before a stop is seen after it.
                 slack_us = SLACK_US + sum(b - a for a, b in self.stopped[gateway] if at_us - SLACK_US <= b <= at_us)
                 for number, last_us in enumerate(times[first + 1 :], 1):
-                    if last_us - at_us + slack_us < number * self.record.direct_every_us:
+                    if last_us - at_us + slack_us < number * self.record.direct_poll_interval_us:
                         what = f"asked discovery itself {number + 1} times in {(last_us - at_us) / 1e6:.3f} s"
                         yield RelayViolation(what, last_us, f"n{gateway}")
                         return
--- a/standins/parties/mesh.py
+++ b/standins/parties/mesh.py
@@ -170,4 +170,4 @@
 
     def holder(self, duty: int) -> ObservedAct | None:
         """The last act of a duty."""
-        return next((act for act in reversed(self.acts) if act.duty == duty), None)
+        return next((act for act in reversed(self.acts) if act.role == duty), None)
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -174,7 +174,7 @@
 
         found = await self.wait(acting, f"a holder{f' but n{but}' if but is not None else ''}", within_s)
         assert isinstance(found, ObservedAct)
-        self.note(f"n{found.gateway} holds, epoch {found.epoch}")
+        self.note(f"n{found.gateway} holds, epoch {found.fencing_token}")
         return found
 
     async def goes_on(self, held: ObservedAct, for_s: float) -> None:
@@ -184,8 +184,8 @@
             lambda: (act := self.mesh.watcher.holder(self.duty)) is not None and act.at_us > until_us,
             "acts go on", for_s + 20.0,
         )  # fmt: skip
-        others = {act.epoch for act in self.acts[first:] if act.epoch > held.epoch}
-        assert not others, f"epochs {others} beside {held.epoch}\n{self.timeline()}"
+        others = {act.fencing_token for act in self.acts[first:] if act.fencing_token > held.fencing_token}
+        assert not others, f"epochs {others} beside {held.fencing_token}\n{self.timeline()}"
 
     async def nobody(self, for_s: float) -> None:
         """Nobody acts for so long; what was sent a moment before is given its time to come."""
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -29,7 +29,7 @@
         await fleet.goes_on(held, 2 * fleet.lease_s)
         await fleet.kill(held.gateway)
         after = await fleet.holder(but=held.gateway)
-        assert after.epoch > held.epoch
+        assert after.fencing_token > held.fencing_token
         fleet.start(held.gateway)
         await fleet.ready(held.gateway)
         await fleet.goes_on(after, 2 * fleet.lease_s)
@@ -44,7 +44,7 @@
             held = await fleet.holder()
             fleet.stop(held.gateway)
             after = await fleet.holder(but=held.gateway)
-            assert after.epoch > held.epoch
+            assert after.fencing_token > held.fencing_token
             fleet.wake(held.gateway)
             await fleet.goes_on(after, fleet.lease_s)
         fleet.check()
@@ -73,7 +73,7 @@
         await fleet.nobody(fleet.lease_s)
         fleet.wake(*others(fleet, held.gateway))
         after = await fleet.holder(after_us=now_us())
-        assert after.epoch > held.epoch
+        assert after.fencing_token > held.fencing_token
         fleet.check()
 
 
@@ -164,7 +164,7 @@
         fleet.start(0, 1, 2)
         await fleet.ready(0, 1, 2)
         after = await fleet.holder(after_us=held.at_us + fleet.lease_ms * 1000)
-        assert after.epoch > held.epoch
+        assert after.fencing_token > held.fencing_token
         fleet.check()
 
 
@@ -179,9 +179,10 @@
         fleet.start(0, 1, 2)
         await fleet.ready(0, 1, 2)
         first = await fleet.holder(after_us=fleet.blanks[-1])
-        assert first.epoch < held.epoch  # else nothing was tried
+        assert first.fencing_token < held.fencing_token  # else nothing was tried
         await fleet.wait(
-            lambda: (act := fleet.mesh.watcher.holder(fleet.duty)) and act.epoch > held.epoch, "an epoch above"
+            lambda: (act := fleet.mesh.watcher.holder(fleet.duty)) and act.fencing_token > held.fencing_token,
+            "an epoch above",
         )
         await fleet.goes_on(await fleet.holder(after_us=now_us()), fleet.lease_s)
         fleet.check()
@@ -224,7 +225,7 @@
         (duty,) = [d["duty"] for d in shown["duties"]]
         assert (await fleet.call(held.gateway, f"HANDON {duty}")).startswith("ACK handed on to gateway")
         after = await fleet.holder(but=held.gateway, within_s=7.0)  # nobody waited for the lease's end
-        assert after.epoch > held.epoch
+        assert after.fencing_token > held.fencing_token
         assert (await fleet.call(held.gateway, f"HANDON {duty}")).startswith("NAK")
         assert (await fleet.call(after.gateway, "KEEPOFF")).startswith("ACK")
         last = await fleet.holder(but=after.gateway, within_s=7.0)
@@ -295,12 +296,12 @@
             lambda: act if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.gateway == odd else None,
             f"n{odd} holds",
         )  # fmt: skip
-        assert odds.epoch > after.epoch
+        assert odds.fencing_token > after.fencing_token
         for number in others(fleet, odd):
             assert (await fleet.call(number, "KEEPON")).startswith("ACK")
         assert (await fleet.call(odd, "KEEPOFF")).startswith("ACK")
         last = await fleet.holder(but=odd)
-        assert last.epoch > odds.epoch
+        assert last.fencing_token > odds.fencing_token
         fleet.check()
 
 
--- a/tests/fleet/test_duties_service.py
+++ b/tests/fleet/test_duties_service.py
@@ -52,7 +52,7 @@
         third = await fleet.holder(but=second.gateway)
         fleet.wake(second.gateway)
         await fleet.goes_on(third, fleet.lease_s)
-        assert held.epoch < second.epoch < third.epoch
+        assert held.fencing_token < second.fencing_token < third.fencing_token
         fleet.check()
 
 
@@ -64,7 +64,7 @@
         session = await call(keeper, lambda: owner(fleet, keeper))
         await call(keeper, lambda: keeper.ensemble.sever(session.id, "out"))  # it is told nothing
         after = await fleet.holder(but=held.gateway)
-        assert after.epoch > held.epoch
+        assert after.fencing_token > held.fencing_token
         await fleet.goes_on(after, fleet.lease_s)
         fleet.check()
 
@@ -78,7 +78,11 @@
         await call(keeper, lambda: keeper.ensemble.sever(session.id, how))
         # By another session, and another epoch: perhaps the same gateway's, which has found a way to a new one.
         after = await fleet.wait(
-            lambda: act if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.epoch > held.epoch else None,
+            lambda: (
+                act
+                if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.fencing_token > held.fencing_token
+                else None
+            ),
             "a new epoch",
         )  # fmt: skip
         await fleet.goes_on(after, fleet.lease_s)
@@ -112,7 +116,7 @@
             await call(keeper, lose)
             await asyncio.sleep(0.05)
         after = await fleet.holder(after_us=end_us)
-        assert after.epoch > held.epoch
+        assert after.fencing_token > held.fencing_token
         await fleet.goes_on(after, fleet.lease_s)
         fleet.check()
 
@@ -128,12 +132,15 @@
         await fleet.nobody(fleet.lease_s)
         await call(keeper, lambda: keeper.ensemble.come_back(lost=changes - 4))
         after = await fleet.holder(after_us=now_us(), within_s=25.0)
-        assert after.gateway < fleet.count and held.epoch > 0
+        assert after.gateway < fleet.count and held.fencing_token > 0
 
         # The watcher tells nobody what it has seen, the gateways do: another holder goes on above it.
         def is_above(act: ObservedAct | None) -> bool:
-            same = act is not None and (act.nonce, act.epoch) == (held.nonce, held.epoch)
-            return act is not None and (same or act.epoch > held.epoch)
+            same = act is not None and (act.process_nonce, act.fencing_token) == (
+                held.process_nonce,
+                held.fencing_token,
+            )
+            return act is not None and (same or act.fencing_token > held.fencing_token)
 
         await fleet.wait(
             lambda: is_above(fleet.mesh.watcher.holder(fleet.duty)), "a higher epoch, or the same holder", 25.0
@@ -153,5 +160,5 @@
 
         await call(keeper, expire_all)
         last = await fleet.holder(after_us=now_us() + 500_000)
-        assert last.epoch > held.epoch and last.epoch >= after.epoch
+        assert last.fencing_token > held.fencing_token and last.fencing_token >= after.fencing_token
         fleet.check()
--- a/tests/test_relay_judge.py
+++ b/tests/test_relay_judge.py
@@ -36,7 +36,7 @@
 
 
 def down(made: RunRecord, begin_s: float, end_s: float, *parts: Component) -> None:
-    made.downs += [Outage(int(begin_s * S), int(end_s * S), part) for part in parts]
+    made.outages += [Outage(int(begin_s * S), int(end_s * S), part) for part in parts]
 
 
 def found(made: RunRecord) -> list[str]:
@@ -63,10 +63,10 @@
     uses(made, 1, 11.2, 11.5)
     assert found(made) == ["sent to until 9.450 s after it was to be left"]
     for parts in ((("gateway", 0),), (("discovery", 0),), (("relay", 0), ("relay", 1))):
-        made.downs.clear()
+        made.outages.clear()
         down(made, 3.0, 6.0, *parts)
         assert not found(made)
-    made.downs.clear()
+    made.outages.clear()
     down(made, 3.0, 6.0, ("relay", 0), ("feed", 0), ("link", 0, 0))  # by the other relay it could be told
     assert found(made) == ["sent to until 9.450 s after it was to be left"]
 
@@ -127,7 +127,7 @@
 
 def asked(made: RunRecord, at_s: float, took_s: float | None = 0.1, status: int = 200, is_own: bool = True) -> None:
     answered_us = 0 if took_s is None else int((at_s + took_s) * S)
-    made.asked.append(ClientRequest(int(at_s * S), 0, answered_us, status if answered_us else 0, is_own))
+    made.requests.append(ClientRequest(int(at_s * S), 0, answered_us, status if answered_us else 0, is_own))
 
 
 def test_each_request_gets_its_own_answer_in_time() -> None:
@@ -141,7 +141,7 @@
     assert not found(made)
     asked(made, 10.0, None)
     assert found(made) == ["not answered, 10.000 s"]
-    made.asked.pop()
+    made.requests.pop()
     asked(made, 12.0, status=502)
     asked(made, 13.0, is_own=False)
     assert found(made) == ["answered 502", "the answer is another request's"]
@@ -162,9 +162,9 @@
 
 def test_discovery_itself_is_asked_now_and_then_alone() -> None:
     made = record()
-    made.direct = [(1 * S, 0), (4 * S, 0), (7 * S - 200_000, 0)]
+    made.direct_polls = [(1 * S, 0), (4 * S, 0), (7 * S - 200_000, 0)]
     assert not found(made)
-    made.direct = [(1 * S, 0), (7 * S, 0), (8 * S, 0)]
+    made.direct_polls = [(1 * S, 0), (7 * S, 0), (8 * S, 0)]
     assert found(made) == ["asked discovery itself 2 times in 1.000 s"]
     down(made, 4.0, 6.9, ("gateway", 0))  # the second was decided before the stop, and came after it
     assert not found(made)
