--- /dev/null
+++ b/standins/event_log/errors.py
@@ -0,0 +1,15 @@
+"""Errors of reading a log file."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+
+class EventLogError(ValueError):
+    """Raised for a line of a log file that is no event."""
+
+    def __init__(self, path: Path, line_number: int, cause: Exception) -> None:
+        super().__init__(f"{path}, line {line_number}: not an entry of a ledger ({cause!r})")
+        self.path = path
+        self.line_number = line_number
+        self.cause = cause
--- /dev/null
+++ b/standins/event_log/request_events.py
@@ -0,0 +1,107 @@
+"""Events of requests, as clients and backends observed them. Times are Unix microseconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True, eq=False)
+class OperationStarted:
+    """Record that a client starts an operation, which takes one request or several tries."""
+
+    at_us: int
+    id: str  # of the operation's first request
+    request_class: str
+    zone: str
+
+
+@dataclass(slots=True, eq=False)
+class RequestSent:
+    """Record that a client wrote the last byte of a request to a connection that a gateway's machine accepted."""
+
+    at_us: int
+    id: str
+    request_class: str
+    gateway: str
+    budget_us: int
+    idempotency_key: str = ""  # Idempotency-Key
+    tenant: str = ""
+    first_id: str = ""  # id of the first request of the same operation
+    is_resend: bool = False  # sent again: its first connection was closed before the request was read
+
+
+@dataclass(slots=True, eq=False)
+class ResponseReceived:
+    """Record that the last byte of a response arrived at the client."""
+
+    at_us: int
+    id: str
+    status: int
+    echoed_id: str = ""  # id of the request that the body claims to answer
+    retry_after_us: int = 0
+
+
+@dataclass(slots=True, eq=False)
+class ResponseMissing:
+    """Record that a client's connection ended, or that it stopped waiting, with no whole response."""
+
+    at_us: int
+    id: str
+    how: str  # "closed", "reset", "cut" (an answer had begun), "none" (waited past the end)
+
+
+@dataclass(slots=True, eq=False)
+class ClientDisconnected:
+    """Record that a client disconnected of its own accord; no response is due any more."""
+
+    at_us: int
+    id: str
+
+
+@dataclass(slots=True, eq=False)
+class UnexpectedBytes:
+    """Record bytes on a client's connection when no response was due."""
+
+    at_us: int
+    id: str  # of the last request there
+    data: str
+
+
+@dataclass(slots=True, eq=False)
+class MisbehavingClient:
+    """Record what a client that breaks the protocol received."""
+
+    at_us: int  # when it had connected
+    what: str
+    gateway: str
+    ended_us: int = 0  # when a response or a close arrived; 0: neither
+    status: int = 0  # 0: a close
+    may_be_served: bool = False  # what it sent is valid, though unusual
+
+
+@dataclass(slots=True, eq=False)
+class BackendAttempt:
+    """Record one attempt of a request at a backend, from its first byte on; its fields are filled in as it proceeds.
+
+    `how` is "coming" (not whole), "waiting", "running", "ok", "duplicate" (dropped, answered from memory),
+    "rejected" (turned away before it began, and told so), "error", "spoilt" (corrupted), "cancelled" or "crashed".
+    """
+
+    at_us: int  # its first byte was sent
+    backend: str
+    incarnation: int
+    group: int
+    id: str = ""
+    request_class: str = ""
+    idempotency_key: str = ""
+    gateway: str = ""
+    received_us: int = 0  # its last byte has come; 0: never
+    started_us: int = 0  # work began; 0: never
+    ended_us: int = 0  # the last byte of the answer was written, or it ended otherwise
+    how: str = "coming"
+    work_us: int = 0  # on a standard core, before what a remembered key saves
+
+    @property
+    def may_have_run(self) -> bool:
+        """Tell whether a gateway must assume that it ran: it arrived whole and was not rejected."""
+        return self.received_us > 0 and self.how != "rejected"
