--- a/benchmarks/clean_plays.py
+++ b/benchmarks/clean_plays.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from standins.checker.checker import find_violations
+from standins.checker import find_violations
 from standins.event_log import RequestSent, SchedulingDelay
 from standins.playing.stage import play
 from standins.playing.scenario import load
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from standins.checker.checker import find_violations
+from standins.checker import find_violations
 from standins.parties.box import Box
 from standins.playing.keeper_play import FOLDER, EphemeralWorld
 from standins.event_log import BackendAttempt, RequestSent, ResourceUsage, now_us
--- a/benchmarks/guards/playing.py
+++ b/benchmarks/guards/playing.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from standins.checker.checker import Checker
+from standins.checker import Checker
 from standins.playing.play import World
 from standins.playing.stage import play
 from standins.playing.scenario import load
--- a/benchmarks/keeper_waves.py
+++ b/benchmarks/keeper_waves.py
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from standins.checker.checker import find_violations
+from standins.checker import find_violations
 from standins.playing.keeper_play import EphemeralWorld
 from standins.event_log import ProcessEvent, RequestSent, ResponseReceived, now_us
 from standins.parties.network import TcpLink
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -26,7 +26,7 @@
 from rich.table import Table
 
 from benchmarks.guards.__main__ import parse_seeds
-from standins.checker.checker import Checker
+from standins.checker import Checker
 from standins.event_log import BackendAttempt, EventLog
 from standins.playing.scenario import load
 from standins.playing.stage import play
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from standins.checker.checker import Checker
+from standins.checker import Checker
 from standins.playing.keeper_play import EphemeralWorld
 from standins.event_log import BackendAttempt, NotificationDelivered, ProcessEvent, RequestSent, ResponseReceived
 from standins.playing.play import World
--- /dev/null
+++ b/standins/checker/duplicates.py
@@ -0,0 +1,129 @@
+"""Check that no request takes effect twice.
+
+An unsafe request is sent again only once each earlier attempt was rejected or never arrived whole; one with an
+idempotency key only to the same group and within the window; neither is refused once it may have run.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterator, Sequence
+from itertools import pairwise
+from typing import Final
+
+from standins.checker.observations import Observations
+from standins.checker.process_history import FOREVER_US, ProcessLifetime
+from standins.checker.timeline import request_violation
+from standins.checker.violations import Rule, Violation
+from standins.event_log import BackendAttempt, ResponseReceived
+from standins.site import Klass
+
+REFUSAL_STATUSES: Final = (429, 503)
+
+
+class DuplicateCheck:
+    """Check the repeated attempts of each request."""
+
+    def __init__(self, observations: Observations) -> None:
+        self._observations = observations
+        self._rules = observations.rules
+
+    def check_request(self, id_: str) -> Iterator[Violation]:
+        """Yield what is wrong with the attempts of a request."""
+        attempts = sorted(self._observations.attempts_by_id.get(id_, []), key=lambda attempt: attempt.at_us)
+        whole = [attempt for attempt in attempts if attempt.received_us]
+        yield from self._check_attempts_by_process(id_, whole)
+        first = self._observations.requests_by_id[id_][0]
+        request_class = self._observations.classes.get(first.request_class)
+        if request_class is None:
+            return
+        if request_class.effect == "safe":
+            return
+        for index, attempt in enumerate(whole):
+            yield from self._check_repeat(request_class, attempt, whole[:index])
+        yield from self._check_refusals(id_, whole)
+
+    def _check_attempts_by_process(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
+        """Check how often one process sent the request, and whether two of its attempts were out together."""
+        attempts_by_process: dict[ProcessLifetime | None, list[BackendAttempt]] = defaultdict(list)
+        for attempt in attempts:
+            attempts_by_process[self._observations.process_of(attempt)].append(attempt)
+        for sent in attempts_by_process.values():
+            yield from self._check_attempt_count(id_, sent)
+            if not self._rules.second_copies:
+                yield from self._check_concurrent_attempts(id_, sent)
+
+    def _check_attempt_count(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
+        max_attempts = self._rules.attempts
+        if len(attempts) > max_attempts:
+            what = f"sent {len(attempts)} times, {max_attempts} at most"
+            yield self._violation(id_, attempts[max_attempts].at_us, what)
+
+    def _check_concurrent_attempts(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
+        for earlier, attempt in pairwise(attempts):
+            ended_us = earlier.ended_us - self._rules.slack_us if earlier.ended_us else FOREVER_US
+            if attempt.at_us < ended_us:
+                what = f"sent to {attempt.backend} while an attempt is out at {earlier.backend}"
+                yield self._violation(id_, attempt.at_us, what)
+
+    def _check_repeat(
+        self, request_class: Klass, attempt: BackendAttempt, before: Sequence[BackendAttempt]
+    ) -> Iterator[Violation]:
+        sender = self._observations.sender_of(attempt)
+        earlier = self._attempts_that_may_have_run(before, sender, attempt.at_us)
+        if not earlier:
+            return
+        first = earlier[0]
+        if request_class.effect == "unsafe":
+            what = f"sent to {attempt.backend} when it may have run at {first.backend}"
+            yield self._violation(attempt.id, attempt.at_us, what)
+            return
+        age_us = attempt.at_us - first.at_us
+        if any(other.group != attempt.group for other in earlier):
+            what = f"repeated at {attempt.backend}, not of the group of {first.backend}, where it may have run"
+            yield self._violation(attempt.id, attempt.at_us, what)
+        elif age_us >= request_class.window_us:
+            what = f"repeated {age_us / 1e6:.3f} s after it was first sent; "
+            what += f"repeats are dropped for {request_class.window_us / 1e6:g} s"
+            yield self._violation(attempt.id, attempt.at_us, what)
+
+    def _check_refusals(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
+        """Check that the client was not told to repeat what may have run."""
+        gateway = self._observations.requests_by_id[id_][-1].gateway
+        for outcome in self._observations.outcomes_by_id.get(id_, []):
+            if not isinstance(outcome, ResponseReceived):
+                continue
+            if outcome.status not in REFUSAL_STATUSES:
+                continue
+            before = [attempt for attempt in attempts if attempt.at_us <= outcome.at_us]
+            ran = self._attempts_that_may_have_run(before, gateway, outcome.at_us)
+            if ran:
+                what = f"refused with {outcome.status}: harmless to repeat, but it may have run at {ran[0].backend}"
+                yield self._violation(id_, outcome.at_us, what)
+
+    def _attempts_that_may_have_run(
+        self, attempts: Sequence[BackendAttempt], gateway: str, at_us: int
+    ) -> list[BackendAttempt]:
+        """Return those that the gateway had to assume to have run by then."""
+        return [
+            attempt
+            for attempt in attempts
+            if not was_rejected(attempt, at_us) and not self._was_lost_with_its_process(attempt, gateway, at_us)
+        ]
+
+    def _was_lost_with_its_process(self, attempt: BackendAttempt, gateway: str, at_us: int) -> bool:
+        """Tell whether another process sent it, which was killed since: the client may send that again."""
+        sender = self._observations.process_of(attempt)
+        if sender is None:
+            return False
+        if sender.kill_us > at_us:
+            return False
+        return sender is not self._observations.processes.process_at(gateway, at_us)
+
+    def _violation(self, id_: str, at_us: int, what: str) -> Violation:
+        return request_violation(self._observations, id_, Rule.DUPLICATE, at_us, what)
+
+
+def was_rejected(attempt: BackendAttempt, by_us: int) -> bool:
+    """Tell whether the sender had been told by then that the attempt never ran."""
+    return attempt.how == "rejected" and 0 < attempt.ended_us <= by_us
--- a/standins/playing/command.py
+++ b/standins/playing/command.py
@@ -14,7 +14,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from standins.checker.checker import Checker, Violation, find_violations
+from standins.checker import Checker, Violation, find_violations
 from standins.event_log import EventLog
 from standins.playing.play import World
 from standins.playing.stage import play
--- a/standins/showing/report.py
+++ b/standins/showing/report.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from standins.checker.checker import Violation
+from standins.checker import Violation
 from standins.event_log import BackendLoad, EventLog, FaultInjected, OperationStarted
 from standins.site import CLASSES
 from standins.showing.summary import Summary, latencies, quantile, served_in_time
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from standins.checker.checker import RULES, Checker
+from standins.checker import RULES, Checker
 from standins.event_log import (
     BackendAttempt,
     BackendLoad,
@@ -127,7 +127,7 @@
     rude = list(ledger.events_of(MisbehavingClient))
     usage = list(ledger.events_of(ResourceUsage))
     tries = sum(one.tries for one in figures.values())
-    found = Counter(breach.rule for breach in checker.violations)
+    found = Counter[str](breach.rule for breach in checker.violations)
     return Summary(
         scenario, seed, seconds, worth / asked_worth if asked_worth else 0.0, figures,
         float(max((load.connections for load in ledger.events_of(BackendLoad)), default=0)),
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standins.checker.checker import Checker, Violation, find_violations
+from standins.checker import Checker, Violation, find_violations
 from standins.event_log import (
     BackendAttempt,
     BackendStarted,
--- a/tests/test_membership_pause.py
+++ b/tests/test_membership_pause.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 
-from standins.checker.checker import find_violations
+from standins.checker import find_violations
 from standins.event_log import NotificationDelivered, ProcessEvent
 from standins.playing.play import World
 from standins.playing.stage import play
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from standins.checker.checker import RULES, Checker, find_violations
+from standins.checker import RULES, Checker, find_violations
 from standins.parties.fleet import ROOT
 from standins.playing.keeper_play import EphemeralWorld
 from standins.event_log import (
