--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -8,7 +8,7 @@
 A seed draws which relays there are, and what happens when: relays stop, die and are back with nothing, gateways stop,
 links are cut both ways or one and flap, discovery refuses, falls silent, talks rubbish or begins anew at version 1,
 rosters differ for a while; meanwhile hosts drain, go, come back and change their weight, at one of two discoveries
-before the other. Then all is healed. Judged from outside (standins/checker/relays.py) by what hosts and clients saw.
+before the other. Then all is healed. Judged from outside (standins/checker/relays) by what hosts and clients saw.
 
 `--without` takes a guard out of all processes (benchmarks/guards): some schedule must fail then.
 A schedule that fails is printed with its time line; `--shorten` plays one again without each of its events in turn,
--- a/standins/checker/leases.py
+++ b/standins/checker/leases.py
@@ -1,6 +1,8 @@
-"""Judges duties from the acts that a party outside saw: never two, tokens only grow. Pure; knows no product code.
+"""Check leader leases by the acts that a party outside observed: one holder at a time, growing fencing tokens.
 
-Invariant: acts are given in the order in which one socket took them, which is that in which they were sent.
+Invariant: acts are given in the order in which one socket received them, which is that in which they were sent.
+So an act with an older token than the one before was sent by a gateway that was no longer the holder: the fencing
+check rejects it. Pure; knows no product code.
 """
 
 from __future__ import annotations
@@ -8,29 +10,48 @@
 from bisect import bisect_right
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
+from typing import Final
+
+SLACK_US: Final = 250_000  # beyond a lease: what a busy machine may take between reading the clock and the write
 
 
 @dataclass(slots=True, frozen=True)
 class ObservedAct:
-    """One act, as it came."""
+    """One act of a lease holder, as it was received."""
 
     at_us: int
     role: int
     fencing_token: int
     gateway: int
-    process_nonce: int  # of its process
+    process_nonce: int
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseViolation:
-    """One thing that must not be."""
+    """One violation, and the earlier act that shows it."""
 
     what: str
     act: ObservedAct
     earlier: ObservedAct
 
 
-SLACK_US = 250_000  # beyond a lease: what a busy machine may take between a look at the time and the write
+@dataclass(slots=True, frozen=True)
+class LeadershipGap:
+    """A change of holder."""
+
+    last_us: int  # the old holder's last act
+    gap_us: int  # from that to the new holder's first act
+    gateway: int  # the new holder
+
+
+@dataclass(slots=True, frozen=True)
+class Term:
+    """One holder's term: the acts of one process under one fencing token."""
+
+    role: int
+    fencing_token: int
+    gateway: int
+    process_nonce: int
 
 
 def check_leases(
@@ -40,65 +61,104 @@
     lease_us: int = 0,
     expiries: Sequence[int] = (),
 ) -> list[LeaseViolation]:
-    """Never two that a fence accepts, and tokens only grow; from the acts as they came. Pure.
+    """Return where two holders acted at a time that the fencing check accepts, or where a token shrank.
 
-    One socket takes them in the order in which they were sent, so an act with an older epoch than the one before was
-    sent by a gateway that was not the holder any more: the fence refuses it. That may happen once for each time that
-    the gateway was stopped (`stops`, by gateway): between its last look at the time and the write. Two processes with
-    one epoch are two holders.
+    `stops`: how often each gateway was stopped. Each stop allows one rejected act of that gateway: between its last
+    look at the clock and the write.
 
-    `blanks`: moments (us) at which no gateway's process lived. Nobody but the fence remembers older epochs then, and
-    it answers that it has seen a newer one: a holder of after may act under an older epoch for a lease at the most,
-    and whatever is under what the fence has seen is refused. Among themselves the holders of after keep to the rules.
+    `blanks`: moments at which no gateway's process lived. Only the fencing check remembers older tokens then, and it
+    answers that it has seen a newer one: a later holder may act under an older token for a lease at most, and
+    whatever is below what the check has seen is rejected. Among themselves the later holders keep to the rules.
 
-    `expiries`: moments at which sessions were ended before their time, by order: who held by one believes so until it
-    hears of it, for a lease at the most, under the epoch that it had. The fence refuses it.
+    `expiries`: moments at which sessions were ended before their time, on purpose: who held by one believes so until
+    it hears of it, for a lease at most, under the token that it had. The fencing check rejects it.
     """
-    found: list[LeaseViolation] = []
-    left = dict(stops or {})
-    newest: dict[tuple[int, int], ObservedAct] = {}  # by duty and how many blanks were before
-    highest: dict[int, ObservedAct] = {}  # by duty: what the fence has seen
-    refused: dict[tuple[int, int, int, int], ObservedAct] = {}  # first acts under it: duty, epoch, gateway, process
-    begun: dict[tuple[int, int, int, int], int] = {}  # when each holder's epoch was first seen
+    checker = LeaseChecker(stops or {}, blanks, lease_us, expiries)
     for act in acts:
-        began_us = begun.setdefault((act.role, act.fencing_token, act.gateway, act.process_nonce), act.at_us)
-        if any(began_us <= at_us <= act.at_us <= at_us + lease_us + SLACK_US for at_us in expiries):
-            top = highest.get(act.role)
-            if top is not None and act.fencing_token < top.fencing_token:
-                continue
-        era = (act.role, bisect_right(blanks, act.at_us))
-        before = newest.get(era)
-        if before is not None:
-            if act.fencing_token < before.fencing_token:
-                left[act.gateway] = left.get(act.gateway, 0) - 1
-                if left[act.gateway] >= 0:
-                    continue
-                found.append(LeaseViolation("an act after a newer holder's", act, before))
-                continue
-            if act.fencing_token == before.fencing_token and (act.gateway, act.process_nonce) != (
-                before.gateway,
-                before.process_nonce,
-            ):
-                found.append(LeaseViolation("two holders with one epoch", act, before))
-        newest[era] = act
-        top = highest.setdefault(act.role, act)
-        if act.fencing_token >= top.fencing_token:
-            highest[act.role] = act
-            continue
-        first = refused.setdefault((act.role, act.fencing_token, act.gateway, act.process_nonce), act)
-        if act.at_us - first.at_us > lease_us + SLACK_US:
-            found.append(LeaseViolation("it goes on under an epoch that was refused", act, top))
-    return found
-
-
-def leadership_gaps(acts: Sequence[ObservedAct], duty: int) -> list[tuple[int, int, int]]:
-    """Changes of holder: when the old one acted last, the time until the new one did, and the new one's number."""
-    found = []
+        checker.check_act(act)
+    return checker.violations
+
+
+class LeaseChecker:
+    """Check acts one by one, in the order in which they were received; `check_leases` says what the arguments are."""
+
+    def __init__(
+        self, stops: Mapping[int, int], blanks: Sequence[int], lease_us: int, expiries: Sequence[int]
+    ) -> None:
+        self.violations: list[LeaseViolation] = []
+        self._allowed_rejections = dict(stops)
+        self._blanks = blanks
+        self._max_stale_us = lease_us + SLACK_US
+        self._expiries = expiries
+        self._newest_by_era: dict[tuple[int, int], ObservedAct] = {}  # by role and how many blanks were before
+        self._highest_by_role: dict[int, ObservedAct] = {}  # what the fencing check has seen
+        self._first_rejected: dict[Term, ObservedAct] = {}
+        self._term_begins_us: dict[Term, int] = {}
+
+    def check_act(self, act: ObservedAct) -> None:
+        """Check an act against all before it."""
+        begin_us = self._term_begins_us.setdefault(term_of(act), act.at_us)
+        if self._is_expired_holder(begin_us, act):
+            return
+        era = (act.role, bisect_right(self._blanks, act.at_us))
+        newest = self._newest_by_era.get(era)
+        if newest is not None and act.fencing_token < newest.fencing_token:
+            self._on_older_token(act, newest)
+            return
+        if newest is not None and is_rival(act, newest):
+            self._report("two holders with one epoch", act, newest)
+        self._newest_by_era[era] = act
+        self._check_against_highest(act)
+
+    def _is_expired_holder(self, begin_us: int, act: ObservedAct) -> bool:
+        """Tell whether the act is one of a holder whose session was ended, which the fencing check rejects."""
+        was_ended_lately = any(
+            begin_us <= expired_us <= act.at_us <= expired_us + self._max_stale_us for expired_us in self._expiries
+        )
+        highest = self._highest_by_role.get(act.role)
+        if not was_ended_lately or highest is None:
+            return False
+        return act.fencing_token < highest.fencing_token
+
+    def _on_older_token(self, act: ObservedAct, newest: ObservedAct) -> None:
+        left = self._allowed_rejections.get(act.gateway, 0) - 1
+        self._allowed_rejections[act.gateway] = left
+        if left < 0:
+            self._report("an act after a newer holder's", act, newest)
+
+    def _check_against_highest(self, act: ObservedAct) -> None:
+        highest = self._highest_by_role.setdefault(act.role, act)
+        if act.fencing_token >= highest.fencing_token:
+            self._highest_by_role[act.role] = act
+            return
+        first = self._first_rejected.setdefault(term_of(act), act)
+        if act.at_us - first.at_us > self._max_stale_us:
+            self._report("it goes on under an epoch that was refused", act, highest)
+
+    def _report(self, what: str, act: ObservedAct, earlier: ObservedAct) -> None:
+        self.violations.append(LeaseViolation(what, act, earlier))
+
+
+def term_of(act: ObservedAct) -> Term:
+    """Return the term that the act belongs to."""
+    return Term(act.role, act.fencing_token, act.gateway, act.process_nonce)
+
+
+def is_rival(act: ObservedAct, other: ObservedAct) -> bool:
+    """Tell whether two processes acted under one fencing token."""
+    if act.fencing_token != other.fencing_token:
+        return False
+    return (act.gateway, act.process_nonce) != (other.gateway, other.process_nonce)
+
+
+def leadership_gaps(acts: Sequence[ObservedAct], role: int) -> list[LeadershipGap]:
+    """Return the role's changes of holder, in order."""
+    gaps: list[LeadershipGap] = []
     last: ObservedAct | None = None
     for act in acts:
-        if act.role != duty:
+        if act.role != role:
             continue
         if last is not None and (act.gateway, act.fencing_token) != (last.gateway, last.fencing_token):
-            found.append((last.at_us, act.at_us - last.at_us, act.gateway))
+            gaps.append(LeadershipGap(last.at_us, act.at_us - last.at_us, act.gateway))
         last = act
-    return found
+    return gaps
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -213,8 +213,8 @@
         lines = [(at_us, f"test: {text}") for at_us, text in self.notes]
         lines += [(p.at_us, f"{p.gateway}: {p.what} {p.code or ''}") for p in self.ledger.events_of(ProcessEvent)]
         lines += [
-            (at_us + gap_us, f"watcher: n{to} acts, {gap_us / 1000:.0f} ms after the last act")
-            for at_us, gap_us, to in leadership_gaps(self.acts, self.duty)
+            (gap.last_us + gap.gap_us, f"watcher: n{gap.gateway} acts, {gap.gap_us / 1000:.0f} ms after the last act")
+            for gap in leadership_gaps(self.acts, self.duty)
         ]
         lines.sort()
         begun = lines[0][0] if lines else 0
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from standins.checker.leases import ObservedAct, leadership_gaps, check_leases
+from standins.checker.leases import LeadershipGap, ObservedAct, check_leases, leadership_gaps
 from standins.parties.mesh import Mesh, duty_number, free_udp, own_host
 from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
 from tests.sockets import on_loop, until
@@ -158,5 +158,5 @@
 
 def test_changes_of_holder_are_timed_from_the_last_act_to_the_first() -> None:
     acts = [act(0, 5, 1), act(10, 5, 1), act(700, 9, 2), act(710, 9, 2), act(900, 11, 1)]
-    assert leadership_gaps(acts, 7) == [(10_000, 690_000, 2), (710_000, 190_000, 1)]
+    assert leadership_gaps(acts, 7) == [LeadershipGap(10_000, 690_000, 2), LeadershipGap(710_000, 190_000, 1)]
     assert duty_number("warden/1/0") < 2**60
