--- a/test.sh
+++ b/test.sh
@@ -20,7 +20,7 @@
 wait $compiling || true
 beside="-n auto --dist worksteal -m not(alone)"
 # What has the decisions in it, once more on the compiled build: boxes and services of our own have none.
-no_decisions="--ignore-glob=tests/test_standin_* --ignore-glob=tests/test_zookeeper_* --ignore=tests/test_auditor.py"
+no_decisions="--ignore-glob=tests/test_standin_* --ignore-glob=tests/test_zookeeper_* --ignore=tests/checker/test_event_checker.py --ignore=tests/checker/test_event_log.py"
 CLOVERKEEL_PLAIN=1 $python -m pytest --build plain $beside
 $python -m benchmarks.guards --tests  # each guard out: the tests that are for it must fail
 if $python -m cloverkeel.compiled.build --check; then
--- /dev/null
+++ b/tests/checker/violation_cases.py
@@ -0,0 +1,473 @@
+"""Event logs that violate a rule, and the nearest that comply."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+
+from standins.event_log import (
+    BackendStopped,
+    ClientDisconnected,
+    DiscoveryPoll,
+    EndpointChanged,
+    Event,
+    ManualEjection,
+    MisbehavingClient,
+    NotificationDelivered,
+    ProcessEvent,
+    ResourceUsage,
+    ResponseMissing,
+    ResponseReceived,
+    RuleOverrides,
+    UnexpectedBytes,
+)
+from tests.checker.events import (
+    BEGIN_US,
+    BUDGET_US,
+    COMPLIANT,
+    LAST_SENT_US,
+    MS_US,
+    NO_CONCURRENT_ATTEMPTS,
+    SECOND_US,
+    TOLD_DRAINING,
+    attempt,
+    gateway_started,
+    hold_repeated,
+    load_of,
+    request_sent,
+    response,
+    sent_after_grace,
+    slow_start_limit_us,
+    slow_starting_backend,
+)
+
+
+@dataclass(slots=True, frozen=True)
+class ViolationCase:
+    """Events that violate one rule, and the nearest ones that violate none."""
+
+    rule: str  # as reports name it
+    name: str
+    violating: list[Event]
+    compliant: list[Event]
+
+
+CASES = [
+    ViolationCase(
+        "missing",
+        "an answer 51 ms late, and 49 ms",
+        [
+            *gateway_started(),
+            request_sent(),
+            attempt(took_us=340 * MS_US),
+            response(at_us=BEGIN_US + BUDGET_US + 51 * MS_US),
+        ],
+        [
+            *gateway_started(),
+            request_sent(),
+            attempt(took_us=340 * MS_US),
+            response(at_us=BEGIN_US + BUDGET_US + 49 * MS_US),
+        ],
+    ),
+    ViolationCase(
+        "missing",
+        "a connection ended by a gateway that lives, and by one that was killed",
+        [*gateway_started(), request_sent(), attempt(), ResponseMissing(BEGIN_US + 50 * MS_US, "r", "reset")],
+        [
+            *gateway_started(),
+            request_sent(),
+            attempt(),
+            ProcessEvent(BEGIN_US + 49 * MS_US, "n0", "KILL"),
+            ResponseMissing(BEGIN_US + 50 * MS_US, "r", "reset"),
+            ProcessEvent(BEGIN_US + 51 * MS_US, "n0", "exit", -9),
+        ],
+    ),
+    ViolationCase(
+        "missing",
+        "no word at all, and a client that had disconnected",
+        [
+            *gateway_started(),
+            request_sent(),
+            attempt(),
+            response("other", BEGIN_US + 5 * SECOND_US),
+            request_sent("other"),
+            attempt("other"),
+        ],
+        [
+            *gateway_started(),
+            request_sent(),
+            attempt(),
+            ClientDisconnected(BEGIN_US + 50 * MS_US, "r"),
+            response("other"),
+            request_sent("other"),
+            attempt("other"),
+        ],
+    ),
+    ViolationCase(
+        "missing",
+        "served with another's answer, and with its own",
+        [*gateway_started(), request_sent(), attempt(), ResponseReceived(BEGIN_US + 90 * MS_US, "r", 200, "q")],
+        COMPLIANT,
+    ),
+    ViolationCase(
+        "missing",
+        "served when no backend had answered, and a failure that says so",
+        [*gateway_started(), request_sent(), attempt(how="cancelled"), response()],
+        [*gateway_started(), request_sent(), attempt(how="cancelled"), response(status=502)],
+    ),
+    ViolationCase(
+        "missing",
+        "sent 51 ms after the final answer, and 49 ms",
+        [*COMPLIANT, attempt(backend="s-1", at_us=BEGIN_US + 141 * MS_US + 1)],
+        [*COMPLIANT, attempt(backend="s-1", at_us=BEGIN_US + 139 * MS_US)],
+    ),
+    ViolationCase(
+        "missing",
+        "SIGKILL 0.8 s after SIGTERM finds it unanswered, and 0.6 s after",
+        [
+            *gateway_started(),
+            request_sent(budget_us=2 * SECOND_US),
+            ProcessEvent(BEGIN_US + MS_US, "n0", "TERM"),
+            ProcessEvent(BEGIN_US + 801 * MS_US, "n0", "KILL"),
+            ResponseMissing(BEGIN_US + 802 * MS_US, "r", "reset"),
+        ],
+        [
+            *gateway_started(),
+            request_sent(budget_us=2 * SECOND_US),
+            ProcessEvent(BEGIN_US + MS_US, "n0", "TERM"),
+            ProcessEvent(BEGIN_US + 601 * MS_US, "n0", "KILL"),
+            ResponseMissing(BEGIN_US + 602 * MS_US, "r", "reset"),
+        ],
+    ),
+    ViolationCase(
+        "missing",
+        "bytes after the answer, and none",
+        [*COMPLIANT, UnexpectedBytes(BEGIN_US + 95 * MS_US, "r", "HTTP/1.1 200 OK")],
+        COMPLIANT,
+    ),
+    ViolationCase(
+        "missing",
+        "a client that hid a request in another is served, and refused",
+        [*COMPLIANT, MisbehavingClient(BEGIN_US, "both framings", "n0", BEGIN_US + 90 * MS_US, 200)],
+        [*COMPLIANT, MisbehavingClient(BEGIN_US, "both framings", "n0", BEGIN_US + 90 * MS_US, 400)],
+    ),
+    ViolationCase(
+        "twice",
+        "a transfer sent on after a reset, and after it was turned away",
+        [
+            *gateway_started(),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="error", took_us=20 * MS_US),
+            attempt(request_class="transfer", backend="s-1", at_us=BEGIN_US + 30 * MS_US, took_us=50 * MS_US),
+            response(),
+        ],
+        [
+            *gateway_started(),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="rejected", took_us=20 * MS_US),
+            attempt(request_class="transfer", backend="s-1", at_us=BEGIN_US + 30 * MS_US, took_us=50 * MS_US),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "twice",
+        "a transfer sent on before it was turned away, and one that never came whole",
+        [
+            *gateway_started(),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="rejected", took_us=40 * MS_US),
+            attempt(request_class="transfer", backend="s-1", at_us=BEGIN_US + 30 * MS_US, took_us=50 * MS_US),
+            response(),
+        ],
+        [
+            *gateway_started(),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="coming", whole=False),
+            attempt(request_class="transfer", backend="s-1", at_us=BEGIN_US + 30 * MS_US, took_us=50 * MS_US),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "twice",
+        "a client asks again after a close by a gateway that lives, and by one that was killed",
+        [
+            *gateway_started(),
+            *gateway_started("n1"),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="cancelled"),
+            replace(
+                request_sent(request_class="transfer", at_us=BEGIN_US + 50 * MS_US), gateway="n1", is_resend=True
+            ),
+            replace(attempt(request_class="transfer", at_us=BEGIN_US + 51 * MS_US, took_us=30 * MS_US), gateway="n1"),
+            response(),
+        ],
+        [
+            *gateway_started(),
+            *gateway_started("n1"),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="cancelled"),
+            ProcessEvent(BEGIN_US + 40 * MS_US, "n0", "KILL"),
+            ProcessEvent(BEGIN_US + 41 * MS_US, "n0", "exit", -9),
+            replace(
+                request_sent(request_class="transfer", at_us=BEGIN_US + 50 * MS_US), gateway="n1", is_resend=True
+            ),
+            replace(attempt(request_class="transfer", at_us=BEGIN_US + 51 * MS_US, took_us=30 * MS_US), gateway="n1"),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "twice",
+        "a transfer refused that may have run, and failed",
+        [
+            *gateway_started(),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="cancelled"),
+            response(status=503),
+        ],
+        [
+            *gateway_started(),
+            request_sent(request_class="transfer"),
+            attempt(request_class="transfer", how="cancelled"),
+            response(status=504),
+        ],
+    ),
+    ViolationCase(
+        "twice",
+        "a hold again after 1.51 s, and after 1.49 s",
+        hold_repeated(1_510 * MS_US),
+        hold_repeated(1_490 * MS_US),
+    ),
+    ViolationCase(
+        "twice",
+        "a hold again in another group, and in its own",
+        hold_repeated(100 * MS_US, 1),
+        hold_repeated(100 * MS_US, 0),
+    ),
+    ViolationCase(
+        "twice",
+        "a hold refused that may have run, and a search",
+        [
+            *gateway_started(),
+            request_sent(request_class="hold"),
+            attempt(request_class="hold", how="cancelled"),
+            response(status=429),
+        ],
+        [*gateway_started(), request_sent(), attempt(how="cancelled"), response(status=429)],
+    ),
+    ViolationCase(
+        "drain",
+        "a first byte 51 ms after the grace, and 49 ms",
+        sent_after_grace(51 * MS_US),
+        sent_after_grace(49 * MS_US),
+    ),
+    ViolationCase(
+        "drain",
+        "sent after the grace, and begun before it and ended after",
+        [*gateway_started(), TOLD_DRAINING, request_sent(), attempt(), response()],
+        [
+            *gateway_started(),
+            replace(TOLD_DRAINING, at_us=BEGIN_US - 900 * MS_US),
+            request_sent(budget_us=SECOND_US),
+            attempt(took_us=700 * MS_US),
+            response(at_us=BEGIN_US + 710 * MS_US),
+        ],
+    ),
+    ViolationCase(
+        "drain",
+        "told that it is gone, and told since that it serves again",
+        [*gateway_started(), replace(TOLD_DRAINING, status="DELETED"), request_sent(), attempt(), response()],
+        [
+            *gateway_started(),
+            replace(TOLD_DRAINING, status="DELETED"),
+            NotificationDelivered(BEGIN_US - MS_US, "n0", "s-0", "SERVING"),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "drain",
+        "silent to the registry for longer than allowed, and watching",
+        [
+            ProcessEvent(BEGIN_US - 30 * SECOND_US, "n0", "start"),
+            DiscoveryPoll(BEGIN_US - 30 * SECOND_US, "n0", BEGIN_US - 20 * SECOND_US),
+            EndpointChanged(BEGIN_US - 15 * SECOND_US, "s-0", "DRAINING"),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+        [
+            ProcessEvent(BEGIN_US - 30 * SECOND_US, "n0", "start"),
+            DiscoveryPoll(BEGIN_US - 30 * SECOND_US, "n0"),
+            EndpointChanged(BEGIN_US - 15 * SECOND_US, "s-0", "DRAINING"),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "drain",
+        "out by hand though the list has it as serving, and put back",
+        [
+            *gateway_started(),
+            ManualEjection(BEGIN_US - 2 * SECOND_US, "n0", "s-0"),
+            NotificationDelivered(BEGIN_US - MS_US, "n0", "s-0", "SERVING"),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+        [
+            *gateway_started(),
+            ManualEjection(BEGIN_US - 2 * SECOND_US, "n0", "s-0", BEGIN_US - MS_US),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "drain",
+        "out by hand through a restart of the gateway, and at another gateway",
+        [
+            *gateway_started(),
+            ManualEjection(BEGIN_US - 3 * SECOND_US, "n0", "s-0"),
+            ProcessEvent(BEGIN_US - SECOND_US, "n0", "start"),
+            DiscoveryPoll(BEGIN_US - SECOND_US, "n0"),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+        [
+            *gateway_started(),
+            ManualEjection(BEGIN_US - 3 * SECOND_US, "n1", "s-0"),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "drain",
+        "told to this process, and to the one before it",
+        [*gateway_started(), TOLD_DRAINING, request_sent(), attempt(), response()],
+        [
+            *gateway_started(),
+            TOLD_DRAINING,
+            ProcessEvent(BEGIN_US - SECOND_US, "n0", "start"),
+            DiscoveryPoll(BEGIN_US - SECOND_US, "n0"),
+            request_sent(),
+            attempt(),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "cold",
+        "a little more than the multiple, and a little less",
+        [*gateway_started(), slow_starting_backend(), *load_of(slow_start_limit_us(LAST_SENT_US) + 1_000)],
+        [*gateway_started(), slow_starting_backend(), *load_of(slow_start_limit_us(LAST_SENT_US) - 1_000)],
+    ),
+    ViolationCase(
+        "cold",
+        "at once, and in two halves more than the window apart",
+        [*gateway_started(), slow_starting_backend(), *load_of(4_000_000)],
+        [
+            *gateway_started(),
+            slow_starting_backend(),
+            *load_of(2_000_000),
+            *load_of(2_000_000, first_us=BEGIN_US + 1_200 * MS_US, name="v"),
+        ],
+    ),
+    ViolationCase(
+        "cold",
+        "to a backend that warms up, and to one that is warm",
+        [*gateway_started(), slow_starting_backend(), *load_of(6_000_000)],
+        [*gateway_started(), slow_starting_backend(BEGIN_US - 10 * SECOND_US), *load_of(6_000_000)],
+    ),
+    ViolationCase(
+        "cold",
+        "it fell over, and it crashed of itself",
+        [*gateway_started(), slow_starting_backend(), BackendStopped(BEGIN_US, "s-0", 1, "fell")],
+        [*gateway_started(), slow_starting_backend(), BackendStopped(BEGIN_US, "s-0", 1, "crash")],
+    ),
+    ViolationCase(
+        "crash",
+        "an exit that nobody asked for, and one after SIGTERM",
+        [*COMPLIANT, ProcessEvent(BEGIN_US + SECOND_US, "n0", "exit", 1, was_requested=False)],
+        [
+            *COMPLIANT,
+            ProcessEvent(BEGIN_US + SECOND_US, "n0", "TERM"),
+            ProcessEvent(BEGIN_US + 2 * SECOND_US, "n0", "exit", 0),
+        ],
+    ),
+    ViolationCase(
+        "twice",
+        "a search sent seven times by one process, and six times",
+        [
+            *gateway_started(),
+            request_sent(),
+            *(attempt(at_us=BEGIN_US + n * MS_US, backend=f"s-{n}") for n in range(7)),
+            response(),
+        ],
+        [
+            *gateway_started(),
+            request_sent(),
+            *(attempt(at_us=BEGIN_US + n * MS_US, backend=f"s-{n}") for n in range(6)),
+            response(),
+        ],
+    ),
+    ViolationCase(
+        "twice",
+        "two attempts out together where that is not allowed, and one after the other",
+        [
+            NO_CONCURRENT_ATTEMPTS,
+            *gateway_started(),
+            request_sent(),
+            attempt(how="cancelled", took_us=200 * MS_US),
+            attempt(at_us=BEGIN_US + 100 * MS_US, backend="s-1"),
+            response(at_us=BEGIN_US + 200 * MS_US),
+        ],
+        [
+            NO_CONCURRENT_ATTEMPTS,
+            *gateway_started(),
+            request_sent(),
+            attempt(how="cancelled", took_us=80 * MS_US),
+            attempt(at_us=BEGIN_US + 100 * MS_US, backend="s-1"),
+            response(at_us=BEGIN_US + 200 * MS_US),
+        ],
+    ),
+    ViolationCase(
+        "twice",
+        "a hold again after 0.6 s where repeats are dropped for 0.5 s, and where for 1.5 s",
+        [
+            RuleOverrides(BEGIN_US - 20 * SECOND_US, {}, {"hold": {"window_us": 500 * MS_US}}),
+            *hold_repeated(600 * MS_US),
+        ],
+        hold_repeated(600 * MS_US),
+    ),
+    ViolationCase(
+        "bounds",
+        "more memory than there is, and a little less",
+        [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 20, 0, peak_kib=193 * 1024)],
+        [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 20, 0, peak_kib=192 * 1024)],
+    ),
+    ViolationCase(
+        "bounds",
+        "a descriptor more than there are, and as many",
+        [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 513, 0)],
+        [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 512, 0)],
+    ),
+    ViolationCase(
+        "owed",
+        "a misbehaving client with neither error nor close, and with a close after 3 s",
+        [*COMPLIANT, MisbehavingClient(BEGIN_US, "half a request", "n0")],
+        [*COMPLIANT, MisbehavingClient(BEGIN_US, "half a request", "n0", ended_us=BEGIN_US + 3 * SECOND_US)],
+    ),
+    ViolationCase(
+        "owed",
+        "a close after 4 s, and after 4 s from a gateway that stood still meanwhile",
+        [*COMPLIANT, MisbehavingClient(BEGIN_US, "nothing", "n0", ended_us=BEGIN_US + 4 * SECOND_US)],
+        [
+            *COMPLIANT,
+            MisbehavingClient(BEGIN_US, "nothing", "n0", ended_us=BEGIN_US + 4 * SECOND_US),
+            ProcessEvent(BEGIN_US + SECOND_US, "n0", "STOP"),
+            ProcessEvent(BEGIN_US + 3 * SECOND_US, "n0", "CONT"),
+        ],
+    ),
+]
