--- a/benchmarks/clean_plays.py
+++ b/benchmarks/clean_plays.py
@@ -1,4 +1,4 @@
-"""Seeded plays in which the gateways keep the rules: every alarm is one of the auditor's, or a defect found.
+"""Seeded plays in which the gateways keep the rules: every alarm is one of the checker's, or a defect found.
 
     .venv-dev/bin/python -m benchmarks.clean_plays [--plays 20] [--seconds 5] [--scenario calm]
 
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -4,7 +4,7 @@
 
 Real gateways under load, membership from ephemeral nodes of the stand-in service. Sessions are ended by the service
 while their boxes go on answering; two seconds later the same process registers again. A box that was sent nothing
-after the end counts as 0. The auditor judges the play too: exit code 1 for a breach, or for a longest time of 1.05 s
+after the end counts as 0. The checker judges the play too: exit code 1 for a breach, or for a longest time of 1.05 s
 or more.
 """
 
--- a/benchmarks/guards/row.py
+++ b/benchmarks/guards/row.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """`by` finds the loss in plays: a rule of the auditor, or "service" (share lost against the same play with the
+    """`by` finds the loss in plays: a rule of the checker, or "service" (share lost against the same play with the
     guard in place). What a test finds is its own affair."""
 
     out: tuple[str, ...]  # names in maimed.GUARDS; several: each is the other's second line
--- a/standins/checker/duplicates.py
+++ b/standins/checker/duplicates.py
@@ -31,17 +31,17 @@
     def check_request(self, id_: str) -> Iterator[Violation]:
         """Yield what is wrong with the attempts of a request."""
         attempts = sorted(self._observations.attempts_by_id.get(id_, []), key=lambda attempt: attempt.at_us)
-        whole = [attempt for attempt in attempts if attempt.received_us]
-        yield from self._check_attempts_by_process(id_, whole)
+        received = [attempt for attempt in attempts if attempt.received_us]
+        yield from self._check_attempts_by_process(id_, received)
         first = self._observations.requests_by_id[id_][0]
         request_class = self._observations.classes.get(first.request_class)
         if request_class is None:
             return
         if request_class.effect == "safe":
             return
-        for index, attempt in enumerate(whole):
-            yield from self._check_repeat(request_class, attempt, whole[:index])
-        yield from self._check_refusals(id_, whole)
+        for index, attempt in enumerate(received):
+            yield from self._check_repeat(request_class, attempt, received[:index])
+        yield from self._check_refusals(id_, received)
 
     def _check_attempts_by_process(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
         """Check how often one process sent the request, and whether two of its attempts were out together."""
--- a/standins/checker/leases.py
+++ b/standins/checker/leases.py
@@ -121,9 +121,9 @@
         return act.fencing_token < highest.fencing_token
 
     def _on_older_token(self, act: ObservedAct, newest: ObservedAct) -> None:
-        left = self._allowed_rejections.get(act.gateway, 0) - 1
-        self._allowed_rejections[act.gateway] = left
-        if left < 0:
+        remaining = self._allowed_rejections.get(act.gateway, 0) - 1
+        self._allowed_rejections[act.gateway] = remaining
+        if remaining < 0:
             self._report("an act after a newer holder's", act, newest)
 
     def _check_against_highest(self, act: ObservedAct) -> None:
--- a/standins/checker/timeline.py
+++ b/standins/checker/timeline.py
@@ -70,9 +70,9 @@
     """Return what the attempt's gateway had lately been told of its backend."""
     gateway = observations.sender_of(attempt)
     return [
-        TimelineEntry(told.at_us, f"registry: told {told.gateway} that {told.backend} is {told.status}")
-        for told in observations.notifications.notifications(gateway, attempt.backend)
-        if attempt.at_us - NOTIFICATION_CONTEXT_US < told.at_us <= attempt.at_us
+        TimelineEntry(event.at_us, f"registry: told {event.gateway} that {event.backend} is {event.status}")
+        for event in observations.notifications.notifications(gateway, attempt.backend)
+        if attempt.at_us - NOTIFICATION_CONTEXT_US < event.at_us <= attempt.at_us
     ]
 
 
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -1,4 +1,4 @@
-"""Figures of a play from its ledger: service, latency, attempts, connections. Pure; the auditor judges, not this."""
+"""Figures of a play from its ledger: service, latency, attempts, connections. Pure; the checker judges, not this."""
 
 from __future__ import annotations
 
--- a/tests/checker/events.py
+++ b/tests/checker/events.py
@@ -44,15 +44,15 @@
     how: str = "ok",
     took_us: int = 80 * MS_US,
     group: int = 0,
-    whole: bool = True,
+    is_whole: bool = True,
     work_us: int = 50 * MS_US,
     incarnation: int = 1,
 ) -> BackendAttempt:
-    """Return an attempt at a backend, which arrived whole unless `whole` says otherwise."""
+    """Return an attempt at a backend, which arrived whole unless `is_whole` says otherwise."""
     run = BackendAttempt(
         at_us, backend, incarnation, group, id_, request_class, gateway="n0", work_us=work_us, how=how
     )
-    if whole:
+    if is_whole:
         run.received_us = at_us + 100
     if how not in ("rejected", "coming"):
         run.started_us = at_us + 200
@@ -99,8 +99,8 @@
 def sent_after_grace(over_us: int) -> list[Event]:
     """Return an attempt whose first byte was sent so long after the grace period of a drain."""
     first_us = BEGIN_US + 2 * MS_US
-    told = replace(TOLD_DRAINING, at_us=first_us - SECOND_US - over_us)
-    return [*gateway_started(), told, request_sent(), attempt(at_us=first_us), response()]
+    notification = replace(TOLD_DRAINING, at_us=first_us - SECOND_US - over_us)
+    return [*gateway_started(), notification, request_sent(), attempt(at_us=first_us), response()]
 
 
 def hold_repeated(after_us: int, group: int = 0) -> list[Event]:
