--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -4,7 +4,7 @@
 
 Real gateways under load, membership from ephemeral nodes of the stand-in service. Sessions are ended by the service
 while their boxes go on answering; two seconds later the same process registers again. A box that was sent nothing
-after the end counts as 0. The auditor judges the play too: exit code 1 for a breach, or for a longest time of 1.05 s
+after the end counts as 0. The checker judges the play too: exit code 1 for a breach, or for a longest time of 1.05 s
 or more.
 """
 
@@ -19,10 +19,10 @@
 
 import uvloop
 
-from standins.judging.auditor import audit
+from standins.checker import find_violations
 from standins.parties.box import Box
 from standins.playing.keeper_play import FOLDER, EphemeralWorld
-from standins.ledger import Asked, Run, Usage, now_us
+from standins.event_log import BackendAttempt, RequestSent, ResourceUsage, now_us
 from standins.playing.scenario import Scenario
 from standins.site import ROOMS
 from standins.showing.summary import quantile
@@ -99,8 +99,8 @@
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(run(options, Path(folder)))
     by_box: dict[str, list[int]] = {}
-    for entry in world.ledger.of(Run):
-        by_box.setdefault(entry.box, []).append(entry.at_us)
+    for entry in world.ledger.events_of(BackendAttempt):
+        by_box.setdefault(entry.backend, []).append(entry.at_us)
     last_ms, first_ms, sent_before = list[float](), list[float](), 0
     for box, end_us, again_us in world.ended:
         after = [at_us for at_us in by_box.get(box, []) if end_us < at_us < again_us]
@@ -114,9 +114,9 @@
         shares = " ".join(f"p{int(share * 100)} {quantile(values, share):.1f}" for share in (0.5, 0.9, 0.99))
         return f"{shares} most {max(values, default=0.0):.1f} ms"
 
-    breaches = audit(world.ledger)
-    asked = sum(1 for _ in world.ledger.of(Asked))
-    memory: dict[str, Any] = {entry.gateway: entry.rss_kib for entry in world.ledger.of(Usage)}
+    breaches = find_violations(world.ledger)
+    asked = sum(1 for _ in world.ledger.events_of(RequestSent))
+    memory: dict[str, Any] = {entry.gateway: entry.rss_kib for entry in world.ledger.events_of(ResourceUsage)}
     sent = sum(value > 0 for value in last_ms)
     print(f"{options.boxes} boxes, {options.gateways} gateways, {asked} requests, {len(world.ended)} sessions ended")
     print(
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -35,8 +35,8 @@
 from benchmarks.duties import schedule
 from cloverkeel.balancing.balancer import CHEAP_RETRY, RETRY_SHARE
 from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
-from standins.judging.auditor import Auditor
-from standins.ledger import Process
+from standins.checker import Checker
+from standins.event_log import ProcessEvent, ResponseReceived
 from standins.parties.fleet import Gateway
 from standins.parties.mesh import host_number
 from standins.playing.play import World
@@ -92,11 +92,11 @@
 
     scenario = replace(load(SCENARIO), sharing=True)
     world = await play(scenario, seed, seconds, mix_world)
-    auditor = Auditor(world.ledger)
-    violations = [str(breach) for breach in auditor.breaches()] + world.faults
-    answered = len(auditor.finals)
-    coldest = max(auditor.cold_peaks.values(), default=0.0)
-    figures = f"{answered} requests, a cold host was sent {coldest:.0%} of what it can take at the most"
+    checker = Checker(world.ledger)
+    violations = [str(violation) for violation in checker.find_violations()] + world.faults
+    answered = sum(1 for _ in world.ledger.events_of(ResponseReceived))
+    peak = max(checker.slow_start_peaks.values(), default=0.0)
+    figures = f"{answered} requests, a warming host was sent {peak:.0%} of what it can take at the most"
     return PlayReport("rules", violations, figures)
 
 
@@ -213,7 +213,9 @@
     @property
     def allowance(self) -> float:
         """Tokens that all processes so far may have saved up, at the most."""
-        return MAX_SAVED_TOKENS * sum(process.what == "start" for process in self.fleet.ledger.of(Process))
+        return MAX_SAVED_TOKENS * sum(
+            process.what == "start" for process in self.fleet.ledger.events_of(ProcessEvent)
+        )
 
     def sample(self) -> None:
         asked = self.fleet.asked
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -8,7 +8,7 @@
 A seed draws which relays there are, and what happens when: relays stop, die and are back with nothing, gateways stop,
 links are cut both ways or one and flap, discovery refuses, falls silent, talks rubbish or begins anew at version 1,
 rosters differ for a while; meanwhile hosts drain, go, come back and change their weight, at one of two discoveries
-before the other. Then all is healed. Judged from outside (standins/judging/relays.py) by what hosts and clients saw.
+before the other. Then all is healed. Judged from outside (standins/checker/relays) by what hosts and clients saw.
 
 `--without` takes a guard out of all processes (benchmarks/guards): some schedule must fail then.
 A schedule that fails is printed with its time line; `--shorten` plays one again without each of its events in turn,
@@ -35,8 +35,8 @@
 
 import uvloop
 
-from standins.judging.relays import Part, judge
-from standins.ledger import now_us
+from standins.checker.relays import Component, check_relays
+from standins.event_log import now_us
 from standins.parties.network import BACK, FORWARD
 from tests import sockets
 from tests.control_plane.relay_fleet import GATEWAYS, RelayFleet, running_relay_fleet
@@ -290,7 +290,7 @@
     async def stop(self, event: Event) -> None:
         (number,) = event.who
         is_relay = event.what == "stop-relay"
-        part: Part = ("relay" if is_relay else "gateway", number)
+        part: Component = ("relay" if is_relay else "gateway", number)
         process = (self.fleet.relays if is_relay else self.fleet.gateways)[number]
         self.fleet.begin_outage(part)
         process.signal(signal.SIGSTOP)
@@ -309,7 +309,7 @@
 
     async def cut(self, event: Event, for_s: float) -> None:
         fleet, (sides, _, end) = self.fleet, event.how.partition(",")
-        part: Part = ("link", *event.who) if len(event.who) == 2 else ("feed", event.who[0])
+        part: Component = ("link", *event.who) if len(event.who) == 2 else ("feed", event.who[0])
         link = fleet.to_relay[event.who[0], event.who[1]] if len(event.who) == 2 else fleet.to_discovery[event.who[0]]
         fleet.begin_outage(part)
         link.cut({"both": (FORWARD, BACK), "forward": (FORWARD,), "back": (BACK,)}[sides])
@@ -386,10 +386,10 @@
         except* AssertionError as errors:
             played.wrong += [str(error) for error in errors.exceptions]
         record = fleet.record()
-        played.wrong += [f"{wrong.who}: {wrong.what}" for wrong in judge(record)]
+        played.wrong += [f"{wrong.subject}: {wrong.what}" for wrong in check_relays(record)]
         played.wrong += fleet.faults()
-        played.asked, played.refused = len(record.asked), fleet.statuses[503]
-        played.direct, played.took_s = len(record.direct), time.monotonic() - began_s
+        played.asked, played.refused = len(record.requests), fleet.statuses[503]
+        played.direct, played.took_s = len(record.direct_polls), time.monotonic() - began_s
         if played.wrong:
             played.timeline = fleet.timeline()
     return played
--- /dev/null
+++ b/standins/checker/leases.py
@@ -0,0 +1,164 @@
+"""Check leader leases by the acts that a party outside observed: one holder at a time, growing fencing tokens.
+
+Invariant: acts are given in the order in which one socket received them, which is that in which they were sent.
+So an act with an older token than the one before was sent by a gateway that was no longer the holder: the fencing
+check rejects it. Pure; knows no product code.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_right
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from typing import Final
+
+SLACK_US: Final = 250_000  # beyond a lease: what a busy machine may take between reading the clock and the write
+
+
+@dataclass(slots=True, frozen=True)
+class ObservedAct:
+    """One act of a lease holder, as it was received."""
+
+    at_us: int
+    role: int
+    fencing_token: int
+    gateway: int
+    process_nonce: int
+
+
+@dataclass(slots=True, frozen=True)
+class LeaseViolation:
+    """One violation, and the earlier act that shows it."""
+
+    what: str
+    act: ObservedAct
+    earlier: ObservedAct
+
+
+@dataclass(slots=True, frozen=True)
+class LeadershipGap:
+    """A change of holder."""
+
+    last_us: int  # the old holder's last act
+    gap_us: int  # from that to the new holder's first act
+    gateway: int  # the new holder
+
+
+@dataclass(slots=True, frozen=True)
+class Term:
+    """One holder's term: the acts of one process under one fencing token."""
+
+    role: int
+    fencing_token: int
+    gateway: int
+    process_nonce: int
+
+
+def check_leases(
+    acts: Sequence[ObservedAct],
+    stops: Mapping[int, int] | None = None,
+    blanks: Sequence[int] = (),
+    lease_us: int = 0,
+    expiries: Sequence[int] = (),
+) -> list[LeaseViolation]:
+    """Return where two holders acted at a time that the fencing check accepts, or where a token shrank.
+
+    `stops`: how often each gateway was stopped. Each stop allows one rejected act of that gateway: between its last
+    look at the clock and the write.
+
+    `blanks`: moments at which no gateway's process lived. Only the fencing check remembers older tokens then, and it
+    answers that it has seen a newer one: a later holder may act under an older token for a lease at most, and
+    whatever is below what the check has seen is rejected. Among themselves the later holders keep to the rules.
+
+    `expiries`: moments at which sessions were ended before their time, on purpose: who held by one believes so until
+    it hears of it, for a lease at most, under the token that it had. The fencing check rejects it.
+    """
+    checker = LeaseChecker(stops or {}, blanks, lease_us, expiries)
+    for act in acts:
+        checker.check_act(act)
+    return checker.violations
+
+
+class LeaseChecker:
+    """Check acts one by one, in the order in which they were received; `check_leases` says what the arguments are."""
+
+    def __init__(
+        self, stops: Mapping[int, int], blanks: Sequence[int], lease_us: int, expiries: Sequence[int]
+    ) -> None:
+        self.violations: list[LeaseViolation] = []
+        self._allowed_rejections = dict(stops)
+        self._blanks = blanks
+        self._max_stale_us = lease_us + SLACK_US
+        self._expiries = expiries
+        self._newest_by_era: dict[tuple[int, int], ObservedAct] = {}  # by role and how many blanks were before
+        self._highest_by_role: dict[int, ObservedAct] = {}  # what the fencing check has seen
+        self._first_rejected: dict[Term, ObservedAct] = {}
+        self._term_begins_us: dict[Term, int] = {}
+
+    def check_act(self, act: ObservedAct) -> None:
+        """Check an act against all before it."""
+        begin_us = self._term_begins_us.setdefault(term_of(act), act.at_us)
+        if self._is_expired_holder(begin_us, act):
+            return
+        era = (act.role, bisect_right(self._blanks, act.at_us))
+        newest = self._newest_by_era.get(era)
+        if newest is not None and act.fencing_token < newest.fencing_token:
+            self._on_older_token(act, newest)
+            return
+        if newest is not None and is_rival(act, newest):
+            self._report("two holders with one epoch", act, newest)
+        self._newest_by_era[era] = act
+        self._check_against_highest(act)
+
+    def _is_expired_holder(self, begin_us: int, act: ObservedAct) -> bool:
+        """Tell whether the act is one of a holder whose session was ended, which the fencing check rejects."""
+        was_ended_lately = any(
+            begin_us <= expired_us <= act.at_us <= expired_us + self._max_stale_us for expired_us in self._expiries
+        )
+        highest = self._highest_by_role.get(act.role)
+        if not was_ended_lately or highest is None:
+            return False
+        return act.fencing_token < highest.fencing_token
+
+    def _on_older_token(self, act: ObservedAct, newest: ObservedAct) -> None:
+        remaining = self._allowed_rejections.get(act.gateway, 0) - 1
+        self._allowed_rejections[act.gateway] = remaining
+        if remaining < 0:
+            self._report("an act after a newer holder's", act, newest)
+
+    def _check_against_highest(self, act: ObservedAct) -> None:
+        highest = self._highest_by_role.setdefault(act.role, act)
+        if act.fencing_token >= highest.fencing_token:
+            self._highest_by_role[act.role] = act
+            return
+        first = self._first_rejected.setdefault(term_of(act), act)
+        if act.at_us - first.at_us > self._max_stale_us:
+            self._report("it goes on under an epoch that was refused", act, highest)
+
+    def _report(self, what: str, act: ObservedAct, earlier: ObservedAct) -> None:
+        self.violations.append(LeaseViolation(what, act, earlier))
+
+
+def term_of(act: ObservedAct) -> Term:
+    """Return the term that the act belongs to."""
+    return Term(act.role, act.fencing_token, act.gateway, act.process_nonce)
+
+
+def is_rival(act: ObservedAct, other: ObservedAct) -> bool:
+    """Tell whether two processes acted under one fencing token."""
+    if act.fencing_token != other.fencing_token:
+        return False
+    return (act.gateway, act.process_nonce) != (other.gateway, other.process_nonce)
+
+
+def leadership_gaps(acts: Sequence[ObservedAct], role: int) -> list[LeadershipGap]:
+    """Return the role's changes of holder, in order."""
+    gaps: list[LeadershipGap] = []
+    last: ObservedAct | None = None
+    for act in acts:
+        if act.role != role:
+            continue
+        if last is not None and (act.gateway, act.fencing_token) != (last.gateway, last.fencing_token):
+            gaps.append(LeadershipGap(last.at_us, act.at_us - last.at_us, act.gateway))
+        last = act
+    return gaps
--- a/standins/judging/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What is judged from what was seen; pure."""
--- a/standins/parties/box.py
+++ b/standins/parties/box.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from standins.ledger import BoxDown, BoxLoad, BoxUp, Ledger, Run, now_us
+from standins.event_log import BackendAttempt, BackendLoad, BackendStarted, BackendStopped, EventLog, now_us
 from standins.parties.network import Address, Flow, Network
 from standins.parties.strain import Choke, Strain
 from standins.site import CLASSES, BoxKind, Klass, Rules, draw
@@ -63,7 +63,7 @@
     """One front box. `start`, `crash`, `stop` and `faults` may be used at any time while the loop runs."""
 
     def __init__(
-        self, name: str, room: int, shelf: Shelf, ledger: Ledger, network: Network,
+        self, name: str, room: int, shelf: Shelf, ledger: EventLog, network: Network,
         kind: BoxKind | None = None, rules: Rules | None = None, seed: int = 0,
         on_listening: Callable[[bool], None] = lambda up: None, law: Choke | None = None,
     ) -> None:  # fmt: skip
@@ -111,7 +111,7 @@
         self.address = self.server.sockets[0].getsockname()
         share = self.kind.cold_share if cold else 1.0
         self.ledger.add(
-            BoxUp(self.started_us, self.name, self.incarnation, self.kind.cores, share, self.kind.warm_us)
+            BackendStarted(self.started_us, self.name, self.incarnation, self.kind.cores, share, self.kind.warm_us)
         )
         self.on_listening(True)
         self.tick()
@@ -120,7 +120,7 @@
         """The process dies: its connections are reset, new ones refused, what it did is lost."""
         if self.server is None:
             return
-        self.ledger.add(BoxDown(now_us(), self.name, self.incarnation, how))
+        self.ledger.add(BackendStopped(now_us(), self.name, self.incarnation, how))
         self.on_listening(False)
         self.server.close()
         self.server = None
@@ -136,7 +136,7 @@
         """The machine is cut off: it reads nothing, says nothing, and goes on working."""
         self.faults.silent = on
         if on:
-            self.ledger.add(BoxDown(now_us(), self.name, self.incarnation, "silent"))
+            self.ledger.add(BackendStopped(now_us(), self.name, self.incarnation, "silent"))
         for connection in list(self.connections):
             connection.heed()
 
@@ -246,7 +246,7 @@
         if not self.reports or now - self.reports[-1][0] >= self.kind.report_us:
             self.reports.append((now, fields))
         self.ledger.add(
-            BoxLoad(
+            BackendLoad(
                 now,
                 self.name,
                 self.state,
@@ -267,7 +267,7 @@
 class Job:
     """One request at a box, until its answer."""
 
-    def __init__(self, box: Box, connection: BoxConnection, run: Run, klass: Klass) -> None:
+    def __init__(self, box: Box, connection: BoxConnection, run: BackendAttempt, klass: Klass) -> None:
         self.box, self.connection, self.run, self.klass = box, connection, run, klass
         self.hint_us = 0  # the work, where the client told it
         self.handshake_us = 0
@@ -282,8 +282,8 @@
     def begin(self) -> None:
         box, run, now = self.box, self.run, now_us()
         self.has_core = True
-        run.began_us, run.how = now, "running"
-        if run.key and box.shelf.is_repeat(run.key, now):
+        run.started_us, run.how = now, "running"
+        if run.idempotency_key and box.shelf.is_repeat(run.idempotency_key, now):
             self.finish("duplicate")
             return
         saved = box.saved(self.path)
@@ -305,7 +305,7 @@
     def finish(self, how: str) -> None:
         """The work is done: answer, as well as the faults allow."""
         box, faults, dice = self.box, self.box.faults, self.box.dice
-        box.served.append((now_us(), (now_us() - self.run.began_us) / 1e3))
+        box.served.append((now_us(), (now_us() - self.run.started_us) / 1e3))
         self.free_core()
         self.timer = None
         if faults.hang:
@@ -370,11 +370,11 @@
         self.end("rejected")
 
     def end(self, how: str) -> None:
-        if self.run.over_us:
+        if self.run.ended_us:
             return
         if self.gone_us and how != "crashed":
             how = "cancelled"  # nobody has it
-        self.run.how, self.run.over_us = how, now_us()
+        self.run.how, self.run.ended_us = how, now_us()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -389,7 +389,7 @@
     def give_up(self) -> None:
         """Whoever asked has gone: work for it stops, or goes on to its end."""
         law = self.box.law
-        if law is None or not law.stale or (self.run.began_us and self.timer is None):
+        if law is None or not law.stale or (self.run.started_us and self.timer is None):
             self.end("cancelled")
         else:
             self.gone_us = now_us()
@@ -403,7 +403,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.passed = 0  # bytes read before the present piece
-        self.run: Run | None = None  # being read
+        self.run: BackendAttempt | None = None  # being read
         self.job: Job | None = None
         self.headers: dict[str, str] = {}
         self.target = b""
@@ -443,12 +443,12 @@
 
     def begun(self, offset: int) -> None:
         """The first byte of a request, if none is being read."""
-        if self.run is not None or (self.job is not None and not self.job.run.over_us):
+        if self.run is not None or (self.job is not None and not self.job.run.ended_us):
             return
         flow = self.flow
         at_us = flow.sent_at(offset) if flow is not None else now_us()
         gateway = flow.link.near if flow is not None else ""
-        self.run = Run(at_us, self.box.name, self.box.incarnation, self.box.shelf.group, gateway=gateway)
+        self.run = BackendAttempt(at_us, self.box.name, self.box.incarnation, self.box.shelf.group, gateway=gateway)
 
     def on_message_begin(self) -> None:
         self.headers, self.target = {}, b""
@@ -462,7 +462,7 @@
     def on_headers_complete(self) -> None:
         if self.run is not None:
             self.run.id = self.headers.get("x-call-id", "")
-            self.run.key = self.headers.get("idempotency-key", "")
+            self.run.idempotency_key = self.headers.get("idempotency-key", "")
             self.box.ledger.add(self.run) if self.run.id else None
 
     def on_message_complete(self) -> None:
@@ -476,12 +476,12 @@
         if run is None or not run.id or klass is None:
             self.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
             return
-        run.klass, run.whole_us = klass.name, now_us()
+        run.request_class, run.received_us = klass.name, now_us()
         job = self.job = Job(self.box, self, run, klass)
         job.path = path
         hint, budget = self.headers.get("x-call-cost", ""), self.headers.get("x-budget-ms", "")
         job.hint_us = int(hint) if hint.isdigit() else 0
-        job.until_us = run.whole_us + int(budget) * 1000 if budget.isdigit() else 0
+        job.until_us = run.received_us + int(budget) * 1000 if budget.isdigit() else 0
         if self.fresh:
             self.fresh = False
             job.handshake_us = self.box.kind.handshake_us
--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from cloverkeel.core.config import stable_id
-from standins.judging.relays import Arrival, Asked, Change, Down, Part, Record
-from standins.ledger import Ledger, Listening, Process, now_us
+from standins.checker.relays import BackendArrival, ClientRequest, EndpointChange, Outage, Component, RunRecord
+from standins.event_log import DiscoveryPoll, EventLog, ProcessEvent, now_us
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
 from standins.parties.network import Address, Network, TcpLink
@@ -44,7 +44,7 @@
     discoveries: list[Registry]
     discovery_by_relay: tuple[int, ...]  # by relay: which of them it asks
     is_spread: bool  # whom gateways ask first: another relay each, or all relay-0
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: EventLog = field(default_factory=EventLog)
     views: dict[str, View] = field(default_factory=dict)
     to_relay: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # by gateway, relay
     to_discovery: list[TcpLink] = field(default_factory=list)  # by relay
@@ -53,11 +53,11 @@
     begun_us: int = 0
     requests_seen: list[tuple[int, int, int]] = field(default_factory=list)  # when, by which gateway, at which host
     responses_in_progress: int = 0  # hosts, just now
-    client_requests: list[Asked] = field(default_factory=list)
+    client_requests: list[ClientRequest] = field(default_factory=list)
     starts: dict[int, int] = field(default_factory=dict)  # of hosts that were gone: since when, in milliseconds
-    changes: list[Change] = field(default_factory=list)
-    outages: list[Down] = field(default_factory=list)
-    open_outages: dict[Part, int] = field(default_factory=dict)  # since when
+    changes: list[EndpointChange] = field(default_factory=list)
+    outages: list[Outage] = field(default_factory=list)
+    open_outages: dict[Component, int] = field(default_factory=dict)  # since when
     statuses: Counter[int] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)  # by gateway
     notes: list[tuple[int, str]] = field(default_factory=list)
@@ -83,7 +83,7 @@
             entry = discovery.entries.get(name) or self.entry(host)
             entry.weight = weight
             discovery.change([(entry, status)])
-            self.changes.append(Change(now_us(), number, host, status))
+            self.changes.append(EndpointChange(now_us(), number, host, status))
             self.note(f"{name} {status}, weight {weight:g}, at discovery-{number}")
         return at_us
 
@@ -117,7 +117,7 @@
         try:
             while True:
                 call = f"{gateway:02x}{len(self.client_requests):014x}"
-                asked = Asked(now_us(), gateway)
+                asked = ClientRequest(now_us(), gateway)
                 self.client_requests.append(asked)
                 answer = await client.ask(request("search", x_call_id=call))
                 asked.answered_us, asked.status = now_us(), answer.status
@@ -130,14 +130,14 @@
 
     # Outages, for the judge
 
-    def begin_outage(self, *parts: Part) -> None:
+    def begin_outage(self, *parts: Component) -> None:
         for part in parts:
             self.open_outages.setdefault(part, now_us())
 
-    def end_outage(self, *parts: Part) -> None:
+    def end_outage(self, *parts: Component) -> None:
         for part in parts:
             if part in self.open_outages:
-                self.outages.append(Down(self.open_outages.pop(part), now_us(), part))
+                self.outages.append(Outage(self.open_outages.pop(part), now_us(), part))
 
     async def watch_for_stalls(self) -> None:
         """Note the times at which this process was stalled itself: what it saw then, it saw late."""
@@ -147,18 +147,21 @@
             before_us, checked_us = checked_us, now_us()
             if checked_us - before_us > (STALL_CHECK_INTERVAL_S + MIN_STALL_S) * 1e6:
                 self.note(f"the test itself was stalled for {(checked_us - before_us) / 1e6:.3f} s")
-                self.outages += [Down(before_us, checked_us, ("gateway", n)) for n in range(GATEWAYS)]
+                self.outages += [Outage(before_us, checked_us, ("gateway", n)) for n in range(GATEWAYS)]
 
-    def record(self) -> Record:
+    def record(self) -> RunRecord:
         end_us = now_us()
-        open_outages = [Down(begin_us, end_us, part) for part, begin_us in self.open_outages.items()]
-        exits = [p for p in self.ledger.of(Process) if p.what == "exit" and not p.asked]
-        return Record(
+        open_outages = [Outage(begin_us, end_us, part) for part, begin_us in self.open_outages.items()]
+        exits = [p for p in self.ledger.events_of(ProcessEvent) if p.what == "exit" and not p.was_requested]
+        return RunRecord(
             self.begun_us, end_us, GATEWAYS, len(self.hosts), self.discovery_by_relay,
             GATEWAYS * 1_000_000 // DIRECT_PER_S,
             sorted(self.changes, key=lambda change: change.at_us),
-            [Arrival(*seen) for seen in self.requests_seen], self.client_requests, self.outages + open_outages,
-            [(call.at_us, int(call.gateway[1:])) for call in self.ledger.of(Listening) if call.gateway[0] == "n"],
+            [BackendArrival(*seen) for seen in self.requests_seen], self.client_requests, self.outages + open_outages,
+            [
+                (call.at_us, int(call.gateway[1:]))
+                for call in self.ledger.events_of(DiscoveryPoll) if call.gateway[0] == "n"
+            ],
             [(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
 
@@ -215,7 +218,7 @@
 
     def direct_polls(self) -> int:
         """Of gateways at discovery itself."""
-        return sum(call.gateway.startswith("n") for call in self.ledger.of(Listening))
+        return sum(call.gateway.startswith("n") for call in self.ledger.events_of(DiscoveryPoll))
 
     def faults(self) -> list[str]:
         return [fault for process in self.gateways + self.relays for fault in process.faults()]
@@ -229,7 +232,7 @@
         assert not self.faults(), f"{self.faults()}\n{self.timeline()}"
 
     def timeline(self) -> str:
-        lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.of(Process)]
+        lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.events_of(ProcessEvent)]
         begun = min((at_us for at_us, _ in lines), default=0)
         text_lines = [f"{(at_us - begun) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
         for n in range(len(self.hosts)):
@@ -272,7 +275,7 @@
 
         return answer
 
-    network, ledger = Network(1), Ledger()
+    network, ledger = Network(1), EventLog()
     peers = [peer(script(n)) for n in range(hosts)]
     listening = [await each.__aenter__() for each in peers]
     tasks: list[asyncio.Task[None]] = []
--- a/tests/control_plane/relay_harness.py
+++ b/tests/control_plane/relay_harness.py
@@ -14,7 +14,7 @@
 from cloverkeel.control_plane.http_server import RelayServer
 from cloverkeel.control_plane.roster_parser import parse_roster
 from cloverkeel.core.clock import now_us
-from standins.ledger import Ledger
+from standins.event_log import EventLog
 from standins.parties.registry import Entry, Registry
 from tests.sockets import Client, Message, Peer, list_reply, peer, until
 
@@ -89,7 +89,7 @@
 @asynccontextmanager
 async def relay_with_registry(limits: Limits | None = None, ready: bool = True) -> AsyncIterator[RelayHarness]:
     """A relay that has heard of four hosts of each of two services."""
-    registry = Registry(Ledger())
+    registry = Registry(EventLog())
     for service in "st":
         for number in range(4):
             registry.put(entry(number, service))
--- a/tests/control_plane/test_command.py
+++ b/tests/control_plane/test_command.py
@@ -14,7 +14,7 @@
 from cloverkeel.control_plane.config import Limits, load
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import ConfigError
-from standins.ledger import Ledger
+from standins.event_log import EventLog
 from standins.parties.network import reserve
 from standins.parties.registry import Registry
 from tests import sockets
@@ -57,7 +57,7 @@
 
 @on_loop
 async def test_command_runs_shows_and_ends(tmp_path: Path) -> None:
-    registry = Registry(Ledger())
+    registry = Registry(EventLog())
     registry.put(entry(0))
     view = await registry.open("relay", lambda name: ("127.0.0.1", 9000), allow_all)
     assert view.address is not None
--- a/tests/control_plane/test_discovery_source.py
+++ b/tests/control_plane/test_discovery_source.py
@@ -8,7 +8,7 @@
 
 from cloverkeel.control_plane.config import Limits
 from cloverkeel.core.clock import now_us
-from standins.ledger import Ledger
+from standins.event_log import EventLog
 from standins.parties.registry import Registry
 from tests.control_plane.relay_harness import (
     RelayHarness,
@@ -43,7 +43,7 @@
     async with scripted_discovery() as (answers, discovery):
         answers.append(snapshot_reply(5, "s-0", "s-1"))
         async with running_relay(discovery.address, Limits(max_age_ms=1_000)) as server:
-            harness = RelayHarness(Registry(Ledger()), server)
+            harness = RelayHarness(Registry(EventLog()), server)
             await harness.has(2)
             answers.append(rubbish)
             await until(lambda: not server.is_ready)
@@ -64,7 +64,7 @@
     async with scripted_discovery() as (answers, discovery):
         answers.append(list_reply(5, snapshot=False))
         async with running_relay(discovery.address) as server:
-            harness = RelayHarness(Registry(Ledger()), server)
+            harness = RelayHarness(Registry(EventLog()), server)
             await until(lambda: len(discovery.seen) > 2)
             assert not any("from=" in exchange.message.first for exchange in discovery.seen)
             assert (await harness.get("/registry/instances?gateway=g0")).status == 503
@@ -89,7 +89,7 @@
     async with scripted_discovery() as (answers, discovery):
         answers.append(snapshot_reply(5, "s-0"))
         async with running_relay(discovery.address) as server:
-            harness = RelayHarness(Registry(Ledger()), server)
+            harness = RelayHarness(Registry(EventLog()), server)
             await harness.has(1)
             client = await harness.client()
             assert server.source.read_slice_s <= MAX_SLICE_S
@@ -108,7 +108,7 @@
     async with scripted_discovery() as (answers, discovery):
         answers.append(snapshot_reply(5, "s-0"))
         async with running_relay(discovery.address) as server:
-            harness = RelayHarness(Registry(Ledger()), server)
+            harness = RelayHarness(Registry(EventLog()), server)
             await harness.has(1)
             server.source.read_slice_s = 0.0  # each step ends its slice, however fast the machine is
             answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
--- a/tests/control_plane/test_relay_fleet.py
+++ b/tests/control_plane/test_relay_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks.relay_schedules import draw, play
-from standins.ledger import now_us
+from standins.event_log import now_us
 from standins.parties import fleet as processes
 from tests.control_plane.relay_fleet import GATEWAYS, relay_fleet
 from tests.sockets import on_loop
