--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -174,7 +174,7 @@
     @property
     def held(self) -> dict[int, Any]:
         """Hosts by their numbers."""
-        return self.program.pools.hosts if self.program is not None else {}
+        return self.program.pool.hosts if self.program is not None else {}
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         program = self.program
@@ -190,7 +190,7 @@
             self.wholes += kind is ListKind.FULL
             self.deltas += kind is ListKind.DELTA
             self.entries += len(entries)
-            self.emptied += bool(self.listed_us) and not program.pools.hosts
+            self.emptied += bool(self.listed_us) and not program.pool.hosts
             self.guard.take(self.number, kind, entries)
             if not self.listed_us and entries:
                 self.listed_us = at_us
--- a/benchmarks/guards/mutants/frontends.py
+++ b/benchmarks/guards/mutants/frontends.py
@@ -154,7 +154,7 @@
     """Where nobody can yield, connections to hosts take what is left."""
     from cloverkeel.frontends.http1.server import Server
 
-    cut(Server, "make_room", ("or self.hosts.give_up_idle()", "or self.hosts.give_up_idle() or True"))
+    cut(Server, "make_room", ("or self.hosts.close_oldest_idle()", "or self.hosts.close_oldest_idle() or True"))
 
 
 @entry("gone-unread")
--- a/benchmarks/guards/mutants/upstream.py
+++ b/benchmarks/guards/mutants/upstream.py
@@ -9,10 +9,10 @@
 @entry("cancel-closes")
 def _() -> None:
     """The connection of an attempt that was given up is kept."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
     cut(
-        Pools, "cancel",
+        ConnectionPool, "cancel_attempt",
         ("connection.attempt = None\n        connection.close()",
          "connection.attempt = None\n        self.keep(connection) if connection.transport else connection.close()"),
     )  # fmt: skip
@@ -21,26 +21,30 @@
 @entry("unasked-closes")
 def _() -> None:
     """What a host says unasked is let pass."""
-    from cloverkeel.upstream.connection_pool import HostConnection, Pools
+    from cloverkeel.upstream.connection_pool import HostConnection, ConnectionPool
 
-    cut(Pools, "on_reply", ("if attempt is None:\n        connection.close()", "if attempt is None:\n        pass"))
+    cut(
+        ConnectionPool,
+        "on_reply",
+        ("if attempt is None:\n        connection.close()", "if attempt is None:\n        pass"),
+    )
     cut(HostConnection, "data_received", ("elif self.attempt is None:", "elif False:"))
 
 
 @entry("reset-may-have-run")
 def _() -> None:
     """A connection that breaks was never written to."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    cut(Pools, "on_lost", ("Outcome.RESET if written else Outcome.CONNECT_FAILED", "Outcome.CONNECT_FAILED"))
+    cut(ConnectionPool, "on_lost", ("Outcome.RESET if written else Outcome.CONNECT_FAILED", "Outcome.CONNECT_FAILED"))
 
 
 @entry("timeout-may-have-run")
 def _() -> None:
     """What was not answered in time was never written."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    swap(Pools, "is_written", lambda self, attempt: False)
+    swap(ConnectionPool, "is_written", lambda self, attempt: False)
 
 
 @entry("error-may-have-run")
@@ -54,41 +58,41 @@
 @entry("garbage-may-have-run")
 def _() -> None:
     """What can't be read says that it never ran."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    cut(Pools, "on_garbage", ("Outcome.ERROR", "Outcome.CONNECT_FAILED"))
+    cut(ConnectionPool, "on_garbage", ("Outcome.ERROR", "Outcome.CONNECT_FAILED"))
 
 
 @entry("drain-pools")
 def _() -> None:
     """Whoever carries attempts sends to hosts that drain."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    cut(Pools, "refused", ("> self.settings.stop_sending_within_us", "> 10**15"))
+    cut(ConnectionPool, "refused", ("> self.settings.stop_sending_within_us", "> 10**15"))
 
 
 @entry("gone-pools")
 def _() -> None:
     """Whoever carries attempts keeps hosts that left the list."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    swap(Pools, "remove", lambda self, id_: None)
+    swap(ConnectionPool, "remove_host", lambda self, id_: None)
 
 
 @entry("begin-by-check")
 def _() -> None:
     """What was to begin by a time is written when its connection comes up."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    cut(Pools, "refused", ("at_us > attempt.begin_by_us", "False"))
+    cut(ConnectionPool, "refused", ("at_us > attempt.begin_by_us", "False"))
 
 
 @entry("begin-by-timer")
 def _() -> None:
     """What is not wholly written by that time goes on."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    swap(Pools, "on_begun_late", lambda self, attempt: None)
+    swap(ConnectionPool, "on_begun_late", lambda self, attempt: None)
 
 
 @entry("host-rests")
@@ -119,9 +123,9 @@
 @entry("answered-late")
 def _() -> None:
     """An attempt is given up though its answer has come."""
-    from cloverkeel.upstream.connection_pool import Pools
+    from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    cut(Pools, "on_timeout", ("if not attempt.looked and", "if False and"))
+    cut(ConnectionPool, "on_timeout", ("if not attempt.looked and", "if False and"))
 
 
 @entry("held-up")
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -33,7 +33,7 @@
 from cloverkeel.core.incremental_json import decode  # noqa: E402
 from cloverkeel.core.ports import Endpoint  # noqa: E402
 from cloverkeel.discovery.http_client import parse_list, parse_steps  # noqa: E402
-from cloverkeel.upstream.connection_pool import Pools  # noqa: E402
+from cloverkeel.upstream.connection_pool import ConnectionPool  # noqa: E402
 
 CONFIG = {
     "name": "g", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": 1, "sockets": 100,
@@ -112,7 +112,7 @@
 async def core_ms(hosts: int, repeats: int) -> tuple[dict[str, float], dict[str, float]]:
     """CPU and longest stop, by name of the change."""
     config = parse(CONFIG)
-    gateway = Gateway(config, Pools(config.settings), Silence())
+    gateway = Gateway(config, ConnectionPool(config.settings), Silence())
     cpu: dict[str, list[float]] = {}
     stop: dict[str, list[float]] = {}
 
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -142,7 +142,7 @@
                 await server.drain(operations.way_out() if operations is not None else None)
         except TimeoutError:
             log(f"ended with {len(gateway.held)} requests unanswered")
-        counts = program.pools.counts
+        counts = program.pool.counts
         log(f"ends; connections to hosts: {counts}")
         if operations is not None and listener is not None:
             listener.close()
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -11,7 +11,7 @@
 from cloverkeel.core.options import Options
 from cloverkeel.frontends.http1.server import Server
 from cloverkeel.discovery.http_client import Discovery
-from cloverkeel.upstream.connection_pool import Pools
+from cloverkeel.upstream.connection_pool import ConnectionPool
 
 if TYPE_CHECKING:
     from cloverkeel.core.datagrams import Datagrams
@@ -28,7 +28,7 @@
 
     gateway: Gateway
     server: Server
-    pools: Pools
+    pool: ConnectionPool
     discovery: Discovery | MergedMembership | BannedMembership
     datagrams: Datagrams | None = None  # the socket of the parts below
     duties: Room | None = None
@@ -61,7 +61,7 @@
 
 
 def assemble(config: Config, options: Options | None = None) -> Program:
-    pools = Pools(config.settings)
+    pool = ConnectionPool(config.settings)
     registry = Discovery(config.discovery, config.names, config.settings.list_is_pushed)
     relayed: RelayedDiscovery | None = None
     if options is not None and options.relays is not None:
@@ -81,12 +81,12 @@
         from cloverkeel.discovery.ejection_filter import BannedMembership
 
         membership = BannedMembership(discovery)
-    gateway = Gateway(config, pools, membership)
+    gateway = Gateway(config, pool, membership)
     if relayed is not None:
         relayed.outs = lambda: len(gateway.balancer.outs(now_us()))
     may_tell = config.settings.may_tell_peers and config.peer_listen is not None
     if options is None or not may_tell or (options.duties is None and options.sharing is None):
-        return Program(gateway, Server(config, gateway, pools), pools, membership, relayed=relayed)
+        return Program(gateway, Server(config, gateway, pool), pool, membership, relayed=relayed)
     # Imported here alone: most installations have none of it, and some allow no datagrams.
     from cloverkeel.core.datagrams import Datagrams
 
@@ -101,4 +101,4 @@
         from cloverkeel.gossip.driver import Room as SharingRoom
 
         sharing = SharingRoom(config, gateway, datagrams)
-    return Program(gateway, Server(config, gateway, pools), pools, membership, datagrams, duties, sharing, relayed)
+    return Program(gateway, Server(config, gateway, pool), pool, membership, datagrams, duties, sharing, relayed)
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -88,7 +88,7 @@
         self.loop = asyncio.get_running_loop()
         self.settings = config.settings
         self.balancer: Decisions = Balancer(config.settings, config.seed)
-        self.pools, self.discovery = pools, membership
+        self.pool, self.discovery = pools, membership
         membership.set_listener(self.on_list)
         # What has happened, by what may be done with it while membership catches up: lists are handled, first of all;
         # what is urgent as well, since nothing is sent for it; the rest waits, till its request's time is over.
@@ -118,7 +118,7 @@
         # Called at once when this process stood still, with the time and for how long.
         self.after_gap: list[Callable[[int, int], None]] = []
         self.on_outcome: Callable[[int, Outcome, int], None] | None = None  # of each attempt: server, latency
-        pools.guard(self.may_write)
+        pools.set_write_guard(self.may_write)
 
     def start(self) -> None:
         """Begin with the list from before, and ask for a newer one when the module says so."""
@@ -130,7 +130,7 @@
     @property
     def can_serve(self) -> bool:
         """Whether there is any host to send to."""
-        return not self.pools.is_empty()
+        return not self.pool.is_empty()
 
     def close(self) -> None:
         self.closed = True
@@ -140,7 +140,7 @@
             self.beat_timer.cancel()
         self.timers.close()
         self.discovery.close()
-        self.pools.close()
+        self.pool.close()
 
     def share(self, processes: int) -> None:
         """This gateway is so many processes for a time; ahead of whatever waits, as it restricts."""
@@ -180,7 +180,7 @@
 
     def write_tally(self, at_us: int) -> None:
         self.tally_due_us = at_us - at_us % EVERY_US + EVERY_US
-        opened = self.pools.opened()
+        opened = self.pool.opened_count()
         line = self.tally.line(at_us, self.balancer.shares_shed(), opened - self.opened, self.entries)
         if line is not None and log_if_read(line):  # else the sums go on
             self.opened, self.entries = opened, 0
@@ -321,7 +321,7 @@
         held.closed = True
         passing = held.attempts[held.passing] if held.passing >= 0 else None
         if passing is not None:
-            self.pools.cancel(passing)  # the module leaves it to the client
+            self.pool.cancel_attempt(passing)  # the module leaves it to the client
         self.post(lambda: self.gone(held))
 
     def gone(self, held: Held) -> Event:
@@ -332,14 +332,14 @@
     def take_list(self, kind: ListKind, entries: list[Endpoint]) -> Event:
         gone: list[int] = []
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            gone = self.pools.keep_only({entry.listed.server for entry in entries})
+            gone = self.pool.retain_hosts({entry.listed.server for entry in entries})
             self.slices.forget_all()
         self.entries += len(entries) if kind is not ListKind.DISK else 0
         kept = [entry for entry in entries if not self.is_namesake(entry)]
         if kind is ListKind.DISK:  # the first of all: nothing can be sent yet
             now = self.slices.take_all(kept)
         else:
-            now = self.slices.take(kept, self.pools.known(), self.is_another)
+            now = self.slices.take(kept, self.pool.host_count(), self.is_another)
         if len(now) == len(kept):
             return self.tell(kind, now)
         if self.turn is None:
@@ -356,7 +356,7 @@
         self.turn = self.loop.call_soon(self.on_turn) if self.slices.waiting and not self.closed else None
 
     def is_another(self, entry: Endpoint) -> bool:
-        return self.pools.is_another(entry.listed.server, entry.address, entry.listed.started_us)
+        return self.pool.has_host_changed(entry.listed.server, entry.address, entry.listed.started_us)
 
     def tell(self, kind: ListKind, entries: list[Endpoint], gone: tuple[ListedServer, ...] = ()) -> Event:
         self.fresh += len(entries)
@@ -366,15 +366,15 @@
         for entry in entries:
             listed = entry.listed
             if listed.status is ServerStatus.GONE:
-                self.pools.remove(listed.server)
+                self.pool.remove_host(listed.server)
             else:
                 ready = listed.status is ServerStatus.READY
-                self.pools.put(listed.server, entry.name, entry.address, ready, listed.started_us)
+                self.pool.update_host(listed.server, entry.name, entry.address, ready, listed.started_us)
         return ServerList(kind, gone + tuple(entry.listed for entry in entries))
 
     def is_namesake(self, entry: Endpoint) -> bool:
         """Whether the number of this entry is that of another host: numbers are hashes of names."""
-        name = self.pools.name_of(entry.listed.server) or self.slices.name_of(entry.listed.server)
+        name = self.pool.host_name(entry.listed.server) or self.slices.name_of(entry.listed.server)
         if name is None or name == entry.name:
             return False
         log(f"{entry.name} is skipped: its number is that of {name}")
@@ -407,7 +407,7 @@
             case Probe():
                 self.probe(action.server)
             case CloseIdle():
-                self.pools.close_idle(action.server)
+                self.pool.close_idle_connections(action.server)
             case Log():
                 log(action.line)
             case _:
@@ -436,7 +436,7 @@
             del self.by_id[held.call.id]
 
     def send(self, action: Send) -> None:
-        held, known = self.held.get(action.request), self.pools.knows(action.server)
+        held, known = self.held.get(action.request), self.pool.has_host(action.server)
         if held is None:
             log(f"DEFECT: the module sends a request that is not held: {action!r}")
             return
@@ -474,7 +474,7 @@
         held.attempts.append(None)
         held.out += 1
         self.tally.sent(action.server)
-        held.attempts[number] = self.pools.begin(
+        held.attempts[number] = self.pool.start_attempt(
             action.server, payload, wait_us, on_end, on_begin, may_begin, action.begin_by_us
         )
 
@@ -517,10 +517,10 @@
         if held is not None and 0 <= action.attempt < len(held.attempts):
             attempt = held.attempts[action.attempt]
             if attempt is not None:
-                self.pools.cancel(attempt)
+                self.pool.cancel_attempt(attempt)
 
     def probe(self, server: int) -> None:
-        if self.pools.knows(server):
-            self.pools.probe(
+        if self.pool.has_host(server):
+            self.pool.send_health_check(
                 server, lambda end: self.post(lambda: Probed(server, end.outcome, end.latency_us, end.load))
             )
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -82,34 +82,34 @@
 class Upstream(Protocol):
     """Carries attempts to hosts. Every attempt that is begun ends once, by its `on_end`."""
 
-    def knows(self, server: int) -> bool: ...
+    def has_host(self, server: int) -> bool: ...
 
-    def name_of(self, server: int) -> str | None: ...
+    def host_name(self, server: int) -> str | None: ...
 
     def is_empty(self) -> bool: ...
 
-    def opened(self) -> int:
+    def opened_count(self) -> int:
         """Connections since the start."""
 
-    def put(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None: ...
+    def update_host(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None: ...
 
-    def remove(self, id_: int) -> None: ...
+    def remove_host(self, id_: int) -> None: ...
 
-    def keep_only(self, named: set[int]) -> list[int]:
+    def retain_hosts(self, named: set[int]) -> list[int]:
         """Forget every server that is not named; returns those."""
 
-    def known(self) -> int:
+    def host_count(self) -> int:
         """Servers that are known."""
 
-    def is_another(self, id_: int, address: Address, started_us: int) -> bool:
+    def has_host_changed(self, id_: int, address: Address, started_us: int) -> bool:
         """Whether a server is known, and as another process or at another address."""
 
-    def close_idle(self, id_: int) -> None: ...
+    def close_idle_connections(self, id_: int) -> None: ...
 
-    def guard(self, may_write: Callable[[int], bool]) -> None:
+    def set_write_guard(self, may_write: Callable[[int], bool]) -> None:
         """Ask this, with the present time in µs, just before an attempt's first byte; if not, it ends as moot."""
 
-    def begin(
+    def start_attempt(
         self,
         server: int,
         payload: Payload,
@@ -124,9 +124,9 @@
         If it may not begin any more, or its last byte is not written by that time (0: no limit), it ends as moot.
         """
 
-    def probe(self, server: int, on_end: OnEnd) -> None: ...
+    def send_health_check(self, server: int, on_end: OnEnd) -> None: ...
 
-    def cancel(self, attempt: Any) -> None: ...
+    def cancel_attempt(self, attempt: Any) -> None: ...
 
     def close(self) -> None: ...
 
@@ -155,4 +155,4 @@
     open: int  # connections to hosts
     room: Callable[[], bool]  # called before a descriptor is taken; False: there is none
 
-    def give_up_idle(self) -> bool: ...
+    def close_oldest_idle(self) -> bool: ...
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -162,7 +162,7 @@
         Guards against a handshake for each request, as silent clients crowd out kept connections to hosts; and
         against using up the reserve, without which nobody hears of hosts.
         """
-        return not self.is_full() or self.make_way() or self.hosts.give_up_idle()
+        return not self.is_full() or self.make_way() or self.hosts.close_oldest_idle()
 
     def make_way(self) -> bool:
         """Give up one client: who has asked nothing for a while, whose request stopped coming, who asks nothing."""
--- a/cloverkeel/upstream/connection_pool.py
+++ b/cloverkeel/upstream/connection_pool.py
@@ -107,13 +107,13 @@
         "host",
         "idle_since_us",
         "poll",
-        "pools",
+        "pool",
         "replies",
         "transport",
     )
 
-    def __init__(self, pools: Pools, host: Host, attempt: Attempt | None) -> None:
-        self.pools, self.host, self.attempt = pools, host, attempt
+    def __init__(self, pools: ConnectionPool, host: Host, attempt: Attempt | None) -> None:
+        self.pool, self.host, self.attempt = pools, host, attempt
         self.address = host.address
         self.transport: asyncio.Transport | None = None
         self.replies = ReplyReader(on_large=self.on_large, on_piece=self.on_piece)
@@ -127,7 +127,7 @@
         # With no room in the buffer, pause_writing tells at once that the last byte is not yet written.
         self.transport.set_write_buffer_limits(high=0)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
-        self.pools.on_connected(self)
+        self.pool.on_connected(self)
 
     def is_fresh(self) -> bool:
         """False once the host has closed it, or said something unasked, seen by the loop or not yet.
@@ -168,15 +168,15 @@
         try:
             reply = self.replies.feed(data)
         except ReplyError:
-            self.pools.on_garbage(self)
+            self.pool.on_garbage(self)
             return
         if reply is not None:
-            self.pools.on_reply(self, reply)
+            self.pool.on_reply(self, reply)
         elif self.attempt is None:
             self.close()
 
     def on_large(self, reply: Reply, length: int | None) -> None:
-        self.pools.on_begun(self, reply, length)
+        self.pool.on_begun(self, reply, length)
 
     def on_piece(self, data: bytes) -> None:
         attempt = self.attempt
@@ -188,14 +188,14 @@
         """Nothing stays half open; some answers end so."""
         reply = self.replies.finish()
         if reply is not None:
-            self.pools.on_reply(self, reply)
+            self.pool.on_reply(self, reply)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pools.on_lost(self)
+        self.pool.on_lost(self)
         self.replies.close()
 
 
-class Pools:
+class ConnectionPool:
     """Carries attempts to hosts. Every attempt that is sent ends once, by its `on_end`."""
 
     def __init__(self, settings: Settings, room: Callable[[], bool] = lambda: True, reads_load: bool = False) -> None:
@@ -210,12 +210,12 @@
         self.open = 0
         self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
 
-    def guard(self, may_write: Callable[[int], bool]) -> None:
+    def set_write_guard(self, may_write: Callable[[int], bool]) -> None:
         self.may_write = may_write
 
     # Hosts
 
-    def put(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None:
+    def update_host(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None:
         """Learn of a host, of its new address, that it has started anew, or that it drains."""
         host = self.hosts.get(id_)
         if host is None:
@@ -224,7 +224,7 @@
             # Guards against writing to a connection of its earlier life: a machine that went silent may not
             # have ended it, and what is written there ends as a reset.
             host.address, host.started_us = address, started_us
-            self.close_idle(id_)
+            self.close_idle_connections(id_)
         if ready:
             host.drained_us = None
         else:
@@ -233,49 +233,49 @@
     def drain(self, host: Host) -> None:
         if host.drained_us is None:
             host.drained_us = now_us()
-        self.close_idle(host.id)
+        self.close_idle_connections(host.id)
 
-    def remove(self, id_: int) -> None:
+    def remove_host(self, id_: int) -> None:
         """Forget a host that is gone; what is out there still ends as it will."""
         host = self.hosts.pop(id_, None)
         if host is not None:
             self.drain(host)
 
-    def close_idle(self, id_: int) -> None:
+    def close_idle_connections(self, id_: int) -> None:
         host = self.hosts.get(id_)
         while host is not None and host.idle:
             host.idle.pop().close()
 
-    def knows(self, server: int) -> bool:
+    def has_host(self, server: int) -> bool:
         return server in self.hosts
 
-    def name_of(self, server: int) -> str | None:
+    def host_name(self, server: int) -> str | None:
         host = self.hosts.get(server)
         return host.name if host is not None else None
 
-    def opened(self) -> int:
+    def opened_count(self) -> int:
         return self.counts.opened
 
     def is_empty(self) -> bool:
         return not self.hosts
 
-    def known(self) -> int:
+    def host_count(self) -> int:
         return len(self.hosts)
 
-    def is_another(self, id_: int, address: Address, started_us: int) -> bool:
+    def has_host_changed(self, id_: int, address: Address, started_us: int) -> bool:
         host = self.hosts.get(id_)
         return host is not None and (host.address, host.started_us) != (address, started_us)
 
-    def keep_only(self, named: set[int]) -> list[int]:
+    def retain_hosts(self, named: set[int]) -> list[int]:
         """Forget every host that a whole list does not name; returns those."""
         gone = [id_ for id_ in self.hosts if id_ not in named]
         for id_ in gone:
-            self.remove(id_)
+            self.remove_host(id_)
         return gone
 
     # Attempts
 
-    def begin(
+    def start_attempt(
         self, server: int, payload: Payload, timeout_us: int, on_end: OnEnd, on_begin: OnBegin,
         may_begin: MayBegin | None = None, begin_by_us: int = 0,
     ) -> Attempt:  # fmt: skip
@@ -284,7 +284,7 @@
         self.send(attempt, timeout_us)
         return attempt
 
-    def probe(self, server: int, on_end: OnEnd) -> None:
+    def send_health_check(self, server: int, on_end: OnEnd) -> None:
         """Ask a host how it is; with its load where the deployment has reports."""
         host = self.hosts[server]
         path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
@@ -346,7 +346,7 @@
     def on_begun_late(self, attempt: Attempt) -> None:
         """What is not wholly written when repeats are no longer dropped has not run, and is not to run."""
         if not self.is_written(attempt):
-            self.cancel(attempt, Outcome.MOOT)
+            self.cancel_attempt(attempt, Outcome.MOOT)
 
     def take(self, host: Host) -> HostConnection | None:
         """The free connection used last of those that have rested: the bottom of the stack ages and is closed.
@@ -376,7 +376,7 @@
         connection.close()
         return False
 
-    def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
+    def cancel_attempt(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
         """Stop waiting: the connection is closed, so that the host can tell, and its place is free."""
         if attempt.ended:
             return
@@ -417,11 +417,11 @@
             attempt.timer = self.timers.set(now_us() + LOOK_US, lambda: self.on_timeout(attempt))
             return
         # What was never written cannot have run, also when the time ended while connecting.
-        self.cancel(attempt, Outcome.TIMEOUT if self.is_written(attempt) else Outcome.CONNECT_FAILED)
+        self.cancel_attempt(attempt, Outcome.TIMEOUT if self.is_written(attempt) else Outcome.CONNECT_FAILED)
 
     def on_connect_timeout(self, attempt: Attempt) -> None:
         if attempt.connection is not None and attempt.connection.transport is None:
-            self.cancel(attempt, Outcome.CONNECT_FAILED)
+            self.cancel_attempt(attempt, Outcome.CONNECT_FAILED)
 
     def is_written(self, attempt: Attempt) -> bool:
         connection = attempt.connection
@@ -459,7 +459,7 @@
         if attempt.ended:
             return
         if sink is None:
-            self.cancel(attempt)
+            self.cancel_attempt(attempt)
             return
         attempt.sink, attempt.moved_us = sink, now_us()
         if attempt.timer is not None:
@@ -471,7 +471,7 @@
         if attempt.held_up:
             attempt.moved_us = at_us  # it is not the host that waits
         if at_us - attempt.moved_us >= STALL_US:
-            self.cancel(attempt, Outcome.TIMEOUT)
+            self.cancel_attempt(attempt, Outcome.TIMEOUT)
             return
         attempt.timer = self.timers.set(attempt.moved_us + STALL_US, lambda: self.time_progress(attempt))
 
@@ -529,7 +529,7 @@
                     break
                 host.idle.pop(0).close()
 
-    def give_up_idle(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Close the connection that was idle for the longest time, to gain a descriptor."""
         hosts = [host for host in self.hosts.values() if host.idle]
         if not hosts:
@@ -541,7 +541,7 @@
         self.sweeper.cancel()
         self.timers.close()
         for host in self.hosts.values():
-            self.close_idle(host.id)
+            self.close_idle_connections(host.id)
 
 
 def _told(end: End) -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,7 +20,7 @@
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.frontends.http1.server import Server
 from cloverkeel.discovery.http_client import Discovery
-from cloverkeel.upstream.connection_pool import REST_US, Pools
+from cloverkeel.upstream.connection_pool import REST_US, ConnectionPool
 
 PROGRAM: tuple[str, ...] = (sys.executable, "-m", "cloverkeel")  # what is started as a process
 PATIENCE_S = 30.0  # for anything that should happen: how long a broken test takes, never how long a good one
@@ -203,7 +203,7 @@
 
     gateway: Gateway
     server: Server
-    pools: Pools
+    pool: ConnectionPool
     discovery: Discovery
     port: int
 
@@ -271,7 +271,7 @@
     assert server.listener is not None
     try:
         assert isinstance(program.discovery, Discovery)
-        yield Running(gateway, server, program.pools, program.discovery, server.listener.getsockname()[1])
+        yield Running(gateway, server, program.pool, program.discovery, server.listener.getsockname()[1])
     finally:
         server.close()
         gateway.close()
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -71,7 +71,7 @@
         holds = [(7, 0), (8, 1000), (8, 1000), (9, 1000)]  # the first call on a connection waits for nothing
         assert asked(registry) == [f"/registry/instances?from={n}&hold_ms={ms}" for n, ms in holds]
         assert registry.opened == 1
-        assert set(run.pools.hosts) == {host_id(1)} == set(run.module.servers)
+        assert set(run.pool.hosts) == {host_id(1)} == set(run.module.servers)
 
 
 @on_loop
@@ -103,7 +103,7 @@
             assert event.kind is ListKind.FULL
             (entry,) = event.servers
             assert (entry.zone, entry.group, entry.started_us, entry.weight) == (1, 3, 5_000, 2.0)
-            assert set(run.pools.hosts) == {host_id(1)}
+            assert set(run.pool.hosts) == {host_id(1)}
 
 
 def reset(exchange: Exchange) -> None:
@@ -131,9 +131,9 @@
             told = lists(run)
             await until(lambda: len(told) >= 2)
             assert {event.kind for event in told} == {ListKind.ERROR}
-            assert set(run.pools.hosts) == {host_id(0)}  # the old list stands
+            assert set(run.pool.hosts) == {host_id(0)}  # the old list stands
             registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
-            await until(lambda: host_id(3) in run.pools.hosts)
+            await until(lambda: host_id(3) in run.pool.hosts)
             registry.script = silent
 
 
@@ -145,7 +145,7 @@
     ):
         await until(lambda: len(registry.seen) >= 2)
         registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
-        await until(lambda: host_id(3) in run.pools.hosts)
+        await until(lambda: host_id(3) in run.pool.hosts)
         registry.script = silent
 
 
@@ -172,9 +172,9 @@
             peer(script) as registry,
             running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
         ):
-            await until(lambda: host_id(1) in run.pools.hosts)
+            await until(lambda: host_id(1) in run.pool.hosts)
             registry.script = silent
-            assert set(run.pools.hosts) == {host_id(1)}
+            assert set(run.pool.hosts) == {host_id(1)}
             assert (await run.ask(request())).status == 200
 
 
@@ -186,5 +186,5 @@
         async with running(config) as run:
             await until(lambda: registry.seen)
             assert asked(registry) == ["/registry/instances"]
-            assert not run.pools.hosts
+            assert not run.pool.hosts
     await asyncio.sleep(0)
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -34,7 +34,7 @@
 
 
 def idle(run: Running, number: int = 0) -> list[HostConnection]:
-    return run.pools.hosts[host_id(number)].idle
+    return run.pool.hosts[host_id(number)].idle
 
 
 @on_loop
@@ -59,7 +59,7 @@
 async def test_a_connection_that_the_host_has_closed_is_not_written_to() -> None:
     async with peer() as host, running(configuration(host)) as run:
         assert (await run.ask(request("transfer"))).status == 200
-        pool, connection = run.pools, idle(run)[0]
+        pool, connection = run.pool, idle(run)[0]
         host.seen[0].writer.close()
         await until(lambda: not connection.is_fresh())
         ended: list[Outcome] = []
@@ -127,7 +127,7 @@
         for exchange in host.seen:
             exchange.answer(reply())
         await asyncio.gather(*tasks)
-        pools = run.pools
+        pools = run.pool
         for connection in idle(run):
             connection.idle_since_us -= 10_000_000
         pools.sweep()
@@ -156,7 +156,7 @@
 async def test_nothing_starts_after_the_grace_of_a_drain() -> None:
     """A connection that comes up too late carries nothing, even if the attempt was begun in time."""
     async with peer() as host, running(configuration(host)) as run:
-        pools, ended = run.pools, list[Outcome]()
+        pools, ended = run.pool, list[Outcome]()
 
         def on_end(end: End) -> None:
             ended.append(end.outcome)
@@ -207,7 +207,7 @@
             client = await run.connect()
             for _ in range(6):
                 assert (await client.ask(request())).status == 200
-            pools = run.pools
+            pools = run.pool
             had = pools.open
             assert had >= 1
             run.server.sockets = 1
@@ -238,7 +238,7 @@
 async def test_an_attempt_given_up_as_its_connection_comes_up_leaves_nothing_behind() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
     async with peer(silent) as host, running(configuration(host)) as run:
-        pools, looks = run.pools, 0
+        pools, looks = run.pool, 0
 
         def give_up(at_us: int) -> bool:
             """Asked as the attempt begins, and again as its connection comes up."""
@@ -247,10 +247,10 @@
             if looks == 2:
                 (held,) = run.gateway.held.values()
                 (attempt,) = held.attempts
-                pools.cancel(attempt)  # type: ignore[arg-type]
+                pools.cancel_attempt(attempt)  # type: ignore[arg-type]
             return looks == 1
 
-        pools.guard(give_up)
+        pools.set_write_guard(give_up)
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: pools.counts.opened)
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -206,7 +206,7 @@
         assert not lists and first.kind is ListKind.DELTA  # at once: what restricts, and no more
         assert {entry.server for entry in first.servers if entry.status is ServerStatus.GONE} == gone
         assert first.servers[len(gone) :] == (anew.listed, drains.listed)
-        assert not any(run.pools.knows(number) for number in gone)
+        assert not any(run.pool.has_host(number) for number in gone)
         last = next(reversed(run.gateway.slices.waiting.values()))
         run.gateway.on_list(ListKind.DELTA, [word(last.listed.server, ServerStatus.GONE)])
         assert lists.pop().servers[0].status is ServerStatus.GONE and not lists  # ahead of what waits
@@ -218,7 +218,7 @@
             turns += 1
         assert turns >= 569 / SLICE and all(len(event.servers) <= SLICE for event in lists)
         assert set(run.module.servers) == {entry.listed.server for entry in listed if entry is not last}
-        assert run.pools.known() == len(listed) - 1
+        assert run.pool.host_count() == len(listed) - 1
 
 
 @on_loop
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -126,7 +126,7 @@
         self.discovery.set_listener(hear)
 
     def state(self) -> dict[int, tuple[object, ...]]:
-        hosts = self.program.pools.hosts
+        hosts = self.program.pool.hosts
         servers = self.gateway.balancer.servers  # type: ignore[attr-defined]
         assert hosts.keys() == servers.keys()
         return {n: (servers[n].entry, hosts[n].started_us, hosts[n].drained_us is None) for n in hosts}
@@ -182,7 +182,7 @@
     served = {n: ("SERVING", 1.0, 0) for n in range(700)}
     await taking.discovery.take_in(Reply(200, [], listed(1, True, served), True))
     lists: list[ServerList] = []
-    run = Running(taking.gateway, taking.program.server, taking.program.pools, taking.discovery, 0)
+    run = Running(taking.gateway, taking.program.server, taking.program.pool, taking.discovery, 0)
     overhear(run, lambda event: lists.append(event) if isinstance(event, ServerList) else None)
     assert isinstance(taking.discovery, RelayedDiscovery)
     taking.discovery.asked_s += 1.0
@@ -293,7 +293,7 @@
     assert program.server.listener is not None and isinstance(program.discovery, Discovery)
     port = program.server.listener.getsockname()[1]
     try:
-        yield Running(program.gateway, program.server, program.pools, program.discovery, port)
+        yield Running(program.gateway, program.server, program.pool, program.discovery, port)
     finally:
         program.server.close()
         program.close()
@@ -314,10 +314,10 @@
         client = await run.connect()
         run.gateway.start()
         served = 0
-        while host_id(MANY - 1) not in run.pools.hosts:
+        while host_id(MANY - 1) not in run.pool.hosts:
             assert (await client.ask(request())).status == 200
             served += run.discovery.taking
-        assert served > 3 and run.pools.known() == MANY
+        assert served > 3 and run.pool.host_count() == MANY
         assert relay.seen[0].message.headers["accept-encoding"] == "gzip"
         client.close()
 
@@ -358,7 +358,7 @@
         run.gateway.start()
         await until(lambda: waiting and not run.gateway.slices.waiting)
         assert waiting[0] > 0
-        assert run.pools.hosts[host_id(MANY - 1)].drained_us is not None
+        assert run.pool.hosts[host_id(MANY - 1)].drained_us is not None
         assert run.module.servers[host_id(0)].entry.weight == 0.5
 
 
@@ -373,7 +373,7 @@
             long = reply(200, long.partition(b"\r\n\r\n")[2][:-1])
         first.script, other.script = Teller(long, short), Teller(short)
         counts: set[int] = set()
-        overhear(run, lambda event: counts.add(run.pools.known()))
+        overhear(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
         await reading(run)
         if how == "move":
@@ -383,10 +383,10 @@
         if how in ("stop", "close"):
             for _ in range(2 * MANY // PARSED):  # more turns than the rest of it would take
                 await asyncio.sleep(0)
-            assert run.pools.known() == 1 and run.discovery.plan.index == 7  # as at the start
+            assert run.pool.host_count() == 1 and run.discovery.plan.index == 7  # as at the start
         else:
             await until(lambda: run.discovery.plan.index == 9)
-            assert run.pools.known() == 2
+            assert run.pool.host_count() == 2
         if how in ("move", "fetch"):
             asked = (other.seen if how == "move" else first.seen[1:])[0]
             assert "from=" not in asked.message.first
@@ -398,7 +398,7 @@
     async with peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first) as run:
         first.script, other.script = Teller(packed(many(8, host.address))), Teller(many(9, host.address, count=2))
         counts: set[int] = set()
-        overhear(run, lambda event: counts.add(run.pools.known()))
+        overhear(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
         await reading(run)
         assert isinstance(run.discovery, RelayedDiscovery)
--- a/tests/test_membership_ephemeral.py
+++ b/tests/test_membership_ephemeral.py
@@ -111,7 +111,7 @@
 
 async def until_listed(program: Any, *names: str) -> None:
     await until(lambda: sorted(listed(program)) == sorted(names))
-    assert sorted(host.name for host in program.pools.hosts.values()) == sorted(names)
+    assert sorted(host.name for host in program.pool.hosts.values()) == sorted(names)
 
 
 @on_loop
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -409,13 +409,13 @@
     assert sorted(by_port) == sorted(ports)
     ordered = sorted(relays, key=lambda relay: ports.index(int(relay.address.split(":")[1])))
     try:
-        yield Running(program.gateway, program.server, program.pools, program.discovery, 0), ordered
+        yield Running(program.gateway, program.server, program.pool, program.discovery, 0), ordered
     finally:
         program.close()
 
 
 def drained(run: Running, number: int = 0) -> bool:
-    return run.pools.hosts[host_id(number)].drained_us is not None
+    return run.pool.hosts[host_id(number)].drained_us is not None
 
 
 def targets(relay: Peer) -> list[str]:
@@ -436,7 +436,7 @@
         await until(lambda: len(first.seen) >= 3)
         named = "/registry/instances?gateway=n0&services=s1,s%202&wide=0"
         assert targets(first)[:3] == [named] + [named + "&from=5&hold_ms=400"] * 2
-        assert set(run.pools.hosts) == {host_id(1)} and first.opened == 1
+        assert set(run.pool.hosts) == {host_id(1)} and first.opened == 1
         assert not second.opened and not discovery.opened
         assert run.module.servers[host_id(1)].entry.users == 12
 
@@ -544,7 +544,7 @@
         run.gateway.start()
         await until(lambda: len(second.seen) >= 4)
         assert first.ended == 1 and paced == [True]
-        assert set(run.pools.hosts) == {host_id(0)}
+        assert set(run.pool.hosts) == {host_id(0)}
 
 
 @pytest.mark.parametrize("age_ms", [1_500, 60_000])
@@ -589,12 +589,12 @@
             began_s = time.monotonic()
             run.gateway.start()
             await until(lambda: all(len(relay.seen) >= 2 for relay in order))
-            assert len(run.pools.hosts) == 1
+            assert len(run.pool.hosts) == 1
             await until(lambda: len(discovery.seen) >= 2)
             assert len(discovery.seen) <= 1 + (time.monotonic() - began_s)
-            assert targets(discovery)[0] == "/registry/instances" and set(run.pools.hosts) == {host_id(1)}
+            assert targets(discovery)[0] == "/registry/instances" and set(run.pool.hosts) == {host_id(1)}
             order[1].script = holding(relay_list(5, endpoint("s-3", host.address)))
-            await until(lambda: set(run.pools.hosts) == {host_id(3)})
+            await until(lambda: set(run.pool.hosts) == {host_id(3)})
             asked = len(discovery.seen)
             await until(lambda: len(order[1].seen) >= 8)
             assert len(discovery.seen) == asked
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -242,7 +242,7 @@
         at.tell("DRAINING")
         stand_still()
         assert (await at.answer(client)).status == 503
-        assert at.run.pools.counts.opened == 0 and at.run.gateway.still.gaps >= 1
+        assert at.run.pool.counts.opened == 0 and at.run.gateway.still.gaps >= 1
 
 
 @on_loop
@@ -272,7 +272,7 @@
             loop.call_soon(loop.call_soon, stall)  # in the turn after the one in which the connection is opened
             return True
 
-        at.run.pools.room = room
+        at.run.pool.room = room
         client.say(request())
         assert (await at.answer(client)).status == 503
         line = await at.accept()
@@ -290,7 +290,7 @@
         stand_still()
         answers = await asyncio.gather(*(at.answer(client) for client in clients))
         assert [answer.status for answer in answers] == [503] * 200
-        assert at.run.pools.counts.opened == 0 and not at.run.gateway.held
+        assert at.run.pool.counts.opened == 0 and not at.run.gateway.held
 
 
 @on_loop
@@ -334,7 +334,7 @@
         answers = await asyncio.gather(*(at.answer(client) for client in clients))
         assert [answer.status for answer in answers] == [503, 503]
         assert time.monotonic() - begun < 0.9 * HOLD_US / 1e6 and at.run.gateway.still.holds
-        assert at.run.pools.counts.opened == 0 and not at.run.gateway.held
+        assert at.run.pool.counts.opened == 0 and not at.run.gateway.held
 
 
 @pytest.mark.parametrize("first", ["request", "list"])
@@ -361,7 +361,7 @@
         assert b"from=8&hold_ms=0 " in await again.hear()
         while b"from=8&hold_ms=1000 " in await at.registry.hear():
             pass  # at most one, before the gap was noticed; then its end
-        assert at.run.pools.counts.opened == 0
+        assert at.run.pool.counts.opened == 0
         assert at.run.gateway.still.holds
         await until(lambda: not at.run.gateway.still.holds)
         line = await at.accept()
