--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -123,8 +123,10 @@
     """An attempt whose connection comes up goes out, whoever waits for it."""
     from cloverkeel.core.gateway import Gateway
 
-    cut(Gateway, "send", ("return not held.closed and held.sink is None and not held.call.client.has_gone()",
-                          "return True"))  # fmt: skip
+    cut(
+        Gateway, "send",
+        ("return not held.closed and held.stream is None and not held.call.client.has_disconnected()", "return True"),
+    )  # fmt: skip
 
 
 @entry("list-before-all")
@@ -151,7 +153,7 @@
     """An answer that breaks off is ended as if it were whole."""
     from cloverkeel.core.gateway import Gateway
 
-    cut(Gateway, "attempt_ended", (" if end.outcome is Outcome.OK else sink.on_broken()", ""))
+    cut(Gateway, "attempt_ended", (" if result.outcome is Outcome.OK else stream.on_aborted()", ""))
 
 
 @entry("begun-gateway")
@@ -161,8 +163,8 @@
 
     cut(
         Gateway, "attempt_ended",
-        ("self.finish(held)\n            sink", "sink"),
-        ("held.closed, end.load", "False, end.load"),
+        ("self.finish(held)\n            stream", "stream"),
+        ("held.closed, load)", "False, load)"),
     )  # fmt: skip
 
 
--- a/benchmarks/guards/mutants/frontends.py
+++ b/benchmarks/guards/mutants/frontends.py
@@ -12,7 +12,7 @@
     """A client's connection writes an answer whatever request it is for."""
     from cloverkeel.frontends.http1.server import ClientConnection
 
-    for name in ("on_served", "on_refused", "on_failed"):
+    for name in ("on_response", "on_rejected", "on_failed"):
         cut(ClientConnection, name, ("if self.call is call:", "if True:"))
 
 
@@ -162,7 +162,7 @@
     """A client has gone when the loop has read so."""
     from cloverkeel.frontends.http1.server import ClientConnection
 
-    swap(ClientConnection, "has_gone", lambda self: self.transport is None)
+    swap(ClientConnection, "has_disconnected", lambda self: self.transport is None)
 
 
 @entry("answer-all")
--- a/benchmarks/guards/mutants/upstream.py
+++ b/benchmarks/guards/mutants/upstream.py
@@ -133,4 +133,4 @@
     """A host's answer is read however far its client is behind."""
     from cloverkeel.upstream.connection_pool import Attempt
 
-    swap(Attempt, "hold", lambda self: None)
+    swap(Attempt, "pause_reading", lambda self: None)
--- a/benchmarks/guards/table/frontends.py
+++ b/benchmarks/guards/table/frontends.py
@@ -42,7 +42,7 @@
         tests="gateway_pools::idle_connections_make_room_when_descriptors_run_short"),
     row("value-space", "white space is not part of a value", "RequestReader, ReplyReader",
         tests="large_bodies::white_space_round_a_value_is_not_part_of_it"),
-    row("gone-unread", "nothing is sent for a client whose end waits to be read", "ClientConnection.has_gone",
+    row("gone-unread", "nothing is sent for a client whose end waits to be read", "ClientConnection.has_disconnected",
         tests="crossings::what_a_client_sent_ahead_is_not_sent_on_once_it_has_gone "
               "crossings::a_client_that_has_gone_gets_no_further_attempt_though_its_end_is_not_yet_read"),
 )  # fmt: skip
--- a/benchmarks/guards/table/upstream.py
+++ b/benchmarks/guards/table/upstream.py
@@ -10,7 +10,7 @@
               "gateway_outcomes::a_client_that_leaves_ends_the_attempt"),
     row("unasked-closes", "what comes unasked is no answer", "HostConnection",
         tests="gateway_pools::a_connection_on_which_a_host_speaks_unasked_is_closed"),
-    row("held-up", "a slow reader holds little memory", "Attempt.hold",
+    row("held-up", "a slow reader holds little memory", "Attempt.pause_reading",
         tests="large_bodies::a_slow_reader_holds_up_its_own_host_alone_and_little_memory"),
     row("reset-may-have-run", "a broken connection may have carried it", "ConnectionPool.on_lost", "failing", "twice",
         tests="gateway_outcomes::after_a_reset_only_what_may_run_twice_goes_out_again"),
--- a/cloverkeel/core/calls.py
+++ b/cloverkeel/core/calls.py
@@ -8,38 +8,40 @@
 from cloverkeel.core.body_budget import Share
 
 
-class Flow(Protocol):
+class FlowControl(Protocol):
     """Where a large answer comes from: it can be held up, and called off."""
 
-    def hold(self) -> None: ...
+    def pause_reading(self) -> None: ...
 
-    def go_on(self) -> None: ...
+    def resume_reading(self) -> None: ...
 
 
-class Sink(Protocol):
-    """Where a large answer goes. After `on_whole` or `on_broken` nothing follows."""
+class ResponseStream(Protocol):
+    """Where a large answer goes. After `on_complete` or `on_aborted` nothing follows."""
 
-    def on_piece(self, data: bytes) -> None: ...
+    def on_chunk(self, data: bytes) -> None: ...
 
-    def on_whole(self) -> None: ...
+    def on_complete(self) -> None: ...
 
-    def on_broken(self) -> None:
+    def on_aborted(self) -> None:
         """The rest does not come; who reads must be able to tell."""
 
 
 class Client(Protocol):
     """Who waits for the final answer of a request; it gets just one of these."""
 
-    def on_begun(self, call: Call, reply: Reply, length: int | None, flow: Flow) -> Sink | None:
+    def on_stream_start(
+        self, call: Call, reply: Reply, length: int | None, flow_control: FlowControl
+    ) -> ResponseStream | None:
         """Served, with a large body, of this length if that is known: it follows. None: the client has gone."""
 
-    def on_served(self, call: Call, reply: Reply) -> None: ...
+    def on_response(self, call: Call, reply: Reply) -> None: ...
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None: ...
+    def on_rejected(self, call: Call, retry_after_us: int) -> None: ...
 
     def on_failed(self, call: Call, timed_out: bool) -> None: ...
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has ended its connection, also where that is not yet read."""
 
 
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -46,13 +46,13 @@
     WatchList,
 )
 
-from cloverkeel.core.calls import Call, Sink
+from cloverkeel.core.calls import Call, ResponseStream
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Config
 from cloverkeel.core.log import log, log_if_read
 from cloverkeel.core.loop_timers import LoopTimers
 from cloverkeel.core.messages import Reply
-from cloverkeel.core.ports import Attempt, Decisions, End, Endpoint, EndpointSource, Upstream
+from cloverkeel.core.ports import Attempt, Decisions, AttemptResult, Endpoint, EndpointSource, Upstream
 from cloverkeel.core.list_batches import Slices
 from cloverkeel.core.stall_detector import BEAT_US, Stillness
 from cloverkeel.core.metrics import EVERY_US, Tally
@@ -66,7 +66,7 @@
     The module knows it by its ticket, which is never given again; a client's id may be.
     """
 
-    __slots__ = ("attempts", "call", "closed", "deadline_us", "out", "passing", "sink", "ticket", "timed_out")
+    __slots__ = ("attempts", "call", "closed", "deadline_us", "out", "stream", "streaming", "ticket", "timed_out")
 
     def __init__(self, call: Call, ticket: str, deadline_us: int) -> None:
         self.call = call
@@ -76,8 +76,8 @@
         self.out = 0
         self.closed = False
         self.timed_out = False
-        self.passing = -1  # the attempt whose large answer is passed on
-        self.sink: Sink | None = None  # where to
+        self.streaming = -1  # the attempt whose large answer is passed on
+        self.stream: ResponseStream | None = None  # where to
 
 
 Happened = Callable[[], Event | None]
@@ -102,19 +102,17 @@
         self.fresh = 0
         self.urgent: deque[Happened] = deque()
         self.events: deque[tuple[Happened, Held | None]] = deque()
-        self.handling = False
+        self.handling = self.closed = False
         self.held: dict[str, Held] = {}  # by ticket
         self.by_id: dict[str, Held] = {}  # the same by the client's id
         self.tickets = itertools.count(1)
-        self.closed = False
         self.timers = LoopTimers(self.loop)
         self.known = config.known
         self.tally = Tally(len(config.settings.classes))
-        self.tally_due_us = 0
+        self.tally_due_us = self.said_still_us = 0
         self.entries = self.opened = 0  # entries of lists; connections opened when the last tally was written
         self.still = Stillness(now_us())
         self.beat_timer: asyncio.TimerHandle | None = None
-        self.said_still_us = 0
         # Called at once when this process stood still, with the time and for how long.
         self.after_gap: list[Callable[[int, int], None]] = []
         self.on_outcome: Callable[[int, Outcome, int], None] | None = None  # of each attempt: server, latency
@@ -319,9 +317,9 @@
         if held is None or held.call is not call or held.closed:
             return
         held.closed = True
-        passing = held.attempts[held.passing] if held.passing >= 0 else None
-        if passing is not None:
-            self.pool.cancel_attempt(passing)  # the module leaves it to the client
+        streaming = held.attempts[held.streaming] if held.streaming >= 0 else None
+        if streaming is not None:
+            self.pool.cancel_attempt(streaming)  # the module leaves it to the client
         self.post(lambda: self.gone(held))
 
     def gone(self, held: Held) -> Event:
@@ -392,7 +390,7 @@
                 held = self.owed(action.request)
                 if held is not None:
                     self.tally.refuse(held.call.klass, action.why)
-                    held.call.client.on_refused(held.call, action.retry_after_us)
+                    held.call.client.on_rejected(held.call, action.retry_after_us)
             case Fail():
                 held = self.owed(action.request)
                 if held is not None:
@@ -419,7 +417,7 @@
     def owed(self, ticket: str) -> Held | None:
         """The request, if it still waits for its final answer, which it has from now on."""
         held = self.held.get(ticket)
-        if held is None or held.closed or held.sink is not None:
+        if held is None or held.closed or held.stream is not None:
             return None
         self.finish(held)
         return held
@@ -443,25 +441,25 @@
         number = len(held.attempts)
         left_us = held.deadline_us - now_us()
         wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
-        if not held.closed and held.call.client.has_gone():
+        if not held.closed and held.call.client.has_disconnected():
             self.leave(held.call)
         if not known or held.closed or wait_us <= 0 or number >= self.settings.max_attempts:
             held.attempts.append(None)
             self.post(lambda: self.moot(action, number), held)
             return
 
-        def on_end(end: End) -> None:
-            if end.outcome is Outcome.OK and self.still.holds:
-                self.post_urgent(lambda: self.attempt_ended(held, number, action.server, end))
+        def on_end(result: AttemptResult) -> None:
+            if result.outcome is Outcome.OK and self.still.holds:
+                self.post_urgent(lambda: self.attempt_ended(held, number, action.server, result))
             else:
-                self.post(lambda: self.attempt_ended(held, number, action.server, end), held)
+                self.post(lambda: self.attempt_ended(held, number, action.server, result), held)
 
-        def on_begin(reply: Reply, length: int | None, latency_us: int) -> Sink | None:
+        def on_response_start(reply: Reply, length: int | None, latency_us: int) -> ResponseStream | None:
             return self.begin_answer(held, number, reply, length)
 
-        def may_begin(at_us: int) -> bool:
+        def may_start(at_us: int) -> bool:
             """Guards against sending what nobody waits for: its connection came up after its request was over."""
-            return not held.closed and held.sink is None and not held.call.client.has_gone()
+            return not held.closed and held.stream is None and not held.call.client.has_disconnected()
 
         call, end_us = held.call, now_us() + wait_us
 
@@ -475,42 +473,43 @@
         held.out += 1
         self.tally.sent(action.server)
         held.attempts[number] = self.pool.start_attempt(
-            action.server, payload, wait_us, on_end, on_begin, may_begin, action.begin_by_us
+            action.server, payload, wait_us, on_end, on_response_start, may_start, action.begin_by_us
         )
 
-    def begin_answer(self, held: Held, number: int, reply: Reply, length: int | None) -> Sink | None:
+    def begin_answer(self, held: Held, number: int, reply: Reply, length: int | None) -> ResponseStream | None:
         """The first good answer to begin is the one that is passed on."""
         attempt = held.attempts[number]
-        if held.closed or held.sink is not None or attempt is None:
+        if held.closed or held.stream is not None or attempt is None:
             return None
-        held.sink = held.call.client.on_begun(held.call, reply, length, attempt)
-        if held.sink is not None:
-            held.passing = number
+        held.stream = held.call.client.on_stream_start(held.call, reply, length, attempt)
+        if held.stream is not None:
+            held.streaming = number
             self.post_urgent(lambda: StreamStarted(held.ticket, number))
-        return held.sink
+        return held.stream
 
     def moot(self, action: Send, number: int) -> Event:
         held = self.held.get(action.request)
         finished = held is None or held.closed
         return AttemptEnded(action.request, number, action.server, Outcome.MOOT, 0, finished)
 
-    def attempt_ended(self, held: Held, number: int, server: int, end: End) -> Event:
+    def attempt_ended(self, held: Held, number: int, server: int, result: AttemptResult) -> Event:
         held.out -= 1
-        self.tally.ended(server, end.outcome, end.latency_us)
+        self.tally.ended(server, result.outcome, result.latency_us)
         if self.on_outcome is not None:
-            self.on_outcome(server, end.outcome, end.latency_us)
-        held.timed_out = end.outcome is Outcome.TIMEOUT
-        if held.sink is not None and number == held.passing:
-            sink, held.sink = held.sink, None
+            self.on_outcome(server, result.outcome, result.latency_us)
+        held.timed_out = result.outcome is Outcome.TIMEOUT
+        if held.stream is not None and number == held.streaming:
+            stream, held.stream = held.stream, None
             if not held.closed:
                 self.finish(held)
-                sink.on_whole() if end.outcome is Outcome.OK else sink.on_broken()
-        elif not held.closed and held.sink is None and end.outcome is Outcome.OK and end.reply is not None:
+                stream.on_complete() if result.outcome is Outcome.OK else stream.on_aborted()
+        elif not held.closed and held.stream is None and result.outcome is Outcome.OK and result.reply is not None:
             self.finish(held)
-            held.call.client.on_served(held.call, end.reply)
+            held.call.client.on_response(held.call, result.reply)
         if held.closed and held.out == 0:
             self.forget(held)
-        return AttemptEnded(held.ticket, number, server, end.outcome, end.latency_us, held.closed, end.load)
+        outcome, latency_us, load = result.outcome, result.latency_us, result.load_report
+        return AttemptEnded(held.ticket, number, server, outcome, latency_us, held.closed, load)
 
     def cancel(self, action: Cancel) -> None:
         held = self.held.get(action.request)
@@ -521,6 +520,7 @@
 
     def probe(self, server: int) -> None:
         if self.pool.has_host(server):
-            self.pool.send_health_check(
-                server, lambda end: self.post(lambda: Probed(server, end.outcome, end.latency_us, end.load))
-            )
+            self.pool.send_health_check(server, lambda result: self.post(lambda: self.probed(server, result)))
+
+    def probed(self, server: int, result: AttemptResult) -> Event:
+        return Probed(server, result.outcome, result.latency_us, result.load_report)
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -9,7 +9,7 @@
 from cloverkeel.balancing.interface import Action, Event, ListedServer, ListKind, LoadReport, Outcome
 
 from cloverkeel.core.config import Address
-from cloverkeel.core.calls import Sink
+from cloverkeel.core.calls import ResponseStream
 from cloverkeel.core.messages import Reply
 
 
@@ -22,37 +22,37 @@
     listed: ListedServer
 
 
-class End:
+class AttemptResult:
     """How an attempt ended."""
 
-    __slots__ = ("latency_us", "load", "outcome", "reply")
+    __slots__ = ("latency_us", "load_report", "outcome", "reply")
 
     def __init__(
-        self, outcome: Outcome, latency_us: int, reply: Reply | None = None, load: LoadReport | None = None
+        self, outcome: Outcome, latency_us: int, reply: Reply | None = None, load_report: LoadReport | None = None
     ) -> None:
         self.outcome = outcome
         self.latency_us = latency_us
         self.reply = reply
-        self.load = load
+        self.load_report = load_report
 
 
 class Attempt(Protocol):
     """One request on its way to one host. Once its answer is passed on as it comes, that can be held up."""
 
-    def hold(self) -> None: ...
+    def pause_reading(self) -> None: ...
 
-    def go_on(self) -> None: ...
+    def resume_reading(self) -> None: ...
 
 
 OnEndpointList = Callable[[ListKind, list[Endpoint]], None]
-OnEnd = Callable[[End], None]
+OnAttemptEnd = Callable[[AttemptResult], None]
 # A request in full, made as it is written, with the present time in µs: it tells its host what time is left.
-Payload = Callable[[int], list[bytes]]
+PayloadBuilder = Callable[[int], list[bytes]]
 # Asked just before the first byte of an attempt is written, with the present time in µs: whether it is to go out.
-MayBegin = Callable[[int], bool]
+MayStart = Callable[[int], bool]
 # A large answer has begun: its head, the length of its body if that is known, and the time until then. Where to pass
 # the body on; None: it is not wanted any more.
-OnBegin = Callable[[Reply, int | None, int], Sink | None]
+OnResponseStart = Callable[[Reply, int | None, int], ResponseStream | None]
 
 
 class Decisions(Protocol):
@@ -112,11 +112,11 @@
     def start_attempt(
         self,
         server: int,
-        payload: Payload,
+        payload: PayloadBuilder,
         timeout_us: int,
-        on_end: OnEnd,
-        on_begin: OnBegin,
-        may_begin: MayBegin,
+        on_end: OnAttemptEnd,
+        on_response_start: OnResponseStart,
+        may_start: MayStart,
         begin_by_us: int,
     ) -> Attempt:
         """Begin an attempt at a server that is known; its end may come before this returns.
@@ -124,7 +124,7 @@
         If it may not begin any more, or its last byte is not written by that time (0: no limit), it ends as moot.
         """
 
-    def send_health_check(self, server: int, on_end: OnEnd) -> None: ...
+    def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None: ...
 
     def cancel_attempt(self, attempt: Any) -> None: ...
 
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -10,7 +10,7 @@
 import termios
 from typing import Final, cast
 
-from cloverkeel.core.calls import Call, Flow, Sink
+from cloverkeel.core.calls import Call, FlowControl, ResponseStream
 from cloverkeel.core.config import Config
 from cloverkeel.core.draining import Timetable, on_the_way_out
 from cloverkeel.core.gateway import Gateway
@@ -35,7 +35,7 @@
 LINGER_S: Final = 0.5  # for the client to read an answer that it did not expect
 STUCK_S: Final = 2.4  # an answer is not being read
 STALL_S: Final = 10.0  # the same for a large one, of which the client takes nothing at all
-MARK: Final = 256 * 1024  # of a large answer waits here for its client, at the most, and what one read brings
+HIGH_WATER_MARK_BYTES: Final = 256 * 1024  # of a large answer waits here for its client, and what one read brings
 SWEEP_S: Final = 0.2
 ACCEPT_PAUSE_S: Final = 0.1  # where there is no descriptor, and nobody to take one from
 HURRIED_S: Final = 0.3  # who says nothing for so long goes first where descriptors run short
@@ -64,7 +64,7 @@
         self.reading: Phase = {}
         self.kept: Phase = {}
         self.ending: Phase = {}
-        self.passing: Phase = {}  # a large answer waits for its client to take it
+        self.streaming: Phase = {}  # a large answer waits for its client to take it
         self.room = Room(size_for(config.memory_mb))
         self.longest_s = max(klass.give_up_us for klass in config.settings.classes) / 1e6  # that a client waits
         self.sockets = self.most = 0
@@ -215,11 +215,11 @@
                 connection.abort()
             elif now_s >= end_s:
                 self.ending[connection] = now_s + STUCK_S
-        for connection in [c for c in self.connections if c.reader.rest and c.has_gone()]:
+        for connection in [c for c in self.connections if c.reader.rest and c.has_disconnected()]:
             connection.abort()  # what it has read ahead hides its end from the loop
-        for connection, since_s in list(self.passing.items()):
+        for connection, since_s in list(self.streaming.items()):
             if connection.has_moved():
-                self.passing[connection] = now_s
+                self.streaming[connection] = now_s
             elif now_s - since_s >= STALL_S:
                 self.gateway.tally.at_the_door("unread")
                 connection.abort()
@@ -312,7 +312,7 @@
         self.deaf = False  # nothing more is read as a request
         self.stuck = False  # the client does not read its answers
         self.lingers = False  # it has been answered, and has time to read that
-        self.flow: Flow | None = None  # of a large answer that is passed on
+        self.flow_control: FlowControl | None = None  # of a large answer that is passed on
         self.chunked = False  # so it is framed
         self.written = 0  # bytes of large answers
         self.taken = 0  # of those with the client, when that was looked at last
@@ -335,14 +335,14 @@
         self.deaf = True
         self.reader.close()
         self.transport = None
-        call, self.call, self.flow = self.call, None, None
+        call, self.call, self.flow_control = self.call, None, None
         if call is not None:
             self.server.gateway.leave(call)
 
     def eof_received(self) -> None:
         """Nothing stays half open."""
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has ended its sending or its connection, also where that waits to be read.
 
         Guards against requests sent on for nobody: where a crowd of them is read ahead nothing is read any more, and
@@ -369,8 +369,8 @@
         if self.deaf:
             return
         if self.stuck:
-            if self.flow is not None:
-                self.enter(server.passing)
+            if self.flow_control is not None:
+                self.enter(server.streaming)
             else:
                 self.enter(server.ending, self.server.loop.time() + STUCK_S)
         elif self.current is not None or self.reader.done:
@@ -405,14 +405,14 @@
 
     def pause_writing(self) -> None:
         self.stuck = True
-        if self.flow is not None:
-            self.flow.hold()
+        if self.flow_control is not None:
+            self.flow_control.pause_reading()
         self.settle()
 
     def resume_writing(self) -> None:
         self.stuck = False
-        if self.flow is not None:
-            self.flow.go_on()
+        if self.flow_control is not None:
+            self.flow_control.resume_reading()
         self.settle()
         self.take_next_soon()
 
@@ -499,11 +499,11 @@
             self.call = None
             raise RequestError(400, "this X-Call-Id is in use")
 
-    def on_served(self, call: Call, reply: Reply) -> None:
+    def on_response(self, call: Call, reply: Reply) -> None:
         if self.call is call:
             self.answer(200, end_to_end(reply.headers, NOT_PASSED_BACK), reply.body)
 
-    def on_refused(self, call: Call, retry_after_us: int) -> None:
+    def on_rejected(self, call: Call, retry_after_us: int) -> None:
         if self.call is call:
             after = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
             self.answer(503, after, b"")
@@ -512,27 +512,27 @@
         if self.call is call:
             self.answer(504 if timed_out else 502, [], b"")
 
-    def on_begun(self, call: Call, reply: Reply, length: int | None, flow: Flow) -> Sink | None:
+    def on_stream_start(self, call: Call, reply: Reply, size: int | None, flow: FlowControl) -> ResponseStream | None:
         """A large answer: its head goes out, and its body as it comes."""
         request, transport = self.current, self.transport
         if self.call is not call or request is None or transport is None:
             return None
-        self.flow = flow
-        self.chunked = length is None and not request.is_old
-        if length is None and request.is_old:
+        self.flow_control = flow
+        self.chunked = size is None and not request.is_old
+        if size is None and request.is_old:
             request.keep_alive = False  # its end is that of the connection
         pieces = [STATUS_LINES[200]]
         for name, value in end_to_end(reply.headers, NOT_PASSED_BACK):
             pieces += (b"\r\n", name, b": ", value)
-        if length is not None:
-            pieces += (b"\r\nContent-Length: ", str(length).encode())
+        if size is not None:
+            pieces += (b"\r\nContent-Length: ", str(size).encode())
         elif self.chunked:
             pieces.append(b"\r\nTransfer-Encoding: chunked")
         if self.is_last(request):
             request.keep_alive = False
             pieces.append(b"\r\nConnection: close")
         pieces.append(b"\r\n\r\n")
-        transport.set_write_buffer_limits(high=MARK)
+        transport.set_write_buffer_limits(high=HIGH_WATER_MARK_BYTES)
         self.write(b"".join(pieces))
         return self
 
@@ -541,20 +541,20 @@
             self.written += len(data)
             self.transport.write(data)
 
-    def on_piece(self, data: bytes) -> None:
+    def on_chunk(self, data: bytes) -> None:
         self.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
-    def on_whole(self) -> None:
+    def on_complete(self) -> None:
         if self.chunked:
             self.write(b"0\r\n\r\n")
-        request, self.current, self.call, self.flow = self.current, None, None, None
+        request, self.current, self.call, self.flow_control = self.current, None, None, None
         self.served = True
         if request is not None and self.transport is not None:
             self.go_on_after(request, not request.keep_alive)
 
-    def on_broken(self) -> None:
+    def on_aborted(self) -> None:
         """Its length is not reached, or its last chunk is missing: the client can tell."""
-        self.call = self.flow = None
+        self.call = self.flow_control = None
         self.abort()
 
     def is_last(self, request: Request) -> bool:
--- a/cloverkeel/protocols/http1.py
+++ b/cloverkeel/protocols/http1.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 answers from bytes. No I/O: hosts' and the registry's answers are read by it alike.
 
 Whole ones, up to a limit. Who can take larger ones gets their head, and their bodies in pieces as they come
-(`on_large`, `on_piece`); the reply that `feed` returns at their end has no body.
+(`on_stream_start`, `on_chunk`); the reply that `feed` returns at their end has no body.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
     """Turns the bytes of one connection into whole answers, one at a time."""
 
     __slots__ = (
-        "_body", "_headers", "_in_body", "_interim", "_length", "_limit", "_on_large", "_on_piece", "_parser",
+        "_body", "_headers", "_in_body", "_interim", "_length", "_limit", "_on_chunk", "_on_stream_start", "_parser",
         "_replies", "_size", "_unparsed", "_until_close", "has_begun", "is_large",
     )  # fmt: skip
 
     def __init__(
-        self, limit: int = BODY_LIMIT, on_large: Callable[[Reply, int | None], None] | None = None,
-        on_piece: Callable[[bytes], None] | None = None,
+        self, limit: int = BODY_LIMIT, on_stream_start: Callable[[Reply, int | None], None] | None = None,
+        on_chunk: Callable[[bytes], None] | None = None,
     ) -> None:  # fmt: skip
         self._limit = limit
-        self._on_large, self._on_piece = on_large, on_piece
+        self._on_stream_start, self._on_chunk = on_stream_start, on_chunk
         self._parser: Any = httptools.HttpResponseParser(self)
         self._replies: list[Reply] = []
         self._headers: list[Header] = []
@@ -78,7 +78,7 @@
 
     def close(self) -> None:
         """Let go of the parser: it knows this reader, and both would wait for the collector."""
-        self._parser = self._on_large = self._on_piece = None
+        self._parser = self._on_stream_start = self._on_chunk = None
 
     # httptools' callbacks
 
@@ -106,7 +106,7 @@
         self.is_large = self._until_close = False
         length = header(self._headers, b"content-length")
         self._length = int(length) if length is not None else None
-        most = LARGE_LIMIT if self._on_large is not None and status == 200 else self._limit
+        most = LARGE_LIMIT if self._on_stream_start is not None and status == 200 else self._limit
         if self._length is not None and self._length > max(most, self._limit):
             raise ReplyError("the body is too long")
         if status < 200 or status in (204, 304):
@@ -114,7 +114,7 @@
         if length is None and header(self._headers, b"transfer-encoding") is None:
             # Only where it says so itself: an end of the connection is also what a crash looks like.
             named = tokens(header(self._headers, b"connection") or b"")
-            if self._on_large is None or not (version == "1.0" or b"close" in named):
+            if self._on_stream_start is None or not (version == "1.0" or b"close" in named):
                 raise ReplyError("nobody can tell where it ends")
             self._until_close = True
 
@@ -122,10 +122,10 @@
         self._size += len(data)
         self._unparsed = 0
         if not self.is_large and max(self._size, self._length or 0) > self._limit:
-            if self._on_large is None or self._parser.get_status_code() != 200:
+            if self._on_stream_start is None or self._parser.get_status_code() != 200:
                 raise ReplyError("the body is too long")
             self.is_large = True
-            self._on_large(Reply(200, self._headers, b"", False), self._length)
+            self._on_stream_start(Reply(200, self._headers, b"", False), self._length)
             pieces, self._body = self._body, []
             for piece in pieces:
                 self._pass_on(piece)
@@ -137,8 +137,8 @@
             self._body.append(data)
 
     def _pass_on(self, data: bytes) -> None:
-        if self._on_piece is not None:  # else the connection was closed meanwhile
-            self._on_piece(data)
+        if self._on_chunk is not None:  # else the connection was closed meanwhile
+            self._on_chunk(data)
 
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
--- a/cloverkeel/upstream/connection_pool.py
+++ b/cloverkeel/upstream/connection_pool.py
@@ -11,11 +11,11 @@
 from cloverkeel.balancing.interface import LoadReport, Outcome, Reports, Settings
 from cloverkeel.simulator.codec import parse_load
 
-from cloverkeel.core.calls import Sink
+from cloverkeel.core.calls import ResponseStream
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Address
 from cloverkeel.core.messages import Reply, header
-from cloverkeel.core.ports import End, MayBegin, OnBegin, OnEnd, Payload
+from cloverkeel.core.ports import AttemptResult, MayStart, OnResponseStart, OnAttemptEnd, PayloadBuilder
 from cloverkeel.core.loop_timers import LoopTimers
 from cloverkeel.core.timers import Timer
 from cloverkeel.protocols.http1 import ReplyError, ReplyReader
@@ -47,25 +47,25 @@
     """One request on its way to one host, until its outcome."""
 
     __slots__ = (
-        "begin_by_us", "begin_timer", "connect_timer", "connection", "ended", "held_up", "host", "latency_us",
-        "looked", "may_begin", "moved_us", "on_begin", "on_end", "opening", "payload", "sent_us", "sink", "timer",
+        "begin_by_us", "begin_timer", "connect_timer", "connection", "ended", "host", "is_paused", "latency_us",
+        "looked", "may_start", "moved_us", "on_end", "on_response_start", "opening", "payload", "sent_us", "stream",
+        "timer",
     )  # fmt: skip
 
     def __init__(
-        self, host: Host, payload: Payload, on_end: OnEnd, on_begin: OnBegin | None = None,
-        may_begin: MayBegin | None = None, begin_by_us: int = 0,
+        self, host: Host, payload: PayloadBuilder, on_end: OnAttemptEnd,
+        on_response_start: OnResponseStart | None = None, may_start: MayStart | None = None, begin_by_us: int = 0,
     ) -> None:  # fmt: skip
         self.host = host
-        self.may_begin: MayBegin = may_begin or _always
+        self.may_start: MayStart = may_start or _always
         self.begin_by_us = begin_by_us  # its last byte is written by then, or it is not sent; 0: no limit
-        self.payload: Payload = payload  # made as it is written
-        self.on_end: OnEnd = on_end
-        self.on_begin: OnBegin = on_begin or _unwanted
-        self.sink: Sink | None = None  # where its large answer goes, once it has begun
+        self.payload: PayloadBuilder = payload  # made as it is written
+        self.on_end: OnAttemptEnd = on_end
+        self.on_response_start: OnResponseStart = on_response_start or _unwanted
+        self.stream: ResponseStream | None = None  # where its large answer goes, once it has begun
         self.moved_us = 0  # when something of that came last
-        self.held_up = False  # the client is to take what it has first
-        self.sent_us = 0
-        self.latency_us = 0
+        self.is_paused = False  # the client is to take what it has first
+        self.sent_us = self.latency_us = 0
         self.connection: HostConnection | None = None
         self.opening: asyncio.Task[object] | None = None
         self.timer: Timer | None = None  # of its time
@@ -74,14 +74,14 @@
         self.ended = False
         self.looked = False  # past its time it was looked whether its answer has come
 
-    def hold(self) -> None:
-        if not self.held_up and self.connection is not None and self.connection.transport is not None:
-            self.held_up = True
+    def pause_reading(self) -> None:
+        if not self.is_paused and self.connection is not None and self.connection.transport is not None:
+            self.is_paused = True
             self.connection.transport.pause_reading()
 
-    def go_on(self) -> None:
-        if self.held_up and self.connection is not None and self.connection.transport is not None:
-            self.held_up = False
+    def resume_reading(self) -> None:
+        if self.is_paused and self.connection is not None and self.connection.transport is not None:
+            self.is_paused = False
             self.moved_us = now_us()
             self.connection.transport.resume_reading()
 
@@ -116,7 +116,7 @@
         self.pool, self.host, self.attempt = pools, host, attempt
         self.address = host.address
         self.transport: asyncio.Transport | None = None
-        self.replies = ReplyReader(on_large=self.on_large, on_piece=self.on_piece)
+        self.replies = ReplyReader(on_stream_start=self.on_stream_start, on_chunk=self.on_chunk)
         self.flushed = True  # the last byte of what was written is with the kernel
         self.idle_since_us = 0
         self.counted = False
@@ -175,14 +175,14 @@
         elif self.attempt is None:
             self.close()
 
-    def on_large(self, reply: Reply, length: int | None) -> None:
-        self.pool.on_begun(self, reply, length)
+    def on_stream_start(self, reply: Reply, length: int | None) -> None:
+        self.pool.on_response_start(self, reply, length)
 
-    def on_piece(self, data: bytes) -> None:
+    def on_chunk(self, data: bytes) -> None:
         attempt = self.attempt
-        if attempt is not None and attempt.sink is not None:
+        if attempt is not None and attempt.stream is not None:
             attempt.moved_us = now_us()
-            attempt.sink.on_piece(data)
+            attempt.stream.on_chunk(data)
 
     def eof_received(self) -> None:
         """Nothing stays half open; some answers end so."""
@@ -276,15 +276,15 @@
     # Attempts
 
     def start_attempt(
-        self, server: int, payload: Payload, timeout_us: int, on_end: OnEnd, on_begin: OnBegin,
-        may_begin: MayBegin | None = None, begin_by_us: int = 0,
+        self, server: int, payload: PayloadBuilder, timeout_us: int, on_end: OnAttemptEnd,
+        on_response_start: OnResponseStart, may_start: MayStart | None = None, begin_by_us: int = 0,
     ) -> Attempt:  # fmt: skip
         """Begin an attempt at a host that is known."""
-        attempt = Attempt(self.hosts[server], payload, on_end, on_begin, may_begin, begin_by_us)
+        attempt = Attempt(self.hosts[server], payload, on_end, on_response_start, may_start, begin_by_us)
         self.send(attempt, timeout_us)
         return attempt
 
-    def send_health_check(self, server: int, on_end: OnEnd) -> None:
+    def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None:
         """Ask a host how it is; with its load where the deployment has reports."""
         host = self.hosts[server]
         path = b"/health/live" if self.settings.reports is Reports.NONE else b"/stats"
@@ -334,7 +334,7 @@
         after a drain's grace, in a gap that was not caught up with, for a request that is over, or when repeats
         are no longer dropped.
         """
-        if not self.may_write(at_us) or not attempt.may_begin(at_us):
+        if not self.may_write(at_us) or not attempt.may_start(at_us):
             return Outcome.MOOT
         if attempt.begin_by_us and at_us > attempt.begin_by_us:
             return Outcome.MOOT
@@ -392,7 +392,7 @@
         if attempt.ended:
             return
         attempt.ended = True
-        if attempt.sink is None:  # else it is the time until the first bytes
+        if attempt.stream is None:  # else it is the time until the first bytes
             attempt.latency_us = now_us() - attempt.sent_us
         if attempt.timer is not None:
             attempt.timer.cancel()
@@ -406,9 +406,9 @@
         attempt.connection = attempt.opening = None
         load = load_of(reply) if self.reads_load else None
         # It knows its request, which knows its attempts: let go of, both are freed without a search for cycles.
-        on_end, attempt.on_end, attempt.on_begin, attempt.may_begin = attempt.on_end, _told, _unwanted, _always
-        attempt.payload, attempt.sink = _nothing, None
-        on_end(End(outcome, attempt.latency_us, reply, load))
+        on_end, attempt.on_end, attempt.may_start = attempt.on_end, _told, _always
+        attempt.on_response_start, attempt.payload, attempt.stream = _unwanted, _nothing, None
+        on_end(AttemptResult(outcome, attempt.latency_us, reply, load))
 
     def on_timeout(self, attempt: Attempt) -> None:
         if not attempt.looked and attempt.connection is not None and attempt.connection.has_unread():
@@ -448,27 +448,27 @@
         if opening.cancelled() or opening.exception() is not None:
             self.on_lost(connection)
 
-    def on_begun(self, connection: HostConnection, reply: Reply, length: int | None) -> None:
+    def on_response_start(self, connection: HostConnection, reply: Reply, length: int | None) -> None:
         """A large answer has begun: it goes on as it comes, and only progress is timed."""
         attempt = connection.attempt
         if attempt is None or attempt.ended:
             connection.close()
             return
         attempt.latency_us = now_us() - attempt.sent_us
-        sink = attempt.on_begin(reply, length, attempt.latency_us)
+        stream = attempt.on_response_start(reply, length, attempt.latency_us)
         if attempt.ended:
             return
-        if sink is None:
+        if stream is None:
             self.cancel_attempt(attempt)
             return
-        attempt.sink, attempt.moved_us = sink, now_us()
+        attempt.stream, attempt.moved_us = stream, now_us()
         if attempt.timer is not None:
             attempt.timer.cancel()
         self.time_progress(attempt)
 
     def time_progress(self, attempt: Attempt) -> None:
         at_us = now_us()
-        if attempt.held_up:
+        if attempt.is_paused:
             attempt.moved_us = at_us  # it is not the host that waits
         if at_us - attempt.moved_us >= STALL_US:
             self.cancel_attempt(attempt, Outcome.TIMEOUT)
@@ -480,7 +480,7 @@
         if attempt is None:
             connection.close()
             return
-        attempt.go_on()
+        attempt.resume_reading()
         if reply.keep_alive and connection.flushed:
             self.keep(connection)
         else:
@@ -544,7 +544,7 @@
             self.close_idle_connections(host.id)
 
 
-def _told(end: End) -> None:
+def _told(result: AttemptResult) -> None:
     """In the place of what was called."""
 
 
@@ -558,7 +558,7 @@
     return True
 
 
-def _unwanted(reply: Reply, length: int | None, latency_us: int) -> Sink | None:
+def _unwanted(reply: Reply, length: int | None, latency_us: int) -> ResponseStream | None:
     """Nobody waits for a large answer to this."""
     return None
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 import pytest
 
 from cloverkeel.balancing.interface import FetchList, Outcome, ServerList, WatchList
-from cloverkeel.core.calls import Sink
+from cloverkeel.core.calls import ResponseStream
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.messages import Reply
 from cloverkeel.frontends.http1.server import ACCEPT_PAUSE_S, RESERVE
@@ -217,7 +217,7 @@
 # Attempts
 
 
-def unwanted(reply: Reply, length: int | None, latency_us: int) -> Sink | None:
+def unwanted(reply: Reply, length: int | None, latency_us: int) -> ResponseStream | None:
     return None
 
 
@@ -230,8 +230,8 @@
             ended: list[Outcome] = []
             by_us = now_us() + int(begin_in_s * 1e6)
             run.pool.start_attempt(
-                host_id(0), lambda _: [request("hold")], 20_000_000, lambda end: ended.append(end.outcome), unwanted,
-                None, by_us,
+                host_id(0), lambda _: [request("hold")], 20_000_000, lambda result: ended.append(result.outcome),
+                unwanted, None, by_us,
             )  # fmt: skip
             if begin_in_s < 1.0:
                 await until(lambda: ended)
@@ -269,8 +269,8 @@
             body = [b"x" * 65_536] * 305
             by_us = now_us() + 300_000
             run.pool.start_attempt(
-                host_id(0), lambda _: [head, *body], 20_000_000, lambda end: ended.append(end.outcome), unwanted,
-                None, by_us,
+                host_id(0), lambda _: [head, *body], 20_000_000, lambda result: ended.append(result.outcome),
+                unwanted, None, by_us,
             )  # fmt: skip
             await until(lambda: ended)  # nobody has read any of it
             assert ended == [Outcome.MOOT] and now_us() >= by_us
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -13,7 +13,7 @@
 from cloverkeel.frontends.http1.server import ClientConnection
 from cloverkeel.discovery.http_client import parse_list
 from cloverkeel.upstream.connection_pool import Attempt, HostConnection
-from cloverkeel.core.ports import End
+from cloverkeel.core.ports import AttemptResult
 from tests.sockets import (
     Exchange,
     Running,
@@ -67,8 +67,8 @@
         if not idle(run):
             idle(run).append(connection)
 
-        def on_end(end: End) -> None:
-            ended.append(end.outcome)
+        def on_end(result: AttemptResult) -> None:
+            ended.append(result.outcome)
 
         data = request("transfer")
         pool.send(Attempt(pool.hosts[host_id(0)], lambda _: [data], on_end), 20_000_000)
@@ -158,8 +158,8 @@
     async with peer() as host, running(configuration(host)) as run:
         pools, ended = run.pool, list[Outcome]()
 
-        def on_end(end: End) -> None:
-            ended.append(end.outcome)
+        def on_end(result: AttemptResult) -> None:
+            ended.append(result.outcome)
 
         known = pools.hosts[host_id(0)]
         pools.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -258,11 +258,11 @@
     begun: list[int | None] = []
     pieces: list[bytes] = []
 
-    def on_large(head: Reply, length: int | None) -> None:
+    def on_stream_start(head: Reply, length: int | None) -> None:
         assert not pieces
         begun.append(length)
 
-    reader = ReplyReader(on_large=on_large, on_piece=pieces.append)
+    reader = ReplyReader(on_stream_start=on_stream_start, on_chunk=pieces.append)
     ended = None
     for split in splits:
         ended, data = reader.feed(data[:split]) or ended, data[split:]
@@ -274,7 +274,7 @@
 
 
 def test_an_answer_without_a_length_that_does_not_say_close_is_not_taken() -> None:
-    reader = ReplyReader(on_large=lambda head, length: None, on_piece=lambda data: None)
+    reader = ReplyReader(on_stream_start=lambda head, length: None, on_chunk=lambda data: None)
     try:
         reader.feed(b"HTTP/1.1 200 X\r\n\r\nx")
     except ReplyError:
