--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -36,7 +36,7 @@
     row("repeat-by", "a repeat begins within the window, or not", "Balancer.repeat_by_us",
         tests="requests::a_repeat_of_a_keyed_request_has_to_begin_while_repeats_are_dropped"),
     row("drain-module+drain-pools", "nothing new to a server that drains",
-        "Balancer.is_eligible, ConnectionPool.refused", "drain", "drain", quick=True,
+        "Balancer.is_eligible, AttemptSender.find_refusal", "drain", "drain", quick=True,
         tests="gateway_pools::nothing_starts_after_the_grace_of_a_drain"),
     row("gone-module+gone-pools+drain-pools", "nothing to a server that is gone",
         "Balancer.take_leave, ConnectionPool.remove_host",
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -33,6 +33,7 @@
 from cloverkeel.core.incremental_json import decode  # noqa: E402
 from cloverkeel.core.ports import Endpoint  # noqa: E402
 from cloverkeel.discovery.http_client import parse_list, parse_steps  # noqa: E402
+from cloverkeel.upstream.attempt_sender import AttemptSender  # noqa: E402
 from cloverkeel.upstream.connection_pool import ConnectionPool  # noqa: E402
 
 CONFIG = {
@@ -112,7 +113,8 @@
 async def core_ms(hosts: int, repeats: int) -> tuple[dict[str, float], dict[str, float]]:
     """CPU and longest stop, by name of the change."""
     config = parse(CONFIG)
-    gateway = Gateway(config, ConnectionPool(config.settings), Silence())
+    pool = ConnectionPool(config.settings)
+    gateway = Gateway(config, pool, AttemptSender(config.settings, pool), Silence())
     cpu: dict[str, list[float]] = {}
     stop: dict[str, list[float]] = {}
 
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -11,6 +11,7 @@
 from cloverkeel.core.options import Options
 from cloverkeel.frontends.http1.server import Server
 from cloverkeel.discovery.http_client import Discovery
+from cloverkeel.upstream.attempt_sender import AttemptSender
 from cloverkeel.upstream.connection_pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -81,7 +82,7 @@
         from cloverkeel.discovery.ejection_filter import BannedMembership
 
         membership = BannedMembership(discovery)
-    gateway = Gateway(config, pool, membership)
+    gateway = Gateway(config, pool, AttemptSender(config.settings, pool), membership)
     if relayed is not None:
         relayed.outs = lambda: len(gateway.balancer.outs(now_us()))
     may_tell = config.settings.may_tell_peers and config.peer_listen is not None
--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -39,7 +39,13 @@
     "cloverkeel.frontends.http1.requests",
     "cloverkeel.frontends.http1.server",
     "cloverkeel.protocols.http1",
+    "cloverkeel.upstream.attempt",
+    "cloverkeel.upstream.attempt_sender",
+    "cloverkeel.upstream.connection",
     "cloverkeel.upstream.connection_pool",
+    "cloverkeel.upstream.health_check",
+    "cloverkeel.upstream.host",
+    "cloverkeel.upstream.outcomes",
 )
 SETUP = """
 from mypyc.build import mypycify
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -46,13 +46,13 @@
     WatchList,
 )
 
-from cloverkeel.core.calls import Call, ResponseStream
+from cloverkeel.core.calls import Call, FlowControl, ResponseStream
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Config
 from cloverkeel.core.log import log, log_if_read
 from cloverkeel.core.loop_timers import LoopTimers
 from cloverkeel.core.messages import Reply
-from cloverkeel.core.ports import Attempt, Decisions, AttemptResult, Endpoint, EndpointSource, Upstream
+from cloverkeel.core.ports import AttemptResult, Decisions, Endpoint, EndpointSource, HostTable, Upstream
 from cloverkeel.core.list_batches import Slices
 from cloverkeel.core.stall_detector import BEAT_US, Stillness
 from cloverkeel.core.metrics import EVERY_US, Tally
@@ -72,7 +72,7 @@
         self.call = call
         self.ticket = ticket
         self.deadline_us = deadline_us
-        self.attempts: list[Attempt | None] = []  # None: never sent
+        self.attempts: list[FlowControl | None] = []  # None: never sent
         self.out = 0
         self.closed = False
         self.timed_out = False
@@ -84,11 +84,11 @@
 
 
 class Gateway:
-    def __init__(self, config: Config, pools: Upstream, membership: EndpointSource) -> None:
+    def __init__(self, config: Config, hosts: HostTable, upstream: Upstream, membership: EndpointSource) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings = config.settings
         self.balancer: Decisions = Balancer(config.settings, config.seed)
-        self.pool, self.discovery = pools, membership
+        self.hosts, self.upstream, self.discovery = hosts, upstream, membership
         membership.set_listener(self.on_list)
         # What has happened, by what may be done with it while membership catches up: lists are handled, first of all;
         # what is urgent as well, since nothing is sent for it; the rest waits, till its request's time is over.
@@ -116,7 +116,7 @@
         # Called at once when this process stood still, with the time and for how long.
         self.after_gap: list[Callable[[int, int], None]] = []
         self.on_outcome: Callable[[int, Outcome, int], None] | None = None  # of each attempt: server, latency
-        pools.set_write_guard(self.may_write)
+        upstream.set_write_guard(self.may_write)
 
     def start(self) -> None:
         """Begin with the list from before, and ask for a newer one when the module says so."""
@@ -128,7 +128,7 @@
     @property
     def can_serve(self) -> bool:
         """Whether there is any host to send to."""
-        return not self.pool.is_empty()
+        return not self.hosts.is_empty()
 
     def close(self) -> None:
         self.closed = True
@@ -138,7 +138,7 @@
             self.beat_timer.cancel()
         self.timers.close()
         self.discovery.close()
-        self.pool.close()
+        self.upstream.close()
 
     def share(self, processes: int) -> None:
         """This gateway is so many processes for a time; ahead of whatever waits, as it restricts."""
@@ -178,7 +178,7 @@
 
     def write_tally(self, at_us: int) -> None:
         self.tally_due_us = at_us - at_us % EVERY_US + EVERY_US
-        opened = self.pool.opened_count()
+        opened = self.hosts.opened_count()
         line = self.tally.line(at_us, self.balancer.shares_shed(), opened - self.opened, self.entries)
         if line is not None and log_if_read(line):  # else the sums go on
             self.opened, self.entries = opened, 0
@@ -319,7 +319,7 @@
         held.closed = True
         streaming = held.attempts[held.streaming] if held.streaming >= 0 else None
         if streaming is not None:
-            self.pool.cancel_attempt(streaming)  # the module leaves it to the client
+            self.upstream.cancel_attempt(streaming)  # the module leaves it to the client
         self.post(lambda: self.gone(held))
 
     def gone(self, held: Held) -> Event:
@@ -330,14 +330,14 @@
     def take_list(self, kind: ListKind, entries: list[Endpoint]) -> Event:
         gone: list[int] = []
         if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            gone = self.pool.retain_hosts({entry.listed.server for entry in entries})
+            gone = self.hosts.retain_hosts({entry.listed.server for entry in entries})
             self.slices.forget_all()
         self.entries += len(entries) if kind is not ListKind.DISK else 0
         kept = [entry for entry in entries if not self.is_namesake(entry)]
         if kind is ListKind.DISK:  # the first of all: nothing can be sent yet
             now = self.slices.take_all(kept)
         else:
-            now = self.slices.take(kept, self.pool.host_count(), self.is_another)
+            now = self.slices.take(kept, self.hosts.host_count(), self.is_another)
         if len(now) == len(kept):
             return self.tell(kind, now)
         if self.turn is None:
@@ -354,7 +354,7 @@
         self.turn = self.loop.call_soon(self.on_turn) if self.slices.waiting and not self.closed else None
 
     def is_another(self, entry: Endpoint) -> bool:
-        return self.pool.has_host_changed(entry.listed.server, entry.address, entry.listed.started_us)
+        return self.hosts.has_host_changed(entry.listed.server, entry.address, entry.listed.started_us)
 
     def tell(self, kind: ListKind, entries: list[Endpoint], gone: tuple[ListedServer, ...] = ()) -> Event:
         self.fresh += len(entries)
@@ -364,15 +364,15 @@
         for entry in entries:
             listed = entry.listed
             if listed.status is ServerStatus.GONE:
-                self.pool.remove_host(listed.server)
+                self.hosts.remove_host(listed.server)
             else:
                 ready = listed.status is ServerStatus.READY
-                self.pool.update_host(listed.server, entry.name, entry.address, ready, listed.started_us)
+                self.hosts.update_host(listed.server, entry.name, entry.address, ready, listed.started_us)
         return ServerList(kind, gone + tuple(entry.listed for entry in entries))
 
     def is_namesake(self, entry: Endpoint) -> bool:
         """Whether the number of this entry is that of another host: numbers are hashes of names."""
-        name = self.pool.host_name(entry.listed.server) or self.slices.name_of(entry.listed.server)
+        name = self.hosts.host_name(entry.listed.server) or self.slices.name_of(entry.listed.server)
         if name is None or name == entry.name:
             return False
         log(f"{entry.name} is skipped: its number is that of {name}")
@@ -405,7 +405,7 @@
             case Probe():
                 self.probe(action.server)
             case CloseIdle():
-                self.pool.close_idle_connections(action.server)
+                self.hosts.close_idle_connections(action.server)
             case Log():
                 log(action.line)
             case _:
@@ -434,7 +434,7 @@
             del self.by_id[held.call.id]
 
     def send(self, action: Send) -> None:
-        held, known = self.held.get(action.request), self.pool.has_host(action.server)
+        held, known = self.held.get(action.request), self.hosts.has_host(action.server)
         if held is None:
             log(f"DEFECT: the module sends a request that is not held: {action!r}")
             return
@@ -472,7 +472,7 @@
         held.attempts.append(None)
         held.out += 1
         self.tally.sent(action.server)
-        held.attempts[number] = self.pool.start_attempt(
+        held.attempts[number] = self.upstream.start_attempt(
             action.server, payload, wait_us, on_end, on_response_start, may_start, action.begin_by_us
         )
 
@@ -516,11 +516,11 @@
         if held is not None and 0 <= action.attempt < len(held.attempts):
             attempt = held.attempts[action.attempt]
             if attempt is not None:
-                self.pool.cancel_attempt(attempt)
+                self.upstream.cancel_attempt(attempt)
 
     def probe(self, server: int) -> None:
-        if self.pool.has_host(server):
-            self.pool.send_health_check(server, lambda result: self.post(lambda: self.probed(server, result)))
+        if self.hosts.has_host(server):
+            self.upstream.send_health_check(server, lambda result: self.post(lambda: self.probed(server, result)))
 
     def probed(self, server: int, result: AttemptResult) -> Event:
         return Probed(server, result.outcome, result.latency_us, result.load_report)
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -9,7 +9,7 @@
 from cloverkeel.balancing.interface import Action, Event, ListedServer, ListKind, LoadReport, Outcome
 
 from cloverkeel.core.config import Address
-from cloverkeel.core.calls import ResponseStream
+from cloverkeel.core.calls import FlowControl, ResponseStream
 from cloverkeel.core.messages import Reply
 
 
@@ -36,14 +36,6 @@
         self.load_report = load_report
 
 
-class Attempt(Protocol):
-    """One request on its way to one host. Once its answer is passed on as it comes, that can be held up."""
-
-    def pause_reading(self) -> None: ...
-
-    def resume_reading(self) -> None: ...
-
-
 OnEndpointList = Callable[[ListKind, list[Endpoint]], None]
 OnAttemptEnd = Callable[[AttemptResult], None]
 # A request in full, made as it is written, with the present time in µs: it tells its host what time is left.
@@ -79,56 +71,69 @@
         """Cold servers within reach: number, start, whether its part is too small, whether it may be lent."""
 
 
-class Upstream(Protocol):
-    """Carries attempts to hosts. Every attempt that is begun ends once, by its `on_end`."""
+class HostTable(Protocol):
+    """The hosts of the endpoint list, as attempts reach them."""
 
-    def has_host(self, server: int) -> bool: ...
+    def has_host(self, server: int) -> bool:
+        """Tell whether a host is on the list."""
 
-    def host_name(self, server: int) -> str | None: ...
+    def host_name(self, server: int) -> str | None:
+        """Return a host's name; None if it is not on the list."""
 
-    def is_empty(self) -> bool: ...
+    def host_count(self) -> int:
+        """Return how many hosts are on the list."""
 
-    def opened_count(self) -> int:
-        """Connections since the start."""
+    def is_empty(self) -> bool:
+        """Tell whether no host is on the list."""
 
-    def update_host(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None: ...
+    def has_host_changed(self, id_: int, address: Address, started_us: int) -> bool:
+        """Tell whether a host is on the list, and at another address or as another process."""
 
-    def remove_host(self, id_: int) -> None: ...
+    def update_host(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None:
+        """Learn of a host, of its new address, that its process has restarted, or that it drains."""
+
+    def remove_host(self, id_: int) -> None:
+        """Forget a host that is gone; attempts in flight still end as they will."""
 
     def retain_hosts(self, named: set[int]) -> list[int]:
-        """Forget every server that is not named; returns those."""
+        """Forget every host that a complete list does not name; returns those."""
 
-    def host_count(self) -> int:
-        """Servers that are known."""
+    def close_idle_connections(self, id_: int) -> None:
+        """Close the idle connections to a host."""
 
-    def has_host_changed(self, id_: int, address: Address, started_us: int) -> bool:
-        """Whether a server is known, and as another process or at another address."""
+    def opened_count(self) -> int:
+        """Return how many connections were opened since the start."""
 
-    def close_idle_connections(self, id_: int) -> None: ...
+
+class Upstream(Protocol):
+    """Carries attempts to hosts. Every attempt that is started ends once, by its `on_end`."""
 
     def set_write_guard(self, may_write: Callable[[int], bool]) -> None:
-        """Ask this, with the present time in µs, just before an attempt's first byte; if not, it ends as moot."""
+        """Call this, with the time in µs, just before an attempt's first byte is written; False ends it as moot."""
 
     def start_attempt(
         self,
         server: int,
-        payload: PayloadBuilder,
+        build_payload: PayloadBuilder,
         timeout_us: int,
         on_end: OnAttemptEnd,
         on_response_start: OnResponseStart,
         may_start: MayStart,
-        begin_by_us: int,
-    ) -> Attempt:
-        """Begin an attempt at a server that is known; its end may come before this returns.
+        write_deadline_us: int,
+    ) -> FlowControl:
+        """Start an attempt at a host that is on the list; its end may come before this returns.
 
-        If it may not begin any more, or its last byte is not written by that time (0: no limit), it ends as moot.
+        If it may not start any more, or its last byte is not written by its deadline (0: none), it ends as moot.
         """
 
-    def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None: ...
+    def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None:
+        """Ask a host how it is; its answer ends as an attempt does."""
 
-    def cancel_attempt(self, attempt: Any) -> None: ...
+    def cancel_attempt(self, attempt: Any) -> None:
+        """Cancel an attempt, as `start_attempt` returned it."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop, and close the idle connections."""
 
 
 class EndpointSource(Protocol):
@@ -152,7 +157,8 @@
 class Descriptors(Protocol):
     """What a front shares descriptors with."""
 
-    open: int  # connections to hosts
-    room: Callable[[], bool]  # called before a descriptor is taken; False: there is none
+    open_connections: int  # to hosts
+    reserve_descriptor: Callable[[], bool]  # called before a descriptor is taken; False: there is none
 
-    def close_oldest_idle(self) -> bool: ...
+    def close_oldest_idle(self) -> bool:
+        """Close the connection that was idle for the longest time; False if there is none."""
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -77,7 +77,7 @@
         self.listener: socket.socket | None = None
         self.loop = asyncio.get_running_loop()
         self.sweeper: asyncio.TimerHandle | None = None
-        hosts.room = self.make_room
+        hosts.reserve_descriptor = self.make_room
 
     async def start(self) -> None:
         host, port = self.config.listen
@@ -154,7 +154,7 @@
         return self.clients < self.most and not self.is_full()
 
     def is_full(self) -> bool:
-        return self.clients + self.hosts.open + RESERVE >= self.sockets
+        return self.clients + self.hosts.open_connections + RESERVE >= self.sockets
 
     def make_room(self) -> bool:
         """Before a connection to a host is opened: clients that ask nothing yield first. False: there is none for it.
--- a/cloverkeel/upstream/__init__.py
+++ b/cloverkeel/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to hosts, attempts and their outcomes. Knows no front."""
+"""Connections to hosts, attempts over them and their outcomes. Knows no frontend."""
--- /dev/null
+++ b/cloverkeel/upstream/attempt.py
@@ -0,0 +1,106 @@
+"""One attempt: a request on its way to one host, until its outcome. State alone; attempt_sender.py drives it."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from cloverkeel.core.calls import ResponseStream
+from cloverkeel.core.clock import now_us
+from cloverkeel.core.messages import Reply
+from cloverkeel.core.ports import AttemptResult, MayStart, OnAttemptEnd, OnResponseStart, PayloadBuilder
+from cloverkeel.core.timers import Timer
+from cloverkeel.upstream.host import Host
+
+if TYPE_CHECKING:
+    from cloverkeel.upstream.connection import HostConnection
+
+
+class Attempt:
+    """One request on its way to one host. Times are in microseconds of this gateway's clock."""
+
+    __slots__ = (
+        "build_payload", "connect_task", "connect_timer", "connection", "has_ended", "has_rechecked", "host",
+        "is_paused", "last_progress_us", "latency_us", "may_start", "on_end", "on_response_start", "sent_us",
+        "stream", "timeout_timer", "write_deadline_timer", "write_deadline_us",
+    )  # fmt: skip
+
+    def __init__(
+        self, host: Host, build_payload: PayloadBuilder, on_end: OnAttemptEnd,
+        on_response_start: OnResponseStart | None = None, may_start: MayStart | None = None,
+        write_deadline_us: int = 0,
+    ) -> None:  # fmt: skip
+        self.host = host
+        self.build_payload: PayloadBuilder = build_payload
+        self.may_start: MayStart = may_start or _always_may_start
+        self.write_deadline_us = write_deadline_us  # its last byte is written by then, or it is not sent; 0: no limit
+        self.on_end: OnAttemptEnd = on_end
+        self.on_response_start: OnResponseStart = on_response_start or _discard_response
+        self.stream: ResponseStream | None = None  # receives a large answer, once it has begun
+        self.last_progress_us = 0  # when a chunk of that came last
+        self.is_paused = False  # the client is to read what it has first
+        self.sent_us = 0
+        self.latency_us = 0
+        self.connection: HostConnection | None = None
+        self.connect_task: asyncio.Task[object] | None = None
+        self.timeout_timer: Timer | None = None
+        self.connect_timer: Timer | None = None
+        self.write_deadline_timer: Timer | None = None
+        self.has_ended = False
+        self.has_rechecked = False  # past its timeout, the loop was given a turn to read an answer that waits
+
+    def pause_reading(self) -> None:
+        """Stop reading the answer until the client has taken what it has."""
+        if not self.is_paused and self.connection is not None and self.connection.transport is not None:
+            self.is_paused = True
+            self.connection.transport.pause_reading()
+
+    def resume_reading(self) -> None:
+        """Read the answer again."""
+        if self.is_paused and self.connection is not None and self.connection.transport is not None:
+            self.is_paused = False
+            self.last_progress_us = now_us()
+            self.connection.transport.resume_reading()
+
+    def is_written(self) -> bool:
+        """Tell whether its last byte is with the kernel, so that the host may have run it."""
+        connection = self.connection
+        return connection is not None and connection.is_written()
+
+    def cancel_timers(self) -> None:
+        """Cancel whatever is timed of it."""
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
+        if self.connect_timer is not None:
+            self.connect_timer.cancel()
+        if self.write_deadline_timer is not None:
+            self.write_deadline_timer.cancel()
+        self.timeout_timer = self.connect_timer = self.write_deadline_timer = None
+
+    def release_references(self) -> None:
+        """Let go of the request, which knows its attempts: both are then freed without a search for cycles."""
+        self.connection = self.connect_task = None
+        self.on_end = _ignore_result
+        self.on_response_start = _discard_response
+        self.may_start = _always_may_start
+        self.build_payload = _build_nothing
+        self.stream = None
+
+
+def _ignore_result(_result: AttemptResult) -> None:
+    """Stand in for the handler of an attempt that has ended."""
+
+
+def _build_nothing(_at_us: int) -> list[bytes]:
+    """Stand in for the payload of an attempt that has ended."""
+    return []
+
+
+def _always_may_start(_at_us: int) -> bool:
+    """Allow an attempt that nobody limits."""
+    return True
+
+
+def _discard_response(_reply: Reply, _length: int | None, _latency_us: int) -> ResponseStream | None:
+    """Take no large answer."""
+    return None
--- /dev/null
+++ b/cloverkeel/upstream/attempt_sender.py
@@ -0,0 +1,269 @@
+"""Sends attempts over the pool's connections and follows each to its one outcome.
+
+Invariants:
+- an attempt ends once, by its `on_end`;
+- nothing is written that `find_refusal` has not let pass in the moment of the write;
+- an attempt whose last byte is not written has not run: it ends as CONNECT_FAILED or MOOT, never as RESET or TIMEOUT.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Final, cast
+
+from cloverkeel.balancing.interface import Outcome, Settings
+
+from cloverkeel.core.clock import now_us
+from cloverkeel.core.loop_timers import LoopTimers
+from cloverkeel.core.messages import Reply
+from cloverkeel.core.ports import AttemptResult, MayStart, OnAttemptEnd, OnResponseStart, PayloadBuilder
+from cloverkeel.upstream.attempt import Attempt
+from cloverkeel.upstream.connection import ConnectionHandler, HostConnection
+from cloverkeel.upstream.connection_pool import ConnectionPool
+from cloverkeel.upstream.health_check import HEALTH_CHECK_TIMEOUT_US, build_health_check
+from cloverkeel.upstream.outcomes import classify_reply, parse_load_report
+
+RECHECK_DELAY_US: Final = 1_000  # for the loop to read what waits
+PROGRESS_TIMEOUT_US: Final = 5_000_000  # a large answer of which nothing more comes, while it could, has broken off
+
+
+class AttemptSender(ConnectionHandler):
+    """Carries attempts to hosts. Implements the core's `Upstream`."""
+
+    def __init__(self, settings: Settings, pool: ConnectionPool) -> None:
+        self.settings = settings
+        self.pool = pool
+        self.reads_load_reports = False  # the balancer ignores them: they are read for who does not
+        self.loop = asyncio.get_running_loop()
+        self.timers = LoopTimers(self.loop)
+        self.may_write: Callable[[int], bool] = lambda _now_us: True
+
+    def set_write_guard(self, may_write: Callable[[int], bool]) -> None:
+        """Call this, with the time in µs, just before an attempt's first byte is written; False ends it as moot."""
+        self.may_write = may_write
+
+    # Start of an attempt
+
+    def start_attempt(
+        self, server: int, build_payload: PayloadBuilder, timeout_us: int, on_end: OnAttemptEnd,
+        on_response_start: OnResponseStart, may_start: MayStart | None = None, write_deadline_us: int = 0,
+    ) -> Attempt:  # fmt: skip
+        """Start an attempt at a host that is on the list; its end may come before this returns."""
+        host = self.pool.hosts[server]
+        attempt = Attempt(host, build_payload, on_end, on_response_start, may_start, write_deadline_us)
+        self.send(attempt, timeout_us)
+        return attempt
+
+    def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None:
+        """Ask a host how it is; its answer ends as an attempt does."""
+        host = self.pool.hosts[server]
+        payload = build_health_check(host.address, self.settings.reports)
+        self.send(Attempt(host, lambda _at_us: [payload], on_end), HEALTH_CHECK_TIMEOUT_US)
+
+    def send(self, attempt: Attempt, timeout_us: int) -> None:
+        """Start an attempt on an idle connection, or on a new one where there is none."""
+        attempt.sent_us = now_us()
+        attempt.timeout_timer = self.timers.set(attempt.sent_us + timeout_us, lambda: self.on_timeout(attempt))
+        refusal = self.find_refusal(attempt, attempt.sent_us)
+        if refusal is not None:
+            self.end_attempt(attempt, refusal)
+            return
+        if attempt.write_deadline_us:
+            attempt.write_deadline_timer = self.timers.set(
+                attempt.write_deadline_us, lambda: self.on_write_deadline(attempt)
+            )
+        if self.write_to_idle_connection(attempt):
+            return
+        if not self.pool.reserve_descriptor():
+            self.end_attempt(attempt, Outcome.MOOT)
+            return
+        self.open_connection(attempt)
+
+    def write_to_idle_connection(self, attempt: Attempt) -> bool:
+        """Write an attempt to an idle connection; False if there is none."""
+        while (connection := self.pool.acquire_idle(attempt.host)) is not None:
+            if self.write_attempt(connection, attempt):
+                self.pool.counts.reused += 1
+                return True
+            # The write itself failed: nothing has reached the host, so the same attempt may start anew.
+            self.pool.counts.stale += 1
+        return False
+
+    def open_connection(self, attempt: Attempt) -> None:
+        """Open a connection for an attempt, which is written once it is established."""
+        host = attempt.host
+        attempt.connect_timer = self.timers.set(
+            attempt.sent_us + self.settings.connect_timeout_us, lambda: self.on_connect_timeout(attempt)
+        )
+        connection = HostConnection(self, host, attempt)
+        attempt.connection = connection
+        self.pool.count_opened(connection)
+        connect_task: asyncio.Task[object] = self.loop.create_task(
+            self.loop.create_connection(lambda: cast(asyncio.Protocol, connection), *host.address)
+        )
+        attempt.connect_task = connect_task
+        connect_task.add_done_callback(lambda task: self.on_connect_done(task, connection))
+
+    def find_refusal(self, attempt: Attempt, at_us: int) -> Outcome | None:
+        """Return how an attempt ends that may not be written now; None: it may.
+
+        The one place that is asked before any byte is written, however long its connection took: nothing starts
+        after a drain's grace, in a stall that was not caught up with, for a request that is over, or when retries
+        are no longer deduplicated.
+        """
+        if not self.may_write(at_us) or not attempt.may_start(at_us):
+            return Outcome.MOOT
+        if attempt.write_deadline_us and at_us > attempt.write_deadline_us:
+            return Outcome.MOOT
+        draining_since_us = attempt.host.draining_since_us
+        if draining_since_us is not None and at_us - draining_since_us > self.settings.stop_sending_within_us:
+            return Outcome.CONNECT_FAILED
+        return None
+
+    def write_attempt(self, connection: HostConnection, attempt: Attempt) -> bool:
+        """Write an attempt's request; False, and the connection is closed, if it turned out broken."""
+        connection.attempt, attempt.connection = attempt, connection
+        if connection.write(attempt.build_payload(now_us())):
+            return True
+        connection.attempt = attempt.connection = None
+        connection.close()
+        return False
+
+    # End of an attempt
+
+    def cancel_attempt(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
+        """Stop waiting: the connection is closed, so that the host can tell, and its descriptor is free."""
+        if attempt.has_ended:
+            return
+        connection, connect_task = attempt.connection, attempt.connect_task
+        self.end_attempt(attempt, outcome)
+        if connect_task is not None and not connect_task.done():
+            connect_task.cancel()
+        if connection is not None:
+            connection.attempt = None
+            connection.close()
+
+    def end_attempt(self, attempt: Attempt, outcome: Outcome, reply: Reply | None = None) -> None:
+        """Report how an attempt ended; nothing if that was reported already."""
+        if attempt.has_ended:
+            return
+        attempt.has_ended = True
+        if attempt.stream is None:  # else it is the time until the first bytes
+            attempt.latency_us = now_us() - attempt.sent_us
+        attempt.cancel_timers()
+        if outcome is Outcome.CONNECT_FAILED:
+            self.pool.counts.failed += 1
+        load_report = parse_load_report(reply) if self.reads_load_reports else None
+        on_end = attempt.on_end
+        attempt.release_references()
+        on_end(AttemptResult(outcome, attempt.latency_us, reply, load_report))
+
+    # Timers
+
+    def on_timeout(self, attempt: Attempt) -> None:
+        """Handle the end of an attempt's time."""
+        if not attempt.has_rechecked and attempt.connection is not None and attempt.connection.has_unread():
+            # Guards against giving up an answer that has come: after a stall, timers run before sockets are read.
+            attempt.has_rechecked = True
+            attempt.timeout_timer = self.timers.set(now_us() + RECHECK_DELAY_US, lambda: self.on_timeout(attempt))
+            return
+        # What was never written cannot have run, also when the time ended while connecting.
+        self.cancel_attempt(attempt, Outcome.TIMEOUT if attempt.is_written() else Outcome.CONNECT_FAILED)
+
+    def on_connect_timeout(self, attempt: Attempt) -> None:
+        """Handle the end of the time for establishing a connection."""
+        if attempt.connection is not None and attempt.connection.transport is None:
+            self.cancel_attempt(attempt, Outcome.CONNECT_FAILED)
+
+    def on_write_deadline(self, attempt: Attempt) -> None:
+        """Cancel what is not wholly written when retries are no longer deduplicated: it has not run, and must not."""
+        if not attempt.is_written():
+            self.cancel_attempt(attempt, Outcome.MOOT)
+
+    def check_progress(self, attempt: Attempt) -> None:
+        """Cancel an attempt whose large answer has stopped coming, and look again when it might have."""
+        at_us = now_us()
+        if attempt.is_paused:
+            attempt.last_progress_us = at_us  # it is not the host that waits
+        if at_us - attempt.last_progress_us >= PROGRESS_TIMEOUT_US:
+            self.cancel_attempt(attempt, Outcome.TIMEOUT)
+            return
+        attempt.timeout_timer = self.timers.set(
+            attempt.last_progress_us + PROGRESS_TIMEOUT_US, lambda: self.check_progress(attempt)
+        )
+
+    # Events of connections
+
+    def on_connected(self, connection: HostConnection) -> None:
+        """Write the attempt for which a connection was opened."""
+        attempt = connection.attempt
+        if attempt is None or attempt.has_ended:
+            # Given up in the very turn in which it came up: its connect task is cancelled, which closes it next.
+            connection.attempt = None
+            connection.close()
+            return
+        refusal = self.find_refusal(attempt, now_us())
+        if refusal is None and self.write_attempt(connection, attempt):
+            return
+        connection.attempt = None
+        connection.close()
+        self.end_attempt(attempt, refusal or Outcome.CONNECT_FAILED)
+
+    def on_connect_done(self, connect_task: asyncio.Task[object], connection: HostConnection) -> None:
+        """Account for a connection that was not established, or was cancelled in the turn in which it was.
+
+        Guards against counting it for good: of the latter, no connection_lost need follow.
+        """
+        if connect_task.cancelled() or connect_task.exception() is not None:
+            self.on_lost(connection)
+
+    def on_response_start(self, connection: HostConnection, reply: Reply, length: int | None) -> None:
+        """Stream a large answer: from now on only its progress is timed."""
+        attempt = connection.attempt
+        if attempt is None or attempt.has_ended:
+            connection.close()
+            return
+        attempt.latency_us = now_us() - attempt.sent_us
+        stream = attempt.on_response_start(reply, length, attempt.latency_us)
+        if attempt.has_ended:
+            return
+        if stream is None:
+            self.cancel_attempt(attempt)
+            return
+        attempt.stream, attempt.last_progress_us = stream, now_us()
+        if attempt.timeout_timer is not None:
+            attempt.timeout_timer.cancel()
+        self.check_progress(attempt)
+
+    def on_reply(self, connection: HostConnection, reply: Reply) -> None:
+        """End an attempt with its answer, and keep the connection if it can be used again."""
+        attempt, connection.attempt = connection.attempt, None
+        if attempt is None:
+            connection.close()
+            return
+        attempt.resume_reading()
+        if reply.keep_alive and connection.is_flushed:
+            self.pool.release(connection)
+        else:
+            connection.close()
+        self.end_attempt(attempt, classify_reply(reply), reply)
+
+    def on_malformed(self, connection: HostConnection) -> None:
+        """End an attempt that was answered with what is no answer."""
+        attempt, connection.attempt = connection.attempt, None
+        connection.close()
+        if attempt is not None:
+            self.end_attempt(attempt, Outcome.ERROR)
+
+    def on_lost(self, connection: HostConnection) -> None:
+        """End the attempt of a connection that has ended."""
+        self.pool.discard(connection)
+        attempt, connection.attempt = connection.attempt, None
+        if attempt is not None:
+            self.end_attempt(attempt, Outcome.RESET if connection.is_written() else Outcome.CONNECT_FAILED)
+
+    def close(self) -> None:
+        """Stop timing attempts, and close the idle connections."""
+        self.timers.close()
+        self.pool.close()
--- /dev/null
+++ b/cloverkeel/upstream/outcomes.py
@@ -0,0 +1,39 @@
+"""What an answer of a host means: the outcome of its attempt, and the load report that came with it. No I/O."""
+
+from __future__ import annotations
+
+from typing import Final
+
+from cloverkeel.balancing.interface import LoadReport, Outcome
+from cloverkeel.simulator.codec import parse_load
+
+from cloverkeel.core.messages import Reply, header
+
+STATUS_OK: Final = 200
+STATUSES_OF_REJECTION: Final = (503, 504)  # with X-Rejected: 1 the host has not run the request
+REJECTED_HEADER: Final = b"x-rejected"
+LOAD_REPORT_HEADER: Final = b"x-load-report"
+LOAD_REPORT_FORMAT: Final = "TEXT"
+
+
+def classify_reply(reply: Reply) -> Outcome:
+    """Return the outcome of an attempt that was answered."""
+    if reply.status == STATUS_OK:
+        return Outcome.OK
+    if reply.status in STATUSES_OF_REJECTION and header(reply.headers, REJECTED_HEADER) == b"1":
+        return Outcome.FULL
+    return Outcome.ERROR
+
+
+def parse_load_report(reply: Reply | None) -> LoadReport | None:
+    """Return the load report that came with an answer; None where there is none, or none that can be read."""
+    text = header(reply.headers, LOAD_REPORT_HEADER) if reply is not None else None
+    if text is None:
+        return None
+    report_format, _, values = text.decode("latin-1").partition(" ")
+    if report_format != LOAD_REPORT_FORMAT:
+        return None
+    try:
+        return parse_load(values.replace(" ", "").replace("=", ":"))
+    except ValueError:
+        return None
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,7 +20,8 @@
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.frontends.http1.server import Server
 from cloverkeel.discovery.http_client import Discovery
-from cloverkeel.upstream.connection_pool import REST_US, ConnectionPool
+from cloverkeel.upstream.attempt_sender import AttemptSender
+from cloverkeel.upstream.connection_pool import REUSE_DELAY_US, ConnectionPool
 
 PROGRAM: tuple[str, ...] = (sys.executable, "-m", "cloverkeel")  # what is started as a process
 PATIENCE_S = 30.0  # for anything that should happen: how long a broken test takes, never how long a good one
@@ -207,6 +208,13 @@
     discovery: Discovery
     port: int
 
+    @property
+    def attempt_sender(self) -> AttemptSender:
+        """What carries attempts to hosts, to look into."""
+        upstream = self.gateway.upstream
+        assert isinstance(upstream, AttemptSender)
+        return upstream
+
     @property
     def module(self) -> Balancer:
         """The decision module itself, to look into."""
@@ -280,7 +288,7 @@
 async def rested() -> None:
     """Connections to hosts that are free now may be used again."""
     since_us = now_us()
-    await until(lambda: now_us() - since_us > REST_US)
+    await until(lambda: now_us() - since_us > REUSE_DELAY_US)
 
 
 _count = 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -72,7 +72,7 @@
 
 
 def drained(run: Running, number: int = 0) -> bool:
-    return run.pool.hosts[host_id(number)].drained_us is not None
+    return run.pool.hosts[host_id(number)].draining_since_us is not None
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
@@ -229,14 +229,14 @@
         async with running(configuration(late.address)) as run:
             ended: list[Outcome] = []
             by_us = now_us() + int(begin_in_s * 1e6)
-            run.pool.start_attempt(
+            run.attempt_sender.start_attempt(
                 host_id(0), lambda _: [request("hold")], 20_000_000, lambda result: ended.append(result.outcome),
                 unwanted, None, by_us,
             )  # fmt: skip
             if begin_in_s < 1.0:
                 await until(lambda: ended)
                 assert ended == [Outcome.MOOT] and now_us() >= by_us
-                await until(lambda: run.pool.open == 0)
+                await until(lambda: run.pool.open_connections == 0)
             else:
                 late.open()
                 assert b"POST /hold" in await asyncio.get_running_loop().sock_recv(await late.accept(), 65_536)
@@ -249,7 +249,7 @@
         async with running(configuration(late.address)) as run:
             client = await run.connect()
             client.send(request("search"))
-            await until(lambda: run.pool.open)
+            await until(lambda: run.pool.open_connections)
             (held,) = run.gateway.held.values()
             opened_us = now_us()
             late.open()
@@ -268,7 +268,7 @@
             head = request("hold").replace(b"content-length: 0", b"Content-Length: 20000000")
             body = [b"x" * 65_536] * 305
             by_us = now_us() + 300_000
-            run.pool.start_attempt(
+            run.attempt_sender.start_attempt(
                 host_id(0), lambda _: [head, *body], 20_000_000, lambda result: ended.append(result.outcome),
                 unwanted, None, by_us,
             )  # fmt: skip
@@ -286,15 +286,15 @@
         async with running(configuration(late.address, mayCancel=may_cancel)) as run:
             client = await run.connect()
             client.send(request("transfer"))
-            await until(lambda: run.pool.open)
+            await until(lambda: run.pool.open_connections)
             if leaves:
                 client.close()
                 await until(lambda: not run.server.connections)
             if leaves and may_cancel:
-                await until(lambda: not run.pool.open)  # counted out a turn after it is called off
+                await until(lambda: not run.pool.open_connections)  # counted out a turn after it is called off
                 assert not run.pool.counts.failed  # that was no connection given up at its time-out
                 late.open()
-                assert not run.pool.open and run.pool.counts.opened == 1
+                assert not run.pool.open_connections and run.pool.counts.opened == 1
                 return
             late.open()
             sock = await late.accept()
@@ -360,7 +360,7 @@
             host.seen[0].answer(reply(200, b"first"))
         else:
             host.seen[0].answer(reply(200, b"first"))
-            await until(lambda: run.pool.open == 0)
+            await until(lambda: run.pool.open_connections == 0)
             asked = asyncio.create_task(run.ask(request()))
             await until(lambda: len(host.seen) == 2)
         host.seen[1].answer(reply(200, b"second"))
@@ -398,7 +398,7 @@
         await until(lambda: len(host.seen) == 2)
         clients[2].send(request())  # three clients and two attempts: the reserve begins here
         assert (await clients[2].answer()).status == 503
-        assert run.server.clients + run.pool.open + RESERVE <= run.server.sockets
+        assert run.server.clients + run.pool.open_connections + RESERVE <= run.server.sockets
         for exchange in host.seen:
             exchange.answer(reply())
         for client in clients[:2]:
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -121,7 +121,7 @@
             told = outcomes(run)
             assert (await run.ask(request("transfer"))).status == 503
             assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
-            assert run.pool.open == 0
+            assert run.pool.open_connections == 0
         for one in fill:
             one.close()
 
@@ -133,7 +133,7 @@
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in told] == [Outcome.TIMEOUT]
         await until(lambda: host.ended == 1)  # the host can tell that nobody waits
-        assert run.pool.open == 0 and not run.gateway.held
+        assert run.pool.open_connections == 0 and not run.gateway.held
 
 
 @on_loop
@@ -221,7 +221,7 @@
         assert 0 < int(message.headers["x-budget-ms"]) <= 5_000
         assert "x-hop" not in message.headers
         assert told[0].load is None  # nobody here uses it, and reading it costs
-        run.pool.reads_load = True
+        run.attempt_sender.reads_load_reports = True
         await run.ask(request("hold", b"slip"))
         assert told[1].load is not None and told[1].load.queue == 2
 
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -12,7 +12,8 @@
 from cloverkeel.core.config import parse
 from cloverkeel.frontends.http1.server import ClientConnection
 from cloverkeel.discovery.http_client import parse_list
-from cloverkeel.upstream.connection_pool import Attempt, HostConnection
+from cloverkeel.upstream.attempt import Attempt
+from cloverkeel.upstream.connection import HostConnection
 from cloverkeel.core.ports import AttemptResult
 from tests.sockets import (
     Exchange,
@@ -34,7 +35,7 @@
 
 
 def idle(run: Running, number: int = 0) -> list[HostConnection]:
-    return run.pool.hosts[host_id(number)].idle
+    return run.pool.hosts[host_id(number)].idle_connections
 
 
 @on_loop
@@ -61,7 +62,7 @@
         assert (await run.ask(request("transfer"))).status == 200
         pool, connection = run.pool, idle(run)[0]
         host.seen[0].writer.close()
-        await until(lambda: not connection.is_fresh())
+        await until(lambda: not connection.is_reusable())
         ended: list[Outcome] = []
         # Sent before the loop has told of the end, if it has not yet.
         if not idle(run):
@@ -71,7 +72,7 @@
             ended.append(result.outcome)
 
         data = request("transfer")
-        pool.send(Attempt(pool.hosts[host_id(0)], lambda _: [data], on_end), 20_000_000)
+        run.attempt_sender.send(Attempt(pool.hosts[host_id(0)], lambda _: [data], on_end), 20_000_000)
         await until(lambda: ended)
         assert ended == [Outcome.OK] and host.opened == 2
 
@@ -92,9 +93,9 @@
             taken.sendall(reply())
             await asking
             connection = idle(run)[0]
-            assert connection.is_fresh()
+            assert connection.is_reusable()
             taken.close()  # and the loop has had no turn since
-            assert not connection.is_fresh()
+            assert not connection.is_reusable()
 
 
 @pytest.mark.parametrize("said", [reply(200, b"another's"), b"HTTP/1.1 200 OK\r\nContent-Le"])
@@ -127,14 +128,14 @@
         for exchange in host.seen:
             exchange.answer(reply())
         await asyncio.gather(*tasks)
-        pools = run.pool
+        pool = run.pool
         for connection in idle(run):
             connection.idle_since_us -= 10_000_000
-        pools.sweep()
-        await until(lambda: pools.open == 1)
+        pool.close_expired()
+        await until(lambda: pool.open_connections == 1)
         idle(run)[0].idle_since_us -= 45_000_000
-        pools.sweep()
-        await until(lambda: pools.open == 0 and host.ended == 4)
+        pool.close_expired()
+        await until(lambda: pool.open_connections == 0 and host.ended == 4)
 
 
 @on_loop
@@ -156,17 +157,17 @@
 async def test_nothing_starts_after_the_grace_of_a_drain() -> None:
     """A connection that comes up too late carries nothing, even if the attempt was begun in time."""
     async with peer() as host, running(configuration(host)) as run:
-        pools, ended = run.pool, list[Outcome]()
+        pool, ended = run.pool, list[Outcome]()
 
         def on_end(result: AttemptResult) -> None:
             ended.append(result.outcome)
 
-        known = pools.hosts[host_id(0)]
-        pools.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
-        known.drained_us = now_us() - 1_000_001
+        known = pool.hosts[host_id(0)]
+        run.attempt_sender.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
+        known.draining_since_us = now_us() - 1_000_001
         await until(lambda: ended)
         assert ended == [Outcome.CONNECT_FAILED] and not host.seen
-        pools.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
+        run.attempt_sender.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
         assert ended == [Outcome.CONNECT_FAILED] * 2
 
 
@@ -207,16 +208,16 @@
             client = await run.connect()
             for _ in range(6):
                 assert (await client.ask(request())).status == 200
-            pools = run.pool
-            had = pools.open
+            pool = run.pool
+            had = pool.open_connections
             assert had >= 1
             run.server.sockets = 1
             run.server.make_room()  # a client that asks nothing yields before what hosts had a handshake for
             await until(lambda: not run.server.connections)
-            assert pools.open == had
+            assert pool.open_connections == had
             for _ in range(had):
                 run.server.make_room()
-            await until(lambda: pools.open == 0)
+            await until(lambda: pool.open_connections == 0)
             client.close()
 
 
@@ -238,7 +239,7 @@
 async def test_an_attempt_given_up_as_its_connection_comes_up_leaves_nothing_behind() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
     async with peer(silent) as host, running(configuration(host)) as run:
-        pools, looks = run.pool, 0
+        pool, looks = run.pool, 0
 
         def give_up(at_us: int) -> bool:
             """Asked as the attempt begins, and again as its connection comes up."""
@@ -247,16 +248,16 @@
             if looks == 2:
                 (held,) = run.gateway.held.values()
                 (attempt,) = held.attempts
-                pools.cancel_attempt(attempt)  # type: ignore[arg-type]
+                run.attempt_sender.cancel_attempt(attempt)  # type: ignore[arg-type]
             return looks == 1
 
-        pools.set_write_guard(give_up)
+        run.attempt_sender.set_write_guard(give_up)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: pools.counts.opened)
-        await until(lambda: pools.open == 0)
-        (known,) = pools.hosts.values()
-        assert known.open == 0 and not known.idle and not host.seen
+        await until(lambda: pool.counts.opened)
+        await until(lambda: pool.open_connections == 0)
+        (known,) = pool.hosts.values()
+        assert known.open_connections == 0 and not known.idle_connections and not host.seen
         client.close()
 
 
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -139,7 +139,7 @@
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
-        while run.gateway.held or run.pool.open:
+        while run.gateway.held or run.pool.open_connections:
             await asyncio.sleep(0.002)
         assert len(host.seen) == 1
 
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -129,7 +129,7 @@
         hosts = self.program.pool.hosts
         servers = self.gateway.balancer.servers  # type: ignore[attr-defined]
         assert hosts.keys() == servers.keys()
-        return {n: (servers[n].entry, hosts[n].started_us, hosts[n].drained_us is None) for n in hosts}
+        return {n: (servers[n].entry, hosts[n].started_us, hosts[n].draining_since_us is None) for n in hosts}
 
 
 def some_answer(dice: random.Random, index: int, whole: bool) -> bytes:
@@ -358,7 +358,7 @@
         run.gateway.start()
         await until(lambda: waiting and not run.gateway.slices.waiting)
         assert waiting[0] > 0
-        assert run.pool.hosts[host_id(MANY - 1)].drained_us is not None
+        assert run.pool.hosts[host_id(MANY - 1)].draining_since_us is not None
         assert run.module.servers[host_id(0)].entry.weight == 0.5
 
 
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -27,7 +27,6 @@
     "cloverkeel/gossip/node.py": 404,
     "cloverkeel/leases/lease.py": 387,
     "cloverkeel/leases/manager.py": 424,
-    "cloverkeel/upstream/connection_pool.py": 583,
 }
 OVERSIZED_FUNCTIONS = {
     "cloverkeel/__main__.py:run": 85,
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -415,7 +415,7 @@
 
 
 def drained(run: Running, number: int = 0) -> bool:
-    return run.pool.hosts[host_id(number)].drained_us is not None
+    return run.pool.hosts[host_id(number)].draining_since_us is not None
 
 
 def targets(relay: Peer) -> list[str]:
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -272,7 +272,7 @@
             loop.call_soon(loop.call_soon, stall)  # in the turn after the one in which the connection is opened
             return True
 
-        at.run.pool.room = room
+        at.run.pool.reserve_descriptor = room
         client.say(request())
         assert (await at.answer(client)).status == 503
         line = await at.accept()
