--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -160,7 +160,7 @@
         self.generation += 1
         seed = stable_id(f"{self.config.seed}/{self.generation}", 8)
         self.program = program = assemble(replace(self.config, seed=seed), self.options)
-        program.gateway.still.gap_us = NEVER_US
+        program.gateway.stall_detector.threshold_us = NEVER_US
         self.started_us, self.listed_us = clock_us(), 0
         program.discovery.set_listener(self.on_list)
         program.gateway.start()
@@ -181,7 +181,7 @@
         if program is None:
             return
         before_us = clock_us()
-        program.gateway.on_list(kind, entries)
+        program.gateway.on_endpoint_list(kind, entries)
         at_us = clock_us()
         self.longest_us = max(self.longest_us, at_us - before_us)
         if kind is ListKind.ERROR:
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -115,7 +115,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(5_000, 10, 10)
-        gateway.on_told = Freezer(asyncio.get_running_loop().call_soon).took
+        gateway.on_endpoints_applied = Freezer(asyncio.get_running_loop().call_soon).took
         passes: list[float] = []  # full ones of the collector, whoever began them, in ms
         pass_began = 0.0
 
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverkeel.core.metrics import FIGURES
+from cloverkeel.core.metrics import HOST_COLUMNS
 
 MARK = "tally "
 SHARING_FIGURES = 6
@@ -37,7 +37,7 @@
     lines: int = 0
     shed: float = 0.0  # sums over the gateways
     shed_dear: float = 0.0
-    hosts: dict[str, list[int]] = field(default_factory=lambda: defaultdict(lambda: [0] * FIGURES))
+    hosts: dict[str, list[int]] = field(default_factory=lambda: defaultdict(lambda: [0] * HOST_COLUMNS))
     sharing: list[int] = field(default_factory=list)  # docs/fleet.md; empty: nothing is shared
 
     def add(self, said: dict[str, Any]) -> None:
@@ -78,7 +78,7 @@
         raise ValueError("not a number")
     if len(said.get("sharing", [])) not in (0, SHARING_FIGURES):
         raise ValueError("too many figures of what is shared, or too few")
-    if len(said["shed"]) != 2 or any(len(row) != FIGURES for row in said["hosts"].values()):
+    if len(said["shed"]) != 2 or any(len(row) != HOST_COLUMNS for row in said["hosts"].values()):
         raise ValueError("too many figures, or too few")
 
 
@@ -112,7 +112,7 @@
     )
     first: dict[str, int] = {}
     for at, s in count.rows():
-        sums = [sum(figures[place] for figures in s.hosts.values()) for place in range(FIGURES)]
+        sums = [sum(figures[place] for figures in s.hosts.values()) for place in range(HOST_COLUMNS)]
         for name in s.hosts:
             first.setdefault(name, at)
         if not begin <= at <= end:
--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -135,7 +135,7 @@
     from cloverkeel.core.gateway import Gateway
 
     cut(
-        Gateway, "on_list",
+        Gateway, "on_endpoint_list",
         ("self.lists.append((kind, entries))", "self.events.append((lambda: self.take_list(kind, entries), None))"),
     )  # fmt: skip
 
@@ -145,7 +145,7 @@
     """A process that stood still goes on with what comes first."""
     from cloverkeel.core.gateway import Gateway
 
-    swap(Gateway, "look", lambda self, at_us: True)
+    swap(Gateway, "check_stall", lambda self, at_us: True)
 
 
 @entry("broken-is-told")
--- a/benchmarks/guards/mutants/frontends.py
+++ b/benchmarks/guards/mutants/frontends.py
@@ -170,7 +170,7 @@
     """The process ends at its time with whatever it holds."""
     from cloverkeel.frontends.http1.server import Server
 
-    cut(Server, "empty_on", ("self.gateway.answer_all()", "pass"))
+    cut(Server, "empty_on", ("self.gateway.answer_all_requests()", "pass"))
 
 
 @entry("value-space")
--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -123,7 +123,7 @@
     """A process that begins saves up as much as ever, and has it."""
     from cloverkeel.gossip.driver import Room
 
-    begins = "self.gateway.retry_rights(CAP, -self.gateway.balancer.retry_state(self.clock())[0])"
+    begins = "self.gateway.grant_retry_tokens(CAP, -self.gateway.balancer.retry_state(self.clock())[0])"
     cut(Room, "start", (begins, "pass"))
 
 
--- a/benchmarks/guards/mutants/leases.py
+++ b/benchmarks/guards/mutants/leases.py
@@ -77,7 +77,11 @@
     """What comes in is answered by the time that was read last, before a stall."""
     from cloverkeel.leases.driver import Room
 
-    cut(Room, "datagram_received", ("receive(self.clock(), head", "receive(self.gateway.still.seen_us, head"))
+    cut(
+        Room,
+        "datagram_received",
+        ("receive(self.clock(), head", "receive(self.gateway.stall_detector.last_check_us, head"),
+    )
 
 
 @entry("act-late")
--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -37,7 +37,7 @@
         tests="operating::a_pause_empties_the_gateway_and_a_resume_fills_it_again"),
     row("wanted", "nothing is written for who left while a connection came up", "Gateway.send",
         tests="crossings::nothing_is_written_for_a_client_that_left_while_a_connection_came_up"),
-    row("still", "what came in a gap is read before a send", "Gateway.look", "paused", "drain",
+    row("still", "what came in a gap is read before a send", "Gateway.check_stall", "paused", "drain",
         tests="stillness::word_of_a_drain_is_read_before_a_request_that_came_first"),
     row("list-before-all", "a list goes ahead of what waits", "Gateway.work",
         tests="stillness::word_of_a_drain_is_read_before_a_request_that_came_first"),
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -124,7 +124,7 @@
         gc.collect()
         longest_s, spent_s, quiet = 0.0, 0.0, 0
         began_s = time.perf_counter()
-        gateway.on_list(kind, entries)
+        gateway.on_endpoint_list(kind, entries)
         while quiet < 3:  # turns in which nothing was done any more
             took_s = time.perf_counter() - began_s
             longest_s, spent_s = max(longest_s, took_s), spent_s + took_s
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -134,7 +134,7 @@
         gc.collect()
         gc.freeze()  # what the start has made is never garbage
         gc.set_threshold(GC_NEW, 10, 10)
-        gateway.on_told = Freezer(loop.call_soon).took
+        gateway.on_endpoints_applied = Freezer(loop.call_soon).took
         await stop.wait()
         program.leave()
         try:
--- a/cloverkeel/admin/operations.py
+++ b/cloverkeel/admin/operations.py
@@ -83,7 +83,7 @@
         parts = NO_PART if self.ending and others.successor else 1 + others.serving
         if parts != self.parts:
             self.parts = parts
-            self.server.gateway.share(parts)
+            self.server.gateway.set_process_count(parts)
 
     def note_serving(self) -> None:
         """Guards a process that is told to end at our first yes: it must find that it has a successor."""
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -54,8 +54,8 @@
 from cloverkeel.core.messages import Reply
 from cloverkeel.core.ports import AttemptResult, Decisions, Endpoint, EndpointSource, HostTable, Upstream
 from cloverkeel.core.list_batches import Slices
-from cloverkeel.core.stall_detector import BEAT_US, Stillness
-from cloverkeel.core.metrics import EVERY_US, Tally
+from cloverkeel.core.stall_detector import HEARTBEAT_INTERVAL_US, StallDetector
+from cloverkeel.core.metrics import METRICS_INTERVAL_US, GatewayMetrics
 
 STILL_LOG_US: Final = 10_000_000  # between lines on the log about standing still
 
@@ -89,16 +89,13 @@
         self.settings = config.settings
         self.balancer: Decisions = Balancer(config.settings, config.seed)
         self.hosts, self.upstream, self.discovery = hosts, upstream, membership
-        membership.set_listener(self.on_list)
-        # What has happened, by what may be done with it while membership catches up: lists are handled, first of all;
-        # what is urgent as well, since nothing is sent for it; the rest waits, till its request's time is over.
-        # Of a long list only what restricts is handled so; the rest in parts, one in a turn of the loop.
+        membership.set_listener(self.on_endpoint_list)
+        # While the endpoint source catches up, lists and what is urgent are handled; the rest waits.
         self.lists: deque[tuple[ListKind, list[Endpoint]]] = deque()
         self.slices = Slices()
         self.part_due = False  # this turn's part is yet to be handled
         self.turn: asyncio.Handle | None = None
-        # Lists are told to their ends: how many entries since the last call.
-        self.on_told: Callable[[int], None] | None = None
+        self.on_endpoints_applied: Callable[[int], None] | None = None  # with how many entries since the last call
         self.fresh = 0
         self.urgent: deque[Happened] = deque()
         self.events: deque[tuple[Happened, Held | None]] = deque()
@@ -108,21 +105,21 @@
         self.tickets = itertools.count(1)
         self.timers = LoopTimers(self.loop)
         self.known = config.known
-        self.tally = Tally(len(config.settings.classes))
-        self.tally_due_us = self.said_still_us = 0
+        self.metrics = GatewayMetrics(len(config.settings.classes))
+        self.metrics_due_us = self.said_still_us = 0
         self.entries = self.opened = 0  # entries of lists; connections opened when the last tally was written
-        self.still = Stillness(now_us())
-        self.beat_timer: asyncio.TimerHandle | None = None
+        self.stall_detector = StallDetector(now_us())
+        self.heartbeat_timer: asyncio.TimerHandle | None = None
         # Called at once when this process stood still, with the time and for how long.
-        self.after_gap: list[Callable[[int, int], None]] = []
-        self.on_outcome: Callable[[int, Outcome, int], None] | None = None  # of each attempt: server, latency
+        self.stall_listeners: list[Callable[[int, int], None]] = []
+        self.on_attempt_outcome: Callable[[int, Outcome, int], None] | None = None  # of each attempt: server, latency
         upstream.set_write_guard(self.may_write)
 
     def start(self) -> None:
         """Begin with the list from before, and ask for a newer one when the module says so."""
-        self.still.look(now_us())
-        self.still.end(now_us(), caught_up=True)  # what came before the first list is no gap
-        self.beat()
+        self.stall_detector.check(now_us())
+        self.stall_detector.end_hold(now_us(), caught_up=True)  # what came before the first list is no gap
+        self.on_heartbeat()
         self.discovery.load_known(self.known)
 
     @property
@@ -134,79 +131,82 @@
         self.closed = True
         if self.turn is not None:
             self.turn.cancel()
-        if self.beat_timer is not None:
-            self.beat_timer.cancel()
+        if self.heartbeat_timer is not None:
+            self.heartbeat_timer.cancel()
         self.timers.close()
         self.discovery.close()
         self.upstream.close()
 
-    def share(self, processes: int) -> None:
+    def set_process_count(self, processes: int) -> None:
         """This gateway is so many processes for a time; ahead of whatever waits, as it restricts."""
         self.post_urgent(lambda: ProcessesChanged(processes))
 
-    def cold_share(self, server: int, started_us: int, lent_us: int, granted: float, granted_us: int) -> None:
+    def set_slow_start_quota(
+        self, server: int, started_us: int, lent_us: int, granted: float, granted_us: int
+    ) -> None:
         """Parts of a cold server's budget that are lent or granted until then; ahead of whatever waits."""
         self.post_urgent(lambda: SlowStartQuota(server, started_us, lent_us, granted, granted_us))
 
-    def hold_trials(self, server: int, until_us: int) -> None:
+    def suspend_probes(self, server: int, until_us: int) -> None:
         """Another gateway tries a server until then; 0: it answers there."""
         self.post_urgent(lambda: ProbesSuspended(server, until_us))
 
-    def hearsay(
+    def report_peer_health(
         self, server: int, started_us: int, good: float, bad: float, reporters: int, well: int, until_us: int
     ) -> None:
         """What other gateways saw of a server; ahead of whatever waits, as it restricts, or brings a trial."""
         self.post_urgent(lambda: PeerHealthReport(server, started_us, good, bad, reporters, well, until_us))
 
-    def retry_rights(self, cap: float, moved: float = 0.0, until_us: int = 0) -> None:
+    def grant_retry_tokens(self, cap: float, moved: float = 0.0, until_us: int = 0) -> None:
         """Tokens for further attempts come or go; ahead of whatever waits, as nothing may be spent that has gone."""
         self.post_urgent(lambda: RetryTokenGrant(cap, moved, until_us))
 
-    def answer_all(self) -> None:
+    def answer_all_requests(self) -> None:
         """This process ends: whatever is held is answered now."""
         if self.by_id:
             self.post_urgent(AnswerAll)
 
     # Standing still
 
-    def beat(self) -> None:
-        self.beat_timer = self.loop.call_later(BEAT_US / 1e6, self.beat)  # first: nothing below may end it
+    def on_heartbeat(self) -> None:
+        # First: nothing below may end it.
+        self.heartbeat_timer = self.loop.call_later(HEARTBEAT_INTERVAL_US / 1e6, self.on_heartbeat)
         at_us = now_us()
-        self.look(at_us)
-        if at_us >= self.tally_due_us:
-            self.write_tally(at_us)
+        self.check_stall(at_us)
+        if at_us >= self.metrics_due_us:
+            self.write_metrics(at_us)
 
-    def write_tally(self, at_us: int) -> None:
-        self.tally_due_us = at_us - at_us % EVERY_US + EVERY_US
+    def write_metrics(self, at_us: int) -> None:
+        self.metrics_due_us = at_us - at_us % METRICS_INTERVAL_US + METRICS_INTERVAL_US
         opened = self.hosts.opened_count()
-        line = self.tally.line(at_us, self.balancer.shares_shed(), opened - self.opened, self.entries)
+        line = self.metrics.format_line(at_us, self.balancer.shares_shed(), opened - self.opened, self.entries)
         if line is not None and log_if_read(line):  # else the sums go on
             self.opened, self.entries = opened, 0
-            self.tally.begin_anew()
+            self.metrics.reset()
 
-    def look(self, at_us: int) -> bool:
+    def check_stall(self, at_us: int) -> bool:
         """Notice a gap of the loop; returns whether something may be sent."""
-        if self.still.look(at_us):
+        if self.stall_detector.check(at_us):
             self.on_gap()
-        return not self.still.holds
+        return not self.stall_detector.is_holding
 
     def may_write(self, at_us: int) -> bool:
-        return at_us <= self.still.due_us or self.look(at_us)
+        return at_us <= self.stall_detector.next_check_due_us or self.check_stall(at_us)
 
     def on_gap(self) -> None:
         """This process stood still: what membership was told meanwhile comes first, before anything is sent."""
-        began_us, stall_us = self.still.since_us, self.still.stall_us
-        for after in self.after_gap:
+        began_us, stall_us = self.stall_detector.hold_started_us, self.stall_detector.stall_us
+        for after in self.stall_listeners:
             after(began_us, stall_us)
         if began_us - self.said_still_us > STILL_LOG_US:
             self.said_still_us = began_us
-            log(f"stood still for {stall_us / 1e6:.2f} s ({self.still.gaps} times so far); membership is read first")
+            log(f"gateway: stalled, duration_s={stall_us / 1e6:.2f} count={self.stall_detector.stall_count}")
 
         def caught_up() -> None:
-            if self.still.since_us == began_us:  # else there was a further gap, and a new hold
+            if self.stall_detector.hold_started_us == began_us:  # else there was a further gap, and a new hold
                 self.go_on(caught_up=True)
 
-        self.loop.call_later(self.still.hold_us / 1e6 + 0.001, self.go_on, False)
+        self.loop.call_later(self.stall_detector.max_hold_us / 1e6 + 0.001, self.go_on, False)
         self.events = deque((self.bounded(event, held), held) for event, held in self.events)
         self.discovery.catch_up(stall_us, caught_up)
 
@@ -222,25 +222,25 @@
             return event() if was else None
 
         def hurry() -> None:
-            if waits and self.still.holds:
+            if waits and self.stall_detector.is_holding:
                 self.post_urgent(once)
 
         self.loop.call_later(max(0, held.deadline_us - now_us()) / 1e6, hurry)
         return once
 
     def go_on(self, caught_up: bool) -> None:
-        if self.closed or self.still.look(now_us()):
+        if self.closed or self.stall_detector.check(now_us()):
             if not self.closed:
                 self.on_gap()
             return
-        if self.still.end(now_us(), caught_up) and not self.handling:
+        if self.stall_detector.end_hold(now_us(), caught_up) and not self.handling:
             self.work()
 
     # Events in
 
     def post(self, event: Happened, held: Held | None = None) -> None:
         """Queue what has happened, to a request or not. It is put into words in its turn, and may be void by then."""
-        if self.still.holds:
+        if self.stall_detector.is_holding:
             event = self.bounded(event, held)
         self.events.append((event, held))
         if not self.handling:
@@ -252,7 +252,7 @@
         if not self.handling:
             self.work()
 
-    def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
+    def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         """Who is there comes before whatever else waits: nothing is decided by an old list."""
         self.lists.append((kind, entries))
         if not self.handling:
@@ -264,7 +264,7 @@
         try:
             while not self.closed:
                 at_us = now_us()
-                may_write = at_us <= self.still.due_us or self.look(at_us)
+                may_write = at_us <= self.stall_detector.next_check_due_us or self.check_stall(at_us)
                 if self.lists:
                     self.handle(at_us, self.take_list(*self.lists.popleft()))
                     continue
@@ -303,7 +303,7 @@
             return False
         ticket = str(next(self.tickets))
         held = Held(call, ticket, now_us() + call.patience_us)
-        self.tally.asked[call.klass] += 1
+        self.metrics.received_by_class[call.klass] += 1
         self.held[ticket] = self.by_id[call.id] = held
         event = RequestArrived(
             ticket, call.klass, call.patience_us, call.key, call.work_us, call.is_retry, call.tenant
@@ -358,8 +358,8 @@
 
     def tell(self, kind: ListKind, entries: list[Endpoint], gone: tuple[ListedServer, ...] = ()) -> Event:
         self.fresh += len(entries)
-        if self.on_told is not None and not self.slices.waiting:
-            self.on_told(self.fresh)
+        if self.on_endpoints_applied is not None and not self.slices.waiting:
+            self.on_endpoints_applied(self.fresh)
             self.fresh = 0
         for entry in entries:
             listed = entry.listed
@@ -389,12 +389,12 @@
             case Refuse():
                 held = self.owed(action.request)
                 if held is not None:
-                    self.tally.refuse(held.call.klass, action.why)
+                    self.metrics.record_rejection(held.call.klass, action.why)
                     held.call.client.on_rejected(held.call, action.retry_after_us)
             case Fail():
                 held = self.owed(action.request)
                 if held is not None:
-                    self.tally.failed[held.call.klass] += 1
+                    self.metrics.failed_by_class[held.call.klass] += 1
                     held.call.client.on_failed(held.call, held.timed_out)
             case Cancel():
                 self.cancel(action)
@@ -449,7 +449,7 @@
             return
 
         def on_end(result: AttemptResult) -> None:
-            if result.outcome is Outcome.OK and self.still.holds:
+            if result.outcome is Outcome.OK and self.stall_detector.is_holding:
                 self.post_urgent(lambda: self.attempt_ended(held, number, action.server, result))
             else:
                 self.post(lambda: self.attempt_ended(held, number, action.server, result), held)
@@ -471,7 +471,7 @@
 
         held.attempts.append(None)
         held.out += 1
-        self.tally.sent(action.server)
+        self.metrics.record_attempt(action.server)
         held.attempts[number] = self.upstream.start_attempt(
             action.server, payload, wait_us, on_end, on_response_start, may_start, action.begin_by_us
         )
@@ -494,9 +494,9 @@
 
     def attempt_ended(self, held: Held, number: int, server: int, result: AttemptResult) -> Event:
         held.out -= 1
-        self.tally.ended(server, result.outcome, result.latency_us)
-        if self.on_outcome is not None:
-            self.on_outcome(server, result.outcome, result.latency_us)
+        self.metrics.record_outcome(server, result.outcome, result.latency_us)
+        if self.on_attempt_outcome is not None:
+            self.on_attempt_outcome(server, result.outcome, result.latency_us)
         held.timed_out = result.outcome is Outcome.TIMEOUT
         if held.stream is not None and number == held.streaming:
             stream, held.stream = held.stream, None
--- a/cloverkeel/core/stall_detector.py
+++ b/cloverkeel/core/stall_detector.py
@@ -1,13 +1,15 @@
-"""Whether this process stood still, and when it may send again. Pure: readings of the clock come from outside.
+"""Whether this process stalled, and when it may send again. Pure: readings of the clock come from outside.
 
-A process that was paused, swapped out or starved may be told meanwhile that a host drains; the word waits in the
-kernel, or with a thread that stood still too. Its first act on waking must not be to send by its old list.
+A process that was paused, swapped out or starved may be notified meanwhile that a host drains; the notification waits
+in the kernel, or with a thread that stalled too. Its first act on waking must not be to send by its old list.
 
 Invariants:
-- nothing may be sent while it catches up;
-- it begins to catch up before the first send after a gap, whoever looks first: the beat, an event, or a write;
-- it ends when membership has read what was due, or after `hold_us`, and not before a further gap was looked for;
-- what came to this machine `gap_us` and a beat before a send has been read by then, unless the hold ran out.
+- nothing may be sent during a hold, while the endpoint source catches up;
+- a hold begins before the first send after a stall, whoever checks first: the heartbeat, an event, or a write;
+- it ends when the endpoint source has read what was due, or after `max_hold_us`, and not before a further stall was
+  checked for;
+- what came to this machine `threshold_us` and a heartbeat before a send has been read by then, unless the hold
+  expired.
 """
 
 from __future__ import annotations
@@ -15,46 +17,53 @@
 from dataclasses import dataclass
 from typing import Final
 
-BEAT_US: Final = 100_000  # between two looks at the clock, at the most, while the loop turns
-GAP_US: Final = 300_000  # between looks: more, and it stood still. Well under any grace: the rest is for the reading
-HOLD_US: Final = 300_000  # nothing is sent for longer than this, whether or not membership has answered
+HEARTBEAT_INTERVAL_US: Final = 100_000  # between two readings of the clock, at the most, while the loop turns
+STALL_THRESHOLD_US: Final = 300_000  # more between readings is a stall. Well under any grace: the rest is for reading
+MAX_HOLD_US: Final = 300_000  # nothing is sent for longer than this, whether or not the endpoint source has answered
 
 
 @dataclass(slots=True)
-class Stillness:
-    """Feed it readings of a clock that also counts suspends. Times in microseconds."""
-
-    seen_us: int
-    gap_us: int = GAP_US
-    hold_us: int = HOLD_US
-    holds: bool = False  # nothing may be sent
-    since_us: int = 0  # when the present hold began
-    stall_us: int = 0  # the gap that began it
-    gaps: int = 0
-    longest_us: int = 0
-    ran_out: int = 0  # holds that ended by their time
-    due_us: int = 0  # up to then nothing is amiss: what is asked for each send is this one comparison
+class StallDetector:
+    """Detects stalls from readings of a clock that also counts suspends. Times in microseconds."""
+
+    last_check_us: int
+    threshold_us: int = STALL_THRESHOLD_US
+    max_hold_us: int = MAX_HOLD_US
+    is_holding: bool = False  # nothing may be sent
+    hold_started_us: int = 0
+    stall_us: int = 0  # the length of the stall that began the hold
+    stall_count: int = 0
+    longest_stall_us: int = 0
+    expired_holds: int = 0  # holds that ended by their time
+    next_check_due_us: int = 0  # up to then nothing is amiss: what is asked for each send is this one comparison
 
     def __post_init__(self) -> None:
-        self.due_us = self.seen_us + self.gap_us
-
-    def look(self, now_us: int) -> bool:
-        """Take a reading; True if a gap ended with it, and a hold begins, or begins anew."""
-        gap_us, self.seen_us = now_us - self.seen_us, max(now_us, self.seen_us)
-        if gap_us <= self.gap_us:
-            if not self.holds:
-                self.due_us = self.seen_us + self.gap_us
+        self.next_check_due_us = self.last_check_us + self.threshold_us
+
+    def check(self, now_us: int) -> bool:
+        """Take a reading; True if a stall ended with it, and a hold begins, or begins anew."""
+        elapsed_us = now_us - self.last_check_us
+        self.last_check_us = max(now_us, self.last_check_us)
+        if elapsed_us <= self.threshold_us:
+            if not self.is_holding:
+                self.next_check_due_us = self.last_check_us + self.threshold_us
             return False
-        self.holds, self.due_us = True, -1
-        self.since_us, self.stall_us = now_us, gap_us
-        self.gaps += 1
-        self.longest_us = max(self.longest_us, gap_us)
+        self.is_holding = True
+        self.next_check_due_us = -1
+        self.hold_started_us = now_us
+        self.stall_us = elapsed_us
+        self.stall_count += 1
+        self.longest_stall_us = max(self.longest_stall_us, elapsed_us)
         return True
 
-    def end(self, now_us: int, caught_up: bool) -> bool:
-        """EndpointSource has caught up, or the hold's time may be over; True if what waited may go on now."""
-        if not self.holds or not (caught_up or now_us - self.since_us >= self.hold_us):
+    def end_hold(self, now_us: int, caught_up: bool) -> bool:
+        """End the hold if the endpoint source has caught up, or its time is over; True if it ended."""
+        if not self.is_holding:
+            return False
+        if not caught_up and now_us - self.hold_started_us < self.max_hold_us:
             return False
-        self.holds, self.due_us = False, self.seen_us + self.gap_us
-        self.ran_out += not caught_up
+        self.is_holding = False
+        self.next_check_due_us = self.last_check_us + self.threshold_us
+        if not caught_up:
+            self.expired_holds += 1
         return True
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -120,7 +120,7 @@
                     self.pause_accepting()
                 return
             if not self.has_room() and not self.make_way():
-                self.gateway.tally.at_the_door("full")
+                self.gateway.metrics.record_unserved("full")
                 accepted.close()  # it is told at once
                 continue
             task: asyncio.Task[object] = self.loop.create_task(self.take(accepted))
@@ -173,7 +173,7 @@
         now_s = self.loop.time()
         for connection in self.reading:
             if now_s - connection.read_s >= PAUSE_S:
-                self.gateway.tally.at_the_door("crowded")
+                self.gateway.metrics.record_unserved("crowded")
                 connection.abort()
                 return True
         return False
@@ -186,7 +186,7 @@
                 if now_s - since_s < age_s:
                     break
                 if connection.is_idle():
-                    self.gateway.tally.at_the_door("crowded")
+                    self.gateway.metrics.record_unserved("crowded")
                     connection.close()
                     return True
         return False
@@ -203,7 +203,7 @@
                 if now_s - since_s < limit_s:
                     break
                 if connection.is_idle():
-                    self.gateway.tally.at_the_door(why)
+                    self.gateway.metrics.record_unserved(why)
                     connection.close()
         for connection, since_s in list(self.reading.items()):
             if now_s - since_s >= READING_S and connection.is_late(now_s, now_s - since_s - READING_S):
@@ -211,7 +211,7 @@
         for connection, end_s in list(self.ending.items()):
             if now_s >= end_s and (connection.lingers or not connection.has_moved()):
                 if not connection.lingers:
-                    self.gateway.tally.at_the_door("unread")
+                    self.gateway.metrics.record_unserved("unread")
                 connection.abort()
             elif now_s >= end_s:
                 self.ending[connection] = now_s + STUCK_S
@@ -221,7 +221,7 @@
             if connection.has_moved():
                 self.streaming[connection] = now_s
             elif now_s - since_s >= STALL_S:
-                self.gateway.tally.at_the_door("unread")
+                self.gateway.metrics.record_unserved("unread")
                 connection.abort()
 
     # Emptying: core/draining.py says when
@@ -255,7 +255,7 @@
         if now_s >= timetable.accept_s:
             self.stop_listening()
         if self.ending_for_good and now_s >= timetable.end_s:
-            self.gateway.answer_all()
+            self.gateway.answer_all_requests()
         at_s = self.loop.time()
         for connection in list(self.reading):
             if timetable.may_give_up(now_s, at_s - connection.read_s):
@@ -475,7 +475,7 @@
         try:
             self.take(request)
         except RequestError as error:
-            self.server.gateway.tally.at_the_door(f"{error.status} {error}")
+            self.server.gateway.metrics.record_unserved(f"{error.status} {error}")
             self.answer(error.status, error.headers, f"{error}\n".encode())
 
     def take(self, request: Request) -> None:
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -66,21 +66,21 @@
             return
         # It begins with none: a process before this one may have spent its own a moment ago. From now on, not from
         # when the socket is there: while its gateway is replaced that may be long.
-        self.gateway.retry_rights(CAP, -self.gateway.balancer.retry_state(self.clock())[0])
+        self.gateway.grant_retry_tokens(CAP, -self.gateway.balancer.retry_state(self.clock())[0])
         self.datagrams.join(MAGIC, self)
 
     def opened(self) -> None:
         """The socket is there."""
         self.exchange.begin(self.clock())
-        self.gateway.after_gap.append(self.on_gap)
-        self.gateway.on_outcome = self.on_outcome
+        self.gateway.stall_listeners.append(self.on_gap)
+        self.gateway.on_attempt_outcome = self.on_outcome
         self.look()
 
     def leave(self) -> None:
         """The way out has begun: it goes on listening, and its going is seen."""
 
     def close(self) -> None:
-        self.gateway.on_outcome = None
+        self.gateway.on_attempt_outcome = None
         for handle in (self.timer, self.looker):
             if handle is not None:
                 handle.cancel()
@@ -91,10 +91,10 @@
     def look(self) -> None:
         self.looker = self.loop.call_later(LOOK_S, self.look)  # first: nothing below may end it
         at_us = self.clock()
-        tally, counts = self.gateway.tally, self.exchange.counts
-        self.exchange.requests = sum(tally.asked) + tally.asked_before
+        metrics, counts = self.gateway.metrics, self.exchange.counts
+        self.exchange.requests = sum(metrics.received_by_class) + metrics.received_before
         doubted = sum(known.doubted for known in self.exchange.passed.values())
-        tally.sharing = [doubted, counts.first, counts.confirmed, counts.heard, counts.sent, counts.sent_bytes]
+        metrics.gossip = [doubted, counts.first, counts.confirmed, counts.heard, counts.sent, counts.sent_bytes]
         self.note_silences(at_us)
         if self.gateway.balancer.retry_state(at_us)[1]:
             self.exchange.want_rights(at_us)
@@ -160,7 +160,7 @@
         started_us = self.gateway.balancer.start_of(server)
         if started_us < 0 or stamp_of(started_us) != started:
             return  # a host of before, or one that this gateway's list does not name
-        self.gateway.hearsay(
+        self.gateway.report_peer_health(
             server, started_us, known.good, known.bad, known.reporters, known.well, known.until_us
         )  # fmt: skip
 
@@ -171,11 +171,11 @@
         before, wanting = self.gateway.balancer.retry_state(self.clock())
         if wanting or before < LEAST:
             return 0.0
-        self.gateway.retry_rights(CAP, -min(most, before))
+        self.gateway.grant_retry_tokens(CAP, -min(most, before))
         return max(0.0, before - self.gateway.balancer.retry_state(self.clock())[0])
 
     def put(self, amount: float, until_us: int) -> None:
-        self.gateway.retry_rights(CAP, amount, until_us)
+        self.gateway.grant_retry_tokens(CAP, amount, until_us)
 
     # Datagrams
 
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -53,12 +53,12 @@
         self.number = config.settings.proxy
         nonce = random.SystemRandom().getrandbits(32)
         self.terms = Terms(options.voters, options.lease_ms * 1000)
-        self.colds = Colds(gateway.cold_share)
+        self.colds = Colds(gateway.set_slow_start_quota)
         counter = Counter(self.number, nonce)
         dice = random.Random(nonce)
         self.office = Office(self.number, len(config.peers), self.terms, log, dice.random, counter, None, nonce)
         self.trier = options.trier
-        self.outs = Outs(config.settings.zone, gateway.hold_trials)
+        self.outs = Outs(config.settings.zone, gateway.suspend_probes)
         self.nodes: DutyNodes | None = None
         if options.store == "ephemeral":
             # Imported here alone: kazoo and its threads cost memory.
@@ -81,8 +81,8 @@
         if self.number in range(len(self.peers)) and (self.nodes or len(self.peers) >= self.terms.majority):
             # What a process before this one has lent may still be out.
             if self.warden:
-                self.gateway.cold_share(-1, 0, self.clock() + LEND_US, 0.0, 0)
-            self.gateway.after_gap.append(self.on_gap)
+                self.gateway.set_slow_start_quota(-1, 0, self.clock() + LEND_US, 0.0, 0)
+            self.gateway.stall_listeners.append(self.on_gap)
             if self.nodes is not None:
                 self.nodes.start()
             self.datagrams.join(MAGIC, self)
@@ -131,7 +131,7 @@
         self.work()
         counts, held = self.office.counts, len(self.colds.wardens) + len(self.outs.held)
         if counts.began or self.colds.lent or self.colds.taken or self.outs.held_back:
-            self.gateway.tally.duties = [
+            self.gateway.metrics.leases = [
                 held, counts.began, counts.lost, self.colds.lent, self.colds.taken, self.outs.held_back,
             ]  # fmt: skip
 
--- a/tests/golden/core.py
+++ b/tests/golden/core.py
@@ -9,7 +9,7 @@
 from benchmarks.fleet_logs import Count, Second
 from cloverkeel.balancing.interface import Outcome
 from cloverkeel.core.log import log_if_read
-from cloverkeel.core.metrics import ENDS, MOST_HOSTS, Tally
+from cloverkeel.core.metrics import COLUMN_BY_OUTCOME, MAX_HOSTS_A_LINE, GatewayMetrics
 from tests.golden.store import Sample, SamplesByName
 
 AT_US: Final = 1_796_119_613_761_000
@@ -17,43 +17,43 @@
 SERVER: Final = 0x5BE2A07C
 
 
-def _metrics() -> Tally:
+def _metrics() -> GatewayMetrics:
     """Return sums of a second in which every figure is another one."""
-    metrics = Tally(3)
-    metrics.asked[:] = [31, 32, 33]
-    metrics.refuse(0, "shed")
-    metrics.refuse(2, "no server")
-    metrics.refuse(2, "no server")
-    metrics.failed[1] = 4
-    for count, outcome in enumerate(ENDS, 1):
+    metrics = GatewayMetrics(3)
+    metrics.received_by_class[:] = [31, 32, 33]
+    metrics.record_rejection(0, "shed")
+    metrics.record_rejection(2, "no server")
+    metrics.record_rejection(2, "no server")
+    metrics.failed_by_class[1] = 4
+    for count, outcome in enumerate(COLUMN_BY_OUTCOME, 1):
         for _ in range(count):
-            metrics.sent(SERVER)
-            metrics.ended(SERVER, outcome, 20_000 + count)
-    metrics.ended(SERVER, Outcome.MOOT, 1)
-    metrics.sent(7)
+            metrics.record_attempt(SERVER)
+            metrics.record_outcome(SERVER, outcome, 20_000 + count)
+    metrics.record_outcome(SERVER, Outcome.MOOT, 1)
+    metrics.record_attempt(7)
     return metrics
 
 
-def _full_metrics() -> Tally:
+def _full_metrics() -> GatewayMetrics:
     metrics = _metrics()
-    metrics.at_the_door("full")
-    metrics.at_the_door("400 expected a name")
-    metrics.duties = [1, 2, 3, 4, 5, 6]
-    metrics.sharing = [7, 8, 9, 10, 11, 12]
+    metrics.record_unserved("full")
+    metrics.record_unserved("400 expected a name")
+    metrics.leases = [1, 2, 3, 4, 5, 6]
+    metrics.gossip = [7, 8, 9, 10, 11, 12]
     return metrics
 
 
-def _crowded_metrics() -> Tally:
+def _crowded_metrics() -> GatewayMetrics:
     """Return sums of more hosts than one line names."""
-    metrics = Tally(1)
-    for server in range(MOST_HOSTS + 3):
-        metrics.sent(server)
+    metrics = GatewayMetrics(1)
+    for server in range(MAX_HOSTS_A_LINE + 3):
+        metrics.record_attempt(server)
     return metrics
 
 
-def _logged(metrics: Tally) -> bytes:
+def _logged(metrics: GatewayMetrics) -> bytes:
     """Return the line as it leaves the process on standard error."""
-    line = metrics.line(AT_US, SHED, 5, 6)
+    line = metrics.format_line(AT_US, SHED, 5, 6)
     assert line is not None
     errors = io.StringIO()
     with contextlib.redirect_stderr(errors):
@@ -69,17 +69,18 @@
     return dict(count.seconds)
 
 
-def _second(metrics: Tally) -> dict[int, Second]:
+def _second(metrics: GatewayMetrics) -> dict[int, Second]:
     second = Second()
     second.add({
-        "asked": metrics.asked, "refused": metrics.refused, "why": metrics.why, "failed": metrics.failed,
-        "shed": [0.13, 0.5], "opened": 5, "lines": 6, "door": metrics.door,
-        "hosts": {"others" if server < 0 else f"{server:08x}": row for server, row in metrics.hosts.items()},
-    } | ({"sharing": metrics.sharing} if metrics.sharing else {}))  # fmt: skip
+        "asked": metrics.received_by_class, "refused": metrics.rejected_by_class,
+        "why": metrics.rejections_by_reason, "failed": metrics.failed_by_class,
+        "shed": [0.13, 0.5], "opened": 5, "lines": 6, "door": metrics.unserved_by_reason,
+        "hosts": {"others" if server < 0 else f"{server:08x}": row for server, row in metrics.row_by_server.items()},
+    } | ({"sharing": metrics.gossip} if metrics.gossip else {}))  # fmt: skip
     return {AT_US // 1_000_000: second}
 
 
-def _line(metrics: Tally) -> Sample:
+def _line(metrics: GatewayMetrics) -> Sample:
     return Sample(lambda: _logged(metrics), _read, _second(metrics))
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -336,13 +336,13 @@
 
         turned_away = answers(reply(503, b"", "X-Rejected: 1"))
         async with peer(turned_away) as one, peer(turned_away) as other, running(configuration(one, other)) as run:
-            run.gateway.on_outcome = leave
+            run.gateway.on_attempt_outcome = leave
             client.connect(("127.0.0.1", run.port))
             client.sendall(request("search"))
             await until(lambda: one.seen or other.seen)
             await until(lambda: not run.gateway.held and not run.server.connections)
             assert len(one.seen) + len(other.seen) == 1
-            run.gateway.on_outcome = None
+            run.gateway.on_attempt_outcome = None
             assert (await run.ask(request())).status == 503  # one that stays is tried at both
             assert len(one.seen) + len(other.seen) == 3
 
--- a/tests/test_duties_room.py
+++ b/tests/test_duties_room.py
@@ -58,12 +58,12 @@
 
     def __init__(self, clock: Clock) -> None:
         self.still, self.balancer = Still(clock), self
-        self.after_gap: list[object] = []
-        self.tally = self
+        self.stall_listeners: list[object] = []
+        self.metrics = self
 
-    def cold_share(self, *told: object) -> None: ...
+    def set_slow_start_quota(self, *told: object) -> None: ...
 
-    def hold_trials(self, *told: object) -> None: ...
+    def suspend_probes(self, *told: object) -> None: ...
 
     def cold_needs(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
         return [(5, 1, True, False)]
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -13,7 +13,7 @@
 
 from benchmarks.fleet_logs import Count, main
 from cloverkeel.balancing.interface import Outcome
-from cloverkeel.core.metrics import MOST_HOSTS, OTHERS, Tally
+from cloverkeel.core.metrics import MAX_HOSTS_A_LINE, OTHER_HOSTS, GatewayMetrics
 from standins.parties.fleet import ROOT
 from tests.sockets import configuration, on_loop, peer, request, silent
 from tests.test_gateway_process import ask, program
@@ -22,51 +22,51 @@
 
 
 def tally(sent: int, ok: int, refused: int = 0) -> str:
-    tally = Tally(2)
+    tally = GatewayMetrics(2)
     for _ in range(sent):
-        tally.asked[0] += 1
-        tally.sent(7)
+        tally.received_by_class[0] += 1
+        tally.record_attempt(7)
     for _ in range(ok):
-        tally.ended(7, Outcome.OK, 20_000)
+        tally.record_outcome(7, Outcome.OK, 20_000)
     for _ in range(refused):
-        tally.asked[1] += 1
-        tally.refuse(1, "shed")
-    line = tally.line(AT_US, (0.25, 0.5), opened=2, entries=3)
+        tally.received_by_class[1] += 1
+        tally.record_rejection(1, "shed")
+    line = tally.format_line(AT_US, (0.25, 0.5), opened=2, entries=3)
     assert line is not None
     return f"0.100 cloverkeel: {line}\n"
 
 
 def test_a_second_without_events_has_no_line() -> None:
-    empty = Tally(2)
-    assert empty.line(AT_US, (0.0, 0.0), 0, 0) is None
-    empty.sent(1)
-    first = empty.line(AT_US, (0.0, 0.0), 0, 0)
-    empty.sent(1)
-    later = empty.line(AT_US, (0.0, 0.0), 0, 0)
+    empty = GatewayMetrics(2)
+    assert empty.format_line(AT_US, (0.0, 0.0), 0, 0) is None
+    empty.record_attempt(1)
+    first = empty.format_line(AT_US, (0.0, 0.0), 0, 0)
+    empty.record_attempt(1)
+    later = empty.format_line(AT_US, (0.0, 0.0), 0, 0)
     assert first is not None and later is not None
     assert "[1,0" in first and "[2,0" in later  # what was not written goes on
-    empty.begin_anew()
-    assert empty.line(AT_US, (0.0, 0.0), 0, 0) is None
-    empty.refuse(0, "shed")
-    assert empty.line(AT_US, (0.0, 0.0), 0, 0) is not None
+    empty.reset()
+    assert empty.format_line(AT_US, (0.0, 0.0), 0, 0) is None
+    empty.record_rejection(0, "shed")
+    assert empty.format_line(AT_US, (0.0, 0.0), 0, 0) is not None
 
 
 def test_a_line_is_bounded_however_many_hosts_there_are() -> None:
-    many = Tally(1)
-    for server in range(3 * MOST_HOSTS):
-        many.sent(0xFFFF0000 + server)
+    many = GatewayMetrics(1)
+    for server in range(3 * MAX_HOSTS_A_LINE):
+        many.record_attempt(0xFFFF0000 + server)
         for _ in range(20):
-            many.ended(0xFFFF0000 + server, Outcome.OK, 900_000)
-    assert len(many.hosts) == MOST_HOSTS + 1
-    assert many.hosts[OTHERS][0] == 2 * MOST_HOSTS
-    line = many.line(AT_US, (0.0, 0.0), 0, 0)
+            many.record_outcome(0xFFFF0000 + server, Outcome.OK, 900_000)
+    assert len(many.row_by_server) == MAX_HOSTS_A_LINE + 1
+    assert many.row_by_server[OTHER_HOSTS][0] == 2 * MAX_HOSTS_A_LINE
+    line = many.format_line(AT_US, (0.0, 0.0), 0, 0)
     assert line is not None and len(line) < 4000
 
 
 def test_an_attempt_that_was_never_sent_is_no_outcome() -> None:
-    moot = Tally(1)
-    moot.ended(1, Outcome.MOOT, 0)
-    assert not moot.hosts
+    moot = GatewayMetrics(1)
+    moot.record_outcome(1, Outcome.MOOT, 0)
+    assert not moot.row_by_server
 
 
 def test_two_gateways_are_added_up_and_what_is_broken_is_counted() -> None:
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -145,7 +145,7 @@
         await until(lambda: host.seen)
         names = parse(configuration(host)).names
         _, _, entries = parse_list(hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names)
-        run.gateway.on_list(ListKind.DELTA, entries)
+        run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         assert (await run.ask(request())).status == 503  # nowhere to go
         host.seen[0].answer(reply(200, b"done"))
         assert (await asking).body == b"done"
@@ -179,7 +179,7 @@
         await until(lambda: old.seen)
         names = parse(configuration(old)).names
         _, _, entries = parse_list(hosts_list(8, endpoint("s-0", new.address)), names)
-        run.gateway.on_list(ListKind.DELTA, entries)
+        run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         old.seen[0].answer(reply())
         await asking
         assert not idle(run)  # the old connection is not kept for the new address
@@ -194,7 +194,7 @@
         assert (await run.ask(request())).status == 200
         for since_ms, kept in ((0, 1), (1_000, 0)):
             _, _, entries = parse_list(hosts_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names)
-            run.gateway.on_list(ListKind.DELTA, entries)
+            run.gateway.on_endpoint_list(ListKind.DELTA, entries)
             assert len(idle(run)) == kept
         assert (await run.ask(request())).status == 200
         assert host.opened == 2
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -196,19 +196,19 @@
 @on_loop
 async def test_between_the_parts_of_a_long_list_the_loop_has_its_turns() -> None:
     async with running(configuration("127.0.0.1:9")) as run:
-        run.gateway.on_list(ListKind.FULL, serving(range(500)))  # nearly all new: told in one piece
+        run.gateway.on_endpoint_list(ListKind.FULL, serving(range(500)))  # nearly all new: told in one piece
         lists = lists_told(run)
         gone = {*range(20), *range(491, 499), *run.module.servers} - {*range(20, 491), 499}
         anew, drains = word(490, started_us=BEGIN_US), word(499, ServerStatus.DRAINING)
         listed = [*serving(range(20, 490), weight=0.5), *serving(range(500, 600)), anew, drains]
-        run.gateway.on_list(ListKind.FULL, listed)
+        run.gateway.on_endpoint_list(ListKind.FULL, listed)
         first = lists.pop()
         assert not lists and first.kind is ListKind.DELTA  # at once: what restricts, and no more
         assert {entry.server for entry in first.servers if entry.status is ServerStatus.GONE} == gone
         assert first.servers[len(gone) :] == (anew.listed, drains.listed)
         assert not any(run.pool.has_host(number) for number in gone)
         last = next(reversed(run.gateway.slices.waiting.values()))
-        run.gateway.on_list(ListKind.DELTA, [word(last.listed.server, ServerStatus.GONE)])
+        run.gateway.on_endpoint_list(ListKind.DELTA, [word(last.listed.server, ServerStatus.GONE)])
         assert lists.pop().servers[0].status is ServerStatus.GONE and not lists  # ahead of what waits
         turns = 0
         while run.gateway.slices.waiting:
@@ -226,7 +226,7 @@
     async with running(configuration("127.0.0.1:9")) as run:
         lists = lists_told(run)
         for listed in (serving(range(AT_ONCE)), serving(range(5, AT_ONCE + 5), weight=0.5)):
-            run.gateway.on_list(ListKind.FULL, listed)
+            run.gateway.on_endpoint_list(ListKind.FULL, listed)
             assert lists.pop() == ServerList(ListKind.FULL, tuple(entry.listed for entry in listed)) and not lists
 
 
@@ -234,16 +234,18 @@
 async def test_after_a_gap_the_whole_list_is_told_before_anything_is_sent() -> None:
     """Also what waited since before it."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
-        run.gateway.on_list(ListKind.DELTA, serving(range(300)))
-        run.gateway.on_list(ListKind.DELTA, serving(range(300), weight=0.5))
+        run.gateway.on_endpoint_list(ListKind.DELTA, serving(range(300)))
+        run.gateway.on_endpoint_list(ListKind.DELTA, serving(range(300), weight=0.5))
         assert run.gateway.slices.waiting
-        run.gateway.look(run.gateway.still.seen_us + 10_000_000)  # a gap was seen: nothing may be sent
+        run.gateway.check_stall(
+            run.gateway.stall_detector.last_check_us + 10_000_000
+        )  # a gap was seen: nothing may be sent
         await asyncio.sleep(0)
-        assert not run.gateway.slices.waiting and run.gateway.still.holds
-        run.gateway.on_list(ListKind.DELTA, [word(7, weight=0.25)])
+        assert not run.gateway.slices.waiting and run.gateway.stall_detector.is_holding
+        run.gateway.on_endpoint_list(ListKind.DELTA, [word(7, weight=0.25)])
         weights = {number: run.module.servers[number].entry.weight for number in range(300)}
         assert weights.pop(7) == 0.25 and set(weights.values()) == {0.5}
-        run.gateway.on_list(ListKind.DELTA, serving(range(300), weight=0.75))
+        run.gateway.on_endpoint_list(ListKind.DELTA, serving(range(300), weight=0.75))
         assert {run.module.servers[number].entry.weight for number in range(300)} == {0.75}
 
 
@@ -264,12 +266,12 @@
     """Through forty lists, each of other hosts: what is frozen is as much as after the first ones."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         freezer = Freezer(asyncio.get_running_loop().call_soon)
-        run.gateway.on_told = freezer.took
+        run.gateway.on_endpoints_applied = freezer.took
         with nothing_frozen():
             frozen: list[int] = []
             for turn in range(40):
                 hosts = [*serving(range(turn * 600, turn * 600 + 600))]
-                run.gateway.on_list(ListKind.FULL, hosts)
+                run.gateway.on_endpoint_list(ListKind.FULL, hosts)
                 del hosts
                 while run.gateway.slices.waiting or freezer.due:
                     await asyncio.sleep(0)
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -162,7 +162,7 @@
             steps.close()
             if len(by_steps.told) > before:
                 at_once.discovery.take(body)
-                at_once.gateway.on_list(ListKind.DELTA, [])
+                at_once.gateway.on_endpoint_list(ListKind.DELTA, [])
             assert by_steps.discovery.plan.index == at_once.discovery.plan.index
         while by_steps.gateway.slices.waiting or at_once.gateway.slices.waiting:
             await asyncio.sleep(0)
@@ -427,7 +427,9 @@
         run.gateway.start()
         client = await run.connect()
         await reading(run)
-        run.gateway.look(run.gateway.still.seen_us + 1_000_000)  # a gap, too short to ask anew after it
+        run.gateway.check_stall(
+            run.gateway.stall_detector.last_check_us + 1_000_000
+        )  # a gap, too short to ask anew after it
         client.send(request())
         assert (await client.answer()).status == 200
         assert order == ["list", "request"]
--- a/tests/test_sharing_commands.py
+++ b/tests/test_sharing_commands.py
@@ -19,7 +19,7 @@
 from cloverkeel.core.config import ConfigError
 from cloverkeel.core.config import parse as parse_config
 from cloverkeel.core.options import Options, Sharing, parse
-from cloverkeel.core.metrics import Tally
+from cloverkeel.core.metrics import GatewayMetrics
 from cloverkeel.gossip.commands import differences, main
 from cloverkeel.gossip.retry_tokens import CAP
 from tests.sockets import configuration, on_loop
@@ -101,14 +101,14 @@
 def test_tallies_of_a_fleet_are_added_up() -> None:
     count = Count()
     for doubts in (1, 2):
-        tally = Tally(1)
-        tally.asked[0] = 5
-        tally.sharing = [doubts, 3, 1, 2, 40, 2_000]
-        line = tally.line(1_700_000_000_000_000, (0.0, 0.0), 0, 0)
+        tally = GatewayMetrics(1)
+        tally.received_by_class[0] = 5
+        tally.gossip = [doubts, 3, 1, 2, 40, 2_000]
+        line = tally.format_line(1_700_000_000_000_000, (0.0, 0.0), 0, 0)
         assert line is not None
         count.read([f"0.100 cloverkeel: {line}"])
-        tally.begin_anew()
-        assert tally.asked_before == 5
+        tally.reset()
+        assert tally.received_before == 5
     ((_, second),) = count.seconds.items()
     assert second.sharing == [3, 6, 2, 4, 80, 4_000] and not count.unread
     assert "in doubt 3, told 6, 4000 bytes so far" in "".join(table(count, False, 0, 9))
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 
 from cloverkeel.core import clock
-from cloverkeel.core.stall_detector import BEAT_US, GAP_US, HOLD_US, Stillness
+from cloverkeel.core.stall_detector import HEARTBEAT_INTERVAL_US, STALL_THRESHOLD_US, MAX_HOLD_US, StallDetector
 
 from tests.sockets import Message, Running, configuration, endpoint, hosts_list, on_loop, read_message, reply, request
 from tests.sockets import running, until
@@ -31,7 +31,11 @@
 # The decision
 
 
-STANDS_US = st.integers(0, GAP_US) | st.integers(GAP_US - 10, GAP_US + 10) | st.integers(0, 5_000_000)
+STANDS_US = (
+    st.integers(0, STALL_THRESHOLD_US)
+    | st.integers(STALL_THRESHOLD_US - 10, STALL_THRESHOLD_US + 10)
+    | st.integers(0, 5_000_000)
+)
 
 
 class Loop:
@@ -39,7 +43,7 @@
 
     def __init__(self) -> None:
         self.now_us = 1_000_000
-        self.still = Stillness(self.now_us)
+        self.still = StallDetector(self.now_us)
         self.unread: list[int] = []  # when each came to this machine
 
     def stand(self, us: int, word_at: int | None) -> None:
@@ -49,26 +53,26 @@
         self.now_us += us
 
     def look(self) -> None:
-        self.still.look(self.now_us)
+        self.still.check(self.now_us)
 
     def turn(self) -> None:
         """The loop reads what has come; in a hold that is for membership to say."""
-        if not self.still.holds:
+        if not self.still.is_holding:
             self.unread.clear()
 
     def send(self) -> None:
         self.look()
-        if not self.still.holds:
-            assert all(self.now_us - word_us <= GAP_US for word_us in self.unread)
+        if not self.still.is_holding:
+            assert all(self.now_us - word_us <= STALL_THRESHOLD_US for word_us in self.unread)
 
     def end(self, caught_up: bool) -> None:
         """Membership has read what there was, or the time of the hold is looked at."""
         self.look()
-        if self.still.holds and caught_up:
+        if self.still.is_holding and caught_up:
             self.unread.clear()
-        since_us = self.still.since_us
-        if self.still.end(self.now_us, caught_up) and not caught_up:
-            assert self.now_us - since_us >= HOLD_US
+        since_us = self.still.hold_started_us
+        if self.still.end_hold(self.now_us, caught_up) and not caught_up:
+            assert self.now_us - since_us >= MAX_HOLD_US
             self.unread.clear()  # it goes on without: that is the bound
 
 
@@ -101,22 +105,22 @@
 
 
 def test_a_gap_of_just_under_the_limit_each_second_holds_nothing_up() -> None:
-    still = Stillness(0)
+    still = StallDetector(0)
     for second in range(1, 100):
-        still.look(second * 1_000_000 - GAP_US)
-        for beat in range(1_000_000 - GAP_US, 0, -BEAT_US):
-            still.look(second * 1_000_000 - beat + (1_000_000 - GAP_US) - GAP_US)
-    assert not Stillness(0).look(GAP_US) and Stillness(0).look(GAP_US + 1)
+        still.check(second * 1_000_000 - STALL_THRESHOLD_US)
+        for beat in range(1_000_000 - STALL_THRESHOLD_US, 0, -HEARTBEAT_INTERVAL_US):
+            still.check(second * 1_000_000 - beat + (1_000_000 - STALL_THRESHOLD_US) - STALL_THRESHOLD_US)
+    assert not StallDetector(0).check(STALL_THRESHOLD_US) and StallDetector(0).check(STALL_THRESHOLD_US + 1)
 
 
 def test_a_second_gap_begins_the_hold_anew_and_a_clock_that_steps_back_is_none() -> None:
-    still = Stillness(0)
-    assert still.look(1_000_000) and still.holds and still.stall_us == 1_000_000
-    assert not still.end(1_000_000 + HOLD_US - 1, caught_up=False)
-    assert still.look(1_900_000) and still.since_us == 1_900_000 and still.gaps == 2
-    assert not still.look(1_200_000) and not still.look(1_900_000 + GAP_US)
-    assert still.end(1_900_000 + HOLD_US, caught_up=False) and still.ran_out == 1
-    assert not still.end(1_900_000 + HOLD_US, caught_up=True)
+    still = StallDetector(0)
+    assert still.check(1_000_000) and still.is_holding and still.stall_us == 1_000_000
+    assert not still.end_hold(1_000_000 + MAX_HOLD_US - 1, caught_up=False)
+    assert still.check(1_900_000) and still.hold_started_us == 1_900_000 and still.stall_count == 2
+    assert not still.check(1_200_000) and not still.check(1_900_000 + STALL_THRESHOLD_US)
+    assert still.end_hold(1_900_000 + MAX_HOLD_US, caught_up=False) and still.expired_holds == 1
+    assert not still.end_hold(1_900_000 + MAX_HOLD_US, caught_up=True)
 
 
 def test_the_clock_counts_suspends(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -242,7 +246,7 @@
         at.tell("DRAINING")
         stand_still()
         assert (await at.answer(client)).status == 503
-        assert at.run.pool.counts.opened == 0 and at.run.gateway.still.gaps >= 1
+        assert at.run.pool.counts.opened == 0 and at.run.gateway.stall_detector.stall_count >= 1
 
 
 @on_loop
@@ -254,7 +258,7 @@
         begun = time.monotonic()
         line = await at.accept()
         assert b"GET /search" in await line.hear()
-        assert time.monotonic() - begun < HOLD_US / 2e6
+        assert time.monotonic() - begun < MAX_HOLD_US / 2e6
         line.say(reply(200))
         assert (await at.answer(client)).status == 200
 
@@ -315,8 +319,8 @@
         stand_still()
         begun = time.monotonic()
         line = await at.accept()
-        assert HOLD_US / 1e6 * 0.9 < time.monotonic() - begun < HOLD_US / 1e6 + 1.0
-        assert at.run.gateway.still.ran_out == 1
+        assert MAX_HOLD_US / 1e6 * 0.9 < time.monotonic() - begun < MAX_HOLD_US / 1e6 + 1.0
+        assert at.run.gateway.stall_detector.expired_holds == 1
         line.say(reply(200))
         assert (await at.answer(client)).status == 200
 
@@ -328,12 +332,12 @@
         clients[0].say(request(budget_ms=100))  # it is the first to be looked at, and finds the gap
         at.registry.say(b"HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{")
         stand_still()
-        await until(lambda: at.run.gateway.still.holds)
+        await until(lambda: at.run.gateway.stall_detector.is_holding)
         clients[1].say(request(budget_ms=60))
         begun = time.monotonic()
         answers = await asyncio.gather(*(at.answer(client) for client in clients))
         assert [answer.status for answer in answers] == [503, 503]
-        assert time.monotonic() - begun < 0.9 * HOLD_US / 1e6 and at.run.gateway.still.holds
+        assert time.monotonic() - begun < 0.9 * MAX_HOLD_US / 1e6 and at.run.gateway.stall_detector.is_holding
         assert at.run.pool.counts.opened == 0 and not at.run.gateway.held
 
 
@@ -353,8 +357,11 @@
             waiting = discovery.line.answer
             assert waiting is not None
             waiting.add_done_callback(lambda _: client.say(request()))
-        still = at.run.gateway.still
-        still.seen_us, still.due_us = still.seen_us - 5_000_000, still.due_us - 5_000_000
+        still = at.run.gateway.stall_detector
+        still.last_check_us, still.next_check_due_us = (
+            still.last_check_us - 5_000_000,
+            still.next_check_due_us - 5_000_000,
+        )
         # What still asks by the version of before is let go: the one call that is out is made anew.
         sock, _ = await asyncio.get_running_loop().sock_accept(at.listener)
         again = Line(sock)
@@ -362,8 +369,8 @@
         while b"from=8&hold_ms=1000 " in await at.registry.hear():
             pass  # at most one, before the gap was noticed; then its end
         assert at.run.pool.counts.opened == 0
-        assert at.run.gateway.still.holds
-        await until(lambda: not at.run.gateway.still.holds)
+        assert at.run.gateway.stall_detector.is_holding
+        await until(lambda: not at.run.gateway.stall_detector.is_holding)
         line = await at.accept()
         line.say(reply(200))
         assert (await at.answer(client)).status == 200
