--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -115,7 +115,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(5_000, 10, 10)
-        gateway.on_endpoints_applied = Freezer(asyncio.get_running_loop().call_soon).took
+        gateway.endpoint_updates.on_applied = Freezer(asyncio.get_running_loop().call_soon).took
         passes: list[float] = []  # full ones of the collector, whoever began them, in ms
         pass_began = 0.0
 
@@ -138,7 +138,7 @@
             """CPU of one answer and the longest turn of the loop until all of it is told, both in ms."""
             longest, cpu, began = 0.0, time.process_time(), time.perf_counter()
             taking = loop.create_task(discovery.take_in(reply))
-            while not taking.done() or gateway.slices.waiting:
+            while not taking.done() or gateway.endpoint_updates.batches.waiting:
                 await asyncio.sleep(0)
                 longest, began = max(longest, time.perf_counter() - began), time.perf_counter()
             taking.result()
--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -13,7 +13,7 @@
     """An event that the module fails at ends the turn; nobody is answered."""
     from cloverkeel.core.gateway import Gateway
 
-    cut(Gateway, "handle", ("except Exception:\n        # Guards against one bad", "except MemoryError:\n        #"))
+    cut(Gateway, "_decide", ("except Exception:\n        # Guards against one bad", "except MemoryError:\n        #"))
 
 
 @entry("answers-action-error")
@@ -22,7 +22,7 @@
     from cloverkeel.core.gateway import Gateway
 
     cut(
-        Gateway, "handle",
+        Gateway, "handle_event",
         ("except Exception:\n            # Guards the client", "except MemoryError:\n            #"),
     )  # fmt: skip
 
@@ -30,17 +30,17 @@
 @entry("answer-owed")
 def _() -> None:
     """A final answer is carried out for a request that is over."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.request_table import RequestTable
 
-    cut(Gateway, "owed", ("held is None or held.closed", "held is None"))
+    cut(RequestTable, "claim_response", ("not request.awaits_response()", "request.stream is not None"))
 
 
 @entry("deadline-gateway")
 def _() -> None:
     """The gateway waits for as long as the module says, past the client's deadline too."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.dispatcher import ActionDispatcher
 
-    cut(Gateway, "send", ("min(action.timeout_us, left_us)", "action.timeout_us"))
+    cut(ActionDispatcher, "send_attempt", ("min(action.timeout_us, left_us)", "action.timeout_us"))
 
 
 @entry("ids-in-use")
@@ -48,15 +48,15 @@
     """A request with the id of one that is open is taken."""
     from cloverkeel.core.gateway import Gateway
 
-    cut(Gateway, "arrive", ("if call.id in self.by_id:", "if False:"))
+    cut(Gateway, "admit_request", ("if self.requests.has_client_id(call.id_):", "if False:"))
 
 
 @entry("tickets")
 def _() -> None:
     """The module knows a request by its client's id."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.request_table import RequestTable
 
-    cut(Gateway, "arrive", ("str(next(self.tickets))", "call.id"))
+    cut(RequestTable, "add", ("str(next(self.keys))", "call.id_"))
 
 
 def other_way_out(**changes: Any) -> None:
@@ -105,27 +105,27 @@
 @entry("budget-as-written")
 def _() -> None:
     """A host is told the time that was left when its connection was asked for."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.dispatcher import RequestAttempt
 
-    cut(Gateway, "send", ("(end_us - at_us)", "wait_us"))
+    cut(RequestAttempt, "build_payload", ("self.timeout_us - (at_us - self.started_us)", "self.timeout_us"))
 
 
 @entry("attempts-gateway")
 def _() -> None:
     """The gateway counts no attempts."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.dispatcher import ActionDispatcher
 
-    cut(Gateway, "send", ("or number >= self.settings.max_attempts", ""))
+    cut(ActionDispatcher, "send_attempt", ("or index >= self.settings.max_attempts", ""))
 
 
 @entry("wanted")
 def _() -> None:
     """An attempt whose connection comes up goes out, whoever waits for it."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.dispatcher import RequestAttempt
 
     cut(
-        Gateway, "send",
-        ("return not held.closed and held.stream is None and not held.call.client.has_disconnected()", "return True"),
+        RequestAttempt, "may_start",
+        ("return request.awaits_response() and not request.call.client.has_disconnected()", "return True"),
     )  # fmt: skip
 
 
@@ -136,7 +136,8 @@
 
     cut(
         Gateway, "on_endpoint_list",
-        ("self.lists.append((kind, entries))", "self.events.append((lambda: self.take_list(kind, entries), None))"),
+        ("self.queue.post_endpoint_list(kind, entries)",
+         "self.queue.post(lambda: self.endpoint_updates.apply_list(kind, entries))"),
     )  # fmt: skip
 
 
@@ -151,37 +152,34 @@
 @entry("broken-is-told")
 def _() -> None:
     """An answer that breaks off is ended as if it were whole."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.dispatcher import ActionDispatcher
 
-    cut(Gateway, "attempt_ended", (" if result.outcome is Outcome.OK else stream.on_aborted()", ""))
+    cut(ActionDispatcher, "_end_stream", ("stream.on_aborted()", "stream.on_complete()"))
 
 
 @entry("begun-gateway")
 def _() -> None:
     """What has an answer on its way to the client may be tried again."""
-    from cloverkeel.core.gateway import Gateway
+    from cloverkeel.core.dispatcher import ActionDispatcher
 
-    cut(
-        Gateway, "attempt_ended",
-        ("self.finish(held)\n            stream", "stream"),
-        ("held.closed, load)", "False, load)"),
-    )  # fmt: skip
+    cut(ActionDispatcher, "_end_stream", ("self.requests.mark_responded(request)", "pass"))
+    cut(ActionDispatcher, "end_attempt", ("request.is_responded, result", "False, result"))
 
 
 @entry("room")
 def _() -> None:
     """Large bodies are held without a bound."""
-    from cloverkeel.core.body_budget import Share
+    from cloverkeel.core.body_budget import BodyReservation
 
-    cut(Share, "grow", ("if self.room.used + size > self.room.size:", "if False:"))
+    cut(BodyReservation, "try_grow", ("if self.budget.used_bytes + size > self.budget.limit_bytes:", "if False:"))
 
 
 @entry("room-returns")
 def _() -> None:
     """What a body held is not given back."""
-    from cloverkeel.core.body_budget import Share
+    from cloverkeel.core.body_budget import BodyReservation
 
-    swap(Share, "__del__", lambda self: None)
+    swap(BodyReservation, "__del__", lambda self: None)
 
 
 @entry("pause-empties")
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -130,7 +130,7 @@
             longest_s, spent_s = max(longest_s, took_s), spent_s + took_s
             began_s = time.perf_counter()
             await asyncio.sleep(0)
-            quiet = quiet + 1 if not gateway.slices.waiting else 0
+            quiet = quiet + 1 if not gateway.endpoint_updates.batches.waiting else 0
         cpu.setdefault(name, []).append(spent_s * 1e3)
         stop.setdefault(name, []).append(longest_s * 1e3)
 
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -134,14 +134,14 @@
         gc.collect()
         gc.freeze()  # what the start has made is never garbage
         gc.set_threshold(GC_NEW, 10, 10)
-        gateway.on_endpoints_applied = Freezer(loop.call_soon).took
+        gateway.endpoint_updates.on_applied = Freezer(loop.call_soon).took
         await stop.wait()
         program.leave()
         try:
             async with asyncio.timeout(LAST_S):
                 await server.drain(operations.way_out() if operations is not None else None)
         except TimeoutError:
-            log(f"ended with {len(gateway.held)} requests unanswered")
+            log(f"ended with {len(gateway.requests.by_key)} requests unanswered")
         counts = program.pool.counts
         log(f"ends; connections to hosts: {counts}")
         if operations is not None and listener is not None:
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -1,15 +1,13 @@
-"""The one Balancer and the world round it: events in, actions out, timers, and the requests that are held.
+"""The one balancer and what surrounds it: events in, actions out, the heartbeat, and holds after a stall.
 
-Nothing is chosen here. One event is handled and its actions are carried out before the next: what is found
-out meanwhile waits its turn.
+Nothing is chosen here. One event is handled and its actions are carried out before the next: what is found out
+meanwhile waits in the event queue.
 """
 
 from __future__ import annotations
 
 import asyncio
-import itertools
 import traceback
-from collections import deque
 from collections.abc import Callable
 from typing import Final
 
@@ -18,109 +16,71 @@
     Action,
     AnswerAll,
     AttemptEnded,
-    Cancel,
-    CloseIdle,
-    SlowStartQuota,
     Event,
     Fail,
-    FetchList,
-    PeerHealthReport,
-    ListedServer,
     ListKind,
-    Log,
-    Outcome,
-    Probe,
-    Probed,
+    PeerHealthReport,
+    ProbesSuspended,
     ProcessesChanged,
-    Refuse,
     RequestArrived,
-    RequestGone,
     RetryTokenGrant,
-    Send,
-    ServerList,
-    ServerStatus,
-    SetTimer,
-    StreamStarted,
-    TimerFired,
-    ProbesSuspended,
-    WatchList,
+    SlowStartQuota,
 )
 
-from cloverkeel.core.calls import Call, FlowControl, ResponseStream
+from cloverkeel.core.calls import Call
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Config
+from cloverkeel.core.dispatcher import ActionDispatcher
+from cloverkeel.core.endpoint_updates import EndpointUpdates
+from cloverkeel.core.event_queue import EventProcessor, EventQueue
 from cloverkeel.core.log import log, log_if_read
 from cloverkeel.core.loop_timers import LoopTimers
-from cloverkeel.core.messages import Reply
-from cloverkeel.core.ports import AttemptResult, Decisions, Endpoint, EndpointSource, HostTable, Upstream
-from cloverkeel.core.list_batches import Slices
-from cloverkeel.core.stall_detector import HEARTBEAT_INTERVAL_US, StallDetector
 from cloverkeel.core.metrics import METRICS_INTERVAL_US, GatewayMetrics
+from cloverkeel.core.ports import Decisions, Endpoint, EndpointSource, HostTable, Upstream
+from cloverkeel.core.request_table import RequestTable
+from cloverkeel.core.stall_detector import HEARTBEAT_INTERVAL_US, StallDetector
 
-STILL_LOG_US: Final = 10_000_000  # between lines on the log about standing still
-
-
-class Held:
-    """A request that is owed an answer, or whose attempts are not all over.
-
-    The module knows it by its ticket, which is never given again; a client's id may be.
-    """
-
-    __slots__ = ("attempts", "call", "closed", "deadline_us", "out", "stream", "streaming", "ticket", "timed_out")
-
-    def __init__(self, call: Call, ticket: str, deadline_us: int) -> None:
-        self.call = call
-        self.ticket = ticket
-        self.deadline_us = deadline_us
-        self.attempts: list[FlowControl | None] = []  # None: never sent
-        self.out = 0
-        self.closed = False
-        self.timed_out = False
-        self.streaming = -1  # the attempt whose large answer is passed on
-        self.stream: ResponseStream | None = None  # where to
+MIN_STALL_LOG_INTERVAL_US: Final = 10_000_000
+TIMER_MARGIN_S: Final = 0.001  # the loop rounds, and nothing must be early
 
+StallListener = Callable[[int, int], None]  # called with the time and the length of a stall, in µs
 
-Happened = Callable[[], Event | None]
 
+class Gateway(EventProcessor):
+    """Owns the balancer, and the parts that carry out what it decides."""
 
-class Gateway:
-    def __init__(self, config: Config, hosts: HostTable, upstream: Upstream, membership: EndpointSource) -> None:
+    def __init__(self, config: Config, hosts: HostTable, upstream: Upstream, endpoint_source: EndpointSource) -> None:
         self.loop = asyncio.get_running_loop()
-        self.settings = config.settings
         self.balancer: Decisions = Balancer(config.settings, config.seed)
-        self.hosts, self.upstream, self.discovery = hosts, upstream, membership
-        membership.set_listener(self.on_endpoint_list)
-        # While the endpoint source catches up, lists and what is urgent are handled; the rest waits.
-        self.lists: deque[tuple[ListKind, list[Endpoint]]] = deque()
-        self.slices = Slices()
-        self.part_due = False  # this turn's part is yet to be handled
-        self.turn: asyncio.Handle | None = None
-        self.on_endpoints_applied: Callable[[int], None] | None = None  # with how many entries since the last call
-        self.fresh = 0
-        self.urgent: deque[Happened] = deque()
-        self.events: deque[tuple[Happened, Held | None]] = deque()
-        self.handling = self.closed = False
-        self.held: dict[str, Held] = {}  # by ticket
-        self.by_id: dict[str, Held] = {}  # the same by the client's id
-        self.tickets = itertools.count(1)
+        self.hosts = hosts
+        self.upstream = upstream
+        self.endpoint_source = endpoint_source
+        self.known_endpoints = config.known
+        self.stall_detector = StallDetector(now_us())
+        self.stall_listeners: list[StallListener] = []
+        self.requests = RequestTable()
         self.timers = LoopTimers(self.loop)
-        self.known = config.known
         self.metrics = GatewayMetrics(len(config.settings.classes))
-        self.metrics_due_us = self.said_still_us = 0
-        self.entries = self.opened = 0  # entries of lists; connections opened when the last tally was written
-        self.stall_detector = StallDetector(now_us())
+        self.queue = EventQueue(self.loop, self.stall_detector, self)
+        self.endpoint_updates = EndpointUpdates(self.loop, hosts, self)
+        self.dispatcher = ActionDispatcher(
+            config.settings, self.requests, self.queue, self.timers, self.metrics, hosts, upstream, endpoint_source
+        )
+        self.is_processing = False
+        self.is_closed = False
         self.heartbeat_timer: asyncio.TimerHandle | None = None
-        # Called at once when this process stood still, with the time and for how long.
-        self.stall_listeners: list[Callable[[int, int], None]] = []
-        self.on_attempt_outcome: Callable[[int, Outcome, int], None] | None = None  # of each attempt: server, latency
+        self.metrics_due_us = 0
+        self.opened_before = 0  # connections opened when the last metrics line was written
+        self.stall_logged_us = 0
+        endpoint_source.set_listener(self.on_endpoint_list)
         upstream.set_write_guard(self.may_write)
 
     def start(self) -> None:
-        """Begin with the list from before, and ask for a newer one when the module says so."""
+        """Begin with the endpoint list from before, and ask for a newer one when the balancer says so."""
         self.stall_detector.check(now_us())
-        self.stall_detector.end_hold(now_us(), caught_up=True)  # what came before the first list is no gap
+        self.stall_detector.end_hold(now_us(), caught_up=True)  # what came before the first list is no stall
         self.on_heartbeat()
-        self.discovery.load_known(self.known)
+        self.endpoint_source.load_known(self.known_endpoints)
 
     @property
     def can_serve(self) -> bool:
@@ -128,47 +88,123 @@
         return not self.hosts.is_empty()
 
     def close(self) -> None:
-        self.closed = True
-        if self.turn is not None:
-            self.turn.cancel()
+        """Stop: nothing more is handled."""
+        self.is_closed = True
+        self.endpoint_updates.close()
         if self.heartbeat_timer is not None:
             self.heartbeat_timer.cancel()
         self.timers.close()
-        self.discovery.close()
+        self.endpoint_source.close()
         self.upstream.close()
 
+    # Requests
+
+    def admit_request(self, call: Call) -> bool:
+        """Take a client's request; False if one with its id is in flight."""
+        if self.requests.has_client_id(call.id_):
+            return False
+        request = self.requests.add(call, now_us() + call.client_timeout_us)
+        self.metrics.received_by_class[call.class_index] += 1
+        event = RequestArrived(
+            request.key, call.class_index, call.client_timeout_us, call.affinity_key, call.cost_us, call.is_retry,
+            call.tenant,
+        )  # fmt: skip
+        self.queue.post(lambda: event, request)
+        return True
+
+    def on_client_disconnected(self, call: Call) -> None:
+        """Give up a request whose client has gone."""
+        self.dispatcher.on_client_disconnected(call)
+
+    def answer_all_requests(self) -> None:
+        """Have every request in flight answered now: this process ends."""
+        if self.requests.by_client_id:
+            self.queue.post_urgent(AnswerAll)
+
+    # What other processes and gateways tell: ahead of whatever waits, as it restricts
+
     def set_process_count(self, processes: int) -> None:
-        """This gateway is so many processes for a time; ahead of whatever waits, as it restricts."""
-        self.post_urgent(lambda: ProcessesChanged(processes))
+        """Learn that this gateway is so many processes for a time."""
+        self.queue.post_urgent(lambda: ProcessesChanged(processes))
 
     def set_slow_start_quota(
         self, server: int, started_us: int, lent_us: int, granted: float, granted_us: int
     ) -> None:
-        """Parts of a cold server's budget that are lent or granted until then; ahead of whatever waits."""
-        self.post_urgent(lambda: SlowStartQuota(server, started_us, lent_us, granted, granted_us))
+        """Learn which quotas of a warming-up server's budget are lent or granted, and until when."""
+        self.queue.post_urgent(lambda: SlowStartQuota(server, started_us, lent_us, granted, granted_us))
 
     def suspend_probes(self, server: int, until_us: int) -> None:
-        """Another gateway tries a server until then; 0: it answers there."""
-        self.post_urgent(lambda: ProbesSuspended(server, until_us))
+        """Learn that another gateway probes a server until then; 0: it answers there."""
+        self.queue.post_urgent(lambda: ProbesSuspended(server, until_us))
 
     def report_peer_health(
         self, server: int, started_us: int, good: float, bad: float, reporters: int, well: int, until_us: int
     ) -> None:
-        """What other gateways saw of a server; ahead of whatever waits, as it restricts, or brings a trial."""
-        self.post_urgent(lambda: PeerHealthReport(server, started_us, good, bad, reporters, well, until_us))
+        """Learn what other gateways saw of a server."""
+        self.queue.post_urgent(lambda: PeerHealthReport(server, started_us, good, bad, reporters, well, until_us))
 
     def grant_retry_tokens(self, cap: float, moved: float = 0.0, until_us: int = 0) -> None:
-        """Tokens for further attempts come or go; ahead of whatever waits, as nothing may be spent that has gone."""
-        self.post_urgent(lambda: RetryTokenGrant(cap, moved, until_us))
+        """Learn that retry tokens came or went: nothing may be spent that has gone."""
+        self.queue.post_urgent(lambda: RetryTokenGrant(cap, moved, until_us))
 
-    def answer_all_requests(self) -> None:
-        """This process ends: whatever is held is answered now."""
-        if self.by_id:
-            self.post_urgent(AnswerAll)
+    # Events
+
+    def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
+        """Handle a list of the endpoint source."""
+        self.queue.post_endpoint_list(kind, entries)
+
+    def process_events(self) -> None:
+        """Handle what waits, unless that is under way; during a hold, what may be handled then."""
+        if self.is_processing:
+            return
+        self.is_processing = True
+        try:
+            while not self.is_closed and self._process_next():
+                pass
+        finally:
+            self.is_processing = False
+
+    def _process_next(self) -> bool:
+        """Handle the next event that may be handled; False if there is none."""
+        at_us = now_us()
+        may_send = self.may_write(at_us)
+        if self.queue.endpoint_lists:
+            kind, entries = self.queue.endpoint_lists.popleft()
+            self.handle_event(at_us, self.endpoint_updates.apply_list(kind, entries))
+            return True
+        if self.endpoint_updates.is_batch_due(may_send):
+            self.handle_event(at_us, self.endpoint_updates.apply_next_batch())
+            return True
+        pending = self.queue.next_event(may_send)
+        if pending is None:
+            return False
+        event = pending()
+        if event is not None:
+            self.handle_event(at_us, event)
+        return True
 
-    # Standing still
+    def handle_event(self, at_us: int, event: Event) -> None:
+        """Let the balancer decide on an event, and carry out its actions."""
+        for action in self._decide(at_us, event):
+            try:
+                self.dispatcher.carry_out(action)
+            except Exception:
+                # Guards the client whose event is being handled: an error here would end its connection.
+                log(f"gateway: action failed, action={action!r}\n{traceback.format_exc()}")
+
+    def _decide(self, at_us: int, event: Event) -> list[Action]:
+        """Return the balancer's actions; where it fails, the failure of the request that the event is of."""
+        try:
+            return self.balancer.handle(at_us, event)
+        except Exception:
+            # Guards against one bad decision ending the process and all that is in flight.
+            log(f"gateway: balancer failed, event={event!r}\n{traceback.format_exc()}")
+        return [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
+
+    # Heartbeat and metrics
 
     def on_heartbeat(self) -> None:
+        """Check for a stall, and write the metrics line of each second."""
         # First: nothing below may end it.
         self.heartbeat_timer = self.loop.call_later(HEARTBEAT_INTERVAL_US / 1e6, self.on_heartbeat)
         at_us = now_us()
@@ -177,350 +213,53 @@
             self.write_metrics(at_us)
 
     def write_metrics(self, at_us: int) -> None:
+        """Write the metrics line; where nobody reads the log, the sums go on."""
         self.metrics_due_us = at_us - at_us % METRICS_INTERVAL_US + METRICS_INTERVAL_US
         opened = self.hosts.opened_count()
-        line = self.metrics.format_line(at_us, self.balancer.shares_shed(), opened - self.opened, self.entries)
-        if line is not None and log_if_read(line):  # else the sums go on
-            self.opened, self.entries = opened, 0
+        line = self.metrics.format_line(
+            at_us, self.balancer.shares_shed(), opened - self.opened_before, self.endpoint_updates.received_entries
+        )
+        if line is not None and log_if_read(line):
+            self.opened_before = opened
+            self.endpoint_updates.received_entries = 0
             self.metrics.reset()
 
-    def check_stall(self, at_us: int) -> bool:
-        """Notice a gap of the loop; returns whether something may be sent."""
-        if self.stall_detector.check(at_us):
-            self.on_gap()
-        return not self.stall_detector.is_holding
+    # Stalls
 
     def may_write(self, at_us: int) -> bool:
+        """Tell whether anything may be sent now: not during a hold."""
         return at_us <= self.stall_detector.next_check_due_us or self.check_stall(at_us)
 
-    def on_gap(self) -> None:
-        """This process stood still: what membership was told meanwhile comes first, before anything is sent."""
-        began_us, stall_us = self.stall_detector.hold_started_us, self.stall_detector.stall_us
-        for after in self.stall_listeners:
-            after(began_us, stall_us)
-        if began_us - self.said_still_us > STILL_LOG_US:
-            self.said_still_us = began_us
-            log(f"gateway: stalled, duration_s={stall_us / 1e6:.2f} count={self.stall_detector.stall_count}")
-
-        def caught_up() -> None:
-            if self.stall_detector.hold_started_us == began_us:  # else there was a further gap, and a new hold
-                self.go_on(caught_up=True)
-
-        self.loop.call_later(self.stall_detector.max_hold_us / 1e6 + 0.001, self.go_on, False)
-        self.events = deque((self.bounded(event, held), held) for event, held in self.events)
-        self.discovery.catch_up(stall_us, caught_up)
-
-    def bounded(self, event: Happened, held: Held | None) -> Happened:
-        """An event that waits no longer than its request may: then the module answers it, and can send nothing."""
-        if held is None:
-            return event
-        waits = True
-
-        def once() -> Event | None:
-            nonlocal waits
-            was, waits = waits, False
-            return event() if was else None
-
-        def hurry() -> None:
-            if waits and self.stall_detector.is_holding:
-                self.post_urgent(once)
-
-        self.loop.call_later(max(0, held.deadline_us - now_us()) / 1e6, hurry)
-        return once
-
-    def go_on(self, caught_up: bool) -> None:
-        if self.closed or self.stall_detector.check(now_us()):
-            if not self.closed:
-                self.on_gap()
-            return
-        if self.stall_detector.end_hold(now_us(), caught_up) and not self.handling:
-            self.work()
-
-    # Events in
-
-    def post(self, event: Happened, held: Held | None = None) -> None:
-        """Queue what has happened, to a request or not. It is put into words in its turn, and may be void by then."""
-        if self.stall_detector.is_holding:
-            event = self.bounded(event, held)
-        self.events.append((event, held))
-        if not self.handling:
-            self.work()
-
-    def post_urgent(self, event: Happened) -> None:
-        """The same for what is not to wait until membership has caught up."""
-        self.urgent.append(event)
-        if not self.handling:
-            self.work()
-
-    def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """Who is there comes before whatever else waits: nothing is decided by an old list."""
-        self.lists.append((kind, entries))
-        if not self.handling:
-            self.work()
-
-    def work(self) -> None:
-        """Handle what waits; while membership catches up, what may be handled then."""
-        self.handling = True
-        try:
-            while not self.closed:
-                at_us = now_us()
-                may_write = at_us <= self.stall_detector.next_check_due_us or self.check_stall(at_us)
-                if self.lists:
-                    self.handle(at_us, self.take_list(*self.lists.popleft()))
-                    continue
-                if self.slices.waiting and (self.part_due or not may_write):  # while it holds: all of them
-                    self.part_due = False
-                    self.handle(at_us, self.tell(ListKind.DELTA, self.slices.next()))
-                    continue
-                if self.urgent:
-                    happened = self.urgent.popleft()()
-                elif self.events and may_write:
-                    happened = self.events.popleft()[0]()
-                else:
-                    return
-                if happened is not None:
-                    self.handle(at_us, happened)
-        finally:
-            self.handling = False
+    def check_stall(self, at_us: int) -> bool:
+        """Check for a stall of the loop; returns whether anything may be sent."""
+        if self.stall_detector.check(at_us):
+            self.on_stall()
+        return not self.stall_detector.is_holding
 
-    def handle(self, at_us: int, event: Event) -> None:
-        try:
-            actions = self.balancer.handle(at_us, event)
-        except Exception:
-            # Guards against one bad decision ending the process and all that it holds.
-            log(f"the module failed at {event!r}\n{traceback.format_exc()}")
-            actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
-        for action in actions:
-            try:
-                self.carry_out(action)
-            except Exception:
-                # Guards the client whose event is being handled: an error here would end its connection.
-                log(f"failed at {action!r}\n{traceback.format_exc()}")
+    def on_stall(self) -> None:
+        """Have the endpoint source read what it was notified of meanwhile, before anything is sent."""
+        hold_started_us, stall_us = self.stall_detector.hold_started_us, self.stall_detector.stall_us
+        for listener in self.stall_listeners:
+            listener(hold_started_us, stall_us)
+        if hold_started_us - self.stall_logged_us > MIN_STALL_LOG_INTERVAL_US:
+            self.stall_logged_us = hold_started_us
+            log(f"gateway: stalled, duration_s={stall_us / 1e6:.2f} count={self.stall_detector.stall_count}")
 
-    def arrive(self, call: Call) -> bool:
-        """Take a request; False if one with its id is held already."""
-        if call.id in self.by_id:
-            return False
-        ticket = str(next(self.tickets))
-        held = Held(call, ticket, now_us() + call.patience_us)
-        self.metrics.received_by_class[call.klass] += 1
-        self.held[ticket] = self.by_id[call.id] = held
-        event = RequestArrived(
-            ticket, call.klass, call.patience_us, call.key, call.work_us, call.is_retry, call.tenant
-        )
-        self.post(lambda: event, held)
-        return True
+        def on_caught_up() -> None:
+            if (
+                self.stall_detector.hold_started_us == hold_started_us
+            ):  # else there was a further stall, and a new hold
+                self.end_hold(caught_up=True)
 
-    def leave(self, call: Call) -> None:
-        """The client has gone; nothing is owed to it."""
-        held = self.by_id.get(call.id)
-        if held is None or held.call is not call or held.closed:
-            return
-        held.closed = True
-        streaming = held.attempts[held.streaming] if held.streaming >= 0 else None
-        if streaming is not None:
-            self.upstream.cancel_attempt(streaming)  # the module leaves it to the client
-        self.post(lambda: self.gone(held))
-
-    def gone(self, held: Held) -> Event:
-        """Forgotten only now: what the module sent for it before it hears of this still gets its outcome."""
-        self.finish(held)
-        return RequestGone(held.ticket)
-
-    def take_list(self, kind: ListKind, entries: list[Endpoint]) -> Event:
-        gone: list[int] = []
-        if kind is not ListKind.ERROR and kind is not ListKind.DELTA:
-            gone = self.hosts.retain_hosts({entry.listed.server for entry in entries})
-            self.slices.forget_all()
-        self.entries += len(entries) if kind is not ListKind.DISK else 0
-        kept = [entry for entry in entries if not self.is_namesake(entry)]
-        if kind is ListKind.DISK:  # the first of all: nothing can be sent yet
-            now = self.slices.take_all(kept)
-        else:
-            now = self.slices.take(kept, self.hosts.host_count(), self.is_another)
-        if len(now) == len(kept):
-            return self.tell(kind, now)
-        if self.turn is None:
-            # Set while anything waits: after a gap it comes before whatever the gap has begun.
-            self.turn = self.loop.call_soon(self.on_turn)
-        if kind is not ListKind.DELTA and len(kept) < len(entries):
-            gone += {entry.listed.server for entry in entries} - {entry.listed.server for entry in kept}
-        return self.tell(ListKind.DELTA, now, tuple(ListedServer(number, ServerStatus.GONE) for number in gone))
-
-    def on_turn(self) -> None:
-        """Requests have been served since the last part of a list: the next one."""
-        self.part_due = bool(self.slices.waiting)
-        self.work()
-        self.turn = self.loop.call_soon(self.on_turn) if self.slices.waiting and not self.closed else None
-
-    def is_another(self, entry: Endpoint) -> bool:
-        return self.hosts.has_host_changed(entry.listed.server, entry.address, entry.listed.started_us)
-
-    def tell(self, kind: ListKind, entries: list[Endpoint], gone: tuple[ListedServer, ...] = ()) -> Event:
-        self.fresh += len(entries)
-        if self.on_endpoints_applied is not None and not self.slices.waiting:
-            self.on_endpoints_applied(self.fresh)
-            self.fresh = 0
-        for entry in entries:
-            listed = entry.listed
-            if listed.status is ServerStatus.GONE:
-                self.hosts.remove_host(listed.server)
-            else:
-                ready = listed.status is ServerStatus.READY
-                self.hosts.update_host(listed.server, entry.name, entry.address, ready, listed.started_us)
-        return ServerList(kind, gone + tuple(entry.listed for entry in entries))
-
-    def is_namesake(self, entry: Endpoint) -> bool:
-        """Whether the number of this entry is that of another host: numbers are hashes of names."""
-        name = self.hosts.host_name(entry.listed.server) or self.slices.name_of(entry.listed.server)
-        if name is None or name == entry.name:
-            return False
-        log(f"{entry.name} is skipped: its number is that of {name}")
-        return True
+        self.loop.call_later(self.stall_detector.max_hold_us / 1e6 + TIMER_MARGIN_S, self.end_hold, False)
+        self.queue.limit_waits()
+        self.endpoint_source.catch_up(stall_us, on_caught_up)
 
-    # Actions out
-
-    def carry_out(self, action: Action) -> None:
-        match action:
-            case Send():
-                self.send(action)
-            case SetTimer():
-                self.set_timer(action.due_us, action.token)
-            case Refuse():
-                held = self.owed(action.request)
-                if held is not None:
-                    self.metrics.record_rejection(held.call.klass, action.why)
-                    held.call.client.on_rejected(held.call, action.retry_after_us)
-            case Fail():
-                held = self.owed(action.request)
-                if held is not None:
-                    self.metrics.failed_by_class[held.call.klass] += 1
-                    held.call.client.on_failed(held.call, held.timed_out)
-            case Cancel():
-                self.cancel(action)
-            case WatchList():
-                self.discovery.watch(action.on)
-            case FetchList():
-                self.discovery.fetch()
-            case Probe():
-                self.probe(action.server)
-            case CloseIdle():
-                self.hosts.close_idle_connections(action.server)
-            case Log():
-                log(action.line)
-            case _:
-                log(f"not carried out: {action!r}")
-
-    def set_timer(self, due_us: int, token: int) -> None:
-        self.timers.set(due_us, lambda: self.post(lambda: TimerFired(token)))
-
-    def owed(self, ticket: str) -> Held | None:
-        """The request, if it still waits for its final answer, which it has from now on."""
-        held = self.held.get(ticket)
-        if held is None or held.closed or held.stream is not None:
-            return None
-        self.finish(held)
-        return held
-
-    def finish(self, held: Held) -> None:
-        held.closed = True
-        if held.out == 0:
-            self.forget(held)
-
-    def forget(self, held: Held) -> None:
-        """It is over: nothing is owed and no attempt is out. Only it, never a later one of the same id."""
-        self.held.pop(held.ticket, None)
-        if self.by_id.get(held.call.id) is held:
-            del self.by_id[held.call.id]
-
-    def send(self, action: Send) -> None:
-        held, known = self.held.get(action.request), self.hosts.has_host(action.server)
-        if held is None:
-            log(f"DEFECT: the module sends a request that is not held: {action!r}")
-            return
-        number = len(held.attempts)
-        left_us = held.deadline_us - now_us()
-        wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
-        if not held.closed and held.call.client.has_disconnected():
-            self.leave(held.call)
-        if not known or held.closed or wait_us <= 0 or number >= self.settings.max_attempts:
-            held.attempts.append(None)
-            self.post(lambda: self.moot(action, number), held)
+    def end_hold(self, caught_up: bool) -> None:
+        """End the hold if it may end, and handle what waited."""
+        if self.is_closed:
             return
-
-        def on_end(result: AttemptResult) -> None:
-            if result.outcome is Outcome.OK and self.stall_detector.is_holding:
-                self.post_urgent(lambda: self.attempt_ended(held, number, action.server, result))
-            else:
-                self.post(lambda: self.attempt_ended(held, number, action.server, result), held)
-
-        def on_response_start(reply: Reply, length: int | None, latency_us: int) -> ResponseStream | None:
-            return self.begin_answer(held, number, reply, length)
-
-        def may_start(at_us: int) -> bool:
-            """Guards against sending what nobody waits for: its connection came up after its request was over."""
-            return not held.closed and held.stream is None and not held.call.client.has_disconnected()
-
-        call, end_us = held.call, now_us() + wait_us
-
-        def payload(at_us: int) -> list[bytes]:
-            """What is left when it is written: a connection may take long to come up, and its host is told less."""
-            budget = str(max(1, (end_us - at_us) // 1000)).encode()
-            made = [b"".join((call.head, b"X-Budget-Ms: ", budget, b"\r\n\r\n", call.body))]
-            return made if call.pieces is None else made + call.pieces
-
-        held.attempts.append(None)
-        held.out += 1
-        self.metrics.record_attempt(action.server)
-        held.attempts[number] = self.upstream.start_attempt(
-            action.server, payload, wait_us, on_end, on_response_start, may_start, action.begin_by_us
-        )
-
-    def begin_answer(self, held: Held, number: int, reply: Reply, length: int | None) -> ResponseStream | None:
-        """The first good answer to begin is the one that is passed on."""
-        attempt = held.attempts[number]
-        if held.closed or held.stream is not None or attempt is None:
-            return None
-        held.stream = held.call.client.on_stream_start(held.call, reply, length, attempt)
-        if held.stream is not None:
-            held.streaming = number
-            self.post_urgent(lambda: StreamStarted(held.ticket, number))
-        return held.stream
-
-    def moot(self, action: Send, number: int) -> Event:
-        held = self.held.get(action.request)
-        finished = held is None or held.closed
-        return AttemptEnded(action.request, number, action.server, Outcome.MOOT, 0, finished)
-
-    def attempt_ended(self, held: Held, number: int, server: int, result: AttemptResult) -> Event:
-        held.out -= 1
-        self.metrics.record_outcome(server, result.outcome, result.latency_us)
-        if self.on_attempt_outcome is not None:
-            self.on_attempt_outcome(server, result.outcome, result.latency_us)
-        held.timed_out = result.outcome is Outcome.TIMEOUT
-        if held.stream is not None and number == held.streaming:
-            stream, held.stream = held.stream, None
-            if not held.closed:
-                self.finish(held)
-                stream.on_complete() if result.outcome is Outcome.OK else stream.on_aborted()
-        elif not held.closed and held.stream is None and result.outcome is Outcome.OK and result.reply is not None:
-            self.finish(held)
-            held.call.client.on_response(held.call, result.reply)
-        if held.closed and held.out == 0:
-            self.forget(held)
-        outcome, latency_us, load = result.outcome, result.latency_us, result.load_report
-        return AttemptEnded(held.ticket, number, server, outcome, latency_us, held.closed, load)
-
-    def cancel(self, action: Cancel) -> None:
-        held = self.held.get(action.request)
-        if held is not None and 0 <= action.attempt < len(held.attempts):
-            attempt = held.attempts[action.attempt]
-            if attempt is not None:
-                self.upstream.cancel_attempt(attempt)
-
-    def probe(self, server: int) -> None:
-        if self.hosts.has_host(server):
-            self.upstream.send_health_check(server, lambda result: self.post(lambda: self.probed(server, result)))
-
-    def probed(self, server: int, result: AttemptResult) -> Event:
-        return Probed(server, result.outcome, result.latency_us, result.load_report)
+        if self.stall_detector.check(now_us()):
+            self.on_stall()
+        elif self.stall_detector.end_hold(now_us(), caught_up):
+            self.process_events()
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -13,7 +13,7 @@
 from cloverkeel.core.calls import Call, Client
 from cloverkeel.core.config import Config, stable_id
 from cloverkeel.core.messages import BODY_LIMIT, HEAD_LIMIT, HOP_BY_HOP, LARGE_LIMIT, Header, tokens
-from cloverkeel.core.body_budget import Room, Share
+from cloverkeel.core.body_budget import BodyBudget, BodyReservation
 
 ID_LIMIT: Final = 128
 SLICE: Final = 4096  # bytes parsed before it is looked at how many requests they held
@@ -37,8 +37,8 @@
     """One request as it was read; `fault` tells that it can't be, and nothing after it."""
 
     __slots__ = (
-        "body", "body_size", "fault", "fields", "is_old", "keep_alive", "lines", "method", "repeated", "share",
-        "target",
+        "body", "body_reservation", "body_size", "fault", "fields", "is_old", "keep_alive", "lines", "method",
+        "repeated", "target",
     )  # fmt: skip
 
     def __init__(self, fault: RequestError | None = None) -> None:
@@ -49,7 +49,7 @@
         self.lines: list[tuple[bytes, bytes, bytes]] = []  # name in lower case, name and value as they came
         self.body: list[bytes] = []
         self.body_size = 0
-        self.share: Share | None = None  # what a large body holds of the common room
+        self.body_reservation: BodyReservation | None = None  # what a large body holds of the common room
         self.keep_alive = False
         self.is_old = False  # HTTP/1.0: no chunks are understood
         self.fault = fault
@@ -59,15 +59,15 @@
     """Turns the bytes of one client's connection into requests."""
 
     __slots__ = (
-        "_head_size", "_in_body", "_on_expect", "_parser", "_reading", "_room", "_to_come", "_unparsed", "done",
-        "is_broken", "rest",
+        "_body_budget", "_head_size", "_in_body", "_on_expect", "_parser", "_reading", "_to_come", "_unparsed",
+        "done", "is_broken", "rest",
     )  # fmt: skip
 
-    def __init__(self, on_expect: Callable[[], None], room: Room) -> None:
+    def __init__(self, on_expect: Callable[[], None], body_budget: BodyBudget) -> None:
         self._parser: Any = httptools.HttpRequestParser(self)
         self._on_expect = on_expect
         self._reading: Request | None = None
-        self._room = room
+        self._body_budget = body_budget
         self._to_come = 0  # bytes of the body that is being read, as its head has it
         self._in_body = False  # the head is read
         self._head_size = 0  # of headers: names and values
@@ -185,9 +185,9 @@
         if request.body_size > BODY_LIMIT:
             if request.body_size > LARGE_LIMIT:
                 raise RequestError(413, f"the body is longer than {LARGE_LIMIT} bytes")
-            if request.share is None:
-                before, request.share = 0, Share(self._room)
-            if not request.share.grow(request.body_size - before):
+            if request.body_reservation is None:
+                before, request.body_reservation = 0, BodyReservation(self._body_budget)
+            if not request.body_reservation.try_grow(request.body_size - before):
                 raise RequestError(503, "no room for a large body now; ask again later")
         request.body.append(data)
 
@@ -221,8 +221,8 @@
         raise RequestError(400, "a fragment is not sent")
     if named is not None and named != parts[0]:
         raise RequestError(400, "the class is not that of the path")
-    klass = names.classes[parts[0]]
-    settings = config.settings.classes[klass]
+    class_index = names.classes[parts[0]]
+    settings = config.settings.classes[class_index]
     method = b"GET" if settings.effect is Effect.SAFE else b"POST"
     if request.method != method:
         raise RequestError(405, f"{method.decode()} it", (b"Allow", method))
@@ -232,23 +232,23 @@
     if not id_ or len(id_) > ID_LIMIT:
         raise RequestError(400, "no X-Call-Id that can be used")
     budget_ms = _whole(headers.get(b"x-budget-ms"), "X-Budget-Ms")
-    body = b"".join(request.body) if request.share is None else b""
+    body = b"".join(request.body) if request.body_reservation is None else b""
     # No client waits for longer than its class is given: what says so is cut to that.
-    patience_us = settings.give_up_us if budget_ms is None else min(budget_ms * 1000, settings.give_up_us)
+    client_timeout_us = settings.give_up_us if budget_ms is None else min(budget_ms * 1000, settings.give_up_us)
     call = Call(
-        id=id_.decode("latin-1"),
-        klass=klass,
-        patience_us=patience_us,
-        key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
-        work_us=_whole(headers.get(b"x-call-cost"), "X-Call-Cost"),
+        id_=id_.decode("latin-1"),
+        class_index=class_index,
+        client_timeout_us=client_timeout_us,
+        affinity_key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
+        cost_us=_whole(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), 0),
         head=_head(request),
         body=body,
         client=client,
     )
-    if request.share is not None:
-        call.pieces, call.share = request.body, request.share
+    if request.body_reservation is not None:
+        call.body_chunks, call.body_reservation = request.body, request.body_reservation
     return call
 
 
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -17,7 +17,7 @@
 from cloverkeel.core.log import log
 from cloverkeel.core.messages import Header, Reply, end_to_end
 from cloverkeel.core.ports import Descriptors
-from cloverkeel.core.body_budget import Room, size_for
+from cloverkeel.core.body_budget import BodyBudget, budget_for_memory
 from cloverkeel.frontends.http1.requests import Request, RequestError, RequestReader, read_call
 
 READY_PATH: Final = b"/health/ready"
@@ -65,7 +65,7 @@
         self.kept: Phase = {}
         self.ending: Phase = {}
         self.streaming: Phase = {}  # a large answer waits for its client to take it
-        self.room = Room(size_for(config.memory_mb))
+        self.body_budget = BodyBudget(budget_for_memory(config.memory_mb))
         self.longest_s = max(klass.give_up_us for klass in config.settings.classes) / 1e6  # that a client waits
         self.sockets = self.most = 0
         self.share(1)
@@ -303,7 +303,7 @@
     def __init__(self, server: Server) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
-        self.reader = RequestReader(self.on_expect, server.room)
+        self.reader = RequestReader(self.on_expect, server.body_budget)
         self.phase: Phase | None = None
         self.opened_s = 0.0
         self.served = False  # has had an answer
@@ -337,7 +337,7 @@
         self.transport = None
         call, self.call, self.flow_control = self.call, None, None
         if call is not None:
-            self.server.gateway.leave(call)
+            self.server.gateway.on_client_disconnected(call)
 
     def eof_received(self) -> None:
         """Nothing stays half open."""
@@ -493,9 +493,9 @@
             left_s = emptying.end_s - self.server.emptying_s()
             if self.server.emptying_s() >= emptying.refuse_s:
                 raise RequestError(503, "this gateway is being emptied; ask again on a new connection")
-            call.patience_us = min(call.patience_us, max(1, int(left_s * 1e6)))
+            call.client_timeout_us = min(call.client_timeout_us, max(1, int(left_s * 1e6)))
         self.call = call
-        if not self.server.gateway.arrive(call):
+        if not self.server.gateway.admit_request(call):
             self.call = None
             raise RequestError(400, "this X-Call-Id is in use")
 
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -73,14 +73,14 @@
         """The socket is there."""
         self.exchange.begin(self.clock())
         self.gateway.stall_listeners.append(self.on_gap)
-        self.gateway.on_attempt_outcome = self.on_outcome
+        self.gateway.dispatcher.on_attempt_outcome = self.on_outcome
         self.look()
 
     def leave(self) -> None:
         """The way out has begun: it goes on listening, and its going is seen."""
 
     def close(self) -> None:
-        self.gateway.on_attempt_outcome = None
+        self.gateway.dispatcher.on_attempt_outcome = None
         for handle in (self.timer, self.looker):
             if handle is not None:
                 handle.cancel()
--- a/cloverkeel/upstream/attempt_sender.py
+++ b/cloverkeel/upstream/attempt_sender.py
@@ -64,13 +64,13 @@
     def send(self, attempt: Attempt, timeout_us: int) -> None:
         """Start an attempt on an idle connection, or on a new one where there is none."""
         attempt.sent_us = now_us()
-        attempt.timeout_timer = self.timers.set(attempt.sent_us + timeout_us, lambda: self.on_timeout(attempt))
+        attempt.timeout_timer = self.timers.schedule(attempt.sent_us + timeout_us, lambda: self.on_timeout(attempt))
         refusal = self.find_refusal(attempt, attempt.sent_us)
         if refusal is not None:
             self.end_attempt(attempt, refusal)
             return
         if attempt.write_deadline_us:
-            attempt.write_deadline_timer = self.timers.set(
+            attempt.write_deadline_timer = self.timers.schedule(
                 attempt.write_deadline_us, lambda: self.on_write_deadline(attempt)
             )
         if self.write_to_idle_connection(attempt):
@@ -93,7 +93,7 @@
     def open_connection(self, attempt: Attempt) -> None:
         """Open a connection for an attempt, which is written once it is established."""
         host = attempt.host
-        attempt.connect_timer = self.timers.set(
+        attempt.connect_timer = self.timers.schedule(
             attempt.sent_us + self.settings.connect_timeout_us, lambda: self.on_connect_timeout(attempt)
         )
         connection = HostConnection(self, host, attempt)
@@ -166,7 +166,9 @@
         if not attempt.has_rechecked and attempt.connection is not None and attempt.connection.has_unread():
             # Guards against giving up an answer that has come: after a stall, timers run before sockets are read.
             attempt.has_rechecked = True
-            attempt.timeout_timer = self.timers.set(now_us() + RECHECK_DELAY_US, lambda: self.on_timeout(attempt))
+            attempt.timeout_timer = self.timers.schedule(
+                now_us() + RECHECK_DELAY_US, lambda: self.on_timeout(attempt)
+            )
             return
         # What was never written cannot have run, also when the time ended while connecting.
         self.cancel_attempt(attempt, Outcome.TIMEOUT if attempt.is_written() else Outcome.CONNECT_FAILED)
@@ -189,7 +191,7 @@
         if at_us - attempt.last_progress_us >= PROGRESS_TIMEOUT_US:
             self.cancel_attempt(attempt, Outcome.TIMEOUT)
             return
-        attempt.timeout_timer = self.timers.set(
+        attempt.timeout_timer = self.timers.schedule(
             attempt.last_progress_us + PROGRESS_TIMEOUT_US, lambda: self.check_progress(attempt)
         )
 
--- a/standins/parties/fleet.py
+++ b/standins/parties/fleet.py
@@ -27,7 +27,7 @@
 CALL_S = 2.0  # for staff to be answered
 PROGRAM = (sys.executable, "-m", "cloverkeel")
 PR_SET_PDEATHSIG = 1
-FAULT_MARKS, FAULTS = ("DEFECT", "Traceback", "the module failed", "failed at "), 20
+FAULT_MARKS, FAULTS = ("DEFECT", "Traceback", "balancer failed", "action failed"), 20
 PAGE = os.sysconf("SC_PAGE_SIZE")
 TICK_US = 1_000_000 // os.sysconf("SC_CLK_TCK")
 _libc = ctypes.CDLL(None, use_errno=True)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -95,7 +95,7 @@
         config = configuration(host, discovery=registry.address)
         config["settings"]["membershipMode"] = mode
         async with running(config) as run:
-            run.gateway.carry_out(WatchList())
+            run.gateway.dispatcher.carry_out(WatchList())
             await until(lambda: gone_silent)
             await until(lambda: drained(run))
             assert time.monotonic() - gone_silent[0] < WATCH_SILENT_S < TOLD_S
@@ -131,7 +131,7 @@
         told: list[object] = []
         overhear(run, told.append)
         os.write(registry.seen[0].writer.get_extra_info("socket").fileno(), old)
-        run.gateway.carry_out(FetchList())
+        run.gateway.dispatcher.carry_out(FetchList())
         await until(lambda: len(registry.seen) == 2)
         registry.seen[1].answer(list_reply(9, endpoint("s-0", "127.0.0.1:1")))
         await until(lambda: run.discovery.plan.index == 9)
@@ -250,7 +250,7 @@
             client = await run.connect()
             client.send(request("search"))
             await until(lambda: run.pool.open_connections)
-            (held,) = run.gateway.held.values()
+            (held,) = run.gateway.requests.by_key.values()
             opened_us = now_us()
             late.open()
             heard = await asyncio.get_running_loop().sock_recv(await late.accept(), 65_536)
@@ -300,7 +300,7 @@
             sock = await late.accept()
             heard = await asyncio.get_running_loop().sock_recv(sock, 65_536)
             assert heard == b"" if leaves else b"POST /transfer" in heard
-            await until(lambda: not run.gateway.held or not leaves)
+            await until(lambda: not run.gateway.requests.by_key or not leaves)
             sock.close()
 
 
@@ -320,7 +320,7 @@
             await until(lambda: not run.server.connections)
         host.script = answers(reply())
         assert (await run.ask(request())).status == 200
-        assert len(host.seen) == 2 and not run.gateway.held
+        assert len(host.seen) == 2 and not run.gateway.requests.by_key
 
 
 @pytest.mark.parametrize("end", ["FIN", "RST"])
@@ -336,13 +336,13 @@
 
         turned_away = answers(reply(503, b"", "X-Rejected: 1"))
         async with peer(turned_away) as one, peer(turned_away) as other, running(configuration(one, other)) as run:
-            run.gateway.on_attempt_outcome = leave
+            run.gateway.dispatcher.on_attempt_outcome = leave
             client.connect(("127.0.0.1", run.port))
             client.sendall(request("search"))
             await until(lambda: one.seen or other.seen)
-            await until(lambda: not run.gateway.held and not run.server.connections)
+            await until(lambda: not run.gateway.requests.by_key and not run.server.connections)
             assert len(one.seen) + len(other.seen) == 1
-            run.gateway.on_attempt_outcome = None
+            run.gateway.dispatcher.on_attempt_outcome = None
             assert (await run.ask(request())).status == 503  # one that stays is tried at both
             assert len(one.seen) + len(other.seen) == 3
 
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -77,7 +77,7 @@
         assert answer.status == status
         assert answer.status not in (429, 503)
         assert ("allow" in answer.headers) is (status == 405)
-        assert not host.seen and not run.gateway.held
+        assert not host.seen and not run.gateway.requests.by_key
         assert (await run.ask(request())).status == 200
 
 
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -46,7 +46,7 @@
 
 
 def watcher(run: Running) -> None:
-    run.gateway.carry_out(WatchList())
+    run.gateway.dispatcher.carry_out(WatchList())
 
 
 @on_loop
@@ -83,7 +83,7 @@
         watcher(run)
         await until(lambda: registry.seen)
         told = lists(run)
-        run.gateway.carry_out(WatchList(False))
+        run.gateway.dispatcher.carry_out(WatchList(False))
         await until(lambda: registry.ended == 1)
         assert not told and run.discovery.task is None
 
@@ -96,7 +96,7 @@
         config["settings"] |= {"membershipMode": "on_request", "contract": {"mustAskInUs": 10**12}}
         async with running(config) as run:  # no call but the test's
             told = lists(run)
-            run.gateway.carry_out(FetchList())
+            run.gateway.dispatcher.carry_out(FetchList())
             await until(lambda: told)
             assert asked(registry) == ["/registry/instances"]
             (event,) = told
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -93,7 +93,7 @@
         assert [event.outcome for event in told] == [outcome]
         assert told[0].server == host_id(0) and told[0].finished is (outcome is Outcome.OK)
         assert len(host.seen) == 1  # an unsafe request goes out once
-        assert not run.gateway.held
+        assert not run.gateway.requests.by_key
 
 
 @on_loop
@@ -133,7 +133,7 @@
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in told] == [Outcome.TIMEOUT]
         await until(lambda: host.ended == 1)  # the host can tell that nobody waits
-        assert run.pool.open_connections == 0 and not run.gateway.held
+        assert run.pool.open_connections == 0 and not run.gateway.requests.by_key
 
 
 @on_loop
@@ -256,7 +256,7 @@
         await until(lambda: host.ended == 1)
         await until(lambda: told)
         assert told[0].outcome is Outcome.CANCELLED and told[0].finished
-        assert not run.gateway.held and not run.module.requests
+        assert not run.gateway.requests.by_key and not run.module.requests
 
 
 @on_loop
@@ -310,10 +310,10 @@
             return self.module.retry_state(now_us)
 
     async with peer() as host, running(configuration(host)) as run:
-        told = run.gateway.discovery
-        run.gateway.discovery, run.gateway.balancer = cast(Any, Deaf()), Module(run.gateway.balancer)
+        told = run.gateway.dispatcher.endpoint_source
+        run.gateway.dispatcher.endpoint_source, run.gateway.balancer = cast(Any, Deaf()), Module(run.gateway.balancer)
         assert (await run.ask(request("transfer"))).status == 200
-        run.gateway.discovery = told
+        run.gateway.dispatcher.endpoint_source = told
 
 
 @on_loop
@@ -322,12 +322,12 @@
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: host.seen)
-        (ticket,) = run.gateway.held
-        run.gateway.carry_out(Fail(ticket))
+        (ticket,) = run.gateway.requests.by_key
+        run.gateway.dispatcher.carry_out(Fail(ticket))
         assert (await client.answer()).status == 502
         client.send(request("transfer"))
         await until(lambda: len(host.seen) == 2)
-        run.gateway.carry_out(Fail(ticket))  # its attempt is still out, and so it is still known
+        run.gateway.dispatcher.carry_out(Fail(ticket))  # its attempt is still out, and so it is still known
         host.seen[1].answer(reply(200, b"mine"))
         assert (await client.answer()).body == b"mine"
         client.close()
@@ -344,8 +344,8 @@
         data = request("transfer")
         client.send(data)
         await until(lambda: host.seen)
-        (ticket,) = run.gateway.held
-        run.gateway.carry_out(Send(ticket, 12345, 1_000_000))  # a host that nobody has listed
+        (ticket,) = run.gateway.requests.by_key
+        run.gateway.dispatcher.carry_out(Send(ticket, 12345, 1_000_000))  # a host that nobody has listed
         assert [event.outcome for event in told] == [Outcome.MOOT]
         client.close()
         await asyncio.sleep(0)
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -246,7 +246,7 @@
             nonlocal looks
             looks += 1
             if looks == 2:
-                (held,) = run.gateway.held.values()
+                (held,) = run.gateway.requests.by_key.values()
                 (attempt,) = held.attempts
                 run.attempt_sender.cancel_attempt(attempt)  # type: ignore[arg-type]
             return looks == 1
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from cloverkeel.core.messages import BODY_LIMIT, LARGE_LIMIT, Reply
-from cloverkeel.core.body_budget import Room, Share, size_for
+from cloverkeel.core.body_budget import BodyBudget, BodyReservation, budget_for_memory
 from cloverkeel.frontends.http1.requests import RequestReader
 from cloverkeel.protocols.http1 import ReplyError, ReplyReader
 from tests.sockets import (
@@ -111,7 +111,7 @@
             client = await run.connect()
             client.send(request("search"))
             _, whole = await read_any(client)
-            await until(lambda: not run.gateway.held)
+            await until(lambda: not run.gateway.requests.by_key)
             assert not whole and len(one.seen) + len(other.seen) == before + 1
             client.close()
 
@@ -139,7 +139,7 @@
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
-        while run.gateway.held or run.pool.open_connections:
+        while run.gateway.requests.by_key or run.pool.open_connections:
             await asyncio.sleep(0.002)
         assert len(host.seen) == 1
 
@@ -159,7 +159,7 @@
         client.send(request("transfer", content_length=str(len(LARGE)), expect="100-continue"))
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         assert (await client.ask(LARGE)).body == expected
-        assert run.server.room.used == 0
+        assert run.server.body_budget.used_bytes == 0
         client.close()
 
 
@@ -173,7 +173,7 @@
         assert (await run.ask(request("transfer", LARGE))).body == b"done"
         assert [exchange.message.body for exchange in (*a.seen, *b.seen)] == [LARGE, LARGE]
         assert len(a.seen) == len(b.seen) == 1
-        assert run.server.room.used == 0
+        assert run.server.body_budget.used_bytes == 0
 
 
 @on_loop
@@ -215,7 +215,7 @@
 
 
 def test_chunks_beyond_the_limit_are_413() -> None:
-    reader = RequestReader(lambda: None, Room(LARGE_LIMIT * 2))
+    reader = RequestReader(lambda: None, BodyBudget(LARGE_LIMIT * 2))
     reader.feed(b"POST /transfer/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 1)
     for _ in range(LARGE_LIMIT // MB):
         reader.feed(b"100000\r\n" + bytes(MB) + b"\r\n", 1)
@@ -226,20 +226,20 @@
 
 
 def test_the_room_is_given_back_when_the_last_who_knows_a_body_forgets_it() -> None:
-    room = Room(100)
-    one, two = Share(room), Share(room)
-    assert one.grow(60) and not two.grow(41) and two.grow(40)
+    room = BodyBudget(100)
+    one, two = BodyReservation(room), BodyReservation(room)
+    assert one.try_grow(60) and not two.try_grow(41) and two.try_grow(40)
     again = one
     del one
-    assert room.used == 100
+    assert room.used_bytes == 100
     del again
-    assert room.used == 40 and two.grow(60)
+    assert room.used_bytes == 40 and two.try_grow(60)
     del two
-    assert room.used == 0
+    assert room.used_bytes == 0
 
 
 def test_the_room_follows_the_limit_on_memory() -> None:
-    assert size_for(32) < 8 * MB < size_for(64) < 64 * MB
+    assert budget_for_memory(32) < 8 * MB < budget_for_memory(64) < 64 * MB
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -207,11 +207,11 @@
         assert {entry.server for entry in first.servers if entry.status is ServerStatus.GONE} == gone
         assert first.servers[len(gone) :] == (anew.listed, drains.listed)
         assert not any(run.pool.has_host(number) for number in gone)
-        last = next(reversed(run.gateway.slices.waiting.values()))
+        last = next(reversed(run.gateway.endpoint_updates.batches.waiting.values()))
         run.gateway.on_endpoint_list(ListKind.DELTA, [word(last.listed.server, ServerStatus.GONE)])
         assert lists.pop().servers[0].status is ServerStatus.GONE and not lists  # ahead of what waits
         turns = 0
-        while run.gateway.slices.waiting:
+        while run.gateway.endpoint_updates.batches.waiting:
             before = len(lists)
             await asyncio.sleep(0)
             assert len(lists) <= before + 1
@@ -236,12 +236,12 @@
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         run.gateway.on_endpoint_list(ListKind.DELTA, serving(range(300)))
         run.gateway.on_endpoint_list(ListKind.DELTA, serving(range(300), weight=0.5))
-        assert run.gateway.slices.waiting
+        assert run.gateway.endpoint_updates.batches.waiting
         run.gateway.check_stall(
             run.gateway.stall_detector.last_check_us + 10_000_000
         )  # a gap was seen: nothing may be sent
         await asyncio.sleep(0)
-        assert not run.gateway.slices.waiting and run.gateway.stall_detector.is_holding
+        assert not run.gateway.endpoint_updates.batches.waiting and run.gateway.stall_detector.is_holding
         run.gateway.on_endpoint_list(ListKind.DELTA, [word(7, weight=0.25)])
         weights = {number: run.module.servers[number].entry.weight for number in range(300)}
         assert weights.pop(7) == 0.25 and set(weights.values()) == {0.5}
@@ -266,14 +266,14 @@
     """Through forty lists, each of other hosts: what is frozen is as much as after the first ones."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         freezer = Freezer(asyncio.get_running_loop().call_soon)
-        run.gateway.on_endpoints_applied = freezer.took
+        run.gateway.endpoint_updates.on_applied = freezer.took
         with nothing_frozen():
             frozen: list[int] = []
             for turn in range(40):
                 hosts = [*serving(range(turn * 600, turn * 600 + 600))]
                 run.gateway.on_endpoint_list(ListKind.FULL, hosts)
                 del hosts
-                while run.gateway.slices.waiting or freezer.due:
+                while run.gateway.endpoint_updates.batches.waiting or freezer.due:
                     await asyncio.sleep(0)
                 if turn == 0:
                     assert freezer.freezes == 1 and gc.get_freeze_count() > 600 * 5
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -164,7 +164,7 @@
                 at_once.discovery.take(body)
                 at_once.gateway.on_endpoint_list(ListKind.DELTA, [])
             assert by_steps.discovery.plan.index == at_once.discovery.plan.index
-        while by_steps.gateway.slices.waiting or at_once.gateway.slices.waiting:
+        while by_steps.gateway.endpoint_updates.batches.waiting or at_once.gateway.endpoint_updates.batches.waiting:
             await asyncio.sleep(0)
         assert by_steps.state() == at_once.state()
         assert [(kind, [e.listed for e in told]) for kind, told in by_steps.told] == [
@@ -192,7 +192,7 @@
     first = {entry.server: entry for entry in lists[0].servers}
     assert first.keys() == {host_id(n) for n in (*range(50), *range(100, 650), *range(690, 700))}
     assert first[host_id(5)].status is ServerStatus.GONE and first[host_id(649)].started_us == 7_000
-    while taking.gateway.slices.waiting:
+    while taking.gateway.endpoint_updates.batches.waiting:
         await asyncio.sleep(0)
     assert all(len(event.servers) <= SLICE for event in lists[1:])
     assert sum(len(event.servers) for event in lists[1:]) == 90
@@ -352,11 +352,11 @@
 
         def hear(event: object) -> None:
             if isinstance(event, ServerList) and any(e.status is ServerStatus.DRAINING for e in event.servers):
-                waiting.append(len(run.gateway.slices.waiting))
+                waiting.append(len(run.gateway.endpoint_updates.batches.waiting))
 
         overhear(run, hear)
         run.gateway.start()
-        await until(lambda: waiting and not run.gateway.slices.waiting)
+        await until(lambda: waiting and not run.gateway.endpoint_updates.batches.waiting)
         assert waiting[0] > 0
         assert run.pool.hosts[host_id(MANY - 1)].draining_since_us is not None
         assert run.module.servers[host_id(0)].entry.weight == 0.5
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -18,7 +18,6 @@
     "cloverkeel/balancing/interface.py": 471,
     "cloverkeel/control_plane/endpoint_cache.py": 535,
     "cloverkeel/control_plane/http_server.py": 668,
-    "cloverkeel/core/gateway.py": 526,
     "cloverkeel/discovery/http_client.py": 463,
     "cloverkeel/discovery/relay_selection.py": 407,
     "cloverkeel/discovery/zookeeper_source.py": 325,
@@ -36,7 +35,6 @@
     "cloverkeel/control_plane/command.py:run": 59,
     "cloverkeel/control_plane/endpoint_cache.py:answer_delta": 47,
     "cloverkeel/control_plane/fleet_roster.py:parse_roster": 81,
-    "cloverkeel/core/gateway.py:send": 42,
     "cloverkeel/frontends/http1/requests.py:read_call": 46,
     "cloverkeel/simulator/codec.py:_settings": 45,
 }
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -534,7 +534,7 @@
 
         async def late(exchange: Exchange) -> None:
             await until(lambda: run.discovery.retry)  # it is between the two
-            run.gateway.carry_out(WatchList())
+            run.gateway.dispatcher.carry_out(WatchList())
             paced.append(run.discovery.task is None)
             with suppress(RuntimeError):  # closed already
                 exchange.answer(relay_list(9, endpoint("s-9", host.address)))
--- a/tests/test_repeated_ids.py
+++ b/tests/test_repeated_ids.py
@@ -251,6 +251,6 @@
                 seen = len(host.seen)
                 while len(host.seen) == seen:  # each of them serves again: none counts as silent
                     await run.ask(request(budget_ms=2_000))
-            await until(lambda: not run.gateway.held)
-            assert not run.gateway.by_id
+            await until(lambda: not run.gateway.requests.by_key)
+            assert not run.gateway.requests.by_client_id
             assert not run.module.requests and not run.module.out
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -294,7 +294,7 @@
         stand_still()
         answers = await asyncio.gather(*(at.answer(client) for client in clients))
         assert [answer.status for answer in answers] == [503] * 200
-        assert at.run.pool.counts.opened == 0 and not at.run.gateway.held
+        assert at.run.pool.counts.opened == 0 and not at.run.gateway.requests.by_key
 
 
 @on_loop
@@ -338,7 +338,7 @@
         answers = await asyncio.gather(*(at.answer(client) for client in clients))
         assert [answer.status for answer in answers] == [503, 503]
         assert time.monotonic() - begun < 0.9 * MAX_HOLD_US / 1e6 and at.run.gateway.stall_detector.is_holding
-        assert at.run.pool.counts.opened == 0 and not at.run.gateway.held
+        assert at.run.pool.counts.opened == 0 and not at.run.gateway.requests.by_key
 
 
 @pytest.mark.parametrize("first", ["request", "list"])
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -9,7 +9,7 @@
 
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.loop_timers import LoopTimers
-from cloverkeel.core.timers import SPARE, Timer, Timers
+from cloverkeel.core.timers import MAX_SPARE_CANCELLED, Timer, Timers
 from tests.sockets import on_loop
 
 # What is done to the timers: one is set for a time, one is called off, or time goes on.
@@ -24,7 +24,7 @@
     for number, (step, value) in enumerate(script):
         if step == SET:
             due_us = now + value - 5  # in the past, too
-            waiting[number] = (due_us, timers.set(due_us, lambda number=number: made.append(number)))  # type: ignore[misc]
+            waiting[number] = (due_us, timers.schedule(due_us, lambda number=number: made.append(number)))  # type: ignore[misc]
         elif step == CANCEL and waiting:
             key = sorted(waiting)[value % len(waiting)]
             waiting.pop(key)[1].cancel()
@@ -32,21 +32,21 @@
             now += value
             expected = sorted((due, key) for key, (due, _) in waiting.items() if due <= now)
             before = len(made)
-            while (call := timers.take(now)) is not None:
+            while (call := timers.pop_due(now)) is not None:
                 call()
             assert made[before:] == [key for _, key in expected]
             for _, key in expected:
                 waiting.pop(key)[1].cancel()  # too late: nothing
-        assert timers.next_due() == min((due for due, _ in waiting.values()), default=None)
-        assert len(timers.heap) <= 2 * len(waiting) + SPARE + 1
+        assert timers.next_due_us() == min((due for due, _ in waiting.values()), default=None)
+        assert len(timers.heap) <= 2 * len(waiting) + MAX_SPARE_CANCELLED + 1
 
 
 def test_what_is_called_off_is_not_kept() -> None:
     timers = Timers()
-    kept = [timers.set(10**12 + n, lambda: None) for n in range(100)]
+    kept = [timers.schedule(10**12 + n, lambda: None) for n in range(100)]
     for n in range(100_000):
-        timers.set(10**12 + n, lambda: None).cancel()
-        assert len(timers.heap) <= 2 * len(kept) + SPARE + 1
+        timers.schedule(10**12 + n, lambda: None).cancel()
+        assert len(timers.heap) <= 2 * len(kept) + MAX_SPARE_CANCELLED + 1
 
 
 @on_loop
@@ -64,19 +64,19 @@
             over.set()
 
     for name, after_us in (("last", 30_000), ("second", 10_000), ("first", 0)):
-        timers.set(begun + after_us, lambda name=name, due=begun + after_us: make(name, due))  # type: ignore[misc]
-    timers.set(begun + 5_000, fail)
-    timers.set(begun + 6_000, lambda: make("called off", 0)).cancel()
+        timers.schedule(begun + after_us, lambda name=name, due=begun + after_us: make(name, due))  # type: ignore[misc]
+    timers.schedule(begun + 5_000, fail)
+    timers.schedule(begun + 6_000, lambda: make("called off", 0)).cancel()
     await over.wait()
     assert made == ["first", "second", "last"]
     # One that is set by another's call, and sooner than what is left.
     over.clear()
-    timers.set(now_us() + 60_000_000, lambda: make("never", 0))
+    timers.schedule(now_us() + 60_000_000, lambda: make("never", 0))
 
     def go_on() -> None:
-        timers.set(now_us() + 1_000, lambda: make("last", 0))
+        timers.schedule(now_us() + 1_000, lambda: make("last", 0))
 
-    timers.set(now_us(), go_on)
+    timers.schedule(now_us(), go_on)
     await over.wait()
     timers.close()
-    assert timers.timers.next_due() is None and timers.handle is None
+    assert timers.timers.next_due_us() is None and timers.handle is None
