--- a/benchmarks/guards/mutants/frontends.py
+++ b/benchmarks/guards/mutants/frontends.py
@@ -56,7 +56,7 @@
     """A head may be of any length."""
     from cloverkeel.frontends.http1 import requests
 
-    swap(requests, "HEAD_LIMIT", 1 << 40)
+    swap(requests, "MAX_HEAD_BYTES", 1 << 40)
 
 
 @entry("body-limit")
@@ -64,7 +64,7 @@
     """A body may be of any length."""
     from cloverkeel.frontends.http1 import requests
 
-    swap(requests, "LARGE_LIMIT", 1 << 40)
+    swap(requests, "MAX_BODY_BYTES", 1 << 40)
 
 
 @entry("read-ahead")
--- a/benchmarks/guards/mutants/protocols.py
+++ b/benchmarks/guards/mutants/protocols.py
@@ -22,8 +22,8 @@
     """A host's answer may be of any length."""
     from cloverkeel.protocols import http1
 
-    swap(http1, "LARGE_LIMIT", 1 << 40)
-    cut(http1.ReplyReader, "__init__", ("self._limit = limit", "self._limit = 1 << 40"))
+    swap(http1, "MAX_BODY_BYTES", 1 << 40)
+    cut(http1.ReplyReader, "__init__", ("self._max_body_bytes = max_body_bytes", "self._max_body_bytes = 1 << 40"))
 
 
 @entry("reply-head-limit")
@@ -31,4 +31,4 @@
     """The head of a host's answer may be of any length."""
     from cloverkeel.protocols import http1
 
-    swap(http1, "HEAD_LIMIT", 1 << 40)
+    swap(http1, "MAX_HEAD_BYTES", 1 << 40)
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of the rooms round it: who carries attempts, and who tells of hosts."""
+"""What the core asks of the packages that it must not import: upstream, discovery and the frontend."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One host of a list, for the module and for who carries attempts."""
+    """One host of an endpoint list, for the balancer and for the host table."""
 
     name: str
     address: Address
@@ -38,7 +38,7 @@
 
 OnEndpointList = Callable[[ListKind, list[Endpoint]], None]
 OnAttemptEnd = Callable[[AttemptResult], None]
-# A request in full, made as it is written, with the present time in µs: it tells its host what time is left.
+# A request in full, built as it is written, with the present time in µs: it tells its host what time is left.
 PayloadBuilder = Callable[[int], list[bytes]]
 # Asked just before the first byte of an attempt is written, with the present time in µs: whether it is to go out.
 MayStart = Callable[[int], bool]
@@ -48,9 +48,10 @@
 
 
 class Decisions(Protocol):
-    """Which server is used, whether to try again, what is turned away: events in, actions out, in order."""
+    """Which server is used, whether to retry, what is rejected: events in, actions out, in order."""
 
-    def handle(self, now_us: int, event: Event) -> list[Action]: ...
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        """Decide on an event."""
 
     def shares_shed(self) -> tuple[float, float]:
         """Of what is cheap, and of all else."""
@@ -137,25 +138,29 @@
 
 
 class EndpointSource(Protocol):
-    """Tells who is there."""
+    """Notifies of endpoint lists."""
 
     def set_listener(self, on_list: OnEndpointList) -> None:
-        """Whom to tell, from now on."""
+        """Notify this of each list, from now on."""
 
-    def load_known(self, raw: dict[str, Any]) -> None: ...
+    def load_known(self, raw: dict[str, Any]) -> None:
+        """Notify of the list that the configuration has."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Watch the list, or stop doing so."""
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Ask for the list now."""
 
     def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
-        """This process stood still for so long: tell all that was said meanwhile, then call `done`, once."""
+        """Notify of all that came during a stall of that length, then call `done`, once."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop: nothing is notified any more."""
 
 
 class Descriptors(Protocol):
-    """What a front shares descriptors with."""
+    """What the frontend shares descriptors with."""
 
     open_connections: int  # to hosts
     reserve_descriptor: Callable[[], bool]  # called before a descriptor is taken; False: there is none
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -18,7 +18,7 @@
 from cloverkeel.core.config import Address, Config
 from cloverkeel.core.incremental_gzip import unpack
 from cloverkeel.core.log import log
-from cloverkeel.core.messages import Reply, header
+from cloverkeel.core.messages import Reply, find_header
 from cloverkeel.core.options import Relays as Options
 from cloverkeel.discovery.http_client import LIST_LIMIT, PARSED, CallError, Discovery, Line, Steps, parse_steps
 from cloverkeel.discovery.relay_selection import (
@@ -75,7 +75,7 @@
         return b"" if self.relays.at is None else b"Accept-Encoding: gzip\r\n"
 
     def unpack(self, reply: Reply) -> Steps[bytes]:
-        coding = header(reply.headers, b"content-encoding")
+        coding = find_header(reply.headers, b"content-encoding")
         if coding is None or self.relays.at is None:
             return reply.body
         if coding.lower() != b"gzip":
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -12,13 +12,20 @@
 
 from cloverkeel.core.calls import Call, Client
 from cloverkeel.core.config import Config, stable_id
-from cloverkeel.core.messages import BODY_LIMIT, HEAD_LIMIT, HOP_BY_HOP, LARGE_LIMIT, Header, tokens
+from cloverkeel.core.messages import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    HOP_BY_HOP_HEADERS,
+    MAX_BODY_BYTES,
+    Header,
+    parse_token_list,
+)
 from cloverkeel.core.body_budget import BodyBudget, BodyReservation
 
 ID_LIMIT: Final = 128
 SLICE: Final = 4096  # bytes parsed before it is looked at how many requests they held
 BODY_SLICE: Final = 64 * 1024  # the same within a large body
-STAYS: Final = HOP_BY_HOP | {b"x-budget-ms"}  # headers that do not go on to a host
+STAYS: Final = HOP_BY_HOP_HEADERS | {b"x-budget-ms"}  # headers that do not go on to a host
 ONCE: Final = frozenset(
     {b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-call-cost", b"idempotency-key"}
 )
@@ -123,7 +130,7 @@
             return cause if isinstance(cause, RequestError) else RequestError(400, "malformed")
         # Guards against a head, a chunk's extension or blank lines without end: the parser hands a header
         # over only once it is whole, and says nothing of the rest.
-        return RequestError(431, "the head is too long") if self._unparsed > HEAD_LIMIT else None
+        return RequestError(431, "the head is too long") if self._unparsed > MAX_HEAD_BYTES else None
 
     # httptools' callbacks
 
@@ -157,7 +164,7 @@
         self._in_body = True
         request.method = self._parser.get_method()
         fields = request.fields
-        if self._head_size + len(request.target) > HEAD_LIMIT:
+        if self._head_size + len(request.target) > MAX_HEAD_BYTES:
             raise RequestError(431, "the head is too long")
         version = self._parser.get_http_version()
         if version not in ("1.1", "1.0"):
@@ -168,8 +175,8 @@
             raise RequestError(501, "no transfer encoding but chunked is read")
         length = fields.get(b"content-length")
         self._to_come = int(length) if length is not None else 0
-        if self._to_come > LARGE_LIMIT:
-            raise RequestError(413, f"the body is longer than {LARGE_LIMIT} bytes")
+        if self._to_come > MAX_BODY_BYTES:
+            raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
         expected = fields.get(b"expect")
         if expected is not None:
             if expected.lower() != b"100-continue":
@@ -182,9 +189,9 @@
         self._unparsed = 0
         before, request.body_size = request.body_size, request.body_size + len(data)
         self._to_come = max(0, self._to_come - len(data))
-        if request.body_size > BODY_LIMIT:
-            if request.body_size > LARGE_LIMIT:
-                raise RequestError(413, f"the body is longer than {LARGE_LIMIT} bytes")
+        if request.body_size > MAX_BUFFERED_BODY_BYTES:
+            if request.body_size > MAX_BODY_BYTES:
+                raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
             if request.body_reservation is None:
                 before, request.body_reservation = 0, BodyReservation(self._body_budget)
             if not request.body_reservation.try_grow(request.body_size - before):
@@ -267,7 +274,7 @@
     if b"connection" in request.fields:
         # What it names is meant for this connection only, too.
         values = [value for lower, _, value in request.lines if lower == b"connection"]
-        stays = STAYS.union(*map(tokens, values))
+        stays = STAYS.union(*map(parse_token_list, values))
     for lower, name, value in request.lines:
         if lower not in stays:
             pieces += (b"\r\n", name, b": ", value)
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -15,7 +15,7 @@
 from cloverkeel.core.draining import Timetable, on_the_way_out
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.core.log import log
-from cloverkeel.core.messages import Header, Reply, end_to_end
+from cloverkeel.core.messages import Header, Reply, end_to_end_headers
 from cloverkeel.core.ports import Descriptors
 from cloverkeel.core.body_budget import BodyBudget, budget_for_memory
 from cloverkeel.frontends.http1.requests import Request, RequestError, RequestReader, read_call
@@ -501,7 +501,7 @@
 
     def on_response(self, call: Call, reply: Reply) -> None:
         if self.call is call:
-            self.answer(200, end_to_end(reply.headers, NOT_PASSED_BACK), reply.body)
+            self.answer(200, end_to_end_headers(reply.headers, NOT_PASSED_BACK), reply.body)
 
     def on_rejected(self, call: Call, retry_after_us: int) -> None:
         if self.call is call:
@@ -522,7 +522,7 @@
         if size is None and request.is_old:
             request.keep_alive = False  # its end is that of the connection
         pieces = [STATUS_LINES[200]]
-        for name, value in end_to_end(reply.headers, NOT_PASSED_BACK):
+        for name, value in end_to_end_headers(reply.headers, NOT_PASSED_BACK):
             pieces += (b"\r\n", name, b": ", value)
         if size is not None:
             pieces += (b"\r\nContent-Length: ", str(size).encode())
--- a/cloverkeel/protocols/__init__.py
+++ b/cloverkeel/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to messages, for whoever speaks to servers. No I/O."""
+"""Bytes to messages, for every package that speaks to servers. No I/O."""
--- a/cloverkeel/upstream/outcomes.py
+++ b/cloverkeel/upstream/outcomes.py
@@ -7,7 +7,7 @@
 from cloverkeel.balancing.interface import LoadReport, Outcome
 from cloverkeel.simulator.codec import parse_load
 
-from cloverkeel.core.messages import Reply, header
+from cloverkeel.core.messages import Reply, find_header
 
 STATUS_OK: Final = 200
 STATUSES_OF_REJECTION: Final = (503, 504)  # with X-Rejected: 1 the host has not run the request
@@ -20,14 +20,14 @@
     """Return the outcome of an attempt that was answered."""
     if reply.status == STATUS_OK:
         return Outcome.OK
-    if reply.status in STATUSES_OF_REJECTION and header(reply.headers, REJECTED_HEADER) == b"1":
+    if reply.status in STATUSES_OF_REJECTION and find_header(reply.headers, REJECTED_HEADER) == b"1":
         return Outcome.FULL
     return Outcome.ERROR
 
 
 def parse_load_report(reply: Reply | None) -> LoadReport | None:
     """Return the load report that came with an answer; None where there is none, or none that can be read."""
-    text = header(reply.headers, LOAD_REPORT_HEADER) if reply is not None else None
+    text = find_header(reply.headers, LOAD_REPORT_HEADER) if reply is not None else None
     if text is None:
         return None
     report_format, _, values = text.decode("latin-1").partition(" ")
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.core.messages import BODY_LIMIT, LARGE_LIMIT, Reply
+from cloverkeel.core.messages import MAX_BUFFERED_BODY_BYTES, MAX_BODY_BYTES, Reply
 from cloverkeel.core.body_budget import BodyBudget, BodyReservation, budget_for_memory
 from cloverkeel.frontends.http1.requests import RequestReader
 from cloverkeel.protocols.http1 import ReplyError, ReplyReader
@@ -179,7 +179,7 @@
 @on_loop
 async def test_a_body_above_the_limit_is_413_before_it_has_come() -> None:
     async with peer() as host, running(configuration(host)) as run:
-        answer = await run.ask(request("transfer", content_length=str(LARGE_LIMIT + 1)))
+        answer = await run.ask(request("transfer", content_length=str(MAX_BODY_BYTES + 1)))
         assert answer.status == 413 and not host.seen
 
 
@@ -215,9 +215,9 @@
 
 
 def test_chunks_beyond_the_limit_are_413() -> None:
-    reader = RequestReader(lambda: None, BodyBudget(LARGE_LIMIT * 2))
+    reader = RequestReader(lambda: None, BodyBudget(MAX_BODY_BYTES * 2))
     reader.feed(b"POST /transfer/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 1)
-    for _ in range(LARGE_LIMIT // MB):
+    for _ in range(MAX_BODY_BYTES // MB):
         reader.feed(b"100000\r\n" + bytes(MB) + b"\r\n", 1)
         assert not reader.is_broken
     reader.feed(b"1\r\nx\r\n", 1)
@@ -244,7 +244,8 @@
 
 @settings(max_examples=60, deadline=None)
 @given(
-    st.integers(BODY_LIMIT + 1, BODY_LIMIT * 3), st.lists(st.integers(1, 40_000), max_size=30),
+    st.integers(MAX_BUFFERED_BODY_BYTES + 1, MAX_BUFFERED_BODY_BYTES * 3),
+    st.lists(st.integers(1, 40_000), max_size=30),
     st.sampled_from(["length", "chunked", "close"]),
 )  # fmt: skip
 def test_any_split_of_the_bytes_gives_the_same_bytes(size: int, splits: list[int], framing: str) -> None:
