--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -237,7 +237,7 @@
 @entry("way-out-accepts")
 def _() -> None:
     """On SIGTERM no connection is taken any more."""
-    from cloverkeel.frontends.http1 import server
+    from cloverkeel.frontends.http1.listener import Listener
 
     other_way_out(accept_s=0.0)
-    cut(server.Server, "stop_listening", ("self.accept(BACKLOG)", "pass"))
+    cut(Listener, "close", ("self.accept(LISTEN_BACKLOG)", "pass"))
--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -20,7 +20,8 @@
     row("way-out-ends+way-out-bound", "the way out ends", "Timetable, LAST_S",
         tests="gateway_process::what_never_ends_does_not_keep_it "
               "gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes"),
-    row("way-out-keeps", "who has a connection is served for a while: others may be out", "Server.sends_away",
+    row("way-out-keeps", "who has a connection is served for a while: others may be out",
+        "DrainState.closes_connections",
         tests="emptying::on_the_way_out_an_open_connection_is_served_for_a_while"),
     row("way-out-hurry", "half a request keeps nobody from the end", "Timetable.may_give_up",
         tests="emptying::half_a_request_that_does_not_go_on_keeps_nobody_from_the_end"),
@@ -54,7 +55,7 @@
     row("gzip-end", "gzip with something after its end is a call that failed", "unpack",
         tests="list_reading::what_was_packed_is_read_and_nothing_else"
         " relays::a_relay_that_fails_costs_no_news_and_the_list_stands"),
-    row("way-out-accepts", "what waits to be accepted is answered", "Server.drain",
+    row("way-out-accepts", "what waits to be accepted is answered", "Listener.close",
         tests="gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes "
               "gateway_process::no_request_is_lost_at_a_restart_under_way"),
 )  # fmt: skip
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -139,7 +139,7 @@
         program.leave()
         try:
             async with asyncio.timeout(LAST_S):
-                await server.drain(operations.way_out() if operations is not None else None)
+                await server.shut_down(operations.way_out() if operations is not None else None)
         except TimeoutError:
             log(f"ended with {len(gateway.requests.by_key)} requests unanswered")
         counts = program.pool.counts
--- a/cloverkeel/admin/operations.py
+++ b/cloverkeel/admin/operations.py
@@ -59,7 +59,7 @@
         """The state as this or another process has left it."""
         self.membership.adopt(state.out, state.back)
         if state.paused != self.state.paused and not self.ending:
-            self.server.empty(paused()) if state.paused else self.server.refill()
+            self.server.start_drain(paused()) if state.paused else self.server.stop_drain()
         self.state = state
 
     def look(self) -> None:
@@ -71,7 +71,7 @@
         others = self.files.others()
         if others.count != self.others.count:
             log(f"{1 + others.count} processes of this gateway; descriptors and budgets are shared out among them")
-            self.server.share(1 + others.count)
+            self.server.set_process_count(1 + others.count)
         self.share_budgets(others)
         self.others = others
 
@@ -87,7 +87,7 @@
 
     def note_serving(self) -> None:
         """Guards a process that is told to end at our first yes: it must find that it has a successor."""
-        if not self.serving and self.server.takes_clients:
+        if not self.serving and self.server.accepts_clients:
             self.serving = True
             self.files.serves()
 
@@ -97,7 +97,7 @@
         self.files.ends()
         others = self.files.others()
         self.share_budgets(others)
-        return succeeded(self.server.longest_s) if others.successor else None
+        return succeeded(self.server.max_client_timeout_s) if others.successor else None
 
     def close(self) -> None:
         if self.looker is not None:
@@ -134,12 +134,12 @@
 
     def status(self) -> tuple[bool, str]:
         hosts = len(self.membership.bans.listed)
-        words = f"{hosts} hosts, {len(self.state.out)} out by hand, {self.server.clients} connections of clients"
+        words = f"{hosts} hosts, {len(self.state.out)} out by hand, {self.server.client_count} connections of clients"
         if self.ending:
             return False, "ending; " + words
         if self.state.paused:
             return False, "paused; " + words
-        if not self.server.takes_clients:
+        if not self.server.accepts_clients:
             return False, "starting; " + words
         self.note_serving()
         return True, "taking clients; " + words
--- /dev/null
+++ b/cloverkeel/frontends/http1/context.py
@@ -0,0 +1,36 @@
+"""What all connections of clients share."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from cloverkeel.core.body_budget import BodyBudget, budget_for_memory
+from cloverkeel.core.config import Config
+from cloverkeel.core.gateway import Gateway
+from cloverkeel.frontends.http1.drain import DrainState
+from cloverkeel.frontends.http1.timeouts import ConnectionTimeouts
+
+if TYPE_CHECKING:
+    from cloverkeel.frontends.http1.connection import ClientConnection
+
+
+class ConnectionContext:
+    """What all connections share."""
+
+    __slots__ = ("body_budget", "config", "connections", "drain", "gateway", "loop", "timeouts")
+
+    def __init__(
+        self, config: Config, gateway: Gateway, connections: set[ClientConnection], timeouts: ConnectionTimeouts,
+        drain: DrainState,
+    ) -> None:  # fmt: skip
+        self.loop = drain.loop
+        self.config = config
+        self.gateway = gateway
+        self.body_budget = BodyBudget(budget_for_memory(config.memory_mb))
+        self.connections = connections
+        self.timeouts = timeouts
+        self.drain = drain
+
+    def is_ready(self) -> bool:
+        """Tell what a readiness check is answered."""
+        return self.drain.is_reported_ready() and self.gateway.can_serve
--- /dev/null
+++ b/cloverkeel/frontends/http1/drain.py
@@ -0,0 +1,104 @@
+"""Draining a gateway of its clients, by the schedule of core/draining.py."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Final
+
+from cloverkeel.core.calls import Call
+from cloverkeel.core.draining import Timetable
+from cloverkeel.core.gateway import Gateway
+from cloverkeel.frontends.http1.requests import RequestError
+from cloverkeel.frontends.http1.timeouts import ConnectionTimeouts
+
+if TYPE_CHECKING:
+    from cloverkeel.frontends.http1.connection import ClientConnection
+    from cloverkeel.frontends.http1.listener import Listener
+
+DRAIN_POLL_INTERVAL_S: Final = 0.02
+
+
+class DrainState:
+    """Whether a drain is under way, and since when."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self.loop = loop
+        self.schedule: Timetable | None = None
+        self.started_s = 0.0
+
+    def elapsed_s(self) -> float:
+        """Return how long the drain has been under way."""
+        return self.loop.time() - self.started_s
+
+    def is_reported_ready(self) -> bool:
+        """Tell what a readiness check is answered, as far as a drain goes."""
+        return self.schedule is None or self.schedule.ready
+
+    def limit_call(self, call: Call) -> None:
+        """Have a call end with the drain that is under way. Raises RequestError where it has come too late."""
+        schedule = self.schedule
+        if schedule is None:
+            return
+        left_s = schedule.end_s - self.elapsed_s()
+        if self.elapsed_s() >= schedule.refuse_s:
+            raise RequestError(503, "this gateway is being emptied; ask again on a new connection")
+        call.client_timeout_us = min(call.client_timeout_us, max(1, int(left_s * 1e6)))
+
+    def closes_connections(self) -> bool:
+        """Tell whether a response ends its connection."""
+        return self.schedule is not None and self.elapsed_s() >= self.schedule.keep_s
+
+
+class ClientDrain:
+    """Carries a drain out, on a timer of its own."""
+
+    def __init__(
+        self, state: DrainState, gateway: Gateway, listener: Listener, connections: set[ClientConnection],
+        timeouts: ConnectionTimeouts,
+    ) -> None:  # fmt: skip
+        self.state = state
+        self.loop = state.loop
+        self.gateway = gateway
+        self.listener = listener
+        self.connections = connections
+        self.timeouts = timeouts
+        self.is_shutdown = False  # it ends with the process
+        self.timer: asyncio.TimerHandle | None = None
+
+    def start(self, schedule: Timetable) -> None:
+        """Begin to send clients away."""
+        self.state.schedule = schedule
+        self.state.started_s = self.loop.time()
+        if self.timer is None:
+            self.on_timer()
+
+    def stop(self) -> None:
+        """Serve clients again, unless the process shuts down."""
+        if not self.is_shutdown:
+            self.state.schedule = None
+
+    def close(self) -> None:
+        """Carry nothing more out."""
+        if self.timer is not None:
+            self.timer.cancel()
+
+    def on_timer(self) -> None:
+        """Do what the schedule asks for by now; again as long as it holds."""
+        schedule = self.state.schedule
+        self.timer = None
+        if schedule is None:
+            return
+        self.timer = self.loop.call_later(DRAIN_POLL_INTERVAL_S, self.on_timer)
+        elapsed_s = self.state.elapsed_s()
+        if elapsed_s >= schedule.accept_s:
+            self.listener.close()
+        if self.is_shutdown and elapsed_s >= schedule.end_s:
+            self.gateway.answer_all_requests()
+        now_s = self.loop.time()
+        for connection in list(self.timeouts.reading):
+            if schedule.may_give_up(elapsed_s, now_s - connection.last_read_s):
+                connection.time_out_request()
+        for connection in list(self.connections):
+            age_s = now_s - connection.accepted_s
+            if schedule.may_close(elapsed_s, connection.has_responded, age_s) and connection.is_idle():
+                connection.close()
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -1,4 +1,4 @@
-"""What clients send: requests from bytes, and every check on them."""
+"""What clients send: requests from bytes, and what of HTTP can be checked in them. No I/O."""
 
 from __future__ import annotations
 
@@ -8,119 +8,112 @@
 
 import httptools
 
-from cloverkeel.balancing.interface import Effect
-
-from cloverkeel.core.calls import Call, Client
-from cloverkeel.core.config import Config, stable_id
 from cloverkeel.core.messages import (
     MAX_BUFFERED_BODY_BYTES,
     MAX_HEAD_BYTES,
-    HOP_BY_HOP_HEADERS,
     MAX_BODY_BYTES,
     Header,
-    parse_token_list,
 )
 from cloverkeel.core.body_budget import BodyBudget, BodyReservation
 
-ID_LIMIT: Final = 128
-SLICE: Final = 4096  # bytes parsed before it is looked at how many requests they held
-BODY_SLICE: Final = 64 * 1024  # the same within a large body
-STAYS: Final = HOP_BY_HOP_HEADERS | {b"x-budget-ms"}  # headers that do not go on to a host
-ONCE: Final = frozenset(
-    {b"x-call-id", b"x-call-class", b"x-caller", b"x-budget-ms", b"x-call-cost", b"idempotency-key"}
-)
+SLICE_BYTES: Final = 4096  # parsed before it is checked how many requests they held
+BODY_SLICE_BYTES: Final = 64 * 1024  # the same within a large body
+SUPPORTED_VERSIONS: Final = ("1.1", "1.0")
 
 
 class RequestError(ValueError):
-    """A request that is answered here, with this status."""
+    """A request that is answered here, with this status; its text is the body of the response."""
 
-    def __init__(self, status: int, why: str, *headers: Header) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, *headers: Header) -> None:
+        super().__init__(reason)
         self.status = status
         self.headers = list(headers)
 
 
 class Request:
-    """One request as it was read; `fault` tells that it can't be, and nothing after it."""
+    """One request as it was read; `error` tells that it can't be, and nothing after it."""
 
     __slots__ = (
-        "body", "body_reservation", "body_size", "fault", "fields", "is_old", "keep_alive", "lines", "method",
-        "repeated", "target",
+        "body", "body_reservation", "body_size", "error", "header_by_name", "header_lines", "is_http10", "keep_alive",
+        "method", "repeated_names", "target",
     )  # fmt: skip
 
-    def __init__(self, fault: RequestError | None = None) -> None:
+    def __init__(self, error: RequestError | None = None) -> None:
         self.method = b""
         self.target = b""
-        self.fields: dict[bytes, bytes] = {}  # by name in lower case; of several, the first
-        self.repeated: list[bytes] = []
-        self.lines: list[tuple[bytes, bytes, bytes]] = []  # name in lower case, name and value as they came
+        self.header_by_name: dict[bytes, bytes] = {}  # by name in lower case; of several, the first
+        self.repeated_names: list[bytes] = []
+        self.header_lines: list[tuple[bytes, bytes, bytes]] = []  # name in lower case, name and value as they came
         self.body: list[bytes] = []
         self.body_size = 0
-        self.body_reservation: BodyReservation | None = None  # what a large body holds of the common room
+        self.body_reservation: BodyReservation | None = None  # what a large body holds of the common budget
         self.keep_alive = False
-        self.is_old = False  # HTTP/1.0: no chunks are understood
-        self.fault = fault
+        self.is_http10 = False  # no chunks are understood
+        self.error = error
 
 
 class RequestReader:
-    """Turns the bytes of one client's connection into requests."""
+    """Turns the bytes of one client's connection into requests (RFC 9112)."""
 
     __slots__ = (
-        "_body_budget", "_head_size", "_in_body", "_on_expect", "_parser", "_reading", "_to_come", "_unparsed",
-        "done", "is_broken", "rest",
+        "_awaited_body_bytes", "_body_budget", "_head_size", "_is_in_body", "_on_expect", "_parser", "_request",
+        "_undelivered", "completed", "is_broken", "unparsed",
     )  # fmt: skip
 
     def __init__(self, on_expect: Callable[[], None], body_budget: BodyBudget) -> None:
         self._parser: Any = httptools.HttpRequestParser(self)
         self._on_expect = on_expect
-        self._reading: Request | None = None
+        self._request: Request | None = None  # the one that is being read
         self._body_budget = body_budget
-        self._to_come = 0  # bytes of the body that is being read, as its head has it
-        self._in_body = False  # the head is read
+        self._awaited_body_bytes = 0  # of the body that is being read, as its head has it
+        self._is_in_body = False  # the head is read
         self._head_size = 0  # of headers: names and values
-        self._unparsed = 0  # bytes since the parser last gave something away
-        self.done: deque[Request] = deque()  # read and not yet taken
-        self.rest = b""  # not yet parsed, as enough requests wait
+        self._undelivered = 0  # bytes since the parser last handed anything over
+        self.completed: deque[Request] = deque()  # read and not yet taken
+        self.unparsed = b""  # left, as enough requests wait
         self.is_broken = False  # nothing more is read
 
     @property
     def has_begun(self) -> bool:
         """Whether part of a request has come, and not all of it."""
-        return self._reading is not None or self._unparsed > 0 or bool(self.rest)
+        return self._request is not None or self._undelivered > 0 or bool(self.unparsed)
+
+    @property
+    def body_size(self) -> int:
+        """Bytes of the body that is being read, as far as it has come."""
+        return self._request.body_size if self._request is not None else 0
 
-    def feed(self, data: bytes, most: int) -> None:
+    def feed(self, data: bytes, max_requests: int) -> None:
         """Read on, until so many requests wait: hundreds at once must not hold up everyone else."""
-        data = b"%s%s" % (self.rest, data) if self.rest else data
+        data = b"%s%s" % (self.unparsed, data) if self.unparsed else data
         begin, end = 0, len(data)
-        while begin < end and not self.is_broken and len(self.done) < most:
-            size = min(end - begin, max(SLICE, min(BODY_SLICE, self._to_come)))
+        while begin < end and not self.is_broken and len(self.completed) < max_requests:
+            size = min(end - begin, max(SLICE_BYTES, min(BODY_SLICE_BYTES, self._awaited_body_bytes)))
             piece = data if size == end else data[begin : begin + size]
             begin += size
-            fault = self._parse(piece)
-            if fault is not None:
-                self.break_off(fault)
-        self.rest = b"" if begin >= end or self.is_broken else data[begin:]
+            error = self._parse(piece)
+            if error is not None:
+                self.fail(error)
+        self.unparsed = b"" if begin >= end or self.is_broken else data[begin:]
 
-    @property
-    def body_size(self) -> int:
-        """Of the body that is being read, as far as it has come."""
-        return self._reading.body_size if self._reading is not None else 0
-
-    def break_off(self, fault: RequestError) -> None:
-        """Answer with this after what was read before, and read nothing more."""
+    def fail(self, error: RequestError) -> None:
+        """Answer with this error after what was read before, and read nothing more."""
         self.is_broken = True
-        self._reading, self.rest = None, b""
-        self.done.append(Request(fault))
+        self._request = None
+        self.unparsed = b""
+        self.completed.append(Request(error))
 
     def close(self) -> None:
-        """Read nothing more, and let go of the parser and of who is told: they know this reader."""
+        """Read nothing more, and let go of the parser and of the handler: they know this reader."""
         self.is_broken = True
-        self._reading, self.rest = None, b""
-        self.done.clear()
-        self._parser, self._on_expect = None, _nobody
+        self._request = None
+        self.unparsed = b""
+        self.completed.clear()
+        self._parser = None
+        self._on_expect = _ignore_expect
 
     def _parse(self, piece: bytes) -> RequestError | None:
-        self._unparsed += len(piece)
+        self._undelivered += len(piece)
         try:
             self._parser.feed_data(piece)
         except httptools.HttpParserUpgrade:
@@ -130,155 +123,97 @@
             return cause if isinstance(cause, RequestError) else RequestError(400, "malformed")
         # Guards against a head, a chunk's extension or blank lines without end: the parser hands a header
         # over only once it is whole, and says nothing of the rest.
-        return RequestError(431, "the head is too long") if self._unparsed > MAX_HEAD_BYTES else None
+        return RequestError(431, "the head is too long") if self._undelivered > MAX_HEAD_BYTES else None
 
-    # httptools' callbacks
+    # Callbacks of httptools, which finds them by name
 
     def on_message_begin(self) -> None:
-        self._reading = Request()
-        self._head_size = self._to_come = 0
-        self._in_body = False
+        """Begin a request."""
+        self._request = Request()
+        self._head_size = 0
+        self._awaited_body_bytes = 0
+        self._is_in_body = False
 
     def on_url(self, url: bytes) -> None:
-        assert self._reading is not None
-        self._reading.target = b"%s%s" % (self._reading.target, url)
+        """Take a part of the target."""
+        assert self._request is not None
+        self._request.target = b"%s%s" % (self._request.target, url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        request = self._reading
+        """Take a header."""
+        request = self._request
         assert request is not None
-        if self._in_body:
-            return  # a trailer: not passed on, and bounded as what the parser gives nothing away of
+        if self._is_in_body:
+            return  # a trailer: not forwarded, and bounded as what the parser hands nothing over of
         self._head_size += len(name) + len(value)
         value = value.strip(b" \t")  # white space round a value is not part of it; the parser leaves what trails
         lower = name.lower()
-        if lower in request.fields:
-            request.repeated.append(lower)
+        if lower in request.header_by_name:
+            request.repeated_names.append(lower)
         else:
-            request.fields[lower] = value
-        request.lines.append((lower, name, value))
+            request.header_by_name[lower] = value
+        request.header_lines.append((lower, name, value))
 
     def on_headers_complete(self) -> None:
-        request = self._reading
+        """Check the head: its size, the version, how the body is framed."""
+        request = self._request
         assert request is not None
-        self._unparsed = 0
-        self._in_body = True
+        self._undelivered = 0
+        self._is_in_body = True
         request.method = self._parser.get_method()
-        fields = request.fields
         if self._head_size + len(request.target) > MAX_HEAD_BYTES:
             raise RequestError(431, "the head is too long")
         version = self._parser.get_http_version()
-        if version not in ("1.1", "1.0"):
+        if version not in SUPPORTED_VERSIONS:
             raise RequestError(505, "HTTP/1.1 is spoken here")
-        request.is_old = version == "1.0"
-        coding = fields.get(b"transfer-encoding")
-        if coding is not None and coding.lower() != b"chunked":
-            raise RequestError(501, "no transfer encoding but chunked is read")
-        length = fields.get(b"content-length")
-        self._to_come = int(length) if length is not None else 0
-        if self._to_come > MAX_BODY_BYTES:
-            raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
-        expected = fields.get(b"expect")
+        request.is_http10 = version == "1.0"
+        self._check_framing(request.header_by_name)
+        expected = request.header_by_name.get(b"expect")
         if expected is not None:
             if expected.lower() != b"100-continue":
                 raise RequestError(417, "only 100-continue can be expected")
             self._on_expect()
 
+    def _check_framing(self, header_by_name: dict[bytes, bytes]) -> None:
+        """Check the transfer coding, and the length of the body where the head has it."""
+        coding = header_by_name.get(b"transfer-encoding")
+        if coding is not None and coding.lower() != b"chunked":
+            raise RequestError(501, "no transfer encoding but chunked is read")
+        length = header_by_name.get(b"content-length")
+        self._awaited_body_bytes = int(length) if length is not None else 0
+        if self._awaited_body_bytes > MAX_BODY_BYTES:
+            raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
+
     def on_body(self, data: bytes) -> None:
-        request = self._reading
+        """Take bytes of the body, within the common budget where it is large."""
+        request = self._request
         assert request is not None
-        self._unparsed = 0
-        before, request.body_size = request.body_size, request.body_size + len(data)
-        self._to_come = max(0, self._to_come - len(data))
+        self._undelivered = 0
+        request.body_size += len(data)
+        self._awaited_body_bytes = max(0, self._awaited_body_bytes - len(data))
         if request.body_size > MAX_BUFFERED_BODY_BYTES:
-            if request.body_size > MAX_BODY_BYTES:
-                raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
-            if request.body_reservation is None:
-                before, request.body_reservation = 0, BodyReservation(self._body_budget)
-            if not request.body_reservation.try_grow(request.body_size - before):
-                raise RequestError(503, "no room for a large body now; ask again later")
+            self._reserve_body(request, len(data))
         request.body.append(data)
 
+    def _reserve_body(self, request: Request, size: int) -> None:
+        """Reserve the last bytes of a large body, and of one that has become large all that came."""
+        if request.body_size > MAX_BODY_BYTES:
+            raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
+        if request.body_reservation is None:
+            size = request.body_size
+            request.body_reservation = BodyReservation(self._body_budget)
+        if not request.body_reservation.try_grow(size):
+            raise RequestError(503, "no room for a large body now; ask again later")
+
     def on_message_complete(self) -> None:
-        request = self._reading
+        """End a request."""
+        request = self._request
         assert request is not None
-        self._reading = None
-        self._unparsed = 0
+        self._request = None
+        self._undelivered = 0
         request.keep_alive = self._parser.should_keep_alive()
-        self.done.append(request)
-
-
-def _nobody() -> None:
-    """In the place of who was told."""
-
-
-def read_call(request: Request, path: bytes, config: Config, client: Client) -> Call:
-    """The request in the module's terms."""
-    for name in request.repeated:
-        if name in ONCE:
-            raise RequestError(400, f"{name.decode()} comes twice")
-    headers = request.fields
-    names = config.names
-    parts = [part for part in path.split(b"/") if part]
-    named = headers.get(b"x-call-class")
-    if named is not None and named not in names.classes:
-        raise RequestError(400, "unknown class")
-    if not parts or not path.startswith(b"/") or parts[0] not in names.classes:
-        raise RequestError(404, "unknown path")
-    if b"#" in request.target:
-        raise RequestError(400, "a fragment is not sent")
-    if named is not None and named != parts[0]:
-        raise RequestError(400, "the class is not that of the path")
-    class_index = names.classes[parts[0]]
-    settings = config.settings.classes[class_index]
-    method = b"GET" if settings.effect is Effect.SAFE else b"POST"
-    if request.method != method:
-        raise RequestError(405, f"{method.decode()} it", (b"Allow", method))
-    if settings.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
-        raise RequestError(400, "no Idempotency-Key")
-    id_ = headers.get(b"x-call-id")
-    if not id_ or len(id_) > ID_LIMIT:
-        raise RequestError(400, "no X-Call-Id that can be used")
-    budget_ms = _whole(headers.get(b"x-budget-ms"), "X-Budget-Ms")
-    body = b"".join(request.body) if request.body_reservation is None else b""
-    # No client waits for longer than its class is given: what says so is cut to that.
-    client_timeout_us = settings.give_up_us if budget_ms is None else min(budget_ms * 1000, settings.give_up_us)
-    call = Call(
-        id_=id_.decode("latin-1"),
-        class_index=class_index,
-        client_timeout_us=client_timeout_us,
-        affinity_key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
-        cost_us=_whole(headers.get(b"x-call-cost"), "X-Call-Cost"),
-        is_retry=headers.get(b"x-again") == b"1",
-        tenant=names.tenants.get(headers.get(b"x-caller", b""), 0),
-        head=_head(request),
-        body=body,
-        client=client,
-    )
-    if request.body_reservation is not None:
-        call.body_chunks, call.body_reservation = request.body, request.body_reservation
-    return call
-
-
-def _whole(text: bytes | None, name: str) -> int | None:
-    if text is None:
-        return None
-    if not text.isdigit() or len(text) > 15:
-        raise RequestError(400, f"{name} is not a whole number")
-    return int(text)
-
-
-def _head(request: Request) -> bytes:
-    """What goes on to a host, all but the budget and the empty line."""
-    pieces = [request.method, b" ", request.target, b" HTTP/1.1"]  # joined at once: cheaper than formatting each
-    stays = STAYS
-    if b"connection" in request.fields:
-        # What it names is meant for this connection only, too.
-        values = [value for lower, _, value in request.lines if lower == b"connection"]
-        stays = STAYS.union(*map(parse_token_list, values))
-    for lower, name, value in request.lines:
-        if lower not in stays:
-            pieces += (b"\r\n", name, b": ", value)
-    if request.body_size or request.method == b"POST":
-        pieces += (b"\r\nContent-Length: ", str(request.body_size).encode())
-    pieces.append(b"\r\n")
-    return b"".join(pieces)
+        self.completed.append(request)
+
+
+def _ignore_expect() -> None:
+    """Stand in for the handler of a connection that has ended."""
--- a/tests/golden/admin.py
+++ b/tests/golden/admin.py
@@ -62,8 +62,8 @@
         return self.is_closed
 
 
-class _TakesClients:
-    """Say in place of a server without a socket whether it takes clients."""
+class _AcceptsClients:
+    """Say in place of a server without a socket whether it accepts clients."""
 
     def __init__(self) -> None:
         self.value = False
@@ -91,13 +91,13 @@
         program = assemble(config)
         assert isinstance(program.discovery, BannedMembership)
         program.discovery.load_known(raw["known"])
-        takes_clients = _TakesClients()
-        with mock.patch.object(Server, "takes_clients", takes_clients):
+        accepts_clients = _AcceptsClients()
+        with mock.patch.object(Server, "accepts_clients", accepts_clients):
             operations = Operations(config, program.server, program.discovery, [_extra])
             operations.start()
             try:
                 exchanged = [_exchange(operations, b"STATUS")]
-                takes_clients.value = True
+                accepts_clients.value = True
                 operations.ending = is_ending
                 exchanged += [_exchange(operations, line) for line in DIALOGUE]
             finally:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -276,10 +276,10 @@
     program = assemble(parsed)
     gateway, server = program.gateway, program.server
     await server.start()
-    assert server.listener is not None
+    assert server.listener.socket is not None
     try:
         assert isinstance(program.discovery, Discovery)
-        yield Running(gateway, server, program.pool, program.discovery, server.listener.getsockname()[1])
+        yield Running(gateway, server, program.pool, program.discovery, server.listener.socket.getsockname()[1])
     finally:
         server.close()
         gateway.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,8 @@
 from cloverkeel.core.calls import ResponseStream
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.messages import Reply
-from cloverkeel.frontends.http1.server import ACCEPT_PAUSE_S, RESERVE
+from cloverkeel.frontends.http1.admission import RESERVED_DESCRIPTORS
+from cloverkeel.frontends.http1.listener import ACCEPT_RETRY_INTERVAL_S
 from cloverkeel.discovery.poll_schedule import FIRST_SILENT_S, HOLD_S, REST_S, TOLD_S, WATCH_SILENT_S
 from tests.sockets import (
     Exchange, Running, answers, configuration, endpoint, host_id, list_reply, on_loop, overhear, peer, reply, request,
@@ -313,7 +314,7 @@
             client.sendall(b"".join(request("search") for _ in range(200)))
             await until(lambda: host.seen)
             (connection,) = run.server.connections
-            assert connection.reader.rest
+            assert connection.reader.unparsed
             if end == "RST":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         async with asyncio.timeout(2.0):
@@ -376,12 +377,12 @@
         slow = [await run.connect() for _ in range(3)]
         for client in slow:
             client.send(request("transfer", b"body")[:40])
-        await until(lambda: len(run.server.reading) == 3)
-        for connection in run.server.reading:
-            connection.read_s -= 60  # nothing of it has come for long
-        run.server.most = 3
+        await until(lambda: len(run.server.timeouts.reading) == 3)
+        for connection in run.server.timeouts.reading:
+            connection.last_read_s -= 60  # nothing of it has come for long
+        run.server.admission.max_clients = 3
         assert (await run.ask(request())).status == 200
-        await until(lambda: len(run.server.reading) == 2)
+        await until(lambda: len(run.server.timeouts.reading) == 2)
         for client in slow:
             client.close()
 
@@ -391,14 +392,17 @@
     """Every descriptor is a client's that waits or an attempt's; the next attempt is not sent, and the rest go on."""
     async with peer(silent) as host, running(configuration(host)) as run:
         clients = [await run.connect() for _ in range(3)]
-        await until(lambda: len(run.server.connections) == 3 and not run.server.accepting)
-        run.server.sockets = RESERVE + 5
+        await until(lambda: len(run.server.connections) == 3 and not run.server.admission.accepting)
+        run.server.admission.max_descriptors = RESERVED_DESCRIPTORS + 5
         for client in clients[:2]:
             client.send(request())
         await until(lambda: len(host.seen) == 2)
         clients[2].send(request())  # three clients and two attempts: the reserve begins here
         assert (await clients[2].answer()).status == 503
-        assert run.server.clients + run.pool.open_connections + RESERVE <= run.server.sockets
+        assert (
+            run.server.client_count + run.pool.open_connections + RESERVED_DESCRIPTORS
+            <= run.server.admission.max_descriptors
+        )
         for exchange in host.seen:
             exchange.answer(reply())
         for client in clients[:2]:
@@ -449,18 +453,18 @@
 async def test_an_accept_without_a_descriptor_is_tried_again_only_after_a_pause() -> None:
     """Turns of the loop are counted, not processor time: a busy machine gives a turning loop little of that too."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
-        listener = run.server.listener
+        listener = run.server.listener.socket
         assert listener is not None
         full = FullListener(listener)
-        run.server.listener = cast(socket.socket, full)
+        run.server.listener.socket = cast(socket.socket, full)
         client = await run.connect()
         await until(lambda: full.tried)
         first, since_s = full.tried, time.monotonic()
         for _ in range(500):
             await asyncio.sleep(0)
-        pauses = (time.monotonic() - since_s) / ACCEPT_PAUSE_S
+        pauses = (time.monotonic() - since_s) / ACCEPT_RETRY_INTERVAL_S
         assert full.tried - first <= 1 + pauses
-        run.server.listener = listener
+        run.server.listener.socket = listener
         assert (await client.ask(request())).status == 200
         client.close()
 
--- a/tests/test_emptying.py
+++ b/tests/test_emptying.py
@@ -65,10 +65,10 @@
     timetable = on_the_way_out(3.0)
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
-        run.server.empty(timetable)
+        run.server.start_drain(timetable)
         for _ in range(3):
             assert "connection" not in (await client.ask(request())).headers
-        run.server.since_s -= timetable.keep_s + 0.1
+        run.server.drain_state.started_s -= timetable.keep_s + 0.1
         assert (await client.ask(request())).headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
@@ -81,16 +81,16 @@
         data = request("transfer", b"slow")
         half = await run.connect()
         half.send(data[:20])
-        await until(lambda: run.server.reading)
-        (stuck,) = run.server.reading
+        await until(lambda: run.server.timeouts.reading)
+        (stuck,) = run.server.timeouts.reading
         slow = await run.connect()
         slow.send(data[:-4])
-        await until(lambda: len(run.server.reading) == 2)
-        (moving,) = set(run.server.reading) - {stuck}
-        stuck.read_s -= 60  # nothing of it has come for long, and the other's last piece is as new as can be
-        moving.read_s += 60
-        run.server.empty(timetable)
-        run.server.since_s -= timetable.hurry_s + 0.1
+        await until(lambda: len(run.server.timeouts.reading) == 2)
+        (moving,) = set(run.server.timeouts.reading) - {stuck}
+        stuck.last_read_s -= 60  # nothing of it has come for long, and the other's last piece is as new as can be
+        moving.last_read_s += 60
+        run.server.start_drain(timetable)
+        run.server.drain_state.started_s -= timetable.hurry_s + 0.1
         assert (await half.answer()).status == 408
         slow.send(data[-4:])
         await until(lambda: host.seen)
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -162,7 +162,7 @@
     async with peer() as host:
         async with running(configuration(host)) as run:
             assert (await run.ask(ready)).status == 200
-            run.server.empty(on_the_way_out(3.0))
+            run.server.start_drain(on_the_way_out(3.0))
             assert (await run.ask(ready)).status == 503
         async with running(configuration()) as run:
             assert (await run.ask(ready)).status == 503  # no host is known
@@ -183,16 +183,16 @@
         client = await run.connect()
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
-        run.server.empty(on_the_way_out(3.0))
-        assert not connection.deaf
+        run.server.start_drain(on_the_way_out(3.0))
+        assert not connection.ignores_input
         answer = await client.ask(request("transfer"))
         assert answer.status == 200
         assert await client.reader.read() == b""
         silent_one = await run.connect()
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
-        connection.opened_s -= 60
-        run.server.empty_on()
+        connection.accepted_s -= 60
+        run.server.client_drain.on_timer()
         assert await silent_one.reader.read() == b""
         client.close()
         silent_one.close()
@@ -207,12 +207,14 @@
         with socket.create_connection(("127.0.0.1", run.port)) as client:
             await until(lambda: run.server.connections)
             (connection,) = run.server.connections
-            connection.served = True
+            connection.has_responded = True
             client.sendall(request("transfer"))  # and the loop has had no turn since
-            run.server.empty(on_the_way_out(3.0))
-            run.server.since_s -= on_the_way_out(3.0).idle_s + 0.1  # well past it: the loop's time stands still here
-            run.server.empty_on()
-            assert not connection.deaf
+            run.server.start_drain(on_the_way_out(3.0))
+            run.server.drain_state.started_s -= (
+                on_the_way_out(3.0).idle_s + 0.1
+            )  # well past it: the loop's time stands still here
+            run.server.client_drain.on_timer()
+            assert not connection.ignores_input
             loop = asyncio.get_running_loop()
             answer = await loop.run_in_executor(None, client.recv, 65536)
             assert answer.startswith(b"HTTP/1.1 200 ")
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -5,10 +5,11 @@
 import asyncio
 import resource
 from pathlib import Path
+from types import ModuleType
 
 import pytest
 
-from cloverkeel.frontends.http1 import server as server_module
+from cloverkeel.frontends.http1 import client_transport, timeouts
 from tests.sockets import configuration, on_loop, peer, reply, request, rested, running, silent, until
 from tests.test_gateway_process import READY, connect, program
 
@@ -16,10 +17,10 @@
 HIDDEN = b"0\r\n\r\n" + request("transfer")
 
 
-def hurry(monkeypatch: pytest.MonkeyPatch, *names: str) -> None:
-    """The same limits, sooner."""
+def hurry(monkeypatch: pytest.MonkeyPatch, module: ModuleType, *names: str) -> None:
+    """The same limits, sooner, as the module reads them."""
     for name in names:
-        monkeypatch.setattr(server_module, name, 0.05)
+        monkeypatch.setattr(module, name, 0.05)
 
 
 @on_loop
@@ -31,12 +32,13 @@
         busy.send(request("transfer"))
         assert (await kept.ask(READY)).status == 200
         await until(lambda: host.seen)
-        hurry(monkeypatch, "SILENT_S", "KEPT_S", "KEPT_CROWDED_S")
+        hurry(monkeypatch, timeouts, "FIRST_BYTE_TIMEOUT_S", "KEEP_ALIVE_TIMEOUT_S", "CROWDED_KEEP_ALIVE_TIMEOUT_S")
         assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
         await until(lambda: len(run.server.connections) == 1)
         host.seen[0].answer(reply(200, b"late"))
         assert (await busy.answer()).body == b"late"
-        for phase in (run.server.silent, run.server.reading, run.server.kept, run.server.ending):
+        limits = run.server.timeouts
+        for phase in (limits.accepted, limits.reading, limits.keep_alive, limits.closing):
             await until(lambda phase=phase: not phase)  # type: ignore[misc]
         for client in (busy, quiet, kept):
             client.close()
@@ -56,7 +58,8 @@
 async def test_a_request_that_does_not_come_in_time_is_answered_408(
     begun: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hurry(monkeypatch, "READING_S", "LINGER_S")
+    hurry(monkeypatch, timeouts, "REQUEST_TIMEOUT_S")
+    hurry(monkeypatch, client_transport, "LINGER_TIMEOUT_S")
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         answer = await client.ask(begun)
@@ -147,7 +150,7 @@
         most = 0
         for _ in range(1000):
             assert (await client.answer()).status == 200
-            most = max(most, *(len(c.reader.done) for c in run.server.connections))
+            most = max(most, *(len(c.reader.completed) for c in run.server.connections))
         assert 0 < most < 200
         client.close()
 
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -10,7 +10,7 @@
 from cloverkeel.balancing.interface import ListKind, Outcome
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import parse
-from cloverkeel.frontends.http1.server import ClientConnection
+from cloverkeel.frontends.http1.connection import ClientConnection
 from cloverkeel.discovery.http_client import parse_list
 from cloverkeel.upstream.attempt import Attempt
 from cloverkeel.upstream.connection import HostConnection
@@ -211,12 +211,13 @@
             pool = run.pool
             had = pool.open_connections
             assert had >= 1
-            run.server.sockets = 1
-            run.server.make_room()  # a client that asks nothing yields before what hosts had a handshake for
+            run.server.admission.max_descriptors = 1
+            # A client that asks nothing yields before what hosts had a handshake for.
+            run.server.admission.reserve_descriptor()
             await until(lambda: not run.server.connections)
             assert pool.open_connections == had
             for _ in range(had):
-                run.server.make_room()
+                run.server.admission.reserve_descriptor()
             await until(lambda: pool.open_connections == 0)
             client.close()
 
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -159,7 +159,7 @@
         client.send(request("transfer", content_length=str(len(LARGE)), expect="100-continue"))
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         assert (await client.ask(LARGE)).body == expected
-        assert run.server.body_budget.used_bytes == 0
+        assert run.server.context.body_budget.used_bytes == 0
         client.close()
 
 
@@ -173,7 +173,7 @@
         assert (await run.ask(request("transfer", LARGE))).body == b"done"
         assert [exchange.message.body for exchange in (*a.seen, *b.seen)] == [LARGE, LARGE]
         assert len(a.seen) == len(b.seen) == 1
-        assert run.server.body_budget.used_bytes == 0
+        assert run.server.context.body_budget.used_bytes == 0
 
 
 @on_loop
@@ -221,7 +221,7 @@
         reader.feed(b"100000\r\n" + bytes(MB) + b"\r\n", 1)
         assert not reader.is_broken
     reader.feed(b"1\r\nx\r\n", 1)
-    fault = reader.done[0].fault
+    fault = reader.completed[0].error
     assert reader.is_broken and fault is not None and fault.status == 413
 
 
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -290,8 +290,8 @@
     options = Options(relays=RelayOptions((("127.0.0.1", int(teller.address.split(":")[1])),)))
     program = assemble(parse(configuration(host, discovery=teller.address)), options if by_relay else None)
     await program.server.start()
-    assert program.server.listener is not None and isinstance(program.discovery, Discovery)
-    port = program.server.listener.getsockname()[1]
+    assert program.server.listener.socket is not None and isinstance(program.discovery, Discovery)
+    port = program.server.listener.socket.getsockname()[1]
     try:
         yield Running(program.gateway, program.server, program.pool, program.discovery, port)
     finally:
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -21,7 +21,6 @@
     "cloverkeel/discovery/http_client.py": 463,
     "cloverkeel/discovery/relay_selection.py": 407,
     "cloverkeel/discovery/zookeeper_source.py": 325,
-    "cloverkeel/frontends/http1/server.py": 611,
     "cloverkeel/gossip/failure_detector.py": 304,
     "cloverkeel/gossip/node.py": 404,
     "cloverkeel/leases/lease.py": 387,
@@ -35,7 +34,6 @@
     "cloverkeel/control_plane/command.py:run": 59,
     "cloverkeel/control_plane/endpoint_cache.py:answer_delta": 47,
     "cloverkeel/control_plane/fleet_roster.py:parse_roster": 81,
-    "cloverkeel/frontends/http1/requests.py:read_call": 46,
     "cloverkeel/simulator/codec.py:_settings": 45,
 }
 
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -319,15 +319,15 @@
     async with operated(tmp_path) as (operations, module, other):
         server = operations.server
         whole_us, most = module.fall_budget_us(), server.config.sockets
-        await until(lambda: server.sockets == most // 2)
+        await until(lambda: server.admission.max_descriptors == most // 2)
         assert module.fall_budget_us() == whole_us  # it does not take clients yet
         other.serves()
         await until(lambda: module.fall_budget_us() == whole_us / 2)
         other.ends()
         await until(lambda: module.fall_budget_us() == whole_us)
-        assert server.sockets == most // 2  # what it holds it has until its end
+        assert server.admission.max_descriptors == most // 2  # what it holds it has until its end
         other.close()
-        await until(lambda: server.sockets == most)
+        await until(lambda: server.admission.max_descriptors == most)
 
 
 @on_loop
