--- a/tests/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -245,7 +245,7 @@
 
 
 @on_loop
-async def test_a_host_is_told_the_time_that_is_left_when_its_connection_has_come_up() -> None:
+async def test_a_host_gets_the_time_that_is_left_when_its_connection_has_come_up() -> None:
     with late_host() as late:
         async with running(configuration(late.address)) as run:
             client = await run.connect()
--- a/tests/test_stillness.py
+++ b/tests/core/test_stall_detector.py
@@ -1,6 +1,6 @@
-"""A process that stood still: what was said meanwhile is read before anything is sent.
+"""A process that stalled: what it was notified of meanwhile is read before anything is sent.
 
-The loop stands still here because the test does not give it a turn. What the test's plain sockets send then waits in
+The loop stalls here because the test does not give it a turn. What the test's plain sockets send then waits in
 the kernel; the client's request is sent first, so that the loop comes to it first.
 """
 
@@ -31,7 +31,7 @@
 # The decision
 
 
-STANDS_US = (
+STALLS_US = (
     st.integers(0, STALL_THRESHOLD_US)
     | st.integers(STALL_THRESHOLD_US - 10, STALL_THRESHOLD_US + 10)
     | st.integers(0, 5_000_000)
@@ -39,39 +39,39 @@
 
 
 class Loop:
-    """A loop that turns or stands still, words that wait for it, and sends that ask whether they may."""
+    """A loop that turns or stalls, notifications that wait for it, and sends that ask whether they may."""
 
     def __init__(self) -> None:
         self.now_us = 1_000_000
-        self.still = StallDetector(self.now_us)
+        self.stall_detector = StallDetector(self.now_us)
         self.unread: list[int] = []  # when each came to this machine
 
-    def stand(self, us: int, word_at: int | None) -> None:
-        """Nothing turns; a word may come at some moment of it."""
-        if word_at is not None:
-            self.unread.append(self.now_us + min(word_at, us))
+    def stall(self, us: int, notified_at: int | None) -> None:
+        """Nothing turns; a notification may come at some moment of it."""
+        if notified_at is not None:
+            self.unread.append(self.now_us + min(notified_at, us))
         self.now_us += us
 
-    def look(self) -> None:
-        self.still.check(self.now_us)
+    def check(self) -> None:
+        self.stall_detector.check(self.now_us)
 
     def turn(self) -> None:
         """The loop reads what has come; in a hold that is for membership to say."""
-        if not self.still.is_holding:
+        if not self.stall_detector.is_holding:
             self.unread.clear()
 
     def send(self) -> None:
-        self.look()
-        if not self.still.is_holding:
-            assert all(self.now_us - word_us <= STALL_THRESHOLD_US for word_us in self.unread)
+        self.check()
+        if not self.stall_detector.is_holding:
+            assert all(self.now_us - notified_us <= STALL_THRESHOLD_US for notified_us in self.unread)
 
     def end(self, caught_up: bool) -> None:
         """Membership has read what there was, or the time of the hold is looked at."""
-        self.look()
-        if self.still.is_holding and caught_up:
+        self.check()
+        if self.stall_detector.is_holding and caught_up:
             self.unread.clear()
-        since_us = self.still.hold_started_us
-        if self.still.end_hold(self.now_us, caught_up) and not caught_up:
+        since_us = self.stall_detector.hold_started_us
+        if self.stall_detector.end_hold(self.now_us, caught_up) and not caught_up:
             assert self.now_us - since_us >= MAX_HOLD_US
             self.unread.clear()  # it goes on without: that is the bound
 
@@ -80,19 +80,19 @@
 @given(
     st.lists(
         st.one_of(
-            st.tuples(st.just("stand"), STANDS_US, st.none() | STANDS_US),
-            st.tuples(st.sampled_from(["look", "send", "caught up", "time"]), st.just(0), st.none()),
+            st.tuples(st.just("stall"), STALLS_US, st.none() | STALLS_US),
+            st.tuples(st.sampled_from(["check", "send", "caught up", "time"]), st.just(0), st.none()),
         ),
         max_size=60,
     )
 )
-def test_nothing_is_sent_before_what_came_in_a_gap_is_read(steps: list[tuple[str, int, int | None]]) -> None:
+def test_nothing_is_sent_before_what_came_during_a_stall_is_read(steps: list[tuple[str, int, int | None]]) -> None:
     loop = Loop()
-    for what, us, word_at in steps:
-        loop.stand(us, word_at)
+    for what, us, notified_at in steps:
+        loop.stall(us, notified_at)
         match what:
-            case "look":
-                loop.look()
+            case "check":
+                loop.check()
             case "send":
                 loop.send()
             case "caught up":
@@ -104,23 +104,23 @@
         loop.turn()
 
 
-def test_a_gap_of_just_under_the_limit_each_second_holds_nothing_up() -> None:
-    still = StallDetector(0)
+def test_a_stall_of_just_under_the_threshold_each_second_delays_nothing() -> None:
+    detector = StallDetector(0)
     for second in range(1, 100):
-        still.check(second * 1_000_000 - STALL_THRESHOLD_US)
+        detector.check(second * 1_000_000 - STALL_THRESHOLD_US)
         for beat in range(1_000_000 - STALL_THRESHOLD_US, 0, -HEARTBEAT_INTERVAL_US):
-            still.check(second * 1_000_000 - beat + (1_000_000 - STALL_THRESHOLD_US) - STALL_THRESHOLD_US)
+            detector.check(second * 1_000_000 - beat + (1_000_000 - STALL_THRESHOLD_US) - STALL_THRESHOLD_US)
     assert not StallDetector(0).check(STALL_THRESHOLD_US) and StallDetector(0).check(STALL_THRESHOLD_US + 1)
 
 
-def test_a_second_gap_begins_the_hold_anew_and_a_clock_that_steps_back_is_none() -> None:
-    still = StallDetector(0)
-    assert still.check(1_000_000) and still.is_holding and still.stall_us == 1_000_000
-    assert not still.end_hold(1_000_000 + MAX_HOLD_US - 1, caught_up=False)
-    assert still.check(1_900_000) and still.hold_started_us == 1_900_000 and still.stall_count == 2
-    assert not still.check(1_200_000) and not still.check(1_900_000 + STALL_THRESHOLD_US)
-    assert still.end_hold(1_900_000 + MAX_HOLD_US, caught_up=False) and still.expired_holds == 1
-    assert not still.end_hold(1_900_000 + MAX_HOLD_US, caught_up=True)
+def test_a_second_stall_begins_the_hold_anew_and_a_clock_that_steps_back_is_none() -> None:
+    detector = StallDetector(0)
+    assert detector.check(1_000_000) and detector.is_holding and detector.stall_us == 1_000_000
+    assert not detector.end_hold(1_000_000 + MAX_HOLD_US - 1, caught_up=False)
+    assert detector.check(1_900_000) and detector.hold_started_us == 1_900_000 and detector.stall_count == 2
+    assert not detector.check(1_200_000) and not detector.check(1_900_000 + STALL_THRESHOLD_US)
+    assert detector.end_hold(1_900_000 + MAX_HOLD_US, caught_up=False) and detector.expired_holds == 1
+    assert not detector.end_hold(1_900_000 + MAX_HOLD_US, caught_up=True)
 
 
 def test_the_clock_counts_suspends(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -134,15 +134,15 @@
 
 
 @dataclass
-class Line:
+class PlainSocket:
     """A plain socket that the loop knows nothing of."""
 
     sock: socket.socket
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    async def hear(self) -> bytes:
+    async def receive(self) -> bytes:
         """What has come, once something has."""
         self.sock.setblocking(False)
         try:
@@ -159,10 +159,10 @@
 def parse_message(sock: socket.socket) -> Message:
     data = b""
     while b"\r\n\r\n" not in data:
-        piece = sock.recv(65536)
-        if not piece:
+        chunk = sock.recv(65536)
+        if not chunk:
             raise EOFError
-        data += piece
+        data += chunk
 
     async def read() -> Message:
         reader = asyncio.StreamReader()
@@ -179,34 +179,34 @@
 
     run: Running
     host: socket.socket
-    registry: Line
+    registry: PlainSocket
     listener: socket.socket  # of the registry
 
-    def client(self) -> Line:
-        return Line(socket.create_connection(("127.0.0.1", self.run.port)))
+    def client(self) -> PlainSocket:
+        return PlainSocket(socket.create_connection(("127.0.0.1", self.run.port)))
 
-    async def kept(self) -> Line:
+    async def kept(self) -> PlainSocket:
         """A client's connection that the gateway knows."""
         client = self.client()
         before = len(self.run.server.connections)
         await until(lambda: len(self.run.server.connections) > before)
         return client
 
-    def tell(self, status: str, index: int = 8) -> None:
+    def notify(self, status: str, index: int = 8) -> None:
         body = json.dumps(hosts_list(index, endpoint("s-0", self.address, status=status), snapshot=False)).encode()
-        self.registry.say(reply(200, body))
+        self.registry.send(reply(200, body))
 
     @property
     def address(self) -> str:
         host, port = self.host.getsockname()
         return f"{host}:{port}"
 
-    async def accept(self) -> Line:
+    async def accept(self) -> PlainSocket:
         self.host.setblocking(False)
         sock, _ = await asyncio.get_running_loop().sock_accept(self.host)
-        return Line(sock)
+        return PlainSocket(sock)
 
-    async def answer(self, client: Line) -> Message:
+    async def answer(self, client: PlainSocket) -> Message:
         reader, writer = await asyncio.open_connection(sock=client.sock)
         try:
             return await read_message(reader)
@@ -222,10 +222,10 @@
         async with running(config) as run:
             listener.setblocking(False)
             sock, _ = await asyncio.get_running_loop().sock_accept(listener)
-            registry = Line(sock)
-            assert b"GET /registry/instances?from=7&hold_ms=0 " in await registry.hear()
-            registry.say(reply(200, json.dumps(hosts_list(7, snapshot=False)).encode()))
-            assert b"GET /registry/instances?from=7&hold_ms=1000 " in await registry.hear()
+            registry = PlainSocket(sock)
+            assert b"GET /registry/instances?from=7&hold_ms=0 " in await registry.receive()
+            registry.send(reply(200, json.dumps(hosts_list(7, snapshot=False)).encode()))
+            assert b"GET /registry/instances?from=7&hold_ms=1000 " in await registry.receive()
             made = Stage(run, host, registry, listener)
             try:
                 yield made
@@ -233,7 +233,7 @@
                 registry.sock.close()
 
 
-def stand_still() -> None:
+def stall_loop() -> None:
     """The loop has no turn for longer than the grace of a drain."""
     time.sleep(STALL_S)
 
@@ -242,9 +242,9 @@
 async def test_word_of_a_drain_is_read_before_a_request_that_came_first() -> None:
     async with stage() as at:
         client = await at.kept()
-        client.say(request())
-        at.tell("DRAINING")
-        stand_still()
+        client.send(request())
+        at.notify("DRAINING")
+        stall_loop()
         assert (await at.answer(client)).status == 503
         assert at.run.pool.counts.opened == 0 and at.run.gateway.stall_detector.stall_count >= 1
 
@@ -253,34 +253,34 @@
 async def test_without_word_a_request_is_served_at_once() -> None:
     async with stage() as at:
         client = await at.kept()
-        client.say(request())
-        stand_still()
-        begun = time.monotonic()
+        client.send(request())
+        stall_loop()
+        started_s = time.monotonic()
         line = await at.accept()
-        assert b"GET /search" in await line.hear()
-        assert time.monotonic() - begun < MAX_HOLD_US / 2e6
-        line.say(reply(200))
+        assert b"GET /search" in await line.receive()
+        assert time.monotonic() - started_s < MAX_HOLD_US / 2e6
+        line.send(reply(200))
         assert (await at.answer(client)).status == 200
 
 
 @on_loop
-async def test_a_gap_while_a_connection_comes_up_sends_nothing_on_it() -> None:
+async def test_a_stall_while_a_connection_comes_up_sends_nothing_on_it() -> None:
     async with stage() as at:
         client, loop = await at.kept(), asyncio.get_running_loop()
 
         def stall() -> None:
-            at.tell("DRAINING")
-            stand_still()
+            at.notify("DRAINING")
+            stall_loop()
 
-        def room() -> bool:
+        def on_reserve() -> bool:
             loop.call_soon(loop.call_soon, stall)  # in the turn after the one in which the connection is opened
             return True
 
-        at.run.pool.reserve_descriptor = room
-        client.say(request())
+        at.run.pool.reserve_descriptor = on_reserve
+        client.send(request())
         assert (await at.answer(client)).status == 503
         line = await at.accept()
-        assert await line.hear() == b""  # it came up, and was closed with nothing said
+        assert await line.receive() == b""  # it came up, and was closed with nothing said
 
 
 @on_loop
@@ -289,9 +289,9 @@
         clients = [await at.kept() for _ in range(100)]
         clients += [at.client() for _ in range(100)]  # not yet accepted
         for client in clients:
-            client.say(request())
-        at.tell("DRAINING")
-        stand_still()
+            client.send(request())
+        at.notify("DRAINING")
+        stall_loop()
         answers = await asyncio.gather(*(at.answer(client) for client in clients))
         assert [answer.status for answer in answers] == [503] * 200
         assert at.run.pool.counts.opened == 0 and not at.run.gateway.requests.by_key
@@ -301,12 +301,12 @@
 async def test_a_registry_that_is_gone_holds_nothing_up() -> None:
     async with stage() as at:
         client = await at.kept()
-        client.say(request())
+        client.send(request())
         at.registry.sock.close()
-        stand_still()
+        stall_loop()
         line = await at.accept()
-        assert b"GET /search" in await line.hear()
-        line.say(reply(200))
+        assert b"GET /search" in await line.receive()
+        line.send(reply(200))
         assert (await at.answer(client)).status == 200
 
 
@@ -314,14 +314,14 @@
 async def test_a_list_that_comes_in_part_holds_up_within_the_bound() -> None:
     async with stage() as at:
         client = await at.kept()
-        client.say(request())
-        at.registry.say(b"HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{")
-        stand_still()
-        begun = time.monotonic()
+        client.send(request())
+        at.registry.send(b"HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{")
+        stall_loop()
+        started_s = time.monotonic()
         line = await at.accept()
-        assert MAX_HOLD_US / 1e6 * 0.9 < time.monotonic() - begun < MAX_HOLD_US / 1e6 + 1.0
+        assert MAX_HOLD_US / 1e6 * 0.9 < time.monotonic() - started_s < MAX_HOLD_US / 1e6 + 1.0
         assert at.run.gateway.stall_detector.expired_holds == 1
-        line.say(reply(200))
+        line.send(reply(200))
         assert (await at.answer(client)).status == 200
 
 
@@ -329,67 +329,67 @@
 async def test_a_request_whose_time_is_over_in_the_hold_is_refused_then() -> None:
     async with stage() as at:
         clients = [await at.kept(), await at.kept()]
-        clients[0].say(request(budget_ms=100))  # it is the first to be looked at, and finds the gap
-        at.registry.say(b"HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{")
-        stand_still()
+        clients[0].send(request(budget_ms=100))  # it is the first to be looked at, and finds the gap
+        at.registry.send(b"HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{")
+        stall_loop()
         await until(lambda: at.run.gateway.stall_detector.is_holding)
-        clients[1].say(request(budget_ms=60))
-        begun = time.monotonic()
+        clients[1].send(request(budget_ms=60))
+        started_s = time.monotonic()
         answers = await asyncio.gather(*(at.answer(client) for client in clients))
         assert [answer.status for answer in answers] == [503, 503]
-        assert time.monotonic() - begun < 0.9 * MAX_HOLD_US / 1e6 and at.run.gateway.stall_detector.is_holding
+        assert time.monotonic() - started_s < 0.9 * MAX_HOLD_US / 1e6 and at.run.gateway.stall_detector.is_holding
         assert at.run.pool.counts.opened == 0 and not at.run.gateway.requests.by_key
 
 
 @pytest.mark.parametrize("first", ["request", "list"])
 @on_loop
-async def test_after_a_long_gap_what_a_watch_may_have_missed_is_asked_for(first: str) -> None:
+async def test_after_a_long_stall_what_a_watch_may_have_missed_is_asked_for(first: str) -> None:
     """Where the list was read first, it was the list by which the gap was noticed, and none was asked for."""
     async with stage() as at:
         client = await at.kept()
         if first == "request":
-            client.say(request())
-        at.tell("SERVING")  # the watch is over with that, and nobody asked again
+            client.send(request())
+        at.notify("SERVING")  # the watch is over with that, and nobody asked again
         if first == "list":
             # The loop takes the list in one turn, and the request in a later one.
             discovery = at.run.discovery
             assert discovery.line is not None
             waiting = discovery.line.answer
             assert waiting is not None
-            waiting.add_done_callback(lambda _: client.say(request()))
-        still = at.run.gateway.stall_detector
-        still.last_check_us, still.next_check_due_us = (
-            still.last_check_us - 5_000_000,
-            still.next_check_due_us - 5_000_000,
+            waiting.add_done_callback(lambda _: client.send(request()))
+        detector = at.run.gateway.stall_detector
+        detector.last_check_us, detector.next_check_due_us = (
+            detector.last_check_us - 5_000_000,
+            detector.next_check_due_us - 5_000_000,
         )
         # What still asks by the version of before is let go: the one call that is out is made anew.
         sock, _ = await asyncio.get_running_loop().sock_accept(at.listener)
-        again = Line(sock)
-        assert b"from=8&hold_ms=0 " in await again.hear()
-        while b"from=8&hold_ms=1000 " in await at.registry.hear():
+        again = PlainSocket(sock)
+        assert b"from=8&hold_ms=0 " in await again.receive()
+        while b"from=8&hold_ms=1000 " in await at.registry.receive():
             pass  # at most one, before the gap was noticed; then its end
         assert at.run.pool.counts.opened == 0
         assert at.run.gateway.stall_detector.is_holding
         await until(lambda: not at.run.gateway.stall_detector.is_holding)
         line = await at.accept()
-        line.say(reply(200))
+        line.send(reply(200))
         assert (await at.answer(client)).status == 200
 
 
 @on_loop
-async def test_an_answer_that_came_in_a_gap_is_passed_on_though_its_time_is_over() -> None:
+async def test_an_answer_that_came_during_a_stall_is_returned_though_its_time_is_over() -> None:
     async with stage() as at:
         client = await at.kept()
-        client.say(request(budget_ms=200))
+        client.send(request(budget_ms=200))
         line = await at.accept()
-        await line.hear()
+        await line.receive()
 
         class Stall(asyncio.Protocol):
             """Called with sockets that were readable before: the timers are next, and only then the sockets again."""
 
             def data_received(self, data: bytes) -> None:
-                line.say(reply(200, b"here"))
-                stand_still()
+                line.send(reply(200, b"here"))
+                stall_loop()
 
         near, far = socket.socketpair()
         with far:
--- a/tests/test_gateway_clients.py
+++ b/tests/frontends/test_clients.py
@@ -23,7 +23,7 @@
 
 
 @on_loop
-async def test_the_module_is_told_what_the_headers_say() -> None:
+async def test_the_balancer_gets_what_the_headers_say() -> None:
     from cloverkeel.balancing.interface import RequestArrived
 
     async with peer() as host, running(configuration(host)) as run:
@@ -82,7 +82,7 @@
 
 
 @on_loop
-async def test_a_body_comes_in_pieces_or_chunks() -> None:
+async def test_a_body_comes_in_parts_or_chunks() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
--- a/tests/test_large_bodies.py
+++ b/tests/frontends/test_large_bodies.py
@@ -225,7 +225,7 @@
     assert reader.is_broken and fault is not None and fault.status == 413
 
 
-def test_the_room_is_given_back_when_the_last_who_knows_a_body_forgets_it() -> None:
+def test_the_body_budget_is_released_when_the_last_who_knows_a_body_forgets_it() -> None:
     room = BodyBudget(100)
     one, two = BodyReservation(room), BodyReservation(room)
     assert one.try_grow(60) and not two.try_grow(41) and two.try_grow(40)
@@ -238,7 +238,7 @@
     assert room.used_bytes == 0
 
 
-def test_the_room_follows_the_limit_on_memory() -> None:
+def test_the_body_budget_follows_the_memory_limit() -> None:
     assert budget_for_memory(32) < 8 * MB < budget_for_memory(64) < 64 * MB
 
 
--- a/tests/test_gateway_pools.py
+++ b/tests/upstream/test_connection_pool.py
@@ -201,7 +201,7 @@
 
 
 @on_loop
-async def test_idle_connections_make_room_when_descriptors_run_short() -> None:
+async def test_idle_connections_are_closed_when_descriptors_run_short() -> None:
     async with peer() as one, peer() as two:
         config = configuration(one, two)
         async with running(config) as run:
--- a/tests/test_gateway_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -317,7 +317,7 @@
 
 
 @on_loop
-async def test_a_final_answer_that_is_not_owed_goes_to_nobody() -> None:
+async def test_a_response_that_is_not_awaited_goes_to_nobody() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer"))
