--- a/cloverkeel/frontends/http1/call_reader.py
+++ b/cloverkeel/frontends/http1/call_reader.py
@@ -88,7 +88,7 @@
 
 def _build_forwarded_head(request: Request) -> bytes:
     """Return what goes on to a host, all but the time budget and the empty line."""
-    pieces = [request.method, b" ", request.target, b" HTTP/1.1"]  # joined at once: cheaper than formatting each
+    parts = [request.method, b" ", request.target, b" HTTP/1.1"]  # joined at once: cheaper than formatting each
     left_out = NOT_FORWARDED_HEADERS
     if b"connection" in request.header_by_name:
         # What it names is meant for this connection only, too.
@@ -96,8 +96,8 @@
         left_out = NOT_FORWARDED_HEADERS.union(*map(parse_token_list, values))
     for lower, name, value in request.header_lines:
         if lower not in left_out:
-            pieces += (b"\r\n", name, b": ", value)
+            parts += (b"\r\n", name, b": ", value)
     if request.body_size or request.method == b"POST":
-        pieces += (b"\r\nContent-Length: ", str(request.body_size).encode())
-    pieces.append(b"\r\n")
-    return b"".join(pieces)
+        parts += (b"\r\nContent-Length: ", str(request.body_size).encode())
+    parts.append(b"\r\n")
+    return b"".join(parts)
--- a/cloverkeel/frontends/http1/connection.py
+++ b/cloverkeel/frontends/http1/connection.py
@@ -254,10 +254,10 @@
         self.call = None
         self.has_responded = True
         is_last = self.is_last(request)
-        pieces = build_head(status, headers, len(body), False, is_last)
+        parts = build_head(status, headers, len(body), False, is_last)
         if request.method != b"HEAD":
-            pieces.append(body)
-        transport.write(b"".join(pieces))
+            parts.append(body)
+        transport.write(b"".join(parts))
         self.finish_response(request, is_last)
 
     def finish_response(self, request: Request, is_last: bool) -> None:
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -89,9 +89,9 @@
         begin, end = 0, len(data)
         while begin < end and not self.is_broken and len(self.completed) < max_requests:
             size = min(end - begin, max(SLICE_BYTES, min(BODY_SLICE_BYTES, self._awaited_body_bytes)))
-            piece = data if size == end else data[begin : begin + size]
+            part = data if size == end else data[begin : begin + size]
             begin += size
-            error = self._parse(piece)
+            error = self._parse(part)
             if error is not None:
                 self.fail(error)
         self.unparsed = b"" if begin >= end or self.is_broken else data[begin:]
@@ -112,10 +112,10 @@
         self._parser = None
         self._on_expect = _ignore_expect
 
-    def _parse(self, piece: bytes) -> RequestError | None:
-        self._undelivered += len(piece)
+    def _parse(self, part: bytes) -> RequestError | None:
+        self._undelivered += len(part)
         try:
-            self._parser.feed_data(piece)
+            self._parser.feed_data(part)
         except httptools.HttpParserUpgrade:
             return RequestError(400, "no other protocol is spoken here")
         except httptools.HttpParserError as error:
--- a/cloverkeel/frontends/http1/responses.py
+++ b/cloverkeel/frontends/http1/responses.py
@@ -21,21 +21,21 @@
 def build_head(
     status: int, headers: list[Header], content_length: int | None, is_chunked: bool, is_last: bool
 ) -> list[bytes]:
-    """Return a head in pieces, for the caller to join with what follows.
+    """Return a head in parts, for the caller to join with what follows.
 
     `content_length`: of the body, if it is known. `is_last`: the connection ends with this response.
     """
-    pieces = [STATUS_LINES[status]]
+    parts = [STATUS_LINES[status]]
     for name, value in headers:
-        pieces += (b"\r\n", name, b": ", value)
+        parts += (b"\r\n", name, b": ", value)
     if content_length is not None:
-        pieces += (b"\r\nContent-Length: ", str(content_length).encode())
+        parts += (b"\r\nContent-Length: ", str(content_length).encode())
     elif is_chunked:
-        pieces.append(b"\r\nTransfer-Encoding: chunked")
+        parts.append(b"\r\nTransfer-Encoding: chunked")
     if is_last:
-        pieces.append(b"\r\nConnection: close")
-    pieces.append(b"\r\n\r\n")
-    return pieces
+        parts.append(b"\r\nConnection: close")
+    parts.append(b"\r\n\r\n")
+    return parts
 
 
 def frame_chunk(data: bytes) -> bytes:
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 frontend: its parts put together, their start, sweep, drain and end."""
+"""The HTTP/1.1 frontend: its parts put together, their start, expiry scan, drain and end."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from cloverkeel.frontends.http1.listener import Listener
 from cloverkeel.frontends.http1.timeouts import ConnectionTimeouts
 
-SWEEP_INTERVAL_S: Final = 0.2
+EXPIRY_SCAN_INTERVAL_S: Final = 0.2
 
 
 class Server:
@@ -34,7 +34,7 @@
         self.admission = Admission(config.sockets, self.connections, self.timeouts, hosts)
         self.listener = Listener(self.loop, self.admission, gateway.metrics, self.make_connection)
         self.client_drain = ClientDrain(self.drain_state, gateway, self.listener, self.connections, self.timeouts)
-        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.expiry_timer: asyncio.TimerHandle | None = None
         hosts.reserve_descriptor = self.admission.reserve_descriptor
 
     async def start(self) -> None:
@@ -43,7 +43,7 @@
         self.listener.open(self.config.listen, reuse_port=self.config.ops is not None)
         self.gateway.start()
         self.listener.start()
-        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+        self.expiry_timer = self.loop.call_later(EXPIRY_SCAN_INTERVAL_S, self.scan_expired)
 
     def make_connection(self) -> ClientConnection:
         """Return the protocol of a connection that is accepted."""
@@ -68,9 +68,9 @@
         """Divide the descriptors among so many processes of this gateway."""
         self.admission.set_process_count(processes)
 
-    def sweep(self) -> None:
+    def scan_expired(self) -> None:
         """End connections that have stayed as they are for too long."""
-        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+        self.expiry_timer = self.loop.call_later(EXPIRY_SCAN_INTERVAL_S, self.scan_expired)
         self.timeouts.end_expired(self.connections, self.loop.time(), self.admission.is_crowded())
 
     def start_drain(self, schedule: Timetable) -> None:
@@ -92,7 +92,7 @@
         """End everything at once."""
         self.listener.close()
         self.client_drain.close()
-        if self.sweep_timer is not None:
-            self.sweep_timer.cancel()
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
         for connection in list(self.connections):
             connection.abort()
--- a/cloverkeel/upstream/connection_pool.py
+++ b/cloverkeel/upstream/connection_pool.py
@@ -23,7 +23,7 @@
 MAX_IDLE_FRACTION: Final = 0.8  # of the host's idle timeout: no connection is kept unused for longer
 SPARE_IDLE_TIMEOUT_US: Final = 5_000_000  # the same for what only a burst has needed
 MAX_LONG_IDLE_CONNECTIONS: Final = 1  # of a host, that may stay idle for longer than that
-IDLE_SWEEP_INTERVAL_S: Final = 1.0
+EXPIRY_SCAN_INTERVAL_S: Final = 1.0
 REUSE_DELAY_US: Final = 8_000  # after an answer a connection is not used: a second answer came up to 4 ms later
 
 
@@ -47,7 +47,7 @@
         self.hosts: dict[int, Host] = {}
         self.counts = PoolCounts()
         self.open_connections = 0
-        self.idle_sweep_timer = self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.close_expired)
+        self.expiry_timer = self.loop.call_later(EXPIRY_SCAN_INTERVAL_S, self.close_expired)
 
     # Hosts
 
@@ -167,7 +167,7 @@
 
     def close_expired(self) -> None:
         """Close what has been idle for too long, well before the host does it."""
-        self.idle_sweep_timer = self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self.close_expired)
+        self.expiry_timer = self.loop.call_later(EXPIRY_SCAN_INTERVAL_S, self.close_expired)
         at_us = now_us()
         oldest_us = self._idle_since_limit_us(at_us)
         spare_oldest_us = at_us - SPARE_IDLE_TIMEOUT_US
@@ -190,7 +190,7 @@
 
     def close(self) -> None:
         """Close every idle connection, for good."""
-        self.idle_sweep_timer.cancel()
+        self.expiry_timer.cancel()
         for host in self.hosts.values():
             self.close_idle_connections(host.id_)
 
