--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -160,7 +160,7 @@
         self.generation += 1
         seed = stable_id(f"{self.config.seed}/{self.generation}", 8)
         self.program = program = assemble(replace(self.config, seed=seed), self.options)
-        program.gateway.still.gap_us = NEVER_US
+        program.gateway.stall_detector.threshold_us = NEVER_US
         self.started_us, self.listed_us = clock_us(), 0
         program.discovery.set_listener(self.on_list)
         program.gateway.start()
@@ -174,14 +174,14 @@
     @property
     def held(self) -> dict[int, Any]:
         """Hosts by their numbers."""
-        return self.program.pools.hosts if self.program is not None else {}
+        return self.program.pool.hosts if self.program is not None else {}
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
         program = self.program
         if program is None:
             return
         before_us = clock_us()
-        program.gateway.on_list(kind, entries)
+        program.gateway.on_endpoint_list(kind, entries)
         at_us = clock_us()
         self.longest_us = max(self.longest_us, at_us - before_us)
         if kind is ListKind.ERROR:
@@ -190,7 +190,7 @@
             self.wholes += kind is ListKind.FULL
             self.deltas += kind is ListKind.DELTA
             self.entries += len(entries)
-            self.emptied += bool(self.listed_us) and not program.pools.hosts
+            self.emptied += bool(self.listed_us) and not program.pool.hosts
             self.guard.take(self.number, kind, entries)
             if not self.listed_us and entries:
                 self.listed_us = at_us
--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -126,7 +126,7 @@
     """A process that begins saves up as much as ever, and has it."""
     from cloverkeel.gossip.driver import GossipDriver
 
-    begins = "self.gateway.retry_rights(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_state(self.clock())[0])"
+    begins = "self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_state(self.clock())[0])"
     cut(GossipDriver, "start", (begins, "pass"))
 
 
--- a/benchmarks/guards/mutants/leases.py
+++ b/benchmarks/guards/mutants/leases.py
@@ -82,7 +82,7 @@
     """What comes in is answered by the time that was read last, before a stall."""
     from cloverkeel.leases.driver import LeaseDriver
 
-    stale = "receive(self.gateway.still.seen_us, header"
+    stale = "receive(self.gateway.stall_detector.last_check_us, header"
     cut(LeaseDriver, "datagram_received", ("receive(self.clock(), header", stale))
 
 
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -33,7 +33,8 @@
 from cloverkeel.core.incremental_json import decode_json  # noqa: E402
 from cloverkeel.core.ports import Endpoint  # noqa: E402
 from cloverkeel.discovery.endpoint_parser import parse_endpoint_list, parse_endpoint_list_incrementally  # noqa: E402
-from cloverkeel.upstream.connection_pool import Pools  # noqa: E402
+from cloverkeel.upstream.attempt_sender import AttemptSender  # noqa: E402
+from cloverkeel.upstream.connection_pool import ConnectionPool  # noqa: E402
 
 CONFIG = {
     "name": "g", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": 1, "sockets": 100,
@@ -112,7 +113,8 @@
 async def core_ms(hosts: int, repeats: int) -> tuple[dict[str, float], dict[str, float]]:
     """CPU and longest stop, by name of the change."""
     config = parse(CONFIG)
-    gateway = Gateway(config, Pools(config.settings), Silence())
+    pool = ConnectionPool(config.settings)
+    gateway = Gateway(config, pool, AttemptSender(config.settings, pool), Silence())
     cpu: dict[str, list[float]] = {}
     stop: dict[str, list[float]] = {}
 
@@ -122,13 +124,13 @@
         gc.collect()
         longest_s, spent_s, quiet = 0.0, 0.0, 0
         began_s = time.perf_counter()
-        gateway.on_list(kind, entries)
+        gateway.on_endpoint_list(kind, entries)
         while quiet < 3:  # turns in which nothing was done any more
             took_s = time.perf_counter() - began_s
             longest_s, spent_s = max(longest_s, took_s), spent_s + took_s
             began_s = time.perf_counter()
             await asyncio.sleep(0)
-            quiet = quiet + 1 if not gateway.slices.pending else 0
+            quiet = quiet + 1 if not gateway.endpoint_updates.batches.pending else 0
         cpu.setdefault(name, []).append(spent_s * 1e3)
         stop.setdefault(name, []).append(longest_s * 1e3)
 
--- a/cloverkeel/admin/command_handler.py
+++ b/cloverkeel/admin/command_handler.py
@@ -56,13 +56,13 @@
         coordinator = self.coordinator
         hosts = len(coordinator.ejection_filter.ejections.listed)
         ejected = len(coordinator.state.ejected_at_us)
-        connections = coordinator.server.clients
+        connections = coordinator.server.client_count
         counts = f"{hosts} hosts, {ejected} out by hand, {connections} connections of clients"
         if coordinator.is_shutting_down:
             return AdminAnswer(False, f"ending; {counts}")
         if coordinator.state.is_paused:
             return AdminAnswer(False, f"paused; {counts}")
-        if not coordinator.server.takes_clients:
+        if not coordinator.server.accepts_clients:
             return AdminAnswer(False, f"starting; {counts}")
         coordinator.announce_serving()
         return AdminAnswer(True, f"taking clients; {counts}")
--- a/cloverkeel/admin/process_coordinator.py
+++ b/cloverkeel/admin/process_coordinator.py
@@ -57,7 +57,7 @@
 
         Guards a process that is told to end at our first ACK to STATUS: it must find that it has a successor.
         """
-        if not self.is_serving and self.server.takes_clients:
+        if not self.is_serving and self.server.accepts_clients:
             self.is_serving = True
             self.folder.process_files.announce(ProcessStage.SERVING)
 
@@ -67,16 +67,16 @@
         self.folder.process_files.announce(ProcessStage.DRAINING)
         others = self.folder.process_files.find_others()
         self._share_budgets(others)
-        return handover_schedule(self.server.longest_s) if others.has_successor else None
+        return handover_schedule(self.server.max_client_timeout_s) if others.has_successor else None
 
     def _apply_state(self, state: GatewayState) -> None:
         """Put the state as this or another process has left it in force."""
         self.ejection_filter.synchronize(state.ejected_at_us, state.reinstated_at_us)
         if state.is_paused != self.state.is_paused and not self.is_shutting_down:
             if state.is_paused:
-                self.server.empty(pause_schedule())
+                self.server.start_drain(pause_schedule())
             else:
-                self.server.refill()
+                self.server.stop_drain()
         self.state = state
 
     def _poll(self) -> None:
@@ -94,7 +94,7 @@
 
     def _share_descriptors(self, processes: int) -> None:
         log(f"admin: processes of this gateway changed, descriptors and budgets are shared, processes={processes}")
-        self.server.share(processes)
+        self.server.set_process_count(processes)
 
     def _share_budgets(self, others: OtherProcesses) -> None:
         """Divide what the gateway may send to warming hosts among its processes that accept clients.
@@ -107,4 +107,4 @@
         if shares == self._budget_shares:
             return
         self._budget_shares = shares
-        self.server.gateway.share(shares)
+        self.server.gateway.set_process_count(shares)
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -11,7 +11,8 @@
 from cloverkeel.core.options import Options
 from cloverkeel.discovery.http_client import HttpEndpointSource
 from cloverkeel.frontends.http1.server import Server
-from cloverkeel.upstream.connection_pool import Pools
+from cloverkeel.upstream.attempt_sender import AttemptSender
+from cloverkeel.upstream.connection_pool import ConnectionPool
 
 # What is off is not imported: these cost memory and threads that most installations have no use for.
 if TYPE_CHECKING:
@@ -38,7 +39,7 @@
 
     gateway: Gateway
     server: Server
-    pools: Pools
+    pool: ConnectionPool
     discovery: HttpEndpointSource | MergedEndpointSource | EjectionFilter
     relay_client: RelayEndpointSource | None = None  # the part of `discovery` that polls relays
     peer_protocols: PeerProtocols = field(default_factory=PeerProtocols)
@@ -78,7 +79,7 @@
 def assemble(config: Config, options: Options | None = None) -> Program:
     """Make all parts of a gateway that configuration and options turn on; nothing is started."""
     options = options or Options()
-    pools = Pools(config.settings)
+    pool = ConnectionPool(config.settings)
     relay_client = _make_relay_client(config, options)
     registry: HttpEndpointSource
     if relay_client is not None:
@@ -86,11 +87,11 @@
     else:
         registry = HttpEndpointSource(config.discovery, config.names, config.settings.list_is_pushed)
     source = _add_manual_ejections(config, _add_zookeeper(config, options, registry))
-    gateway = Gateway(config, pools, source)
+    gateway = Gateway(config, pool, AttemptSender(config.settings, pool), source)
     if relay_client is not None:
         relay_client.count_failing_hosts = lambda: len(gateway.balancer.outs(now_us()))
     peer_protocols = _make_peer_protocols(config, options, gateway)
-    return Program(gateway, Server(config, gateway, pools), pools, source, relay_client, peer_protocols)
+    return Program(gateway, Server(config, gateway, pool), pool, source, relay_client, peer_protocols)
 
 
 def _make_relay_client(config: Config, options: Options) -> RelayEndpointSource | None:
--- a/cloverkeel/cli/serving.py
+++ b/cloverkeel/cli/serving.py
@@ -61,7 +61,9 @@
     if early_reloads:
         request_reload()
     freeze_startup_objects()
-    program.gateway.on_told = EndpointFreezer(asyncio.get_running_loop().call_soon).on_entries_added
+    program.gateway.endpoint_updates.on_applied = EndpointFreezer(
+        asyncio.get_running_loop().call_soon
+    ).on_entries_added
     await terminated.wait()
     await _shut_down(program, admin)
     return EXIT_OK
@@ -119,10 +121,10 @@
     schedule = admin.begin_shutdown() if admin is not None else None
     try:
         async with asyncio.timeout(draining.MAX_SHUTDOWN_S):
-            await program.server.drain(schedule)
+            await program.server.shut_down(schedule)
     except TimeoutError:
-        log(f"shutdown: time is over, unanswered={len(program.gateway.held)}")
-    log(f"shutdown: complete, connections={program.pools.counts}")
+        log(f"shutdown: time is over, unanswered={len(program.gateway.requests.by_key)}")
+    log(f"shutdown: complete, connections={program.pool.counts}")
     if admin is not None:
         admin.close()
     program.gateway.close()
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of the rooms round it: who carries attempts, and who tells of hosts."""
+"""What the core asks of the packages that it must not import: upstream, discovery and the frontend."""
 
 from __future__ import annotations
 
@@ -9,56 +9,49 @@
 from cloverkeel.balancing.interface import Action, Event, ListedServer, ListKind, LoadReport, Outcome
 
 from cloverkeel.core.config import Address
-from cloverkeel.core.calls import Sink
+from cloverkeel.core.calls import FlowControl, ResponseStream
 from cloverkeel.core.messages import Reply
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One host of a list, for the module and for who carries attempts."""
+    """One host of an endpoint list, for the balancer and for the host table."""
 
     name: str
     address: Address
     listed: ListedServer
 
 
-class End:
+class AttemptResult:
     """How an attempt ended."""
 
-    __slots__ = ("latency_us", "load", "outcome", "reply")
+    __slots__ = ("latency_us", "load_report", "outcome", "reply")
 
     def __init__(
-        self, outcome: Outcome, latency_us: int, reply: Reply | None = None, load: LoadReport | None = None
+        self, outcome: Outcome, latency_us: int, reply: Reply | None = None, load_report: LoadReport | None = None
     ) -> None:
         self.outcome = outcome
         self.latency_us = latency_us
         self.reply = reply
-        self.load = load
-
-
-class Attempt(Protocol):
-    """One request on its way to one host. Once its answer is passed on as it comes, that can be held up."""
-
-    def hold(self) -> None: ...
-
-    def go_on(self) -> None: ...
+        self.load_report = load_report
 
 
 OnEndpointList = Callable[[ListKind, list[Endpoint]], None]
-OnEnd = Callable[[End], None]
-# A request in full, made as it is written, with the present time in µs: it tells its host what time is left.
-Payload = Callable[[int], list[bytes]]
+OnAttemptEnd = Callable[[AttemptResult], None]
+# A request in full, built as it is written, with the present time in µs: it tells its host what time is left.
+PayloadBuilder = Callable[[int], list[bytes]]
 # Asked just before the first byte of an attempt is written, with the present time in µs: whether it is to go out.
-MayBegin = Callable[[int], bool]
+MayStart = Callable[[int], bool]
 # A large answer has begun: its head, the length of its body if that is known, and the time until then. Where to pass
 # the body on; None: it is not wanted any more.
-OnBegin = Callable[[Reply, int | None, int], Sink | None]
+OnResponseStart = Callable[[Reply, int | None, int], ResponseStream | None]
 
 
 class Decisions(Protocol):
-    """Which server is used, whether to try again, what is turned away: events in, actions out, in order."""
+    """Which server is used, whether to retry, what is rejected: events in, actions out, in order."""
 
-    def handle(self, now_us: int, event: Event) -> list[Action]: ...
+    def handle(self, now_us: int, event: Event) -> list[Action]:
+        """Decide on an event."""
 
     def shares_shed(self) -> tuple[float, float]:
         """Of what is cheap, and of all else."""
@@ -79,80 +72,98 @@
         """Cold servers within reach: number, start, whether its part is too small, whether it may be lent."""
 
 
-class Upstream(Protocol):
-    """Carries attempts to hosts. Every attempt that is begun ends once, by its `on_end`."""
+class HostTable(Protocol):
+    """The hosts of the endpoint list, as attempts reach them."""
+
+    def has_host(self, server: int) -> bool:
+        """Tell whether a host is on the list."""
 
-    def knows(self, server: int) -> bool: ...
+    def host_name(self, server: int) -> str | None:
+        """Return a host's name; None if it is not on the list."""
 
-    def name_of(self, server: int) -> str | None: ...
+    def host_count(self) -> int:
+        """Return how many hosts are on the list."""
 
-    def is_empty(self) -> bool: ...
+    def is_empty(self) -> bool:
+        """Tell whether no host is on the list."""
 
-    def opened(self) -> int:
-        """Connections since the start."""
+    def has_host_changed(self, id_: int, address: Address, started_us: int) -> bool:
+        """Tell whether a host is on the list, and at another address or as another process."""
 
-    def put(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None: ...
+    def update_host(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None:
+        """Learn of a host, of its new address, that its process has restarted, or that it drains."""
 
-    def remove(self, id_: int) -> None: ...
+    def remove_host(self, id_: int) -> None:
+        """Forget a host that is gone; attempts in flight still end as they will."""
 
-    def keep_only(self, named: set[int]) -> list[int]:
-        """Forget every server that is not named; returns those."""
+    def retain_hosts(self, named: set[int]) -> list[int]:
+        """Forget every host that a complete list does not name; returns those."""
 
-    def known(self) -> int:
-        """Servers that are known."""
+    def close_idle_connections(self, id_: int) -> None:
+        """Close the idle connections to a host."""
 
-    def is_another(self, id_: int, address: Address, started_us: int) -> bool:
-        """Whether a server is known, and as another process or at another address."""
+    def opened_count(self) -> int:
+        """Return how many connections were opened since the start."""
 
-    def close_idle(self, id_: int) -> None: ...
 
-    def guard(self, may_write: Callable[[int], bool]) -> None:
-        """Ask this, with the present time in µs, just before an attempt's first byte; if not, it ends as moot."""
+class Upstream(Protocol):
+    """Carries attempts to hosts. Every attempt that is started ends once, by its `on_end`."""
+
+    def set_write_guard(self, may_write: Callable[[int], bool]) -> None:
+        """Call this, with the time in µs, just before an attempt's first byte is written; False ends it as moot."""
 
-    def begin(
+    def start_attempt(
         self,
         server: int,
-        payload: Payload,
+        build_payload: PayloadBuilder,
         timeout_us: int,
-        on_end: OnEnd,
-        on_begin: OnBegin,
-        may_begin: MayBegin,
-        begin_by_us: int,
-    ) -> Attempt:
-        """Begin an attempt at a server that is known; its end may come before this returns.
-
-        If it may not begin any more, or its last byte is not written by that time (0: no limit), it ends as moot.
+        on_end: OnAttemptEnd,
+        on_response_start: OnResponseStart,
+        may_start: MayStart,
+        write_deadline_us: int,
+    ) -> FlowControl:
+        """Start an attempt at a host that is on the list; its end may come before this returns.
+
+        If it may not start any more, or its last byte is not written by its deadline (0: none), it ends as moot.
         """
 
-    def probe(self, server: int, on_end: OnEnd) -> None: ...
+    def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None:
+        """Ask a host how it is; its answer ends as an attempt does."""
 
-    def cancel(self, attempt: Any) -> None: ...
+    def cancel_attempt(self, attempt: Any) -> None:
+        """Cancel an attempt, as `start_attempt` returned it."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop, and close the idle connections."""
 
 
 class EndpointSource(Protocol):
-    """Tells who is there."""
+    """Notifies of endpoint lists."""
 
     def set_listener(self, on_list: OnEndpointList) -> None:
-        """Whom to tell, from now on."""
+        """Notify this of each list, from now on."""
 
-    def load_known(self, raw: dict[str, Any]) -> None: ...
+    def load_known(self, raw: dict[str, Any]) -> None:
+        """Notify of the list that the configuration has."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Watch the list, or stop doing so."""
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Ask for the list now."""
 
     def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
-        """This process stood still for so long: tell all that was said meanwhile, then call `done`, once."""
+        """Notify of all that came during a stall of that length, then call `done`, once."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop: nothing is notified any more."""
 
 
 class Descriptors(Protocol):
-    """What a front shares descriptors with."""
+    """What the frontend shares descriptors with."""
 
-    open: int  # connections to hosts
-    room: Callable[[], bool]  # called before a descriptor is taken; False: there is none
+    open_connections: int  # to hosts
+    reserve_descriptor: Callable[[], bool]  # called before a descriptor is taken; False: there is none
 
-    def give_up_idle(self) -> bool: ...
+    def close_oldest_idle(self) -> bool:
+        """Close the connection that was idle for the longest time; False if there is none."""
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -18,7 +18,7 @@
 from cloverkeel.core.config import Address, Config
 from cloverkeel.core.incremental_gzip import decompress_gzip
 from cloverkeel.core.log import log
-from cloverkeel.core.messages import Reply, header
+from cloverkeel.core.messages import Reply, find_header
 from cloverkeel.core.options import RelayOptions
 from cloverkeel.discovery.connection import HTTP_OK, MAX_REPLY_BYTES, DiscoveryConnection, get_request
 from cloverkeel.discovery.endpoint_parser import ENTRIES_PER_STEP, EndpointList, parse_endpoint_list_incrementally
@@ -82,7 +82,7 @@
 
     def decode_content(self, reply: Reply) -> HintedIncremental[bytes]:
         """Decompress a relay's answer. DiscoveryCallError where its coding is another, or it is broken."""
-        coding = header(reply.headers, b"content-encoding")
+        coding = find_header(reply.headers, b"content-encoding")
         if coding is None or self.selector.current is None:
             return reply.body
         if coding.lower() != b"gzip":
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -73,14 +73,14 @@
             return
         # It begins with none: a process before this one may have spent its own a moment ago. From now on, not from
         # when the socket is there: while its gateway is replaced that may be long.
-        self.gateway.retry_rights(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_state(self.clock())[0])
+        self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_state(self.clock())[0])
         self.datagrams.register(MAGIC, self)
 
     def on_socket_open(self) -> None:
         """Begin: the socket is open."""
         self.node.start(self.clock())
-        self.gateway.after_gap.append(self.on_stall)
-        self.gateway.on_outcome = self.on_outcome
+        self.gateway.stall_listeners.append(self.on_stall)
+        self.gateway.dispatcher.on_attempt_outcome = self.on_outcome
         self.on_check_timer()
 
     def leave(self) -> None:
@@ -88,7 +88,7 @@
 
     def close(self) -> None:
         """Stop the timers."""
-        self.gateway.on_outcome = None
+        self.gateway.dispatcher.on_attempt_outcome = None
         for handle in (self.timer, self.check_timer):
             if handle is not None:
                 handle.cancel()
@@ -109,11 +109,11 @@
 
     def _exchange_metrics(self) -> None:
         """Give the node the count of requests, and the metrics line the node's counts."""
-        tally = self.gateway.tally
-        self.node.request_count = sum(tally.asked) + tally.asked_before
+        tally = self.gateway.metrics
+        self.node.request_count = sum(tally.received_by_class) + tally.received_before
         outliers, transport = self.node.outliers, self.node.counts
         suspected = sum(known.is_suspected_outlier for known in outliers.assessment_by_host.values())
-        tally.sharing = [
+        tally.gossip = [
             suspected,
             outliers.counts.unconfirmed_reports,
             outliers.counts.confirmed_hosts,
@@ -189,7 +189,7 @@
         started_us = self.gateway.balancer.start_of(host.host)
         if started_us < 0 or timestamp_ms_of(started_us) != host.started_ms:
             return
-        self.gateway.hearsay(
+        self.gateway.report_peer_health(
             host.host, started_us, assessment.successes, assessment.failures, assessment.failure_reporters,
             assessment.success_reporters, assessment.expires_us,
         )  # fmt: skip
@@ -201,12 +201,12 @@
         available, is_short = self.gateway.balancer.retry_state(self.clock())
         if is_short or available < MIN_TRANSFER_TOKENS:
             return 0.0
-        self.gateway.retry_rights(MAX_SAVED_TOKENS, -min(max_tokens, available))
+        self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, -min(max_tokens, available))
         return max(0.0, available - self.gateway.balancer.retry_state(self.clock())[0])
 
     def deposit(self, tokens: float, expires_us: int) -> None:
         """Give tokens to the balancer, until then."""
-        self.gateway.retry_rights(MAX_SAVED_TOKENS, tokens, expires_us)
+        self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, tokens, expires_us)
 
     # Datagrams
 
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -55,8 +55,8 @@
         self.config = LeaseConfig(options.voters, options.lease_ms * 1000)
         self.moves_quotas = options.has_budget_leader
         self.elects_probers = options.has_prober
-        self.budgets = SlowStartBudgets(gateway.cold_share)
-        self.probes = ProbeElection(config.settings.zone, gateway.hold_trials)
+        self.budgets = SlowStartBudgets(gateway.set_slow_start_quota)
+        self.probes = ProbeElection(config.settings.zone, gateway.suspend_probes)
         nonce = random.SystemRandom().getrandbits(32)
         rng = random.Random(nonce)
         process = ProcessId(self.number, nonce)
@@ -90,8 +90,8 @@
             return
         if self.moves_quotas:
             # What a process before this one has lent may still be out.
-            self.gateway.cold_share(-1, 0, self.clock() + LOAN_US, 0.0, 0)
-        self.gateway.after_gap.append(self.on_stall)
+            self.gateway.set_slow_start_quota(-1, 0, self.clock() + LOAN_US, 0.0, 0)
+        self.gateway.stall_listeners.append(self.on_stall)
         if self.nodes is not None:
             self.nodes.start()
         self.datagrams.register(MAGIC, self)
@@ -144,7 +144,7 @@
         suspensions = self.probes.suspensions
         if counters.acquired or lent or received or suspensions:
             held = len(self.budgets.budget_by_lease) + len(self.probes.held_leases)
-            self.gateway.tally.duties = [held, counters.acquired, counters.lost, lent, received, suspensions]
+            self.gateway.metrics.leases = [held, counters.acquired, counters.lost, lent, received, suspensions]
 
     def on_stall(self, at_us: int, stall_us: int) -> None:  # noqa: ARG002 (the gateway's callback)
         """Look at the leases first: the process has stalled, and what it held may be another's."""
--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -313,15 +313,15 @@
     async with coordinated(tmp_path) as (coordinator, balancer, other):
         server = coordinator.server
         total_us, max_sockets = balancer.fall_budget_us(), server.config.sockets
-        await until(lambda: server.sockets == max_sockets // 2)
+        await until(lambda: server.admission.max_descriptors == max_sockets // 2)
         assert balancer.fall_budget_us() == total_us  # it does not accept clients yet
         other.process_files.announce(ProcessStage.SERVING)
         await until(lambda: balancer.fall_budget_us() == total_us / 2)
         other.process_files.announce(ProcessStage.DRAINING)
         await until(lambda: balancer.fall_budget_us() == total_us)
-        assert server.sockets == max_sockets // 2  # what it holds it has until its end
+        assert server.admission.max_descriptors == max_sockets // 2  # what it holds it has until its end
         other.close()
-        await until(lambda: server.sockets == max_sockets)
+        await until(lambda: server.admission.max_descriptors == max_sockets)
 
 
 @on_loop
--- a/tests/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -17,15 +17,16 @@
 import pytest
 
 from cloverkeel.balancing.interface import FetchList, Outcome, ServerList, WatchList
-from cloverkeel.core.calls import Sink
+from cloverkeel.core.calls import ResponseStream
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.messages import Reply
-from cloverkeel.frontends.http1.server import ACCEPT_PAUSE_S, RESERVE
+from cloverkeel.frontends.http1.admission import RESERVED_DESCRIPTORS
+from cloverkeel.frontends.http1.listener import ACCEPT_RETRY_INTERVAL_S
 from cloverkeel.discovery.poll_schedule import (
-    SILENT_CONNECTION_DETECTION_S,
-    LONG_POLL_HOLD_S,
     EMPTY_REPLY_PAUSE_S,
+    LONG_POLL_HOLD_S,
     MAX_NOTIFICATION_DELAY_S,
+    SILENT_CONNECTION_DETECTION_S,
     SILENT_WATCH_DETECTION_S,
 )
 from tests.sockets import (
@@ -78,7 +79,7 @@
 
 
 def drained(run: Running, number: int = 0) -> bool:
-    return run.pools.hosts[host_id(number)].drained_us is not None
+    return run.pool.hosts[host_id(number)].draining_since_us is not None
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
@@ -101,7 +102,7 @@
         config = configuration(host, discovery=registry.address)
         config["settings"]["membershipMode"] = mode
         async with running(config) as run:
-            run.gateway.carry_out(WatchList())
+            run.gateway.dispatcher.carry_out(WatchList())
             await until(lambda: gone_silent)
             await until(lambda: drained(run))
             assert time.monotonic() - gone_silent[0] < SILENT_WATCH_DETECTION_S < MAX_NOTIFICATION_DELAY_S
@@ -137,7 +138,7 @@
         told: list[object] = []
         overhear(run, told.append)
         os.write(registry.seen[0].writer.get_extra_info("socket").fileno(), old)
-        run.gateway.carry_out(FetchList())
+        run.gateway.dispatcher.carry_out(FetchList())
         await until(lambda: len(registry.seen) == 2)
         registry.seen[1].answer(list_reply(9, endpoint("s-0", "127.0.0.1:1")))
         await until(lambda: run.discovery.schedule.version == 9)
@@ -157,7 +158,7 @@
             exchange.answer(list_reply(1, endpoint("s-0", "127.0.0.1:1", status="SERVING"), snapshot=False))
 
     async with peer(script) as registry, running(configuration("127.0.0.1:1", discovery=registry.address)) as run:
-        await until(lambda: set(run.pools.hosts) == {host_id(1)})
+        await until(lambda: set(run.pool.hosts) == {host_id(1)})
         assert run.discovery.schedule.version == 2
         await until(lambda: any("from=2" in exchange.message.first for exchange in registry.seen))
 
@@ -187,7 +188,7 @@
     ):
         await until(lambda: registry.seen)
         registry.seen[0].answer(list_reply(8, entry, {"status": status}, {"name": "s-1"}, snapshot=False))
-        await until(lambda: set(run.pools.hosts) == {host_id(1)})
+        await until(lambda: set(run.pool.hosts) == {host_id(1)})
         assert set(run.module.servers) == {host_id(1)}
 
 
@@ -223,7 +224,7 @@
 # Attempts
 
 
-def unwanted(reply: Reply, length: int | None, latency_us: int) -> Sink | None:
+def unwanted(reply: Reply, length: int | None, latency_us: int) -> ResponseStream | None:
     return None
 
 
@@ -235,14 +236,14 @@
         async with running(configuration(late.address)) as run:
             ended: list[Outcome] = []
             by_us = now_us() + int(begin_in_s * 1e6)
-            run.pools.begin(
-                host_id(0), lambda _: [request("hold")], 20_000_000, lambda end: ended.append(end.outcome), unwanted,
-                None, by_us,
+            run.attempt_sender.start_attempt(
+                host_id(0), lambda _: [request("hold")], 20_000_000, lambda result: ended.append(result.outcome),
+                unwanted, None, by_us,
             )  # fmt: skip
             if begin_in_s < 1.0:
                 await until(lambda: ended)
                 assert ended == [Outcome.MOOT] and now_us() >= by_us
-                await until(lambda: run.pools.open == 0)
+                await until(lambda: run.pool.open_connections == 0)
             else:
                 late.open()
                 assert b"POST /hold" in await asyncio.get_running_loop().sock_recv(await late.accept(), 65_536)
@@ -250,13 +251,13 @@
 
 
 @on_loop
-async def test_a_host_is_told_the_time_that_is_left_when_its_connection_has_come_up() -> None:
+async def test_a_host_gets_the_time_that_is_left_when_its_connection_has_come_up() -> None:
     with late_host() as late:
         async with running(configuration(late.address)) as run:
             client = await run.connect()
             client.send(request("search"))
-            await until(lambda: run.pools.open)
-            (held,) = run.gateway.held.values()
+            await until(lambda: run.pool.open_connections)
+            (held,) = run.gateway.requests.by_key.values()
             opened_us = now_us()
             late.open()
             heard = await asyncio.get_running_loop().sock_recv(await late.accept(), 65_536)
@@ -274,9 +275,9 @@
             head = request("hold").replace(b"content-length: 0", b"Content-Length: 20000000")
             body = [b"x" * 65_536] * 305
             by_us = now_us() + 300_000
-            run.pools.begin(
-                host_id(0), lambda _: [head, *body], 20_000_000, lambda end: ended.append(end.outcome), unwanted,
-                None, by_us,
+            run.attempt_sender.start_attempt(
+                host_id(0), lambda _: [head, *body], 20_000_000, lambda result: ended.append(result.outcome),
+                unwanted, None, by_us,
             )  # fmt: skip
             await until(lambda: ended)  # nobody has read any of it
             assert ended == [Outcome.MOOT] and now_us() >= by_us
@@ -292,21 +293,21 @@
         async with running(configuration(late.address, mayCancel=may_cancel)) as run:
             client = await run.connect()
             client.send(request("transfer"))
-            await until(lambda: run.pools.open)
+            await until(lambda: run.pool.open_connections)
             if leaves:
                 client.close()
                 await until(lambda: not run.server.connections)
             if leaves and may_cancel:
-                await until(lambda: not run.pools.open)  # counted out a turn after it is called off
-                assert not run.pools.counts.failed  # that was no connection given up at its time-out
+                await until(lambda: not run.pool.open_connections)  # counted out a turn after it is called off
+                assert not run.pool.counts.failed  # that was no connection given up at its time-out
                 late.open()
-                assert not run.pools.open and run.pools.counts.opened == 1
+                assert not run.pool.open_connections and run.pool.counts.opened == 1
                 return
             late.open()
             sock = await late.accept()
             heard = await asyncio.get_running_loop().sock_recv(sock, 65_536)
             assert heard == b"" if leaves else b"POST /transfer" in heard
-            await until(lambda: not run.gateway.held or not leaves)
+            await until(lambda: not run.gateway.requests.by_key or not leaves)
             sock.close()
 
 
@@ -319,14 +320,14 @@
             client.sendall(b"".join(request("search") for _ in range(200)))
             await until(lambda: host.seen)
             (connection,) = run.server.connections
-            assert connection.reader.rest
+            assert connection.reader.unparsed
             if end == "RST":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         async with asyncio.timeout(2.0):
             await until(lambda: not run.server.connections)
         host.script = answers(reply())
         assert (await run.ask(request())).status == 200
-        assert len(host.seen) == 2 and not run.gateway.held
+        assert len(host.seen) == 2 and not run.gateway.requests.by_key
 
 
 @pytest.mark.parametrize("end", ["FIN", "RST"])
@@ -342,13 +343,13 @@
 
         turned_away = answers(reply(503, b"", "X-Rejected: 1"))
         async with peer(turned_away) as one, peer(turned_away) as other, running(configuration(one, other)) as run:
-            run.gateway.on_outcome = leave
+            run.gateway.dispatcher.on_attempt_outcome = leave
             client.connect(("127.0.0.1", run.port))
             client.sendall(request("search"))
             await until(lambda: one.seen or other.seen)
-            await until(lambda: not run.gateway.held and not run.server.connections)
+            await until(lambda: not run.gateway.requests.by_key and not run.server.connections)
             assert len(one.seen) + len(other.seen) == 1
-            run.gateway.on_outcome = None
+            run.gateway.dispatcher.on_attempt_outcome = None
             assert (await run.ask(request())).status == 503  # one that stays is tried at both
             assert len(one.seen) + len(other.seen) == 3
 
@@ -366,7 +367,7 @@
             host.seen[0].answer(reply(200, b"first"))
         else:
             host.seen[0].answer(reply(200, b"first"))
-            await until(lambda: run.pools.open == 0)
+            await until(lambda: run.pool.open_connections == 0)
             asked = asyncio.create_task(run.ask(request()))
             await until(lambda: len(host.seen) == 2)
         host.seen[1].answer(reply(200, b"second"))
@@ -382,12 +383,12 @@
         slow = [await run.connect() for _ in range(3)]
         for client in slow:
             client.send(request("transfer", b"body")[:40])
-        await until(lambda: len(run.server.reading) == 3)
-        for connection in run.server.reading:
-            connection.read_s -= 60  # nothing of it has come for long
-        run.server.most = 3
+        await until(lambda: len(run.server.timeouts.reading) == 3)
+        for connection in run.server.timeouts.reading:
+            connection.last_read_s -= 60  # nothing of it has come for long
+        run.server.admission.max_clients = 3
         assert (await run.ask(request())).status == 200
-        await until(lambda: len(run.server.reading) == 2)
+        await until(lambda: len(run.server.timeouts.reading) == 2)
         for client in slow:
             client.close()
 
@@ -397,14 +398,17 @@
     """Every descriptor is a client's that waits or an attempt's; the next attempt is not sent, and the rest go on."""
     async with peer(silent) as host, running(configuration(host)) as run:
         clients = [await run.connect() for _ in range(3)]
-        await until(lambda: len(run.server.connections) == 3 and not run.server.accepting)
-        run.server.sockets = RESERVE + 5
+        await until(lambda: len(run.server.connections) == 3 and not run.server.admission.accepting)
+        run.server.admission.max_descriptors = RESERVED_DESCRIPTORS + 5
         for client in clients[:2]:
             client.send(request())
         await until(lambda: len(host.seen) == 2)
         clients[2].send(request())  # three clients and two attempts: the reserve begins here
         assert (await clients[2].answer()).status == 503
-        assert run.server.clients + run.pools.open + RESERVE <= run.server.sockets
+        assert (
+            run.server.client_count + run.pool.open_connections + RESERVED_DESCRIPTORS
+            <= run.server.admission.max_descriptors
+        )
         for exchange in host.seen:
             exchange.answer(reply())
         for client in clients[:2]:
@@ -455,18 +459,18 @@
 async def test_an_accept_without_a_descriptor_is_tried_again_only_after_a_pause() -> None:
     """Turns of the loop are counted, not processor time: a busy machine gives a turning loop little of that too."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
-        listener = run.server.listener
+        listener = run.server.listener.socket
         assert listener is not None
         full = FullListener(listener)
-        run.server.listener = cast(socket.socket, full)
+        run.server.listener.socket = cast(socket.socket, full)
         client = await run.connect()
         await until(lambda: full.tried)
         first, since_s = full.tried, time.monotonic()
         for _ in range(500):
             await asyncio.sleep(0)
-        pauses = (time.monotonic() - since_s) / ACCEPT_PAUSE_S
+        pauses = (time.monotonic() - since_s) / ACCEPT_RETRY_INTERVAL_S
         assert full.tried - first <= 1 + pauses
-        run.server.listener = listener
+        run.server.listener.socket = listener
         assert (await client.ask(request())).status == 200
         client.close()
 
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -139,10 +139,10 @@
         self.discovery.set_listener(record_list)
 
     def state(self) -> dict[int, tuple[object, ...]]:
-        hosts = self.program.pools.hosts
+        hosts = self.program.pool.hosts
         servers = self.gateway.balancer.servers  # type: ignore[attr-defined]
         assert hosts.keys() == servers.keys()
-        return {n: (servers[n].entry, hosts[n].started_us, hosts[n].drained_us is None) for n in hosts}
+        return {n: (servers[n].entry, hosts[n].started_us, hosts[n].draining_since_us is None) for n in hosts}
 
 
 def some_answer(rng: random.Random, index: int, whole: bool) -> bytes:
@@ -175,9 +175,9 @@
             steps.close()
             if len(by_steps.notified) > before:
                 at_once.discovery.handle_body_at_once(body)
-                at_once.gateway.on_list(ListKind.DELTA, [])
+                at_once.gateway.on_endpoint_list(ListKind.DELTA, [])
             assert by_steps.discovery.schedule.version == at_once.discovery.schedule.version
-        while by_steps.gateway.slices.pending or at_once.gateway.slices.pending:
+        while by_steps.gateway.endpoint_updates.batches.pending or at_once.gateway.endpoint_updates.batches.pending:
             await asyncio.sleep(0)
         assert by_steps.state() == at_once.state()
         assert [(kind, [e.listed for e in entries]) for kind, entries in by_steps.notified] == [
@@ -195,7 +195,7 @@
     served = {n: ("SERVING", 1.0, 0) for n in range(700)}
     await gateway.discovery.handle_reply(Reply(200, [], listed(1, True, served), True))
     lists: list[ServerList] = []
-    run = Running(gateway.gateway, gateway.program.server, gateway.program.pools, gateway.discovery, 0)
+    run = Running(gateway.gateway, gateway.program.server, gateway.program.pool, gateway.discovery, 0)
     overhear(run, lambda event: lists.append(event) if isinstance(event, ServerList) else None)
     assert isinstance(gateway.discovery, RelayEndpointSource)
     gateway.discovery.requested_s += 1.0
@@ -205,7 +205,7 @@
     first = {entry.server: entry for entry in lists[0].servers}
     assert first.keys() == {host_id(n) for n in (*range(50), *range(100, 650), *range(690, 700))}
     assert first[host_id(5)].status is ServerStatus.GONE and first[host_id(649)].started_us == 7_000
-    while gateway.gateway.slices.pending:
+    while gateway.gateway.endpoint_updates.batches.pending:
         await asyncio.sleep(0)
     assert all(len(event.servers) <= BATCH_ENTRIES for event in lists[1:])
     assert sum(len(event.servers) for event in lists[1:]) == 90
@@ -309,10 +309,10 @@
     options = Options(relays=RelayOptions((("127.0.0.1", int(source.address.split(":")[1])),)))
     program = assemble(parse(configuration(host, discovery=source.address)), options if by_relay else None)
     await program.server.start()
-    assert program.server.listener is not None and isinstance(program.discovery, HttpEndpointSource)
-    port = program.server.listener.getsockname()[1]
+    assert program.server.listener.socket is not None and isinstance(program.discovery, HttpEndpointSource)
+    port = program.server.listener.socket.getsockname()[1]
     try:
-        yield Running(program.gateway, program.server, program.pools, program.discovery, port)
+        yield Running(program.gateway, program.server, program.pool, program.discovery, port)
     finally:
         program.server.close()
         program.close()
@@ -333,10 +333,10 @@
         client = await run.connect()
         run.gateway.start()
         served = 0
-        while host_id(MANY - 1) not in run.pools.hosts:
+        while host_id(MANY - 1) not in run.pool.hosts:
             assert (await client.ask(request())).status == 200
             served += run.discovery.is_reading
-        assert served > 3 and run.pools.known() == MANY
+        assert served > 3 and run.pool.host_count() == MANY
         assert relay.seen[0].message.headers["accept-encoding"] == "gzip"
         client.close()
 
@@ -371,13 +371,13 @@
 
         def on_event(event: object) -> None:
             if isinstance(event, ServerList) and any(e.status is ServerStatus.DRAINING for e in event.servers):
-                waiting.append(len(run.gateway.slices.pending))
+                waiting.append(len(run.gateway.endpoint_updates.batches.pending))
 
         overhear(run, on_event)
         run.gateway.start()
-        await until(lambda: waiting and not run.gateway.slices.pending)
+        await until(lambda: waiting and not run.gateway.endpoint_updates.batches.pending)
         assert waiting[0] > 0
-        assert run.pools.hosts[host_id(MANY - 1)].drained_us is not None
+        assert run.pool.hosts[host_id(MANY - 1)].draining_since_us is not None
         assert run.module.servers[host_id(0)].entry.weight == 0.5
 
 
@@ -392,7 +392,7 @@
             long = reply(200, long.partition(b"\r\n\r\n")[2][:-1])
         first.script, other.script = ScriptedSource(long, short), ScriptedSource(short)
         counts: set[int] = set()
-        overhear(run, lambda event: counts.add(run.pools.known()))
+        overhear(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
         await reading(run)
         if how == "move":
@@ -402,10 +402,10 @@
         if how in ("stop", "close"):
             for _ in range(2 * MANY // ENTRIES_PER_STEP):  # more turns than the rest of it would take
                 await asyncio.sleep(0)
-            assert run.pools.known() == 1 and run.discovery.schedule.version == 7  # as at the start
+            assert run.pool.host_count() == 1 and run.discovery.schedule.version == 7  # as at the start
         else:
             await until(lambda: run.discovery.schedule.version == 9)
-            assert run.pools.known() == 2
+            assert run.pool.host_count() == 2
         if how in ("move", "fetch"):
             asked = (other.seen if how == "move" else first.seen[1:])[0]
             assert "from=" not in asked.message.first
@@ -420,7 +420,7 @@
             ScriptedSource(many(9, host.address, count=2)),
         )
         counts: set[int] = set()
-        overhear(run, lambda event: counts.add(run.pools.known()))
+        overhear(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
         await reading(run)
         assert isinstance(run.discovery, RelayEndpointSource)
@@ -449,7 +449,7 @@
         run.gateway.start()
         client = await run.connect()
         await reading(run)
-        run.gateway.look(run.gateway.still.seen_us + 1_000_000)  # a gap, too short to ask anew after it
+        run.gateway.check_stall(run.gateway.stall_detector.last_check_us + 1_000_000)
         client.send(request())
         assert (await client.answer()).status == 200
         assert order == ["list", "request"]
--- a/tests/golden/admin.py
+++ b/tests/golden/admin.py
@@ -105,7 +105,7 @@
         assert isinstance(program.discovery, EjectionFilter)
         program.discovery.load_known(raw["known"])
         takes_clients = _TakesClients()
-        with mock.patch.object(Server, "takes_clients", takes_clients):
+        with mock.patch.object(Server, "accepts_clients", takes_clients):
             coordinator = ProcessCoordinator(shared_folder_path(config), program.server, program.discovery)
             handler = CommandHandler(coordinator, [_extra])
             coordinator.start()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,7 +20,8 @@
 from cloverkeel.core.gateway import Gateway
 from cloverkeel.frontends.http1.server import Server
 from cloverkeel.discovery.http_client import HttpEndpointSource
-from cloverkeel.upstream.connection_pool import REST_US, Pools
+from cloverkeel.upstream.attempt_sender import AttemptSender
+from cloverkeel.upstream.connection_pool import REUSE_DELAY_US, ConnectionPool
 
 PROGRAM: tuple[str, ...] = (sys.executable, "-m", "cloverkeel")  # what is started as a process
 PATIENCE_S = 30.0  # for anything that should happen: how long a broken test takes, never how long a good one
@@ -203,10 +204,17 @@
 
     gateway: Gateway
     server: Server
-    pools: Pools
+    pool: ConnectionPool
     discovery: HttpEndpointSource
     port: int
 
+    @property
+    def attempt_sender(self) -> AttemptSender:
+        """What carries attempts to hosts, to look into."""
+        upstream = self.gateway.upstream
+        assert isinstance(upstream, AttemptSender)
+        return upstream
+
     @property
     def module(self) -> Balancer:
         """The decision module itself, to look into."""
@@ -268,10 +276,10 @@
     program = assemble(parsed)
     gateway, server = program.gateway, program.server
     await server.start()
-    assert server.listener is not None
+    assert server.listener.socket is not None
     try:
         assert isinstance(program.discovery, HttpEndpointSource)
-        yield Running(gateway, server, program.pools, program.discovery, server.listener.getsockname()[1])
+        yield Running(gateway, server, program.pool, program.discovery, server.listener.socket.getsockname()[1])
     finally:
         server.close()
         gateway.close()
@@ -280,7 +288,7 @@
 async def rested() -> None:
     """Connections to hosts that are free now may be used again."""
     since_us = now_us()
-    await until(lambda: now_us() - since_us > REST_US)
+    await until(lambda: now_us() - since_us > REUSE_DELAY_US)
 
 
 _count = 0
--- a/tests/test_gateway_pools.py
+++ b/tests/upstream/test_connection_pool.py
@@ -10,10 +10,11 @@
 from cloverkeel.balancing.interface import ListKind, Outcome
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import parse
-from cloverkeel.frontends.http1.server import ClientConnection
+from cloverkeel.frontends.http1.connection import ClientConnection
 from cloverkeel.discovery.endpoint_parser import parse_endpoint_list
-from cloverkeel.upstream.connection_pool import Attempt, HostConnection
-from cloverkeel.core.ports import End
+from cloverkeel.upstream.attempt import Attempt
+from cloverkeel.upstream.connection import HostConnection
+from cloverkeel.core.ports import AttemptResult
 from tests.sockets import (
     Exchange,
     Running,
@@ -34,7 +35,7 @@
 
 
 def idle(run: Running, number: int = 0) -> list[HostConnection]:
-    return run.pools.hosts[host_id(number)].idle
+    return run.pool.hosts[host_id(number)].idle_connections
 
 
 @on_loop
@@ -59,19 +60,19 @@
 async def test_a_connection_that_the_host_has_closed_is_not_written_to() -> None:
     async with peer() as host, running(configuration(host)) as run:
         assert (await run.ask(request("transfer"))).status == 200
-        pool, connection = run.pools, idle(run)[0]
+        pool, connection = run.pool, idle(run)[0]
         host.seen[0].writer.close()
-        await until(lambda: not connection.is_fresh())
+        await until(lambda: not connection.is_reusable())
         ended: list[Outcome] = []
         # Sent before the loop has told of the end, if it has not yet.
         if not idle(run):
             idle(run).append(connection)
 
-        def on_end(end: End) -> None:
-            ended.append(end.outcome)
+        def on_end(result: AttemptResult) -> None:
+            ended.append(result.outcome)
 
         data = request("transfer")
-        pool.send(Attempt(pool.hosts[host_id(0)], lambda _: [data], on_end), 20_000_000)
+        run.attempt_sender.send(Attempt(pool.hosts[host_id(0)], lambda _: [data], on_end), 20_000_000)
         await until(lambda: ended)
         assert ended == [Outcome.OK] and host.opened == 2
 
@@ -92,9 +93,9 @@
             taken.sendall(reply())
             await asking
             connection = idle(run)[0]
-            assert connection.is_fresh()
+            assert connection.is_reusable()
             taken.close()  # and the loop has had no turn since
-            assert not connection.is_fresh()
+            assert not connection.is_reusable()
 
 
 @pytest.mark.parametrize("said", [reply(200, b"another's"), b"HTTP/1.1 200 OK\r\nContent-Le"])
@@ -127,14 +128,14 @@
         for exchange in host.seen:
             exchange.answer(reply())
         await asyncio.gather(*tasks)
-        pools = run.pools
+        pool = run.pool
         for connection in idle(run):
             connection.idle_since_us -= 10_000_000
-        pools.sweep()
-        await until(lambda: pools.open == 1)
+        pool.close_expired()
+        await until(lambda: pool.open_connections == 1)
         idle(run)[0].idle_since_us -= 45_000_000
-        pools.sweep()
-        await until(lambda: pools.open == 0 and host.ended == 4)
+        pool.close_expired()
+        await until(lambda: pool.open_connections == 0 and host.ended == 4)
 
 
 @on_loop
@@ -146,7 +147,7 @@
         entries = parse_endpoint_list(
             hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names
         ).endpoints
-        run.gateway.on_list(ListKind.DELTA, entries)
+        run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         assert (await run.ask(request())).status == 503  # nowhere to go
         host.seen[0].answer(reply(200, b"done"))
         assert (await asking).body == b"done"
@@ -158,17 +159,17 @@
 async def test_nothing_starts_after_the_grace_of_a_drain() -> None:
     """A connection that comes up too late carries nothing, even if the attempt was begun in time."""
     async with peer() as host, running(configuration(host)) as run:
-        pools, ended = run.pools, list[Outcome]()
+        pool, ended = run.pool, list[Outcome]()
 
-        def on_end(end: End) -> None:
-            ended.append(end.outcome)
+        def on_end(result: AttemptResult) -> None:
+            ended.append(result.outcome)
 
-        known = pools.hosts[host_id(0)]
-        pools.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
-        known.drained_us = now_us() - 1_000_001
+        known = pool.hosts[host_id(0)]
+        run.attempt_sender.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
+        known.draining_since_us = now_us() - 1_000_001
         await until(lambda: ended)
         assert ended == [Outcome.CONNECT_FAILED] and not host.seen
-        pools.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
+        run.attempt_sender.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
         assert ended == [Outcome.CONNECT_FAILED] * 2
 
 
@@ -180,7 +181,7 @@
         await until(lambda: old.seen)
         names = parse(configuration(old)).names
         entries = parse_endpoint_list(hosts_list(8, endpoint("s-0", new.address)), names).endpoints
-        run.gateway.on_list(ListKind.DELTA, entries)
+        run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         old.seen[0].answer(reply())
         await asking
         assert not idle(run)  # the old connection is not kept for the new address
@@ -197,30 +198,31 @@
             entries = parse_endpoint_list(
                 hosts_list(8, endpoint("s-0", host.address, since_ms=since_ms)), names
             ).endpoints
-            run.gateway.on_list(ListKind.DELTA, entries)
+            run.gateway.on_endpoint_list(ListKind.DELTA, entries)
             assert len(idle(run)) == kept
         assert (await run.ask(request())).status == 200
         assert host.opened == 2
 
 
 @on_loop
-async def test_idle_connections_make_room_when_descriptors_run_short() -> None:
+async def test_idle_connections_are_closed_when_descriptors_run_short() -> None:
     async with peer() as one, peer() as two:
         config = configuration(one, two)
         async with running(config) as run:
             client = await run.connect()
             for _ in range(6):
                 assert (await client.ask(request())).status == 200
-            pools = run.pools
-            had = pools.open
+            pool = run.pool
+            had = pool.open_connections
             assert had >= 1
-            run.server.sockets = 1
-            run.server.make_room()  # a client that asks nothing yields before what hosts had a handshake for
+            run.server.admission.max_descriptors = 1
+            # A client that asks nothing yields before what hosts had a handshake for.
+            run.server.admission.reserve_descriptor()
             await until(lambda: not run.server.connections)
-            assert pools.open == had
+            assert pool.open_connections == had
             for _ in range(had):
-                run.server.make_room()
-            await until(lambda: pools.open == 0)
+                run.server.admission.reserve_descriptor()
+            await until(lambda: pool.open_connections == 0)
             client.close()
 
 
@@ -242,25 +244,25 @@
 async def test_an_attempt_given_up_as_its_connection_comes_up_leaves_nothing_behind() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
     async with peer(silent) as host, running(configuration(host)) as run:
-        pools, looks = run.pools, 0
+        pool, looks = run.pool, 0
 
         def give_up(at_us: int) -> bool:
             """Asked as the attempt begins, and again as its connection comes up."""
             nonlocal looks
             looks += 1
             if looks == 2:
-                (held,) = run.gateway.held.values()
+                (held,) = run.gateway.requests.by_key.values()
                 (attempt,) = held.attempts
-                pools.cancel(attempt)  # type: ignore[arg-type]
+                run.attempt_sender.cancel_attempt(attempt)  # type: ignore[arg-type]
             return looks == 1
 
-        pools.guard(give_up)
+        run.attempt_sender.set_write_guard(give_up)
         client = await run.connect()
         client.send(request("transfer"))
-        await until(lambda: pools.counts.opened)
-        await until(lambda: pools.open == 0)
-        (known,) = pools.hosts.values()
-        assert known.open == 0 and not known.idle and not host.seen
+        await until(lambda: pool.counts.opened)
+        await until(lambda: pool.open_connections == 0)
+        (known,) = pool.hosts.values()
+        assert known.open_connections == 0 and not known.idle_connections and not host.seen
         client.close()
 
 
