--- a/standins/checker/relays/__init__.py
+++ b/standins/checker/relays/__init__.py
@@ -20,10 +20,12 @@
     BackendArrival,
     ClientRequest,
     Component,
+    DirectPoll,
     EndpointChange,
     Outage,
     RelayViolation,
     RunRecord,
+    UnaskedExit,
 )
 from standins.checker.relays.responses import ResponseCheck
 
@@ -31,10 +33,12 @@
     "BackendArrival",
     "ClientRequest",
     "Component",
+    "DirectPoll",
     "EndpointChange",
     "Outage",
     "RelayViolation",
     "RunRecord",
+    "UnaskedExit",
     "check_relays",
 ]
 
@@ -47,5 +51,5 @@
         *ResponseCheck(record, outages).check(),
         *check_direct_polls(record, outages),
     ]
-    violations += [RelayViolation("a process ended by itself", at_us, name) for at_us, name in record.exits]
+    violations += [RelayViolation("a process ended by itself", exit_.at_us, exit_.process) for exit_ in record.exits]
     return sorted(violations, key=lambda violation: violation.at_us)
--- a/standins/checker/relays/direct_polls.py
+++ b/standins/checker/relays/direct_polls.py
@@ -12,7 +12,7 @@
 def check_direct_polls(record: RunRecord, outages: OutageHistory) -> Iterator[RelayViolation]:
     """Yield the first violation of the first gateway that polls more often than once in the interval."""
     for gateway in range(record.gateways):
-        polls_us = [at_us for at_us, poller in record.direct_polls if poller == gateway]
+        polls_us = [poll.at_us for poll in record.direct_polls if poll.gateway == gateway]
         violation = find_excess(record, outages, gateway, polls_us)
         if violation is not None:
             yield violation
--- a/standins/checker/relays/record.py
+++ b/standins/checker/relays/record.py
@@ -47,6 +47,22 @@
     is_own: bool = True  # the response is the one to this request
 
 
+@dataclass(slots=True, frozen=True)
+class DirectPoll:
+    """A gateway's poll of discovery, without a relay."""
+
+    at_us: int
+    gateway: int
+
+
+@dataclass(slots=True, frozen=True)
+class UnaskedExit:
+    """The exit of a process that nobody had told to exit."""
+
+    at_us: int
+    process: str
+
+
 @dataclass(slots=True, frozen=True)
 class RelayViolation:
     """One violation of the invariants."""
@@ -70,5 +86,5 @@
     arrivals: list[BackendArrival] = field(default_factory=list)  # in order
     requests: list[ClientRequest] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
-    direct_polls: list[tuple[int, int]] = field(default_factory=list)  # when, and which gateway
-    exits: list[tuple[int, str]] = field(default_factory=list)  # when and which: processes that exited unasked
+    direct_polls: list[DirectPoll] = field(default_factory=list)  # in order
+    exits: list[UnaskedExit] = field(default_factory=list)
--- a/tests/checker/test_relays.py
+++ b/tests/checker/test_relays.py
@@ -8,9 +8,11 @@
     BackendArrival,
     ClientRequest,
     Component,
+    DirectPoll,
     EndpointChange,
     Outage,
     RunRecord,
+    UnaskedExit,
     check_relays,
 )
 
@@ -162,9 +164,9 @@
 
 def test_direct_polls_of_discovery_are_rare() -> None:
     run = record()
-    run.direct_polls = [(1 * SECOND_US, 0), (4 * SECOND_US, 0), (7 * SECOND_US - 200_000, 0)]
+    run.direct_polls = [DirectPoll(at_us, 0) for at_us in (1 * SECOND_US, 4 * SECOND_US, 7 * SECOND_US - 200_000)]
     assert not violations_of(run)
-    run.direct_polls = [(1 * SECOND_US, 0), (7 * SECOND_US, 0), (8 * SECOND_US, 0)]
+    run.direct_polls = [DirectPoll(at_us, 0) for at_us in (1 * SECOND_US, 7 * SECOND_US, 8 * SECOND_US)]
     assert violations_of(run) == ["asked discovery itself 2 times in 1.000 s"]
     add_outage(run, 4.0, 6.9, ("gateway", 0))  # the second was decided before the stop, and came after it
     assert not violations_of(run)
@@ -172,5 +174,5 @@
 
 def test_no_process_exits_unasked() -> None:
     run = record()
-    run.exits.append((5 * SECOND_US, "relay-0"))
+    run.exits.append(UnaskedExit(5 * SECOND_US, "relay-0"))
     assert violations_of(run) == ["a process ended by itself"]
--- a/tests/fleet/relayed.py
+++ b/tests/fleet/relayed.py
@@ -14,7 +14,16 @@
 from typing import Any
 
 from cloverkeel.core.config import stable_id
-from standins.checker.relays import BackendArrival, ClientRequest, EndpointChange, Outage, Component, RunRecord
+from standins.checker.relays import (
+    BackendArrival,
+    ClientRequest,
+    Component,
+    DirectPoll,
+    EndpointChange,
+    Outage,
+    RunRecord,
+    UnaskedExit,
+)
 from standins.event_log import DiscoveryPoll, EventLog, ProcessEvent, now_us
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
@@ -156,10 +165,10 @@
             sorted(self.changes, key=lambda change: change.at_us),
             [BackendArrival(*seen) for seen in self.seen], self.asks, self.downs + open_downs,
             [
-                (call.at_us, int(call.gateway[1:]))
+                DirectPoll(call.at_us, int(call.gateway[1:]))
                 for call in self.ledger.events_of(DiscoveryPoll) if call.gateway[0] == "n"
             ],
-            [(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
+            [UnaskedExit(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
 
     # Waiting for what is seen
