--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -226,9 +226,9 @@
 @entry("breaker")
 def _() -> None:
     """A server is picked whatever its breaker says."""
-    from cloverkeel.balancing.balancer import Breaker
+    from cloverkeel.balancing.circuit_breaker import CircuitBreaker
 
-    swap(Breaker, "lets_through", lambda self, now_us: True)
+    swap(CircuitBreaker, "can_admit", lambda self, now_us: True)
 
 
 @entry("silent-server")
@@ -253,9 +253,9 @@
 @entry("common-failures")
 def _() -> None:
     """Each server is blamed for what fails everywhere."""
-    from cloverkeel.balancing.balancer import Balancer
+    from cloverkeel.balancing.fleet_outcomes import FleetOutcomes
 
-    swap(Balancer, "common_share", lambda self, server, klass: 0.0)
+    swap(FleetOutcomes, "failure_ratio", lambda self, server, class_index: 0.0)
 
 
 @entry("shedding")
@@ -363,7 +363,8 @@
     """What fails here everywhere does not speak for a server that fails for others."""
     from cloverkeel.balancing.balancer import Balancer
 
-    cut(Balancer, "on_peer_health_report", ("common = self.common_share(server, None)", "common = 0.0"))
+    common = "common = self.fleet_outcomes.failure_ratio(server.entry.server, None)"
+    cut(Balancer, "on_peer_health_report", (common, "common = 0.0"))
 
 
 @entry("hearsay-hold")
--- a/cloverkeel/balancing/balancer.py
+++ b/cloverkeel/balancing/balancer.py
@@ -12,11 +12,17 @@
 from bisect import bisect_left, insort
 from collections import deque
 from dataclasses import dataclass, field
-from enum import Enum
 from operator import attrgetter
 from typing import Any, Final
 
 from cloverkeel.balancing.actions import Action, Cancel, Fail, Log, Refuse, Send, SetTimer, WatchList
+from cloverkeel.balancing.circuit_breaker import (
+    INITIAL_COOLDOWN_US,
+    MIN_CLASS_OUTCOMES,
+    BreakerState,
+    CircuitBreaker,
+    failure_limit,
+)
 from cloverkeel.balancing.events import (
     AnswerAll,
     AttemptEnded,
@@ -37,17 +43,9 @@
     StreamStarted,
     TimerFired,
 )
+from cloverkeel.balancing.fleet_outcomes import FleetOutcomes
 from cloverkeel.balancing.settings import Effect, Scope, Settings
 
-# The breaker
-RING: Final = 10  # outcomes: a second or less of one proxy's traffic to one server
-MINIMUM: Final = 5  # outcomes before a verdict: fewer convict on chance
-PART_MINIMUM: Final = 2  # the same for one class at one server: a proxy sees a few of these a minute
-THRESHOLD: Final = 0.5  # failure share that opens, beyond what all servers fail in common
-TRIALS: Final = 3  # outcomes that decide in half-open
-RECENT: Final = 100  # outcomes of all servers that tell what fails in common
-COOLDOWN_US: Final = 1_000_000  # first cooldown; doubles with each reopening from half-open
-LONGEST_COOLDOWN_US: Final = 8_000_000
 # The weight controller
 FLOOR, CEILING = 0.05, 1.0  # of the controller's weight
 STEP: Final = 0.02  # added by a good answer
@@ -127,89 +125,6 @@
 RANK: Final = attrgetter("rank")
 
 
-class State(Enum):
-    CLOSED = "closed"
-    OPEN = "open"
-    HALF_OPEN = "half-open"
-
-
-@dataclass(slots=True, eq=False)
-class Breaker:
-    """Ring of the last outcomes of one server, or of one class at it, and what follows from it."""
-
-    minimum: int = MINIMUM
-    ring: deque[bool] = field(default_factory=lambda: deque(maxlen=RING))
-    failures: int = 0
-    state: State = State.CLOSED
-    open_until_us: int = 0
-    cooldown_us: int = COOLDOWN_US
-    episode: int = 0  # half-open spells so far: an outcome is a trial's if it was sent in the present one
-    trials_out: int = 0
-    trial_results: list[bool] = field(default_factory=list)
-
-    def lets_through(self, now_us: int) -> bool:
-        """True if closed, or half-open with trials left to give; ends a cooldown that is over."""
-        if self.state is State.CLOSED:
-            return True
-        if self.state is State.OPEN:
-            if now_us < self.open_until_us:
-                return False
-            self.state = State.HALF_OPEN
-            self.episode += 1
-            self.trials_out = 0
-            self.trial_results = []
-        return self.trials_out + len(self.trial_results) < TRIALS
-
-    def take_trial(self) -> int:
-        """The episode an attempt is a trial of, or 0 for an ordinary attempt."""
-        if self.state is not State.HALF_OPEN:
-            return 0
-        self.trials_out += 1
-        return self.episode
-
-    def record(self, now_us: int, failed: bool, trial_of: int, common: float) -> State | None:
-        """Enter an outcome; returns the new state if it opened or closed the breaker."""
-        limit = 1.0 - (1.0 - THRESHOLD) * (1.0 - common) ** 2  # squared: a few outcomes vary by chance
-        if self.state is State.HALF_OPEN:
-            if trial_of != self.episode:
-                return None  # in half-open only the trials' outcomes count
-            self.trials_out -= 1
-            self.trial_results.append(failed)
-            if sum(self.trial_results) >= TRIALS * limit:  # the rest cannot save it
-                return self.reopen(now_us)
-            return self.close() if len(self.trial_results) == TRIALS else None
-        if len(self.ring) == RING:
-            self.failures -= self.ring[0]
-        self.ring.append(failed)
-        self.failures += failed
-        if failed and len(self.ring) >= self.minimum and self.failures >= len(self.ring) * limit:
-            return self.open(now_us)
-        return None
-
-    def forgo_trial(self, trial_of: int) -> None:
-        """A trial that proved nothing gives its place back."""
-        if self.state is State.HALF_OPEN and trial_of == self.episode:
-            self.trials_out -= 1
-
-    def reopen(self, now_us: int) -> State:
-        """Open at once; from half-open for twice as long."""
-        if self.state is State.HALF_OPEN:
-            self.cooldown_us = min(2 * self.cooldown_us, LONGEST_COOLDOWN_US)
-        return self.open(now_us)
-
-    def open(self, now_us: int) -> State:
-        self.state = State.OPEN
-        self.open_until_us = now_us + self.cooldown_us
-        return self.state
-
-    def close(self) -> State:
-        self.state = State.CLOSED
-        self.ring.clear()
-        self.failures = 0
-        self.cooldown_us = COOLDOWN_US
-        return self.state
-
-
 @dataclass(slots=True, eq=False)
 class Span:
     """How one class's latency follows the size of a request: a line through what was seen, by least squares.
@@ -252,7 +167,7 @@
     Guards against a server bad for one class only: a verdict on all of it would waste what it does well.
     """
 
-    breaker: Breaker
+    breaker: CircuitBreaker
     weight: float = CEILING
     fine: bool = False  # the last answer was good
 
@@ -267,7 +182,7 @@
     near: float  # 1 in this proxy's zone, less in others the more a crossing costs
     warm_at_us: int  # at the latest, as the settings have it
     settled_at_us: int  # as long again after that: it is warm, should it be slower than told
-    breaker: Breaker = field(default_factory=Breaker)
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     parts: dict[int, Part] = field(default_factory=dict)  # by class
     out: dict[Attempt, int] = field(default_factory=dict)  # attempts and when they were sent, oldest first
     good_at_us: int = 0  # the last answer, if it was good
@@ -287,20 +202,30 @@
 
     def part(self, klass: int) -> Part:
         if klass not in self.parts:
-            self.parts[klass] = Part(Breaker(PART_MINIMUM))
+            self.parts[klass] = Part(CircuitBreaker(MIN_CLASS_OUTCOMES))
         return self.parts[klass]
 
 
 class Attempt:
-    __slots__ = ("end_us", "ended", "may_have_run", "overdue", "part_trial_of", "sent_us", "server",
-                 "trial_of")  # fmt: skip
+    __slots__ = (
+        "class_probe_episode",
+        "end_us",
+        "ended",
+        "may_have_run",
+        "overdue",
+        "probe_episode",
+        "sent_us",
+        "server",
+    )  # fmt: skip
 
-    def __init__(self, server: Server, sent_us: int, end_us: int, trial_of: int, part_trial_of: int) -> None:
+    def __init__(
+        self, server: Server, sent_us: int, end_us: int, probe_episode: int, class_probe_episode: int
+    ) -> None:
         self.server = server
         self.sent_us = sent_us
         self.end_us = end_us  # when whoever carries it out stops waiting, at the latest
-        self.trial_of = trial_of
-        self.part_trial_of = part_trial_of
+        self.probe_episode = probe_episode
+        self.class_probe_episode = class_probe_episode
         self.ended = False
         self.may_have_run = True
         self.overdue = False
@@ -386,7 +311,7 @@
         self.shed = 0.0  # share of the work asked for that is refused, least worth first: what is cheap
         self.shed_dear = 0.0  # the same for all else
         self.silent_us = OVERDUE * max(self.smoothed)  # an attempt out for longer: its server is silent
-        self.recent: deque[tuple[int, int, bool]] = deque(maxlen=RECENT)  # server, class, whether it failed
+        self.fleet_outcomes = FleetOutcomes()
         self.logged_us = -LOG_GAP_US
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
@@ -637,7 +562,7 @@
 
     def retry_after_us(self) -> int:
         """The shortest cooldown left where every server is open, else none."""
-        if not self.servers or any(s.breaker.state is not State.OPEN for s in self.servers.values()):
+        if not self.servers or any(s.breaker.state is not BreakerState.OPEN for s in self.servers.values()):
             return 0
         wait_us = min(s.breaker.open_until_us for s in self.servers.values()) - self.now_us
         return max(0, min(wait_us, self.settings.max_retry_after_us))
@@ -699,10 +624,10 @@
         if server is None:
             return False
         klass = self.settings.classes[request.klass]
-        part_trial_of = server.part(request.klass).breaker.take_trial()
+        class_probe_episode = server.part(request.klass).breaker.start_probe()
         timeout_us = max(1, self.end_us(request) - self.now_us)
         end_us = self.now_us + timeout_us
-        attempt = Attempt(server, self.now_us, end_us, server.breaker.take_trial(), part_trial_of)
+        attempt = Attempt(server, self.now_us, end_us, server.breaker.start_probe(), class_probe_episode)
         request.attempts.append(attempt)
         request.out += 1
         server.out[attempt] = self.now_us
@@ -791,8 +716,8 @@
                 continue
             for attempt in lost:
                 self.take_back(request, attempt)
-                attempt.server.breaker.forgo_trial(attempt.trial_of)
-                attempt.server.part(request.klass).breaker.forgo_trial(attempt.part_trial_of)
+                attempt.server.breaker.abandon_probe(attempt.probe_episode)
+                attempt.server.part(request.klass).breaker.abandon_probe(attempt.class_probe_episode)
             number = lost[0].server.entry.server
             self.log(f"DEFECT: request {request.id}: nobody ended its attempt at {number}; written off")
             if request.out == 0:
@@ -938,16 +863,16 @@
     def is_eligible(self, server: Server, klass: int, risk: bool = False) -> bool:
         if server.entry.status is not ServerStatus.READY:
             return False
-        if server.breaker.state is not State.CLOSED:
+        if server.breaker.state is not BreakerState.CLOSED:
             if self.now_us < server.held_us:
                 return False
             # Trials risk their request: one that could not be repeated takes no such place.
             if self.settings.classes[klass].effect is Effect.UNSAFE and not risk:
                 return False
-            if not server.breaker.lets_through(self.now_us):
+            if not server.breaker.can_admit(self.now_us):
                 return False
         part = server.parts.get(klass)
-        if part is not None and not part.breaker.lets_through(self.now_us):
+        if part is not None and not part.breaker.can_admit(self.now_us):
             return False
         # Silent while the oldest attempt out is overdue: nothing more until it is answered or times out.
         return not server.out or self.now_us - next(iter(server.out.values())) <= self.silent_us
@@ -958,40 +883,40 @@
         server, outcome = attempt.server, event.outcome
         part = server.part(request.klass)
         if outcome not in CLASS_TELLS:
-            part.breaker.forgo_trial(attempt.part_trial_of)
+            part.breaker.abandon_probe(attempt.class_probe_episode)
         if outcome is Outcome.MOOT or (outcome is Outcome.CANCELLED and not attempt.overdue):
-            server.breaker.forgo_trial(attempt.trial_of)
+            server.breaker.abandon_probe(attempt.probe_episode)
             return
         soon = event.latency_us < SLOW * self.expected_us(request)
         if outcome is Outcome.TIMEOUT and soon and self.regular[request.klass] < REGULAR:
-            server.breaker.forgo_trial(attempt.trial_of)
+            server.breaker.abandon_probe(attempt.probe_episode)
             return  # it was given less than an answer takes
         failed = outcome is not Outcome.OK
         # A time-out at a server that answered others meanwhile is a crowd's. Guards against a crowd that
         # trips servers in turn, each of which crowds the rest: it opens where the whole ring has failed.
         crowded = outcome is Outcome.TIMEOUT and server.answered_us >= attempt.sent_us
-        self.recent.append((server.entry.server, request.klass, failed))
+        self.fleet_outcomes.record(server.entry.server, request.klass, failed)
         ratio = 0.0 if failed else event.latency_us / max(1.0, self.expected_us(request))
         if not failed:
             self.learn_latency(request, event.latency_us)
         if outcome in CLASS_TELLS:
             part.fine = not failed
             self.adjust_weight(part, failed)
-            common = float(crowded) if crowded or not failed else self.common_share(server, request.klass)
-            changed = part.breaker.record(self.now_us, failed, attempt.part_trial_of, common)
+            common = self.common_failure_ratio(server, request.klass, failed, crowded)
+            changed = part.breaker.record_outcome(self.now_us, failed, attempt.class_probe_episode, common)
             self.log_change(server, part.breaker, changed, f" for class {request.klass}")
             others = [p.fine for p in server.parts.values() if p is not part]
             if failed and others and all(others) and outcome is not Outcome.TIMEOUT:
-                server.breaker.forgo_trial(attempt.trial_of)
+                server.breaker.abandon_probe(attempt.probe_episode)
                 return  # it serves others: no verdict on the whole server
         if outcome in (Outcome.OK, Outcome.TIMEOUT):
             self.adjust_room(server, request, event.latency_us, not failed)
         self.adjust_shed(request, attempt, event)
         self.adjust_weight(server, failed or ratio > SLOW)
-        common = float(crowded) if crowded or not failed else self.common_share(server, None)
-        changed = server.breaker.record(self.now_us, failed, attempt.trial_of, common)
-        was_good = self.now_us - server.good_at_us <= COOLDOWN_US
-        if outcome is Outcome.CONNECT_FAILED and server.breaker.state is not State.OPEN and not was_good:
+        common = self.common_failure_ratio(server, None, failed, crowded)
+        changed = server.breaker.record_outcome(self.now_us, failed, attempt.probe_episode, common)
+        was_good = self.now_us - server.good_at_us <= INITIAL_COOLDOWN_US
+        if outcome is Outcome.CONNECT_FAILED and server.breaker.state is not BreakerState.OPEN and not was_good:
             # Guards against asking again and again at a dead process or a full connection table: one such
             # outcome is verdict enough, of a trial too, but where good answers came until a moment ago.
             changed = server.breaker.reopen(self.now_us)
@@ -1004,12 +929,12 @@
     def on_probes_suspended(self, event: ProbesSuspended) -> None:
         """Hold trials back while another proxy tries a server; at its word, end the cooldown here."""
         server = self.servers.get(event.server)
-        closed = sum(s.breaker.state is State.CLOSED for s in self.servers.values())
+        closed = sum(s.breaker.state is BreakerState.CLOSED for s in self.servers.values())
         if server is None or (event.until_us > self.now_us and 2 * closed < len(self.servers)):
             return  # guards against waiting for others while next to nothing is left here
         server.held_us = event.until_us
-        if event.until_us == 0 and server.breaker.state is State.OPEN:
-            server.breaker.open_until_us = min(server.breaker.open_until_us, self.now_us)
+        if event.until_us == 0 and server.breaker.state is BreakerState.OPEN:
+            server.breaker.end_cooldown(self.now_us)
 
     def on_peer_health_report(self, event: PeerHealthReport) -> None:
         """Weigh what others saw, less what fails here everywhere. It opens and closes no breaker.
@@ -1020,19 +945,20 @@
         server = self.servers.get(event.server)
         if server is None or server.entry.started_us != event.started_us:
             return
-        common = self.common_share(server, None)
-        limit = 1.0 - (1.0 - THRESHOLD) * (1.0 - common) ** 2
+        common = self.fleet_outcomes.failure_ratio(server.entry.server, None)
+        limit = failure_limit(common)
         bad = event.reporters >= DOUBT_TELLERS and event.bad >= limit * (event.good + event.bad)
         server.doubt_us = event.until_us if bad else 0
         breaker = server.breaker
-        closed = sum(s.breaker.state is State.CLOSED for s in self.servers.values())
-        if breaker.state is not State.OPEN:
+        closed = sum(s.breaker.state is BreakerState.CLOSED for s in self.servers.values())
+        if breaker.state is not BreakerState.OPEN:
             return
         if bad and 2 * closed >= len(self.servers):
             most_us = breaker.open_until_us + min(breaker.cooldown_us, HELD_MOST_US)
             server.held_us = max(server.held_us, min(event.until_us, most_us))
         elif not event.reporters and event.well >= DOUBT_TELLERS:
-            server.held_us, breaker.open_until_us = 0, min(breaker.open_until_us, self.now_us)
+            server.held_us = 0
+            breaker.end_cooldown(self.now_us)
 
     def silences(self, now_us: int) -> list[int]:
         """Servers that get nothing more as their oldest attempt out is overdue."""
@@ -1049,15 +975,23 @@
         found = []
         for number, server in self.servers.items():
             breaker = server.breaker
-            if breaker.state is not State.CLOSED and server.entry.status is ServerStatus.READY:
-                idle = breaker.state is State.OPEN and now_us > breaker.open_until_us + COOLDOWN_US
+            if breaker.state is not BreakerState.CLOSED and server.entry.status is ServerStatus.READY:
+                idle = breaker.state is BreakerState.OPEN and now_us > breaker.open_until_us + INITIAL_COOLDOWN_US
                 found.append((number, not idle))
         return found
 
-    def log_change(self, server: Server, breaker: Breaker, changed: State | None, scope: str = "") -> None:
-        if changed is State.OPEN:
+    def common_failure_ratio(self, server: Server, klass: int | None, failed: bool, crowded: bool) -> float:
+        """Return the part of failures that no single server is to blame for; all of it for a crowd's time-out."""
+        if crowded:
+            return 1.0
+        return self.fleet_outcomes.failure_ratio(server.entry.server, klass) if failed else 0.0
+
+    def log_change(
+        self, server: Server, breaker: CircuitBreaker, changed: BreakerState | None, scope: str = ""
+    ) -> None:
+        if changed is BreakerState.OPEN:
             self.log(f"server {server.entry.server}: breaker{scope} open for {breaker.cooldown_us / 1e6:g} s")
-        elif changed is State.CLOSED:
+        elif changed is BreakerState.CLOSED:
             self.log(f"server {server.entry.server}: breaker{scope} closed")
 
     def learn_latency(self, request: Request, latency_us: int) -> None:
@@ -1089,22 +1023,13 @@
 
     def adjust_weight(self, judged: Server | Part, bad: bool) -> None:
         """The controller: a small step up for a good answer, a cut for a failure or a slow one."""
-        if judged.breaker.state is not State.CLOSED:
+        if judged.breaker.state is not BreakerState.CLOSED:
             return  # it keeps the weight it had when it tripped
         before = judged.weight
         judged.weight = max(FLOOR, before * CUT) if bad else min(CEILING, before + STEP)
         if isinstance(judged, Server) and self.servers.get(judged.entry.server) is judged:
             self.weights += judged.weight - before
 
-    def common_share(self, server: Server, klass: int | None) -> float:
-        """Failure share of the other servers of late: what no single server is to blame for.
-
-        Of all outcomes, not of rings: the breakers that this has tripped would be missing from it.
-        """
-        number = server.entry.server
-        others = [bad for of, k, bad in self.recent if of != number and klass in (None, k)]
-        return sum(others) / len(others) if others else 0.0
-
     # Cold servers
 
     def cold_room(self, server: Server, request: Request) -> bool:
--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -26,7 +26,9 @@
 MODULES = (
     "cloverkeel.balancing.actions",
     "cloverkeel.balancing.balancer",
+    "cloverkeel.balancing.circuit_breaker",
     "cloverkeel.balancing.events",
+    "cloverkeel.balancing.fleet_outcomes",
     "cloverkeel.balancing.interface",
     "cloverkeel.balancing.settings",
     "cloverkeel.core.calls",
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,8 @@
     ServerList,
 )
 from cloverkeel.balancing.settings import Effect, RequestClass, Scope, Settings
-from cloverkeel.balancing.balancer import MINIMUM, SWEEP_TOKEN, Balancer, Breaker, State
+from cloverkeel.balancing.balancer import Balancer, SWEEP_TOKEN
+from cloverkeel.balancing.circuit_breaker import BreakerState, CircuitBreaker, MIN_OUTCOMES
 
 SAFE = RequestClass(aim_us=200_000, give_up_us=400_000, worth=3.0, late_worth=0.2, effect=Effect.SAFE)
 KEYED = RequestClass(
@@ -82,8 +83,8 @@
     return [action for action in actions if isinstance(action, SetTimer) and action.token != SWEEP_TOKEN]
 
 
-def trip(breaker: Breaker, now_us: int) -> None:
+def trip(breaker: CircuitBreaker, now_us: int) -> None:
     """Open a fresh breaker with the fewest failures that can."""
-    for _ in range(MINIMUM):
-        breaker.record(now_us, True, 0, 0.0)
-    assert breaker.state is State.OPEN
+    for _ in range(MIN_OUTCOMES):
+        breaker.record_outcome(now_us, True, 0, 0.0)
+    assert breaker.state is BreakerState.OPEN
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -6,104 +6,97 @@
 
 from tests.helpers import Driver, sends, trip
 from cloverkeel.balancing.events import ListKind, ListedServer, Outcome, RequestGone
-from cloverkeel.balancing.balancer import (
-    CEILING,
-    CHEAP_RETRY,
-    COOLDOWN_US,
-    CUT,
-    FLOOR,
-    MINIMUM,
-    RETRY_SHARE,
-    RING,
-    SHED_STEP,
-    STEP,
-    SUBSET,
-    TRIALS,
-    Breaker,
-    State,
+from cloverkeel.balancing.balancer import CEILING, CHEAP_RETRY, CUT, FLOOR, RETRY_SHARE, SHED_STEP, STEP, SUBSET
+from cloverkeel.balancing.circuit_breaker import (
+    BreakerState,
+    CircuitBreaker,
+    HALF_OPEN_PROBES,
+    INITIAL_COOLDOWN_US,
+    MAX_OUTCOMES,
+    MIN_OUTCOMES,
 )
 
 
-def tripped() -> Breaker:
-    breaker = Breaker()
+def tripped() -> CircuitBreaker:
+    breaker = CircuitBreaker()
     trip(breaker, 0)
     return breaker
 
 
-def half_open() -> Breaker:
+def half_open() -> CircuitBreaker:
     breaker = tripped()
-    assert breaker.lets_through(COOLDOWN_US)
+    assert breaker.can_admit(INITIAL_COOLDOWN_US)
     return breaker
 
 
 def test_no_verdict_below_the_minimum() -> None:
-    breaker = Breaker()
-    for _ in range(MINIMUM - 1):
-        assert breaker.record(0, True, 0, 0.0) is None
-    assert breaker.state is State.CLOSED
-    assert breaker.record(0, True, 0, 0.0) is State.OPEN
+    breaker = CircuitBreaker()
+    for _ in range(MIN_OUTCOMES - 1):
+        assert breaker.record_outcome(0, True, 0, 0.0) is None
+    assert breaker.state is BreakerState.CLOSED
+    assert breaker.record_outcome(0, True, 0, 0.0) is BreakerState.OPEN
 
 
 def test_the_ring_forgets_its_oldest_outcome() -> None:
-    breaker = Breaker()
-    breaker.record(0, True, 0, 0.0)
-    for _ in range(RING):
-        breaker.record(0, False, 0, 0.0)
-    assert breaker.failures == 0 and len(breaker.ring) == RING
+    breaker = CircuitBreaker()
+    breaker.record_outcome(0, True, 0, 0.0)
+    for _ in range(MAX_OUTCOMES):
+        breaker.record_outcome(0, False, 0, 0.0)
+    assert breaker.failures == 0 and len(breaker.outcomes) == MAX_OUTCOMES
 
 
 def test_an_open_server_gets_nothing_until_the_cooldown_ends() -> None:
     breaker = tripped()
-    assert not breaker.lets_through(COOLDOWN_US - 1)
-    assert breaker.lets_through(COOLDOWN_US)
-    assert breaker.state is State.HALF_OPEN
+    assert not breaker.can_admit(INITIAL_COOLDOWN_US - 1)
+    assert breaker.can_admit(INITIAL_COOLDOWN_US)
+    assert breaker.state is BreakerState.HALF_OPEN
 
 
 def test_half_open_gives_out_no_more_than_its_trials() -> None:
     breaker = half_open()
-    for _ in range(TRIALS):
-        assert breaker.lets_through(COOLDOWN_US)
-        assert breaker.take_trial() == 1
-    assert not breaker.lets_through(COOLDOWN_US)
+    for _ in range(HALF_OPEN_PROBES):
+        assert breaker.can_admit(INITIAL_COOLDOWN_US)
+        assert breaker.start_probe() == 1
+    assert not breaker.can_admit(INITIAL_COOLDOWN_US)
 
 
 def test_good_trials_close_and_empty_the_ring() -> None:
     breaker = half_open()
-    for _ in range(TRIALS):
-        breaker.take_trial()
-    results = [breaker.record(COOLDOWN_US, False, 1, 0.0) for _ in range(TRIALS)]
-    assert results[-1] is State.CLOSED
-    assert not breaker.ring and breaker.failures == 0
+    for _ in range(HALF_OPEN_PROBES):
+        breaker.start_probe()
+    results = [breaker.record_outcome(INITIAL_COOLDOWN_US, False, 1, 0.0) for _ in range(HALF_OPEN_PROBES)]
+    assert results[-1] is BreakerState.CLOSED
+    assert not breaker.outcomes and breaker.failures == 0
 
 
 def test_bad_trials_reopen_for_longer() -> None:
     breaker = half_open()
-    for _ in range(TRIALS):
-        breaker.take_trial()
-    breaker.record(COOLDOWN_US, True, 1, 0.0)
-    assert breaker.record(COOLDOWN_US, True, 1, 0.0) is State.OPEN
-    assert breaker.open_until_us == 3 * COOLDOWN_US
+    for _ in range(HALF_OPEN_PROBES):
+        breaker.start_probe()
+    breaker.record_outcome(INITIAL_COOLDOWN_US, True, 1, 0.0)
+    assert breaker.record_outcome(INITIAL_COOLDOWN_US, True, 1, 0.0) is BreakerState.OPEN
+    assert breaker.open_until_us == 3 * INITIAL_COOLDOWN_US
 
 
 def test_in_half_open_only_trials_count() -> None:
     breaker = half_open()
-    breaker.take_trial()
-    for _ in range(RING):
-        assert breaker.record(COOLDOWN_US, True, 0, 0.0) is None
-    assert breaker.state is State.HALF_OPEN and breaker.trials_out == 1
+    breaker.start_probe()
+    for _ in range(MAX_OUTCOMES):
+        assert breaker.record_outcome(INITIAL_COOLDOWN_US, True, 0, 0.0) is None
+    assert breaker.state is BreakerState.HALF_OPEN and breaker.probes_in_flight == 1
 
 
 def test_late_outcomes_enter_the_ring_and_restart_the_cooldown() -> None:
     breaker = tripped()
-    assert breaker.record(COOLDOWN_US // 2, True, 0, 0.0) is State.OPEN
-    assert breaker.open_until_us == COOLDOWN_US // 2 + COOLDOWN_US
+    assert breaker.record_outcome(INITIAL_COOLDOWN_US // 2, True, 0, 0.0) is BreakerState.OPEN
+    assert breaker.open_until_us == INITIAL_COOLDOWN_US // 2 + INITIAL_COOLDOWN_US
 
 
 def test_failures_that_all_servers_share_convict_none() -> None:
-    breaker = Breaker()
-    for n in range(RING):
-        breaker.record(0, n % 2 == 0, 0, 0.5)
-    assert breaker.state is State.CLOSED
+    breaker = CircuitBreaker()
+    for n in range(MAX_OUTCOMES):
+        breaker.record_outcome(0, n % 2 == 0, 0, 0.5)
+    assert breaker.state is BreakerState.CLOSED
 
 
 def test_a_server_that_fails_is_opened_and_gets_nothing() -> None:
@@ -114,7 +107,7 @@
         actions = driver.end(name, server, Outcome.RESET if server == 0 else Outcome.OK)
         for again in sends(actions):
             driver.end(name, again.server, attempt=1)
-    assert driver.balancer.servers[0].breaker.state is State.OPEN
+    assert driver.balancer.servers[0].breaker.state is BreakerState.OPEN
     for _ in range(50):
         name, actions = driver.arrive()
         assert sends(actions)[0].server != 0
@@ -167,14 +160,14 @@
 def test_a_closed_again_server_regains_its_weight() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
-    for _ in range(MINIMUM):
+    for _ in range(MIN_OUTCOMES):
         name, actions = driver.arrive(klass=2)
         assert sends(actions)
         driver.end(name, 0, Outcome.RESET)
-    assert server.breaker.state is State.OPEN
+    assert server.breaker.state is BreakerState.OPEN
     weight = server.weight
-    driver.now_us += COOLDOWN_US
-    for _ in range(TRIALS):
+    driver.now_us += INITIAL_COOLDOWN_US
+    for _ in range(HALF_OPEN_PROBES):
         name, actions = driver.arrive()
         assert sends(actions)
         driver.end(name, 0)
@@ -190,10 +183,10 @@
     breaker = driver.balancer.servers[0].breaker
     driver.now_us = breaker.open_until_us
     name, actions = driver.arrive()
-    assert sends(actions) and breaker.state is State.HALF_OPEN
+    assert sends(actions) and breaker.state is BreakerState.HALF_OPEN
     driver.end(name, 0, Outcome.CONNECT_FAILED)
     assert breaker.state.value == "open"
-    assert breaker.open_until_us == driver.now_us + 2 * COOLDOWN_US
+    assert breaker.open_until_us == driver.now_us + 2 * INITIAL_COOLDOWN_US
 
 
 def play_failures(share: float, seed: int, dead: int | None = None) -> tuple[float, Driver]:
@@ -209,7 +202,7 @@
             outcome = Outcome.RESET if failed else Outcome.OK
             actions = driver.end(name, sent[0].server, outcome, attempt=attempt)
             attempt += 1
-        opened += sum(s.breaker.state is State.OPEN for s in driver.balancer.servers.values())
+        opened += sum(s.breaker.state is BreakerState.OPEN for s in driver.balancer.servers.values())
     return opened / count / 10, driver
 
 
@@ -218,8 +211,8 @@
     assert sum(play_failures(0.35, seed)[0] for seed in range(4)) / 4 < 0.12
     _, driver = play_failures(0.25, seed=1, dead=3)
     states = {number: server.breaker.state for number, server in driver.balancer.servers.items()}
-    assert states[3] is not State.CLOSED
-    assert sum(state is not State.CLOSED for state in states.values()) <= 2
+    assert states[3] is not BreakerState.CLOSED
+    assert sum(state is not BreakerState.CLOSED for state in states.values()) <= 2
 
 
 def test_an_unsafe_request_is_not_refused_while_closed_servers_lie_beyond_the_subset() -> None:
@@ -227,7 +220,7 @@
     driver = Driver(servers=10)
     for server in driver.balancer.ranked[:SUBSET]:
         server.breaker.open(driver.now_us)
-    driver.now_us += COOLDOWN_US
+    driver.now_us += INITIAL_COOLDOWN_US
     _, actions = driver.arrive(klass=2, patience_us=1_000_000)
     assert sends(actions)
 
--- a/tests/test_duties_trials.py
+++ b/tests/test_duties_trials.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverkeel.balancing.balancer import COOLDOWN_US, State
+from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US
 from cloverkeel.balancing.interface import ProbesSuspended
 from cloverkeel.leases.probe_election import ASKS, HOLD_US, IDLE, TRIED, WELL, WELL_US, Outs, duty_name
 from tests.helpers import Driver, trip
@@ -21,7 +21,7 @@
 
 def test_a_server_that_another_tries_is_not_tried_until_that_ends() -> None:
     driver = tripped()
-    driver.now_us += COOLDOWN_US
+    driver.now_us += INITIAL_COOLDOWN_US
     driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     assert not is_tried(driver)
     driver.now_us += HOLD_US
@@ -34,13 +34,13 @@
     driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     driver.now_us += 1_000
     driver.handle(ProbesSuspended(0, 0))
-    assert is_tried(driver) and driver.balancer.servers[0].breaker.state is State.HALF_OPEN
+    assert is_tried(driver) and driver.balancer.servers[0].breaker.state is BreakerState.HALF_OPEN
 
 
 def test_nobody_waits_where_next_to_nothing_is_left() -> None:
     driver = tripped(servers=3)
     trip(driver.balancer.servers[1].breaker, driver.now_us)
-    driver.now_us += COOLDOWN_US
+    driver.now_us += INITIAL_COOLDOWN_US
     driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     assert is_tried(driver)
 
@@ -48,7 +48,7 @@
 def test_what_is_out_and_whether_it_is_tried() -> None:
     driver = tripped()
     assert driver.balancer.outs(driver.now_us) == [(0, True)]
-    late_us = driver.now_us + 2 * COOLDOWN_US + 1
+    late_us = driver.now_us + 2 * INITIAL_COOLDOWN_US + 1
     assert driver.balancer.outs(late_us) == [(0, False)]  # no request has come that could be risked
     driver.balancer.servers[0].breaker.close()
     assert driver.balancer.outs(late_us) == []
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -22,16 +22,8 @@
     TimerFired,
 )
 from cloverkeel.balancing.settings import Prices, RequestClass, Scope, Settings, Tenant
-from cloverkeel.balancing.balancer import (
-    COOLDOWN_US,
-    LOG_GAP_US,
-    MINIMUM,
-    OVERDUE,
-    SHED_STEP,
-    SUBSET,
-    State,
-    rendezvous,
-)
+from cloverkeel.balancing.balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, rendezvous
+from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US, MIN_OUTCOMES
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_once() -> None:
@@ -175,13 +167,13 @@
     bad = sends(actions)[0].server
     driver.end(name, bad)
     server = driver.balancer.servers[bad]
-    while server.breaker.state is State.CLOSED and server.part(0).breaker.state is State.CLOSED:
+    while server.breaker.state is BreakerState.CLOSED and server.part(0).breaker.state is BreakerState.CLOSED:
         name, actions = driver.arrive(klass=0)
         first = sends(actions)[0].server
         outcome = Outcome.FULL if first == bad else Outcome.OK
         for again in sends(driver.end(name, first, outcome)):
             driver.end(name, again.server, attempt=1)
-    assert server.breaker.state is State.CLOSED and server.breaker.failures == 0
+    assert server.breaker.state is BreakerState.CLOSED and server.breaker.failures == 0
     assert server not in driver.balancer.subset(0) and server in driver.balancer.subset(2)
     assert driver.balancer.shed_dear == 0.0
 
@@ -342,7 +334,7 @@
 
 def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
     driver = Driver(servers=3)
-    driver.balancer.servers[1].breaker.record(0, True, 0, 0.0)
+    driver.balancer.servers[1].breaker.record_outcome(0, True, 0, 0.0)
     driver.list_servers(ListedServer(1, started_us=driver.now_us))
     assert list(driver.balancer.servers) == [1]
     assert driver.balancer.servers[1].breaker.failures == 0
@@ -480,7 +472,7 @@
     name, actions = driver.arrive()
     first = sends(actions)[0].server
     driver.end(name, first, Outcome.CONNECT_FAILED)
-    assert not driver.balancer.servers[first].breaker.lets_through(driver.now_us)
+    assert not driver.balancer.servers[first].breaker.can_admit(driver.now_us)
 
 
 COLD = replace(
@@ -707,16 +699,19 @@
 
 def test_a_time_out_sooner_than_an_answer_takes_is_no_verdict() -> None:
     driver = Driver(servers=1)
-    for _ in range(MINIMUM * 3):
+    for _ in range(MIN_OUTCOMES * 3):
         driver.balancer.regular[0] = 0.0  # clients give each try a time of its own
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
-    assert driver.balancer.servers[0].breaker.state is State.CLOSED and driver.balancer.shed == 0
+    assert driver.balancer.servers[0].breaker.state is BreakerState.CLOSED and driver.balancer.shed == 0
 
 
 def test_one_failed_connection_opens_no_server_that_answered_well_a_moment_ago() -> None:
     """Connections that break now and then opened most of the fleet, each for a second or more."""
-    for quiet_us, state in ((COOLDOWN_US // 2, State.CLOSED), (COOLDOWN_US * 2, State.OPEN)):
+    for quiet_us, state in (
+        (INITIAL_COOLDOWN_US // 2, BreakerState.CLOSED),
+        (INITIAL_COOLDOWN_US * 2, BreakerState.OPEN),
+    ):
         driver = Driver(servers=1)
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server)
@@ -728,7 +723,7 @@
     for outcome in (Outcome.OK, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED):
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, outcome)
-    assert driver.balancer.servers[0].breaker.state is State.OPEN  # the second in a row
+    assert driver.balancer.servers[0].breaker.state is BreakerState.OPEN  # the second in a row
 
 
 def test_a_repeat_of_a_keyed_request_has_to_begin_while_repeats_are_dropped() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,7 +25,8 @@
     TimerFired,
 )
 from cloverkeel.balancing.settings import Effect, Scope, Settings
-from cloverkeel.balancing.balancer import DEPARTED, Balancer, State
+from cloverkeel.balancing.balancer import Balancer, DEPARTED
+from cloverkeel.balancing.circuit_breaker import BreakerState
 
 GROUP = {n: n // 3 for n in range(6)}
 ORDERED = replace(UNSAFE, in_order=True)
@@ -243,7 +244,7 @@
             driver.list_servers(ListedServer(0))
         assert 1 not in driver.balancer.servers
         driver.list_servers(ListedServer(1, group=1), kind=ListKind.DELTA)
-        assert driver.balancer.servers[1] is server and server.breaker.state is State.OPEN
+        assert driver.balancer.servers[1] is server and server.breaker.state is BreakerState.OPEN
         server.breaker.close()
     driver.list_servers(ListedServer(1, ServerStatus.GONE), kind=ListKind.DELTA)
     driver.list_servers(ListedServer(1, started_us=driver.now_us), kind=ListKind.DELTA)
--- a/tests/test_sharing_pure.py
+++ b/tests/test_sharing_pure.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 
 from benchmarks.sharing import BEGIN_US, Fleet
-from cloverkeel.balancing.balancer import COOLDOWN_US, HELD_MOST_US, MINIMUM, State
+from cloverkeel.balancing.balancer import HELD_MOST_US
+from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US, MIN_OUTCOMES
 from cloverkeel.balancing.interface import PeerHealthReport, ListedServer, Outcome, RetryTokenGrant
 from cloverkeel.gossip.outlier_reports import (
     EVIDENCE_US,
@@ -700,7 +701,7 @@
     worst = max(range(6), key=lambda n: before[n])
     heard(driver, worst, 0.0, 3.0)
     assert shares(driver)[worst] < before[worst] / 4
-    assert driver.balancer.servers[worst].breaker.state is State.CLOSED  # hearsay is no verdict
+    assert driver.balancer.servers[worst].breaker.state is BreakerState.CLOSED  # hearsay is no verdict
     driver.now_us += EVIDENCE_US
     assert shares(driver)[worst] > before[worst] / 2
 
@@ -726,8 +727,8 @@
             heard(driver, 0, 0.0, 3.0)
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.ERROR)
-        assert (driver.balancer.servers[0].breaker.state is State.OPEN) is doubted
-    assert MINIMUM > 1
+        assert (driver.balancer.servers[0].breaker.state is BreakerState.OPEN) is doubted
+    assert MIN_OUTCOMES > 1
 
 
 def test_where_most_fails_here_too_others_say_nothing_new() -> None:
@@ -756,7 +757,7 @@
     driver.now_us = breaker.open_until_us
     heard(driver, 0, 0.0, 3.0)
     assert not driver.balancer.is_eligible(driver.balancer.servers[0], 0)
-    driver.now_us = breaker.open_until_us + min(COOLDOWN_US, HELD_MOST_US)
+    driver.now_us = breaker.open_until_us + min(INITIAL_COOLDOWN_US, HELD_MOST_US)
     heard(driver, 0, 0.0, 3.0)  # again and again: it is not held for longer
     assert driver.balancer.is_eligible(driver.balancer.servers[0], 0)
 
@@ -776,7 +777,7 @@
     heard(driver, 0, 3.0, 0.0, reporters=0, well=1)
     assert not driver.balancer.is_eligible(driver.balancer.servers[0], 0)
     heard(driver, 0, 3.0, 0.0, reporters=0, well=2)
-    assert driver.balancer.is_eligible(driver.balancer.servers[0], 0) and breaker.state is State.HALF_OPEN
+    assert driver.balancer.is_eligible(driver.balancer.servers[0], 0) and breaker.state is BreakerState.HALF_OPEN
 
 
 def test_what_the_room_asks_of_the_module() -> None:
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -4,7 +4,8 @@
 
 from dataclasses import replace
 
-from cloverkeel.balancing.balancer import ROOM_FIRST, ROOM_LEAST, SHED_MOST, State
+from cloverkeel.balancing.balancer import ROOM_FIRST, ROOM_LEAST, SHED_MOST
+from cloverkeel.balancing.circuit_breaker import BreakerState
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.balancing.settings import Effect, RequestClass, Scope, Settings
 
@@ -33,7 +34,7 @@
         name, actions = driver.arrive(klass=0, patience_us=PATIENCE_US[0])
         assert len(sends(actions)) == 1
         driver.end(name, sends(actions)[0].server)
-    assert any(server.breaker.state is State.CLOSED for server in driver.balancer.servers.values())
+    assert any(server.breaker.state is BreakerState.CLOSED for server in driver.balancer.servers.values())
 
 
 def test_while_one_server_is_closed_no_unsafe_request_is_a_trial() -> None:
@@ -117,7 +118,7 @@
 
 def test_time_outs_of_a_crowd_open_no_breaker_and_those_of_a_silent_server_do() -> None:
     """With a third of the fleet gone, crowded servers tripped in turn and crowded the rest."""
-    for answered, state in ((True, State.CLOSED), (False, State.OPEN)):
+    for answered, state in ((True, BreakerState.CLOSED), (False, BreakerState.OPEN)):
         driver = Driver(SETTINGS, servers=1)
         driver.balancer.servers[0].room = 100.0
         names = [driver.arrive(klass=0, patience_us=PATIENCE_US[0])[0] for _ in range(9)]
