--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -238,7 +238,10 @@
 
     cut(
         Balancer, "is_eligible",
-        ("return not server.out or self.now_us - next(iter(server.out.values())) <= self.silent_us", "return True"),
+        (
+            "return not server.out or self.now_us - next(iter(server.out.values())) <= self.latency.silence_timeout_us",
+            "return True",
+        ),
     )  # fmt: skip
 
 
@@ -271,8 +274,9 @@
     """Repeats cost nothing."""
     from cloverkeel.balancing.balancer import Balancer
 
-    cut(Balancer, "try_again", ("not shed and self.has_token(cost)", "True"))
-    cut(Balancer, "on_overdue", ("if self.shed > 0.0 or not self.has_token(1.0):", "if False:"))
+    cut(Balancer, "try_again", ("not shed and self.retry_budget.can_withdraw(self.now_us, cost)", "True"))
+    limit = "if self.shed > 0.0 or not self.retry_budget.can_withdraw(self.now_us, FULL_RETRY_COST):"
+    cut(Balancer, "on_overdue", (limit, "if False:"))
 
 
 @entry("room-at-one")
@@ -378,9 +382,9 @@
 @entry("rights-end")
 def _() -> None:
     """What came from others is kept."""
-    from cloverkeel.balancing.balancer import Balancer
+    from cloverkeel.balancing.retry_budget import RetryBudget
 
-    cut(Balancer, "retry_room", ("self.now_us >= self.retry_until_us", "False"))
+    cut(RetryBudget, "available", ("now_us >= self.expires_at_us", "False"))
 
 
 @entry("cold-told-users")
--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -89,7 +89,7 @@
         tests="sharing_pure::where_most_fails_here_too_others_say_nothing_new"),
     row("hearsay-hold", "trials wait for others for a bounded time", "Balancer.on_peer_health_report",
         tests="sharing_pure::trials_wait_for_others_and_not_for_long"),
-    row("rights-end", "what came from others ends", "Balancer.retry_room",
+    row("rights-end", "what came from others ends", "RetryBudget.available",
         tests="sharing_pure::what_came_from_others_and_was_not_used_is_gone"),
     row("breaker", "a failing server is left alone", "CircuitBreaker.can_admit",
         tests="breaker::an_open_server_gets_nothing_until_the_cooldown_ends "
--- a/cloverkeel/balancing/balancer.py
+++ b/cloverkeel/balancing/balancer.py
@@ -23,6 +23,7 @@
     CircuitBreaker,
     failure_limit,
 )
+from cloverkeel.balancing.client_timeouts import ClientTimeouts
 from cloverkeel.balancing.events import (
     AnswerAll,
     AttemptEnded,
@@ -44,23 +45,19 @@
     TimerFired,
 )
 from cloverkeel.balancing.fleet_outcomes import FleetOutcomes
+from cloverkeel.balancing.latency_model import OVERDUE_FACTOR, LatencyModel, WorkModel
+from cloverkeel.balancing.retry_budget import ERROR_RETRY_COST, FULL_RETRY_COST, RetryBudget, RetryTokenState
 from cloverkeel.balancing.settings import Effect, Scope, Settings
+from cloverkeel.balancing.tenant_fairness import TenantFairness
 
 # The weight controller
 FLOOR, CEILING = 0.05, 1.0  # of the controller's weight
 STEP: Final = 0.02  # added by a good answer
 CUT: Final = 0.7  # factor of a failure or a slow reply
 SLOW: Final = 2.0  # times the smoothed latency: a slow reply
-SMOOTHING: Final = 0.05  # share of the newest sample in smoothed values
-SPAN_LEAST: Final = 0.2  # of the usual latency: an answer to a request of nearly no work
-SPAN_LARGEST: Final = 4.0  # times the mean: of larger ones nothing is learnt
-SPAN_TOLD: Final = 0.01  # variance of the sizes over their mean: clients do tell them
-SPAN_MEMORY: Final = 0.98  # of what is known of that, left after each answer
 # The draw
 SUBSET: Final = 3  # servers a proxy spreads over at the least: few fill rings, enough outlive a bad third
 REACH_MEMORY: Final = 0.98  # of the widest subset needed of late, left after each request
-UNHINDERED_DOWN: Final = 0.05  # share of the way that the unhindered latency falls to a shorter one
-UNHINDERED_UP: Final = 0.0005  # relative rise with each longer one: a jam must not be the usual in seconds
 AWAY: Final = 80.0  # how hard the price of crossing zones lowers the weight of servers in other zones
 # What other proxies saw
 DOUBT: Final = 0.1  # factor on the weight of a server that fails for others
@@ -72,12 +69,6 @@
 HASH_FACTOR: Any = 0x9E3779B97F4A7C15
 HASH_MASK: Any = 2**64 - 1
 # Attempts
-OVERDUE: Final = 4.0  # times the smoothed latency: an attempt that should have been answered
-RETRY_SHARE: Final = 0.2  # further attempts a first try pays for
-CHEAP_RETRY: Final = 0.5  # what one costs after an error or a reset: no sign of a crowd
-RETRY_BURST: Final = 2.0  # most of them saved up: by hundreds of proxies together
-SAME_PATIENCE: Final = 0.02  # times given to two tries that differ by less are the same
-REGULAR: Final = 0.5  # share of the tries given the usual time: with fewer, another time marks no repeat
 HOPELESS: Final = 0.5  # of the unhindered latency: a try that is given less is not sent
 AIM_SHARE: Final = 0.98  # of the time to the aim that is waited for an answer that is worth nothing later
 # Room at one server
@@ -101,8 +92,6 @@
 SHED_MOST: Final = 0.95  # what still comes through tells when to shed less
 CHEAP_EVERY: Final = 16  # first tries after which it is found anew what is cheap
 MEMORY: Final = 500  # first tries after which the shares of asked and served work count half
-TENANT_MEMORY: Final = 0.98  # of the tries by tenant, left after each try
-OVER_SHARE: Final = 1.5  # times its share: a tenant's tries beyond are more than chance
 # Cold servers
 FALL_MARGIN: Final = 0.9  # part of the fall budget planned with; the rest is for misjudged work and chance
 COLD_LARGEST: Final = 2.0  # times its class's usual work: a few long ones together pass any budget
@@ -125,41 +114,6 @@
 RANK: Final = attrgetter("rank")
 
 
-@dataclass(slots=True, eq=False)
-class Span:
-    """How one class's latency follows the size of a request: a line through what was seen, by least squares.
-
-    Guards against taking small requests for slow ones, and large for quick: part of an answer's time (the
-    way, what the server itself waits for) is the same for all; latency over size is no measure of a server.
-    """
-
-    size: float = 1.0  # means of late
-    latency: float = 0.0
-    common: float = 0.0  # how both vary together, and how the size does
-    varied: float = 0.0
-    slope: float = 1.0  # share of the mean latency that follows the size: all of it until more is known
-
-    def learn(self, size: float, latency_us: int) -> None:
-        if size > SPAN_LARGEST:
-            return  # a few would draw the whole line to themselves
-        if self.latency == 0.0:
-            self.latency = float(latency_us)
-        step = 1.0 - SPAN_MEMORY
-        off, late = size - self.size, latency_us - self.latency
-        self.size += step * off
-        self.latency += step * late
-        self.common += step * (off * late - self.common)
-        self.varied += step * (off * off - self.varied)
-        rise = self.common / self.varied if self.varied > 0.0 else 0.0
-        usual = self.latency + rise * (1.0 - self.size)
-        if self.varied > 0.0 and usual > 0.0:
-            self.slope += step * (min(1.0, max(0.0, rise / usual)) - self.slope)
-
-    def of(self, size: float) -> float:
-        """An answer's time for a request of this size, over that for one of the mean size."""
-        return max(SPAN_LEAST, 1.0 + self.slope * (size - 1.0))
-
-
 @dataclass(slots=True, eq=False)
 class Part:
     """One class's requests at one server: the same ring, states and weight, for failures of that class alone.
@@ -290,27 +244,21 @@
         self.lines: dict[int, deque[Request]] = {}  # in order: requests of a key, its turn first
         self.next_token = SWEEP_TOKEN + 1
         self.sweep_us = 0  # when the timer of the sweep is due; 0: it is not set
-        self.retry_tokens = self.retry_cap = RETRY_BURST
-        self.retry_until_us = 0  # what is held beyond the cap came from others, and ends then
-        self.retry_need_us = -NEED_US  # the last further attempt for which there was none
+        self.retry_budget = RetryBudget()
         self.processes = 1  # of this proxy, each with a module of its own
         self.cold_from_us = 0  # until then no cold server is used: a process before may have lent its part
         classes = settings.classes
-        self.smoothed = [c.aim_us / 4 for c in classes]  # latency of good answers
-        self.unhindered = [c.aim_us / 4 for c in classes]  # the same where nothing queued
-        self.mean_work = [0.0] * len(classes)  # of hints
-        self.spans = [Span() for _ in classes]
-        self.patience = [(c.give_up_us, 0) for c in classes]  # of first tries, and the votes for it
-        self.regular = [1.0] * len(classes)  # share of the tries of late that are given that
+        self.latency = LatencyModel(classes)
+        self.work = WorkModel(len(classes))
+        self.client_timeouts = ClientTimeouts(settings)
+        self.tenant_fairness = TenantFairness(settings)
         self.asked = [0.0] * len(classes)
         self.served = [0.0] * len(classes)
         self.cheap = [False] * len(classes)  # as found after so many first tries
         self.since_cheap = 0
-        self.tries = [t.share / (1.0 - TENANT_MEMORY) for t in settings.tenants]  # of late, by tenant
         self.shed_at_us = 0  # when that last followed an answer
         self.shed = 0.0  # share of the work asked for that is refused, least worth first: what is cheap
         self.shed_dear = 0.0  # the same for all else
-        self.silent_us = OVERDUE * max(self.smoothed)  # an attempt out for longer: its server is silent
         self.fleet_outcomes = FleetOutcomes()
         self.logged_us = -LOG_GAP_US
 
@@ -339,7 +287,7 @@
         elif isinstance(event, PeerHealthReport):
             self.on_peer_health_report(event)
         elif isinstance(event, RetryTokenGrant):
-            self.on_retry_token_grant(event)
+            self.retry_budget.apply_grant(self.now_us, event)
         elif isinstance(event, AnswerAll):
             for request in [r for r in self.requests.values() if not r.streaming]:
                 self.answer_unserved(request, "ending")
@@ -368,16 +316,11 @@
 
     def admit(self, event: RequestArrived) -> Request:
         klass = self.settings.classes[event.klass]
-        used_us = self.used_us(event)
+        used_us = self.client_timeouts.record(event)
         first_try = not event.is_retry and used_us == 0
-        size = 1.0
-        if event.work_us:
-            mean = self.mean_work[event.klass] or float(event.work_us)
-            self.mean_work[event.klass] = mean + SMOOTHING * (event.work_us - mean)
-            size = event.work_us / mean
+        size = self.work.record(event.klass, event.work_us)
         if first_try:
-            if self.retry_room() < self.retry_cap:
-                self.retry_tokens = min(self.retry_tokens + RETRY_SHARE, self.retry_cap)
+            self.retry_budget.deposit(self.now_us)
             self.asked[event.klass] += 1
             self.since_cheap += 1
             if self.since_cheap >= CHEAP_EVERY:
@@ -393,21 +336,9 @@
             self.now_us + max(0, klass.aim_us - used_us),
             size,
             first_try,
-            self.excess(event.tenant),
+            self.tenant_fairness.record(event.tenant),
         )
 
-    def excess(self, tenant: int) -> float:
-        """Part of a tenant's tries of late beyond its share; 0 where none is stated.
-
-        Guards against a tenant's clients that repeat without limit: while anything is shed they yield first.
-        """
-        if not 0 <= tenant < len(self.tries):
-            return 0.0
-        self.tries = [n * TENANT_MEMORY for n in self.tries]
-        self.tries[tenant] += 1
-        fair = OVER_SHARE * self.settings.tenants[tenant].share * sum(self.tries)
-        return (1.0 - self.settings.over_share_worth) * (1.0 - fair / self.tries[tenant])
-
     # Order by key
 
     def waits_its_turn(self, request: Request) -> bool:
@@ -418,8 +349,8 @@
         if request.key is None or not self.settings.classes[request.klass].in_order:
             return False
         line = self.lines.setdefault(request.key, deque())
-        last_us = self.end_us(request) - int(self.expected_us(request))
-        if line and self.now_us + len(line) * self.expected_us(request) > last_us:
+        last_us = self.end_us(request) - int(self.latency.expected_us(request.klass, request.size))
+        if line and self.now_us + len(line) * self.latency.expected_us(request.klass, request.size) > last_us:
             self.answer_unserved(request)
             return True
         line.append(request)
@@ -447,23 +378,6 @@
         elif had_turn and not line[0].done and not self.try_send(line[0]):
             self.answer_unserved(line[0])
 
-    def used_us(self, event: RequestArrived) -> int:
-        """How much of its time a request's earlier tries have used; a first try has used none.
-
-        First tries of a class are all given the same time, found by majority vote; another time marks a
-        repeat. Guards against taking first tries, given less than the last, for late repeats, and where
-        clients give each try a time of its own, against refusing most of them.
-        """
-        usual, votes = self.patience[event.klass]
-        same = abs(event.patience_us - usual) <= SAME_PATIENCE * usual
-        if not event.is_retry:
-            usual, votes = (usual, votes + 1) if same else (usual, votes - 1)
-            self.patience[event.klass] = (usual, votes) if votes >= 0 else (event.patience_us, 1)
-            share = self.regular[event.klass]
-            self.regular[event.klass] = share + SMOOTHING * (same - share)
-            same = same or votes < 0 or self.settings.marks_retry or share < REGULAR
-        return 0 if same else max(0, self.settings.classes[event.klass].give_up_us - event.patience_us)
-
     def is_shed(self, request: Request) -> bool:
         """Whether to refuse a request before it costs a server anything.
 
@@ -471,8 +385,8 @@
         """
         if self.settings.classes[request.klass].late_worth <= 0.0 and self.now_us >= request.aim_us:
             return True  # a repeat whose aim is over earns nothing
-        hopeless_us = HOPELESS * self.unhindered_us(request)
-        if self.regular[request.klass] < REGULAR and request.deadline_us - self.now_us < hopeless_us:
+        hopeless_us = HOPELESS * self.latency.expected_unloaded_us(request.klass, request.size)
+        if not self.client_timeouts.is_regular(request.klass) and request.deadline_us - self.now_us < hopeless_us:
             return True
         if self.shed <= 0.0 and self.shed_dear <= 0.0:
             return False
@@ -480,7 +394,7 @@
             return True
         worths = self.worths()
         mine = worths[request.klass]
-        shares = [a * u for a, u in zip(self.asked, self.unhindered, strict=True)]
+        shares = [a * u for a, u in zip(self.asked, self.latency.unloaded_us, strict=True)]
         total = sum(shares) or 1.0
         below = sum(share for share, worth in zip(shares, worths, strict=True) if worth < mine) / total
         point = below + shares[request.klass] / total * self.random.random()
@@ -492,7 +406,7 @@
     def find_cheap(self) -> list[bool]:
         """Which classes are worth far less for their work than the mean of what is asked for."""
         worths = self.worths()
-        shares = [a * u for a, u in zip(self.asked, self.unhindered, strict=True)]
+        shares = [a * u for a, u in zip(self.asked, self.latency.unloaded_us, strict=True)]
         total = sum(shares) or 1.0
         mean = sum(share * worth for share, worth in zip(shares, worths, strict=True)) / total
         return [worth < CHEAP * mean for worth in worths]
@@ -509,15 +423,15 @@
             gain = (goal.whole + goal.worst_window) * klass.worth / mean
             if fractions[index] == worst and self.asked[index]:
                 gain += goal.worst_class * total / self.asked[index]
-            worths.append(gain / (1.0 if self.settings.worth_by_work else self.unhindered[index]))
+            worths.append(gain / (1.0 if self.settings.worth_by_work else self.latency.unloaded_us[index]))
         return worths
 
     def adjust_shed(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         """Feedback like the weights': more after an answer that waited too long, less after a prompt one."""
-        klass, unhindered_us = self.settings.classes[request.klass], self.unhindered[request.klass]
+        klass, unhindered_us = self.settings.classes[request.klass], self.latency.unloaded_us[request.klass]
         if event.outcome not in (Outcome.OK, Outcome.TIMEOUT, Outcome.FULL):
             return
-        usual = self.unhindered_us(request)
+        usual = self.latency.expected_unloaded_us(request.klass, request.size)
         waited = event.latency_us - usual
         bad = event.outcome is not Outcome.OK
         long = bad or waited > TOLERATED * (klass.aim_us - unhindered_us)
@@ -528,10 +442,10 @@
         self.shed_at_us = self.now_us
         self.shed = min(SHED_MOST, max(0.0, self.shed + (step if long else -step)))
         slack_us = max(0.0, klass.aim_us - unhindered_us)
-        limit = INFLATED_TOLD if self.spans[request.klass].varied > SPAN_TOLD else INFLATED
+        limit = INFLATED_TOLD if self.latency.by_size[request.klass].has_sizes() else INFLATED
         inflated = bad or waited > min((limit - 1.0) * usual, LATE_SHARE * slack_us)
         move = step if inflated else -step
-        usual_us = OVERDUE * self.expected_us(request)
+        usual_us = OVERDUE_FACTOR * self.latency.expected_us(request.klass, request.size)
         if (
             event.outcome is Outcome.TIMEOUT
             and klass.late_worth <= 0.0
@@ -541,12 +455,6 @@
             move = step / 4  # cut short at the aim, and silent: as likely a lost connection as a crowd
         self.shed_dear = min(SHED_MOST, max(0.0, self.shed_dear + move))
 
-    def expected_us(self, request: Request) -> float:
-        return self.smoothed[request.klass] * self.spans[request.klass].of(request.size)
-
-    def unhindered_us(self, request: Request) -> float:
-        return self.unhindered[request.klass] * self.spans[request.klass].of(request.size)
-
     def answer_unserved(self, request: Request, why: str = "turn") -> None:
         """The final answer when no attempt is out and none is to come."""
         if request.done:
@@ -639,7 +547,7 @@
         self.actions.append(Send(request.id, server.entry.server, timeout_us, self.repeat_by_us(request)))
         if not self.sweep_us:
             self.set_sweep()
-        overdue_us = self.now_us + int(OVERDUE * self.expected_us(request))
+        overdue_us = self.now_us + int(OVERDUE_FACTOR * self.latency.expected_us(request.klass, request.size))
         if klass.effect is not Effect.UNSAFE and overdue_us < request.deadline_us:
             self.set_timer(overdue_us, request)
         return True
@@ -666,10 +574,10 @@
             attempt.overdue = True
         if not late or not self.settings.second_copies:
             return
-        if self.shed > 0.0 or not self.has_token(1.0):
+        if self.shed > 0.0 or not self.retry_budget.can_withdraw(self.now_us, FULL_RETRY_COST):
             return  # guards against an overload that feeds itself
         if len(request.attempts) < self.settings.max_attempts and self.try_send(request):
-            self.retry_tokens -= 1
+            self.retry_budget.withdraw(FULL_RETRY_COST)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
@@ -733,40 +641,23 @@
         """After the last attempt out has failed: another one, a place in the queue, or the final answer."""
         klass = self.settings.classes[request.klass]
         ran = any(a.may_have_run for a in request.attempts)
-        time_left = self.end_us(request) - self.now_us > self.unhindered_us(request)
-        cost = 1.0 if outcome is Outcome.TIMEOUT else CHEAP_RETRY
+        time_left = self.end_us(request) - self.now_us > self.latency.expected_unloaded_us(
+            request.klass, request.size
+        )
+        cost = FULL_RETRY_COST if outcome is Outcome.TIMEOUT else ERROR_RETRY_COST
         shed = self.shed > 0.0 if outcome is Outcome.TIMEOUT else self.is_shed(request)
         may = time_left and len(request.attempts) < self.settings.max_attempts
         if may and ran:
-            may = klass.effect is not Effect.UNSAFE and not shed and self.has_token(cost)
+            may = klass.effect is not Effect.UNSAFE and not shed and self.retry_budget.can_withdraw(self.now_us, cost)
         if may and self.try_send(request):
-            self.retry_tokens -= cost * ran
+            self.retry_budget.withdraw(cost * ran)
         else:
             self.answer_unserved(request, outcome.value)
 
-    def retry_room(self) -> float:
-        """Tokens for further attempts; what came from other proxies and was not used in time is gone."""
-        if self.retry_tokens > self.retry_cap and self.now_us >= self.retry_until_us:
-            self.retry_tokens = self.retry_cap
-        return self.retry_tokens
-
-    def has_token(self, cost: float) -> bool:
-        if self.retry_room() >= cost:
-            return True
-        self.retry_need_us = self.now_us
-        return False
-
-    def on_retry_token_grant(self, event: RetryTokenGrant) -> None:
-        """Tokens move between proxies (docs/peers-design.md): they are gone there before they come here."""
-        self.retry_cap = event.cap
-        self.retry_tokens = max(0.0, self.retry_room() + event.moved)
-        if event.moved > 0.0:
-            self.retry_until_us = event.until_us
-
-    def retry_state(self, now_us: int) -> tuple[float, bool]:
-        """Tokens at hand, and whether one was wanting of late."""
+    def retry_state(self, now_us: int) -> RetryTokenState:
+        """Return the retry tokens at hand, and whether one was wanting of late."""
         self.now_us = max(now_us, self.now_us)
-        return self.retry_room(), now_us - self.retry_need_us < NEED_US
+        return RetryTokenState(self.retry_budget.available(self.now_us), self.retry_budget.is_wanted(now_us))
 
     def subset(self, klass: int) -> list[Server]:
         """The servers that this proxy spreads over: the first in rank that may be used.
@@ -875,7 +766,7 @@
         if part is not None and not part.breaker.can_admit(self.now_us):
             return False
         # Silent while the oldest attempt out is overdue: nothing more until it is answered or times out.
-        return not server.out or self.now_us - next(iter(server.out.values())) <= self.silent_us
+        return not server.out or self.now_us - next(iter(server.out.values())) <= self.latency.silence_timeout_us
 
     # Judging servers
 
@@ -887,8 +778,8 @@
         if outcome is Outcome.MOOT or (outcome is Outcome.CANCELLED and not attempt.overdue):
             server.breaker.abandon_probe(attempt.probe_episode)
             return
-        soon = event.latency_us < SLOW * self.expected_us(request)
-        if outcome is Outcome.TIMEOUT and soon and self.regular[request.klass] < REGULAR:
+        soon = event.latency_us < SLOW * self.latency.expected_us(request.klass, request.size)
+        if outcome is Outcome.TIMEOUT and soon and not self.client_timeouts.is_regular(request.klass):
             server.breaker.abandon_probe(attempt.probe_episode)
             return  # it was given less than an answer takes
         failed = outcome is not Outcome.OK
@@ -896,9 +787,9 @@
         # trips servers in turn, each of which crowds the rest: it opens where the whole ring has failed.
         crowded = outcome is Outcome.TIMEOUT and server.answered_us >= attempt.sent_us
         self.fleet_outcomes.record(server.entry.server, request.klass, failed)
-        ratio = 0.0 if failed else event.latency_us / max(1.0, self.expected_us(request))
+        ratio = 0.0 if failed else event.latency_us / max(1.0, self.latency.expected_us(request.klass, request.size))
         if not failed:
-            self.learn_latency(request, event.latency_us)
+            self.latency.record(request.klass, request.size, event.latency_us)
         if outcome in CLASS_TELLS:
             part.fine = not failed
             self.adjust_weight(part, failed)
@@ -963,7 +854,7 @@
     def silences(self, now_us: int) -> list[int]:
         """Servers that get nothing more as their oldest attempt out is overdue."""
         busy = [(number, server.out) for number, server in self.servers.items() if server.out]
-        return [number for number, out in busy if now_us - next(iter(out.values())) > self.silent_us]
+        return [number for number, out in busy if now_us - next(iter(out.values())) > self.latency.silence_timeout_us]
 
     def start_of(self, number: int) -> int:
         """When a server's process started, as listed; -1 for one that is not."""
@@ -994,28 +885,19 @@
         elif changed is BreakerState.CLOSED:
             self.log(f"server {server.entry.server}: breaker{scope} closed")
 
-    def learn_latency(self, request: Request, latency_us: int) -> None:
-        index = request.klass
-        self.spans[index].learn(request.size, latency_us)
-        latency = latency_us / self.spans[index].of(request.size)
-        self.smoothed[index] += SMOOTHING * (latency - self.smoothed[index])
-        self.silent_us = OVERDUE * max(self.smoothed)
-        floor = self.unhindered[index]
-        self.unhindered[index] += min(0.0, self.smoothed[index] - floor) + UNHINDERED_UP * floor
-
     def adjust_room(self, server: Server, request: Request, latency_us: int, good: bool) -> None:
         """One answer's worth of feedback on how much a server may have at once.
 
         Guards against servers that are sent more than they work off, and choke, while their answers are still
         on their way: the room follows each server's own pace, within some of its answers.
         """
-        usual_us = self.unhindered_us(request)
+        usual_us = self.latency.expected_unloaded_us(request.klass, request.size)
         # Where answers take next to none of the time to the aim, a hiccup of either side is no crowd.
-        slack_us = self.settings.classes[request.klass].aim_us - self.unhindered[request.klass]
+        slack_us = self.settings.classes[request.klass].aim_us - self.latency.unloaded_us[request.klass]
         pace = min(4.0, 1.0 + (latency_us - usual_us) / max(1.0, usual_us, ROOM_SLACK * slack_us))
         server.pace += ROOM_GAIN * (pace - server.pace)
         if server.pace > ROOM_PACE:
-            if self.now_us - server.cut_us > self.smoothed[request.klass]:
+            if self.now_us - server.cut_us > self.latency.smoothed_us[request.klass]:
                 server.cut_us = self.now_us
                 server.room = max(ROOM_LEAST, min(server.room, len(server.out) + 1.0) * ROOM_CUT)
         elif good and len(server.out) + 1 >= server.room * ROOM_CHEAP:
@@ -1139,11 +1021,11 @@
         far more than it is, and a proxy that is one of many sent its next one after half a minute.
         """
         # What is said to be far less than any answer takes is not believed, of a class or of one request.
-        mean_us, least_us = self.mean_work[request.klass], UNDERSTATED * self.unhindered[request.klass]
+        mean_us, least_us = self.work.mean_us[request.klass], UNDERSTATED * self.latency.unloaded_us[request.klass]
         if mean_us < least_us:
-            mean_us = self.unhindered[request.klass]
+            mean_us = self.latency.unloaded_us[request.klass]
             if self.now_us < server.warm_at_us:
-                mean_us = (mean_us + self.smoothed[request.klass]) / 2  # the usual ones have waited too
+                mean_us = (mean_us + self.latency.smoothed_us[request.klass]) / 2  # the usual ones have waited too
         return max(least_us, mean_us * request.size)
 
     def cold_share(self, server: Server) -> float:
@@ -1223,7 +1105,7 @@
             server.spent_at_us = self.now_us
             # Hundreds of proxies hear of a cold server at once and each may send one request at the least:
             # each begins with a random part of that spent, so that these firsts do not come together.
-            works = zip(self.mean_work, self.unhindered, self.smoothed, strict=True)
+            works = zip(self.work.mean_us, self.latency.unloaded_us, self.latency.smoothed_us, strict=True)
             usual = [work if work >= UNDERSTATED * least else waited for work, least, waited in works]
             most_us = max(*usual, FALL_MARGIN * self.fall_budget_us(entry.users) / 2)
             server.spent_us = self.random.random() * most_us
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_sharing.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from cloverkeel.balancing.balancer import CHEAP_RETRY, RETRY_SHARE
+from cloverkeel.balancing.retry_budget import ERROR_RETRY_COST, RETRY_RATIO
 from cloverkeel.core.config import stable_id
 from cloverkeel.gossip.retry_tokens import CAP
 from standins.parties.fleet import ROOT
@@ -224,7 +224,7 @@
             await fleet.load([0], 1)
             await rested()  # else each opens a connection, and what waits for that passes for a crowd
             before, (_, further) = further, fleet.attempts(marks)
-            beyond = max(0.0, beyond + CHEAP_RETRY * (further - before) - RETRY_SHARE)
+            beyond = max(0.0, beyond + ERROR_RETRY_COST * (further - before) - RETRY_RATIO)
             most = max(most, beyond)
         requests += 50
     return most
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -6,7 +6,8 @@
 
 from tests.helpers import Driver, sends, trip
 from cloverkeel.balancing.events import ListKind, ListedServer, Outcome, RequestGone
-from cloverkeel.balancing.balancer import CEILING, CHEAP_RETRY, CUT, FLOOR, RETRY_SHARE, SHED_STEP, STEP, SUBSET
+from cloverkeel.balancing.balancer import CEILING, CUT, FLOOR, SHED_STEP, STEP, SUBSET
+from cloverkeel.balancing.retry_budget import ERROR_RETRY_COST, RETRY_RATIO
 from cloverkeel.balancing.circuit_breaker import (
     BreakerState,
     CircuitBreaker,
@@ -133,7 +134,7 @@
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     name, _ = driver.arrive()
-    driver.end(name, 0, latency_us=int(driver.balancer.smoothed[0] * 2.2))
+    driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
     assert server.weight == CEILING * CUT
 
 
@@ -227,11 +228,11 @@
 
 def test_after_a_reset_a_repeat_costs_less_and_goes_on_while_little_is_shed() -> None:
     driver = Driver(servers=10)
-    driver.balancer.retry_tokens, driver.balancer.shed = CHEAP_RETRY - RETRY_SHARE, SHED_STEP
+    driver.balancer.retry_budget.tokens, driver.balancer.shed = ERROR_RETRY_COST - RETRY_RATIO, SHED_STEP
     driver.balancer.random.seed(1)
     name, actions = driver.arrive(klass=1, patience_us=800_000)
     again = sends(driver.end(name, sends(actions)[0].server, Outcome.RESET))
-    assert again and driver.balancer.retry_tokens == 0
+    assert again and driver.balancer.retry_budget.tokens == 0
     assert not sends(driver.end(name, again[0].server, Outcome.RESET, attempt=1))
 
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -22,7 +22,8 @@
     TimerFired,
 )
 from cloverkeel.balancing.settings import Prices, RequestClass, Scope, Settings, Tenant
-from cloverkeel.balancing.balancer import LOG_GAP_US, OVERDUE, SHED_STEP, SUBSET, rendezvous
+from cloverkeel.balancing.balancer import LOG_GAP_US, SHED_STEP, SUBSET, rendezvous
+from cloverkeel.balancing.latency_model import OVERDUE_FACTOR
 from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US, MIN_OUTCOMES
 
 
@@ -68,11 +69,11 @@
 
 def test_a_second_copy_goes_out_when_the_first_is_overdue_and_the_loser_is_called_off() -> None:
     driver = Driver()
-    driver.balancer.smoothed[0] = 20_000.0
+    driver.balancer.latency.smoothed_us[0] = 20_000.0
     name, actions = driver.arrive()
     first = sends(actions)[0].server
     (timer,) = timers(actions)
-    assert timer.due_us == driver.now_us + int(OVERDUE * 20_000)
+    assert timer.due_us == driver.now_us + int(OVERDUE_FACTOR * 20_000)
     driver.now_us = timer.due_us
     copy = sends(driver.handle(TimerFired(timer.token)))[0]
     assert copy.server != first
@@ -84,7 +85,7 @@
 
 def test_no_second_copy_where_none_is_allowed() -> None:
     driver = Driver(replace(SETTINGS, second_copies=False))
-    driver.balancer.smoothed[0] = 20_000.0
+    driver.balancer.latency.smoothed_us[0] = 20_000.0
     _, actions = driver.arrive()
     (timer,) = timers(actions)
     driver.now_us = timer.due_us
@@ -103,7 +104,7 @@
 def test_a_silent_server_gets_nothing_more() -> None:
     driver = Driver(servers=1)
     driver.arrive(klass=2)
-    driver.now_us += int(OVERDUE * max(driver.balancer.smoothed)) + 1
+    driver.now_us += int(OVERDUE_FACTOR * max(driver.balancer.latency.smoothed_us)) + 1
     assert not sends(driver.arrive(klass=2)[1])
 
 
@@ -199,7 +200,7 @@
     ):
         driver = Driver(replace(SETTINGS, classes=(klass,)))
         name, actions = driver.arrive()
-        driver.balancer.smoothed[0] = driver.balancer.unhindered[0] = 50_000.0
+        driver.balancer.latency.smoothed_us[0] = driver.balancer.latency.unloaded_us[0] = 50_000.0
         driver.balancer.shed_at_us = driver.now_us
         driver.end(name, sends(actions)[0].server, outcome, latency_us=latency_us)
         moved.append(driver.balancer.shed_dear)
@@ -250,8 +251,8 @@
         for send in sends(actions):
             driver.end(name, send.server)
     assert refused[0] > 60 and refused[1] <= 20
-    assert driver.balancer.excess(1) <= 0.0 < driver.balancer.excess(0)
-    assert driver.balancer.excess(7) == 0.0
+    assert driver.balancer.tenant_fairness.record(1) <= 0.0 < driver.balancer.tenant_fairness.record(0)
+    assert driver.balancer.tenant_fairness.record(7) == 0.0
 
 
 def test_without_servers_requests_are_refused() -> None:
@@ -489,7 +490,7 @@
         for step in range(1_000):
             name, actions = driver.arrive()
             if sends(actions):
-                work_us[step // 50] += driver.balancer.unhindered[0]
+                work_us[step // 50] += driver.balancer.latency.unloaded_us[0]
                 driver.end(name, 1, latency_us=30_000)
             driver.now_us += 10_000
     for first, second in pairwise(work_us):
@@ -507,7 +508,7 @@
         for _ in range(1_000):
             name, actions = driver.arrive()
             if sends(actions):
-                work_us += driver.balancer.unhindered[0]
+                work_us += driver.balancer.latency.unloaded_us[0]
                 driver.end(name, 1, latency_us=30_000)
             driver.now_us += 10_000
     return work_us
@@ -554,7 +555,7 @@
     def taken_at_once() -> float:
         """Work, in microseconds, that it is sent in one moment."""
         driver.balancer.servers[1].room = 10_000.0  # that is another guard
-        cost_us, count = driver.balancer.unhindered[0], 0
+        cost_us, count = driver.balancer.latency.unloaded_us[0], 0
         while count < 1_000 and sends(driver.arrive()[1]):
             count += 1
         return count * cost_us
@@ -684,7 +685,7 @@
 def test_where_every_try_has_a_time_of_its_own_a_short_one_marks_no_repeat() -> None:
     """First tries with odd short times were refused unsent: they passed for repeats whose aim was over."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_worth=0.0),)), servers=5)
-    driver.balancer.unhindered[0] = driver.balancer.smoothed[0] = 10_000.0
+    driver.balancer.latency.unloaded_us[0] = driver.balancer.latency.smoothed_us[0] = 10_000.0
     sent = 0
     for number in range(200):
         name, actions = driver.arrive(patience_us=20_000 + number * 7919 % 60_000)
@@ -700,7 +701,7 @@
 def test_a_time_out_sooner_than_an_answer_takes_is_no_verdict() -> None:
     driver = Driver(servers=1)
     for _ in range(MIN_OUTCOMES * 3):
-        driver.balancer.regular[0] = 0.0  # clients give each try a time of its own
+        driver.balancer.client_timeouts.regular_ratio[0] = 0.0  # clients give each try a time of its own
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
     assert driver.balancer.servers[0].breaker.state is BreakerState.CLOSED and driver.balancer.shed == 0
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -101,7 +101,7 @@
 def test_a_wait_that_eats_up_the_slack_sheds_though_the_usual_latency_is_long() -> None:
     """At 2.75 times a usual 200 ms an answer is past an aim of 500 ms: only time-outs shed, and came too late."""
     driver = Driver(SETTINGS, servers=1)
-    driver.balancer.unhindered[1] = driver.balancer.smoothed[1] = 200_000.0
+    driver.balancer.latency.unloaded_us[1] = driver.balancer.latency.smoothed_us[1] = 200_000.0
     assert moved(driver, Outcome.OK, 240_000) < 0
     assert moved(driver, Outcome.OK, 400_000) > 0
 
@@ -110,7 +110,7 @@
     """Four in five had to time out before more was shed: each counted for a quarter, as a lost connection's."""
     for klass in (RESERVE, replace(RESERVE, aim_us=450_000)):
         driver = Driver(Settings(classes=(DEPOSIT, klass)), servers=1)
-        driver.balancer.unhindered[1] = driver.balancer.smoothed[1] = 200_000.0
+        driver.balancer.latency.unloaded_us[1] = driver.balancer.latency.smoothed_us[1] = 200_000.0
         silent = moved(driver, Outcome.TIMEOUT, 440_000)
         crowded = moved(driver, Outcome.TIMEOUT, 440_000, answered=True)
         assert crowded > 3 * silent > 0
@@ -156,7 +156,7 @@
 def test_room_shrinks_with_slow_answers_and_grows_with_prompt_ones_that_fill_it() -> None:
     driver = Driver(SETTINGS, servers=1)
     server = driver.balancer.servers[0]
-    usual_us = int(driver.balancer.unhindered[1])
+    usual_us = int(driver.balancer.latency.unloaded_us[1])
     for _ in range(20):
         for name in fill(driver, 1):
             driver.balancer.shed = driver.balancer.shed_dear = 0.0
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -10,7 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverkeel.balancing.balancer import ROOM_FIRST, SPAN_LEAST, Balancer, Span
+from cloverkeel.balancing.balancer import Balancer, ROOM_FIRST
+from cloverkeel.balancing.latency_model import LatencyBySize, MIN_SIZE_FACTOR
 from cloverkeel.balancing.actions import Send
 from cloverkeel.balancing.events import AttemptEnded, ListKind, ListedServer, Outcome, RequestArrived, ServerList
 from cloverkeel.balancing.settings import RequestClass, Settings
@@ -27,33 +28,33 @@
 
 
 def test_the_line_is_found_in_spite_of_waits_and_of_rough_hints() -> None:
-    rng, span = random.Random(1), Span()
+    rng, span = random.Random(1), LatencyBySize()
     for _ in range(1500):
         size = sizes(rng)
         waited = rng.expovariate(1 / 10_000)
-        span.learn(size * rng.uniform(0.9, 1.1), int(WAITS_US + WORK_US * size + waited))
+        span.record(size * rng.uniform(0.9, 1.1), int(WAITS_US + WORK_US * size + waited))
     mean_us = WAITS_US + WORK_US + 10_000
     for size in (0.1, 0.5, 1.0, 2.0, 4.0):
         expected = (WAITS_US + 10_000 + WORK_US * size) / mean_us
-        assert span.of(size) == pytest.approx(expected, rel=0.25), size
+        assert span.factor(size) == pytest.approx(expected, rel=0.25), size
 
 
 @pytest.mark.parametrize(("waits_us", "work_us", "least", "most"), [(0, 50_000, 0.9, 1.0), (50_000, 0, 0.0, 0.1)])
 def test_latency_that_is_all_work_or_none_of_it(waits_us: int, work_us: int, least: float, most: float) -> None:
-    rng, span = random.Random(2), Span()
+    rng, span = random.Random(2), LatencyBySize()
     for _ in range(1000):
         size = sizes(rng)
-        span.learn(size, int(waits_us + work_us * size))
+        span.record(size, int(waits_us + work_us * size))
     assert least <= span.slope <= most
 
 
 @given(st.lists(st.tuples(st.floats(0, 1e6), st.integers(0, 10**9)), max_size=60), st.floats(0, 1e6))
 def test_whatever_is_told_a_span_is_a_positive_number(seen: list[tuple[float, int]], size: float) -> None:
-    span = Span()
+    span = LatencyBySize()
     for told, latency_us in seen:
-        span.learn(told, latency_us)
-    assert SPAN_LEAST <= span.of(size) <= max(1.0, size) + 1e-6
-    assert span.of(size) <= span.of(size + 1.0)
+        span.record(told, latency_us)
+    assert MIN_SIZE_FACTOR <= span.factor(size) <= max(1.0, size) + 1e-6
+    assert span.factor(size) <= span.factor(size + 1.0)
 
 
 def served(driver: Driver, work_us: int, latency_us: int) -> None:
@@ -70,7 +71,7 @@
     for _ in range(600):
         size = 0.02 if rng.random() < 0.3 else 1.4
         served(driver, int(size * WORK_US), int(WAITS_US + size * WORK_US))
-    assert driver.balancer.smoothed[0] < 1.5 * (WAITS_US + WORK_US)
+    assert driver.balancer.latency.smoothed_us[0] < 1.5 * (WAITS_US + WORK_US)
 
 
 def test_a_server_that_is_sent_small_requests_keeps_its_room() -> None:
