--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -163,7 +163,7 @@
         while self.ends and self.ends[0][0] <= now_us:
             at_us, _, number, ended = heapq.heappop(self.ends)
             one = self.gateways[number]
-            request = one.requests.get(ended.request)
+            request = one.lifecycle.requests.get(ended.request)
             if request is None:
                 continue  # its gateway has begun anew
             ended.attempt = len(request.attempts) - 1
--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -33,9 +33,10 @@
 
     swap(Piece, "lives", lambda self, now_us: True)
     swap(exchange.Exchange, "look_again", lambda self, now_us: None)
-    from cloverkeel.balancing.balancer import Balancer
+    from cloverkeel.balancing.peer_reports import PeerReports
 
-    cut(Balancer, "on_peer_health_report", ("event.until_us if bad else 0", "event.until_us + 10**9 if bad else 0"))
+    for_good = "event.until_us + 10**9 if is_suspected else 0"
+    cut(PeerReports, "apply_report", ("event.until_us if is_suspected else 0", for_good))
 
 
 @entry("hearsay-zone")
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -213,7 +213,7 @@
         trips = 0  # since the last line of figures
         for line in path.read_text(errors="replace").splitlines():
             _, marked, text = line.partition(MARK)
-            trips += " open for " in line and "breaker" in line
+            trips += "circuit breaker: opened, " in line
             if not marked:
                 continue
             said = json.loads(text)
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 
 from benchmarks.guards.__main__ import parse_seeds
-from cloverkeel.balancing.balancer import DOUBT
+from cloverkeel.balancing.server_selection import SUSPECT_WEIGHT_FACTOR
 from cloverkeel.gossip.outlier_reports import EVIDENCE_US, Host, Weighed
 from cloverkeel.gossip.node import Exchange
 from cloverkeel.gossip.messages import decode
@@ -133,7 +133,7 @@
                     continue
                 if load and self.dice.random() < self.rate * step_us / 1e6:
                     host = self.dice.randrange(self.hosts)
-                    if self.doubts(number, host) and self.dice.random() >= DOUBT:
+                    if self.doubts(number, host) and self.dice.random() >= SUSPECT_WEIGHT_FACTOR:
                         continue  # it goes elsewhere
                     self.outcome(number, host, self.dice.random() >= self.failing.get(host, 0.0))
                 if one.next_due() <= self.clock(number):
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -151,14 +151,18 @@
         if roll < 0.98:
             return Probed(5, dice.choice(list(Outcome)), dice.randrange(10**6))
         if roll < 0.985:
-            servers = sorted(self.balancer.servers) or [5]
+            servers = sorted(self.balancer.endpoints.by_server) or [5]
             server = dice.choice((*servers, -1, 99))
-            started_us = self.balancer.servers[server].entry.started_us if server in self.balancer.servers else 0
+            started_us = (
+                self.balancer.endpoints.by_server[server].entry.started_us
+                if server in self.balancer.endpoints.by_server
+                else 0
+            )
             lent_us, granted_us = (self.now_us + dice.choice((-1, 800_000, 2_000_000)) for _ in range(2))
             return SlowStartQuota(server, started_us, lent_us, dice.choice((0.0, 0.5, 3.0)), granted_us)
         if roll < 0.99:
             return ProbesSuspended(
-                dice.choice((*self.balancer.servers, 99)), dice.choice((0, 1, self.now_us + 1_200_000))
+                dice.choice((*self.balancer.endpoints.by_server, 99)), dice.choice((0, 1, self.now_us + 1_200_000))
             )
         return PeerMessage(dice.randrange(9), b"word")
 
--- a/cloverkeel/balancing/circuit_breaker.py
+++ b/cloverkeel/balancing/circuit_breaker.py
@@ -11,7 +11,6 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, field
 from enum import Enum
 from typing import Final
 
@@ -40,19 +39,33 @@
     return 1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - fleet_failure_ratio) ** 2
 
 
-@dataclass(slots=True, eq=False)
 class CircuitBreaker:
     """Hold the last outcomes of one server, or of one class at it, and the state that follows from them."""
 
-    min_outcomes: int = MIN_OUTCOMES
-    outcomes: deque[bool] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))  # whether each failed
-    failures: int = 0
-    state: BreakerState = BreakerState.CLOSED
-    open_until_us: int = 0
-    cooldown_us: int = INITIAL_COOLDOWN_US
-    episode: int = 0  # of being half-open, counted from 1: an outcome is a probe's if it was sent in the present one
-    probes_in_flight: int = 0
-    probe_failures: list[bool] = field(default_factory=list)  # whether each probe of the episode failed
+    __slots__ = (
+        "cooldown_us",
+        "episode",
+        "failures",
+        "min_outcomes",
+        "open_until_us",
+        "outcomes",
+        "probes_ended",
+        "probes_failed",
+        "probes_in_flight",
+        "state",
+    )
+
+    def __init__(self, min_outcomes: int = MIN_OUTCOMES) -> None:
+        self.min_outcomes = min_outcomes
+        self.outcomes: deque[bool] = deque(maxlen=MAX_OUTCOMES)  # whether each failed
+        self.failures = 0
+        self.state = BreakerState.CLOSED
+        self.open_until_us = 0
+        self.cooldown_us = INITIAL_COOLDOWN_US
+        self.episode = 0  # of being half-open, from 1: an outcome is a probe's if it was sent in the present one
+        self.probes_in_flight = 0
+        self.probes_ended = 0  # of the episode
+        self.probes_failed = 0
 
     def can_admit(self, now_us: int) -> bool:
         """Tell whether a request may pass: closed, or half-open with probes left. End a cooldown that is over."""
@@ -64,8 +77,9 @@
             self.state = BreakerState.HALF_OPEN
             self.episode += 1
             self.probes_in_flight = 0
-            self.probe_failures = []
-        return self.probes_in_flight + len(self.probe_failures) < HALF_OPEN_PROBES
+            self.probes_ended = 0
+            self.probes_failed = 0
+        return self.probes_in_flight + self.probes_ended < HALF_OPEN_PROBES
 
     def start_probe(self) -> int:
         """Return the half-open episode that an attempt sent now probes, or 0 for an ordinary attempt."""
@@ -102,10 +116,11 @@
         if probe_episode != self.episode:
             return None
         self.probes_in_flight -= 1
-        self.probe_failures.append(is_failure)
-        if sum(self.probe_failures) >= HALF_OPEN_PROBES * failure_limit(fleet_failure_ratio):
+        self.probes_ended += 1
+        self.probes_failed += is_failure
+        if self.probes_failed >= HALF_OPEN_PROBES * failure_limit(fleet_failure_ratio):
             return self.reopen(now_us)  # the outcomes still to come can't save it
-        return self.close() if len(self.probe_failures) == HALF_OPEN_PROBES else None
+        return self.close() if self.probes_ended == HALF_OPEN_PROBES else None
 
     def reopen(self, now_us: int) -> BreakerState:
         """Open at once; from half-open for twice as long."""
--- /dev/null
+++ b/cloverkeel/balancing/request_lifecycle.py
@@ -0,0 +1,278 @@
+"""The way of a request: from its arrival over its attempts to its one final answer.
+
+Invariants: each request gets one final answer at most; a request is kept until no attempt of it is in flight; what
+may have run is sent again only where its class allows that.
+"""
+
+from __future__ import annotations
+
+from typing import Final
+
+from cloverkeel.balancing.actions import Fail
+from cloverkeel.balancing.attempt_sender import AttemptSender
+from cloverkeel.balancing.attempts import Request
+from cloverkeel.balancing.events import NEVER_RAN, AttemptEnded, Outcome, RequestArrived, RequestGone, StreamStarted
+from cloverkeel.balancing.final_answers import FinalAnswers
+from cloverkeel.balancing.key_queues import KeyQueues
+from cloverkeel.balancing.latency_model import WorkModel
+from cloverkeel.balancing.outlier_detection import OutlierDetector
+from cloverkeel.balancing.retry_budget import ERROR_RETRY_COST, FULL_RETRY_COST, RetryBudget
+from cloverkeel.balancing.settings import Effect, Settings
+from cloverkeel.balancing.tenant_fairness import TenantFairness
+
+MAY_STILL_RUN: Final = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
+
+
+class RequestLifecycle:
+    """Hold the requests in flight, and lead each from its arrival to its end."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        work: WorkModel,
+        retry_budget: RetryBudget,
+        outliers: OutlierDetector,
+        sender: AttemptSender,
+        final_answers: FinalAnswers,
+    ) -> None:
+        self.settings = settings
+        self.work = work
+        self.retry_budget = retry_budget
+        self.outliers = outliers
+        self.sender = sender
+        self.final_answers = final_answers
+        # What the others learn and use too.
+        self.latency = sender.latency
+        self.load_shedder = sender.load_shedder
+        self.client_timeouts = outliers.client_timeouts
+        self.timers = sender.timers
+        self.expiry_scan = sender.expiry_scan
+        self.buffer = sender.buffer
+        self.tenant_fairness = TenantFairness(settings)
+        self.key_queues = KeyQueues()
+        self.requests: dict[str, Request] = {}
+
+    def on_request_arrived(self, now_us: int, event: RequestArrived) -> None:
+        """Send a request, queue it behind others of its key, or refuse it."""
+        if event.request in self.requests:
+            self.buffer.log(now_us, f"balancer: duplicate request ignored, request={event.request}")
+            return
+        if not 0 <= event.klass < len(self.settings.classes):
+            self.buffer.log(now_us, f"balancer: unknown class, request={event.request} class={event.klass}")
+            self.buffer.actions.append(Fail(event.request))
+            return
+        request = self.admit(now_us, event)
+        self.requests[request.id_] = request
+        if self.load_shedder.should_shed(now_us, request):
+            self.answer_unserved(now_us, request, "shed")
+        elif not self.waits_for_key(now_us, request) and not self.sender.send(now_us, request):
+            self.answer_unserved(now_us, request, "none")
+
+    def admit(self, now_us: int, event: RequestArrived) -> Request:
+        """Learn from a request, and return the state that is kept of it."""
+        class_index = event.klass
+        used_us = self.client_timeouts.record(event)
+        is_first_try = not event.is_retry and used_us == 0
+        size = self.work.record(class_index, event.work_us)
+        if is_first_try:
+            self.retry_budget.deposit(now_us)
+            self.load_shedder.record_first_try(class_index)
+        return Request(
+            event.request,
+            class_index,
+            event.key,
+            now_us + event.patience_us,
+            now_us + max(0, self.settings.classes[class_index].aim_us - used_us),
+            size,
+            is_first_try,
+            self.tenant_fairness.record(event.tenant),
+        )
+
+    def waits_for_key(self, now_us: int, request: Request) -> bool:
+        """Queue a request of an in-order class by its key; True unless its turn is now.
+
+        A queue grows no longer than can be served from: who would come too late is refused when that is clear.
+        """
+        if request.key is None or not self.settings.classes[request.class_index].in_order:
+            return False
+        expected_us = self.latency.expected_us(request.class_index, request.size)
+        last_us = self.sender.end_us(now_us, request) - int(expected_us)
+        length = self.key_queues.length(request.key)
+        if length and now_us + length * expected_us > last_us:
+            self.answer_unserved(now_us, request)
+            return True
+        if self.key_queues.append(request.key, request):
+            return False
+        self.timers.start(last_us, request)
+        return True
+
+    def forget(self, now_us: int, request: Request) -> None:
+        """Forget a request that is over; in order, the next of its key has its turn once the key rested.
+
+        Only the request itself: a timer of one that was answered may come when its id was given again.
+        """
+        if self.requests.get(request.id_) is request:
+            del self.requests[request.id_]
+        key = request.key
+        if key is None or not self.key_queues.contains(request):
+            return
+        if now_us < request.key_rests_until_us:
+            self.timers.start(request.key_rests_until_us, request)
+            return
+        successor = self.key_queues.remove(key, request)
+        if successor is None or successor.is_answered:
+            return
+        if not self.sender.send(now_us, successor):
+            self.answer_unserved(now_us, successor)
+
+    def answer_unserved(self, now_us: int, request: Request, reason: str = "turn") -> None:
+        """Give the final answer when no attempt is in flight and none is to come."""
+        if not request.is_answered:
+            self.final_answers.give(now_us, request, reason)
+            self.finish(now_us, request)
+
+    def finish(self, now_us: int, request: Request) -> None:
+        """Note that a request needs no answer any more; cancel what is still in flight for it."""
+        request.is_answered = True
+        if request.in_flight == 0:
+            self.forget(now_us, request)
+        elif not request.is_streaming:
+            self.sender.cancel_attempts(request)
+
+    def on_request_gone(self, now_us: int, event: RequestGone) -> None:
+        """Finish a request whose client has disconnected."""
+        request = self.requests.get(event.request)
+        if request is not None and not request.is_answered:
+            self.finish(now_us, request)
+
+    def on_answer_all(self, now_us: int) -> None:
+        """Answer all requests in flight but those that stream: the process ends."""
+        for request in [request for request in self.requests.values() if not request.is_streaming]:
+            self.answer_unserved(now_us, request, "ending")
+
+    def on_stream_started(self, now_us: int, event: StreamStarted) -> None:
+        """Cancel other attempts; the server that answers isn't silent or crowded, however long the rest takes."""
+        request = self.requests.get(event.request)
+        if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
+            return
+        request.is_streaming = True
+        if request.is_first_try and now_us <= request.objective_us:
+            self.load_shedder.record_served(request.class_index)
+        attempt = request.attempts[event.attempt]
+        attempt.server.in_flight.pop(attempt, None)
+        self.sender.cancel_attempts(request, event.attempt)
+
+    def on_timer_fired(self, now_us: int, token: int) -> None:
+        """Do what a request's timer was set for."""
+        request = self.timers.pop(token)
+        if request is None:
+            return
+        if request.in_flight == 0:
+            self.forget_or_answer(now_us, request)
+        elif not request.is_answered:
+            self.on_attempt_overdue(now_us, request)
+
+    def forget_or_answer(self, now_us: int, request: Request) -> None:
+        """Forget a request with no attempt in flight, after its final answer if it has had none."""
+        if request.is_answered:
+            self.forget(now_us, request)
+        else:
+            self.answer_unserved(now_us, request)
+
+    def on_attempt_overdue(self, now_us: int, request: Request) -> None:
+        """Hedge a request whose attempt should have been answered by now, where the settings allow that.
+
+        Guards, by its limits, against an overload that feeds itself.
+        """
+        if request.is_streaming:
+            return
+        overdue = [attempt for attempt in request.attempts if not attempt.has_ended]
+        for attempt in overdue:
+            attempt.is_overdue = True
+        if not overdue or not self.settings.second_copies or self.load_shedder.low_priority_ratio > 0.0:
+            return
+        if not self.retry_budget.can_withdraw(now_us, FULL_RETRY_COST):
+            return
+        if len(request.attempts) < self.settings.max_attempts and self.sender.send(now_us, request):
+            self.retry_budget.withdraw(FULL_RETRY_COST)
+
+    def on_attempt_ended(self, now_us: int, event: AttemptEnded) -> None:
+        """Learn from an attempt's end, and finish its request or retry it."""
+        request = self.requests.get(event.request)
+        if request is None or not 0 <= event.attempt < len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt]
+        if attempt.has_ended:
+            return
+        is_unproven = event.outcome is Outcome.FULL and self.settings.full_unproven
+        attempt.may_have_run = event.outcome not in NEVER_RAN or is_unproven
+        if event.outcome in MAY_STILL_RUN:
+            request.key_rests_until_us = now_us + self.settings.key_rest_us
+        self.sender.take_back(request, attempt)
+        self.outliers.record_outcome(now_us, request, attempt, event)
+        if request.is_answered:
+            if request.in_flight == 0:
+                self.forget(now_us, request)
+        elif event.finished or event.outcome is Outcome.OK or request.is_streaming:
+            self.record_served(now_us, request, event.outcome)
+            self.finish(now_us, request)
+        elif request.in_flight == 0:
+            self.retry(now_us, request, event.outcome)
+
+    def record_served(self, now_us: int, request: Request, outcome: Outcome) -> None:
+        """Count a first try that was answered within its objective; of a stream its start counts."""
+        if outcome is not Outcome.OK or request.is_streaming or not request.is_first_try:
+            return
+        if now_us <= request.objective_us:
+            self.load_shedder.record_served(request.class_index)
+
+    def retry(self, now_us: int, request: Request, outcome: Outcome) -> None:
+        """Send another attempt after the last one in flight has failed, or give the final answer."""
+        has_run = request.may_have_run()
+        cost = FULL_RETRY_COST if outcome is Outcome.TIMEOUT else ERROR_RETRY_COST
+        if self.can_retry(now_us, request, outcome, has_run, cost) and self.sender.send(now_us, request):
+            if has_run:
+                self.retry_budget.withdraw(cost)
+        else:
+            self.answer_unserved(now_us, request, outcome.value)
+
+    def can_retry(self, now_us: int, request: Request, outcome: Outcome, has_run: bool, cost: float) -> bool:
+        """Tell whether a request may be sent once more; what may have run needs tokens and a class that allows it."""
+        # Asked in any case: shedding draws at random.
+        if outcome is Outcome.TIMEOUT:
+            is_shed = self.load_shedder.low_priority_ratio > 0.0
+        else:
+            is_shed = self.load_shedder.should_shed(now_us, request)
+        left_us = self.sender.end_us(now_us, request) - now_us
+        if left_us <= self.latency.expected_unloaded_us(request.class_index, request.size):
+            return False
+        if len(request.attempts) >= self.settings.max_attempts:
+            return False
+        if not has_run:
+            return True
+        if is_shed or self.settings.classes[request.class_index].effect is Effect.UNSAFE:
+            return False
+        return self.retry_budget.can_withdraw(now_us, cost)
+
+    def on_expiry_scan(self, now_us: int) -> None:
+        """Count attempts that nobody ended as ended, and scan again while any is in flight."""
+        if self.expiry_scan.begin(now_us) and self.sender.in_flight:
+            for request in list(self.requests.values()):
+                self.expire_attempts(now_us, request)
+        if self.sender.in_flight:
+            self.expiry_scan.schedule(now_us)
+
+    def expire_attempts(self, now_us: int, request: Request) -> None:
+        """Count a request's attempts that nobody ended as ended."""
+        expired = self.expiry_scan.expired_attempts(now_us, request)
+        if not expired:
+            return
+        for attempt in expired:
+            self.sender.take_back(request, attempt)
+            attempt.server.breaker.abandon_probe(attempt.probe_episode)
+            health = attempt.server.class_health(request.class_index)
+            health.breaker.abandon_probe(attempt.class_probe_episode)
+        server = expired[0].server.entry.server
+        self.buffer.log(now_us, f"balancer: DEFECT: attempt expired, request={request.id_} server={server}")
+        if request.in_flight == 0:
+            self.forget_or_answer(now_us, request)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,8 @@
     ServerList,
 )
 from cloverkeel.balancing.settings import Effect, RequestClass, Scope, Settings
-from cloverkeel.balancing.balancer import Balancer, SWEEP_TOKEN
+from cloverkeel.balancing.balancer import Balancer
+from cloverkeel.balancing.request_timers import EXPIRY_TOKEN
 from cloverkeel.balancing.circuit_breaker import BreakerState, CircuitBreaker, MIN_OUTCOMES
 
 SAFE = RequestClass(aim_us=200_000, give_up_us=400_000, worth=3.0, late_worth=0.2, effect=Effect.SAFE)
@@ -80,7 +81,7 @@
 
 def timers(actions: list[Action]) -> list[SetTimer]:
     """Those of requests and of the list: the sweep's says nothing of either."""
-    return [action for action in actions if isinstance(action, SetTimer) and action.token != SWEEP_TOKEN]
+    return [action for action in actions if isinstance(action, SetTimer) and action.token != EXPIRY_TOKEN]
 
 
 def trip(breaker: CircuitBreaker, now_us: int) -> None:
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -6,7 +6,9 @@
 
 from tests.helpers import Driver, sends, trip
 from cloverkeel.balancing.events import ListKind, ListedServer, Outcome, RequestGone
-from cloverkeel.balancing.balancer import CEILING, CUT, FLOOR, SHED_STEP, STEP, SUBSET
+from cloverkeel.balancing.load_shedding import SHED_STEP
+from cloverkeel.balancing.subset import MIN_SUBSET_SIZE
+from cloverkeel.balancing.weight_controller import MAX_WEIGHT, MIN_WEIGHT, WEIGHT_CUT, WEIGHT_STEP
 from cloverkeel.balancing.retry_budget import ERROR_RETRY_COST, RETRY_RATIO
 from cloverkeel.balancing.circuit_breaker import (
     BreakerState,
@@ -108,7 +110,7 @@
         actions = driver.end(name, server, Outcome.RESET if server == 0 else Outcome.OK)
         for again in sends(actions):
             driver.end(name, again.server, attempt=1)
-    assert driver.balancer.servers[0].breaker.state is BreakerState.OPEN
+    assert driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN
     for _ in range(50):
         name, actions = driver.arrive()
         assert sends(actions)[0].server != 0
@@ -117,50 +119,52 @@
 
 def test_weight_steps_up_and_is_cut() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints.by_server[0]
     server.weight = 0.5
     name, _ = driver.arrive()
     driver.end(name, 0)
-    assert server.weight == 0.5 + STEP
+    assert server.weight == 0.5 + WEIGHT_STEP
     name, _ = driver.arrive(klass=2)
     driver.end(name, 0, Outcome.RESET)
-    assert server.weight == (0.5 + STEP) * CUT
+    assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
     name, _ = driver.arrive(klass=2)
     driver.end(name, 0, Outcome.ERROR)  # the other class's last answer was good: this class's own
-    assert server.weight == (0.5 + STEP) * CUT and server.part(2).weight == CEILING * CUT
+    assert (
+        server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT and server.class_health(2).weight == MAX_WEIGHT * WEIGHT_CUT
+    )
 
 
 def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints.by_server[0]
     name, _ = driver.arrive()
     driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
-    assert server.weight == CEILING * CUT
+    assert server.weight == MAX_WEIGHT * WEIGHT_CUT
 
 
 def test_weight_stays_between_floor_and_ceiling() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints.by_server[0]
     for _ in range(40):
-        driver.balancer.adjust_weight(server, True)
-    assert server.weight == FLOOR
+        driver.balancer.endpoints.adjust_weight(server, True)
+    assert server.weight == MIN_WEIGHT
     for _ in range(400):
-        driver.balancer.adjust_weight(server, False)
-    assert server.weight == CEILING
+        driver.balancer.endpoints.adjust_weight(server, False)
+    assert server.weight == MAX_WEIGHT
 
 
 def test_a_newcomer_starts_at_the_mean_weight() -> None:
     driver = Driver(servers=2)
     for server, cuts in ((0, 3), (1, 1)):  # by the controller: it keeps the sum that the mean is made of
         for _ in range(cuts):
-            driver.balancer.adjust_weight(driver.balancer.servers[server], bad=True)
+            driver.balancer.endpoints.adjust_weight(driver.balancer.endpoints.by_server[server], is_bad=True)
     driver.list_servers(ListedServer(9), kind=ListKind.DELTA)
-    assert driver.balancer.servers[9].weight == pytest.approx((CUT**3 + CUT) / 2, rel=1e-12)
+    assert driver.balancer.endpoints.by_server[9].weight == pytest.approx((WEIGHT_CUT**3 + WEIGHT_CUT) / 2, rel=1e-12)
 
 
 def test_a_closed_again_server_regains_its_weight() -> None:
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints.by_server[0]
     for _ in range(MIN_OUTCOMES):
         name, actions = driver.arrive(klass=2)
         assert sends(actions)
@@ -173,7 +177,7 @@
         assert sends(actions)
         driver.end(name, 0)
     assert server.breaker.state.value == "closed"
-    assert server.weight == max(FLOOR, weight)
+    assert server.weight == max(MIN_WEIGHT, weight)
 
 
 def test_a_failed_connect_of_a_trial_reopens_at_once_for_longer() -> None:
@@ -181,7 +185,7 @@
     driver = Driver(servers=1)
     name, _ = driver.arrive()
     driver.end(name, 0, Outcome.CONNECT_FAILED)
-    breaker = driver.balancer.servers[0].breaker
+    breaker = driver.balancer.endpoints.by_server[0].breaker
     driver.now_us = breaker.open_until_us
     name, actions = driver.arrive()
     assert sends(actions) and breaker.state is BreakerState.HALF_OPEN
@@ -203,7 +207,7 @@
             outcome = Outcome.RESET if failed else Outcome.OK
             actions = driver.end(name, sent[0].server, outcome, attempt=attempt)
             attempt += 1
-        opened += sum(s.breaker.state is BreakerState.OPEN for s in driver.balancer.servers.values())
+        opened += sum(s.breaker.state is BreakerState.OPEN for s in driver.balancer.endpoints.by_server.values())
     return opened / count / 10, driver
 
 
@@ -211,7 +215,7 @@
     """Breakers tripped one after the other on resets that hit every server alike, and crowded the rest."""
     assert sum(play_failures(0.35, seed)[0] for seed in range(4)) / 4 < 0.12
     _, driver = play_failures(0.25, seed=1, dead=3)
-    states = {number: server.breaker.state for number, server in driver.balancer.servers.items()}
+    states = {number: server.breaker.state for number, server in driver.balancer.endpoints.by_server.items()}
     assert states[3] is not BreakerState.CLOSED
     assert sum(state is not BreakerState.CLOSED for state in states.values()) <= 2
 
@@ -219,7 +223,7 @@
 def test_an_unsafe_request_is_not_refused_while_closed_servers_lie_beyond_the_subset() -> None:
     """Half-open servers, which it must not be a trial of, took up the places of those that may serve it."""
     driver = Driver(servers=10)
-    for server in driver.balancer.ranked[:SUBSET]:
+    for server in driver.balancer.endpoints.ranked[:MIN_SUBSET_SIZE]:
         server.breaker.open(driver.now_us)
     driver.now_us += INITIAL_COOLDOWN_US
     _, actions = driver.arrive(klass=2, patience_us=1_000_000)
@@ -228,8 +232,11 @@
 
 def test_after_a_reset_a_repeat_costs_less_and_goes_on_while_little_is_shed() -> None:
     driver = Driver(servers=10)
-    driver.balancer.retry_budget.tokens, driver.balancer.shed = ERROR_RETRY_COST - RETRY_RATIO, SHED_STEP
-    driver.balancer.random.seed(1)
+    driver.balancer.retry_budget.tokens, driver.balancer.load_shedder.low_priority_ratio = (
+        ERROR_RETRY_COST - RETRY_RATIO,
+        SHED_STEP,
+    )
+    driver.balancer.rng.seed(1)
     name, actions = driver.arrive(klass=1, patience_us=800_000)
     again = sends(driver.end(name, sends(actions)[0].server, Outcome.RESET))
     assert again and driver.balancer.retry_budget.tokens == 0
@@ -243,7 +250,7 @@
     for number in range(2000):
         driver.now_us += 3_000
         klass = int(number % 4 == 1)
-        driver.balancer.shed = driver.balancer.shed_dear = 0.0
+        driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
         name, actions = driver.arrive(klass=klass, patience_us=400_000)
         (sent,) = sends(actions)
         if sent.server == 2 and klass == 1:
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -38,7 +38,7 @@
 
 
 def share(driver: Driver, lent_us: int = 0, granted: float = 0.0, granted_us: int = 0) -> None:
-    started_us = driver.balancer.servers[SERVER].entry.started_us
+    started_us = driver.balancer.endpoints.by_server[SERVER].entry.started_us
     driver.handle(SlowStartQuota(SERVER, started_us, lent_us, granted, granted_us))
 
 
@@ -96,7 +96,7 @@
     driver.handle(SlowStartQuota(SERVER, 7, driver.now_us + 1_000_000))
     driver.handle(SlowStartQuota(99, 7, driver.now_us + 1_000_000))
     share(driver, driver.now_us, 9.0, driver.now_us)  # over already
-    assert driver.balancer.share_at(driver.balancer.servers[SERVER], driver.now_us) == 1.0
+    assert driver.balancer.endpoints.by_server[SERVER].slow_start.quotas_at(driver.now_us) == 1.0
 
 
 def test_no_cold_server_is_used_while_a_process_before_may_have_lent_its_part() -> None:
--- a/tests/test_duties_trials.py
+++ b/tests/test_duties_trials.py
@@ -11,12 +11,12 @@
 
 def tripped(servers: int = 4) -> Driver:
     driver = Driver(servers=servers)
-    trip(driver.balancer.servers[0].breaker, driver.now_us)
+    trip(driver.balancer.endpoints.by_server[0].breaker, driver.now_us)
     return driver
 
 
 def is_tried(driver: Driver) -> bool:
-    return driver.balancer.is_eligible(driver.balancer.servers[0], 0)
+    return driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
 
 
 def test_a_server_that_another_tries_is_not_tried_until_that_ends() -> None:
@@ -34,12 +34,12 @@
     driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     driver.now_us += 1_000
     driver.handle(ProbesSuspended(0, 0))
-    assert is_tried(driver) and driver.balancer.servers[0].breaker.state is BreakerState.HALF_OPEN
+    assert is_tried(driver) and driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.HALF_OPEN
 
 
 def test_nobody_waits_where_next_to_nothing_is_left() -> None:
     driver = tripped(servers=3)
-    trip(driver.balancer.servers[1].breaker, driver.now_us)
+    trip(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
     driver.now_us += INITIAL_COOLDOWN_US
     driver.handle(ProbesSuspended(0, driver.now_us + HOLD_US))
     assert is_tried(driver)
@@ -50,7 +50,7 @@
     assert driver.balancer.outs(driver.now_us) == [(0, True)]
     late_us = driver.now_us + 2 * INITIAL_COOLDOWN_US + 1
     assert driver.balancer.outs(late_us) == [(0, False)]  # no request has come that could be risked
-    driver.balancer.servers[0].breaker.close()
+    driver.balancer.endpoints.by_server[0].breaker.close()
     assert driver.balancer.outs(late_us) == []
 
 
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -49,9 +49,11 @@
     for event, came in stream.play():
         assert not came.startswith("raised"), (event, came)
         if isinstance(event, ServerList):
-            servers = stream.balancer.servers.values()
-            assert stream.balancer.ranked == sorted(servers, key=lambda server: server.rank)
-            assert stream.balancer.weights == pytest.approx(sum(server.weight for server in servers), abs=1e-9)
+            servers = stream.balancer.endpoints.by_server.values()
+            assert stream.balancer.endpoints.ranked == sorted(servers, key=lambda server: server.rank)
+            assert stream.balancer.endpoints.weight_sum == pytest.approx(
+                sum(server.weight for server in servers), abs=1e-9
+            )
 
 
 class Unwalked(dict[int, Any]):
@@ -67,15 +69,17 @@
     balancer = Balancer(RULES, seed=1)
     hosts = tuple(ListedServer(number) for number in range(500))
     balancer.handle(BEGIN_US, ServerList(ListKind.FULL, hosts))
-    balancer.servers = Unwalked(balancer.servers)
+    balancer.endpoints.by_server = Unwalked(balancer.endpoints.by_server)
     for entry in (
         ListedServer(7, weight=2.0), ListedServer(7, started_us=BEGIN_US), ListedServer(900, started_us=BEGIN_US),
         ListedServer(8, ServerStatus.DRAINING), ListedServer(9, ServerStatus.GONE), ListedServer(9),
     ):  # fmt: skip
         balancer.handle(BEGIN_US, ServerList(ListKind.DELTA, (entry,)))
         listed = entry.status is not ServerStatus.GONE
-        assert [server.entry for server in balancer.ranked if server.entry.server == entry.server] == [entry] * listed
-    assert len(balancer.ranked) == 501
+        assert [server.entry for server in balancer.endpoints.ranked if server.entry.server == entry.server] == [
+            entry
+        ] * listed
+    assert len(balancer.endpoints.ranked) == 501
 
 
 @settings(max_examples=60, deadline=None)
@@ -88,9 +92,11 @@
         cold = ListedServer(10_000, started_us=BEGIN_US, users=len(fleet))
         listed = (cold, *(ListedServer(n * 17 + number) for n in range(hosts)))
         balancer.handle(BEGIN_US, ServerList(ListKind.FULL, listed))
-        balancer.reach = reach
-        at_once_us, evenly_us = balancer.cold_part_us(balancer.servers[10_000])
-        parts += (at_once_us + evenly_us) / balancer.cold_share(balancer.servers[10_000])
+        balancer.subset.size = reach
+        endpoint = balancer.endpoints.by_server[10_000]
+        at_once_us = balancer.slow_start.burst_us(balancer.now_us, endpoint)
+        evenly_us = balancer.slow_start.window_us(balancer.now_us, endpoint)
+        parts += (at_once_us + evenly_us) / balancer.slow_start.capacity_ratio(balancer.now_us, endpoint)
     assert parts <= RULES.fall_multiple * RULES.fall_us
 
 
@@ -198,7 +204,7 @@
     async with running(configuration("127.0.0.1:9")) as run:
         run.gateway.on_list(ListKind.FULL, serving(range(500)))  # nearly all new: told in one piece
         lists = lists_told(run)
-        gone = {*range(20), *range(491, 499), *run.module.servers} - {*range(20, 491), 499}
+        gone = {*range(20), *range(491, 499), *run.module.endpoints.by_server} - {*range(20, 491), 499}
         anew, drains = word(490, started_us=BEGIN_US), word(499, ServerStatus.DRAINING)
         listed = [*serving(range(20, 490), weight=0.5), *serving(range(500, 600)), anew, drains]
         run.gateway.on_list(ListKind.FULL, listed)
@@ -217,7 +223,7 @@
             assert len(lists) <= before + 1
             turns += 1
         assert turns >= 569 / SLICE and all(len(event.servers) <= SLICE for event in lists)
-        assert set(run.module.servers) == {entry.listed.server for entry in listed if entry is not last}
+        assert set(run.module.endpoints.by_server) == {entry.listed.server for entry in listed if entry is not last}
         assert run.pools.known() == len(listed) - 1
 
 
@@ -241,10 +247,10 @@
         await asyncio.sleep(0)
         assert not run.gateway.slices.waiting and run.gateway.still.holds
         run.gateway.on_list(ListKind.DELTA, [word(7, weight=0.25)])
-        weights = {number: run.module.servers[number].entry.weight for number in range(300)}
+        weights = {number: run.module.endpoints.by_server[number].entry.weight for number in range(300)}
         assert weights.pop(7) == 0.25 and set(weights.values()) == {0.5}
         run.gateway.on_list(ListKind.DELTA, serving(range(300), weight=0.75))
-        assert {run.module.servers[number].entry.weight for number in range(300)} == {0.75}
+        assert {run.module.endpoints.by_server[number].entry.weight for number in range(300)} == {0.75}
 
 
 # The collector
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -127,7 +127,7 @@
 
     def state(self) -> dict[int, tuple[object, ...]]:
         hosts = self.program.pools.hosts
-        servers = self.gateway.balancer.servers  # type: ignore[attr-defined]
+        servers = self.gateway.balancer.endpoints.by_server  # type: ignore[attr-defined]
         assert hosts.keys() == servers.keys()
         return {n: (servers[n].entry, hosts[n].started_us, hosts[n].drained_us is None) for n in hosts}
 
@@ -359,7 +359,7 @@
         await until(lambda: waiting and not run.gateway.slices.waiting)
         assert waiting[0] > 0
         assert run.pools.hosts[host_id(MANY - 1)].drained_us is not None
-        assert run.module.servers[host_id(0)].entry.weight == 0.5
+        assert run.module.endpoints.by_server[host_id(0)].entry.weight == 0.5
 
 
 @pytest.mark.parametrize("how", ["move", "fetch", "stop", "close", "unfit"])
--- a/tests/test_membership_ephemeral.py
+++ b/tests/test_membership_ephemeral.py
@@ -105,7 +105,7 @@
 def listed(program: Any) -> dict[str, Any]:
     """The decision module's list: what it may send to."""
     names = {stable_id(name, 4): name for name in program.discovery.merge.members}
-    servers = program.gateway.balancer.servers
+    servers = program.gateway.balancer.endpoints.by_server
     return {names.get(id_, "?"): server for id_, server in servers.items()}
 
 
@@ -145,7 +145,7 @@
         await until_listed(program, "s-1")
         service.register("s-0", "127.0.0.1:9001", since_ms=1_000)
         await until_listed(program, "s-0", "s-1")
-        assert listed(program)["s-0"] is first and first.warm_at_us <= 1_000_000
+        assert listed(program)["s-0"] is first and first.slow_start.ends_at_us <= 1_000_000
         service.expire("s-0")
         await until_listed(program, "s-1")
         service.register("s-0", "127.0.0.1:9001", since_ms=2_000)  # a new process
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -14,7 +14,6 @@
 
 # Ceilings of what an earlier style left behind. No entry is added or raised; one that is no longer needed goes.
 OVERSIZED_MODULES = {
-    "cloverkeel/balancing/balancer.py": 1327,
     "cloverkeel/control_plane/endpoint_cache.py": 535,
     "cloverkeel/control_plane/http_server.py": 668,
     "cloverkeel/core/gateway.py": 526,
@@ -32,7 +31,6 @@
     "cloverkeel/__main__.py:run": 85,
     "cloverkeel/__main__.py:serve": 52,
     "cloverkeel/assembly.py:assemble": 42,
-    "cloverkeel/balancing/balancer.py:judge": 46,
     "cloverkeel/control_plane/command.py:run": 59,
     "cloverkeel/control_plane/endpoint_cache.py:answer_delta": 47,
     "cloverkeel/control_plane/fleet_roster.py:parse_roster": 81,
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -239,12 +239,12 @@
 from benchmarks.streams import Stream
 def resident() -> int:
     return int(open("/proc/self/statm").read().split()[1]) * 4096
-from cloverkeel.balancing.balancer import rendezvous
+from cloverkeel.balancing.affinity import rendezvous_rank
 for seed in range(6):
     list(Stream(seed, 1000).play())
 before = resident()
 for number in range(100_000):
-    rendezvous(number * 0x9E3779B97F4A7C15 % 2**64, number, 1.0)
+    rendezvous_rank(number * 0x9E3779B97F4A7C15 % 2**64, number, 1.0)
 for seed in range(6):
     list(Stream(seed, 1000).play())
 print(resident() - before)
--- a/tests/test_overload_picture.py
+++ b/tests/test_overload_picture.py
@@ -147,7 +147,7 @@
         'cloverkeel: tally {"ms":20500,"shed":[0.5,0.1],"asked":[9],"refused":[1],"why":{"shed":1},"failed":[0],'
         '"opened":0,"lines":0,"hosts":{"1":[7,1,0,2,3,0,0,1,9],"2":[1,0,0,0,1,0,0,0,0]}}'
     )
-    trip = "cloverkeel: server 2: breaker open for 1 s"
+    trip = "cloverkeel: circuit breaker: opened, server=2 cooldown_s=1"
     (tmp_path / "n0.log").write_text("\n".join([trip, trip, "cloverkeel: ready", line, line]))
     first, second = told_of(tmp_path)
     assert (first.at_us, first.why, first.shed) == (20_000_000, {"shed": 1}, (0.5, 0.1))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -13,4 +13,4 @@
     exec(code, names)
     send = names["send"]
     assert isinstance(send, Send) and send.server in (1, 2)
-    assert not names["balancer"].requests  # type: ignore[attr-defined]
+    assert not names["balancer"].lifecycle.requests  # type: ignore[attr-defined]
--- a/tests/test_repeated_ids.py
+++ b/tests/test_repeated_ids.py
@@ -10,7 +10,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from cloverkeel.balancing.balancer import MEMORY, SWEEP_US, WRITE_OFF_US, Balancer
+from cloverkeel.balancing.balancer import Balancer
+from cloverkeel.balancing.expiry_scan import EXPIRED_AFTER_US, SCAN_INTERVAL_US
+from cloverkeel.balancing.load_shedding import COUNT_MEMORY
 from cloverkeel.balancing.actions import Action, Cancel, Fail, Log, Refuse, Send, SetTimer
 from cloverkeel.balancing.events import (
     AttemptEnded,
@@ -39,10 +41,10 @@
     for timer in due:
         driver.now_us = max(driver.now_us, timer.due_us)
         driver.handle(TimerFired(timer.token))
-    assert "r" in driver.balancer.requests
+    assert "r" in driver.balancer.lifecycle.requests
     driver.end("r", second.server)
-    assert not driver.balancer.requests and not driver.balancer.out
-    assert not any(server.out for server in driver.balancer.servers.values())
+    assert not driver.balancer.lifecycle.requests and not driver.balancer.sender.in_flight
+    assert not any(server.in_flight for server in driver.balancer.endpoints.by_server.values())
 
 
 def test_an_attempt_that_nobody_ends_is_written_off_and_said_to_be_a_defect() -> None:
@@ -50,36 +52,36 @@
     name, actions = driver.arrive(2, 400_000)
     (sent,) = sends(actions)
     said: list[Action] = []
-    while not finals(said) and driver.now_us < START_US + 10 * (WRITE_OFF_US + SWEEP_US):
-        driver.now_us += SWEEP_US
+    while not finals(said) and driver.now_us < START_US + 10 * (EXPIRED_AFTER_US + SCAN_INTERVAL_US):
+        driver.now_us += SCAN_INTERVAL_US
         said += driver.handle(TimerFired(1))
-    assert START_US + sent.timeout_us + WRITE_OFF_US < driver.now_us
+    assert START_US + sent.timeout_us + EXPIRED_AFTER_US < driver.now_us
     assert finals(said) == [Fail(name)]  # unsafe, and it may have run
     assert any(isinstance(action, Log) and "DEFECT" in action.line for action in said)
-    assert not driver.balancer.out and not driver.balancer.servers[sent.server].out
-    assert not driver.balancer.sweep_us  # nothing is out: the sweep rests
+    assert not driver.balancer.sender.in_flight and not driver.balancer.endpoints.by_server[sent.server].in_flight
+    assert not driver.balancer.expiry_scan.due_at_us  # nothing is out: the sweep rests
     driver.end(name, sent.server)  # and its end, when it comes after all, changes nothing
-    assert not driver.balancer.out
+    assert not driver.balancer.sender.in_flight
 
 
 def test_the_sweep_spares_what_is_within_its_time_and_what_streams() -> None:
     driver = Driver()
     name, actions = driver.arrive(0, 400_000)
     (sent,) = sends(actions)
-    driver.now_us += sent.timeout_us + WRITE_OFF_US  # the last moment
-    assert not finals(driver.handle(TimerFired(1))) and driver.balancer.out == 1
+    driver.now_us += sent.timeout_us + EXPIRED_AFTER_US  # the last moment
+    assert not finals(driver.handle(TimerFired(1))) and driver.balancer.sender.in_flight == 1
     driver.handle(StreamStarted(name, 0))
-    driver.now_us += 10 * WRITE_OFF_US
-    assert not finals(driver.handle(TimerFired(1))) and driver.balancer.out == 1
+    driver.now_us += 10 * EXPIRED_AFTER_US
+    assert not finals(driver.handle(TimerFired(1))) and driver.balancer.sender.in_flight == 1
 
 
 def test_a_sweep_that_comes_late_writes_nothing_off_until_the_next() -> None:
     driver = Driver()
     name, actions = driver.arrive(2, 400_000)
     (sent,) = sends(actions)
-    driver.now_us += sent.timeout_us + 2 * WRITE_OFF_US  # whoever carries it out stood still as well
+    driver.now_us += sent.timeout_us + 2 * EXPIRED_AFTER_US  # whoever carries it out stood still as well
     said = driver.handle(TimerFired(1))
-    assert not finals(said) and driver.balancer.out == 1
+    assert not finals(said) and driver.balancer.sender.in_flight == 1
     (again,) = [action for action in said if isinstance(action, SetTimer)]
     driver.now_us = again.due_us
     assert finals(driver.handle(TimerFired(1))) == [Fail(name)]
@@ -105,7 +107,7 @@
         self.give(ServerList(ListKind.FULL, tuple(ListedServer(n, group=n % 2) for n in range(3))))
 
     def give(self, event: Any) -> list[Action]:
-        if isinstance(event, RequestArrived) and event.request not in self.balancer.requests:
+        if isinstance(event, RequestArrived) and event.request not in self.balancer.lifecycle.requests:
             self.sent[event.request] = 0
             self.owed.add(event.request)
         actions = self.balancer.handle(self.now_us, event)
@@ -184,11 +186,14 @@
     @invariant()
     def counts_agree(self) -> None:
         balancer = self.balancer
-        assert balancer.out == sum(request.out for request in balancer.requests.values())
-        for known in balancer.requests.values():
-            assert known.out == sum(not attempt.ended for attempt in known.attempts)
-        assert sum(len(server.out) for server in balancer.servers.values()) <= balancer.out
-        assert self.owed <= balancer.requests.keys()
+        assert balancer.sender.in_flight == sum(request.in_flight for request in balancer.lifecycle.requests.values())
+        for known in balancer.lifecycle.requests.values():
+            assert known.in_flight == sum(not attempt.has_ended for attempt in known.attempts)
+        assert (
+            sum(len(server.in_flight) for server in balancer.endpoints.by_server.values())
+            <= balancer.sender.in_flight
+        )
+        assert self.owed <= balancer.lifecycle.requests.keys()
 
     def teardown(self) -> None:
         """Quiet: what the drawn events left out ends or is lost, each timer fires; then all is as new."""
@@ -196,7 +201,7 @@
             if lost % 2:  # every other one is never heard of again
                 self.give(AttemptEnded(id_, number, server, Outcome.RESET, 1_000, id_ not in self.owed))
         self.out.clear()
-        for _ in range(MEMORY):
+        for _ in range(COUNT_MEMORY):
             if not self.timers:
                 break
             due = min(self.timers, key=lambda timer: timer.due_us)
@@ -207,13 +212,17 @@
                 self.give(AttemptEnded(id_, number, server, Outcome.FULL, 1_000, id_ not in self.owed))
             self.out.clear()
         balancer = self.balancer
-        assert not self.timers and not balancer.timers and not balancer.sweep_us
-        assert not balancer.requests and not balancer.lines and not self.owed
-        assert not balancer.out and not any(server.out for server in balancer.servers.values())
+        assert not self.timers and not balancer.timers.request_by_token and not balancer.expiry_scan.due_at_us
+        assert not balancer.lifecycle.requests and not balancer.lifecycle.key_queues.queue_by_key and not self.owed
+        assert not balancer.sender.in_flight and not any(
+            server.in_flight for server in balancer.endpoints.by_server.values()
+        )
         self.now_us += 60_000_000
         fresh = tuple(ListedServer(n) for n in range(10, 13))
         self.give(ServerList(ListKind.FULL, fresh))
-        balancer.shed = balancer.shed_dear = 0.0  # drawn outcomes may have it refuse by chance
+        balancer.load_shedder.low_priority_ratio = balancer.load_shedder.high_priority_ratio = (
+            0.0  # drawn outcomes may have it refuse by chance
+        )
         assert sends(self.give(RequestArrived("fresh", 0, 400_000)))
 
 
@@ -247,4 +256,4 @@
                     await run.ask(request(budget_ms=2_000))
             await until(lambda: not run.gateway.held)
             assert not run.gateway.by_id
-            assert not run.module.requests and not run.module.out
+            assert not run.module.lifecycle.requests and not run.module.sender.in_flight
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -22,7 +22,10 @@
     TimerFired,
 )
 from cloverkeel.balancing.settings import Prices, RequestClass, Scope, Settings, Tenant
-from cloverkeel.balancing.balancer import LOG_GAP_US, SHED_STEP, SUBSET, rendezvous
+from cloverkeel.balancing.action_buffer import MIN_LOG_INTERVAL_US
+from cloverkeel.balancing.affinity import rendezvous_rank
+from cloverkeel.balancing.load_shedding import SHED_STEP
+from cloverkeel.balancing.subset import MIN_SUBSET_SIZE
 from cloverkeel.balancing.latency_model import OVERDUE_FACTOR
 from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US, MIN_OUTCOMES
 
@@ -79,8 +82,8 @@
     assert copy.server != first
     assert driver.end(name, copy.server, attempt=1) == [Cancel(name, 0)]
     driver.end(name, first, Outcome.CANCELLED)
-    assert driver.balancer.servers[first].breaker.failures == 1  # overdue, so the silence counts
-    assert not driver.balancer.requests
+    assert driver.balancer.endpoints.by_server[first].breaker.failures == 1  # overdue, so the silence counts
+    assert not driver.balancer.lifecycle.requests
 
 
 def test_no_second_copy_where_none_is_allowed() -> None:
@@ -94,7 +97,7 @@
 
 def test_an_unsafe_request_is_no_trial() -> None:
     driver = Driver(servers=2)
-    breaker = driver.balancer.servers[0].breaker
+    breaker = driver.balancer.endpoints.by_server[0].breaker
     trip(breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
     for _ in range(2):
@@ -110,7 +113,7 @@
 
 def test_refusal_names_the_shortest_cooldown_when_all_are_open() -> None:
     driver = Driver(servers=2)
-    for number, server in driver.balancer.servers.items():
+    for number, server in driver.balancer.endpoints.by_server.items():
         trip(server.breaker, driver.now_us + number * 100_000)
     driver.now_us += 400_000
     name, actions = driver.arrive()
@@ -138,7 +141,7 @@
     (send,) = sends(driver.handle(TimerFired(rest.token)))
     assert send.request == third
     driver.end(third, send.server)
-    assert not driver.balancer.lines.get(7)
+    assert not driver.balancer.lifecycle.key_queues.queue_by_key.get(7)
 
 
 def test_a_popular_key_is_refused_before_a_line_that_cannot_be_served() -> None:
@@ -167,16 +170,18 @@
     name, actions = driver.arrive(klass=2)
     bad = sends(actions)[0].server
     driver.end(name, bad)
-    server = driver.balancer.servers[bad]
-    while server.breaker.state is BreakerState.CLOSED and server.part(0).breaker.state is BreakerState.CLOSED:
+    server = driver.balancer.endpoints.by_server[bad]
+    while server.breaker.state is BreakerState.CLOSED and server.class_health(0).breaker.state is BreakerState.CLOSED:
         name, actions = driver.arrive(klass=0)
         first = sends(actions)[0].server
         outcome = Outcome.FULL if first == bad else Outcome.OK
         for again in sends(driver.end(name, first, outcome)):
             driver.end(name, again.server, attempt=1)
     assert server.breaker.state is BreakerState.CLOSED and server.breaker.failures == 0
-    assert server not in driver.balancer.subset(0) and server in driver.balancer.subset(2)
-    assert driver.balancer.shed_dear == 0.0
+    assert server not in driver.balancer.subset.candidates(
+        driver.balancer.now_us, 0
+    ) and server in driver.balancer.subset.candidates(driver.balancer.now_us, 2)
+    assert driver.balancer.load_shedder.high_priority_ratio == 0.0
 
 
 def test_failures_of_every_class_are_the_servers_own() -> None:
@@ -185,7 +190,7 @@
         name, actions = driver.arrive(klass=klass)
         if sends(actions):
             driver.end(name, 0, Outcome.ERROR)
-    assert driver.balancer.servers[0].breaker.failures >= 3
+    assert driver.balancer.endpoints.by_server[0].breaker.failures >= 3
 
 
 def test_silence_sheds_as_a_slow_answer_does_but_less_where_it_was_cut_at_the_aim() -> None:
@@ -201,9 +206,9 @@
         driver = Driver(replace(SETTINGS, classes=(klass,)))
         name, actions = driver.arrive()
         driver.balancer.latency.smoothed_us[0] = driver.balancer.latency.unloaded_us[0] = 50_000.0
-        driver.balancer.shed_at_us = driver.now_us
+        driver.balancer.load_shedder.adjusted_at_us = driver.now_us
         driver.end(name, sends(actions)[0].server, outcome, latency_us=latency_us)
-        moved.append(driver.balancer.shed_dear)
+        moved.append(driver.balancer.load_shedder.high_priority_ratio)
     assert moved[0] == moved[1] > moved[2] > moved[3] == 0.0
 
 
@@ -217,7 +222,7 @@
         assert 0 < send.timeout_us <= max(1, patience_us)
         driver.now_us += send.timeout_us
         answers += finals(driver.end(name, send.server, Outcome.TIMEOUT))
-    assert len(answers) == 1 and not driver.balancer.requests
+    assert len(answers) == 1 and not driver.balancer.lifecycle.requests
 
 
 @pytest.mark.parametrize("scope", list(Scope))
@@ -244,15 +249,21 @@
     driver = Driver(replace(SETTINGS, tenants=tenants, over_share_worth=0.1), servers=9)
     refused = [0, 0]
     for n in range(600):
-        driver.balancer.shed = driver.balancer.shed_dear = 0.1 * (n > 200)
+        driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.1 * (
+            n > 200
+        )
         tenant = int(n % 10 == 0)
         name, actions = driver.arrive(klass=0, tenant=tenant)
         refused[tenant] += bool(finals(actions))
         for send in sends(actions):
             driver.end(name, send.server)
     assert refused[0] > 60 and refused[1] <= 20
-    assert driver.balancer.tenant_fairness.record(1) <= 0.0 < driver.balancer.tenant_fairness.record(0)
-    assert driver.balancer.tenant_fairness.record(7) == 0.0
+    assert (
+        driver.balancer.lifecycle.tenant_fairness.record(1)
+        <= 0.0
+        < driver.balancer.lifecycle.tenant_fairness.record(0)
+    )
+    assert driver.balancer.lifecycle.tenant_fairness.record(7) == 0.0
 
 
 def test_without_servers_requests_are_refused() -> None:
@@ -266,7 +277,7 @@
     name, actions = driver.arrive()
     assert driver.handle(RequestGone(name)) == [Cancel(name, 0)]
     assert not finals(driver.end(name, sends(actions)[0].server, Outcome.CANCELLED))
-    assert not driver.balancer.requests
+    assert not driver.balancer.lifecycle.requests
 
 
 def test_a_stream_is_left_alone() -> None:
@@ -277,7 +288,7 @@
         driver.now_us = timer.due_us
         assert not driver.handle(TimerFired(timer.token))
     driver.end(name, sends(actions)[0].server)
-    assert not driver.balancer.requests
+    assert not driver.balancer.lifecycle.requests
 
 
 def test_an_id_in_hand_is_not_taken_twice() -> None:
@@ -291,7 +302,7 @@
 def test_log_lines_are_rate_limited() -> None:
     driver = Driver()
     first, second = driver.arrive(klass=7)[1], driver.arrive(klass=7)[1]
-    driver.now_us += LOG_GAP_US
+    driver.now_us += MIN_LOG_INTERVAL_US
     third = driver.arrive(klass=7)[1]
     assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
 
@@ -335,10 +346,10 @@
 
 def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
     driver = Driver(servers=3)
-    driver.balancer.servers[1].breaker.record_outcome(0, True, 0, 0.0)
+    driver.balancer.endpoints.by_server[1].breaker.record_outcome(0, True, 0, 0.0)
     driver.list_servers(ListedServer(1, started_us=driver.now_us))
-    assert list(driver.balancer.servers) == [1]
-    assert driver.balancer.servers[1].breaker.failures == 0
+    assert list(driver.balancer.endpoints.by_server) == [1]
+    assert driver.balancer.endpoints.by_server[1].breaker.failures == 0
 
 
 def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
@@ -352,7 +363,7 @@
         assert 0 < timer.due_us - driver.now_us < SETTINGS.must_ask_within_us
         driver.now_us = timer.due_us
         assert driver.handle(TimerFired(timer.token)) == [WatchList()]
-    assert list(driver.balancer.servers) == [1]
+    assert list(driver.balancer.endpoints.by_server) == [1]
 
 
 def test_nothing_is_kept_of_what_is_finished() -> None:
@@ -363,7 +374,7 @@
             driver.end(name, send.server, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
             driver.list_servers(*(ListedServer(n + i) for i in range(4)))
-        for request in list(driver.balancer.requests):
+        for request in list(driver.balancer.lifecycle.requests):
             driver.handle(RequestGone(request))
             for i in range(3):
                 driver.end(request, 0, Outcome.CANCELLED, attempt=i)
@@ -371,9 +382,9 @@
     for timer in driver.timers:
         driver.handle(TimerFired(timer.token))
     balancer = driver.balancer
-    assert not balancer.requests and len(balancer.servers) == 4
-    assert not balancer.timers
-    assert len(balancer.ranked) == 4 and balancer.out == 0
+    assert not balancer.lifecycle.requests and len(balancer.endpoints.by_server) == 4
+    assert not balancer.timers.request_by_token
+    assert len(balancer.endpoints.ranked) == 4 and balancer.sender.in_flight == 0
 
 
 def test_a_clock_that_steps_back_stands_still() -> None:
@@ -419,10 +430,10 @@
     for gap_us in (100_000, 1_500_000):
         driver = Driver()
         name, actions = driver.arrive(klass=2)
-        driver.balancer.shed_at_us = driver.now_us
+        driver.balancer.load_shedder.adjusted_at_us = driver.now_us
         driver.now_us += gap_us
         driver.end(name, sends(actions)[0].server, latency_us=290_000)
-        shed.append(driver.balancer.shed)
+        shed.append(driver.balancer.load_shedder.low_priority_ratio)
     assert shed[1] >= 2 * shed[0] > 0
 
 
@@ -438,13 +449,13 @@
         name, actions = driver.arrive()
         met.add(sends(actions)[0].server)
         driver.end(name, sends(actions)[0].server)
-    assert len(met) <= SUBSET + 1
+    assert len(met) <= MIN_SUBSET_SIZE + 1
 
 
 def test_subsets_are_even_and_move_little() -> None:
     used = [0] * 40
     for proxy in range(400):
-        ranks = sorted(range(40), key=lambda server: rendezvous(proxy, server, 1.0))
+        ranks = sorted(range(40), key=lambda server: rendezvous_rank(proxy, server, 1.0))
         without = [server for server in ranks if server != 3]
         assert [r for r in ranks[:4] if r != 3] == without[: 4 - (3 in ranks[:4])]
         for server in ranks[:4]:
@@ -456,14 +467,14 @@
     """One proxy with a fifth of all traffic would crush the few servers of a fixed subset."""
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
     met = {sends(driver.arrive(klass=2)[1])[0].server for _ in range(40)}
-    assert len(met) > 3 * SUBSET
+    assert len(met) > 3 * MIN_SUBSET_SIZE
 
 
 def test_an_open_server_gives_its_place_to_the_next_in_rank() -> None:
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
-    subset = driver.balancer.subset(0)
+    subset = driver.balancer.subset.candidates(driver.balancer.now_us, 0)
     trip(subset[0].breaker, driver.now_us)
-    after = driver.balancer.subset(0)
+    after = driver.balancer.subset.candidates(driver.balancer.now_us, 0)
     assert subset[0] not in after and after[: len(subset) - 1] == subset[1:] and len(after) == len(subset)
 
 
@@ -473,7 +484,7 @@
     name, actions = driver.arrive()
     first = sends(actions)[0].server
     driver.end(name, first, Outcome.CONNECT_FAILED)
-    assert not driver.balancer.servers[first].breaker.can_admit(driver.now_us)
+    assert not driver.balancer.endpoints.by_server[first].breaker.can_admit(driver.now_us)
 
 
 COLD = replace(
@@ -521,25 +532,25 @@
 
 def test_alone_again_a_process_has_the_whole_part() -> None:
     driver = Driver(COLD)
-    whole_us = driver.balancer.fall_budget_us()
+    whole_us = driver.balancer.slow_start.budget_us()
     driver.handle(ProcessesChanged(2))
-    assert driver.balancer.fall_budget_us() == whole_us / 2
+    assert driver.balancer.slow_start.budget_us() == whole_us / 2
     for count in (1, 0, -3):
         driver.handle(ProcessesChanged(count))
-        assert driver.balancer.fall_budget_us() == whole_us
+        assert driver.balancer.slow_start.budget_us() == whole_us
 
 
 def test_a_cold_server_is_drawn_by_the_share_of_its_capacity_that_it_has() -> None:
     """Its budget alone would give it as much as a warm one where few requests come."""
     driver = Driver(replace(COLD, proxies=1), servers=0)
     driver.list_servers(ListedServer(1), ListedServer(2, started_us=driver.now_us))
-    driver.balancer.servers[2].weight = driver.balancer.servers[1].weight
+    driver.balancer.endpoints.by_server[2].weight = driver.balancer.endpoints.by_server[1].weight
     count = dict.fromkeys((1, 2), 0)
     for _ in range(2_000):  # all at one age of the server, and none waits for another
         name, actions = driver.arrive()
         (send,) = sends(actions)
         count[send.server] += 1
-        driver.balancer.servers[2].spent_us = 0.0
+        driver.balancer.endpoints.by_server[2].slow_start.bucket_us = 0.0
         driver.end(name, send.server, latency_us=30_000)
     share = COLD.start_capacity
     assert count[2] / count[1] == pytest.approx(share, rel=0.2)
@@ -550,32 +561,32 @@
     driver = Driver(replace(COLD, proxies=1), servers=0)
     entry = ListedServer(1, started_us=driver.now_us)
     driver.list_servers(entry)
-    server, budget_us = driver.balancer.servers[1], driver.balancer.fall_budget_us()
+    server, budget_us = driver.balancer.endpoints.by_server[1], driver.balancer.slow_start.budget_us()
 
     def taken_at_once() -> float:
         """Work, in microseconds, that it is sent in one moment."""
-        driver.balancer.servers[1].room = 10_000.0  # that is another guard
+        driver.balancer.endpoints.by_server[1].concurrency.limit = 10_000.0  # that is another guard
         cost_us, count = driver.balancer.latency.unloaded_us[0], 0
         while count < 1_000 and sends(driver.arrive()[1]):
             count += 1
         return count * cost_us
 
-    driver.now_us = server.warm_at_us
+    driver.now_us = server.slow_start.ends_at_us
     assert 0 < taken_at_once() <= budget_us / 6
     driver = Driver(replace(COLD, proxies=1), servers=0)
     driver.list_servers(entry)
-    driver.now_us = driver.balancer.servers[1].settled_at_us
+    driver.now_us = driver.balancer.endpoints.by_server[1].slow_start.settled_at_us
     assert taken_at_once() > budget_us
 
 
 def test_a_cold_server_beyond_the_reach_is_not_used() -> None:
     """When many step aside from failing servers, all would meet on the same cold one."""
     driver = Driver(replace(COLD, proxies=300), servers=60)
-    last = driver.balancer.ranked[-1].entry.server
-    for server in driver.balancer.ranked[:-1]:
+    last = driver.balancer.endpoints.ranked[-1].entry.server
+    for server in driver.balancer.endpoints.ranked[:-1]:
         trip(server.breaker, driver.now_us)
     driver.list_servers(ListedServer(last, started_us=driver.now_us - 1), kind=ListKind.DELTA)
-    assert driver.balancer.subset(0) == []
+    assert driver.balancer.subset.candidates(driver.balancer.now_us, 0) == []
 
 
 def test_what_is_worth_nothing_late_is_timed_out_at_the_aim() -> None:
@@ -590,12 +601,12 @@
     dear = replace(SAFE, worth=10.0)
     driver = Driver(Settings(classes=(cheap, dear)))
     for number in range(100):
-        driver.balancer.asked[number % 2] += 1
-        driver.balancer.served[number % 2] += 1
+        driver.balancer.load_shedder.requested[number % 2] += 1
+        driver.balancer.load_shedder.served[number % 2] += 1
     for latency_us, shed in ((390_000, [True, False]), (5_000, [False, False])):
         for _ in range(round(0.3 / SHED_STEP)):
             name, actions = driver.arrive(klass=1)
-            driver.balancer.shed_at_us = driver.now_us - 200_000
+            driver.balancer.load_shedder.adjusted_at_us = driver.now_us - 200_000
             driver.end(name, sends(actions)[0].server, latency_us=latency_us)
             driver.now_us += 4_000_000
         refused = []
@@ -611,12 +622,12 @@
 def test_no_copy_and_no_repeat_of_what_may_have_run_while_anything_is_shed() -> None:
     """Three hundred proxies doubled their work at the first jam, and the fleet never left it."""
     driver = Driver()
-    driver.balancer.shed = SHED_STEP
-    driver.balancer.random.seed(1)
+    driver.balancer.load_shedder.low_priority_ratio = SHED_STEP
+    driver.balancer.rng.seed(1)
     name, actions = driver.arrive(klass=0)
     while not sends(actions):
         name, actions = driver.arrive(klass=0)
-    driver.balancer.shed = SHED_STEP * 3
+    driver.balancer.load_shedder.low_priority_ratio = SHED_STEP * 3
     assert not sends(driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT))
 
 
@@ -637,7 +648,7 @@
 def test_a_server_keeps_its_weight_from_before_the_trip() -> None:
     """Late outcomes and failed trials cut the weight that a recovering server was to come back with."""
     driver = Driver(servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints.by_server[0]
     names = [driver.arrive(klass=2)[0] for _ in range(2)]
     trip(server.breaker, driver.now_us)
     weight = server.weight
@@ -656,12 +667,12 @@
     sheds = []
     for _ in range(300):
         driver.now_us += 3_300
-        driver.balancer.shed_dear = 0.0  # each is let through, whatever is shed by now
-        shed, driver.balancer.shed = driver.balancer.shed, 0.0
+        driver.balancer.load_shedder.high_priority_ratio = 0.0  # each is let through, whatever is shed by now
+        shed, driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.low_priority_ratio, 0.0
         name, actions = driver.arrive()
-        driver.balancer.shed = shed
+        driver.balancer.load_shedder.low_priority_ratio = shed
         driver.end(name, sends(actions)[0].server, latency_us=390_000)
-        sheds.append(driver.balancer.shed)
+        sheds.append(driver.balancer.load_shedder.low_priority_ratio)
     assert sheds[9] <= 0.3 and sheds[-1] >= 0.9
 
 
@@ -670,7 +681,7 @@
     prices = Prices(cross_zone=0.08)
     driver = Driver(replace(SETTINGS, warm_keys=True, prices=prices), servers=0)
     driver.list_servers(*(ListedServer(n, zone=n % 2) for n in range(10)))
-    driver.balancer.reach = 10.0
+    driver.balancer.subset.size = 10.0
     crossed = 0
     for key in range(400):
         name, actions = driver.arrive(key=key * 7919)
@@ -678,7 +689,7 @@
         crossed += sent.server % 2
         driver.end(name, sent.server)
         driver.now_us += 10_000
-        driver.balancer.reach = 10.0
+        driver.balancer.subset.size = 10.0
     assert crossed < 50
 
 
@@ -704,7 +715,10 @@
         driver.balancer.client_timeouts.regular_ratio[0] = 0.0  # clients give each try a time of its own
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
-    assert driver.balancer.servers[0].breaker.state is BreakerState.CLOSED and driver.balancer.shed == 0
+    assert (
+        driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.CLOSED
+        and driver.balancer.load_shedder.low_priority_ratio == 0
+    )
 
 
 def test_one_failed_connection_opens_no_server_that_answered_well_a_moment_ago() -> None:
@@ -719,12 +733,12 @@
         driver.now_us += quiet_us
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.CONNECT_FAILED)
-        assert driver.balancer.servers[0].breaker.state is state
+        assert driver.balancer.endpoints.by_server[0].breaker.state is state
     driver = Driver(servers=1)
     for outcome in (Outcome.OK, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED):
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, outcome)
-    assert driver.balancer.servers[0].breaker.state is BreakerState.OPEN  # the second in a row
+    assert driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN  # the second in a row
 
 
 def test_a_repeat_of_a_keyed_request_has_to_begin_while_repeats_are_dropped() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -25,7 +25,8 @@
     TimerFired,
 )
 from cloverkeel.balancing.settings import Effect, Scope, Settings
-from cloverkeel.balancing.balancer import Balancer, DEPARTED
+from cloverkeel.balancing.balancer import Balancer
+from cloverkeel.balancing.endpoints import MAX_DEPARTED
 from cloverkeel.balancing.circuit_breaker import BreakerState
 
 GROUP = {n: n // 3 for n in range(6)}
@@ -216,8 +217,12 @@
     for case in world.cases.values():
         assert case.done, "a request was left without its final answer"
     balancer = world.balancer
-    assert not balancer.requests and not balancer.timers and not balancer.lines
-    assert all(not s.out for s in balancer.servers.values())
+    assert (
+        not balancer.lifecycle.requests
+        and not balancer.timers.request_by_token
+        and not balancer.lifecycle.key_queues.queue_by_key
+    )
+    assert all(not s.in_flight for s in balancer.endpoints.by_server.values())
 
 
 @pytest.mark.parametrize("seed", [1, 7])
@@ -236,19 +241,19 @@
 def test_a_server_listed_again_keeps_its_breaker_if_it_is_the_same_process() -> None:
     driver = Driver(servers=2)
     for kind in (ListKind.DELTA, ListKind.FULL):
-        server = driver.balancer.servers[1]
+        server = driver.balancer.endpoints.by_server[1]
         server.breaker.reopen(driver.now_us)
         if kind is ListKind.DELTA:
             driver.list_servers(ListedServer(1, ServerStatus.GONE), kind=kind)
         else:
             driver.list_servers(ListedServer(0))
-        assert 1 not in driver.balancer.servers
+        assert 1 not in driver.balancer.endpoints.by_server
         driver.list_servers(ListedServer(1, group=1), kind=ListKind.DELTA)
-        assert driver.balancer.servers[1] is server and server.breaker.state is BreakerState.OPEN
+        assert driver.balancer.endpoints.by_server[1] is server and server.breaker.state is BreakerState.OPEN
         server.breaker.close()
     driver.list_servers(ListedServer(1, ServerStatus.GONE), kind=ListKind.DELTA)
     driver.list_servers(ListedServer(1, started_us=driver.now_us), kind=ListKind.DELTA)
-    assert driver.balancer.servers[1] is not server  # a new process
+    assert driver.balancer.endpoints.by_server[1] is not server  # a new process
     driver.list_servers(ListedServer(0), *(ListedServer(n) for n in range(100, 300)))
     driver.list_servers(ListedServer(0))
-    assert len(driver.balancer.departed) == DEPARTED
+    assert len(driver.balancer.endpoints.departed) == MAX_DEPARTED
--- a/tests/test_sharing_pure.py
+++ b/tests/test_sharing_pure.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.sharing import BEGIN_US, Fleet
-from cloverkeel.balancing.balancer import HELD_MOST_US
+from cloverkeel.balancing.peer_reports import MAX_PROBE_DELAY_US
 from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US, MIN_OUTCOMES
 from cloverkeel.balancing.interface import PeerHealthReport, ListedServer, Outcome, RetryTokenGrant
 from cloverkeel.gossip.outlier_reports import (
@@ -686,7 +686,7 @@
 
 def shares(driver: Driver, requests: int = 300) -> list[float]:
     """Of requests that are answered at once, by server."""
-    counts = [0] * len(driver.balancer.servers)
+    counts = [0] * len(driver.balancer.endpoints.by_server)
     for _ in range(requests):
         name, actions = driver.arrive()
         (sent,) = sends(actions)
@@ -701,23 +701,23 @@
     worst = max(range(6), key=lambda n: before[n])
     heard(driver, worst, 0.0, 3.0)
     assert shares(driver)[worst] < before[worst] / 4
-    assert driver.balancer.servers[worst].breaker.state is BreakerState.CLOSED  # hearsay is no verdict
+    assert driver.balancer.endpoints.by_server[worst].breaker.state is BreakerState.CLOSED  # hearsay is no verdict
     driver.now_us += EVIDENCE_US
     assert shares(driver)[worst] > before[worst] / 2
 
 
 def test_one_teller_and_good_outcomes_are_no_doubt_and_another_process_is_not_meant() -> None:
     driver = Driver(servers=4)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints.by_server[0]
     heard(driver, 0, 0.0, 30.0, reporters=1)
-    assert server.doubt_us == 0
+    assert server.suspected_until_us == 0
     heard(driver, 0, 5.0, 3.0)
-    assert server.doubt_us == 0
+    assert server.suspected_until_us == 0
     driver.handle(PeerHealthReport(0, 77, 0.0, 9.0, 3, 0, driver.now_us + EVIDENCE_US))
-    assert server.doubt_us == 0
+    assert server.suspected_until_us == 0
     heard(driver, 0, 0.0, 3.0)
     heard(driver, 0, 3.0, 1.0)
-    assert server.doubt_us == 0  # it is answered well by now
+    assert server.suspected_until_us == 0  # it is answered well by now
 
 
 def test_one_failure_here_opens_what_is_in_doubt_and_five_what_is_not() -> None:
@@ -727,7 +727,7 @@
             heard(driver, 0, 0.0, 3.0)
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.ERROR)
-        assert (driver.balancer.servers[0].breaker.state is BreakerState.OPEN) is doubted
+        assert (driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN) is doubted
     assert MIN_OUTCOMES > 1
 
 
@@ -742,11 +742,11 @@
         driver.end(name, sent[0].server, Outcome.TIMEOUT, latency_us=300_000)
         driver.now_us += 10_000
     heard(driver, 0, 1.0, 3.0)
-    assert driver.balancer.servers[0].doubt_us == 0
+    assert driver.balancer.endpoints.by_server[0].suspected_until_us == 0
 
 
 def out(driver: Driver) -> Any:
-    breaker = driver.balancer.servers[0].breaker
+    breaker = driver.balancer.endpoints.by_server[0].breaker
     trip(breaker, driver.now_us)
     return breaker
 
@@ -756,28 +756,31 @@
     breaker = out(driver)
     driver.now_us = breaker.open_until_us
     heard(driver, 0, 0.0, 3.0)
-    assert not driver.balancer.is_eligible(driver.balancer.servers[0], 0)
-    driver.now_us = breaker.open_until_us + min(INITIAL_COOLDOWN_US, HELD_MOST_US)
+    assert not driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
+    driver.now_us = breaker.open_until_us + min(INITIAL_COOLDOWN_US, MAX_PROBE_DELAY_US)
     heard(driver, 0, 0.0, 3.0)  # again and again: it is not held for longer
-    assert driver.balancer.is_eligible(driver.balancer.servers[0], 0)
+    assert driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
 
 
 def test_nobody_waits_for_others_trials_where_next_to_nothing_is_left() -> None:
     driver = Driver(servers=3)
     breaker = out(driver)
-    trip(driver.balancer.servers[1].breaker, driver.now_us)
+    trip(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
     heard(driver, 0, 0.0, 3.0)
-    assert driver.balancer.is_eligible(driver.balancer.servers[0], 0)
+    assert driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
 
 
 def test_word_of_two_that_it_is_well_brings_a_trial_and_no_verdict() -> None:
     driver = Driver(servers=4)
     breaker = out(driver)
     heard(driver, 0, 3.0, 0.0, reporters=0, well=1)
-    assert not driver.balancer.is_eligible(driver.balancer.servers[0], 0)
+    assert not driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
     heard(driver, 0, 3.0, 0.0, reporters=0, well=2)
-    assert driver.balancer.is_eligible(driver.balancer.servers[0], 0) and breaker.state is BreakerState.HALF_OPEN
+    assert (
+        driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
+        and breaker.state is BreakerState.HALF_OPEN
+    )
 
 
 def test_what_the_room_asks_of_the_module() -> None:
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -4,7 +4,8 @@
 
 from dataclasses import replace
 
-from cloverkeel.balancing.balancer import ROOM_FIRST, ROOM_LEAST, SHED_MOST
+from cloverkeel.balancing.concurrency_limit import INITIAL_LIMIT, MIN_LIMIT
+from cloverkeel.balancing.load_shedding import MAX_SHED_RATIO
 from cloverkeel.balancing.circuit_breaker import BreakerState
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.balancing.settings import Effect, RequestClass, Scope, Settings
@@ -20,7 +21,7 @@
 
 
 def all_open(driver: Driver) -> None:
-    for server in driver.balancer.servers.values():
+    for server in driver.balancer.endpoints.by_server.values():
         trip(server.breaker, driver.now_us)
 
 
@@ -29,19 +30,19 @@
     driver = Driver(SETTINGS, servers=2)
     all_open(driver)
     assert finals(driver.arrive(klass=0, patience_us=PATIENCE_US[0])[1])  # they rest
-    driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.servers.values())
+    driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.endpoints.by_server.values())
     for _ in range(20):
         name, actions = driver.arrive(klass=0, patience_us=PATIENCE_US[0])
         assert len(sends(actions)) == 1
         driver.end(name, sends(actions)[0].server)
-    assert any(server.breaker.state is BreakerState.CLOSED for server in driver.balancer.servers.values())
+    assert any(server.breaker.state is BreakerState.CLOSED for server in driver.balancer.endpoints.by_server.values())
 
 
 def test_while_one_server_is_closed_no_unsafe_request_is_a_trial() -> None:
     driver = Driver(SETTINGS, servers=3)
     all_open(driver)
-    driver.balancer.servers[1].breaker.close()
-    driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.servers.values())
+    driver.balancer.endpoints.by_server[1].breaker.close()
+    driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.endpoints.by_server.values())
     for _ in range(60):
         name, actions = driver.arrive(klass=0, patience_us=PATIENCE_US[0])
         assert sends(actions)[0].server == 1
@@ -54,7 +55,9 @@
     sent = [0, 0]
     for number in range(1200):
         klass = number % 2
-        driver.balancer.shed = driver.balancer.shed_dear = SHED_MOST
+        driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
+            MAX_SHED_RATIO
+        )
         name, actions = driver.arrive(klass=klass, patience_us=PATIENCE_US[klass])
         driver.now_us += 5_000
         for send in sends(actions):
@@ -70,7 +73,9 @@
         name, actions = driver.arrive(klass=number % 2, patience_us=PATIENCE_US[number % 2])
         driver.end(name, sends(actions)[0].server, latency_us=60_000 if number % 2 == 0 else 150_000)
         driver.now_us += 5_000
-    driver.balancer.shed = driver.balancer.shed_dear = SHED_MOST
+    driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
+        MAX_SHED_RATIO
+    )
     all_open(driver)
     served = 0
     for number in range(2000):  # ten seconds at a load that its servers could take
@@ -86,16 +91,18 @@
 def moved(driver: Driver, outcome: Outcome, latency_us: int, answered: bool = False) -> float:
     """How far one outcome moves what is shed of what is dear."""
     driver.now_us += 100_000
-    driver.balancer.shed = driver.balancer.shed_dear = 0.0  # it is let through
+    driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
+        0.0  # it is let through
+    )
     name, actions = driver.arrive(klass=1, patience_us=PATIENCE_US[1])
     server = sends(actions)[0].server
     driver.now_us += latency_us
     if answered:
-        driver.balancer.servers[server].answered_us = driver.now_us - 1
-    driver.balancer.shed_at_us = driver.now_us - 100_000
-    driver.balancer.shed_dear = 0.5
+        driver.balancer.endpoints.by_server[server].answered_at_us = driver.now_us - 1
+    driver.balancer.load_shedder.adjusted_at_us = driver.now_us - 100_000
+    driver.balancer.load_shedder.high_priority_ratio = 0.5
     driver.end(name, server, outcome, latency_us=latency_us)
-    return driver.balancer.shed_dear - 0.5
+    return driver.balancer.load_shedder.high_priority_ratio - 0.5
 
 
 def test_a_wait_that_eats_up_the_slack_sheds_though_the_usual_latency_is_long() -> None:
@@ -120,7 +127,7 @@
     """With a third of the fleet gone, crowded servers tripped in turn and crowded the rest."""
     for answered, state in ((True, BreakerState.CLOSED), (False, BreakerState.OPEN)):
         driver = Driver(SETTINGS, servers=1)
-        driver.balancer.servers[0].room = 100.0
+        driver.balancer.endpoints.by_server[0].concurrency.limit = 100.0
         names = [driver.arrive(klass=0, patience_us=PATIENCE_US[0])[0] for _ in range(9)]
         driver.now_us += 300_000
         if answered:
@@ -128,7 +135,7 @@
         driver.now_us += 92_000
         for name in names[:6]:
             driver.end(name, 0, Outcome.TIMEOUT, latency_us=392_000)
-        assert driver.balancer.servers[0].breaker.state is state
+        assert driver.balancer.endpoints.by_server[0].breaker.state is state
 
 
 def fill(driver: Driver, klass: int) -> list[str]:
@@ -147,28 +154,28 @@
     settings = Settings(classes=(replace(DEPOSIT, worth=1.0), RESERVE))
     dear, cheap = Driver(settings, servers=1), Driver(settings, servers=1)
     for driver in (dear, cheap):
-        driver.balancer.asked = [100.0, 100.0]
-        driver.balancer.cheap = driver.balancer.find_cheap()
-    assert len(fill(dear, 1)) == ROOM_FIRST
-    assert 0 < len(fill(cheap, 0)) < ROOM_FIRST
+        driver.balancer.load_shedder.requested = [100.0, 100.0]
+        driver.balancer.load_shedder.is_low_priority = driver.balancer.load_shedder.classify()
+    assert len(fill(dear, 1)) == INITIAL_LIMIT
+    assert 0 < len(fill(cheap, 0)) < INITIAL_LIMIT
 
 
 def test_room_shrinks_with_slow_answers_and_grows_with_prompt_ones_that_fill_it() -> None:
     driver = Driver(SETTINGS, servers=1)
-    server = driver.balancer.servers[0]
+    server = driver.balancer.endpoints.by_server[0]
     usual_us = int(driver.balancer.latency.unloaded_us[1])
     for _ in range(20):
         for name in fill(driver, 1):
-            driver.balancer.shed = driver.balancer.shed_dear = 0.0
+            driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
             driver.now_us += usual_us
             driver.end(name, 0, latency_us=3 * usual_us)
-    assert server.room == ROOM_LEAST
+    assert server.concurrency.limit == MIN_LIMIT
     for _ in range(40):
         for name in fill(driver, 1):
-            driver.balancer.shed = driver.balancer.shed_dear = 0.0
+            driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
             driver.now_us += usual_us // 8
             driver.end(name, 0, latency_us=usual_us)
-    assert server.room > 4 * ROOM_LEAST
+    assert server.concurrency.limit > 4 * MIN_LIMIT
 
 
 def test_a_server_that_is_not_filled_gains_no_room() -> None:
@@ -178,7 +185,7 @@
         name, actions = driver.arrive(klass=1, patience_us=PATIENCE_US[1])
         driver.now_us += 10_000
         driver.end(name, sends(actions)[0].server, latency_us=10_000)
-    assert driver.balancer.servers[0].room == ROOM_FIRST
+    assert driver.balancer.endpoints.by_server[0].concurrency.limit == INITIAL_LIMIT
 
 
 def test_the_draw_turns_from_a_server_that_has_much_out() -> None:
@@ -186,10 +193,10 @@
     spread = 0
     for seed in range(20):
         driver = Driver(SETTINGS, servers=8, seed=seed)
-        driver.balancer.reach = 20.0
+        driver.balancer.subset.size = 20.0
         for _ in range(64):
             driver.arrive(klass=1, patience_us=PATIENCE_US[1])
-        out = [len(server.out) for server in driver.balancer.servers.values()]
+        out = [len(server.in_flight) for server in driver.balancer.endpoints.by_server.values()]
         assert sum(out) == 64
         spread += max(out) - min(out)
     assert spread < 60
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -10,7 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverkeel.balancing.balancer import Balancer, ROOM_FIRST
+from cloverkeel.balancing.balancer import Balancer
+from cloverkeel.balancing.concurrency_limit import INITIAL_LIMIT
 from cloverkeel.balancing.latency_model import LatencyBySize, MIN_SIZE_FACTOR
 from cloverkeel.balancing.actions import Send
 from cloverkeel.balancing.events import AttemptEnded, ListKind, ListedServer, Outcome, RequestArrived, ServerList
@@ -58,7 +59,7 @@
 
 
 def served(driver: Driver, work_us: int, latency_us: int) -> None:
-    driver.balancer.shed = driver.balancer.shed_dear = 0.0
+    driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
     name, actions = driver.arrive(work_us=work_us, patience_us=1_500_000)
     driver.now_us += 5_000
     for send in sends(actions):
@@ -82,7 +83,7 @@
         served(driver, int(size * WORK_US), int(WAITS_US + size * WORK_US))
     for _ in range(100):
         served(driver, WORK_US // 4, WAITS_US + WORK_US // 4)
-    assert driver.balancer.servers[0].room == ROOM_FIRST
+    assert driver.balancer.endpoints.by_server[0].concurrency.limit == INITIAL_LIMIT
 
 
 # What a cold server may be sent
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverkeel.balancing.balancer import LIST_RETRY_US
+from cloverkeel.balancing.endpoint_updates import MAX_RETRY_POLL_US
 from cloverkeel.balancing.interface import ListKind, ServerList, Settings
 from cloverkeel.discovery.poll_schedule import (
     ANSWER_S,
@@ -29,7 +29,7 @@
 
 def test_the_times_together_are_within_what_counts_as_told() -> None:
     assert max(WATCH_SILENT_S, FIRST_SILENT_S, UNREACHED_S) < TOLD_S
-    assert LIST_RETRY_US / 1e6 <= RETRY_S and SLOW_ANSWER_S > ANSWER_S
+    assert MAX_RETRY_POLL_US / 1e6 <= RETRY_S and SLOW_ANSWER_S > ANSWER_S
 
 
 @given(failures=st.integers(1, 60), must_ask_us=st.integers(1_000, 60_000_000), seed=st.integers(0, 99))
@@ -38,7 +38,7 @@
     driver = Driver(settings, servers=0, seed=seed)
     for _ in range(failures):
         (timer,) = timers(driver.handle(ServerList(ListKind.ERROR)))
-        assert 0 <= timer.due_us - driver.now_us <= min(LIST_RETRY_US, must_ask_us / 20)
+        assert 0 <= timer.due_us - driver.now_us <= min(MAX_RETRY_POLL_US, must_ask_us / 20)
         driver.now_us += 1_000
 
 
