--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -40,7 +40,7 @@
     rss_kib,
     serve,
 )
-from cloverkeel.balancing.interface import ListKind, ServerStatus  # noqa: E402
+from cloverkeel.balancing.events import ListKind, ServerStatus  # noqa: E402
 from cloverkeel.assembly import Program, assemble  # noqa: E402
 from cloverkeel.core.config import Config, parse, parse_address, stable_id  # noqa: E402
 from cloverkeel.core.options import Options  # noqa: E402
--- a/benchmarks/capacity/run_guard.py
+++ b/benchmarks/capacity/run_guard.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from cloverkeel.balancing.interface import ListKind, ServerStatus
+from cloverkeel.balancing.events import ListKind, ServerStatus
 from cloverkeel.core.ports import Endpoint
 
 
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -29,10 +29,17 @@
 from pathlib import Path
 
 from cloverkeel.balancing.balancer import Balancer
-from cloverkeel.balancing.interface import (
-    NEVER_RAN, Action, AttemptEnded, Effect, ListedServer, ListKind, Outcome, RequestArrived, RequestClass, Send,
-    ServerList, Settings,
-)  # fmt: skip
+from cloverkeel.balancing.actions import Action, Send
+from cloverkeel.balancing.events import (
+    AttemptEnded,
+    ListKind,
+    ListedServer,
+    NEVER_RAN,
+    Outcome,
+    RequestArrived,
+    ServerList,
+)
+from cloverkeel.balancing.settings import Effect, RequestClass, Settings
 
 WORK_US = 60_000  # of a request, in the mean
 WARM_US, FALL_US, MULTIPLE, FIRST_SHARE = 9_000_000, 1_000_000, 3.0, 0.3
--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -39,7 +39,6 @@
     "cloverkeel.balancing.expiry_scan",
     "cloverkeel.balancing.final_answers",
     "cloverkeel.balancing.fleet_outcomes",
-    "cloverkeel.balancing.interface",
     "cloverkeel.balancing.key_queues",
     "cloverkeel.balancing.latency_model",
     "cloverkeel.balancing.load_shedding",
--- a/cloverkeel/core/config.py
+++ b/cloverkeel/core/config.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from cloverkeel.balancing.interface import Settings
+from cloverkeel.balancing.settings import Settings
 from cloverkeel.simulator.codec import WireError, parse_settings
 
 Address = tuple[str, int]
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -14,36 +14,38 @@
 from typing import Final
 
 from cloverkeel.balancing.balancer import Balancer
-from cloverkeel.balancing.interface import (
+from cloverkeel.balancing.actions import (
     Action,
-    AnswerAll,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    SlowStartQuota,
-    Event,
     Fail,
     FetchList,
-    PeerHealthReport,
-    ListedServer,
-    ListKind,
     Log,
-    Outcome,
     Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    WatchList,
+)
+from cloverkeel.balancing.events import (
+    AnswerAll,
+    AttemptEnded,
+    Event,
+    ListKind,
+    ListedServer,
+    Outcome,
+    PeerHealthReport,
     Probed,
+    ProbesSuspended,
     ProcessesChanged,
-    Refuse,
     RequestArrived,
     RequestGone,
     RetryTokenGrant,
-    Send,
     ServerList,
     ServerStatus,
-    SetTimer,
+    SlowStartQuota,
     StreamStarted,
     TimerFired,
-    ProbesSuspended,
-    WatchList,
 )
 
 from cloverkeel.core.calls import Call, Sink
--- a/cloverkeel/core/list_batches.py
+++ b/cloverkeel/core/list_batches.py
@@ -20,7 +20,7 @@
 from itertools import islice
 from typing import Final
 
-from cloverkeel.balancing.interface import ServerStatus
+from cloverkeel.balancing.events import ServerStatus
 
 from cloverkeel.core.ports import Endpoint
 
--- a/cloverkeel/core/metrics.py
+++ b/cloverkeel/core/metrics.py
@@ -9,7 +9,7 @@
 import json
 from typing import Final
 
-from cloverkeel.balancing.interface import Outcome
+from cloverkeel.balancing.events import Outcome
 
 EVERY_US: Final = 1_000_000
 MOST_HOSTS: Final = 64  # in one line, the rest is counted as one: a line fits a pipe at one stroke (4 KiB)
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from cloverkeel.balancing.interface import Action, Event, ListedServer, ListKind, LoadReport, Outcome
+from cloverkeel.balancing.actions import Action
+from cloverkeel.balancing.events import Event, ListKind, ListedServer, LoadReport, Outcome
 
 from cloverkeel.core.config import Address
 from cloverkeel.core.calls import Sink
--- a/cloverkeel/discovery/ejection_filter.py
+++ b/cloverkeel/discovery/ejection_filter.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from cloverkeel.balancing.interface import ListKind
+from cloverkeel.balancing.events import ListKind
 
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Address
--- a/cloverkeel/discovery/http_client.py
+++ b/cloverkeel/discovery/http_client.py
@@ -21,7 +21,7 @@
 from functools import lru_cache
 from typing import Any, Final, TypeVar, cast
 
-from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
+from cloverkeel.balancing.events import ListKind, ListedServer, ServerStatus
 
 from cloverkeel.core.config import Address, Names, parse_address, stable_id
 from cloverkeel.core.incremental_json import decode
--- a/cloverkeel/discovery/manual_ejections.py
+++ b/cloverkeel/discovery/manual_ejections.py
@@ -19,7 +19,7 @@
 from dataclasses import replace
 from typing import Final
 
-from cloverkeel.balancing.interface import ListKind, ServerStatus
+from cloverkeel.balancing.events import ListKind, ServerStatus
 
 from cloverkeel.core.ports import Endpoint
 
--- a/cloverkeel/discovery/merged_source.py
+++ b/cloverkeel/discovery/merged_source.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import Any
 
-from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
+from cloverkeel.balancing.events import ListKind, ListedServer, ServerStatus
 
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Address, Names, stable_id
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Collection
 from typing import Any, Final
 
-from cloverkeel.balancing.interface import ListKind
+from cloverkeel.balancing.events import ListKind
 
 from cloverkeel.core.config import Address, Config
 from cloverkeel.core.incremental_gzip import unpack
--- a/cloverkeel/discovery/relay_selection.py
+++ b/cloverkeel/discovery/relay_selection.py
@@ -43,7 +43,7 @@
 from typing import Any, Final
 from urllib.parse import quote
 
-from cloverkeel.balancing.interface import ListKind, ServerStatus
+from cloverkeel.balancing.events import ListKind, ServerStatus
 
 from cloverkeel.core.config import Address, stable_id
 from cloverkeel.core.ports import Endpoint
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from cloverkeel.balancing.interface import Effect
+from cloverkeel.balancing.settings import Effect
 
 from cloverkeel.core.calls import Call, Client
 from cloverkeel.core.config import Config, stable_id
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from cloverkeel.balancing.interface import Outcome
+from cloverkeel.balancing.events import Outcome
 
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import Config
--- a/cloverkeel/upstream/connection_pool.py
+++ b/cloverkeel/upstream/connection_pool.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass, field
 from typing import Final, cast
 
-from cloverkeel.balancing.interface import LoadReport, Outcome, Reports, Settings
+from cloverkeel.balancing.events import LoadReport, Outcome
+from cloverkeel.balancing.settings import Reports, Settings
 from cloverkeel.simulator.codec import parse_load
 
 from cloverkeel.core.calls import Sink
--- a/tests/golden/core.py
+++ b/tests/golden/core.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from benchmarks.fleet_logs import Count, Second
-from cloverkeel.balancing.interface import Outcome
+from cloverkeel.balancing.events import Outcome
 from cloverkeel.core.log import log_if_read
 from cloverkeel.core.metrics import ENDS, MOST_HOSTS, Tally
 from tests.golden.store import Sample, SamplesByName
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
+from cloverkeel.balancing.events import ListKind, ListedServer, ServerStatus
 from cloverkeel.core.ports import Endpoint
 from cloverkeel.discovery.manual_ejections import LISTED_KEPT, Bans
 
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -23,7 +23,7 @@
     STALL_RELAYED_S, Size, held_about, memory_mb, racks, size, stall_s, start_s, subset_hosts,
 )  # fmt: skip
 from benchmarks.capacity.run_world import HOLLOW, TWINS, World, twinned
-from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus
+from cloverkeel.balancing.events import ListKind, ListedServer, ServerStatus
 from cloverkeel.core.ports import Endpoint as HostEntry
 from standins.ledger import Ledger, Told
 from standins.parties.halves import Change, Halves
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,8 @@
 
 import pytest
 
-from cloverkeel.balancing.interface import FetchList, Outcome, ServerList, WatchList
+from cloverkeel.balancing.actions import FetchList, WatchList
+from cloverkeel.balancing.events import Outcome, ServerList
 from cloverkeel.core.calls import Sink
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.messages import Reply
@@ -182,7 +183,7 @@
         await until(lambda: registry.seen)
         registry.seen[0].answer(list_reply(8, entry, {"status": status}, {"name": "s-1"}, snapshot=False))
         await until(lambda: set(run.pools.hosts) == {host_id(1)})
-        assert set(run.module.servers) == {host_id(1)}
+        assert set(run.module.endpoints.by_server) == {host_id(1)}
 
 
 @pytest.mark.parametrize("first", ["silent", "503", "reset", "garbage"])
--- a/tests/test_duties_trials.py
+++ b/tests/test_duties_trials.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US
-from cloverkeel.balancing.interface import ProbesSuspended
+from cloverkeel.balancing.events import ProbesSuspended
 from cloverkeel.leases.probe_election import ASKS, HOLD_US, IDLE, TRIED, WELL, WELL_US, Outs, duty_name
 from tests.helpers import Driver, trip
 from tests.test_duties_pure import NOW_US, office
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -12,7 +12,7 @@
 import pytest
 
 from benchmarks.fleet_logs import Count, main
-from cloverkeel.balancing.interface import Outcome
+from cloverkeel.balancing.events import Outcome
 from cloverkeel.core.metrics import MOST_HOSTS, OTHERS, Tally
 from standins.parties.fleet import ROOT
 from tests.sockets import configuration, on_loop, peer, request, silent
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -24,7 +24,7 @@
 
 @on_loop
 async def test_the_module_is_told_what_the_headers_say() -> None:
-    from cloverkeel.balancing.interface import RequestArrived
+    from cloverkeel.balancing.events import RequestArrived
 
     async with peer() as host, running(configuration(host)) as run:
         told: list[RequestArrived] = []
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from cloverkeel.balancing.interface import FetchList, ListKind, ServerList, WatchList
+from cloverkeel.balancing.actions import FetchList, WatchList
+from cloverkeel.balancing.events import ListKind, ServerList
 from tests.sockets import (
     overhear,
     Exchange,
@@ -71,7 +72,7 @@
         holds = [(7, 0), (8, 1000), (8, 1000), (9, 1000)]  # the first call on a connection waits for nothing
         assert asked(registry) == [f"/registry/instances?from={n}&hold_ms={ms}" for n, ms in holds]
         assert registry.opened == 1
-        assert set(run.pools.hosts) == {host_id(1)} == set(run.module.servers)
+        assert set(run.pools.hosts) == {host_id(1)} == set(run.module.endpoints.by_server)
 
 
 @on_loop
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from cloverkeel.balancing.interface import Action, AttemptEnded, Event, Fail, Outcome, RequestArrived, WatchList
+from cloverkeel.balancing.actions import Action, Fail, WatchList
+from cloverkeel.balancing.events import AttemptEnded, Event, Outcome, RequestArrived
 from cloverkeel.core.ports import Decisions
 from tests.sockets import (
     overhear,
@@ -256,7 +257,7 @@
         await until(lambda: host.ended == 1)
         await until(lambda: told)
         assert told[0].outcome is Outcome.CANCELLED and told[0].finished
-        assert not run.gateway.held and not run.module.requests
+        assert not run.gateway.held and not run.module.lifecycle.requests
 
 
 @on_loop
@@ -335,7 +336,7 @@
 
 @on_loop
 async def test_a_send_that_comes_too_late_is_moot() -> None:
-    from cloverkeel.balancing.interface import Send
+    from cloverkeel.balancing.actions import Send
 
     async with peer() as host, running(configuration(host)) as run:
         told = outcomes(run)
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverkeel.balancing.interface import ListKind, Outcome
+from cloverkeel.balancing.events import ListKind, Outcome
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import parse
 from cloverkeel.frontends.http1.server import ClientConnection
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -16,17 +16,11 @@
 from hypothesis import strategies as st
 
 from cloverkeel.balancing.balancer import Balancer
-from cloverkeel.balancing.interface import (
-    AttemptEnded,
-    ListedServer,
-    ListKind,
-    Outcome,
-    RequestArrived,
-    RequestClass,
-    Send,
-)
-from cloverkeel.balancing.interface import ServerList, ServerStatus
-from cloverkeel.balancing.interface import Settings as Rules
+from cloverkeel.balancing.actions import Send
+from cloverkeel.balancing.events import AttemptEnded, ListKind, ListedServer, Outcome, RequestArrived
+from cloverkeel.balancing.settings import RequestClass
+from cloverkeel.balancing.events import ServerList, ServerStatus
+from cloverkeel.balancing.settings import Settings as Rules
 from cloverkeel.core.gc_tuning import FREEZE_AFTER, Freezer
 from cloverkeel.core.ports import Endpoint
 from cloverkeel.core.list_batches import AT_ONCE, KNOWN_LEAST, SLICE, Slices
--- a/tests/test_list_reading.py
+++ b/tests/test_list_reading.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.balancing.interface import ListKind, RequestArrived, ServerList, ServerStatus
+from cloverkeel.balancing.events import ListKind, RequestArrived, ServerList, ServerStatus
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import parse
 from cloverkeel.core.incremental_gzip import STEP, unpack
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -318,13 +318,13 @@
 async def test_what_a_gateway_may_do_is_shared_out_among_its_processes(tmp_path: Path) -> None:
     async with operated(tmp_path) as (operations, module, other):
         server = operations.server
-        whole_us, most = module.fall_budget_us(), server.config.sockets
+        whole_us, most = module.slow_start.budget_us(), server.config.sockets
         await until(lambda: server.sockets == most // 2)
-        assert module.fall_budget_us() == whole_us  # it does not take clients yet
+        assert module.slow_start.budget_us() == whole_us  # it does not take clients yet
         other.serves()
-        await until(lambda: module.fall_budget_us() == whole_us / 2)
+        await until(lambda: module.slow_start.budget_us() == whole_us / 2)
         other.ends()
-        await until(lambda: module.fall_budget_us() == whole_us)
+        await until(lambda: module.slow_start.budget_us() == whole_us)
         assert server.sockets == most // 2  # what it holds it has until its end
         other.close()
         await until(lambda: server.sockets == most)
@@ -333,10 +333,10 @@
 @on_loop
 async def test_a_process_that_ends_leaves_its_part_of_cold_budgets_to_its_successor(tmp_path: Path) -> None:
     async with operated(tmp_path) as (operations, module, successor):
-        whole_us = module.fall_budget_us()
+        whole_us = module.slow_start.budget_us()
         successor.serves()
         assert operations.way_out() is not None
-        assert module.fall_budget_us() < whole_us / 1000
+        assert module.slow_start.budget_us() < whole_us / 1000
         assert successor.others().count == 1 and successor.others().serving == 0
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from cloverkeel.balancing.interface import Send
+from cloverkeel.balancing.actions import Send
 
 
 def test_the_example_runs() -> None:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -20,7 +20,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.balancing.interface import ListedServer, ListKind, ServerStatus, WatchList
+from cloverkeel.balancing.actions import WatchList
+from cloverkeel.balancing.events import ListKind, ListedServer, ServerStatus
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import ConfigError, Names, parse
 from cloverkeel.core.options import Options, Relays as RelayOptions, load, parse as parse_options
@@ -438,7 +439,7 @@
         assert targets(first)[:3] == [named] + [named + "&from=5&hold_ms=400"] * 2
         assert set(run.pools.hosts) == {host_id(1)} and first.opened == 1
         assert not second.opened and not discovery.opened
-        assert run.module.servers[host_id(1)].entry.users == 12
+        assert run.module.endpoints.by_server[host_id(1)].entry.users == 12
 
 
 def coded(body: bytes, coding: str = "gzip") -> Script:
--- a/tests/test_sharing_pure.py
+++ b/tests/test_sharing_pure.py
@@ -14,7 +14,7 @@
 from benchmarks.sharing import BEGIN_US, Fleet
 from cloverkeel.balancing.peer_reports import MAX_PROBE_DELAY_US
 from cloverkeel.balancing.circuit_breaker import BreakerState, INITIAL_COOLDOWN_US, MIN_OUTCOMES
-from cloverkeel.balancing.interface import PeerHealthReport, ListedServer, Outcome, RetryTokenGrant
+from cloverkeel.balancing.events import ListedServer, Outcome, PeerHealthReport, RetryTokenGrant
 from cloverkeel.gossip.outlier_reports import (
     EVIDENCE_US,
     HOSTS_MOST,
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from cloverkeel.balancing.endpoint_updates import MAX_RETRY_POLL_US
-from cloverkeel.balancing.interface import ListKind, ServerList, Settings
+from cloverkeel.balancing.events import ListKind, ServerList
+from cloverkeel.balancing.settings import Settings
 from cloverkeel.discovery.poll_schedule import (
     ANSWER_S,
     CONNECT_S,
