--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -61,7 +61,7 @@
     """There are servers for what runs at most once though it may have run."""
     from cloverkeel.balancing.server_selection import ServerSelection
 
-    cut(ServerSelection, "retry_candidates", ("if class_.effect is Effect.UNSAFE:", "if False:"))
+    cut(ServerSelection, "retry_candidates", ("if ran and class_.effect is Effect.UNSAFE:", "if False:"))
 
 
 @entry("keyed-group")
--- a/cloverkeel/balancing/server_selection.py
+++ b/cloverkeel/balancing/server_selection.py
@@ -93,10 +93,10 @@
         tried = [attempt.server for attempt in request.attempts]
         # Asked in any case: a breaker whose cooldown is over becomes half-open by it.
         untried = [s for s in self.subset.candidates(now_us, class_index) if s not in tried]
-        if not ran or class_.effect is Effect.SAFE:
-            return untried
-        if class_.effect is Effect.UNSAFE:
+        if ran and class_.effect is Effect.UNSAFE:
             return []
+        if not ran or class_.effect is not Effect.KEYED:
+            return untried
         if now_us - ran[0].sent_us >= class_.window_us:
             return []
         return self._keyed_candidates(now_us, class_index, class_.scope, ran, tried)
