--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -15,7 +15,7 @@
         tests="gateway_clients::an_id_that_is_in_use_is_not_taken_twice"),
     row("tickets+free-by-identity", "a request is forgotten as itself, not by its id",
         "Gateway.arrive, RequestLifecycle.forget",
-        tests="repeated_ids::a_late_timer_of_an_answered_request_spares_its_namesake"),
+        tests="balancing/repeated_ids::a_late_timer_of_an_answered_request_spares_its_namesake"),
     row("way-out-ends+way-out-bound", "the way out ends", "Timetable, LAST_S",
         tests="gateway_process::what_never_ends_does_not_keep_it "
               "gateway_process::a_restart_finishes_what_is_held_and_still_takes_what_comes"),
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -15,18 +15,8 @@
 
 from cloverkeel.balancing.balancer import Balancer
 from cloverkeel.balancing.actions import (
-    Action,
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Log,
-    Probe,
-    Refuse,
-    Send,
-    SetTimer,
-    WatchList,
-)
+    Action, Cancel, CloseIdle, Fail, FetchList, Log, Probe, Refuse, Send, SetTimer, WatchList,
+)  # fmt: skip
 from cloverkeel.balancing.events import (
     AnswerAll,
     AttemptEnded,
--- a/cloverkeel/upstream/connection_pool.py
+++ b/cloverkeel/upstream/connection_pool.py
@@ -8,8 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Final, cast
 
-from cloverkeel.balancing.events import LoadReport, Outcome
-from cloverkeel.balancing.settings import Reports, Settings
+from cloverkeel.balancing import LoadReport, Outcome, Reports, Settings
 from cloverkeel.simulator.codec import parse_load
 
 from cloverkeel.core.calls import Sink
--- /dev/null
+++ b/tests/balancing/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decisions."""
--- /dev/null
+++ b/tests/compiled/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the compiled build and its loader."""
