--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -74,22 +74,23 @@
 from setuptools import setup
 setup(name="compiled", packages=[], ext_modules=mypycify({arguments!r}, opt_level="2"))
 """
-# Where `build` compiles there are no libraries but mypy's own: what the rooms import is known by name alone.
+# Where `build` compiles there are no libraries but mypy's own: what the modules import is known by name alone.
 OPTIONS = ("--config-file=", "--ignore-missing-imports")
-LONGEST_S = 300.0
-SAID = 300  # characters of a reason
+COMPILE_TIMEOUT_S = 300.0
+MAX_REASON_LENGTH = 300  # characters of a reason
 
 
 class CompileError(Exception):
-    """It could not be compiled; the message says why, in one line."""
+    """Raise where it could not be compiled; the message says why, in one line."""
 
 
 def source_of(module: str) -> str:
+    """Return the path of a module's source below the root."""
     return module.replace(".", "/") + ".py"
 
 
 def run(folder: Path, modules: Sequence[str]) -> None:
-    """mypyc and the C compiler, in a process of their own: their failure is one line here."""
+    """Run mypyc and the C compiler in a process of their own: their failure is one line here."""
     setup = folder / "setup.py"
     setup.write_text(SETUP.format(arguments=[*OPTIONS, *map(source_of, modules)]))
     command = [
@@ -99,17 +100,17 @@
     environment = os.environ | {loader.PLAIN: "1", "MYPYPATH": ""}
     try:
         done = subprocess.run(
-            command, cwd=folder / "tree", env=environment, capture_output=True, text=True, timeout=LONGEST_S
+            command, cwd=folder / "tree", env=environment, capture_output=True, text=True, timeout=COMPILE_TIMEOUT_S
         )
     except subprocess.TimeoutExpired:
-        raise CompileError(f"not done in {LONGEST_S:.0f} s") from None
+        raise CompileError(f"not done in {COMPILE_TIMEOUT_S:.0f} s") from None
     if done.returncode:
         lines = [line for line in (done.stdout + done.stderr).splitlines() if line.strip()]
         raise CompileError(lines[-1] if lines else f"exit code {done.returncode}")
 
 
-def found(library: Path) -> dict[str, Path]:
-    """Module names and their libraries, below a folder."""
+def find_libraries(library: Path) -> dict[str, Path]:
+    """Return module names and their libraries below a folder."""
     paths = sorted(library.rglob("*" + loader.SUFFIX))
     return {
         str(path.relative_to(library)).removesuffix(loader.SUFFIX).replace(os.sep, "."): path.relative_to(library)
@@ -130,7 +131,7 @@
             copy.parent.mkdir(parents=True, exist_ok=True)
             shutil.copyfile(file, copy)
         run(work, modules)
-        libraries = found(work / "lib")
+        libraries = find_libraries(work / "lib")
         missing = set(modules) - set(libraries)
         if missing:
             raise CompileError(f"no library came of {', '.join(sorted(missing))}")
@@ -144,6 +145,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
+    """Compile, or check what was compiled; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--folder", type=Path, default=Path(loader.FOLDER))
     parser.add_argument("--check", action="store_true", help="only tell whether there is a compiled build to be used")
@@ -161,7 +163,7 @@
     try:
         compile_all(options.folder)
     except (CompileError, OSError) as error:
-        print(f"cloverkeel: not compiled, the plain sources run: {str(error)[:SAID]}", file=sys.stderr)
+        print(f"cloverkeel: not compiled, the plain sources run: {str(error)[:MAX_REASON_LENGTH]}", file=sys.stderr)
         return 1
     print("cloverkeel: compiled")
     return 0
--- a/cloverkeel/compiled/loader.py
+++ b/cloverkeel/compiled/loader.py
@@ -1,4 +1,4 @@
-"""Which build of the decisions runs: one that mypyc compiled from these very sources, or the sources themselves.
+"""Choose which build of the decisions runs: one that mypyc compiled from these sources, or the sources themselves.
 
 The compiled libraries lie in the package's folder `_compiled`, with a stamp that is written last. They are used where
 the stamp names this Python, and the sources and libraries that are there now; else the sources run, and
@@ -29,11 +29,11 @@
 
 
 class UnusableError(Exception):
-    """What was compiled is not to be used; the message says why."""
+    """Raise where what was compiled is not to be used; the message says why."""
 
 
 class Finder:
-    """Finds compiled modules by their full names, ahead of their sources."""
+    """Find compiled modules by their full names, ahead of their sources."""
 
     def __init__(self, files: Mapping[str, str]) -> None:
         self.files = files
@@ -41,17 +41,19 @@
     def find_spec(
         self, fullname: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> importlib.machinery.ModuleSpec | None:
+        """Return the spec of a compiled module, or None for any other; the protocol of `importlib.abc`."""
         file = self.files.get(fullname)
         return importlib.util.spec_from_file_location(fullname, file) if file is not None else None
 
 
 def digest(path: str) -> str:
+    """Return the digest of a file's content."""
     with open(path, "rb") as file:
         return hashlib.blake2b(file.read(), digest_size=16).hexdigest()
 
 
 def read_stamp(folder: str) -> dict[str, str]:
-    """Module names and the files of their libraries; UnusableError where anything is not as it was compiled."""
+    """Return module names and the files of their libraries; UnusableError where anything differs from the stamp."""
     try:
         with open(os.path.join(folder, STAMP), "rb") as file:
             stamp = json.load(file)
@@ -88,7 +90,7 @@
     return load(DECISIONS)
 
 
-def is_of(module: str, package: str) -> bool:
+def belongs_to(module: str, package: str) -> bool:
     """Tell whether a module is loaded with this package; the decisions are a group of their own in the program."""
     if package == PROGRAM and module.startswith(DECISIONS + "."):
         return False
@@ -103,7 +105,7 @@
     finder = next((found for found in sys.meta_path if isinstance(found, Finder)), None)
     if finder is None:
         return "plain: no compiled build is in use"
-    names = [name for name in finder.files if is_of(name, package)]
+    names = [name for name in finder.files if belongs_to(name, package)]
     if not names:
         return f"plain: nothing of {package} was compiled"
     before = set(sys.modules)
@@ -116,7 +118,7 @@
         if package == DECISIONS:
             sys.meta_path.remove(finder)  # the others are bound to its compiled classes
         for name in set(sys.modules) - before:
-            if is_of(name, package):
+            if belongs_to(name, package):
                 del sys.modules[name]
         return f"plain: {error}"
     return "compiled"
--- a/cloverkeel/core/config.py
+++ b/cloverkeel/core/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cloverkeel.balancing.settings import Settings
-from cloverkeel.simulator.codec import WireError, parse_settings
+from cloverkeel.simulator.settings_codec import WireError, parse_settings
 
 Address = tuple[str, int]
 
--- a/cloverkeel/simulator/adapter.py
+++ b/cloverkeel/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Runs balancers on the bench's wire: batches from standard input, one reply each to standard output.
+"""Run balancers on the simulator's wire: batches from standard input, one reply each to standard output.
 
 Every instance has a Balancer of its own; nothing is shared and nothing is decided here. A line that cannot be
 read is named on standard error and skipped.
@@ -12,44 +12,41 @@
 
 from cloverkeel.balancing.events import Event, ListKind, ListedServer, ServerList
 from cloverkeel.balancing.balancer import Balancer
-from cloverkeel.simulator.codec import (
-    LIST_KINDS,
-    PARSERS,
-    Fields,
-    WireError,
-    format_action,
-    parse_server,
-    parse_settings,
-    split_line,
-)
-
-
-class Host:
+from cloverkeel.simulator.codec import Fields, LIST_KINDS, PARSERS, format_action, parse_server, split_line
+from cloverkeel.simulator.settings_codec import WireError, parse_settings
+
+
+class SimulatorAdapter:
+    """Hold the balancers of one simulation, by the names of their instances."""
+
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source, self.sink, self.errors = source, sink, errors
         self.balancers: dict[str, Balancer] = {}
-        self.tables: dict[str, tuple[ListedServer, ...]] = {}
+        self.lists_by_name: dict[str, tuple[ListedServer, ...]] = {}
         self.instance = ""
-        self.spoken_for = ""
+        self.replying_instance = ""
         self.now_us = 0
         self.line_number = 0
         self.reply: list[str] = []
 
     def run(self) -> None:
-        for line in self.source:
+        """Read lines until the end of the input; one that cannot be read is reported and skipped."""
+        for raw_line in self.source:
             self.line_number += 1
-            line = line.rstrip("\r\n")
+            line = raw_line.rstrip("\r\n")
             try:
                 self.read_line(line)
             except KeyError as error:
-                self.complain(line, f"field or value {error} is missing or unknown")
+                self.report_bad_line(line, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(line, str(error))
+                self.report_bad_line(line, str(error))
 
-    def complain(self, line: str, why: str) -> None:
-        print(f"cloverkeel: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
+    def report_bad_line(self, line: str, reason: str) -> None:
+        """Name a line that cannot be read on standard error."""
+        print(f"cloverkeel: line {self.line_number}: {reason}: {line[:200]}", file=self.errors, flush=True)
 
     def read_line(self, line: str) -> None:
+        """Read one line; messages that a later wire adds are ignored, as unknown keys are."""
         if line == "go":
             self.finish_batch()
             return
@@ -59,29 +56,40 @@
         parser = PARSERS.get(name)
         if parser is not None:
             self.deliver(parser(fields))
-        elif name == "begin_batch":
-            self.reply, self.instance, self.spoken_for = [], "", ""
-            self.now_us = int(fields["simTimeUs"])
-        elif name == "instance":
-            self.instance = ""  # a malformed name must not leave events to the one before
-            self.instance = fields["i"]
         elif name == "inventory":
             self.read_inventory(fields)
         elif name == "registry":
             kind = LIST_KINDS[fields["how"]]
-            servers = () if kind is ListKind.ERROR else self.tables[fields["table"]]
+            servers = () if kind is ListKind.ERROR else self.lists_by_name[fields["table"]]
             self.deliver(ServerList(kind, servers))
+        else:
+            self.read_control(name, fields)
+
+    def read_control(self, name: str, fields: Fields) -> None:
+        """Read a message about batches or instances."""
+        if name == "begin_batch":
+            self.reply = []
+            self.instance = ""
+            self.replying_instance = ""
+            self.now_us = int(fields["simTimeUs"])
+        elif name == "instance":
+            self.instance = ""  # a malformed name must not leave events to the one before
+            self.instance = fields["i"]
         elif name == "launch":
-            self.balancers.pop(self.instance, None)
-            if not self.instance:
-                raise WireError("launch outside any instance")
-            settings = parse_settings(fields["bootInfo"])
-            self.balancers[self.instance] = Balancer(settings, int(fields["prng"]))
+            self.launch(fields)
         elif name == "destroy" and self.balancers.pop(self.instance, None) is None:
             raise WireError(f"unknown instance '{self.instance}'")
-        # Events that a later wire adds are ignored, as unknown keys are.
+
+    def launch(self, fields: Fields) -> None:
+        """Start the balancer of the present instance, in the place of one before."""
+        self.balancers.pop(self.instance, None)
+        if not self.instance:
+            raise WireError("launch outside any instance")
+        settings = parse_settings(fields["bootInfo"])
+        self.balancers[self.instance] = Balancer(settings, int(fields["prng"]))
 
     def read_inventory(self, fields: Fields) -> None:
+        """Read a server list, whose entries are the lines that follow."""
         members: list[ListedServer] = []
         for _ in range(int(fields["members"])):
             entry = self.source.readline()
@@ -93,24 +101,26 @@
                     raise WireError("not a list entry")
                 members.append(parse_server(entry_fields))
             except KeyError as error:
-                self.complain(entry, f"field or value {error} is missing or unknown")
+                self.report_bad_line(entry, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(entry, str(error))
-        self.tables[fields["table"]] = tuple(members)
+                self.report_bad_line(entry, str(error))
+        self.lists_by_name[fields["table"]] = tuple(members)
 
     def deliver(self, event: Event) -> None:
+        """Feed an event to the balancer of the present instance, and append its actions to the reply."""
         balancer = self.balancers.get(self.instance)
         if balancer is None:
             raise WireError(f"unknown instance '{self.instance}'")
         actions = balancer.handle(self.now_us, event)
         if not actions:
             return
-        if self.spoken_for != self.instance:
-            self.spoken_for = self.instance
+        if self.replying_instance != self.instance:
+            self.replying_instance = self.instance
             self.reply.append(f"by i={self.instance}")
         self.reply.extend(map(format_action, actions))
 
     def finish_batch(self) -> None:
+        """Write the reply to a batch."""
         self.reply.append("next\n")
         self.sink.write("\n".join(self.reply))
         self.sink.flush()
@@ -118,9 +128,10 @@
 
 
 def main() -> int:
+    """Run the adapter on standard input and output."""
     gc.freeze()  # what the imports made is never garbage
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
-    Host(sys.stdin, sys.stdout, sys.stderr).run()
+    SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
 
 
--- a/tests/compiled/test_build.py
+++ b/tests/compiled/test_build.py
@@ -21,7 +21,7 @@
 from cloverkeel.compiled import loader
 from cloverkeel.balancing.events import ListedServer
 from cloverkeel.balancing.settings import Settings
-from cloverkeel.simulator.codec import WireError, parse_settings
+from cloverkeel.simulator.settings_codec import WireError, parse_settings
 from cloverkeel.core.config import Names
 from cloverkeel.discovery.http_client import parse_entry
 
--- a/tests/golden/simulator.py
+++ b/tests/golden/simulator.py
@@ -36,8 +36,9 @@
     TimerFired,
 )
 from cloverkeel.balancing.settings import Effect, Goal, Prices, Reports, RequestClass, Scope, Settings, Tenant
-from cloverkeel.simulator.adapter import Host
-from cloverkeel.simulator.codec import OUTCOMES, PARSERS, format_action, parse_server, parse_settings, split_line
+from cloverkeel.simulator.adapter import SimulatorAdapter
+from cloverkeel.simulator.codec import OUTCOMES, PARSERS, format_action, parse_server, split_line
+from cloverkeel.simulator.settings_codec import parse_settings
 from tests.golden.store import Sample, SamplesByName
 
 ACTIONS: Final[dict[str, Action]] = {
@@ -190,7 +191,7 @@
 def _dialogue() -> bytes:
     """Return what the adapter writes to standard output."""
     output = io.StringIO()
-    Host(io.StringIO("".join(f"{line}\n" for line in DIALOGUE)), output, io.StringIO()).run()
+    SimulatorAdapter(io.StringIO("".join(f"{line}\n" for line in DIALOGUE)), output, io.StringIO()).run()
     return output.getvalue().encode()
 
 
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -38,16 +38,9 @@
     TimerFired,
 )
 from cloverkeel.balancing.settings import Effect, Prices, Reports, Scope, Tenant
-from cloverkeel.simulator.codec import (
-    OUTCOMES,
-    PARSERS,
-    WireError,
-    format_action,
-    parse_server,
-    parse_settings,
-    split_line,
-)
-from cloverkeel.simulator.adapter import Host
+from cloverkeel.simulator.codec import OUTCOMES, PARSERS, format_action, parse_server, split_line
+from cloverkeel.simulator.settings_codec import WireError, parse_settings
+from cloverkeel.simulator.adapter import SimulatorAdapter
 
 LANES = [
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "free", "value": 3.0},
@@ -76,7 +69,7 @@
 
 def run(*lines: str) -> tuple[list[str], str]:
     sink, errors = io.StringIO(), io.StringIO()
-    Host(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
+    SimulatorAdapter(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
 
 
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -36,7 +36,6 @@
     "cloverkeel/control_plane/fleet_roster.py:parse_roster": 81,
     "cloverkeel/core/gateway.py:send": 42,
     "cloverkeel/frontends/http1/requests.py:read_call": 46,
-    "cloverkeel/simulator/codec.py:_settings": 45,
 }
 
 
