--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -95,7 +95,7 @@
     from cloverkeel.gossip.driver import Room
 
     def take(self: Any, most: float) -> float:
-        before, wanting = self.gateway.balancer.retry_state(self.clock())
+        before, wanting = self.gateway.balancer.retry_token_state(self.clock())
         return 0.0 if wanting else min(most, before)
 
     swap(Room, "take", take)
@@ -124,7 +124,7 @@
     """A process that begins saves up as much as ever, and has it."""
     from cloverkeel.gossip.driver import Room
 
-    begins = "self.gateway.retry_rights(CAP, -self.gateway.balancer.retry_state(self.clock())[0])"
+    begins = "self.gateway.retry_rights(CAP, -self.gateway.balancer.retry_token_state(self.clock())[0])"
     cut(Room, "start", (begins, "pass"))
 
 
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -83,7 +83,7 @@
         membership = BannedMembership(discovery)
     gateway = Gateway(config, pools, membership)
     if relayed is not None:
-        relayed.outs = lambda: len(gateway.balancer.outs(now_us()))
+        relayed.outs = lambda: len(gateway.balancer.ejected_servers(now_us()))
     may_tell = config.settings.may_tell_peers and config.peer_listen is not None
     if options is None or not may_tell or (options.duties is None and options.sharing is None):
         return Program(gateway, Server(config, gateway, pools), pools, membership, relayed=relayed)
--- a/cloverkeel/balancing/balancer.py
+++ b/cloverkeel/balancing/balancer.py
@@ -134,30 +134,30 @@
 
     # What the gateway's other parts ask
 
-    def shares_shed(self) -> tuple[float, float]:
+    def shed_ratios(self) -> tuple[float, float]:
         """Return the shed ratios of the classes of low priority and of all others."""
         return self.load_shedder.low_priority_ratio, self.load_shedder.high_priority_ratio
 
-    def retry_state(self, now_us: int) -> RetryTokenState:
+    def retry_token_state(self, now_us: int) -> RetryTokenState:
         """Return the retry tokens at hand, and whether one was wanting of late."""
         self.now_us = max(now_us, self.now_us)
         return RetryTokenState(self.retry_budget.available(self.now_us), self.retry_budget.is_wanted(now_us))
 
-    def cold_needs(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
+    def slow_start_demands(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
         """Return the `SlowStartDemand` of each server of the subset that is warming up or not settled yet."""
         self.now_us = max(now_us, self.now_us)
         return [*self.slow_start.demands(self.now_us, now_us)]
 
-    def silences(self, now_us: int) -> list[int]:
+    def silent_servers(self, now_us: int) -> list[int]:
         """Return the servers that are sent nothing more as their oldest attempt in flight is overdue."""
         return self.subset.silent_servers(now_us)
 
-    def start_of(self, server: int) -> int:
+    def started_at_us(self, server: int) -> int:
         """Return when a server's process started, as listed; -1 for one that is not."""
         endpoint = self.endpoints.by_server.get(server)
         return endpoint.entry.started_us if endpoint is not None else -1
 
-    def outs(self, now_us: int) -> list[tuple[int, bool]]:
+    def ejected_servers(self, now_us: int) -> list[tuple[int, bool]]:
         """Return the servers whose breaker is not closed, and whether they are probed.
 
         One whose cooldown is long over waits for a request that may be risked, and nobody should wait for that.
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -173,7 +173,7 @@
     def write_tally(self, at_us: int) -> None:
         self.tally_due_us = at_us - at_us % EVERY_US + EVERY_US
         opened = self.pools.opened()
-        line = self.tally.line(at_us, self.balancer.shares_shed(), opened - self.opened, self.entries)
+        line = self.tally.line(at_us, self.balancer.shed_ratios(), opened - self.opened, self.entries)
         if line is not None and log_if_read(line):  # else the sums go on
             self.opened, self.entries = opened, 0
             self.tally.begin_anew()
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -61,22 +61,22 @@
 
     def handle(self, now_us: int, event: Event) -> list[Action]: ...
 
-    def shares_shed(self) -> tuple[float, float]:
+    def shed_ratios(self) -> tuple[float, float]:
         """Of what is cheap, and of all else."""
 
-    def outs(self, now_us: int) -> list[tuple[int, bool]]:
+    def ejected_servers(self, now_us: int) -> list[tuple[int, bool]]:
         """Servers whose breaker is not closed, and whether they are tried here."""
 
-    def silences(self, now_us: int) -> list[int]:
+    def silent_servers(self, now_us: int) -> list[int]:
         """Servers that get nothing more as their oldest attempt out is overdue."""
 
-    def retry_state(self, now_us: int) -> tuple[float, bool]:
+    def retry_token_state(self, now_us: int) -> tuple[float, bool]:
         """Tokens for further attempts, and whether one was wanting of late."""
 
-    def start_of(self, number: int) -> int:
+    def started_at_us(self, number: int) -> int:
         """When a server's process started, as listed; -1 for one that is not."""
 
-    def cold_needs(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
+    def slow_start_demands(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
         """Cold servers within reach: number, start, whether its part is too small, whether it may be lent."""
 
 
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -66,7 +66,7 @@
             return
         # It begins with none: a process before this one may have spent its own a moment ago. From now on, not from
         # when the socket is there: while its gateway is replaced that may be long.
-        self.gateway.retry_rights(CAP, -self.gateway.balancer.retry_state(self.clock())[0])
+        self.gateway.retry_rights(CAP, -self.gateway.balancer.retry_token_state(self.clock())[0])
         self.datagrams.join(MAGIC, self)
 
     def opened(self) -> None:
@@ -96,14 +96,14 @@
         doubted = sum(known.doubted for known in self.exchange.passed.values())
         tally.sharing = [doubted, counts.first, counts.confirmed, counts.heard, counts.sent, counts.sent_bytes]
         self.note_silences(at_us)
-        if self.gateway.balancer.retry_state(at_us)[1]:
+        if self.gateway.balancer.retry_token_state(at_us)[1]:
             self.exchange.want_rights(at_us)
         self.work()
 
     def note_silences(self, at_us: int) -> None:
         """A host whose oldest attempt is overdue has failed here, once for each time that it falls silent."""
         silent = set()
-        for server in self.gateway.balancer.silences(at_us):
+        for server in self.gateway.balancer.silent_servers(at_us):
             host = self.host_of(server)
             if host is not None:
                 silent.add(host)
@@ -142,7 +142,7 @@
     # Outcomes
 
     def host_of(self, server: int) -> Host | None:
-        started_us = self.gateway.balancer.start_of(server)
+        started_us = self.gateway.balancer.started_at_us(server)
         return (server, stamp_of(started_us)) if started_us >= 0 else None
 
     def on_outcome(self, server: int, outcome: Outcome, latency_us: int) -> None:
@@ -157,7 +157,7 @@
             self.work_soon()
 
     def on_heard(self, server: int, started: int, known: Weighed) -> None:
-        started_us = self.gateway.balancer.start_of(server)
+        started_us = self.gateway.balancer.started_at_us(server)
         if started_us < 0 or stamp_of(started_us) != started:
             return  # a host of before, or one that this gateway's list does not name
         self.gateway.hearsay(
@@ -168,11 +168,11 @@
 
     def take(self, most: float) -> float:
         """What is gone from the module, not what it was told to part with."""
-        before, wanting = self.gateway.balancer.retry_state(self.clock())
+        before, wanting = self.gateway.balancer.retry_token_state(self.clock())
         if wanting or before < LEAST:
             return 0.0
         self.gateway.retry_rights(CAP, -min(most, before))
-        return max(0.0, before - self.gateway.balancer.retry_state(self.clock())[0])
+        return max(0.0, before - self.gateway.balancer.retry_token_state(self.clock())[0])
 
     def put(self, amount: float, until_us: int) -> None:
         self.gateway.retry_rights(CAP, amount, until_us)
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -125,9 +125,9 @@
         self.sends = 0
         at_us = self.clock()
         if self.warden:
-            self.colds.look(at_us, self.gateway.balancer.cold_needs(at_us), self.office)
+            self.colds.look(at_us, self.gateway.balancer.slow_start_demands(at_us), self.office)
         if self.trier:
-            self.outs.look(at_us, self.gateway.balancer.outs(at_us), self.office)
+            self.outs.look(at_us, self.gateway.balancer.ejected_servers(at_us), self.office)
         self.work()
         counts, held = self.office.counts, len(self.colds.wardens) + len(self.outs.held)
         if counts.began or self.colds.lent or self.colds.taken or self.outs.held_back:
--- a/tests/balancing/test_slow_start_quotas.py
+++ b/tests/balancing/test_slow_start_quotas.py
@@ -112,11 +112,11 @@
     driver = proxy(0)
     started_us = driver.now_us
     driver.now_us += 5_000_000
-    assert driver.balancer.cold_needs(driver.now_us) == [(SERVER, started_us, False, True)]
+    assert driver.balancer.slow_start_demands(driver.now_us) == [(SERVER, started_us, False, True)]
     spend(driver, 50)
-    assert driver.balancer.cold_needs(driver.now_us) == [(SERVER, started_us, True, False)]
+    assert driver.balancer.slow_start_demands(driver.now_us) == [(SERVER, started_us, True, False)]
     driver.now_us += 3_000_000
-    assert driver.balancer.cold_needs(driver.now_us) == [(SERVER, started_us, False, True)]
+    assert driver.balancer.slow_start_demands(driver.now_us) == [(SERVER, started_us, False, True)]
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_duties_room.py
+++ b/tests/test_duties_room.py
@@ -65,10 +65,10 @@
 
     def hold_trials(self, *told: object) -> None: ...
 
-    def cold_needs(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
+    def slow_start_demands(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
         return [(5, 1, True, False)]
 
-    def outs(self, now_us: int) -> list[object]:
+    def ejected_servers(self, now_us: int) -> list[object]:
         return []
 
 
--- a/tests/test_duties_trials.py
+++ b/tests/test_duties_trials.py
@@ -47,11 +47,11 @@
 
 def test_what_is_out_and_whether_it_is_tried() -> None:
     driver = tripped()
-    assert driver.balancer.outs(driver.now_us) == [(0, True)]
+    assert driver.balancer.ejected_servers(driver.now_us) == [(0, True)]
     late_us = driver.now_us + 2 * INITIAL_COOLDOWN_US + 1
-    assert driver.balancer.outs(late_us) == [(0, False)]  # no request has come that could be risked
+    assert driver.balancer.ejected_servers(late_us) == [(0, False)]  # no request has come that could be risked
     driver.balancer.endpoints.by_server[0].breaker.close()
-    assert driver.balancer.outs(late_us) == []
+    assert driver.balancer.ejected_servers(late_us) == []
 
 
 class Heard:
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -292,23 +292,23 @@
         def handle(self, now_us: int, event: Event) -> list[Action]:
             return [WatchList(True), *self.module.handle(now_us, event)]
 
-        def shares_shed(self) -> tuple[float, float]:
-            return self.module.shares_shed()
+        def shed_ratios(self) -> tuple[float, float]:
+            return self.module.shed_ratios()
 
-        def cold_needs(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
-            return self.module.cold_needs(now_us)
+        def slow_start_demands(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
+            return self.module.slow_start_demands(now_us)
 
-        def outs(self, now_us: int) -> list[tuple[int, bool]]:
-            return self.module.outs(now_us)
+        def ejected_servers(self, now_us: int) -> list[tuple[int, bool]]:
+            return self.module.ejected_servers(now_us)
 
-        def silences(self, now_us: int) -> list[int]:
-            return self.module.silences(now_us)
+        def silent_servers(self, now_us: int) -> list[int]:
+            return self.module.silent_servers(now_us)
 
-        def start_of(self, number: int) -> int:
-            return self.module.start_of(number)
+        def started_at_us(self, number: int) -> int:
+            return self.module.started_at_us(number)
 
-        def retry_state(self, now_us: int) -> tuple[float, bool]:
-            return self.module.retry_state(now_us)
+        def retry_token_state(self, now_us: int) -> tuple[float, bool]:
+            return self.module.retry_token_state(now_us)
 
     async with peer() as host, running(configuration(host)) as run:
         told = run.gateway.discovery
--- a/tests/test_sharing_commands.py
+++ b/tests/test_sharing_commands.py
@@ -124,10 +124,10 @@
         raw["settings"] |= {"balancers": 2, "index": 0}
         program = assemble(parse_config(raw), Options(sharing=Sharing()))
         try:
-            before = program.gateway.balancer.retry_state(now_us())[0]
+            before = program.gateway.balancer.retry_token_state(now_us())[0]
             program.start()
             await asyncio.sleep(0)
             assert program.datagrams is not None and program.datagrams.transport is None
-            assert before > CAP and program.gateway.balancer.retry_state(now_us()) == (0.0, False)
+            assert before > CAP and program.gateway.balancer.retry_token_state(now_us()) == (0.0, False)
         finally:
             program.close()
--- a/tests/test_sharing_pure.py
+++ b/tests/test_sharing_pure.py
@@ -536,14 +536,14 @@
 def test_what_came_from_others_and_was_not_used_is_gone() -> None:
     driver = Driver()
     module = driver.balancer
-    driver.handle(RetryTokenGrant(CAP, -module.retry_state(driver.now_us)[0]))
-    assert module.retry_state(driver.now_us) == (0.0, False)  # a process that begins has none
+    driver.handle(RetryTokenGrant(CAP, -module.retry_token_state(driver.now_us)[0]))
+    assert module.retry_token_state(driver.now_us) == (0.0, False)  # a process that begins has none
     until_us = driver.now_us + LIFE_US
     driver.handle(RetryTokenGrant(CAP, 1.0, until_us))
     driver.handle(RetryTokenGrant(CAP, 1.0, until_us))
     driver.arrive()
-    assert module.retry_state(until_us - 1)[0] == 2.0  # earning adds nothing above the cap
-    assert module.retry_state(until_us)[0] == CAP
+    assert module.retry_token_state(until_us - 1)[0] == 2.0  # earning adds nothing above the cap
+    assert module.retry_token_state(until_us)[0] == CAP
 
 
 def test_a_further_attempt_that_had_no_token_is_a_need() -> None:
@@ -553,7 +553,7 @@
         name, actions = driver.arrive()
         actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
         assert not sends(actions)
-    assert driver.balancer.retry_state(driver.now_us)[1]
+    assert driver.balancer.retry_token_state(driver.now_us)[1]
     driver.handle(RetryTokenGrant(CAP, 1.0, driver.now_us + LIFE_US))
     name, actions = driver.arrive()
     actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
@@ -786,10 +786,10 @@
 def test_what_the_room_asks_of_the_module() -> None:
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(3, started_us=9))
-    assert driver.balancer.start_of(3) == 9 and driver.balancer.start_of(4) == -1
+    assert driver.balancer.started_at_us(3) == 9 and driver.balancer.started_at_us(4) == -1
     driver.arrive()
-    assert driver.balancer.silences(driver.now_us) == []
-    assert driver.balancer.silences(driver.now_us + 10_000_000) == [3]
+    assert driver.balancer.silent_servers(driver.now_us) == []
+    assert driver.balancer.silent_servers(driver.now_us + 10_000_000) == [3]
 
 
 def told_by(items: Sequence[EvidenceItem]) -> set[int]:
