--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,10 +1,10 @@
-"""What an event costs the decision module as the fleet grows: microseconds of CPU, on the build that runs.
+"""What an event costs the balancer as the fleet grows: microseconds of CPU, on the build that runs.
 
     [CLOVERKEEL_PLAIN=1] python -m benchmarks.decisions [--rounds 5] [--json FILE]
 
-Exit code 1: the cost of a request grows with the fleet by more than `MOST_BY_FLEET` up to 512 servers at the same
-number out, by more than the number out from 1 to 200 (it may grow with the subset, which grows with what is out, and
-not with the fleet), or that of a list by more than `MOST_BY_FLEET` for each server.
+Exit code 1: the cost of a request grows with the fleet by more than `MAX_RATIO_BY_FLEET` up to 512 servers at the
+same number out, by more than the number out from 1 to 200 (it may grow with the subset, which grows with what is
+out, and not with the fleet), or that of a list by more than `MAX_RATIO_BY_FLEET` for each server.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 FLEETS = (12, 64, 512)
 OUTS = (1, 20, 200)
 EVENTS = 1_000  # pairs of an arrival and an end, for each figure
-MOST_BY_FLEET = 1.5
+MAX_RATIO_BY_FLEET = 1.5
 
 
 def make(servers: int, proxies: int = 420) -> Balancer:
@@ -92,10 +92,10 @@
         # Where more is out than the small fleet has servers, its subset is the whole of it: compared from 64 on.
         if out >= FLEETS[0]:
             least = figures[f"request, {FLEETS[1]} servers, {out} out"]
-        if out < FLEETS[1] and most > MOST_BY_FLEET * least:
+        if out < FLEETS[1] and most > MAX_RATIO_BY_FLEET * least:
             bad.append(f"{out} out: {least:.1f} µs grows to {most:.1f} with the fleet")
     few, many_listed = figures[f"list of {FLEETS[1]}"] / FLEETS[1], figures[f"list of {FLEETS[-1]}"] / FLEETS[-1]
-    if many_listed > MOST_BY_FLEET * few:
+    if many_listed > MAX_RATIO_BY_FLEET * few:
         bad.append(f"a list: {few:.1f} µs a server grows to {many_listed:.1f} with the fleet")
     for servers in FLEETS:
         one, many = (figures[f"request, {servers} servers, {out} out"] for out in (OUTS[0], OUTS[-1]))
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,4 +1,4 @@
-"""Seeded streams of events for the decision module, and what it made of each: the same from the same seed.
+"""Seeded streams of events for the decisions, and what they made of each: the same from the same seed.
 
 A stream follows the actions that it gets, as a gateway would, and puts in what a gateway never should: ids that are
 not there, attempts that have ended, classes beyond the settings, clocks that step back, numbers past 64 bits.
@@ -37,32 +37,32 @@
 KEPT = 400  # requests that a stream still speaks of
 
 
-def draw_settings(dice: random.Random) -> Settings:
+def draw_settings(rng: random.Random) -> Settings:
     """Settings as a deployment might have them; every field that decides something is drawn."""
 
     def class_index() -> RequestClass:
-        objective_us = dice.choice((20_000, 200_000, 300_000, 600_000))
+        objective_us = rng.choice((20_000, 200_000, 300_000, 600_000))
         return RequestClass(
-            objective_us=objective_us, client_timeout_us=objective_us * dice.choice((1, 2, 5)),
-            priority_weight=dice.choice((0.0, 1.0, 3.0, 8.0)),
-            late_weight=dice.choice((0.0, 0.0, 0.2, 1.0)), effect=dice.choice(list(Effect)),
-            scope=dice.choice(list(Scope)), window_us=dice.choice((0, 150_000, 1_500_000)),
-            in_order=dice.random() < 0.2,
+            objective_us=objective_us, client_timeout_us=objective_us * rng.choice((1, 2, 5)),
+            priority_weight=rng.choice((0.0, 1.0, 3.0, 8.0)),
+            late_weight=rng.choice((0.0, 0.0, 0.2, 1.0)), effect=rng.choice(list(Effect)),
+            scope=rng.choice(list(Scope)), window_us=rng.choice((0, 150_000, 1_500_000)),
+            in_order=rng.random() < 0.2,
         )  # fmt: skip
 
-    tenants = tuple(Tenant(share=dice.random()) for _ in range(dice.choice((0, 0, 2))))
+    tenants = tuple(Tenant(share=rng.random()) for _ in range(rng.choice((0, 0, 2))))
     return Settings(
-        classes=tuple(class_index() for _ in range(dice.randint(1, 3))),
-        goal=Goal(0.7, dice.random(), dice.random(), dice.random()), weight_by_work=dice.random() < 0.5,
-        proxies=(proxies := dice.choice((1, 3, 45, 420))), proxy=dice.randrange(proxies), zone=dice.randrange(3),
-        prices=Prices(cross_zone=dice.choice((0.0, 0.02, 0.08))), tenants=tenants, overuse_weight=dice.random(),
-        marks_retry=dice.random() < 0.5, max_attempts=dice.randint(1, 6), may_cancel=dice.random() < 0.8,
-        may_hedge=dice.random() < 0.5, may_probe=dice.random() < 0.5, reports=dice.choice(list(Reports)),
-        servers_know_keys=dice.random() < 0.5, list_is_pushed=dice.random() < 0.5,
-        start_capacity=dice.uniform(0.1, 1.0),
-        slow_start_us=dice.choice((0, 5_000_000, 20_000_000)), collapse_multiple=dice.uniform(1.0, 3.0),
-        collapse_window_us=dice.choice((1_000_000, 2_000_000)), full_unproven=dice.random() < 0.2,
-        key_rest_us=dice.choice((0, 50_000)), max_retry_after_us=dice.choice((0, 2_000_000)),
+        classes=tuple(class_index() for _ in range(rng.randint(1, 3))),
+        goal=Goal(0.7, rng.random(), rng.random(), rng.random()), weight_by_work=rng.random() < 0.5,
+        proxies=(proxies := rng.choice((1, 3, 45, 420))), proxy=rng.randrange(proxies), zone=rng.randrange(3),
+        prices=Prices(cross_zone=rng.choice((0.0, 0.02, 0.08))), tenants=tenants, overuse_weight=rng.random(),
+        marks_retry=rng.random() < 0.5, max_attempts=rng.randint(1, 6), may_cancel=rng.random() < 0.8,
+        may_hedge=rng.random() < 0.5, may_probe=rng.random() < 0.5, reports=rng.choice(list(Reports)),
+        servers_know_keys=rng.random() < 0.5, list_is_pushed=rng.random() < 0.5,
+        start_capacity=rng.uniform(0.1, 1.0),
+        slow_start_us=rng.choice((0, 5_000_000, 20_000_000)), collapse_multiple=rng.uniform(1.0, 3.0),
+        collapse_window_us=rng.choice((1_000_000, 2_000_000)), full_unproven=rng.random() < 0.2,
+        key_rest_us=rng.choice((0, 50_000)), max_retry_after_us=rng.choice((0, 2_000_000)),
     )  # fmt: skip
 
 
@@ -81,100 +81,98 @@
     timers: list[tuple[int, int]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.dice = random.Random(self.seed)
-        self.settings = draw_settings(self.dice)
+        self.rng = random.Random(self.seed)
+        self.settings = draw_settings(self.rng)
         self.balancer = Balancer(self.settings, self.seed)
-        self.servers = self.dice.choice((1, 3, 12, 64, 300))
+        self.servers = self.rng.choice((1, 3, 12, 64, 300))
         self.slow = 1.0
 
     def listed(self, number: int) -> ListedServer:
-        dice = self.dice
-        started_us = dice.choice((0, 0, self.now_us, self.now_us - dice.randrange(20_000_000)))
-        status = dice.choice((ServerStatus.READY,) * 8 + (ServerStatus.DRAINING, ServerStatus.GONE))
-        words = {"users": dice.choice((0, 1, 7, 40))} if self.told and self.seed % 2 else {}
+        rng = self.rng
+        started_us = rng.choice((0, 0, self.now_us, self.now_us - rng.randrange(20_000_000)))
+        status = rng.choice((ServerStatus.READY,) * 8 + (ServerStatus.DRAINING, ServerStatus.GONE))
+        words = {"users": rng.choice((0, 1, 7, 40))} if self.told and self.seed % 2 else {}
         return ListedServer(
-            number, status, dice.choice((0.5, 1.0, 1.0, 2.0)), dice.randrange(3), dice.randrange(3), 0, started_us,
+            number, status, rng.choice((0.5, 1.0, 1.0, 2.0)), rng.randrange(3), rng.randrange(3), 0, started_us,
             **words,
         )  # fmt: skip
 
     def list_event(self, kind: ListKind) -> ServerList:
         numbers: Sequence[int] = range(self.servers)
         if kind is ListKind.DELTA:
-            count = self.dice.choice((1, 1, 1, 5, self.servers // 4 + 1))
-            numbers = self.dice.sample(range(self.servers + 2), min(count, self.servers))
-        return ServerList(kind, tuple(self.listed(n * 7919 + 5) for n in numbers if self.dice.random() < 0.95))
+            count = self.rng.choice((1, 1, 1, 5, self.servers // 4 + 1))
+            numbers = self.rng.sample(range(self.servers + 2), min(count, self.servers))
+        return ServerList(kind, tuple(self.listed(n * 7919 + 5) for n in numbers if self.rng.random() < 0.95))
 
     def arrival(self) -> RequestArrived:
-        dice = self.dice
+        rng = self.rng
         self.count += 1
-        name = f"r{self.count}" if dice.random() < 0.98 else f"r{dice.randint(1, self.count)}"
-        class_index = (
-            dice.randrange(len(self.settings.classes)) if dice.random() < 0.98 else dice.choice((-1, 7, HUGE))
-        )
+        name = f"r{self.count}" if rng.random() < 0.98 else f"r{rng.randint(1, self.count)}"
+        class_index = rng.randrange(len(self.settings.classes)) if rng.random() < 0.98 else rng.choice((-1, 7, HUGE))
         known = self.settings.classes[class_index if 0 <= class_index < len(self.settings.classes) else 0]
-        client_timeout_us = dice.choice(
-            (known.client_timeout_us, known.client_timeout_us // 2, dice.randint(1, known.client_timeout_us))
+        client_timeout_us = rng.choice(
+            (known.client_timeout_us, known.client_timeout_us // 2, rng.randint(1, known.client_timeout_us))
         )
-        key = dice.choice((None, dice.randrange(40), dice.getrandbits(64), HUGE))
-        work_us = dice.choice((None, dice.randint(1, 200_000), 0))
+        key = rng.choice((None, rng.randrange(40), rng.getrandbits(64), HUGE))
+        work_us = rng.choice((None, rng.randint(1, 200_000), 0))
         return RequestArrived(
-            name, class_index, client_timeout_us, key, work_us, dice.random() < 0.2, dice.choice((0, 1, 5))
+            name, class_index, client_timeout_us, key, work_us, rng.random() < 0.2, rng.choice((0, 1, 5))
         )
 
     def ended(self) -> AttemptEnded:
-        dice = self.dice
-        if not self.out or dice.random() < 0.03:
-            name = f"r{dice.randint(1, self.count + 1)}"
-            number, outcome = dice.choice((0, 1, -1, 99)), dice.choice(list(Outcome))
-            return AttemptEnded(name, number, 5, outcome, dice.randrange(10**6))
-        request, attempt, server, sent_us = self.out.pop(dice.randrange(len(self.out)))
-        outcome = dice.choice((Outcome.OK,) * 12 + tuple(Outcome))
-        latency_us = max(1, int(self.slow * dice.expovariate(1 / 40_000)))
+        rng = self.rng
+        if not self.out or rng.random() < 0.03:
+            name = f"r{rng.randint(1, self.count + 1)}"
+            number, outcome = rng.choice((0, 1, -1, 99)), rng.choice(list(Outcome))
+            return AttemptEnded(name, number, 5, outcome, rng.randrange(10**6))
+        request, attempt, server, sent_us = self.out.pop(rng.randrange(len(self.out)))
+        outcome = rng.choice((Outcome.OK,) * 12 + tuple(Outcome))
+        latency_us = max(1, int(self.slow * rng.expovariate(1 / 40_000)))
         if outcome is Outcome.TIMEOUT:
             latency_us = self.now_us - sent_us
-        load = LoadReport(queue=dice.random()) if dice.random() < 0.1 else None
+        load = LoadReport(queue=rng.random()) if rng.random() < 0.1 else None
         return AttemptEnded(request, attempt, server, outcome, latency_us, outcome is Outcome.OK, load)
 
     def draw(self) -> Event:
-        dice = self.dice
-        self.now_us += dice.choice((0, 200, 2_000, 5_000, 40_000)) if dice.random() < 0.98 else 3_000_000
-        if dice.random() < 0.01:
-            self.slow = dice.choice((1.0, 1.0, 5.0, 30.0))
+        rng = self.rng
+        self.now_us += rng.choice((0, 200, 2_000, 5_000, 40_000)) if rng.random() < 0.98 else 3_000_000
+        if rng.random() < 0.01:
+            self.slow = rng.choice((1.0, 1.0, 5.0, 30.0))
         self.timers.sort()
         if self.timers and self.timers[0][0] <= self.now_us:
             return TimerFired(self.timers.pop(0)[1])
-        roll = dice.random()
+        roll = rng.random()
         if roll < 0.45:
             return self.arrival()
         if roll < 0.90:
             return self.ended()
         if roll < 0.93:
-            return self.list_event(dice.choice(list(ListKind)))
+            return self.list_event(rng.choice(list(ListKind)))
         if roll < 0.95 and self.open:
-            return RequestGone(dice.choice(sorted(self.open)))
+            return RequestGone(rng.choice(sorted(self.open)))
         if roll < 0.96:
-            return StreamStarted(f"r{dice.randint(1, self.count + 1)}", dice.choice((0, 0, 1, -1, HUGE)))
+            return StreamStarted(f"r{rng.randint(1, self.count + 1)}", rng.choice((0, 0, 1, -1, HUGE)))
         if roll < 0.97:
-            return TimerFired(dice.choice((0, 1, 2, dice.randrange(10_000), HUGE)))
+            return TimerFired(rng.choice((0, 1, 2, rng.randrange(10_000), HUGE)))
         if roll < 0.98:
-            return Probed(5, dice.choice(list(Outcome)), dice.randrange(10**6))
+            return Probed(5, rng.choice(list(Outcome)), rng.randrange(10**6))
         if roll < 0.985:
             servers = sorted(self.balancer.endpoints.by_server) or [5]
-            server = dice.choice((*servers, -1, 99))
+            server = rng.choice((*servers, -1, 99))
             started_us = (
                 self.balancer.endpoints.by_server[server].entry.started_us
                 if server in self.balancer.endpoints.by_server
                 else 0
             )
-            lent_us, granted_us = (self.now_us + dice.choice((-1, 800_000, 2_000_000)) for _ in range(2))
-            return SlowStartQuota(server, started_us, lent_us, dice.choice((0.0, 0.5, 3.0)), granted_us)
+            lent_us, granted_us = (self.now_us + rng.choice((-1, 800_000, 2_000_000)) for _ in range(2))
+            return SlowStartQuota(server, started_us, lent_us, rng.choice((0.0, 0.5, 3.0)), granted_us)
         if roll < 0.99:
             return ProbesSuspended(
-                dice.choice((*self.balancer.endpoints.by_server, 99)), dice.choice((0, 1, self.now_us + 1_200_000))
+                rng.choice((*self.balancer.endpoints.by_server, 99)), rng.choice((0, 1, self.now_us + 1_200_000))
             )
-        return PeerMessage(dice.randrange(9), b"word")
+        return PeerMessage(rng.randrange(9), b"word")
 
-    def take(self, actions: list[Action]) -> None:
+    def apply_actions(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 number = self.attempts.get(action.request, 0)
@@ -194,13 +192,13 @@
         """Each event, and what came of it in words: the actions, or the exception's type."""
         for number in range(self.events):
             event = self.list_event(ListKind.DISK) if number == 0 else self.draw()
-            at_us = self.now_us if self.dice.random() < 0.99 else self.now_us - 1_000_000
+            at_us = self.now_us if self.rng.random() < 0.99 else self.now_us - 1_000_000
             try:
                 actions = self.balancer.handle(at_us, event)
             except Exception as error:
                 yield event, f"raised {type(error).__name__}"
                 continue
-            self.take(actions)
+            self.apply_actions(actions)
             if isinstance(event, AttemptEnded) and event.finished:
                 self.open.discard(event.request)
             yield event, repr(actions)
--- a/cloverkeel/balancing/settings.py
+++ b/cloverkeel/balancing/settings.py
@@ -12,6 +12,8 @@
 from enum import Enum
 from typing import Final
 
+from cloverkeel.balancing.errors import SettingError
+
 
 class Effect(Enum):
     """What running a request a second time would do: whether it is idempotent."""
@@ -46,16 +48,16 @@
 
 
 def _check(settings: object, minima: Mapping[str, float], ratios: tuple[str, ...] = ()) -> None:
-    """Raise ValueError for a field that no decision can be made from: not finite, below its minimum, or no ratio."""
+    """Raise SettingError for a field that is not finite, below its minimum, or no ratio."""
     for field_name in (*minima, *ratios):
         value = getattr(settings, field_name)
         name = NAMES_IN_ERRORS.get(field_name, field_name)
         if not math.isfinite(value):
-            raise ValueError(f"{name} is not a finite number")
+            raise SettingError(name, "is not a finite number")
         if value < minima.get(field_name, 0):
-            raise ValueError(f"{name} is below {minima.get(field_name, 0)}")
+            raise SettingError(name, f"is below {minima.get(field_name, 0)}")
         if field_name in ratios and value > 1:
-            raise ValueError(f"{name} is above 1")
+            raise SettingError(name, "is above 1")
 
 
 @dataclass(slots=True, frozen=True)
@@ -106,7 +108,7 @@
     def __post_init__(self) -> None:
         _check(self, minima={}, ratios=("share",))
         if not self.allowance_per_s >= 0:
-            raise ValueError("allowance_per_s is below 0")
+            raise SettingError("allowance_per_s", "is below 0")
 
 
 @dataclass(slots=True, frozen=True)
@@ -174,7 +176,7 @@
     def __post_init__(self) -> None:
         """Reject settings that no decision can be made from."""
         if not self.classes:
-            raise ValueError("classes is empty")
+            raise SettingError("classes", "is empty")
         durations = (
             "max_poll_interval_us", "slow_start_us", "max_retry_after_us", "key_rest_us", "keepalive_us",
             "connect_timeout_us", "answer_slack_us", "stop_sending_within_us",
@@ -183,4 +185,4 @@
         counts = ("proxies", "max_attempts", "collapse_window_us", "attempts_per_connection", "collapse_multiple")
         _check(self, minima | dict.fromkeys(counts, 1), ratios=("start_capacity", "overuse_weight"))
         if self.proxy >= self.proxies:
-            raise ValueError("proxy is not below proxies")
+            raise SettingError("proxy", "is not below proxies")
--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -35,6 +35,7 @@
     "cloverkeel.balancing.concurrency_limit",
     "cloverkeel.balancing.endpoint_updates",
     "cloverkeel.balancing.endpoints",
+    "cloverkeel.balancing.errors",
     "cloverkeel.balancing.events",
     "cloverkeel.balancing.expiry_scan",
     "cloverkeel.balancing.final_answers",
