--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -213,7 +213,7 @@
 _MEMORY = ("presence_kib", "routes_kib", "services_kib", "tenants_reload_kept_mb")
 _REGISTRY = "`cloverkeel.discovery.http_client`"
 _SUBSET = "relay and subset (docs/relay-design.md)"
-_MODULE = "`Balancer.on_list`"
+_MODULE = "`EndpointUpdates.apply`"
 _RELAYED = ("poll_bytes", "presence_bytes_per_s", "duties_bytes_per_s", "relay_change_1_bytes")
 _SLICES = "lists taken in slices: so many hosts a turn of the loop"
 _REQUEST = "what a request costs before few hosts too: fewer wakes, and the machine's share"
