--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -78,21 +78,21 @@
     row("hearsay-used", "what fails for others is drawn seldom", "PeerReports.apply_report",
         tests="fleet/gossip::a_gateway_uses_little_what_fails_for_others "
               "fleet/gossip::most_gateways_restart_at_once_and_are_sent_reports_by_the_rest "
-              "sharing_pure::a_server_that_fails_for_others_is_drawn_seldom_and_in_time_as_ever"),
+              "balancing/peer_reports::a_server_that_fails_for_others_is_drawn_seldom_and_in_time_as_ever"),
     row("hearsay-two", "what one gateway says alone turns nothing off", "assess, PeerReports.apply_report",
         tests="gossip/outlier_reports::one_reporter_makes_no_suspected_outlier_and_two_do "
-              "sharing_pure::one_teller_and_good_outcomes_are_no_doubt_and_another_process_is_not_meant"),
+              "balancing/peer_reports::one_teller_and_good_outcomes_are_no_doubt_and_another_process_is_not_meant"),
     row("hearsay-verdict+reporter-credibility+peer-successes", "a bad network of some turns no host off for others",
         "assess, reporter_credibility, PeerReports.apply_report",
         tests="fleet/gossip::gateways_for_which_every_host_is_dead_turn_none_off_for_others"),
     row("hearsay-verdict", "hearsay opens no breaker", "PeerReports.apply_report",
-        tests="sharing_pure::a_server_that_fails_for_others_is_drawn_seldom_and_in_time_as_ever"),
+        tests="balancing/peer_reports::a_server_that_fails_for_others_is_drawn_seldom_and_in_time_as_ever"),
     row("hearsay-common", "where all fails, no server is in doubt", "PeerReports.apply_report",
-        tests="sharing_pure::where_most_fails_here_too_others_say_nothing_new"),
+        tests="balancing/peer_reports::where_most_fails_here_too_others_say_nothing_new"),
     row("hearsay-hold", "trials wait for others for a bounded time", "PeerReports.apply_report",
-        tests="sharing_pure::trials_wait_for_others_and_not_for_long"),
+        tests="balancing/peer_reports::trials_wait_for_others_and_not_for_long"),
     row("rights-end", "what came from others ends", "RetryBudget.available",
-        tests="sharing_pure::what_came_from_others_and_was_not_used_is_gone"),
+        tests="balancing/peer_reports::what_came_from_others_and_was_not_used_is_gone"),
     row("breaker", "a failing server is left alone", "CircuitBreaker.can_admit",
         tests="balancing/circuit_breaker::an_open_server_gets_nothing_until_the_cooldown_ends "
               "balancing/circuit_breaker::half_open_admits_no_more_than_its_probes"),
--- a/tests/discovery/test_relay_client.py
+++ b/tests/discovery/test_relay_client.py
@@ -196,6 +196,7 @@
         second.script = holding(relay_list(5, endpoint("s-0", host.address)))
         run.gateway.start()
         await until(lambda: len(second.seen) >= 4)
+        await until(lambda: first.ended)  # its handler polls too, and may see the end of the connection later
         assert first.ended == 1 and paced == [True]
         assert set(run.pool.hosts) == {host_id(0)}
 
