--- a/benchmarks/guards/row.py
+++ b/benchmarks/guards/row.py
@@ -12,7 +12,7 @@
     """`by` finds the loss in plays: a rule of the checker, or "service" (share lost against the same play with the
     guard in place). What a test finds is its own affair."""
 
-    out: tuple[str, ...]  # names in maimed.GUARDS; several: each is the other's second line
+    out: tuple[str, ...]  # names in patching.GUARDS; several: each is the other's second line
     holds: str
     where: str
     plays: tuple[Play, ...]
--- a/cloverkeel/balancing/load_shedding.py
+++ b/cloverkeel/balancing/load_shedding.py
@@ -10,7 +10,6 @@
 from __future__ import annotations
 
 import random
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Final
 
 from cloverkeel.balancing.client_timeouts import ClientTimeouts
@@ -39,14 +38,6 @@
 COUNT_MEMORY: Final = 500  # first tries after which the counts of requests and of served ones are halved
 
 
-@dataclass(slots=True, frozen=True)
-class ShedRatios:
-    """Shed ratios of the classes of low priority, and of all others."""
-
-    low_priority: float
-    high_priority: float
-
-
 class LoadShedder:
     """Hold the shed ratios, and the counts by class from which priorities follow."""
 
@@ -66,10 +57,6 @@
         self.high_priority_ratio = 0.0
         self.adjusted_at_us = 0
 
-    def ratios(self) -> ShedRatios:
-        """Return the shed ratios."""
-        return ShedRatios(self.low_priority_ratio, self.high_priority_ratio)
-
     def record_first_try(self, class_index: int) -> None:
         """Count a request that is no retry."""
         self.requested[class_index] += 1
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import ast
+import re
 from pathlib import Path
 
 import pytest
@@ -26,6 +28,34 @@
             assert f"def {name}(" in (ROOT / file).read_text(), test
 
 
+def defined_names() -> dict[str, set[str]]:
+    """Return what each class of the product defines, by the class's name: functions, fields, attributes of self."""
+    names: dict[str, set[str]] = {}
+    for path in (ROOT / "cloverkeel").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ClassDef):
+                defined = names.setdefault(node.name, set())
+                for item in ast.walk(node):
+                    if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef):
+                        defined.add(item.name)
+                    elif isinstance(item, ast.Attribute):
+                        defined.add(item.attr)
+                    elif isinstance(item, ast.AnnAssign) and isinstance(item.target, ast.Name):
+                        defined.add(item.target.id)
+    return names
+
+
+def test_every_row_says_where_its_guard_stands() -> None:
+    defined = defined_names()
+    unknown = {
+        f"{row.name}: {class_name}.{member}"
+        for row in ROWS
+        for class_name, member in re.findall(r"\b([A-Z]\w+)\.(\w+)", row.where)
+        if member not in defined.get(class_name, set())
+    }
+    assert not unknown
+
+
 def test_every_play_of_the_table_is_used() -> None:
     used = {play.scenario for row in ROWS for play in row.plays}
     assert {path.stem for path in FOLDER.glob("*.toml")} <= used
