--- a/cloverkeel/compiled/loader.py
+++ b/cloverkeel/compiled/loader.py
@@ -102,6 +102,8 @@
 
     Call it before any of them is imported. A package that has none is plain.
     """
+    if package == PROGRAM:
+        importlib.import_module(DECISIONS)  # chooses the build: sources must not be mixed with what is compiled
     finder = next((found for found in sys.meta_path if isinstance(found, Finder)), None)
     if finder is None:
         return "plain: no compiled build is in use"
--- a/tests/compiled/test_build.py
+++ b/tests/compiled/test_build.py
@@ -96,6 +96,27 @@
     assert sys.modules == before
 
 
+LOAD_FIRST = """
+import sys
+from cloverkeel.compiled import loader
+from cloverkeel.compiled.build import MODULES
+loader.load("cloverkeel")
+import cloverkeel.assembly
+print(sorted({str(sys.modules[name].__file__).endswith(".py") for name in MODULES if name in sys.modules}))
+"""
+
+
+@pytest.mark.parametrize("plain", ["0", "1"])
+def test_a_process_that_loads_the_program_first_mixes_no_sources_with_what_is_compiled(plain: str) -> None:
+    """It crashed: the first modules were sources, and those after the decisions compiled."""
+    done = subprocess.run(
+        [sys.executable, "-c", LOAD_FIRST], cwd=ROOT, env=os.environ | {loader.PLAIN: plain}, capture_output=True,
+        text=True, check=True,
+    )  # fmt: skip
+    assert len(done.stdout.split(",")) == 1
+    assert plain == "0" or done.stdout.strip() == "[True]"
+
+
 def test_the_variable_makes_the_sources_run(tmp_path: Path) -> None:
     finders = list(sys.meta_path)
     assert loader.install(str(stamped(tmp_path)), {loader.PLAIN: "1"}) == f"plain: {loader.PLAIN} is set"
