--- a/benchmarks/guards/table/gossip.py
+++ b/benchmarks/guards/table/gossip.py
@@ -9,8 +9,7 @@
         "reporter_credibility, OutlierGossip._on_local_failure",
         tests="gossip/outlier_reports::a_reporter_for_which_all_fails_counts_for_little"),
     row("observation-age", "what is late counts by its age", "PeerClock.age_ms",
-        tests="fleet/gossip::datagrams_that_are_late_by_seconds_do_not_turn_off_a_host_that_is_well "
-              "fleet/gossip::a_gateway_that_wakes_with_a_full_socket_reads_old_reports_as_old "
+        tests="gossip/node::reports_that_waited_in_the_socket_of_a_stopped_gateway_count_by_their_age "
               "gossip/outlier_reports::what_is_late_by_a_minute_does_not_count"),
     row("observation-expiry", "observations expire by one's own clock",
         "Observation.is_live, OutlierGossip.refresh_assessments",
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -2,22 +2,40 @@
 
 from __future__ import annotations
 
+import contextlib
 import random
+import socket
 from collections.abc import Callable
 from typing import Any
 
 import pytest
 
 from benchmarks.sharing import BEGIN_US, Fleet
+from cloverkeel.assembly import assemble
+from cloverkeel.core.config import parse
+from cloverkeel.core.datagrams import PeerSocket
 from cloverkeel.gossip.dissemination import MAX_QUEUED_BROADCASTS
+from cloverkeel.gossip.driver import GossipDriver
 from cloverkeel.gossip.membership import PROBE_INTERVAL_US
-from cloverkeel.gossip.messages import MAX_DATAGRAM_BYTES, GatewayProcess, HostProcess, ObservationItem
+from cloverkeel.gossip.messages import (
+    MAGIC,
+    MAX_DATAGRAM_BYTES,
+    GatewayProcess,
+    Header,
+    HostProcess,
+    Item,
+    MessageKind,
+    ObservationItem,
+    encode,
+)
 from cloverkeel.gossip.node import GossipNode, NodeIdentity
 from cloverkeel.gossip.outcome_window import OBSERVATION_LIFETIME_US
 from cloverkeel.gossip.outlier_gossip import REPORT_INTERVAL_US
 from cloverkeel.gossip.outlier_reports import Assessment
+from cloverkeel.gossip.peer_clock import timestamp_ms_of
 from cloverkeel.gossip.token_bucket import MAX_SAVED_BYTES, MIN_BYTES_PER_S
 from tests.gossip.helpers import HOST, NOW_US, constant_rng, observe
+from tests.sockets import configuration, on_loop, until
 
 
 def ignore(host: HostProcess, assessment: Assessment) -> None:
@@ -169,3 +187,55 @@
     node.outliers.on_observation(NOW_US + 1000, observe(2, at_us=NOW_US + 1000))
     items = [broadcast.item for broadcast in node.broadcasts.queued.values()]
     assert {item.reporter for item in items if isinstance(item, ObservationItem)} == {1, 2}
+
+
+# One node behind its socket
+
+
+async def suspected_for_us(read_after_us: int) -> int:
+    """Return how long a host is suspected, from when two failure reports are read so long after they were sent."""
+    clock_us = NOW_US
+    with contextlib.ExitStack() as stack:
+        peers = [stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) for _ in range(2)]
+        for peer in peers:
+            peer.bind(("127.0.0.1", 0))
+        addresses = ["127.0.0.1:9", *("{}:{}".format(*peer.getsockname()) for peer in peers)]
+        raw = configuration("127.0.0.1:9") | {"peer_listen": addresses[0], "peers": addresses}
+        raw["settings"] |= {"balancers": 3, "index": 0}
+        config = parse(raw)
+        program = assemble(config)
+        stack.callback(program.close)
+        datagrams = PeerSocket(("127.0.0.1", 0), config.peers)
+        stack.callback(datagrams.close)
+        driver = GossipDriver(config, program.gateway, datagrams, lambda: clock_us)
+        stack.callback(driver.close)
+        datagrams.register(MAGIC, driver)
+        datagrams.start()
+        await until(lambda: driver.check_timer is not None)
+        assert datagrams.transport is not None
+        gateway_address = datagrams.transport.get_extra_info("sockname")
+
+        def send(reporter: int, *items: Item) -> None:
+            header = Header(MessageKind.GOSSIP, reporter, 1, timestamp_ms_of(clock_us))
+            peers[reporter - 1].sendto(encode(header, items), gateway_address)
+
+        for reporter in (1, 2):
+            send(reporter)  # read at once: the least delay of each peer is known
+        await until(lambda: driver.node.counts.received == 2)
+        for reporter in (1, 2):
+            send(reporter, observe(reporter, at_us=clock_us))
+        clock_us += read_after_us  # the loop has not turned since: the reports wait in the socket
+        await until(lambda: driver.node.counts.received == 4)
+        assessment = driver.node.outliers.assessment_by_host.get(HOST)
+        if assessment is None or not assessment.is_suspected_outlier:
+            return 0
+        return assessment.expires_us - clock_us
+
+
+@on_loop
+async def test_reports_that_waited_in_the_socket_of_a_stopped_gateway_count_by_their_age() -> None:
+    """Guards against a gateway that, after a stall, suspects a host for a fault that is over."""
+    assert await suspected_for_us(0) == OBSERVATION_LIFETIME_US
+    assert await suspected_for_us(500_000) == OBSERVATION_LIFETIME_US - 500_000
+    assert await suspected_for_us(OBSERVATION_LIFETIME_US) == 0
+    assert await suspected_for_us(3_000_000) == 0
