--- a/cloverkeel/balancing/__init__.py
+++ b/cloverkeel/balancing/__init__.py
@@ -1,8 +1,8 @@
-"""The pure decisions of a load-balancing proxy for fleets of HTTP servers: events in, actions out."""
+"""Load-balancing decisions for a proxy in front of a fleet of HTTP servers, without I/O: events in, actions out."""
 
 from cloverkeel.compiled import loader
 
-BUILD = loader.install()  # before any of the modules that may be compiled is imported
+BUILD = loader.install()  # must run before any module that has a compiled version is imported
 
 # ruff: noqa: E402
 from cloverkeel.balancing.balancer import Balancer
--- a/cloverkeel/balancing/actions.py
+++ b/cloverkeel/balancing/actions.py
@@ -1,10 +1,11 @@
-"""Actions that the balancer asks its caller for: pure data.
+"""Actions that the balancer returns for its caller to carry out.
 
-Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
-everything else is a duration.
+Times are in whole microseconds. Absolute times are readings of the caller's monotonic clock; all others are
+durations.
 
-What is made for every request has an `__init__` of its own and is not frozen: the one that `dataclass` makes runs
-interpreted also where all else is compiled, and costs ten times as much. Nobody sets these objects' attributes.
+Classes that are instantiated for every request define `__init__` by hand and are not frozen: the `__init__` that
+`dataclass` generates is interpreted even in the compiled build, and takes ten times as long. Treat their instances
+as immutable.
 """
 
 from __future__ import annotations
@@ -14,12 +15,16 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class Send:
-    """Send an attempt of a request to a server."""
+    """Send an attempt of a request to a server.
+
+    A keyed request's retry must be written completely by `write_deadline_us` (absolute) or not be sent: afterwards
+    servers no longer drop repeats of its key. 0 for no limit.
+    """
 
     request: str
     server: int
     timeout_us: int
-    begin_by_us: int  # its last byte is written by then or it is not sent: repeats are no longer dropped; 0: no limit
+    begin_by_us: int
 
     def __init__(self, request: str, server: int, timeout_us: int, begin_by_us: int = 0) -> None:
         self.request = request
@@ -30,16 +35,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Give the final answer: not done, and a retry by the client is harmless."""
+    """Reject a request as its final answer; a retry by the client can't make its effect happen twice."""
 
     request: str
     retry_after_us: int = 0
-    why: str = field(default="", compare=False)  # for the log
+    why: str = field(default="", compare=False)  # label under which metrics count the rejection
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Give the final answer: no success, and no promise about the effect."""
+    """Fail a request as its final answer; its effect may or may not have happened."""
 
     request: str
 
@@ -54,7 +59,7 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class SetTimer:
-    """Feed `TimerFired` with this token at `due_us`."""
+    """Pass `TimerFired` with this token to the balancer at `due_us` (absolute)."""
 
     due_us: int
     token: int
@@ -92,10 +97,10 @@
 
 @dataclass(slots=True, frozen=True)
 class TellPeers:
-    """Send a message to other proxies."""
+    """Send a message to one or all other proxies."""
 
-    payload: bytes  # 256 bytes at most
-    peer: int = -1  # -1: all
+    payload: bytes  # at most 256 bytes
+    peer: int = -1  # `Settings.proxy` of the receiver; -1 for all other proxies
 
 
 @dataclass(slots=True, frozen=True)
--- a/cloverkeel/balancing/attempt_sender.py
+++ b/cloverkeel/balancing/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending of attempts: the server, the timeout, and the timer for an answer that is overdue."""
+"""Sending of attempts: selects the server, sets the timeout, and starts the timer for an overdue answer."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from cloverkeel.balancing.server_selection import ServerSelection
 from cloverkeel.balancing.settings import Effect, Settings
 
-OBJECTIVE_RATIO: Final = 0.98  # of the time to the objective that is waited for an answer that is worthless later
+OBJECTIVE_RATIO: Final = 0.98  # timeout over the time left to the objective, for classes with late_weight 0
 
 
 class AttemptSender:
-    """Send attempts, and count those in flight."""
+    """Send and cancel attempts, and count those in flight."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         self.timers = timers
         self.expiry_scan = expiry_scan
         self.buffer = buffer
-        self.in_flight = 0  # of all requests
+        self.in_flight = 0  # attempts of all requests
 
     def send(self, now_us: int, request: Request) -> bool:
-        """Send an attempt, if a server may take one now."""
+        """Send an attempt to a server that may take it now; return False if there is none."""
         class_index = request.class_index
         server = self.selection.select(now_us, request, self.load_shedder.is_low_priority[class_index])
         if server is None:
@@ -66,9 +66,10 @@
         return True
 
     def repeat_by_us(self, request: Request) -> int:
-        """Return when a keyed request's repeat must have been sent, as its first attempt may have run; 0: no limit.
+        """Return when the retry of a keyed request that may have run must be written completely; 0 for no limit.
 
-        Guards against one that is chosen within the window and waits for its connection until that is over.
+        Guards against a retry that is decided within the window of its key but waits for a connection until the
+        window is over.
         """
         class_ = self.settings.classes[request.class_index]
         if class_.effect is not Effect.KEYED:
@@ -77,20 +78,20 @@
         return ran[0] + class_.window_us if ran else 0
 
     def end_us(self, now_us: int, request: Request) -> int:
-        """Return when an attempt stops being worth waiting for."""
+        """Return when an attempt times out: with its client, or before the objective if late_weight is 0."""
         if self.settings.classes[request.class_index].late_weight > 0.0:
             return request.deadline_us
         return min(request.deadline_us, now_us + int(OBJECTIVE_RATIO * (request.objective_us - now_us)))
 
     def take_back(self, request: Request, attempt: Attempt) -> None:
-        """Count an attempt as ended."""
+        """Mark an attempt as ended, and count it as in flight no more."""
         attempt.has_ended = True
         request.in_flight -= 1
         attempt.server.in_flight.pop(attempt, None)
         self.in_flight -= 1
 
     def cancel_attempts(self, request: Request, wanted: int = -1) -> None:
-        """Cancel the attempts in flight, but for one that is wanted."""
+        """Cancel the request's attempts in flight, except attempt number `wanted` (-1 for none)."""
         if not self.settings.may_cancel:
             return
         for number, attempt in enumerate(request.attempts):
--- a/cloverkeel/balancing/attempts.py
+++ b/cloverkeel/balancing/attempts.py
@@ -1,4 +1,4 @@
-"""Requests in flight and their attempts: state that the balancer keeps of each."""
+"""State of requests in flight and of their attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Attempt:
-    """One attempt of a request at one server."""
+    """Attempt of a request at one server."""
 
     __slots__ = (
         "class_probe_episode",
@@ -24,16 +24,16 @@
     ) -> None:
         self.server = server
         self.sent_us = sent_us
-        self.end_us = end_us  # when whoever carries it out stops waiting, at the latest
-        self.probe_episode = probe_episode  # of the server's breaker: 0 for an ordinary attempt
-        self.class_probe_episode = class_probe_episode  # the same of its class's breaker
+        self.end_us = end_us  # the caller ends the attempt by this time
+        self.probe_episode = probe_episode  # half-open episode of the server's breaker; 0 if it is no probe
+        self.class_probe_episode = class_probe_episode  # the same for the breaker of the class at the server
         self.has_ended = False
         self.may_have_run = True
         self.is_overdue = False
 
 
 class Request:
-    """One request from its arrival until no attempt of it is out."""
+    """Request, kept from its arrival until it is answered and none of its attempts is in flight."""
 
     __slots__ = (
         "attempts",
@@ -65,17 +65,18 @@
         self.id_ = id_
         self.class_index = class_index
         self.key = key
-        self.deadline_us = deadline_us  # the client leaves
-        self.objective_us = objective_us  # the latency objective, as an absolute time
-        self.size = size  # expected work over the class's mean
+        self.deadline_us = deadline_us  # when the client times out (absolute)
+        self.objective_us = objective_us  # end of the latency objective (absolute)
+        self.size = size  # expected work, as a multiple of its class's mean
         self.is_first_try = is_first_try
-        self.overuse = overuse  # part of its tenant's requests that is beyond the tenant's share
+        self.overuse = overuse  # probability of being shed first, as its tenant exceeds its share; below 0 within it
         self.attempts: list[Attempt] = []
-        self.in_flight = 0  # attempts that have not ended
-        self.is_answered = False  # or needs no answer any more
+        self.in_flight = 0  # number of attempts that have not ended
+        self.is_answered = False  # True also if the client has disconnected
         self.is_streaming = False
-        self.key_rests_until_us = 0  # in order: the next of its key waits, as an attempt may still be running
+        # In-order classes: the next request of the key waits until then, as an attempt may still be running.
+        self.key_rests_until_us = 0
 
     def may_have_run(self) -> bool:
-        """Tell whether any attempt may have run."""
+        """Return whether a server may have run any attempt."""
         return any(attempt.may_have_run for attempt in self.attempts)
--- a/cloverkeel/balancing/balancer.py
+++ b/cloverkeel/balancing/balancer.py
@@ -1,7 +1,8 @@
-"""The balancer of one proxy: it dispatches events to the mechanisms that decide.
+"""Balancer of one proxy: dispatches events to the mechanisms that decide.
 
-The ordinary way: a request arrives, load shedding admits it, and a weighted random draw picks among the servers of
-the subset whose circuit breakers let it pass. docs/design.md says what each mechanism does, and when exactly it acts.
+In the normal case a request arrives, load shedding admits it, and a weighted random draw selects one of the subset's
+servers whose circuit breakers admit it. docs/design.md describes each mechanism and the conditions under which it
+acts.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 
 
 class Balancer:
-    """Decide for one proxy. Feed it events in order; carry out the actions that each returns."""
+    """Balancer of one proxy: the caller passes events in order and carries out the actions returned for each."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         rng = random.Random(seed)
@@ -88,7 +89,10 @@
         )
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Take one event; return what to do, in order. A clock that steps back stands still instead."""
+        """Handle an event and return the resulting actions, in order.
+
+        If `now_us` is before an earlier call's, the latest time so far is used instead.
+        """
         self.now_us = max(now_us, self.now_us)
         actions: list[Action] = []
         self.buffer.actions = actions
@@ -109,7 +113,7 @@
         return actions
 
     def on_timer_fired(self, token: int) -> None:
-        """Scan for expired attempts, ask for the server list, or do what a request's timer was set for."""
+        """Run the expiry scan, request the server list, or handle a request's timer, according to the token."""
         if token == EXPIRY_TOKEN:
             self.lifecycle.on_expiry_scan(self.now_us)
         elif token != LIST_TOKEN:
@@ -118,7 +122,7 @@
             self.buffer.actions.append(WatchList())
 
     def on_control_event(self, event: Event) -> None:
-        """Dispatch an event that is about no single request."""
+        """Dispatch an event that does not concern a single request."""
         if isinstance(event, ServerList):
             self.endpoint_updates.apply(self.now_us, event)
         elif isinstance(event, ProcessesChanged):
@@ -132,35 +136,36 @@
         elif isinstance(event, RetryTokenGrant):
             self.retry_budget.apply_grant(self.now_us, event)
 
-    # What the gateway's other parts ask
+    # State that other parts of the gateway read
 
     def shed_ratios(self) -> tuple[float, float]:
-        """Return the shed ratios of the classes of low priority and of all others."""
+        """Return the shed ratios of low-priority classes and of all other classes."""
         return self.load_shedder.low_priority_ratio, self.load_shedder.high_priority_ratio
 
     def retry_token_state(self, now_us: int) -> RetryTokenState:
-        """Return the retry tokens at hand, and whether one was wanting of late."""
+        """Return the available retry tokens, and whether a retry was recently denied for lack of them."""
         self.now_us = max(now_us, self.now_us)
         return RetryTokenState(self.retry_budget.available(self.now_us), self.retry_budget.is_wanted(now_us))
 
     def slow_start_demands(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
-        """Return the `SlowStartDemand` of each server of the subset that is warming up or not settled yet."""
+        """Return the `SlowStartDemand` of each server of the subset that is warming or not settled yet."""
         self.now_us = max(now_us, self.now_us)
         return [*self.slow_start.demands(self.now_us, now_us)]
 
     def silent_servers(self, now_us: int) -> list[int]:
-        """Return the servers that are sent nothing more as their oldest attempt in flight is overdue."""
+        """Return the servers that get no further attempts because their oldest attempt in flight is overdue."""
         return self.subset.silent_servers(now_us)
 
     def started_at_us(self, server: int) -> int:
-        """Return when a server's process started, as listed; -1 for one that is not."""
+        """Return when a server's process started according to the server list; -1 if the server is not listed."""
         endpoint = self.endpoints.by_server.get(server)
         return endpoint.entry.started_us if endpoint is not None else -1
 
     def ejected_servers(self, now_us: int) -> list[tuple[int, bool]]:
-        """Return the servers whose breaker is not closed, and whether they are probed.
+        """Return the servers whose breaker is not closed, each with whether this proxy probes it.
 
-        One whose cooldown is long over waits for a request that may be risked, and nobody should wait for that.
+        A server whose cooldown ended more than `INITIAL_COOLDOWN_US` ago counts as not probed: this proxy has no
+        request that may be sent as a probe, so other proxies should not wait for the result.
         """
         found = []
         for server, endpoint in self.endpoints.by_server.items():
--- a/cloverkeel/balancing/client_timeouts.py
+++ b/cloverkeel/balancing/client_timeouts.py
@@ -1,8 +1,9 @@
-"""The usual client timeout of each class of requests, and what another one says of a request.
+"""Usual client timeout of each class, and detection of retries that clients do not mark.
 
-First tries of a class are all given the same timeout, found by majority vote (Boyer and Moore, 1981); another one
-marks a retry that is left the rest of it. Guards against taking first tries that are given less than the last one
-for late retries and, where clients give each try a timeout of its own, against refusing most of them.
+Clients give all first tries of a class the same timeout, which is found by majority vote (Boyer and Moore, 1981). A
+request with a different timeout is taken for a retry with the rest of it left. Learning the timeout guards against
+taking first tries for late retries where clients give their last try more time than the others; and where clients
+give each try a timeout of its own, no retry is detected, as most first tries would be refused.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 from cloverkeel.balancing.latency_model import SMOOTHING
 from cloverkeel.balancing.settings import Settings
 
-SAME_TIMEOUT_TOLERANCE: Final = 0.02  # timeouts of two tries that differ by less are the same
-MIN_REGULAR_RATIO: Final = 0.5  # of the tries with the usual timeout: with fewer, another timeout marks no retry
+SAME_TIMEOUT_TOLERANCE: Final = 0.02  # relative difference up to which two timeouts count as equal
+MIN_REGULAR_RATIO: Final = 0.5  # ratio of tries with the usual timeout below which other timeouts indicate no retry
 
 
 class ClientTimeouts:
-    """Hold the usual client timeout of each class, and the ratio of recent tries that are given it."""
+    """Usual client timeout of each class, and the ratio of recent tries that have it."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -27,13 +28,13 @@
         self.regular_ratio = [1.0] * len(settings.classes)
 
     def is_regular(self, class_index: int) -> bool:
-        """Tell whether most recent tries of a class are given its usual timeout."""
+        """Return whether most recent tries of a class have its usual timeout."""
         return self.regular_ratio[class_index] >= MIN_REGULAR_RATIO
 
     def record(self, event: RequestArrived) -> int:
-        """Learn from a request; return how much of its time, in microseconds, its earlier tries have used.
+        """Record a request's timeout; return how much of the client timeout its earlier tries have used.
 
-        A first try has used none.
+        In microseconds; 0 for a first try.
         """
         class_index = event.class_index
         usual_us = self.usual_us[class_index]
@@ -49,7 +50,7 @@
         return max(0, self.settings.classes[class_index].client_timeout_us - event.client_timeout_us)
 
     def _vote(self, class_index: int, timeout_us: int, is_usual: bool) -> bool:
-        """Vote for or against the usual timeout; tell whether this one takes its place."""
+        """Vote for or against the usual timeout; return whether `timeout_us` replaces it."""
         self.votes[class_index] += 1 if is_usual else -1
         if self.votes[class_index] >= 0:
             return False
--- a/cloverkeel/balancing/errors.py
+++ b/cloverkeel/balancing/errors.py
@@ -1,10 +1,10 @@
-"""Errors that the decisions raise."""
+"""Errors raised by the balancer."""
 
 from __future__ import annotations
 
 
 class SettingError(ValueError):
-    """Raise for a setting that no decision can be made from; carries its name and what is wrong with it."""
+    """Raised for an invalid setting; holds the setting's name and the problem."""
 
     def __init__(self, name: str, problem: str) -> None:
         super().__init__(f"{name} {problem}")
--- a/cloverkeel/balancing/events.py
+++ b/cloverkeel/balancing/events.py
@@ -1,11 +1,11 @@
-"""Events that the balancer is fed: pure data.
+"""Events that are passed to the balancer.
 
-Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
-everything else is a duration. Servers, requests, classes and zones are plain identifiers that
-are compared and never interpreted.
+Times are in whole microseconds. Absolute times are readings of the caller's monotonic clock; all others are
+durations. Servers, requests, classes and zones are opaque identifiers: they are only compared.
 
-What is made for every request has an `__init__` of its own and is not frozen: the one that `dataclass` makes runs
-interpreted also where all else is compiled, and costs ten times as much. Nobody sets these objects' attributes.
+Classes that are instantiated for every request define `__init__` by hand and are not frozen: the `__init__` that
+`dataclass` generates is interpreted even in the compiled build, and takes ten times as long. Treat their instances
+as immutable.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ServerStatus(Enum):
-    """State of a listed server."""
+    """Status of a server in the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -23,34 +23,34 @@
 
 
 class ListKind(Enum):
-    """How the entries of a ServerList are to be read."""
+    """Kind of a `ServerList`: which servers its entries cover."""
 
-    DELTA = "delta"  # changed servers only
-    FULL = "full"  # every server; one that is missing has left
-    DISK = "disk"  # every server as last stored by this proxy, possibly stale
-    ERROR = "error"  # a call failed or the subscription dropped; the old list stands
+    DELTA = "delta"  # only the servers that changed
+    FULL = "full"  # all servers; a server without an entry is removed
+    DISK = "disk"  # all servers, as this proxy last stored them; possibly stale
+    ERROR = "error"  # a poll failed or the subscription was lost; the previous list stays valid
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """Outcome of an attempt, and whether the server may have run the request."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # rejected; never ran, unless the settings say that this is no proof
+    ERROR = "error"  # error response; may have run
+    FULL = "full"  # rejected by the server; did not run, unless `Settings.full_unproven`
     TIMEOUT = "timeout"  # may have run
-    CONNECT_FAILED = "connect_failed"  # never ran
+    CONNECT_FAILED = "connect_failed"  # did not run
     RESET = "reset"  # connection lost with the attempt in flight; may have run
     CANCELLED = "cancelled"  # may have run
-    MOOT = "moot"  # never sent
+    MOOT = "moot"  # not sent
 
 
-# Outcomes that prove that the request did not run.
+# Outcomes after which the request is known not to have run.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
 
 
 @dataclass(slots=True, frozen=True)
 class ListedServer:
-    """Describe one entry of the server list."""
+    """Entry of the server list."""
 
     server: int
     status: ServerStatus = ServerStatus.READY
@@ -58,13 +58,13 @@
     zone: int = 0
     group: int = 0
     kind: int = 0
-    started_us: int = 0  # clock reading; 0: long ago
-    users: int = 0  # proxies that are told of this server, at the most; 0: all of `Settings.proxies`
+    started_us: int = 0  # when the server's process started (absolute); 0 if it started long ago
+    users: int = 0  # maximum number of proxies that have this server in their list; 0 for all `Settings.proxies`
 
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """Carry a server list, or a change of it, from discovery."""
+    """Server list from discovery, or a change to it."""
 
     kind: ListKind
     servers: tuple[ListedServer, ...] = ()
@@ -72,15 +72,15 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class RequestArrived:
-    """Tell that a client's request has arrived."""
+    """Arrival of a client's request."""
 
     request: str
     class_index: int
-    client_timeout_us: int  # of this try
+    client_timeout_us: int  # the client's timeout for this try
     key: int | None
-    work_us: int | None  # expected work on a standard core
+    work_us: int | None  # expected processing time on a standard core; None if the client states none
     is_retry: bool
-    tenant: int  # its place in the settings
+    tenant: int  # index into `Settings.tenants`
 
     def __init__(
         self, request: str, class_index: int, client_timeout_us: int, key: int | None = None,
@@ -97,11 +97,11 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """Load as a server reports it, late and noisy; None where it does not say."""
+    """Load that a server reports, delayed and noisy; None for values it does not report."""
 
-    inflight: float | None = None  # requests it holds
-    queue: float | None = None  # requests waiting
-    util: float | None = None  # how busy its cores are
+    inflight: float | None = None  # requests that the server has accepted and not answered
+    queue: float | None = None  # requests that wait in the server's queue
+    util: float | None = None  # CPU utilisation
     latency_ms: float | None = None
     qps: float | None = None
     eps: float | None = None
@@ -109,14 +109,14 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class AttemptEnded:
-    """Tell how an attempt that was sent has ended."""
+    """End of an attempt that was sent."""
 
     request: str
     attempt: int
     server: int
     outcome: Outcome
     latency_us: int
-    finished: bool  # the request has had its final answer
+    finished: bool  # whether the client has received its final answer
     load: LoadReport | None
 
     def __init__(
@@ -134,14 +134,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestGone:
-    """Tell that the client has disconnected: no answer is awaited any more."""
+    """Disconnect of the client before its request was answered: the request needs no answer."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """Tell that the response has begun: it is streaming to the client and no deadline holds."""
+    """Start of a response that is streamed to the client; from then on the request has no deadline."""
 
     request: str
     attempt: int
@@ -149,7 +149,7 @@
 
 @dataclass(slots=True, unsafe_hash=True, init=False)
 class TimerFired:
-    """Tell that a timer which `SetTimer` asked for is due."""
+    """Expiry of a timer that was set with `SetTimer`."""
 
     token: int
 
@@ -159,7 +159,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probed:
-    """Tell the result of a `Probe` (a health check)."""
+    """Result of a `Probe` (a health check)."""
 
     server: int
     outcome: Outcome
@@ -169,17 +169,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessesChanged:
-    """Tell how many processes this proxy has, each with a balancer of its own: they share its budgets."""
+    """Change of the number of processes of this proxy; each has its own balancer, and they share its budgets."""
 
     count: int
 
 
 @dataclass(slots=True, frozen=True)
 class SlowStartQuota:
-    """Move quotas of a warming server's collapse budget between proxies.
+    """Transfer of quotas of a warming server's collapse budget between proxies.
 
-    This proxy has lent its own quota until `lent_us`, and has `granted` quotas of others until `granted_us`; each
-    ends by itself. `server` -1: no warming server is used until `lent_us`.
+    This proxy has lent its own quota to another proxy until `lent_us`, and holds `granted` quotas of other proxies
+    until `granted_us`; both expire without another event. `server` is -1 to use no warming server until `lent_us`.
     """
 
     server: int
@@ -191,9 +191,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbesSuspended:
-    """Suspend half-open probes of a server: another proxy probes it for all until then.
+    """Suspension of half-open probes of a server, as another proxy probes it on behalf of all until `until_us`.
 
-    `until_us` 0: it answers there; probe it now.
+    `until_us` is 0 if the server answered the other proxy's probes: this proxy probes it at once.
     """
 
     server: int
@@ -202,10 +202,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerHealthReport:
-    """Summarise what all proxies, this one among them, observed of a server's process of late.
+    """Summary of the recent outcomes of a server's process at all proxies, this one included.
 
-    `good` and `bad` count outcomes, newer ones for more. `reporters` other proxies saw it fail, `well` others were
-    only answered well. Nothing of it counts after `until_us`.
+    `good` and `bad` are sums of outcomes, recent outcomes weighted more. `reporters` is the number of other proxies
+    that saw the server fail, `success_reporters` that of other proxies that saw only good outcomes. The report
+    expires at `until_us`.
     """
 
     server: int
@@ -219,9 +220,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryTokenGrant:
-    """Set how many retry tokens this proxy saves up at the most, and move tokens between proxies.
+    """New cap of this proxy's retry tokens, and tokens that are moved between proxies.
 
-    `moved` above 0 arrive, and those beyond `cap` expire at `until_us`; below 0 they leave.
+    A positive `moved` adds tokens; those above `cap` expire at `until_us`. A negative `moved` removes tokens.
     """
 
     cap: float
@@ -231,14 +232,14 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerAll:
-    """Tell that this process ends: every request in flight gets its final answer now."""
+    """Shutdown of this process: every request in flight must get its final answer now."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Carry a message of another proxy."""
+    """Message from another proxy."""
 
-    sender: int  # its number among the proxies
+    sender: int  # the other proxy's `Settings.proxy`
     payload: bytes
 
 
--- a/cloverkeel/balancing/expiry_scan.py
+++ b/cloverkeel/balancing/expiry_scan.py
@@ -1,7 +1,7 @@
-"""The expiry scan: a second line of defence against attempts that nobody ends.
+"""Expiry scan: finds attempts for which `AttemptEnded` never arrived.
 
-Guards against a server that counts as silent for ever, and a request that waits for its response for ever. When it
-acts, whoever carries out attempts has lost one.
+Without it, the server of such an attempt would count as silent for ever, and its request would never be answered. An
+expired attempt is a defect in the caller, which lost track of it.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from cloverkeel.balancing.attempts import Attempt, Request
 from cloverkeel.balancing.request_timers import EXPIRY_TOKEN
 
-SCAN_INTERVAL_US: Final = 1_000_000  # while any attempt is in flight
-EXPIRED_AFTER_US: Final = 2_000_000  # past its time an attempt is held to be lost: a defect somewhere
+SCAN_INTERVAL_US: Final = 1_000_000  # scans are scheduled only while an attempt is in flight
+EXPIRED_AFTER_US: Final = 2_000_000  # past its timeout an attempt without an outcome counts as lost
 
 
 class ExpiryScan:
-    """Hold when the next scan is due."""
+    """Schedule expiry scans and find the attempts that have expired."""
 
     def __init__(self, buffer: ActionBuffer) -> None:
         self.buffer = buffer
-        self.due_at_us = 0  # 0: no timer is set
+        self.due_at_us = 0  # 0 if no timer is set
 
     def schedule(self, now_us: int) -> None:
         """Set the timer of the next scan."""
@@ -30,16 +30,17 @@
         self.buffer.actions.append(SetTimer(self.due_at_us, EXPIRY_TOKEN))
 
     def begin(self, now_us: int) -> bool:
-        """Begin the scan that was due; tell whether it may judge.
+        """Begin the scan that was due; return whether it may expire attempts.
 
-        A late one judges nothing: whoever carries out attempts stood still too, and may be about to end them.
+        A scan that is late by more than the interval must not: the process has stalled, and the caller may be about
+        to report the ends of attempts.
         """
         is_late = now_us - self.due_at_us > SCAN_INTERVAL_US
         self.due_at_us = 0
         return not is_late
 
     def expired_attempts(self, now_us: int, request: Request) -> list[Attempt]:
-        """Return the attempts of a request whose time is long over and that nobody ended."""
+        """Return a request's attempts that have not ended `EXPIRED_AFTER_US` after their timeout."""
         if request.is_streaming:
             return []
         return [a for a in request.attempts if not a.has_ended and now_us > a.end_us + EXPIRED_AFTER_US]
--- a/cloverkeel/balancing/final_answers.py
+++ b/cloverkeel/balancing/final_answers.py
@@ -1,4 +1,4 @@
-"""Final answers to requests that no server has served: refused where a retry is harmless, else failed."""
+"""Final answers to requests without a successful attempt: refused if a retry is harmless, failed otherwise."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FinalAnswers:
-    """Give final answers."""
+    """Give final answers to requests without a successful attempt."""
 
     def __init__(self, settings: Settings, endpoints: Endpoints, buffer: ActionBuffer) -> None:
         self.settings = settings
@@ -19,7 +19,7 @@
         self.buffer = buffer
 
     def give(self, now_us: int, request: Request, reason: str) -> None:
-        """Refuse a request or fail it, by what its attempts may have done; `reason` is for the log."""
+        """Refuse a request if a retry by the client is harmless, else fail it; `reason` is counted in metrics."""
         class_ = self.settings.classes[request.class_index]
         is_dropped_anywhere = class_.effect is Effect.KEYED and class_.scope is Scope.ALL
         if not request.may_have_run() or class_.effect is Effect.SAFE or is_dropped_anywhere:
@@ -28,7 +28,7 @@
             self.buffer.actions.append(Fail(request.id_))
 
     def retry_after_us(self, now_us: int) -> int:
-        """Return the shortest cooldown left where every server's breaker is open, else 0."""
+        """Return the shortest remaining cooldown if every server's breaker is open, else 0."""
         breakers = [endpoint.breaker for endpoint in self.endpoints.by_server.values()]
         if not breakers or any(breaker.state is not BreakerState.OPEN for breaker in breakers):
             return 0
--- a/cloverkeel/balancing/request_lifecycle.py
+++ b/cloverkeel/balancing/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""The way of a request: from its arrival over its attempts to its one final answer.
+"""Lifecycle of a request: its arrival, its attempts and its final answer.
 
-Invariants: each request gets one final answer at most; a request is kept until no attempt of it is in flight; what
-may have run is sent again only where its class allows that.
+Invariants: each request gets at most one final answer; a request is kept until none of its attempts is in flight; a
+request that may have run is sent again only if its class allows it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class RequestLifecycle:
-    """Hold the requests in flight, and lead each from its arrival to its end."""
+    """Keep the requests in flight, and handle the events that concern them."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.outliers = outliers
         self.sender = sender
         self.final_answers = final_answers
-        # What the others learn and use too.
+        # State shared with the objects above.
         self.latency = sender.latency
         self.load_shedder = sender.load_shedder
         self.client_timeouts = outliers.client_timeouts
@@ -53,7 +53,7 @@
         self.requests: dict[str, Request] = {}
 
     def on_request_arrived(self, now_us: int, event: RequestArrived) -> None:
-        """Send a request, queue it behind others of its key, or refuse it."""
+        """Send a request, queue it behind earlier requests of its key, or refuse it."""
         if event.request in self.requests:
             self.buffer.log(now_us, f"balancer: duplicate request ignored, request={event.request}")
             return
@@ -69,7 +69,7 @@
             self.answer_unserved(now_us, request, "none")
 
     def admit(self, now_us: int, event: RequestArrived) -> Request:
-        """Learn from a request, and return the state that is kept of it."""
+        """Update the statistics of clients with a request, and return its new state."""
         class_index = event.class_index
         used_us = self.client_timeouts.record(event)
         is_first_try = not event.is_retry and used_us == 0
@@ -89,9 +89,10 @@
         )
 
     def waits_for_key(self, now_us: int, request: Request) -> bool:
-        """Queue a request of an in-order class by its key; True unless its turn is now.
+        """Queue a request of an in-order class under its key; return True if it must not be sent now.
 
-        A queue grows no longer than can be served from: who would come too late is refused when that is clear.
+        A request that could not be answered in time behind those already queued is refused at once, which bounds the
+        length of the queue.
         """
         if request.key is None or not self.settings.classes[request.class_index].in_order:
             return False
@@ -107,9 +108,9 @@
         return True
 
     def forget(self, now_us: int, request: Request) -> None:
-        """Forget a request that is over; in order, the next of its key has its turn once the key rested.
+        """Remove a request that is over; send the next of its key once `key_rest_us` has passed, if in order.
 
-        Only the request itself: a timer of one that was answered may come when its id was given again.
+        The id alone does not identify the request: its timer may fire after a client has reused the id for another.
         """
         if self.requests.get(request.id_) is request:
             del self.requests[request.id_]
@@ -126,13 +127,13 @@
             self.answer_unserved(now_us, successor)
 
     def answer_unserved(self, now_us: int, request: Request, reason: str = "turn") -> None:
-        """Give the final answer when no attempt is in flight and none is to come."""
+        """Give the final answer to a request without a successful attempt, if it has none yet."""
         if not request.is_answered:
             self.final_answers.give(now_us, request, reason)
             self.finish(now_us, request)
 
     def finish(self, now_us: int, request: Request) -> None:
-        """Note that a request needs no answer any more; cancel what is still in flight for it."""
+        """Mark a request as answered; cancel its attempts that are still in flight."""
         request.is_answered = True
         if request.in_flight == 0:
             self.forget(now_us, request)
@@ -146,12 +147,15 @@
             self.finish(now_us, request)
 
     def on_answer_all(self, now_us: int) -> None:
-        """Answer all requests in flight but those that stream: the process ends."""
+        """Answer all requests in flight, except those that are streaming, as the process is shutting down."""
         for request in [request for request in self.requests.values() if not request.is_streaming]:
             self.answer_unserved(now_us, request, "ending")
 
     def on_stream_started(self, now_us: int, event: StreamStarted) -> None:
-        """Cancel other attempts; the server that answers isn't silent or crowded, however long the rest takes."""
+        """Cancel other attempts, and stop counting the streaming attempt as in flight at its server.
+
+        The server has answered: it is neither silent nor crowded, however long the rest of the response takes.
+        """
         request = self.requests.get(event.request)
         if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
             return
@@ -163,7 +167,7 @@
         self.sender.cancel_attempts(request, event.attempt)
 
     def on_timer_fired(self, now_us: int, token: int) -> None:
-        """Do what a request's timer was set for."""
+        """Handle a request's timer: an overdue attempt, the end of a key's rest, or a wait that was too long."""
         request = self.timers.pop(token)
         if request is None:
             return
@@ -173,16 +177,17 @@
             self.on_attempt_overdue(now_us, request)
 
     def forget_or_answer(self, now_us: int, request: Request) -> None:
-        """Forget a request with no attempt in flight, after its final answer if it has had none."""
+        """Remove a request with no attempt in flight, giving its final answer first if it has none."""
         if request.is_answered:
             self.forget(now_us, request)
         else:
             self.answer_unserved(now_us, request)
 
     def on_attempt_overdue(self, now_us: int, request: Request) -> None:
-        """Hedge a request whose attempt should have been answered by now, where the settings allow that.
+        """Send a hedged request if an attempt is overdue and the settings allow it.
 
-        Guards, by its limits, against an overload that feeds itself.
+        While low-priority requests are shed or no retry token is available, nothing is sent: hedging under overload
+        would add load and so cause more hedging.
         """
         if request.is_streaming:
             return
@@ -197,7 +202,7 @@
             self.retry_budget.withdraw(FULL_RETRY_COST)
 
     def on_attempt_ended(self, now_us: int, event: AttemptEnded) -> None:
-        """Learn from an attempt's end, and finish its request or retry it."""
+        """Record an attempt's outcome, and finish or retry its request."""
         request = self.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
@@ -220,14 +225,14 @@
             self.retry(now_us, request, event.outcome)
 
     def record_served(self, now_us: int, request: Request, outcome: Outcome) -> None:
-        """Count a first try that was answered within its objective; of a stream its start counts."""
+        """Count a first try that was answered within its objective; a streamed one was counted when it started."""
         if outcome is not Outcome.OK or request.is_streaming or not request.is_first_try:
             return
         if now_us <= request.objective_us:
             self.load_shedder.record_served(request.class_index)
 
     def retry(self, now_us: int, request: Request, outcome: Outcome) -> None:
-        """Send another attempt after the last one in flight has failed, or give the final answer."""
+        """Retry a request after its last attempt in flight has failed, or give its final answer."""
         has_run = request.may_have_run()
         cost = FULL_RETRY_COST if outcome is Outcome.TIMEOUT else ERROR_RETRY_COST
         if self.can_retry(now_us, request, outcome, has_run, cost) and self.sender.send(now_us, request):
@@ -237,8 +242,8 @@
             self.answer_unserved(now_us, request, outcome.value)
 
     def can_retry(self, now_us: int, request: Request, outcome: Outcome, has_run: bool, cost: float) -> bool:
-        """Tell whether a request may be sent once more; what may have run needs tokens and a class that allows it."""
-        # Asked in any case: shedding draws at random.
+        """Return whether to retry a request; if it may have run, it must not be unsafe and needs retry tokens."""
+        # Evaluated before the other conditions, whatever they are: should_shed draws random numbers.
         if outcome is Outcome.TIMEOUT:
             is_shed = self.load_shedder.low_priority_ratio > 0.0
         else:
@@ -255,7 +260,7 @@
         return self.retry_budget.can_withdraw(now_us, cost)
 
     def on_expiry_scan(self, now_us: int) -> None:
-        """Count attempts that nobody ended as ended, and scan again while any is in flight."""
+        """End attempts that have expired, and schedule the next scan while any attempt is in flight."""
         if self.expiry_scan.begin(now_us) and self.sender.in_flight:
             for request in list(self.requests.values()):
                 self.expire_attempts(now_us, request)
@@ -263,7 +268,7 @@
             self.expiry_scan.schedule(now_us)
 
     def expire_attempts(self, now_us: int, request: Request) -> None:
-        """Count a request's attempts that nobody ended as ended."""
+        """End a request's attempts that have expired."""
         expired = self.expiry_scan.expired_attempts(now_us, request)
         if not expired:
             return
--- a/cloverkeel/balancing/request_timers.py
+++ b/cloverkeel/balancing/request_timers.py
@@ -1,4 +1,4 @@
-"""Timers: the tokens of those that belong to no request, and the requests behind all others."""
+"""Timers: fixed tokens for those that belong to no request, and the requests that all others belong to."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from cloverkeel.balancing.actions import SetTimer
 from cloverkeel.balancing.attempts import Request
 
-LIST_TOKEN: Final = 0  # the next call for the server list
-EXPIRY_TOKEN: Final = 1  # the next expiry scan
+LIST_TOKEN: Final = 0  # next poll of the server list
+EXPIRY_TOKEN: Final = 1  # next expiry scan
 
 
 class RequestTimers:
-    """Hold the request that each timer was set for."""
+    """Map the tokens of timers to their requests."""
 
     def __init__(self, buffer: ActionBuffer) -> None:
         self.buffer = buffer
@@ -27,5 +27,5 @@
         self.next_token += 1
 
     def pop(self, token: int) -> Request | None:
-        """Return the request of a timer that has fired, once."""
+        """Remove and return the request of a timer that has fired; None if the token is unknown."""
         return self.request_by_token.pop(token, None)
--- a/cloverkeel/balancing/settings.py
+++ b/cloverkeel/balancing/settings.py
@@ -1,7 +1,6 @@
-"""Settings of the balancer: pure data, checked when it is made.
+"""Settings of the balancer, validated on construction.
 
-Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
-everything else is a duration.
+Times are durations in whole microseconds.
 """
 
 from __future__ import annotations
@@ -16,22 +15,22 @@
 
 
 class Effect(Enum):
-    """What running a request a second time would do: whether it is idempotent."""
+    """Effect of running a request a second time."""
 
-    SAFE = "safe"  # nothing: repeat at will
-    KEYED = "keyed"  # repeats are dropped by the servers of one scope, for a while
-    UNSAFE = "unsafe"  # the effect would happen twice
+    SAFE = "safe"  # none: the request is idempotent
+    KEYED = "keyed"  # none within the scope and window in which servers drop repeats of its idempotency key
+    UNSAFE = "unsafe"  # the request's effect happens twice
 
 
 class Scope(Enum):
-    """Which servers drop each other's repeats of a request with an idempotency key."""
+    """Set of servers that drop repeats of a keyed request which any server of the set has run."""
 
     ALL = "all"
     ZONE = "zone"
     GROUP = "group"
 
 
-# Fields whose names in errors are those that operators know from earlier versions.
+# Field -> its name in error messages: the one from earlier versions, which operators know.
 NAMES_IN_ERRORS: Final = {
     "client_timeout_us": "give_up_us",
     "collapse_multiple": "fall_multiple",
@@ -48,7 +47,7 @@
 
 
 def _check(settings: object, minima: Mapping[str, float], ratios: tuple[str, ...] = ()) -> None:
-    """Raise SettingError for a field that is not finite, below its minimum, or no ratio."""
+    """Raise SettingError for a field that is not finite, below its minimum, or a ratio outside 0 to 1."""
     for field_name in (*minima, *ratios):
         value = getattr(settings, field_name)
         name = NAMES_IN_ERRORS.get(field_name, field_name)
@@ -62,17 +61,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """Describe one class of requests: its latency objective, priority and what a retry may do."""
+    """Class of requests: its latency objective, its priority, and the effect of a retry."""
 
-    objective_us: int  # the latency objective: answered within this, it counts in full
+    objective_us: int  # latency objective: an answer within it has the full priority weight
     client_timeout_us: int  # over all tries of a client
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # fraction of the priority weight left after the objective
+    late_weight: float = 0.0  # fraction of the priority weight that an answer after the objective has
     effect: Effect = Effect.UNSAFE
-    scope: Scope = Scope.ALL  # for KEYED
-    window_us: int = 0  # for KEYED: how long repeats are dropped, from the first attempt's sending
-    in_order: bool = False  # requests with one key run one at a time, in the order taken
-    objective_stretch: float = 0.0  # the objective grows by so many times the request's own work, up to the deadline
+    scope: Scope = Scope.ALL  # KEYED only
+    window_us: int = 0  # KEYED only: how long servers drop repeats, from the sending of the first attempt
+    in_order: bool = False  # requests with the same key run one at a time, in order of arrival
+    objective_stretch: float = 0.0  # extends the objective by this multiple of the request's work, up to its deadline
 
     def __post_init__(self) -> None:
         minima = {
@@ -87,12 +86,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """Hold how the operator weighs the parts of good service."""
+    """Weights of the measures of service quality that the operator optimises for."""
 
     overall: float = 1.0
     worst_window: float = 0.0
     worst_class: float = 0.0
-    worst_tenant: float = 0.0  # inside its share
+    worst_tenant: float = 0.0  # requests within the tenant's share
 
     def __post_init__(self) -> None:
         _check(self, minima=dict.fromkeys(("overall", "worst_window", "worst_class", "worst_tenant"), 0))
@@ -100,10 +99,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """Describe one tenant's quota of the service."""
+    """Quota of a tenant."""
 
-    share: float = 0.0  # of the service
-    allowance_per_s: float = math.inf  # requests within its share, over all proxies
+    share: float = 0.0  # fraction of the service's requests
+    allowance_per_s: float = math.inf  # requests per second that count as within its share, over all proxies
 
     def __post_init__(self) -> None:
         _check(self, minima={}, ratios=("share",))
@@ -113,68 +112,69 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Hold the points of the result that each costs."""
+    """Cost of each use of a resource, in points of the overall result."""
 
-    cross_zone: float = 0.0  # an attempt to another zone
-    handshake: float = 0.0  # a new connection
-    waste: float = 0.0  # server work that served no answer
-    late_fail: float = 0.0  # priority weight left unserved after its objective
-    connection: float = 0.0  # a hundred open connections a server
+    cross_zone: float = 0.0  # per attempt to a server in another zone
+    handshake: float = 0.0  # per new connection
+    waste: float = 0.0  # per unit of server work that led to no answer
+    late_fail: float = 0.0  # per unit of priority weight that is left unserved after its objective
+    connection: float = 0.0  # per 100 open connections to a server
     probe: float = 0.0
-    peer: float = 0.0  # a message of 256 bytes to one peer
-    list_lines: float = 0.0  # a hundred lines of the server list
+    peer: float = 0.0  # per message of 256 bytes to one peer
+    list_lines: float = 0.0  # per 100 lines of the server list
 
     def __post_init__(self) -> None:
         _check(self, minima=dict.fromkeys(self.__dataclass_fields__, 0))
 
 
 class Reports(Enum):
-    """How servers report their load."""
+    """Responses in which servers report their load."""
 
-    ANSWERS = "answers"  # in each answer
-    PROBES = "probes"  # in the answers to probes alone
+    ANSWERS = "answers"  # all responses
+    PROBES = "probes"  # only responses to health checks
     NONE = "none"
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Hold all settings of one balancer."""
+    """Settings of one balancer."""
 
     classes: tuple[RequestClass, ...]
     goal: Goal = field(default_factory=Goal)
-    weight_by_work: bool = False  # the priority weight counts for each unit of work, not for each request
-    proxies: int = 1  # how many share the servers
-    proxy: int = 0  # this proxy's own number among them
-    zone: int = 0  # where this proxy sits
+    weight_by_work: bool = False  # priority weights apply per unit of work instead of per request
+    proxies: int = 1  # number of proxies that share the servers
+    proxy: int = 0  # this proxy's number, from 0 to proxies - 1
+    zone: int = 0  # zone of this proxy
     prices: Prices = field(default_factory=Prices)
     tenants: tuple[Tenant, ...] = ()
-    overuse_weight: float = 1.0  # of a request beyond its tenant's share, as a fraction
-    marks_retry: bool = False  # clients say of a repeat that it is one
+    overuse_weight: float = 1.0  # weight of a request beyond its tenant's share, as a fraction of its normal weight
+    marks_retry: bool = False  # clients mark their retries as such
     max_attempts: int = 3
     may_cancel: bool = True
-    may_hedge: bool = False  # two attempts of one request may be in flight together
+    may_hedge: bool = False  # two attempts of a request may be in flight at the same time
     may_probe: bool = False
     may_tell_peers: bool = False
     reports: Reports = Reports.NONE
     attempts_per_connection: int = 1
-    keepalive_us: int = 60_000_000  # idle connections are closed after this
+    keepalive_us: int = 60_000_000  # idle connections are closed after this time
     connect_timeout_us: int = 1_000_000
-    answer_slack_us: int = 0  # a final answer may be this late
-    stop_sending_within_us: int = 0  # after word that a server drains or is gone
-    cpu_us_per_s: int = 0  # for this proxy's decisions; 0: no limit known
-    servers_know_keys: bool = False  # a server that met a key lately serves it for less work
-    list_is_pushed: bool = True  # False: changes come only after WatchList
-    max_poll_interval_us: int = 10_000_000  # between polls of the server list, without a subscription
+    answer_slack_us: int = 0  # how late a final answer may be
+    stop_sending_within_us: int = 0  # attempts may start this long after a server is known to drain or be removed
+    cpu_us_per_s: int = 0  # CPU time for this proxy's decisions per second; 0 if unlimited or unknown
+    servers_know_keys: bool = False  # servers cache by key: a key that was recently served costs less work
+    list_is_pushed: bool = True  # False if changes arrive only after WatchList
+    max_poll_interval_us: int = 10_000_000  # between polls of the server list if there is no subscription
     max_retry_after_us: int = 1_000_000
-    start_capacity: float = 1.0  # a server that starts can do at least this share of its work
-    slow_start_us: int = 0  # and all of it after this
-    collapse_multiple: float = 1.0  # sent more than this times its present capacity
-    collapse_window_us: int = 1_000_000  # for this long, a warming server collapses
-    full_unproven: bool = False  # FULL may also be said of work that had begun
-    key_rest_us: int = 0  # in order: how long a key rests after an attempt that may still be running
+    start_capacity: float = 1.0  # minimum capacity of a server that has just started, as a fraction of the full one
+    slow_start_us: int = 0  # time after which a started server has its full capacity
+    # A warming server that gets more than this multiple of its present capacity during a window collapses.
+    collapse_multiple: float = 1.0
+    collapse_window_us: int = 1_000_000
+    full_unproven: bool = False  # servers may report FULL also for requests that have begun to run
+    key_rest_us: int = 0  # in-order classes: delay before a key's next request if an attempt may still be running
 
     def __post_init__(self) -> None:
-        """Reject settings that no decision can be made from."""
+        """Raise SettingError if the settings are invalid."""
         if not self.classes:
             raise SettingError("classes", "is empty")
         durations = (
--- a/cloverkeel/balancing/tenant_fairness.py
+++ b/cloverkeel/balancing/tenant_fairness.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: who sends more than its share yields first while load is shed."""
+"""Tenant quotas: under load shedding, requests of tenants beyond their share are refused first."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from cloverkeel.balancing.settings import Settings
 
-TENANT_MEMORY: Final = 0.98  # of the requests by tenant, left after each request
-MAX_SHARE_FACTOR: Final = 1.5  # times its share: a tenant's requests beyond are more than chance
+TENANT_MEMORY: Final = 0.98  # factor on all request counts at each request
+MAX_SHARE_FACTOR: Final = 1.5  # multiple of its share above which a tenant's requests exceed random variation
 
 
 class TenantFairness:
-    """Hold the recent requests of each tenant.
+    """Exponentially decaying count of each tenant's requests.
 
-    Guards against a tenant's clients that repeat without limit.
+    Guards other tenants against a tenant whose clients retry without limit.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        # As many as its share of all, before the first.
+        # Each tenant starts with the count of a tenant that sends exactly its share.
         self.requests = [tenant.share / (1.0 - TENANT_MEMORY) for tenant in settings.tenants]
 
     def record(self, tenant: int) -> float:
-        """Count a request; return its tenant's overuse: the part of its requests beyond its share, 0.0 without one.
+        """Count a request; return its tenant's overuse: the fraction of its requests beyond its share, weighted.
 
-        Below 0 where the tenant is within its share.
+        Negative if the tenant is within its share; 0.0 for an unknown tenant.
         """
         if not 0 <= tenant < len(self.requests):
             return 0.0
