--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -127,7 +127,7 @@
 
 def _make_peer_protocols(config: Config, options: Options, gateway: Gateway) -> PeerProtocols:
     has_protocol = options.leases is not None or options.gossip is not None
-    if config.peer_listen is None or not config.settings.may_tell_peers or not has_protocol:
+    if config.peer_listen is None or not config.settings.may_message_peers or not has_protocol:
         return PeerProtocols()
     from cloverkeel.core.datagrams import PeerSocket
 
--- a/cloverkeel/balancing/__init__.py
+++ b/cloverkeel/balancing/__init__.py
@@ -16,8 +16,8 @@
     Probe,
     Refuse,
     Send,
+    SendPeerMessage,
     SetTimer,
-    TellPeers,
     WatchList,
 )
 from cloverkeel.balancing.events import (
@@ -69,12 +69,12 @@
     "RequestGone",
     "Scope",
     "Send",
+    "SendPeerMessage",
     "ServerList",
     "ServerStatus",
     "SetTimer",
     "Settings",
     "StreamStarted",
-    "TellPeers",
     "Tenant",
     "TimerFired",
     "WatchList",
--- a/cloverkeel/balancing/actions.py
+++ b/cloverkeel/balancing/actions.py
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TellPeers:
+class SendPeerMessage:
     """Send a message to one or all other proxies."""
 
     payload: bytes  # at most 256 bytes
@@ -110,4 +110,4 @@
     line: str
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | WatchList | FetchList | Probe | CloseIdle | TellPeers | Log
+Action = Send | Refuse | Fail | Cancel | SetTimer | WatchList | FetchList | Probe | CloseIdle | SendPeerMessage | Log
--- a/cloverkeel/balancing/settings.py
+++ b/cloverkeel/balancing/settings.py
@@ -153,7 +153,7 @@
     may_cancel: bool = True
     may_hedge: bool = False  # two attempts of a request may be in flight at the same time
     may_probe: bool = False
-    may_tell_peers: bool = False
+    may_message_peers: bool = False
     reports: Reports = Reports.NONE
     attempts_per_connection: int = 1
     keepalive_us: int = 60_000_000  # idle connections are closed after this time
--- a/cloverkeel/simulator/codec.py
+++ b/cloverkeel/simulator/codec.py
@@ -28,7 +28,7 @@
     Refuse,
     Send,
     SetTimer,
-    TellPeers,
+    SendPeerMessage,
     WatchList,
 )
 from cloverkeel.balancing.events import (
@@ -197,7 +197,7 @@
             return f"ask_load host={action.server}"
         case CloseIdle():
             return f"hang_up host={action.server}"
-        case TellPeers():
+        case SendPeerMessage():
             payload = base64.b64encode(action.payload).decode() or "-"
             return f"broadcast_to dest={action.peer} bytes={payload}"
         case Log():
--- a/cloverkeel/simulator/settings_codec.py
+++ b/cloverkeel/simulator/settings_codec.py
@@ -62,7 +62,7 @@
         may_cancel=bool(caps.get("mayCancel", False)),
         may_hedge=bool(caps.get("secondCopies", False)),
         may_probe=bool(caps.get("probes", False)),
-        may_tell_peers=bool(caps.get("peers", False)),
+        may_message_peers=bool(caps.get("peers", False)),
         reports=REPORTS.get(str(raw.get("report", {}).get("how")), Reports.NONE),
         attempts_per_connection=int(caps.get("multiplex", 1)),
         keepalive_us=int(caps.get("keepaliveUs", 60_000_000)),
--- a/tests/golden/simulator.py
+++ b/tests/golden/simulator.py
@@ -18,7 +18,7 @@
     Refuse,
     Send,
     SetTimer,
-    TellPeers,
+    SendPeerMessage,
     WatchList,
 )
 from cloverkeel.balancing.events import (
@@ -52,8 +52,8 @@
     "fetch": FetchList(),
     "probe": Probe(7),
     "close_idle": CloseIdle(7),
-    "tell_all_peers": TellPeers(bytes(range(256))),
-    "tell_one_peer": TellPeers(b"", 3),
+    "tell_all_peers": SendPeerMessage(bytes(range(256))),
+    "tell_one_peer": SendPeerMessage(b"", 3),
     "log": Log("breaker of 7 opens"),
 }
 ACTION_CLASSES: Final[frozenset[type]] = frozenset(get_args(Action))
@@ -148,7 +148,7 @@
         cross_zone=1, handshake=2, waste=3, late_fail=4, connection=5, probe=6, peer=7, list_lines=8
     ),
     tenants=(Tenant(0.25, 40.0), Tenant()), overuse_weight=0.5, marks_retry=True, max_attempts=4,
-    may_cancel=False, may_hedge=True, may_probe=True, may_tell_peers=True, reports=Reports.PROBES,
+    may_cancel=False, may_hedge=True, may_probe=True, may_message_peers=True, reports=Reports.PROBES,
     attempts_per_connection=8, keepalive_us=30_000_000, connect_timeout_us=500_000, answer_slack_us=1_000,
     stop_sending_within_us=2_000, cpu_us_per_s=700_000, servers_know_keys=True, list_is_pushed=False,
     max_poll_interval_us=3_000, max_retry_after_us=2_000_000, start_capacity=0.5, slow_start_us=4_000,
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -21,7 +21,7 @@
     Refuse,
     Send,
     SetTimer,
-    TellPeers,
+    SendPeerMessage,
     WatchList,
 )
 from cloverkeel.balancing.events import (
@@ -116,7 +116,7 @@
     assert format_action(FetchList()) == "snapshot"
     assert format_action(Probe(7)) == "ask_load host=7"
     assert format_action(CloseIdle(7)) == "hang_up host=7"
-    assert format_action(TellPeers(b"hi 7")) == "broadcast_to dest=-1 bytes=aGkgNw=="
+    assert format_action(SendPeerMessage(b"hi 7")) == "broadcast_to dest=-1 bytes=aGkgNw=="
     assert format_action(Log("two words")) == "journal_line line=two words"
 
 
@@ -200,7 +200,7 @@
     assert settings.tenants == (Tenant(0.4, 12.5), Tenant())
     assert (settings.overuse_weight, settings.goal.worst_tenant) == (0.2, 0.3)
     assert settings.prices == Prices(cross_zone=1, handshake=2, waste=3, late_fail=4, list_lines=5)
-    assert settings.may_probe and settings.may_tell_peers and settings.reports is Reports.PROBES
+    assert settings.may_probe and settings.may_message_peers and settings.reports is Reports.PROBES
     limits = (settings.attempts_per_connection, settings.keepalive_us, settings.connect_timeout_us)
     assert limits == (3, 8, 7)
 
