--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -27,7 +27,7 @@
     """The module waits for an attempt as long as it likes."""
     from cloverkeel.balancing.attempt_sender import AttemptSender
 
-    cut(AttemptSender, "send", ("max(1, self.end_us(now_us, request) - now_us)", "10_000_000"))
+    cut(AttemptSender, "send", ("max(1, self.attempt_deadline_us(now_us, request) - now_us)", "10_000_000"))
 
 
 @entry("free-by-identity")
@@ -36,7 +36,7 @@
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     same = "if self.requests.get(request.id_) is request:"
-    cut(RequestLifecycle, "forget", (same, "if request.id_ in self.requests:"))
+    cut(RequestLifecycle, "remove", (same, "if request.id_ in self.requests:"))
 
 
 @entry("sweep")
@@ -135,7 +135,7 @@
     """A repeat may wait for its connection beyond the window."""
     from cloverkeel.balancing.attempt_sender import AttemptSender
 
-    swap(AttemptSender, "repeat_by_us", lambda self, request: 0)
+    swap(AttemptSender, "write_deadline_us", lambda self, request: 0)
 
 
 @entry("list-again")
--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -15,7 +15,7 @@
     row("ids-in-use", "an id that is open is not taken again", "Gateway.admit_request", "ids", "missing",
         tests="frontends/clients::an_id_that_is_in_use_is_not_taken_twice"),
     row("tickets+free-by-identity", "a request is forgotten as itself, not by its id",
-        "RequestTable.add, RequestLifecycle.forget",
+        "RequestTable.add, RequestLifecycle.remove",
         tests="balancing/repeated_ids::a_late_timer_of_an_answered_request_spares_its_namesake"),
     row("way-out-ends+way-out-bound", "the way out ends", "DrainSchedule, MAX_SHUTDOWN_S",
         tests="cli/gateway_process::a_request_without_an_end_does_not_delay_shutdown "
--- a/cloverkeel/balancing/actions.py
+++ b/cloverkeel/balancing/actions.py
@@ -24,13 +24,13 @@
     request: str
     server: int
     timeout_us: int
-    begin_by_us: int
+    write_deadline_us: int
 
-    def __init__(self, request: str, server: int, timeout_us: int, begin_by_us: int = 0) -> None:
+    def __init__(self, request: str, server: int, timeout_us: int, write_deadline_us: int = 0) -> None:
         self.request = request
         self.server = server
         self.timeout_us = timeout_us
-        self.begin_by_us = begin_by_us
+        self.write_deadline_us = write_deadline_us
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,7 +39,7 @@
 
     request: str
     retry_after_us: int = 0
-    why: str = field(default="", compare=False)  # label under which metrics count the rejection
+    reason: str = field(default="", compare=False)  # label under which metrics count the rejection
 
 
 @dataclass(slots=True, frozen=True)
--- a/cloverkeel/balancing/attempt_sender.py
+++ b/cloverkeel/balancing/attempt_sender.py
@@ -14,7 +14,7 @@
 from cloverkeel.balancing.server_selection import ServerSelection
 from cloverkeel.balancing.settings import Effect, Settings
 
-OBJECTIVE_RATIO: Final = 0.98  # timeout over the time left to the objective, for classes with late_weight 0
+OBJECTIVE_TIMEOUT_RATIO: Final = 0.98  # timeout over the time left to the objective, for classes with late_weight 0
 
 
 class AttemptSender:
@@ -46,7 +46,7 @@
         if server is None:
             return False
         class_probe_episode = server.class_health(class_index).breaker.start_probe()
-        timeout_us = max(1, self.end_us(now_us, request) - now_us)
+        timeout_us = max(1, self.attempt_deadline_us(now_us, request) - now_us)
         probe_episode = server.breaker.start_probe()
         attempt = Attempt(server, now_us, now_us + timeout_us, probe_episode, class_probe_episode)
         request.attempts.append(attempt)
@@ -56,7 +56,7 @@
         self.selection.subset.record_sent(self.in_flight)
         if now_us < server.slow_start.settled_at_us:
             self.selection.slow_start.record_sent(now_us, server, request)
-        send = Send(request.id_, server.entry.server, timeout_us, self.repeat_by_us(request))
+        send = Send(request.id_, server.entry.server, timeout_us, self.write_deadline_us(request))
         self.buffer.actions.append(send)
         if not self.expiry_scan.due_at_us:
             self.expiry_scan.schedule(now_us)
@@ -65,7 +65,7 @@
             self.timers.start(overdue_us, request)
         return True
 
-    def repeat_by_us(self, request: Request) -> int:
+    def write_deadline_us(self, request: Request) -> int:
         """Return when the retry of a keyed request that may have run must be written completely; 0 for no limit.
 
         Guards against a retry that is decided within the window of its key but waits for a connection until the
@@ -74,26 +74,26 @@
         class_ = self.settings.classes[request.class_index]
         if class_.effect is not Effect.KEYED:
             return 0
-        ran = [attempt.sent_us for attempt in request.attempts[:-1] if attempt.may_have_run]
-        return ran[0] + class_.window_us if ran else 0
+        sent_us = [attempt.sent_us for attempt in request.attempts[:-1] if attempt.may_have_run]
+        return sent_us[0] + class_.window_us if sent_us else 0
 
-    def end_us(self, now_us: int, request: Request) -> int:
+    def attempt_deadline_us(self, now_us: int, request: Request) -> int:
         """Return when an attempt times out: with its client, or before the objective if late_weight is 0."""
         if self.settings.classes[request.class_index].late_weight > 0.0:
             return request.deadline_us
-        return min(request.deadline_us, now_us + int(OBJECTIVE_RATIO * (request.objective_us - now_us)))
+        return min(request.deadline_us, now_us + int(OBJECTIVE_TIMEOUT_RATIO * (request.objective_us - now_us)))
 
-    def take_back(self, request: Request, attempt: Attempt) -> None:
+    def record_end(self, request: Request, attempt: Attempt) -> None:
         """Mark an attempt as ended, and count it as in flight no more."""
         attempt.has_ended = True
         request.in_flight -= 1
         attempt.server.in_flight.pop(attempt, None)
         self.in_flight -= 1
 
-    def cancel_attempts(self, request: Request, wanted: int = -1) -> None:
-        """Cancel the request's attempts in flight, except attempt number `wanted` (-1 for none)."""
+    def cancel_attempts(self, request: Request, kept_attempt: int = -1) -> None:
+        """Cancel the request's attempts in flight, except attempt number `kept_attempt` (-1 for none)."""
         if not self.settings.may_cancel:
             return
         for number, attempt in enumerate(request.attempts):
-            if not attempt.has_ended and number != wanted:
+            if not attempt.has_ended and number != kept_attempt:
                 self.buffer.actions.append(Cancel(request.id_, number))
--- a/cloverkeel/balancing/attempts.py
+++ b/cloverkeel/balancing/attempts.py
@@ -10,7 +10,7 @@
 
     __slots__ = (
         "class_probe_episode",
-        "end_us",
+        "deadline_us",
         "has_ended",
         "is_overdue",
         "may_have_run",
@@ -20,11 +20,11 @@
     )
 
     def __init__(
-        self, server: Endpoint, sent_us: int, end_us: int, probe_episode: int, class_probe_episode: int
+        self, server: Endpoint, sent_us: int, deadline_us: int, probe_episode: int, class_probe_episode: int
     ) -> None:
         self.server = server
         self.sent_us = sent_us
-        self.end_us = end_us  # the caller ends the attempt by this time
+        self.deadline_us = deadline_us  # the caller ends the attempt by this time
         self.probe_episode = probe_episode  # half-open episode of the server's breaker; 0 if it is no probe
         self.class_probe_episode = class_probe_episode  # the same for the breaker of the class at the server
         self.has_ended = False
@@ -45,7 +45,7 @@
         "is_first_try",
         "is_streaming",
         "key",
-        "key_rests_until_us",
+        "key_blocked_until_us",
         "objective_us",
         "overuse",
         "size",
@@ -75,7 +75,7 @@
         self.is_answered = False  # True also if the client has disconnected
         self.is_streaming = False
         # In-order classes: the next request of the key waits until then, as an attempt may still be running.
-        self.key_rests_until_us = 0
+        self.key_blocked_until_us = 0
 
     def may_have_run(self) -> bool:
         """Return whether a server may have run any attempt."""
--- a/cloverkeel/balancing/balancer.py
+++ b/cloverkeel/balancing/balancer.py
@@ -145,7 +145,7 @@
     def retry_token_state(self, now_us: int) -> RetryTokenState:
         """Return the available retry tokens, and whether a retry was recently denied for lack of them."""
         self.now_us = max(now_us, self.now_us)
-        return RetryTokenState(self.retry_budget.available(self.now_us), self.retry_budget.is_wanted(now_us))
+        return RetryTokenState(self.retry_budget.available(self.now_us), self.retry_budget.is_short(now_us))
 
     def slow_start_demands(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
         """Return the `SlowStartDemand` of each server of the subset that is warming or not settled yet."""
--- a/cloverkeel/balancing/events.py
+++ b/cloverkeel/balancing/events.py
@@ -214,7 +214,7 @@
     good: float
     bad: float
     reporters: int
-    well: int
+    success_reporters: int
     until_us: int
 
 
--- a/cloverkeel/balancing/expiry_scan.py
+++ b/cloverkeel/balancing/expiry_scan.py
@@ -43,4 +43,4 @@
         """Return a request's attempts that have not ended `EXPIRED_AFTER_US` after their timeout."""
         if request.is_streaming:
             return []
-        return [a for a in request.attempts if not a.has_ended and now_us > a.end_us + EXPIRED_AFTER_US]
+        return [a for a in request.attempts if not a.has_ended and now_us > a.deadline_us + EXPIRED_AFTER_US]
--- a/cloverkeel/balancing/key_queues.py
+++ b/cloverkeel/balancing/key_queues.py
@@ -32,9 +32,9 @@
     def remove(self, key: int, request: Request) -> Request | None:
         """Remove a queued request; return the request that this moves to the head, if any."""
         queue = self.queue_by_key[key]
-        had_turn = queue[0] is request
+        was_head = queue[0] is request
         queue.remove(request)
         if not queue:
             del self.queue_by_key[key]
             return None
-        return queue[0] if had_turn else None
+        return queue[0] if was_head else None
--- a/cloverkeel/balancing/peer_reports.py
+++ b/cloverkeel/balancing/peer_reports.py
@@ -61,6 +61,6 @@
             max_us = breaker.open_until_us + min(breaker.cooldown_us, MAX_PROBE_DELAY_US)
             until_us = min(event.until_us, max_us)
             endpoint.probes_suspended_until_us = max(endpoint.probes_suspended_until_us, until_us)
-        elif not event.reporters and event.well >= MIN_REPORTERS:
+        elif not event.reporters and event.success_reporters >= MIN_REPORTERS:
             endpoint.probes_suspended_until_us = 0
             breaker.end_cooldown(now_us)
--- a/cloverkeel/balancing/request_lifecycle.py
+++ b/cloverkeel/balancing/request_lifecycle.py
@@ -61,14 +61,14 @@
             self.buffer.log(now_us, f"balancer: unknown class, request={event.request} class={event.class_index}")
             self.buffer.actions.append(Fail(event.request))
             return
-        request = self.admit(now_us, event)
+        request = self.create_request(now_us, event)
         self.requests[request.id_] = request
         if self.load_shedder.should_shed(now_us, request):
             self.answer_unserved(now_us, request, "shed")
         elif not self.waits_for_key(now_us, request) and not self.sender.send(now_us, request):
             self.answer_unserved(now_us, request, "none")
 
-    def admit(self, now_us: int, event: RequestArrived) -> Request:
+    def create_request(self, now_us: int, event: RequestArrived) -> Request:
         """Update the statistics of clients with a request, and return its new state."""
         class_index = event.class_index
         used_us = self.client_timeouts.record(event)
@@ -97,17 +97,17 @@
         if request.key is None or not self.settings.classes[request.class_index].in_order:
             return False
         expected_us = self.latency.expected_us(request.class_index, request.size)
-        last_us = self.sender.end_us(now_us, request) - int(expected_us)
+        latest_send_us = self.sender.attempt_deadline_us(now_us, request) - int(expected_us)
         length = self.key_queues.length(request.key)
-        if length and now_us + length * expected_us > last_us:
+        if length and now_us + length * expected_us > latest_send_us:
             self.answer_unserved(now_us, request)
             return True
         if self.key_queues.append(request.key, request):
             return False
-        self.timers.start(last_us, request)
+        self.timers.start(latest_send_us, request)
         return True
 
-    def forget(self, now_us: int, request: Request) -> None:
+    def remove(self, now_us: int, request: Request) -> None:
         """Remove a request that is over; send the next of its key once `key_rest_us` has passed, if in order.
 
         The id alone does not identify the request: its timer may fire after a client has reused the id for another.
@@ -117,14 +117,14 @@
         key = request.key
         if key is None or not self.key_queues.contains(request):
             return
-        if now_us < request.key_rests_until_us:
-            self.timers.start(request.key_rests_until_us, request)
+        if now_us < request.key_blocked_until_us:
+            self.timers.start(request.key_blocked_until_us, request)
             return
-        successor = self.key_queues.remove(key, request)
-        if successor is None or successor.is_answered:
+        next_request = self.key_queues.remove(key, request)
+        if next_request is None or next_request.is_answered:
             return
-        if not self.sender.send(now_us, successor):
-            self.answer_unserved(now_us, successor)
+        if not self.sender.send(now_us, next_request):
+            self.answer_unserved(now_us, next_request)
 
     def answer_unserved(self, now_us: int, request: Request, reason: str = "turn") -> None:
         """Give the final answer to a request without a successful attempt, if it has none yet."""
@@ -136,7 +136,7 @@
         """Mark a request as answered; cancel its attempts that are still in flight."""
         request.is_answered = True
         if request.in_flight == 0:
-            self.forget(now_us, request)
+            self.remove(now_us, request)
         elif not request.is_streaming:
             self.sender.cancel_attempts(request)
 
@@ -172,14 +172,14 @@
         if request is None:
             return
         if request.in_flight == 0:
-            self.forget_or_answer(now_us, request)
+            self.answer_and_remove(now_us, request)
         elif not request.is_answered:
             self.on_attempt_overdue(now_us, request)
 
-    def forget_or_answer(self, now_us: int, request: Request) -> None:
+    def answer_and_remove(self, now_us: int, request: Request) -> None:
         """Remove a request with no attempt in flight, giving its final answer first if it has none."""
         if request.is_answered:
-            self.forget(now_us, request)
+            self.remove(now_us, request)
         else:
             self.answer_unserved(now_us, request)
 
@@ -209,15 +209,15 @@
         attempt = request.attempts[event.attempt]
         if attempt.has_ended:
             return
-        is_unproven = event.outcome is Outcome.FULL and self.settings.full_unproven
-        attempt.may_have_run = event.outcome not in NEVER_RAN or is_unproven
+        full_may_have_run = event.outcome is Outcome.FULL and self.settings.full_unproven
+        attempt.may_have_run = event.outcome not in NEVER_RAN or full_may_have_run
         if event.outcome in MAY_STILL_RUN:
-            request.key_rests_until_us = now_us + self.settings.key_rest_us
-        self.sender.take_back(request, attempt)
+            request.key_blocked_until_us = now_us + self.settings.key_rest_us
+        self.sender.record_end(request, attempt)
         self.outliers.record_outcome(now_us, request, attempt, event)
         if request.is_answered:
             if request.in_flight == 0:
-                self.forget(now_us, request)
+                self.remove(now_us, request)
         elif event.finished or event.outcome is Outcome.OK or request.is_streaming:
             self.record_served(now_us, request, event.outcome)
             self.finish(now_us, request)
@@ -248,8 +248,8 @@
             is_shed = self.load_shedder.low_priority_ratio > 0.0
         else:
             is_shed = self.load_shedder.should_shed(now_us, request)
-        left_us = self.sender.end_us(now_us, request) - now_us
-        if left_us <= self.latency.expected_unloaded_us(request.class_index, request.size):
+        remaining_us = self.sender.attempt_deadline_us(now_us, request) - now_us
+        if remaining_us <= self.latency.expected_unloaded_us(request.class_index, request.size):
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
@@ -273,11 +273,11 @@
         if not expired:
             return
         for attempt in expired:
-            self.sender.take_back(request, attempt)
+            self.sender.record_end(request, attempt)
             attempt.server.breaker.abandon_probe(attempt.probe_episode)
             health = attempt.server.class_health(request.class_index)
             health.breaker.abandon_probe(attempt.class_probe_episode)
         server = expired[0].server.entry.server
         self.buffer.log(now_us, f"balancer: DEFECT: attempt expired, request={request.id_} server={server}")
         if request.in_flight == 0:
-            self.forget_or_answer(now_us, request)
+            self.answer_and_remove(now_us, request)
--- a/cloverkeel/balancing/retry_budget.py
+++ b/cloverkeel/balancing/retry_budget.py
@@ -14,14 +14,14 @@
 MAX_RETRY_TOKENS: Final = 2.0  # low, as hundreds of proxies may spend their saved tokens at the same time
 FULL_RETRY_COST: Final = 1.0  # tokens for a retry after a timeout, or for a hedged request
 ERROR_RETRY_COST: Final = 0.5  # tokens for a retry after an error or a reset, which do not indicate overload
-DEMAND_MEMORY_US: Final = 1_000_000  # how long a retry denied for lack of tokens counts as a shortage
+SHORTAGE_MEMORY_US: Final = 1_000_000  # how long a retry denied for lack of tokens counts as a shortage
 
 
 class RetryTokenState(NamedTuple):
     """Available retry tokens, and whether a retry was recently denied for lack of them."""
 
     tokens: float
-    is_wanted: bool
+    is_short: bool
 
 
 class RetryBudget:
@@ -31,7 +31,7 @@
         self.tokens = MAX_RETRY_TOKENS
         self.cap = MAX_RETRY_TOKENS
         self.expires_at_us = 0  # when tokens above the cap, which other proxies granted, expire
-        self.wanted_at_us = -DEMAND_MEMORY_US  # when a retry was last denied for lack of tokens
+        self.denied_at_us = -SHORTAGE_MEMORY_US  # when a retry was last denied for lack of tokens
 
     def available(self, now_us: int) -> float:
         """Return the available tokens, after removing those granted by other proxies that have expired."""
@@ -48,7 +48,7 @@
         """Return whether there are tokens for a retry of this cost; if not, record the shortage."""
         if self.available(now_us) >= cost:
             return True
-        self.wanted_at_us = now_us
+        self.denied_at_us = now_us
         return False
 
     def withdraw(self, cost: float) -> None:
@@ -62,6 +62,6 @@
         if grant.moved > 0.0:
             self.expires_at_us = grant.until_us
 
-    def is_wanted(self, now_us: int) -> bool:
+    def is_short(self, now_us: int) -> bool:
         """Return whether a retry was recently denied for lack of tokens."""
-        return now_us - self.wanted_at_us < DEMAND_MEMORY_US
+        return now_us - self.denied_at_us < SHORTAGE_MEMORY_US
--- a/cloverkeel/balancing/tenant_fairness.py
+++ b/cloverkeel/balancing/tenant_fairness.py
@@ -6,7 +6,7 @@
 
 from cloverkeel.balancing.settings import Settings
 
-TENANT_MEMORY: Final = 0.98  # factor on all request counts at each request
+REQUEST_COUNT_DECAY: Final = 0.98  # factor on all request counts at each request
 MAX_SHARE_FACTOR: Final = 1.5  # multiple of its share above which a tenant's requests exceed random variation
 
 
@@ -19,16 +19,16 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         # Each tenant starts with the count of a tenant that sends exactly its share.
-        self.requests = [tenant.share / (1.0 - TENANT_MEMORY) for tenant in settings.tenants]
+        self.request_counts = [tenant.share / (1.0 - REQUEST_COUNT_DECAY) for tenant in settings.tenants]
 
     def record(self, tenant: int) -> float:
         """Count a request; return its tenant's overuse: the fraction of its requests beyond its share, weighted.
 
         Negative if the tenant is within its share; 0.0 for an unknown tenant.
         """
-        if not 0 <= tenant < len(self.requests):
+        if not 0 <= tenant < len(self.request_counts):
             return 0.0
-        self.requests = [count * TENANT_MEMORY for count in self.requests]
-        self.requests[tenant] += 1
-        fair = MAX_SHARE_FACTOR * self.settings.tenants[tenant].share * sum(self.requests)
-        return (1.0 - self.settings.overuse_weight) * (1.0 - fair / self.requests[tenant])
+        self.request_counts = [count * REQUEST_COUNT_DECAY for count in self.request_counts]
+        self.request_counts[tenant] += 1
+        fair_count = MAX_SHARE_FACTOR * self.settings.tenants[tenant].share * sum(self.request_counts)
+        return (1.0 - self.settings.overuse_weight) * (1.0 - fair_count / self.request_counts[tenant])
--- a/cloverkeel/core/dispatcher.py
+++ b/cloverkeel/core/dispatcher.py
@@ -139,7 +139,7 @@
         """Respond that a request is rejected, if it awaits its response."""
         request = self.requests.claim_response(action.request)
         if request is not None:
-            self.metrics.record_rejection(request.call.class_index, action.why)
+            self.metrics.record_rejection(request.call.class_index, action.reason)
             request.call.client.on_rejected(request.call, action.retry_after_us)
 
     def fail_request(self, key: str) -> None:
@@ -190,7 +190,7 @@
         self.metrics.record_attempt(action.server)
         request.attempts[index] = self.upstream.start_attempt(
             action.server, attempt.build_payload, timeout_us, attempt.on_end, attempt.on_response_start,
-            attempt.may_start, action.begin_by_us,
+            attempt.may_start, action.write_deadline_us,
         )  # fmt: skip
 
     def _end_unsent(self, action: Send, index: int) -> Event:
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -759,17 +759,17 @@
     name, actions = driver.arrive(1, 800_000)
     (first,) = sends(actions)
     begun_us = driver.now_us
-    assert first.begin_by_us == 0
+    assert first.write_deadline_us == 0
     driver.now_us += 10_000
     (second,) = sends(driver.end(name, first.server, Outcome.CONNECT_FAILED, 0))
-    assert second.begin_by_us == 0  # nothing has run
+    assert second.write_deadline_us == 0  # nothing has run
     driver.now_us += 20_000
     (third,) = sends(driver.end(name, second.server, Outcome.RESET, 1))
-    assert third.begin_by_us == begun_us + 10_000 + KEYED.window_us
+    assert third.write_deadline_us == begun_us + 10_000 + KEYED.window_us
     free, actions = driver.arrive(0)
     (one,) = sends(actions)
     (again,) = sends(driver.end(free, one.server, Outcome.RESET))
-    assert again.begin_by_us == 0  # it may run as often as it likes
+    assert again.write_deadline_us == 0  # it may run as often as it likes
 
 
 def test_at_the_end_of_the_process_every_request_is_answered_as_its_effect_allows() -> None:
