--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -16,7 +16,7 @@
         tests="frontends/clients::an_id_that_is_in_use_is_not_taken_twice"),
     row("tickets+free-by-identity", "a request is forgotten as itself, not by its id",
         "RequestTable.add, RequestLifecycle.remove",
-        tests="balancing/repeated_ids::a_late_timer_of_an_answered_request_spares_its_namesake"),
+        tests="balancing/repeated_ids::late_timer_of_an_answered_request_leaves_a_later_request_with_its_id_alone"),
     row("way-out-ends+way-out-bound", "the way out ends", "DrainSchedule, MAX_SHUTDOWN_S",
         tests="cli/gateway_process::a_request_without_an_end_does_not_delay_shutdown "
               "cli/gateway_process::a_shutdown_finishes_requests_in_flight_and_accepts_new_ones"),
