--- a/cloverkeel/balancing/attempts.py
+++ b/cloverkeel/balancing/attempts.py
@@ -69,7 +69,7 @@
         self.objective_us = objective_us  # end of the latency objective (absolute)
         self.size = size  # expected work, as a multiple of its class's mean
         self.is_first_try = is_first_try
-        self.overuse = overuse  # probability of being shed first, as its tenant exceeds its share; below 0 within it
+        self.overuse = overuse  # probability of being shed as its tenant exceeds its share; negative if it does not
         self.attempts: list[Attempt] = []
         self.in_flight = 0  # number of attempts that have not ended
         self.is_answered = False  # True also if the client has disconnected
--- a/cloverkeel/balancing/client_timeouts.py
+++ b/cloverkeel/balancing/client_timeouts.py
@@ -2,8 +2,8 @@
 
 Clients give all first tries of a class the same timeout, which is found by majority vote (Boyer and Moore, 1981). A
 request with a different timeout is taken for a retry with the rest of it left. Learning the timeout guards against
-taking first tries for late retries where clients give their last try more time than the others; and where clients
-give each try a timeout of its own, no retry is detected, as most first tries would be refused.
+taking first tries for late retries where clients give their last try more time than the others. Where clients give
+each try a timeout of its own, none is taken for a retry; otherwise most first tries would be refused.
 """
 
 from __future__ import annotations
--- a/cloverkeel/balancing/request_lifecycle.py
+++ b/cloverkeel/balancing/request_lifecycle.py
@@ -108,7 +108,7 @@
         return True
 
     def remove(self, now_us: int, request: Request) -> None:
-        """Remove a request that is over; send the next of its key once `key_rest_us` has passed, if in order.
+        """Remove a request that is over; if in order, send the next request of its key once the key's rest is over.
 
         The id alone does not identify the request: its timer may fire after a client has reused the id for another.
         """
@@ -167,7 +167,7 @@
         self.sender.cancel_attempts(request, event.attempt)
 
     def on_timer_fired(self, now_us: int, token: int) -> None:
-        """Handle a request's timer: an overdue attempt, the end of a key's rest, or a wait that was too long."""
+        """Handle a request's timer: its attempt is overdue, its key's rest is over, or it was queued for too long."""
         request = self.timers.pop(token)
         if request is None:
             return
@@ -243,7 +243,7 @@
 
     def can_retry(self, now_us: int, request: Request, outcome: Outcome, has_run: bool, cost: float) -> bool:
         """Return whether to retry a request; if it may have run, it must not be unsafe and needs retry tokens."""
-        # Evaluated before the other conditions, whatever they are: should_shed draws random numbers.
+        # Evaluated first, so that whether should_shed draws random numbers does not depend on the other conditions.
         if outcome is Outcome.TIMEOUT:
             is_shed = self.load_shedder.low_priority_ratio > 0.0
         else:
--- a/cloverkeel/balancing/request_timers.py
+++ b/cloverkeel/balancing/request_timers.py
@@ -1,4 +1,4 @@
-"""Timers: fixed tokens for those that belong to no request, and the requests that all others belong to."""
+"""Timers of requests, and the fixed tokens of timers that belong to no request."""
 
 from __future__ import annotations
 
--- a/cloverkeel/balancing/settings.py
+++ b/cloverkeel/balancing/settings.py
@@ -119,7 +119,7 @@
     waste: float = 0.0  # per unit of server work that led to no answer
     late_fail: float = 0.0  # per unit of priority weight that is left unserved after its objective
     connection: float = 0.0  # per 100 open connections to a server
-    probe: float = 0.0
+    probe: float = 0.0  # per health check
     peer: float = 0.0  # per message of 256 bytes to one peer
     list_lines: float = 0.0  # per 100 lines of the server list
 
