--- a/cloverkeel/balancing/request_lifecycle.py
+++ b/cloverkeel/balancing/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""The way of a request: from its arrival over its attempts to its one final answer.
+"""Lifecycle of a request: its arrival, its attempts and its final answer.
 
-Invariants: each request gets one final answer at most; a request is kept until no attempt of it is in flight; what
-may have run is sent again only where its class allows that.
+Invariants: each request gets at most one final answer; a request is kept until none of its attempts is in flight; a
+request that may have run is sent again only if its class allows it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class RequestLifecycle:
-    """Hold the requests in flight, and lead each from its arrival to its end."""
+    """Keep the requests in flight, and handle the events that concern them."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.outliers = outliers
         self.sender = sender
         self.final_answers = final_answers
-        # What the others learn and use too.
+        # State shared with the objects above.
         self.latency = sender.latency
         self.load_shedder = sender.load_shedder
         self.client_timeouts = outliers.client_timeouts
@@ -53,7 +53,7 @@
         self.requests: dict[str, Request] = {}
 
     def on_request_arrived(self, now_us: int, event: RequestArrived) -> None:
-        """Send a request, queue it behind others of its key, or refuse it."""
+        """Send a request, queue it behind earlier requests of its key, or refuse it."""
         if event.request in self.requests:
             self.buffer.log(now_us, f"balancer: duplicate request ignored, request={event.request}")
             return
@@ -61,15 +61,15 @@
             self.buffer.log(now_us, f"balancer: unknown class, request={event.request} class={event.class_index}")
             self.buffer.actions.append(Fail(event.request))
             return
-        request = self.admit(now_us, event)
+        request = self.create_request(now_us, event)
         self.requests[request.id_] = request
         if self.load_shedder.should_shed(now_us, request):
             self.answer_unserved(now_us, request, "shed")
         elif not self.waits_for_key(now_us, request) and not self.sender.send(now_us, request):
             self.answer_unserved(now_us, request, "none")
 
-    def admit(self, now_us: int, event: RequestArrived) -> Request:
-        """Learn from a request, and return the state that is kept of it."""
+    def create_request(self, now_us: int, event: RequestArrived) -> Request:
+        """Update the statistics of clients with a request, and return its new state."""
         class_index = event.class_index
         used_us = self.client_timeouts.record(event)
         is_first_try = not event.is_retry and used_us == 0
@@ -89,53 +89,54 @@
         )
 
     def waits_for_key(self, now_us: int, request: Request) -> bool:
-        """Queue a request of an in-order class by its key; True unless its turn is now.
+        """Queue a request of an in-order class under its key; return True if it must not be sent now.
 
-        A queue grows no longer than can be served from: who would come too late is refused when that is clear.
+        A request that could not be answered in time behind those already queued is refused at once, which bounds the
+        length of the queue.
         """
         if request.key is None or not self.settings.classes[request.class_index].in_order:
             return False
         expected_us = self.latency.expected_us(request.class_index, request.size)
-        last_us = self.sender.end_us(now_us, request) - int(expected_us)
+        latest_send_us = self.sender.attempt_deadline_us(now_us, request) - int(expected_us)
         length = self.key_queues.length(request.key)
-        if length and now_us + length * expected_us > last_us:
+        if length and now_us + length * expected_us > latest_send_us:
             self.answer_unserved(now_us, request)
             return True
         if self.key_queues.append(request.key, request):
             return False
-        self.timers.start(last_us, request)
+        self.timers.start(latest_send_us, request)
         return True
 
-    def forget(self, now_us: int, request: Request) -> None:
-        """Forget a request that is over; in order, the next of its key has its turn once the key rested.
+    def remove(self, now_us: int, request: Request) -> None:
+        """Remove a request that is over; if in order, send the next request of its key once the key's rest is over.
 
-        Only the request itself: a timer of one that was answered may come when its id was given again.
+        The id alone does not identify the request: its timer may fire after a client has reused the id for another.
         """
         if self.requests.get(request.id_) is request:
             del self.requests[request.id_]
         key = request.key
         if key is None or not self.key_queues.contains(request):
             return
-        if now_us < request.key_rests_until_us:
-            self.timers.start(request.key_rests_until_us, request)
+        if now_us < request.key_blocked_until_us:
+            self.timers.start(request.key_blocked_until_us, request)
             return
-        successor = self.key_queues.remove(key, request)
-        if successor is None or successor.is_answered:
+        next_request = self.key_queues.remove(key, request)
+        if next_request is None or next_request.is_answered:
             return
-        if not self.sender.send(now_us, successor):
-            self.answer_unserved(now_us, successor)
+        if not self.sender.send(now_us, next_request):
+            self.answer_unserved(now_us, next_request)
 
     def answer_unserved(self, now_us: int, request: Request, reason: str = "turn") -> None:
-        """Give the final answer when no attempt is in flight and none is to come."""
+        """Give the final answer to a request without a successful attempt, if it has none yet."""
         if not request.is_answered:
             self.final_answers.give(now_us, request, reason)
             self.finish(now_us, request)
 
     def finish(self, now_us: int, request: Request) -> None:
-        """Note that a request needs no answer any more; cancel what is still in flight for it."""
+        """Mark a request as answered; cancel its attempts that are still in flight."""
         request.is_answered = True
         if request.in_flight == 0:
-            self.forget(now_us, request)
+            self.remove(now_us, request)
         elif not request.is_streaming:
             self.sender.cancel_attempts(request)
 
@@ -146,12 +147,15 @@
             self.finish(now_us, request)
 
     def on_answer_all(self, now_us: int) -> None:
-        """Answer all requests in flight but those that stream: the process ends."""
+        """Answer all requests in flight, except those that are streaming, as the process is shutting down."""
         for request in [request for request in self.requests.values() if not request.is_streaming]:
             self.answer_unserved(now_us, request, "ending")
 
     def on_stream_started(self, now_us: int, event: StreamStarted) -> None:
-        """Cancel other attempts; the server that answers isn't silent or crowded, however long the rest takes."""
+        """Cancel other attempts, and stop counting the streaming attempt as in flight at its server.
+
+        The server has answered: it is neither silent nor crowded, however long the rest of the response takes.
+        """
         request = self.requests.get(event.request)
         if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
             return
@@ -163,26 +167,27 @@
         self.sender.cancel_attempts(request, event.attempt)
 
     def on_timer_fired(self, now_us: int, token: int) -> None:
-        """Do what a request's timer was set for."""
+        """Handle a request's timer: its attempt is overdue, its key's rest is over, or it was queued for too long."""
         request = self.timers.pop(token)
         if request is None:
             return
         if request.in_flight == 0:
-            self.forget_or_answer(now_us, request)
+            self.answer_and_remove(now_us, request)
         elif not request.is_answered:
             self.on_attempt_overdue(now_us, request)
 
-    def forget_or_answer(self, now_us: int, request: Request) -> None:
-        """Forget a request with no attempt in flight, after its final answer if it has had none."""
+    def answer_and_remove(self, now_us: int, request: Request) -> None:
+        """Remove a request with no attempt in flight, giving its final answer first if it has none."""
         if request.is_answered:
-            self.forget(now_us, request)
+            self.remove(now_us, request)
         else:
             self.answer_unserved(now_us, request)
 
     def on_attempt_overdue(self, now_us: int, request: Request) -> None:
-        """Hedge a request whose attempt should have been answered by now, where the settings allow that.
+        """Send a hedged request if an attempt is overdue and the settings allow it.
 
-        Guards, by its limits, against an overload that feeds itself.
+        While low-priority requests are shed or no retry token is available, nothing is sent: hedging under overload
+        would add load and so cause more hedging.
         """
         if request.is_streaming:
             return
@@ -197,22 +202,22 @@
             self.retry_budget.withdraw(FULL_RETRY_COST)
 
     def on_attempt_ended(self, now_us: int, event: AttemptEnded) -> None:
-        """Learn from an attempt's end, and finish its request or retry it."""
+        """Record an attempt's outcome, and finish or retry its request."""
         request = self.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
         if attempt.has_ended:
             return
-        is_unproven = event.outcome is Outcome.FULL and self.settings.full_unproven
-        attempt.may_have_run = event.outcome not in NEVER_RAN or is_unproven
+        full_may_have_run = event.outcome is Outcome.FULL and self.settings.full_unproven
+        attempt.may_have_run = event.outcome not in NEVER_RAN or full_may_have_run
         if event.outcome in MAY_STILL_RUN:
-            request.key_rests_until_us = now_us + self.settings.key_rest_us
-        self.sender.take_back(request, attempt)
+            request.key_blocked_until_us = now_us + self.settings.key_rest_us
+        self.sender.record_end(request, attempt)
         self.outliers.record_outcome(now_us, request, attempt, event)
         if request.is_answered:
             if request.in_flight == 0:
-                self.forget(now_us, request)
+                self.remove(now_us, request)
         elif event.finished or event.outcome is Outcome.OK or request.is_streaming:
             self.record_served(now_us, request, event.outcome)
             self.finish(now_us, request)
@@ -220,14 +225,14 @@
             self.retry(now_us, request, event.outcome)
 
     def record_served(self, now_us: int, request: Request, outcome: Outcome) -> None:
-        """Count a first try that was answered within its objective; of a stream its start counts."""
+        """Count a first try that was answered within its objective; a streamed one was counted when it started."""
         if outcome is not Outcome.OK or request.is_streaming or not request.is_first_try:
             return
         if now_us <= request.objective_us:
             self.load_shedder.record_served(request.class_index)
 
     def retry(self, now_us: int, request: Request, outcome: Outcome) -> None:
-        """Send another attempt after the last one in flight has failed, or give the final answer."""
+        """Retry a request after its last attempt in flight has failed, or give its final answer."""
         has_run = request.may_have_run()
         cost = FULL_RETRY_COST if outcome is Outcome.TIMEOUT else ERROR_RETRY_COST
         if self.can_retry(now_us, request, outcome, has_run, cost) and self.sender.send(now_us, request):
@@ -237,14 +242,14 @@
             self.answer_unserved(now_us, request, outcome.value)
 
     def can_retry(self, now_us: int, request: Request, outcome: Outcome, has_run: bool, cost: float) -> bool:
-        """Tell whether a request may be sent once more; what may have run needs tokens and a class that allows it."""
-        # Asked in any case: shedding draws at random.
+        """Return whether to retry a request; if it may have run, it must not be unsafe and needs retry tokens."""
+        # Evaluated first, so that whether should_shed draws random numbers does not depend on the other conditions.
         if outcome is Outcome.TIMEOUT:
             is_shed = self.load_shedder.low_priority_ratio > 0.0
         else:
             is_shed = self.load_shedder.should_shed(now_us, request)
-        left_us = self.sender.end_us(now_us, request) - now_us
-        if left_us <= self.latency.expected_unloaded_us(request.class_index, request.size):
+        remaining_us = self.sender.attempt_deadline_us(now_us, request) - now_us
+        if remaining_us <= self.latency.expected_unloaded_us(request.class_index, request.size):
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
@@ -255,7 +260,7 @@
         return self.retry_budget.can_withdraw(now_us, cost)
 
     def on_expiry_scan(self, now_us: int) -> None:
-        """Count attempts that nobody ended as ended, and scan again while any is in flight."""
+        """End attempts that have expired, and schedule the next scan while any attempt is in flight."""
         if self.expiry_scan.begin(now_us) and self.sender.in_flight:
             for request in list(self.requests.values()):
                 self.expire_attempts(now_us, request)
@@ -263,16 +268,16 @@
             self.expiry_scan.schedule(now_us)
 
     def expire_attempts(self, now_us: int, request: Request) -> None:
-        """Count a request's attempts that nobody ended as ended."""
+        """End a request's attempts that have expired."""
         expired = self.expiry_scan.expired_attempts(now_us, request)
         if not expired:
             return
         for attempt in expired:
-            self.sender.take_back(request, attempt)
+            self.sender.record_end(request, attempt)
             attempt.server.breaker.abandon_probe(attempt.probe_episode)
             health = attempt.server.class_health(request.class_index)
             health.breaker.abandon_probe(attempt.class_probe_episode)
         server = expired[0].server.entry.server
         self.buffer.log(now_us, f"balancer: DEFECT: attempt expired, request={request.id_} server={server}")
         if request.in_flight == 0:
-            self.forget_or_answer(now_us, request)
+            self.answer_and_remove(now_us, request)
