--- a/cloverkeel/balancing/load_shedding.py
+++ b/cloverkeel/balancing/load_shedding.py
@@ -35,7 +35,7 @@
 MAX_SHED_RATIO: Final = 0.95  # what still comes through tells when to shed less
 HOPELESS_RATIO: Final = 0.5  # of the unloaded latency: a try that is given less is not sent
 PRIORITY_INTERVAL: Final = 16  # first tries after which it is found anew what is of low priority
-COUNT_MEMORY: Final = 500  # first tries after which the counts of requests and of served ones are halved
+MAX_COUNTED_FIRST_TRIES: Final = 500  # first tries after which the counts of requests and of served ones are halved
 
 
 class LoadShedder:
@@ -64,7 +64,7 @@
         if self.since_classified >= PRIORITY_INTERVAL:
             self.since_classified = 0
             self.is_low_priority = self.classify()
-        if sum(self.requested) > COUNT_MEMORY:
+        if sum(self.requested) > MAX_COUNTED_FIRST_TRIES:
             self.requested = [count / 2 for count in self.requested]
             self.served = [count / 2 for count in self.served]
 
--- a/tests/balancing/test_repeated_ids.py
+++ b/tests/balancing/test_repeated_ids.py
@@ -12,7 +12,7 @@
 
 from cloverkeel.balancing.balancer import Balancer
 from cloverkeel.balancing.expiry_scan import EXPIRED_AFTER_US, SCAN_INTERVAL_US
-from cloverkeel.balancing.load_shedding import COUNT_MEMORY
+from cloverkeel.balancing.load_shedding import MAX_COUNTED_FIRST_TRIES
 from cloverkeel.balancing.actions import Action, Cancel, Fail, Log, Refuse, Send, SetTimer
 from cloverkeel.balancing.events import (
     AttemptEnded,
@@ -201,7 +201,7 @@
             if lost % 2:  # every other one is never heard of again
                 self.give(AttemptEnded(id_, number, server, Outcome.RESET, 1_000, id_ not in self.owed))
         self.out.clear()
-        for _ in range(COUNT_MEMORY):
+        for _ in range(MAX_COUNTED_FIRST_TRIES):
             if not self.timers:
                 break
             due = min(self.timers, key=lambda timer: timer.due_us)
