--- a/cloverkeel/balancing/circuit_breaker.py
+++ b/cloverkeel/balancing/circuit_breaker.py
@@ -1,11 +1,12 @@
-"""Circuit breakers: one for each server, and one for each class of requests at a server.
+"""Circuit breakers: one for each server, and one for each request class at a server.
 
-A breaker counts the last outcomes. It opens when too many of them failed, beyond what fails at all servers alike;
-after a cooldown it is half-open and a few requests probe the server; their outcomes close it or open it again for
-twice as long. The states are those of Nygard, Release It! (2007), and of Envoy's outlier detection.
+A breaker counts the most recent outcomes. It opens when too many of them failed, allowing for failures that all
+servers have in common. After a cooldown it is half-open: a few requests probe the server, and their outcomes close
+it or reopen it for twice as long. The states are those of Nygard, Release It! (2007), and of Envoy's outlier
+detection.
 
-Invariants: a closed breaker admits everything, an open one nothing until its cooldown ends, a half-open one no more
-than `HALF_OPEN_PROBES` probes in an episode; outcomes of attempts that were sent before an episode don't decide it.
+Invariants: a closed breaker admits every request, an open one none until its cooldown ends, and a half-open one at
+most `HALF_OPEN_PROBES` probes in an episode; outcomes of attempts sent before an episode don't affect it.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from enum import Enum
 from typing import Final
 
-MAX_OUTCOMES: Final = 10  # that are counted: a second or less of one proxy's traffic to one server
-MIN_OUTCOMES: Final = 5  # before it may open: fewer convict on chance
-MIN_CLASS_OUTCOMES: Final = 2  # the same for one class at one server: a proxy sees a few of these a minute
-FAILURE_THRESHOLD: Final = 0.5  # failure ratio that opens, beyond what all servers fail in common
-HALF_OPEN_PROBES: Final = 3  # outcomes that decide in half-open
+MAX_OUTCOMES: Final = 10  # most recent ones counted: a second or less of one proxy's traffic to one server
+MIN_OUTCOMES: Final = 5  # counted before a breaker may open; with fewer, chance failures would open it
+MIN_CLASS_OUTCOMES: Final = 2  # for one class at one server: a proxy sees only a few such outcomes a minute
+FAILURE_THRESHOLD: Final = 0.5  # failure ratio that opens a breaker while no other server fails
+HALF_OPEN_PROBES: Final = 3  # per half-open episode
 INITIAL_COOLDOWN_US: Final = 1_000_000  # doubles with each reopening from half-open
 MAX_COOLDOWN_US: Final = 8_000_000
 
@@ -32,15 +33,15 @@
 
 
 def failure_limit(fleet_failure_ratio: float) -> float:
-    """Return the failure ratio that opens a breaker while this part of all servers' outcomes fails.
+    """Return the failure ratio that opens a breaker while this ratio of all servers' outcomes fails.
 
-    The part that does not fail in common is squared, as a few outcomes vary by chance.
+    The fleet's success ratio is squared to raise the limit further, as the ratio of a few outcomes varies by chance.
     """
     return 1.0 - (1.0 - FAILURE_THRESHOLD) * (1.0 - fleet_failure_ratio) ** 2
 
 
 class CircuitBreaker:
-    """Hold the last outcomes of one server, or of one class at it, and the state that follows from them."""
+    """The most recent outcomes of one server, or of one class at it, and the resulting state."""
 
     __slots__ = (
         "cooldown_us",
@@ -57,18 +58,18 @@
 
     def __init__(self, min_outcomes: int = MIN_OUTCOMES) -> None:
         self.min_outcomes = min_outcomes
-        self.outcomes: deque[bool] = deque(maxlen=MAX_OUTCOMES)  # whether each failed
+        self.outcomes: deque[bool] = deque(maxlen=MAX_OUTCOMES)  # True for a failure; oldest first
         self.failures = 0
         self.state = BreakerState.CLOSED
         self.open_until_us = 0
         self.cooldown_us = INITIAL_COOLDOWN_US
-        self.episode = 0  # of being half-open, from 1: an outcome is a probe's if it was sent in the present one
+        self.episode = 0  # half-open episode, counted from 1; only attempts sent in the current one are its probes
         self.probes_in_flight = 0
-        self.probes_ended = 0  # of the episode
+        self.probes_ended = 0  # in the current episode
         self.probes_failed = 0
 
     def can_admit(self, now_us: int) -> bool:
-        """Tell whether a request may pass: closed, or half-open with probes left. End a cooldown that is over."""
+        """Tell whether a request may pass. An open breaker whose cooldown is over becomes half-open."""
         if self.state is BreakerState.CLOSED:
             return True
         if self.state is BreakerState.OPEN:
@@ -82,21 +83,21 @@
         return self.probes_in_flight + self.probes_ended < HALF_OPEN_PROBES
 
     def start_probe(self) -> int:
-        """Return the half-open episode that an attempt sent now probes, or 0 for an ordinary attempt."""
+        """Count an attempt sent now; return the half-open episode that it probes, or 0 if it is not a probe."""
         if self.state is not BreakerState.HALF_OPEN:
             return 0
         self.probes_in_flight += 1
         return self.episode
 
     def abandon_probe(self, episode: int) -> None:
-        """Return the place of a probe that proved nothing."""
+        """Free the slot of a probe that ended without a conclusive outcome."""
         if self.state is BreakerState.HALF_OPEN and episode == self.episode:
             self.probes_in_flight -= 1
 
     def record_outcome(
         self, now_us: int, is_failure: bool, probe_episode: int, fleet_failure_ratio: float
     ) -> BreakerState | None:
-        """Count an outcome; return the new state if it opened or closed the breaker."""
+        """Count an outcome; return the new state if the breaker opened or closed, else None."""
         if self.state is BreakerState.HALF_OPEN:
             return self._record_probe(now_us, is_failure, probe_episode, fleet_failure_ratio)
         if len(self.outcomes) == MAX_OUTCOMES:
@@ -112,30 +113,30 @@
     def _record_probe(
         self, now_us: int, is_failure: bool, probe_episode: int, fleet_failure_ratio: float
     ) -> BreakerState | None:
-        """Count an outcome while half-open, where only those of probes count."""
+        """Count an outcome while half-open; only outcomes of this episode's probes count."""
         if probe_episode != self.episode:
             return None
         self.probes_in_flight -= 1
         self.probes_ended += 1
         self.probes_failed += is_failure
         if self.probes_failed >= HALF_OPEN_PROBES * failure_limit(fleet_failure_ratio):
-            return self.reopen(now_us)  # the outcomes still to come can't save it
+            return self.reopen(now_us)  # the remaining probes can't change the result
         return self.close() if self.probes_ended == HALF_OPEN_PROBES else None
 
     def reopen(self, now_us: int) -> BreakerState:
-        """Open at once; from half-open for twice as long."""
+        """Open at once; double the cooldown if half-open."""
         if self.state is BreakerState.HALF_OPEN:
             self.cooldown_us = min(2 * self.cooldown_us, MAX_COOLDOWN_US)
         return self.open(now_us)
 
     def open(self, now_us: int) -> BreakerState:
-        """Open for the present cooldown."""
+        """Open for the current cooldown."""
         self.state = BreakerState.OPEN
         self.open_until_us = now_us + self.cooldown_us
         return self.state
 
     def close(self) -> BreakerState:
-        """Close, with no outcome counted and the initial cooldown."""
+        """Close, discard the counted outcomes and reset the cooldown."""
         self.state = BreakerState.CLOSED
         self.outcomes.clear()
         self.failures = 0
@@ -143,5 +144,5 @@
         return self.state
 
     def end_cooldown(self, now_us: int) -> None:
-        """Let an open breaker become half-open now."""
+        """End the cooldown of an open breaker, so that the next request makes it half-open."""
         self.open_until_us = min(self.open_until_us, now_us)
--- a/cloverkeel/balancing/endpoint_updates.py
+++ b/cloverkeel/balancing/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the server list: what joins, leaves or changes, and when the list is asked for."""
+"""Updates of the server list: added, removed and changed servers, and when the list is polled."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from cloverkeel.balancing.settings import Settings
 from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
-FIRST_POLL_RATIO: Final = 0.1  # of the time that the settings give: the first call for the list falls within it
-MAX_FIRST_POLL_US: Final = 2_000_000  # and within this, whatever the settings give
-RETRY_POLLS: Final = 20  # in the time that the settings give: a failed call is made again so often
-MAX_RETRY_POLL_US: Final = 400_000  # and after no longer than this
+FIRST_POLL_RATIO: Final = 0.1  # of max_poll_interval_us: the first poll of the list takes place within it
+MAX_FIRST_POLL_US: Final = 2_000_000  # the first poll takes place within this time, whatever the settings
+RETRY_POLLS: Final = 20  # retries of a failed poll in each max_poll_interval_us
+MAX_RETRY_POLL_US: Final = 400_000  # longest wait before a failed poll is retried
 
 
 class EndpointUpdates:
@@ -38,7 +38,7 @@
         self.buffer = buffer
 
     def apply(self, now_us: int, event: ServerList) -> None:
-        """Apply a list, or schedule the next call after one that failed."""
+        """Apply a list, or schedule a retry after a failed poll."""
         if event.kind is ListKind.ERROR:
             self.on_error(now_us)
             return
@@ -54,10 +54,10 @@
         self.endpoints.rank_all()
 
     def on_error(self, now_us: int) -> None:
-        """Schedule the next call after one that failed, unless whoever watches the list asks again.
+        """Schedule a retry after a failed poll, unless the list is pushed: then its subscriber retries.
 
-        However often calls have failed: a change must be known within seconds once it can be asked for. Spread, as
-        proxies that failed together must not ask together.
+        The wait doesn't grow with the number of failures, as a change must be known within seconds after discovery
+        is back. It is random, so that proxies whose polls failed together don't retry together.
         """
         if self.settings.list_is_pushed:
             return
@@ -67,9 +67,9 @@
         self.buffer.actions.append(SetTimer(now_us + int(wait_us), LIST_TOKEN))
 
     def _schedule_first_poll(self, now_us: int) -> None:
-        """Schedule the first call for the list.
+        """Schedule the first poll of the list at a random time.
 
-        Guards against hundreds of proxies that start together and ask together: most were rejected.
+        Guards against hundreds of proxies that start and poll at the same time: most polls were rejected.
         """
         max_us = min(self.settings.max_poll_interval_us * FIRST_POLL_RATIO, MAX_FIRST_POLL_US)
         wait_us = self.rng.random() * max_us
@@ -84,7 +84,7 @@
             self.endpoints.rerank(server, endpoint)
 
     def _apply_entries(self, now_us: int, event: ServerList) -> None:
-        """Apply entries; new processes begin with the mean weight of those that stay."""
+        """Apply entries; new and restarted servers begin with the mean weight of the unchanged ones."""
         restarted = []
         for entry in event.servers:
             endpoint = self.endpoints.by_server.get(entry.server)
@@ -95,7 +95,7 @@
             self._apply_entry(now_us, entry, mean_weight)
 
     def _apply_entry(self, now_us: int, entry: ListedServer, mean_weight: float) -> None:
-        """Apply one entry."""
+        """Remove, update or add the server of one entry."""
         if entry.status is ServerStatus.GONE:
             self.endpoints.remove(entry.server)
             return
--- a/cloverkeel/balancing/load_shedding.py
+++ b/cloverkeel/balancing/load_shedding.py
@@ -1,10 +1,11 @@
-"""Load shedding: which requests are refused before they cost a server anything.
+"""Load shedding: which requests are refused before they use any server time.
 
-Two ratios of the work that is asked for are shed, one of the classes of low priority and one of all others. Both
-follow the answers: more after one that waited too long, less after a prompt one. Classes of low priority yield to
-waiting; the others only to waits that leave too little of the latency objective.
+There are two shed ratios of the requested work, one for classes of low priority and one for all others. Both rise
+after an answer that waited too long and fall after a prompt one. Classes of low priority are shed at shorter
+waits, the others only at waits that leave too little of the latency objective.
 
-Guards against queues that grow past every objective: what gains the goal least for its work goes first.
+Guards against queues that grow until no request meets its objective: the classes with the least gain for the
+operator's goal per unit of work are shed first.
 """
 
 from __future__ import annotations
@@ -20,26 +21,26 @@
 if TYPE_CHECKING:
     from cloverkeel.balancing.attempts import Attempt, Request
 
-TOLERATED_WAIT: Final = 0.25  # share of the slack under the tightest objective that an answer may have waited
-LOW_PRIORITY: Final = 0.5  # of the mean priority weight for work: classes below it are of low priority
-LATE_WAIT: Final = 0.4  # of that slack: waits that leave too little for a long request
-# Times the unloaded latency: answers of crowded servers, whatever the objective; sooner where sizes are stated, as
-# less of an answer's time is left to chance then.
-CROWDED_FACTOR: Final = 2.25
-CROWDED_FACTOR_SIZED: Final = 1.6
-SHED_STEP: Final = 0.1  # of the work asked for, shed more or less after one answer at the usual pace
-MIN_SHED_STEP: Final = 0.01  # where many answers come
-SHED_STEP_PER_S: Final = 2.0  # the same for each second since the last answer
-MIN_SHED_STEP_PER_S: Final = 0.4  # the same for each second since the last answer, where that makes it more
-MAX_ANSWER_GAP_US: Final = 500_000  # one answer speaks for no longer: one long one on a quiet day is chance
-MAX_SHED_RATIO: Final = 0.95  # what still comes through tells when to shed less
-HOPELESS_RATIO: Final = 0.5  # of the unloaded latency: a try that is given less is not sent
-PRIORITY_INTERVAL: Final = 16  # first tries after which it is found anew what is of low priority
-MAX_COUNTED_FIRST_TRIES: Final = 500  # first tries after which the counts of requests and of served ones are halved
+TOLERATED_WAIT_RATIO: Final = 0.25  # of the slack before the objective: longer waits shed low priority
+LOW_PRIORITY_WEIGHT_RATIO: Final = 0.5  # of the mean priority weight per work; classes below it are of low priority
+OVERLOAD_WAIT_RATIO: Final = 0.4  # of the slack: longer waits leave too little for a long request
+# An answer slower than this factor times the unloaded latency means overload, whatever the objective. The factor is
+# lower if clients state sizes, as latency varies less by chance then.
+OVERLOAD_FACTOR: Final = 2.25
+OVERLOAD_FACTOR_SIZED: Final = 1.6
+SHED_STEP: Final = 0.1  # change of a shed ratio after one answer at the usual rate of answers
+MIN_SHED_STEP: Final = 0.01  # per answer, at a high rate of answers
+SHED_STEP_PER_S: Final = 2.0  # per second since the last answer, up to SHED_STEP
+MIN_SHED_STEP_PER_S: Final = 0.4  # per second since the last answer, also beyond SHED_STEP
+MAX_ANSWER_GAP_US: Final = 500_000  # longer gaps count as this: a single slow answer under low load may be chance
+MAX_SHED_RATIO: Final = 0.95  # answers to the requests still admitted show when to shed less
+MIN_TIMEOUT_RATIO: Final = 0.5  # of the unloaded latency: a try with less time left is refused
+CLASSIFY_INTERVAL: Final = 16  # first tries after which classes are classified by priority again
+MAX_COUNTED_FIRST_TRIES: Final = 500  # above it the counts of requested and served first tries are halved
 
 
 class LoadShedder:
-    """Hold the shed ratios, and the counts by class from which priorities follow."""
+    """The shed ratios, and the counts by class that determine the priorities."""
 
     def __init__(
         self, settings: Settings, rng: random.Random, latency: LatencyModel, client_timeouts: ClientTimeouts
@@ -49,20 +50,20 @@
         self.latency = latency
         self.client_timeouts = client_timeouts
         count = len(settings.classes)
-        self.requested = [0.0] * count  # first tries of late
-        self.served = [0.0] * count  # those of them that were answered within their objective
+        self.requested = [0.0] * count  # recent first tries, by class
+        self.served = [0.0] * count  # recent first tries answered within their objective, by class
         self.is_low_priority = [False] * count
-        self.since_classified = 0
+        self.first_tries_since_classified = 0
         self.low_priority_ratio = 0.0
         self.high_priority_ratio = 0.0
         self.adjusted_at_us = 0
 
     def record_first_try(self, class_index: int) -> None:
-        """Count a request that is no retry."""
+        """Count a request that is not a retry."""
         self.requested[class_index] += 1
-        self.since_classified += 1
-        if self.since_classified >= PRIORITY_INTERVAL:
-            self.since_classified = 0
+        self.first_tries_since_classified += 1
+        if self.first_tries_since_classified >= CLASSIFY_INTERVAL:
+            self.first_tries_since_classified = 0
             self.is_low_priority = self.classify()
         if sum(self.requested) > MAX_COUNTED_FIRST_TRIES:
             self.requested = [count / 2 for count in self.requested]
@@ -75,44 +76,50 @@
     def should_shed(self, now_us: int, request: Request) -> bool:
         """Tell whether to refuse a request now."""
         if self.settings.classes[request.class_index].late_weight <= 0.0 and now_us >= request.objective_us:
-            return True  # a retry whose objective is over earns nothing
+            return True  # a retry past its objective has no value
         if not self.client_timeouts.is_regular(request.class_index):
             unloaded_us = self.latency.expected_unloaded_us(request.class_index, request.size)
-            if request.deadline_us - now_us < HOPELESS_RATIO * unloaded_us:
+            if request.deadline_us - now_us < MIN_TIMEOUT_RATIO * unloaded_us:
                 return True
         if self.low_priority_ratio <= 0.0 and self.high_priority_ratio <= 0.0:
             return False
         if self.rng.random() < request.overuse:
             return True
-        return self._is_drawn(request.class_index)
+        return self._draw_shed(request.class_index)
 
-    def _is_drawn(self, class_index: int) -> bool:
-        """Draw a request's place among all work by its priority; tell whether that place is shed."""
+    def _draw_shed(self, class_index: int) -> bool:
+        """Draw whether to shed a request of a class.
+
+        All requested work is ordered by priority, lowest first. The request gets a random position in the range of
+        its class, from 0 to 1, and is shed if that position is below the shed ratio.
+        """
         weights = self.priority_weights()
         own_weight = weights[class_index]
         work = self._requested_work()
         total = sum(work) or 1.0
         below = sum(share for share, weight in zip(work, weights, strict=True) if weight < own_weight) / total
-        place = below + work[class_index] / total * self.rng.random()
+        position = below + work[class_index] / total * self.rng.random()
         mean = sum(share * weight for share, weight in zip(work, weights, strict=True)) / total
         if self.rng.random() > MAX_SHED_RATIO:
-            return False  # some of each class: shed completely, none would be left to probe servers that come back
-        return place < (self.low_priority_ratio if own_weight < LOW_PRIORITY * mean else self.high_priority_ratio)
+            return False  # some of each class are admitted: else a class could no longer probe recovering servers
+        return position < (
+            self.low_priority_ratio if own_weight < LOW_PRIORITY_WEIGHT_RATIO * mean else self.high_priority_ratio
+        )
 
     def classify(self) -> list[bool]:
-        """Return which classes are of low priority: worth far less for their work than the mean of all requests."""
+        """Return by class whether it is of low priority: its weight per work is far below the overall mean."""
         weights = self.priority_weights()
         work = self._requested_work()
         total = sum(work) or 1.0
         mean = sum(share * weight for share, weight in zip(work, weights, strict=True)) / total
-        return [weight < LOW_PRIORITY * mean for weight in weights]
+        return [weight < LOW_PRIORITY_WEIGHT_RATIO * mean for weight in weights]
 
     def _requested_work(self) -> list[float]:
-        """Return the server time that the requests of each class ask for."""
+        """Return the server time that recent first tries requested, by class."""
         return [count * us for count, us in zip(self.requested, self.latency.unloaded_us, strict=True)]
 
     def priority_weights(self) -> list[float]:
-        """Return what the goal gains from each unit of server time, by class."""
+        """Return the gain for the operator's goal per unit of server time, by class."""
         goal, classes = self.settings.goal, self.settings.classes
         total = sum(self.requested) or 1.0
         mean = sum(c.priority_weight * count for c, count in zip(classes, self.requested, strict=True)) / total or 1.0
@@ -127,7 +134,7 @@
         return weights
 
     def record_outcome(self, now_us: int, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Adjust both ratios by an answer, or by a sign that a server is crowded."""
+        """Adjust both ratios by an answer, a timeout or a rejection of an overloaded server."""
         if event.outcome not in (Outcome.OK, Outcome.TIMEOUT, Outcome.FULL):
             return
         class_ = self.settings.classes[request.class_index]
@@ -136,34 +143,39 @@
         waited_us = event.latency_us - unloaded_us
         is_failure = event.outcome is not Outcome.OK
         step = self._step(now_us)
-        is_long = is_failure or waited_us > TOLERATED_WAIT * (class_.objective_us - class_unloaded_us)
-        self.low_priority_ratio = _moved(self.low_priority_ratio, step if is_long else -step)
+        is_delayed = is_failure or waited_us > TOLERATED_WAIT_RATIO * (class_.objective_us - class_unloaded_us)
+        self.low_priority_ratio = _adjusted(self.low_priority_ratio, step if is_delayed else -step)
         slack_us = max(0.0, class_.objective_us - class_unloaded_us)
-        has_sizes = self.latency.by_size[request.class_index].has_sizes()
-        factor = CROWDED_FACTOR_SIZED if has_sizes else CROWDED_FACTOR
-        is_late = is_failure or waited_us > min((factor - 1.0) * unloaded_us, LATE_WAIT * slack_us)
-        change = step if is_late else -step
-        if event.outcome is Outcome.TIMEOUT and self._is_lost(class_, request, attempt, event):
+        sizes_vary = self.latency.by_size[request.class_index].sizes_vary()
+        factor = OVERLOAD_FACTOR_SIZED if sizes_vary else OVERLOAD_FACTOR
+        is_overloaded = is_failure or waited_us > min((factor - 1.0) * unloaded_us, OVERLOAD_WAIT_RATIO * slack_us)
+        change = step if is_overloaded else -step
+        if event.outcome is Outcome.TIMEOUT and self._may_be_connection_loss(class_, request, attempt, event):
             change = step / 4
-        self.high_priority_ratio = _moved(self.high_priority_ratio, change)
+        self.high_priority_ratio = _adjusted(self.high_priority_ratio, change)
 
     def _step(self, now_us: int) -> float:
-        """Return how far one answer moves the ratios, by the time since the last one.
+        """Return the change of the ratios for one answer, from the time since the last one.
 
-        With few answers a jam must be noticed as soon as with many. With many, a handful that waits for new
-        connections must not shed nearly everything.
+        At a low rate of answers overload must be noticed as soon as at a high one. At a high rate, a few answers that
+        waited for new connections must not shed nearly everything.
         """
         gap_s = min(now_us - self.adjusted_at_us, MAX_ANSWER_GAP_US) / 1e6
         self.adjusted_at_us = now_us
         return max(MIN_SHED_STEP, min(SHED_STEP, SHED_STEP_PER_S * gap_s), MIN_SHED_STEP_PER_S * gap_s)
 
-    def _is_lost(self, class_: RequestClass, request: Request, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Tell whether a time-out is as likely a lost connection as a crowd: cut short, and its server silent."""
+    def _may_be_connection_loss(
+        self, class_: RequestClass, request: Request, attempt: Attempt, event: AttemptEnded
+    ) -> bool:
+        """Tell whether a timeout is as likely due to a lost connection as to overload.
+
+        It is if the attempt ended before it was overdue and its server has not answered since it was sent.
+        """
         overdue_us = OVERDUE_FACTOR * self.latency.expected_us(request.class_index, request.size)
         is_cut_short = class_.late_weight <= 0.0 and event.latency_us < overdue_us
         return is_cut_short and attempt.server.answered_at_us < attempt.sent_us
 
 
-def _moved(ratio: float, change: float) -> float:
-    """Return a shed ratio that is moved within its bounds."""
+def _adjusted(ratio: float, change: float) -> float:
+    """Return a shed ratio plus a change, clamped to its bounds."""
     return min(MAX_SHED_RATIO, max(0.0, ratio + change))
--- a/cloverkeel/balancing/peer_reports.py
+++ b/cloverkeel/balancing/peer_reports.py
@@ -1,7 +1,7 @@
-"""What other proxies report: suspected outliers, and half-open probes that one proxy makes for all.
+"""Reports of other proxies: suspected outliers, and half-open probes that one proxy sends for all.
 
-A report opens and closes no breaker. A suspected server is drawn seldom and gives its place in the subset to the
-next, and one failure here is enough.
+A report alone never opens or closes a breaker. A suspected server is selected rarely, the subset takes in another
+server for it, and a single failure at this proxy opens its breaker.
 """
 
 from __future__ import annotations
@@ -13,27 +13,28 @@
 from cloverkeel.balancing.events import PeerHealthReport, ProbesSuspended
 from cloverkeel.balancing.fleet_outcomes import FleetOutcomes
 
-MIN_REPORTERS: Final = 2  # other proxies that saw a server fail: one may have a bad network
-MAX_PROBE_DELAY_US: Final = 2_000_000  # probes wait for others' no longer than this past the cooldown
+MIN_REPORTERS: Final = 2  # a single other proxy may have a faulty network
+MAX_PROBE_DELAY_US: Final = 2_000_000  # beyond the cooldown, while other proxies probe
 
 
 class PeerReports:
-    """Apply reports of other proxies to the endpoints."""
+    """Apply other proxies' reports to the endpoints."""
 
     def __init__(self, endpoints: Endpoints, fleet_outcomes: FleetOutcomes) -> None:
         self.endpoints = endpoints
         self.fleet_outcomes = fleet_outcomes
 
     def has_closed_majority(self) -> bool:
-        """Tell whether at least half of the servers' breakers are closed here."""
+        """Tell whether at least half of this proxy's server breakers are closed."""
         by_server = self.endpoints.by_server
         closed = sum(endpoint.breaker.state is BreakerState.CLOSED for endpoint in by_server.values())
         return 2 * closed >= len(by_server)
 
     def suspend_probes(self, now_us: int, event: ProbesSuspended) -> None:
-        """Suspend half-open probes while another proxy makes them; at its word, end the cooldown here.
+        """Suspend half-open probes while another proxy sends them; when it reports success, end the cooldown here.
 
-        Guards against waiting for others while next to nothing is left here.
+        Probes are not suspended while most breakers here are open. Guards against waiting for other proxies with
+        hardly any server left.
         """
         endpoint = self.endpoints.by_server.get(event.server)
         if endpoint is None or (event.until_us > now_us and not self.has_closed_majority()):
@@ -43,9 +44,9 @@
             endpoint.breaker.end_cooldown(now_us)
 
     def apply_report(self, now_us: int, event: PeerHealthReport) -> None:
-        """Assess what other proxies saw of a server, less what fails here everywhere.
+        """Mark a server as suspected or not by other proxies' outcomes, allowing for failures common to all servers.
 
-        Where its breaker is open here too, it is probed after others' probes have ended well, or a while later.
+        If its breaker is open here too, probes wait until other proxies' probes succeed, for a limited time.
         """
         endpoint = self.endpoints.by_server.get(event.server)
         if endpoint is None or endpoint.entry.started_us != event.started_us:
--- a/cloverkeel/balancing/server_selection.py
+++ b/cloverkeel/balancing/server_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the server for an attempt: a weighted random draw among those that may take the request now."""
+"""Selection of the server for an attempt: a weighted random draw among the servers that may take it now."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from cloverkeel.balancing.affinity import HOME_WEIGHT_FACTOR, rendezvous_rank
 from cloverkeel.balancing.attempts import Attempt, Request
-from cloverkeel.balancing.concurrency_limit import LOW_PRIORITY_RATIO
+from cloverkeel.balancing.concurrency_limit import LOW_PRIORITY_LIMIT_RATIO
 from cloverkeel.balancing.endpoints import Endpoint, Endpoints
 from cloverkeel.balancing.settings import Effect, Scope, Settings
 from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 from cloverkeel.balancing.subset import Subset
 
-SUSPECT_WEIGHT_FACTOR: Final = 0.1  # on the weight of a server that fails for other proxies
+SUSPECT_WEIGHT_FACTOR: Final = 0.1  # lowers the weight of a server that fails for other proxies
 
 
 class ServerSelection:
@@ -34,12 +34,12 @@
         self.slow_start = slow_start
 
     def select(self, now_us: int, request: Request, is_low_priority: bool) -> Endpoint | None:
-        """Draw a server for the next attempt of a request; None where no server may take it now."""
+        """Draw a server for the next attempt of a request; None if no server may take it now."""
         if request.attempts:
             endpoints = self.retry_candidates(now_us, request)
         else:
             endpoints = self.subset.candidates(now_us, request.class_index)
-        limit_ratio = LOW_PRIORITY_RATIO if is_low_priority else 1.0
+        limit_ratio = LOW_PRIORITY_LIMIT_RATIO if is_low_priority else 1.0
         drawable: list[Endpoint] = []
         weights: list[float] = []
         total = 0.0
@@ -56,14 +56,14 @@
         if self.settings.servers_know_keys and request.key is not None:
             total += self.prefer_home(request.key, drawable, weights)
         point = self.rng.random() * total
-        for place, weight in enumerate(weights):
+        for index, weight in enumerate(weights):
             point -= weight
             if point <= 0.0:
-                return drawable[place]
+                return drawable[index]
         return drawable[-1]
 
     def prefer_home(self, key: int, endpoints: list[Endpoint], weights: list[float]) -> float:
-        """Raise the weight of the key's home among the candidates; return by how much."""
+        """Raise the weight of the candidate that is the key's home; return the increase."""
         ranks = [rendezvous_rank(key, endpoint.entry.server, endpoint.zone_preference) for endpoint in endpoints]
         home = ranks.index(min(ranks))
         raised = weights[home] * (HOME_WEIGHT_FACTOR - 1.0)
@@ -71,7 +71,7 @@
         return raised
 
     def draw_weight(self, now_us: int, endpoint: Endpoint, request: Request) -> float:
-        """Return a server's weight in the draw; 0.0 where its slow start has no headroom."""
+        """Return a server's weight in the draw; 0.0 if its slow start has no headroom."""
         capacity_ratio = 1.0
         if now_us < endpoint.slow_start.settled_at_us:
             if not self.slow_start.has_headroom(now_us, endpoint, request):
@@ -80,9 +80,9 @@
         weight = endpoint.entry.weight * endpoint.weight * endpoint.class_health(request.class_index).weight
         if now_us < endpoint.suspected_until_us:
             weight *= SUSPECT_WEIGHT_FACTOR
-        crowd = (1 + len(endpoint.in_flight)) ** 2
-        # Where servers know keys, a home that has something in flight is worth more than its emptier neighbours.
-        divisor = crowd if self.settings.servers_know_keys else crowd * crowd
+        load_factor = (1 + len(endpoint.in_flight)) ** 2
+        # If servers cache keys, a home server with attempts in flight must still outweigh its idle neighbours.
+        divisor = load_factor if self.settings.servers_know_keys else load_factor * load_factor
         return weight * endpoint.zone_preference * capacity_ratio / divisor
 
     def retry_candidates(self, now_us: int, request: Request) -> list[Endpoint]:
@@ -91,7 +91,7 @@
         class_ = self.settings.classes[class_index]
         ran = [attempt for attempt in request.attempts if attempt.may_have_run]
         tried = [attempt.server for attempt in request.attempts]
-        # Asked in any case: a breaker whose cooldown is over becomes half-open by it.
+        # Evaluated in any case, as it makes breakers half-open whose cooldown is over.
         untried = [s for s in self.subset.candidates(now_us, class_index) if s not in tried]
         if ran and class_.effect is Effect.UNSAFE:
             return []
@@ -104,7 +104,7 @@
     def _keyed_candidates(
         self, now_us: int, class_index: int, scope: Scope, ran: list[Attempt], tried: list[Endpoint]
     ) -> list[Endpoint]:
-        """Return the servers that drop a keyed request's repeats, and have not been tried."""
+        """Return the untried servers in whose scope repeats of a keyed request are dropped."""
         ranked = self.endpoints.ranked
         servers = [s for s in ranked if s not in tried and self.subset.is_eligible(now_us, s, class_index)]
         reachable = self.subset.reachable()
--- a/cloverkeel/balancing/slow_start_budget.py
+++ b/cloverkeel/balancing/slow_start_budget.py
@@ -1,10 +1,10 @@
-"""Slow start: how much work a server that started of late may be sent, by all proxies together.
+"""Slow start: how much work all proxies together may send to a server that has just started.
 
-A warming server that is sent more than its collapse budget in a window falls over. Each proxy has a quota of that
-budget and keeps it with a leaky bucket for each such server; quotas move between proxies (docs/duties-design.md).
+A warming server collapses if it is sent more than its collapse budget in a window. Each proxy has a quota of that
+budget and enforces it with a leaky bucket per warming server; quotas move between proxies (docs/duties-design.md).
 
-Invariant: what all proxies send a warming server in any collapse window is within its budget, whatever each one's
-list and subset.
+Invariant: the work that all proxies send to a warming server in any collapse window is within its budget, whatever
+each proxy's list and subset.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
     from cloverkeel.balancing.endpoints import Endpoint
     from cloverkeel.balancing.subset import Subset
 
-BUDGET_MARGIN: Final = 0.9  # part of the budget planned with; the rest is for misjudged work and chance
-MAX_REQUEST_SIZE: Final = 2.0  # times its class's usual work: a few long ones together pass any budget
-MIN_WORK_RATIO: Final = 0.1  # of the unloaded latency: who states less work is not believed
-DEMAND_MEMORY_US: Final = 1_000_000  # a request for which there was no headroom is a demand for so long
-SETTLING_BURST: Final = 1 / 6  # of the budget at once where a server should be warm; the rest spread evenly
+BUDGET_MARGIN: Final = 0.9  # usable part of the budget; the rest covers misjudged work and chance
+MAX_REQUEST_SIZE: Final = 2.0  # times its class's mean work: a few longer requests together would exceed any budget
+MIN_WORK_RATIO: Final = 0.1  # of the unloaded latency: stated work below it is taken as understated
+DEMAND_LIFETIME_US: Final = 1_000_000  # how long a request rejected for lack of headroom counts as demand
+SETTLING_BURST_RATIO: Final = 1 / 6  # of the budget, at once while settling; the rest is spread evenly
 
 
 class SlowStartDemand(NamedTuple):
-    """What this proxy wants of one warming server's collapse budget."""
+    """This proxy's demand for one warming server's collapse budget."""
 
     server: int
     started_us: int
-    is_wanted: bool  # its quota had no headroom for a request of late
-    is_idle: bool  # its quota may be lent
+    is_wanted: bool  # the quota recently had no headroom for a request
+    is_idle: bool  # the quota may be lent
 
 
 class SlowStartBudget:
-    """Decide which requests a server may be sent while it warms up, and until it is settled after that."""
+    """Decide which requests may be sent to a server while it warms up, and afterwards until it is settled."""
 
     def __init__(
         self, settings: Settings, rng: random.Random, subset: Subset, latency: LatencyModel, work: WorkModel
@@ -49,30 +49,31 @@
         self.subset = subset
         self.latency = latency
         self.work = work
-        self.processes = 1  # of this proxy, each with a balancer of its own
-        self.suspended_until_us = 0  # no warming server is used: a process before may have lent its quota
+        self.processes = 1  # of this proxy; each has a balancer of its own
+        self.suspended_until_us = 0  # no warming server is used before: an earlier process may have lent its quota
 
     def start(self, now_us: int, entry: ListedServer) -> SlowStart:
-        """Return the slow start of a server's process that is new here.
+        """Return the initial slow start of a server process that is new to this proxy.
 
-        Hundreds of proxies hear of a warming server at once and each may send one request at the least: each begins
-        with a random part of that in its bucket, so that these firsts do not come together.
+        Hundreds of proxies learn of a warming server at once, and each may send at least one request: each starts
+        with a random part of a request in its bucket, so that these first requests don't arrive together.
         """
         duration_us = self.settings.slow_start_us if entry.started_us else 0
         ends_at_us = entry.started_us + duration_us
         max_us = BUDGET_MARGIN * self.budget_us(entry.users) / 2
         for class_index, work_us in enumerate(self.work.mean_us):
             is_stated = work_us >= MIN_WORK_RATIO * self.latency.unloaded_us[class_index]
-            usual_us = work_us if is_stated else self.latency.smoothed_us[class_index]
-            max_us = max(usual_us, max_us)
+            request_us = work_us if is_stated else self.latency.smoothed_us[class_index]
+            max_us = max(request_us, max_us)
         bucket_us = self.rng.random() * max_us
         return SlowStart(ends_at_us, ends_at_us + duration_us, bucket_us, now_us)
 
     def has_headroom(self, now_us: int, endpoint: Endpoint, request: Request) -> bool:
         """Tell whether this proxy's quota of a server's budget has headroom for one more request.
 
-        Where the server should be warm by now the quota is of the whole budget, little of it at once: in a crowd
-        every proxy would turn to the emptiest server at that moment, and it may be slower than the settings say.
+        From the time a server should be warm until it is settled, the quota is a part of the whole budget, with only
+        a small burst: under overload all proxies would turn to the idlest server at that moment, and it may warm up
+        more slowly than configured.
         """
         slow_start = endpoint.slow_start
         burst_us = self.drain(now_us, endpoint) if now_us >= self.suspended_until_us else 0.0
@@ -85,15 +86,15 @@
         return False
 
     def record_sent(self, now_us: int, endpoint: Endpoint, request: Request) -> None:
-        """Add a request that was sent to the server's bucket."""
+        """Add the work of a sent request to the server's bucket."""
         endpoint.slow_start.bucket_us += self.cost_us(now_us, endpoint, request)
         endpoint.slow_start.sent_at_us = now_us
 
     def drain(self, now_us: int, endpoint: Endpoint) -> float:
-        """Drain a server's bucket up to now; return what may be sent at once: 0.0 where the quota is lent.
+        """Drain a server's bucket up to now; return the work that may be sent at once, 0.0 without any quota.
 
-        What was lent or granted ends at its own moment: the rate counts up to there, and the own quota that comes
-        back begins empty.
+        Lent and granted quotas end at their own times: each drains at its rate until then, and the own quota allows
+        no burst when it returns.
         """
         slow_start = endpoint.slow_start
         for end_us in sorted((slow_start.granted_until_us, slow_start.lent_until_us)):
@@ -105,30 +106,30 @@
         return slow_start.quotas_at(now_us) * self.burst_us(now_us, endpoint)
 
     def _drain_until(self, now_us: int, endpoint: Endpoint, until_us: int) -> None:
-        """Drain up to a moment, at the rate of the quotas that are held just before it."""
+        """Drain until `until_us`, at the rate of the quotas held just before it."""
         slow_start = endpoint.slow_start
         elapsed_us = max(0, until_us - slow_start.drained_at_us)
         rate_us = slow_start.quotas_at(until_us - 1) * self.window_us(now_us, endpoint)
         slow_start.drain(until_us, rate_us * elapsed_us / self.settings.collapse_window_us)
 
     def burst_us(self, now_us: int, endpoint: Endpoint) -> float:
-        """Return the work that one quota may send at once: the size of its leaky bucket."""
+        """Return the work that one quota allows at once: the size of its leaky bucket."""
         budget_us = self.budget_us(endpoint.entry.users)
         if now_us < endpoint.slow_start.ends_at_us:
             return BUDGET_MARGIN * budget_us * self.capacity_ratio(now_us, endpoint) / 2
-        return budget_us * SETTLING_BURST
+        return budget_us * SETTLING_BURST_RATIO
 
     def window_us(self, now_us: int, endpoint: Endpoint) -> float:
-        """Return the work that one quota may send evenly over each collapse window: the drain of its bucket."""
+        """Return the work that one quota drains from its bucket evenly over each collapse window."""
         budget_us = self.budget_us(endpoint.entry.users)
         if now_us < endpoint.slow_start.ends_at_us:
             return BUDGET_MARGIN * budget_us * self.capacity_ratio(now_us, endpoint) / 2
-        return budget_us * (1 - SETTLING_BURST)
+        return budget_us * (1 - SETTLING_BURST_RATIO)
 
     def apply_quota(self, now_us: int, event: SlowStartQuota, endpoint: Endpoint | None) -> None:
-        """Move quotas between proxies. What comes begins empty: no burst comes along.
+        """Apply a move of quotas between proxies. Added quotas allow no burst at first.
 
-        Guards against a window in which one quota is spent here and there.
+        Guards against spending one quota at two proxies within one window.
         """
         if event.server < 0:
             self.suspended_until_us = event.lent_us
@@ -137,35 +138,36 @@
             return
         self.drain(now_us, endpoint)
         slow_start = endpoint.slow_start
-        had = slow_start.quotas_at(now_us)
+        held_before = slow_start.quotas_at(now_us)
         slow_start.lent_until_us = max(slow_start.lent_until_us, event.lent_us)
         slow_start.granted = event.granted
         slow_start.granted_until_us = event.granted_us
-        more = slow_start.quotas_at(now_us) - had
-        if more > 0.0:
-            slow_start.add_quotas(had, more * self.burst_us(now_us, endpoint))
+        added = slow_start.quotas_at(now_us) - held_before
+        if added > 0.0:
+            slow_start.add_quotas(held_before, added * self.burst_us(now_us, endpoint))
 
     def update_entry(self, now_us: int, endpoint: Endpoint, entry: ListedServer) -> None:
-        """Take over a listed server's entry; how many proxies know it may change the size of a quota.
+        """Replace a listed server's entry. Its number of `users` determines the size of a quota.
 
-        A larger quota begins empty: those that know the server no longer may just have spent theirs.
+        The added part of a larger quota allows no burst at first: proxies that no longer know the server may just
+        have spent theirs.
         """
         if endpoint.entry.users == entry.users or now_us >= endpoint.slow_start.settled_at_us:
             endpoint.entry = entry
             return
-        burst_us = self.drain(now_us, endpoint)  # up to now by the entry before
+        burst_us = self.drain(now_us, endpoint)  # at the rate of the previous entry
         endpoint.entry = entry
         endpoint.slow_start.bucket_us += max(0.0, self.drain(now_us, endpoint) - burst_us)
 
     def demands(self, now_us: int, called_at_us: int) -> list[SlowStartDemand]:
-        """Return what is wanted of the servers of the subset that are not settled yet."""
+        """Return the demands for the servers of the subset that were not settled at `called_at_us`."""
         found = []
         for endpoint in self.subset.reachable():
             slow_start = endpoint.slow_start
             if called_at_us >= slow_start.settled_at_us or endpoint.entry.status is not ServerStatus.READY:
                 continue
-            self.drain(now_us, endpoint)  # one that is never drawn has drained too
-            is_wanted = called_at_us - slow_start.rejected_at_us < DEMAND_MEMORY_US
+            self.drain(now_us, endpoint)  # the bucket of a server that is never selected drains only here
+            is_wanted = called_at_us - slow_start.rejected_at_us < DEMAND_LIFETIME_US
             is_unused = called_at_us - slow_start.sent_at_us >= self.settings.collapse_window_us
             is_idle = is_unused and slow_start.bucket_us <= self.burst_us(now_us, endpoint)
             entry = endpoint.entry
@@ -175,10 +177,11 @@
     def budget_us(self, users: int = 0) -> float:
         """Return this process's quota of the work that a warm server of one core may be sent in a collapse window.
 
-        The quotas of all add up to the budget; a burst, and the rest drained in each window, never passes it. Where
-        the list says how many proxies know the server at the most (`users`), each takes one part in so many: others
-        never send to it, so the quotas sum up to no more than the budget, whatever each one's list and subset. How
-        many of a few have it in their subset is chance; the share by subset holds for the mean of many.
+        All quotas add up to the budget; a burst plus the work drained in a window stays within it. `users` is the
+        maximum number of proxies that know the server, 0 if the list doesn't state it. With it, each proxy takes one
+        part of `users`: no other proxy sends to the server, so the quotas stay within the budget whatever each
+        proxy's list and subset. Without it, the number is estimated from the size of the subset, which holds on
+        average over many proxies but is left to chance with few.
         """
         ratio = min(1.0, self.subset.size / max(1, len(self.subset.endpoints.ranked)))
         expected_users = max(1.0, self.settings.proxies * ratio)
@@ -186,11 +189,11 @@
         return self.settings.collapse_multiple * self.settings.collapse_window_us / sharers / self.processes
 
     def cost_us(self, now_us: int, endpoint: Endpoint, request: Request) -> float:
-        """Return the work of a request: as stated; else that of the fastest answers, and more in slow start.
+        """Return the work of a request: as stated, else from the unloaded latency, and more in slow start.
 
-        Guards against leaving warming servers idle in a jam: by how long others take, each request cost them far
-        more than it is, and a proxy that is one of many sent its next one after half a minute. What is said to be
-        far less than any answer takes is not believed, of a class or of one request.
+        Guards against leaving warming servers idle under overload: charged at the current latency of other servers,
+        requests cost far more than their work, and one of many proxies sent its next request half a minute later.
+        Stated work far below the latency of any answer is not used, for a class or for a single request.
         """
         class_index = request.class_index
         mean_us = self.work.mean_us[class_index]
@@ -198,11 +201,12 @@
         if mean_us < min_us:
             mean_us = self.latency.unloaded_us[class_index]
             if now_us < endpoint.slow_start.ends_at_us:
-                mean_us = (mean_us + self.latency.smoothed_us[class_index]) / 2  # the usual ones have waited too
+                # Only half of the difference, as the smoothed latency includes queueing.
+                mean_us = (mean_us + self.latency.smoothed_us[class_index]) / 2
         return max(min_us, mean_us * request.size)
 
     def capacity_ratio(self, now_us: int, endpoint: Endpoint) -> float:
-        """Return the share of its capacity that a server surely has by now."""
+        """Return the share of its capacity that a server has at least by now."""
         if now_us >= endpoint.slow_start.ends_at_us:
             return 1.0
         age_us = max(0, now_us - endpoint.entry.started_us)
