--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -1,4 +1,4 @@
-"""Mutants of the decisions: each takes out one guard."""
+"""Mutants of the balancer: each removes one guard."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @entry("answers-failed")
 def _() -> None:
-    """A request whose attempts have all failed is given no answer."""
+    """A request whose attempts have all failed gets no final answer."""
     from cloverkeel.balancing.final_answers import FinalAnswers
 
     cut(FinalAnswers, "give", ("self.buffer.actions.append(Fail(request.id_))", "pass"))
@@ -15,7 +15,7 @@
 
 @entry("answers-refused")
 def _() -> None:
-    """A request that is turned away is given no answer."""
+    """A request that is refused gets no final answer."""
     from cloverkeel.balancing.final_answers import FinalAnswers
 
     refuse = "self.buffer.actions.append(Refuse(request.id_, self.retry_after_us(now_us), reason))"
@@ -24,7 +24,7 @@
 
 @entry("deadline-module")
 def _() -> None:
-    """The module waits for an attempt as long as it likes."""
+    """The timeout of an attempt ignores the request's deadline."""
     from cloverkeel.balancing.attempt_sender import AttemptSender
 
     cut(AttemptSender, "send", ("max(1, self.end_us(now_us, request) - now_us)", "10_000_000"))
@@ -32,7 +32,7 @@
 
 @entry("free-by-identity")
 def _() -> None:
-    """The module forgets whatever has the id of a request that is over."""
+    """Forgetting a finished request also forgets a newer request with the same id."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     same = "if self.requests.get(request.id_) is request:"
@@ -41,7 +41,7 @@
 
 @entry("sweep")
 def _() -> None:
-    """Attempts that nobody ended count as out for ever."""
+    """Attempts whose end is never reported stay in flight forever."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     swap(RequestLifecycle, "on_expiry_scan", lambda self, now_us: self.expiry_scan.schedule(now_us))
@@ -49,7 +49,7 @@
 
 @entry("unsafe-again")
 def _() -> None:
-    """After a failure, what runs at most once is tried again though it may have run."""
+    """After a failure, an unsafe request is retried though it may have run."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     unsafe = "if is_shed or self.settings.classes[request.class_index].effect is Effect.UNSAFE:"
@@ -58,7 +58,7 @@
 
 @entry("unsafe-servers")
 def _() -> None:
-    """There are servers for what runs at most once though it may have run."""
+    """Server selection offers servers for the retry of an unsafe request that may have run."""
     from cloverkeel.balancing.server_selection import ServerSelection
 
     cut(ServerSelection, "retry_candidates", ("if ran and class_.effect is Effect.UNSAFE:", "if False:"))
@@ -66,7 +66,7 @@
 
 @entry("keyed-group")
 def _() -> None:
-    """What carries a key is repeated anywhere."""
+    """A keyed request is retried at any server, also outside its group."""
     from cloverkeel.balancing.server_selection import ServerSelection
 
     cut(ServerSelection, "_keyed_candidates", ("if scope is Scope.GROUP:", "if False:"))
@@ -74,7 +74,7 @@
 
 @entry("keyed-window")
 def _() -> None:
-    """What carries a key is repeated at any time."""
+    """A keyed request is retried after its window too."""
     from cloverkeel.balancing.server_selection import ServerSelection
 
     cut(ServerSelection, "retry_candidates", ("if now_us - ran[0].sent_us >= class_.window_us:", "if False:"))
@@ -82,7 +82,7 @@
 
 @entry("refuses-what-ran")
 def _() -> None:
-    """What may have run is refused, as if it could be repeated."""
+    """A request that may have run is refused, as if a retry were harmless."""
     from cloverkeel.balancing.final_answers import FinalAnswers
 
     refusable = "if not request.may_have_run() or class_.effect is Effect.SAFE or is_dropped_anywhere:"
@@ -91,7 +91,7 @@
 
 @entry("attempts-module")
 def _() -> None:
-    """The module counts no attempts."""
+    """The balancer doesn't limit the number of attempts."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     cut(RequestLifecycle, "can_retry", ("len(request.attempts) >= self.settings.max_attempts", "False"))
@@ -100,7 +100,7 @@
 
 @entry("second-copies")
 def _() -> None:
-    """A second copy is sent where none may be."""
+    """Requests are hedged where the settings don't allow it."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     cut(RequestLifecycle, "on_attempt_overdue", ("or not self.settings.may_hedge", ""))
@@ -108,7 +108,7 @@
 
 @entry("drain-module")
 def _() -> None:
-    """The module picks servers that drain."""
+    """Draining servers are eligible."""
     from cloverkeel.balancing.subset import Subset
 
     cut(Subset, "is_eligible", ("if endpoint.entry.status is not ServerStatus.READY:", "if False:"))
@@ -116,7 +116,7 @@
 
 @entry("gone-module")
 def _() -> None:
-    """The module keeps servers that left the list."""
+    """Servers that left the list are kept."""
     from cloverkeel.balancing.endpoints import Endpoints
 
     swap(Endpoints, "remove", lambda self, server: None)
@@ -124,7 +124,7 @@
 
 @entry("list-retry-soon")
 def _() -> None:
-    """A call that failed is made again after a long while."""
+    """A failed poll of the server list is retried only after seconds."""
     from cloverkeel.balancing import endpoint_updates
 
     swap(endpoint_updates, "MAX_RETRY_POLL_US", 5_000_000)
@@ -132,7 +132,7 @@
 
 @entry("repeat-by")
 def _() -> None:
-    """A repeat may wait for its connection beyond the window."""
+    """A retry of a keyed request may wait for its connection beyond the window."""
     from cloverkeel.balancing.attempt_sender import AttemptSender
 
     swap(AttemptSender, "repeat_by_us", lambda self, request: 0)
@@ -140,7 +140,7 @@
 
 @entry("list-again")
 def _() -> None:
-    """A call to discovery that failed is not made again."""
+    """A failed poll of the server list is not retried."""
     from cloverkeel.balancing.endpoint_updates import EndpointUpdates
 
     poll = "self.buffer.actions.append(SetTimer(now_us + int(wait_us), LIST_TOKEN))"
@@ -149,7 +149,7 @@
 
 @entry("cold-budget")
 def _() -> None:
-    """A cold server is sent whatever comes."""
+    """A warming server is sent all requests, whatever its collapse budget."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     swap(SlowStartBudget, "has_headroom", lambda self, now_us, endpoint, request: True)
@@ -157,7 +157,7 @@
 
 @entry("cold-share")
 def _() -> None:
-    """A cold server is held for warm."""
+    """A warming server counts as having its full capacity."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     swap(SlowStartBudget, "capacity_ratio", lambda self, now_us, endpoint: 1.0)
@@ -165,7 +165,7 @@
 
 @entry("cold-firsts")
 def _() -> None:
-    """Each gateway may send its first request to a cold server at once."""
+    """Every gateway may send its first request to a warming server at once."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "start", ("self.rng.random() * max_us", "0.0"))
@@ -173,7 +173,7 @@
 
 @entry("cold-late")
 def _() -> None:
-    """A server counts as warm from the moment at which it should be."""
+    """A server counts as settled at the time when it should be warm."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "start", ("ends_at_us, ends_at_us + duration_us,", "ends_at_us, ends_at_us,"))
@@ -181,7 +181,7 @@
 
 @entry("cold-work")
 def _() -> None:
-    """What a request costs a cold server is told by how long others wait."""
+    """Requests to a warming server are charged at the current latency of other servers, not at the stated work."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "cost_us", ("if mean_us < min_us:", "if True:"))
@@ -191,7 +191,7 @@
 
 @entry("cold-understated")
 def _() -> None:
-    """What clients say of their requests' work is believed, however little it is."""
+    """Stated work is used however small it is."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(
@@ -204,7 +204,7 @@
 
 @entry("cold-long")
 def _() -> None:
-    """A long request may go to a cold server as any other."""
+    """Requests far larger than the mean may be sent to a warming server."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "has_headroom", ("request.size > MAX_REQUEST_SIZE", "False"))
@@ -212,7 +212,7 @@
 
 @entry("cold-users")
 def _() -> None:
-    """Each gateway takes the whole budget of a cold server for its own."""
+    """Each gateway uses the whole collapse budget of a warming server."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "budget_us", ("expected_users = max(", "expected_users = 1.0 or max("))
@@ -220,7 +220,7 @@
 
 @entry("cold-processes")
 def _() -> None:
-    """Each of a gateway's processes takes its whole part of a cold server's budget for its own."""
+    """Each process of a gateway uses the gateway's whole quota of a warming server's budget."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "budget_us", (" / sharers / self.processes", " / sharers"))
@@ -228,7 +228,7 @@
 
 @entry("breaker")
 def _() -> None:
-    """A server is picked whatever its breaker says."""
+    """Servers are selected regardless of their circuit breakers."""
     from cloverkeel.balancing.circuit_breaker import CircuitBreaker
 
     swap(CircuitBreaker, "can_admit", lambda self, now_us: True)
@@ -236,7 +236,7 @@
 
 @entry("silent-server")
 def _() -> None:
-    """A server that owes an answer for long is sent more."""
+    """A silent server is sent further attempts."""
     from cloverkeel.balancing.subset import Subset
 
     silent = "return not in_flight or now_us - next(iter(in_flight.values())) <= self.latency.silence_timeout_us"
@@ -245,7 +245,7 @@
 
 @entry("connect-verdict")
 def _() -> None:
-    """A connection that fails is a failure like any other."""
+    """A failed connection counts like any other failure."""
     from cloverkeel.balancing.outlier_detection import OutlierDetector
 
     cut(OutlierDetector, "_record_for_server", ("if outcome is Outcome.CONNECT_FAILED and", "if False and"))
@@ -253,7 +253,7 @@
 
 @entry("common-failures")
 def _() -> None:
-    """Each server is blamed for what fails everywhere."""
+    """Failures common to all servers count against each of them."""
     from cloverkeel.balancing.fleet_outcomes import FleetOutcomes
 
     swap(FleetOutcomes, "failure_ratio", lambda self, server, class_index: 0.0)
@@ -261,7 +261,7 @@
 
 @entry("shedding")
 def _() -> None:
-    """Whatever comes is sent on, however long answers wait."""
+    """No request is shed, however long answers wait."""
     from cloverkeel.balancing.load_shedding import LoadShedder
 
     swap(LoadShedder, "record_outcome", lambda self, now_us, request, attempt, event: None)
@@ -269,7 +269,7 @@
 
 @entry("retry-tokens")
 def _() -> None:
-    """Repeats cost nothing."""
+    """Retries and hedged requests cost no tokens."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     cut(
@@ -284,7 +284,7 @@
 
 @entry("room-at-one")
 def _() -> None:
-    """A server is sent whatever comes."""
+    """A server has no concurrency limit."""
     from cloverkeel.balancing.server_selection import ServerSelection
 
     full = "if len(endpoint.in_flight) >= endpoint.concurrency.limit * limit_ratio:"
@@ -293,7 +293,7 @@
 
 @entry("room-shrinks")
 def _() -> None:
-    """A server's room does not follow its answers."""
+    """The concurrency limit doesn't follow the latency of answers."""
     from cloverkeel.balancing.concurrency_limit import ConcurrencyLimit
 
     swap(ConcurrencyLimit, "record", lambda *args: None)
@@ -301,7 +301,7 @@
 
 @entry("begun-module")
 def _() -> None:
-    """The module tries what broke off on its way to the client again."""
+    """A request whose response broke off while streaming to the client is retried."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     cut(RequestLifecycle, "on_attempt_ended", ("or request.is_streaming:", "or False:"))
@@ -309,7 +309,7 @@
 
 @entry("share-empty")
 def _() -> None:
-    """Parts that come bring a full bucket along."""
+    """Added quotas allow a full burst at once."""
     from cloverkeel.balancing.slow_start import SlowStart
 
     swap(SlowStart, "add_quotas", lambda self, had, burst_us: None)
@@ -317,7 +317,7 @@
 
 @entry("share-lent")
 def _() -> None:
-    """A part that is lent is used for one request at a time all the same."""
+    """A proxy that has lent its quota still sends one request at a time."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "has_headroom", ("burst_us > 0.0 and ", ""))
@@ -325,7 +325,7 @@
 
 @entry("share-start")
 def _() -> None:
-    """A process that begins uses its part at once."""
+    """A new process uses its quota at once, though an earlier process may have lent it."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "apply_quota", ("self.suspended_until_us = event.lent_us", "pass"))
@@ -333,7 +333,7 @@
 
 @entry("trials-left")
 def _() -> None:
-    """Trials are held back though most servers are out."""
+    """Half-open probes are suspended though most breakers are open."""
     from cloverkeel.balancing.peer_reports import PeerReports
 
     cut(PeerReports, "suspend_probes", (" and not self.has_closed_majority()", " and False"))
@@ -341,7 +341,7 @@
 
 @entry("hearsay-used")
 def _() -> None:
-    """The module makes nothing of what others saw."""
+    """Health reports of other proxies are ignored."""
     from cloverkeel.balancing.peer_reports import PeerReports
 
     swap(PeerReports, "apply_report", lambda self, now_us, event: None)
@@ -349,7 +349,7 @@
 
 @entry("hearsay-two")
 def _() -> None:
-    """One teller is enough for a doubt."""
+    """A single reporter suffices for a suspicion."""
     from cloverkeel.balancing import peer_reports
     from cloverkeel.gossip import outlier_gossip, outlier_reports
 
@@ -359,7 +359,7 @@
 
 @entry("hearsay-verdict")
 def _() -> None:
-    """What others saw opens a breaker."""
+    """A health report of other proxies opens a breaker."""
     from cloverkeel.balancing.peer_reports import PeerReports
 
     opened = "breaker = endpoint.breaker; is_suspected and breaker.open(now_us)"
@@ -368,7 +368,7 @@
 
 @entry("hearsay-common")
 def _() -> None:
-    """What fails here everywhere does not speak for a server that fails for others."""
+    """Failures common to all servers here are not allowed for in other proxies' reports."""
     from cloverkeel.balancing.peer_reports import PeerReports
 
     cut(PeerReports, "apply_report", ("ratio = self.fleet_outcomes.failure_ratio(event.server, None)", "ratio = 0.0"))
@@ -376,7 +376,7 @@
 
 @entry("hearsay-hold")
 def _() -> None:
-    """Trials wait for others' for as long as others fail."""
+    """Probes wait for other proxies' probes as long as those fail."""
     from cloverkeel.balancing.peer_reports import PeerReports
 
     cut(PeerReports, "apply_report", ("min(event.until_us, max_us)", "event.until_us"))
@@ -384,7 +384,7 @@
 
 @entry("rights-end")
 def _() -> None:
-    """What came from others is kept."""
+    """Retry tokens granted by other proxies never expire."""
     from cloverkeel.balancing.retry_budget import RetryBudget
 
     cut(RetryBudget, "available", ("now_us >= self.expires_at_us", "False"))
@@ -392,7 +392,7 @@
 
 @entry("cold-told-users")
 def _() -> None:
-    """How many know a cold server is taken from the list's length alone, whatever is told."""
+    """The number of proxies that know a warming server is estimated, even if the list states it."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "budget_us", ("float(users or expected_users)", "float(expected_users)"))
--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker's cycle and the weight controller, by example."""
+"""State transitions of the circuit breaker, and the weight controller."""
 
 import random
 
@@ -20,19 +20,19 @@
 )
 
 
-def tripped() -> CircuitBreaker:
+def open_breaker() -> CircuitBreaker:
     breaker = CircuitBreaker()
     trip(breaker, 0)
     return breaker
 
 
-def half_open() -> CircuitBreaker:
-    breaker = tripped()
+def half_open_breaker() -> CircuitBreaker:
+    breaker = open_breaker()
     assert breaker.can_admit(INITIAL_COOLDOWN_US)
     return breaker
 
 
-def test_no_verdict_below_the_minimum() -> None:
+def test_breaker_stays_closed_below_the_minimum_number_of_outcomes() -> None:
     breaker = CircuitBreaker()
     for _ in range(MIN_OUTCOMES - 1):
         assert breaker.record_outcome(0, True, 0, 0.0) is None
@@ -48,23 +48,23 @@
     assert breaker.failures == 0 and len(breaker.outcomes) == MAX_OUTCOMES
 
 
-def test_an_open_server_gets_nothing_until_the_cooldown_ends() -> None:
-    breaker = tripped()
+def test_an_open_breaker_admits_nothing_until_the_cooldown_ends() -> None:
+    breaker = open_breaker()
     assert not breaker.can_admit(INITIAL_COOLDOWN_US - 1)
     assert breaker.can_admit(INITIAL_COOLDOWN_US)
     assert breaker.state is BreakerState.HALF_OPEN
 
 
-def test_half_open_admits_no_more_than_its_probes() -> None:
-    breaker = half_open()
+def test_a_half_open_breaker_admits_a_limited_number_of_probes() -> None:
+    breaker = half_open_breaker()
     for _ in range(HALF_OPEN_PROBES):
         assert breaker.can_admit(INITIAL_COOLDOWN_US)
         assert breaker.start_probe() == 1
     assert not breaker.can_admit(INITIAL_COOLDOWN_US)
 
 
-def test_good_probes_close_the_breaker_and_drop_its_outcomes() -> None:
-    breaker = half_open()
+def test_good_probes_close_the_breaker_and_clear_its_outcomes() -> None:
+    breaker = half_open_breaker()
     for _ in range(HALF_OPEN_PROBES):
         breaker.start_probe()
     results = [breaker.record_outcome(INITIAL_COOLDOWN_US, False, 1, 0.0) for _ in range(HALF_OPEN_PROBES)]
@@ -72,8 +72,8 @@
     assert not breaker.outcomes and breaker.failures == 0
 
 
-def test_bad_probes_reopen_for_longer() -> None:
-    breaker = half_open()
+def test_failed_probes_reopen_the_breaker_for_longer() -> None:
+    breaker = half_open_breaker()
     for _ in range(HALF_OPEN_PROBES):
         breaker.start_probe()
     breaker.record_outcome(INITIAL_COOLDOWN_US, True, 1, 0.0)
@@ -81,28 +81,28 @@
     assert breaker.open_until_us == 3 * INITIAL_COOLDOWN_US
 
 
-def test_in_half_open_only_probes_count() -> None:
-    breaker = half_open()
+def test_only_probes_count_while_half_open() -> None:
+    breaker = half_open_breaker()
     breaker.start_probe()
     for _ in range(MAX_OUTCOMES):
         assert breaker.record_outcome(INITIAL_COOLDOWN_US, True, 0, 0.0) is None
     assert breaker.state is BreakerState.HALF_OPEN and breaker.probes_in_flight == 1
 
 
-def test_late_outcomes_are_counted_and_restart_the_cooldown() -> None:
-    breaker = tripped()
+def test_a_failure_while_open_restarts_the_cooldown() -> None:
+    breaker = open_breaker()
     assert breaker.record_outcome(INITIAL_COOLDOWN_US // 2, True, 0, 0.0) is BreakerState.OPEN
     assert breaker.open_until_us == INITIAL_COOLDOWN_US // 2 + INITIAL_COOLDOWN_US
 
 
-def test_failures_that_all_servers_share_convict_none() -> None:
+def test_failures_common_to_all_servers_open_no_breaker() -> None:
     breaker = CircuitBreaker()
     for n in range(MAX_OUTCOMES):
         breaker.record_outcome(0, n % 2 == 0, 0, 0.5)
     assert breaker.state is BreakerState.CLOSED
 
 
-def test_a_server_that_fails_is_opened_and_gets_nothing() -> None:
+def test_the_breaker_of_a_failing_server_opens_and_it_gets_nothing() -> None:
     driver = Driver(servers=3)
     for _ in range(200):
         name, actions = driver.arrive()
@@ -117,7 +117,7 @@
         driver.end(name, sends(actions)[0].server)
 
 
-def test_weight_steps_up_and_is_cut() -> None:
+def test_weight_rises_after_good_answers_and_is_cut_after_failures() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.endpoints.by_server[0]
     server.weight = 0.5
@@ -128,13 +128,13 @@
     driver.end(name, 0, Outcome.RESET)
     assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
     name, _ = driver.arrive(class_index=2)
-    driver.end(name, 0, Outcome.ERROR)  # the other class's last answer was good: this class's own
+    driver.end(name, 0, Outcome.ERROR)  # counts for this class only: the other class's last answer was good
     assert (
         server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT and server.class_health(2).weight == MAX_WEIGHT * WEIGHT_CUT
     )
 
 
-def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
+def test_an_answer_slower_than_twice_the_smoothed_latency_cuts_the_weight() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.endpoints.by_server[0]
     name, _ = driver.arrive()
@@ -153,16 +153,16 @@
     assert server.weight == MAX_WEIGHT
 
 
-def test_a_newcomer_starts_at_the_mean_weight() -> None:
+def test_a_new_server_starts_at_the_mean_weight() -> None:
     driver = Driver(servers=2)
-    for server, cuts in ((0, 3), (1, 1)):  # by the controller: it keeps the sum that the mean is made of
+    for server, cuts in ((0, 3), (1, 1)):  # through the endpoints, which maintain the sum of weights
         for _ in range(cuts):
             driver.balancer.endpoints.adjust_weight(driver.balancer.endpoints.by_server[server], is_bad=True)
     driver.list_servers(ListedServer(9), kind=ListKind.DELTA)
     assert driver.balancer.endpoints.by_server[9].weight == pytest.approx((WEIGHT_CUT**3 + WEIGHT_CUT) / 2, rel=1e-12)
 
 
-def test_a_closed_again_server_regains_its_weight() -> None:
+def test_a_server_has_its_old_weight_after_its_breaker_has_closed() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.endpoints.by_server[0]
     for _ in range(MIN_OUTCOMES):
@@ -180,8 +180,8 @@
     assert server.weight == max(MIN_WEIGHT, weight)
 
 
-def test_a_failed_connect_of_a_probe_reopens_at_once_for_longer() -> None:
-    """Every cooldown's end sent two more requests to a full connection table."""
+def test_a_failed_connect_of_a_probe_reopens_the_breaker_at_once_for_longer() -> None:
+    """Guards against two more requests to a full connection table after each cooldown."""
     driver = Driver(servers=1)
     name, _ = driver.arrive()
     driver.end(name, 0, Outcome.CONNECT_FAILED)
@@ -194,34 +194,39 @@
     assert breaker.open_until_us == driver.now_us + 2 * INITIAL_COOLDOWN_US
 
 
-def play_failures(share: float, seed: int, dead: int | None = None) -> tuple[float, Driver]:
-    """Ten servers that all fail the same share of attempts at random; the mean share of open ones."""
-    driver, chance, opened, count = Driver(servers=10, seed=seed), random.Random(seed), 0, 3000
+def simulate_common_failures(failure_ratio: float, seed: int, dead_server: int | None = None) -> tuple[float, Driver]:
+    """Simulate ten servers that fail attempts at random with the same ratio, and optionally a dead one.
+
+    Return the mean ratio of open breakers, and the driver.
+    """
+    driver, rng, open_breakers, count = Driver(servers=10, seed=seed), random.Random(seed), 0, 3000
     for number in range(count):
         driver.now_us += 3_000
         name, actions = driver.arrive(class_index=number % 3, client_timeout_us=1_000_000)
         attempt = 0
         while sent := sends(actions):
             driver.now_us += 1_000
-            failed = chance.random() < share or sent[0].server == dead
+            failed = rng.random() < failure_ratio or sent[0].server == dead_server
             outcome = Outcome.RESET if failed else Outcome.OK
             actions = driver.end(name, sent[0].server, outcome, attempt=attempt)
             attempt += 1
-        opened += sum(s.breaker.state is BreakerState.OPEN for s in driver.balancer.endpoints.by_server.values())
-    return opened / count / 10, driver
+        open_breakers += sum(
+            s.breaker.state is BreakerState.OPEN for s in driver.balancer.endpoints.by_server.values()
+        )
+    return open_breakers / count / 10, driver
 
 
-def test_failures_in_common_open_next_to_nothing_and_a_dead_server_is_found_among_them() -> None:
-    """Breakers tripped one after the other on resets that hit every server alike, and crowded the rest."""
-    assert sum(play_failures(0.35, seed)[0] for seed in range(4)) / 4 < 0.12
-    _, driver = play_failures(0.25, seed=1, dead=3)
+def test_common_failures_open_few_breakers_and_a_dead_server_is_still_detected() -> None:
+    """Guards against resets that hit all servers alike: they opened breakers in turn, which overloaded the rest."""
+    assert sum(simulate_common_failures(0.35, seed)[0] for seed in range(4)) / 4 < 0.12
+    _, driver = simulate_common_failures(0.25, seed=1, dead_server=3)
     states = {number: server.breaker.state for number, server in driver.balancer.endpoints.by_server.items()}
     assert states[3] is not BreakerState.CLOSED
     assert sum(state is not BreakerState.CLOSED for state in states.values()) <= 2
 
 
-def test_an_unsafe_request_is_not_refused_while_closed_servers_lie_beyond_the_subset() -> None:
-    """Half-open servers, which it must not be a trial of, took up the places of those that may serve it."""
+def test_an_unsafe_request_is_sent_to_a_closed_server_beyond_the_subset() -> None:
+    """Half-open servers, which an unsafe request must not probe, took the places of usable ones in the subset."""
     driver = Driver(servers=10)
     for server in driver.balancer.endpoints.ranked[:MIN_SUBSET_SIZE]:
         server.breaker.open(driver.now_us)
@@ -230,7 +235,7 @@
     assert sends(actions)
 
 
-def test_after_a_reset_a_retry_costs_less_and_goes_on_while_little_is_shed() -> None:
+def test_a_retry_after_a_reset_costs_less_and_is_sent_while_little_is_shed() -> None:
     driver = Driver(servers=10)
     driver.balancer.retry_budget.tokens, driver.balancer.load_shedder.low_priority_ratio = (
         ERROR_RETRY_COST - RETRY_RATIO,
@@ -243,10 +248,10 @@
     assert not sends(driver.end(name, again[0].server, Outcome.RESET, attempt=1))
 
 
-def test_a_server_that_never_answers_one_class_is_passed_over_for_that_class_alone() -> None:
-    """Its other answers kept its breaker closed, and such requests waited there until their aim was over."""
+def test_a_server_that_never_answers_one_class_is_avoided_for_that_class_only() -> None:
+    """Good answers to other classes kept the breaker closed; requests of this class waited past their objective."""
     driver = Driver(servers=3)
-    late = 0
+    timed_out = 0
     for number in range(2000):
         driver.now_us += 3_000
         class_index = int(number % 4 == 1)
@@ -254,10 +259,10 @@
         name, actions = driver.arrive(class_index=class_index, client_timeout_us=400_000)
         (sent,) = sends(actions)
         if sent.server == 2 and class_index == 1:
-            late += 1
+            timed_out += 1
             driver.now_us += 150_000
             driver.end(name, 2, Outcome.TIMEOUT, latency_us=150_000)
             driver.handle(RequestGone(name))
         else:
             driver.end(name, sent.server)
-    assert late <= 12
+    assert timed_out <= 12
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Shedding with few gateways, many requests and no class that is cheap: each test is a failure found."""
+"""Regression tests of load shedding, with few gateways, many requests and no class of low priority."""
 
 from __future__ import annotations
 
@@ -22,40 +22,41 @@
     window_us=5_000_000,
 )
 SETTINGS = Settings(classes=(DEPOSIT, RESERVE))
-PATIENCE_US = (800_000, 2_500_000)
+CLIENT_TIMEOUTS_US = (800_000, 2_500_000)
 
 
-def all_open(driver: Driver) -> None:
+def open_all_breakers(driver: Driver) -> None:
     for server in driver.balancer.endpoints.by_server.values():
         trip(server.breaker, driver.now_us)
 
 
-def test_where_no_server_is_closed_an_unsafe_request_may_be_a_probe() -> None:
-    """Nothing else was let through: half of the requests were refused for good while every server was idle."""
+def test_an_unsafe_request_may_be_a_probe_if_no_breaker_is_closed() -> None:
+    """Unsafe requests were never probes, so half of all requests were refused forever while every server was idle."""
     driver = Driver(SETTINGS, servers=2)
-    all_open(driver)
-    assert finals(driver.arrive(class_index=0, client_timeout_us=PATIENCE_US[0])[1])  # they rest
+    open_all_breakers(driver)
+    # All cooldowns are running.
+    assert finals(driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])[1])
     driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.endpoints.by_server.values())
     for _ in range(20):
-        name, actions = driver.arrive(class_index=0, client_timeout_us=PATIENCE_US[0])
+        name, actions = driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])
         assert len(sends(actions)) == 1
         driver.end(name, sends(actions)[0].server)
     assert any(server.breaker.state is BreakerState.CLOSED for server in driver.balancer.endpoints.by_server.values())
 
 
-def test_while_one_server_is_closed_no_unsafe_request_is_a_probe() -> None:
+def test_no_unsafe_request_is_a_probe_while_a_breaker_is_closed() -> None:
     driver = Driver(SETTINGS, servers=3)
-    all_open(driver)
+    open_all_breakers(driver)
     driver.balancer.endpoints.by_server[1].breaker.close()
     driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.endpoints.by_server.values())
     for _ in range(60):
-        name, actions = driver.arrive(class_index=0, client_timeout_us=PATIENCE_US[0])
+        name, actions = driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])
         assert sends(actions)[0].server == 1
         driver.end(name, 1)
 
 
-def test_some_of_each_class_comes_through_whatever_is_shed() -> None:
-    """The class worth least lay wholly under the share that was shed, and it alone could have tried a server."""
+def test_some_requests_of_each_class_are_admitted_at_the_maximum_shed_ratio() -> None:
+    """The class of lowest priority was shed completely, although only its requests could probe servers."""
     driver = Driver(SETTINGS)
     sent = [0, 0]
     for number in range(1200):
@@ -63,7 +64,7 @@
         driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
             MAX_SHED_RATIO
         )
-        name, actions = driver.arrive(class_index=class_index, client_timeout_us=PATIENCE_US[class_index])
+        name, actions = driver.arrive(class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index])
         driver.now_us += 5_000
         for send in sends(actions):
             sent[class_index] += 1
@@ -71,35 +72,35 @@
     assert all(10 < count < 200 for count in sent)
 
 
-def test_a_gateway_whose_breakers_all_opened_under_shedding_comes_back() -> None:
-    """With all of one class shed, no trial for the other and no answer to shed less by, it refused for ever."""
+def test_a_gateway_recovers_after_all_breakers_opened_while_shedding() -> None:
+    """One class was shed completely and the other could not probe, so no answer ever lowered the shed ratios."""
     driver = Driver(SETTINGS, servers=4)
-    for number in range(200):  # it has learnt what its classes are worth
-        name, actions = driver.arrive(class_index=number % 2, client_timeout_us=PATIENCE_US[number % 2])
+    for number in range(200):  # learns the latencies, and so the priorities, of both classes
+        name, actions = driver.arrive(class_index=number % 2, client_timeout_us=CLIENT_TIMEOUTS_US[number % 2])
         driver.end(name, sends(actions)[0].server, latency_us=60_000 if number % 2 == 0 else 150_000)
         driver.now_us += 5_000
     driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
         MAX_SHED_RATIO
     )
-    all_open(driver)
+    open_all_breakers(driver)
     served = 0
-    for number in range(2000):  # ten seconds at a load that its servers could take
+    for number in range(2000):  # ten seconds at a load within the servers' capacity
         driver.now_us += 5_000
         class_index = number % 2
-        name, actions = driver.arrive(class_index=class_index, client_timeout_us=PATIENCE_US[class_index])
+        name, actions = driver.arrive(class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index])
         for send in sends(actions):
             driver.end(name, send.server, latency_us=60_000 if class_index == 0 else 150_000)
             served += number >= 1800
     assert served > 190
 
 
-def moved(driver: Driver, outcome: Outcome, latency_us: int, answered: bool = False) -> float:
-    """How far one outcome moves what is shed of what is dear."""
+def ratio_change(driver: Driver, outcome: Outcome, latency_us: int, answered: bool = False) -> float:
+    """Return the change of the high-priority shed ratio after one outcome."""
     driver.now_us += 100_000
     driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
-        0.0  # it is let through
+        0.0  # the request is admitted
     )
-    name, actions = driver.arrive(class_index=1, client_timeout_us=PATIENCE_US[1])
+    name, actions = driver.arrive(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
     server = sends(actions)[0].server
     driver.now_us += latency_us
     if answered:
@@ -110,30 +111,30 @@
     return driver.balancer.load_shedder.high_priority_ratio - 0.5
 
 
-def test_a_wait_that_eats_up_the_slack_sheds_though_the_usual_latency_is_long() -> None:
-    """At 2.75 times a usual 200 ms an answer is past an aim of 500 ms: only time-outs shed, and came too late."""
+def test_a_wait_that_uses_up_the_slack_raises_shedding_even_at_a_long_unloaded_latency() -> None:
+    """2.75 times an unloaded 200 ms is past an objective of 500 ms: only timeouts raised shedding, too late."""
     driver = Driver(SETTINGS, servers=1)
     driver.balancer.latency.unloaded_us[1] = driver.balancer.latency.smoothed_us[1] = 200_000.0
-    assert moved(driver, Outcome.OK, 240_000) < 0
-    assert moved(driver, Outcome.OK, 400_000) > 0
+    assert ratio_change(driver, Outcome.OK, 240_000) < 0
+    assert ratio_change(driver, Outcome.OK, 400_000) > 0
 
 
-def test_a_time_out_at_the_objective_sheds_in_full_where_its_server_answered_others_meanwhile() -> None:
-    """Four in five had to time out before more was shed: each counted for a quarter, as a lost connection's."""
-    for class_index in (RESERVE, replace(RESERVE, objective_us=450_000)):
-        driver = Driver(Settings(classes=(DEPOSIT, class_index)), servers=1)
+def test_a_timeout_counts_in_full_if_its_server_answered_other_attempts_meanwhile() -> None:
+    """Each timeout counted as a quarter, like a lost connection; four in five had to time out to raise shedding."""
+    for class_ in (RESERVE, replace(RESERVE, objective_us=450_000)):
+        driver = Driver(Settings(classes=(DEPOSIT, class_)), servers=1)
         driver.balancer.latency.unloaded_us[1] = driver.balancer.latency.smoothed_us[1] = 200_000.0
-        silent = moved(driver, Outcome.TIMEOUT, 440_000)
-        crowded = moved(driver, Outcome.TIMEOUT, 440_000, answered=True)
-        assert crowded > 3 * silent > 0
+        silent_change = ratio_change(driver, Outcome.TIMEOUT, 440_000)
+        overload_change = ratio_change(driver, Outcome.TIMEOUT, 440_000, answered=True)
+        assert overload_change > 3 * silent_change > 0
 
 
-def test_time_outs_of_a_crowd_open_no_breaker_and_those_of_a_silent_server_do() -> None:
-    """With a third of the fleet gone, crowded servers tripped in turn and crowded the rest."""
+def test_timeouts_open_the_breaker_of_a_silent_server_but_not_of_an_overloaded_one() -> None:
+    """With a third of the fleet lost, breakers of overloaded servers opened in turn, which overloaded the rest."""
     for answered, state in ((True, BreakerState.CLOSED), (False, BreakerState.OPEN)):
         driver = Driver(SETTINGS, servers=1)
         driver.balancer.endpoints.by_server[0].concurrency.limit = 100.0
-        names = [driver.arrive(class_index=0, client_timeout_us=PATIENCE_US[0])[0] for _ in range(9)]
+        names = [driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])[0] for _ in range(9)]
         driver.now_us += 300_000
         if answered:
             driver.end(names.pop(), 0, latency_us=300_000)
@@ -143,11 +144,11 @@
         assert driver.balancer.endpoints.by_server[0].breaker.state is state
 
 
-def fill(driver: Driver, class_index: int) -> list[str]:
-    """Requests until one is refused: those that were sent."""
+def send_until_refused(driver: Driver, class_index: int) -> list[str]:
+    """Send requests until one is refused; return the names of those sent."""
     sent = []
     for _ in range(1_000):
-        name, actions = driver.arrive(class_index=class_index, client_timeout_us=PATIENCE_US[class_index])
+        name, actions = driver.arrive(class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index])
         if not sends(actions):
             break
         sent.append(name)
@@ -155,63 +156,63 @@
 
 
 def test_a_server_has_a_concurrency_limit_and_a_lower_one_for_low_priority() -> None:
-    """With hosts out by hand the rest were sent all that came, choked, and stayed slow: 0.00 on two seeds of four."""
+    """Hosts removed by an operator left the rest overloaded and slow: result 0.00 on two of four seeds."""
     settings = Settings(classes=(replace(DEPOSIT, priority_weight=1.0), RESERVE))
-    dear, cheap = Driver(settings, servers=1), Driver(settings, servers=1)
-    for driver in (dear, cheap):
+    high_priority, low_priority = Driver(settings, servers=1), Driver(settings, servers=1)
+    for driver in (high_priority, low_priority):
         driver.balancer.load_shedder.requested = [100.0, 100.0]
         driver.balancer.load_shedder.is_low_priority = driver.balancer.load_shedder.classify()
-    assert len(fill(dear, 1)) == INITIAL_LIMIT
-    assert 0 < len(fill(cheap, 0)) < INITIAL_LIMIT
+    assert len(send_until_refused(high_priority, 1)) == INITIAL_LIMIT
+    assert 0 < len(send_until_refused(low_priority, 0)) < INITIAL_LIMIT
 
 
 def test_the_limit_shrinks_with_slow_answers_and_grows_with_prompt_ones_that_fill_it() -> None:
     driver = Driver(SETTINGS, servers=1)
     server = driver.balancer.endpoints.by_server[0]
-    usual_us = int(driver.balancer.latency.unloaded_us[1])
+    unloaded_us = int(driver.balancer.latency.unloaded_us[1])
     for _ in range(20):
-        for name in fill(driver, 1):
+        for name in send_until_refused(driver, 1):
             driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
-            driver.now_us += usual_us
-            driver.end(name, 0, latency_us=3 * usual_us)
+            driver.now_us += unloaded_us
+            driver.end(name, 0, latency_us=3 * unloaded_us)
     assert server.concurrency.limit == MIN_LIMIT
     for _ in range(40):
-        for name in fill(driver, 1):
+        for name in send_until_refused(driver, 1):
             driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
-            driver.now_us += usual_us // 8
-            driver.end(name, 0, latency_us=usual_us)
+            driver.now_us += unloaded_us // 8
+            driver.end(name, 0, latency_us=unloaded_us)
     assert server.concurrency.limit > 4 * MIN_LIMIT
 
 
-def test_a_server_that_is_not_filled_keeps_its_limit() -> None:
-    """Else a quiet hour would leave room for any crowd."""
+def test_the_limit_does_not_grow_while_it_is_not_reached() -> None:
+    """Otherwise the limit would grow without bound at low load, and admit any overload after it."""
     driver = Driver(SETTINGS, servers=1)
     for _ in range(200):
-        name, actions = driver.arrive(class_index=1, client_timeout_us=PATIENCE_US[1])
+        name, actions = driver.arrive(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
         driver.now_us += 10_000
         driver.end(name, sends(actions)[0].server, latency_us=10_000)
     assert driver.balancer.endpoints.by_server[0].concurrency.limit == INITIAL_LIMIT
 
 
-def test_the_draw_turns_from_a_server_with_much_in_flight() -> None:
-    """Few gateways that sent much filled some servers while others had room."""
-    spread = 0
+def test_selection_avoids_servers_with_many_attempts_in_flight() -> None:
+    """Few gateways with many requests each filled some servers while others were free."""
+    total_spread = 0
     for seed in range(20):
         driver = Driver(SETTINGS, servers=8, seed=seed)
         driver.balancer.subset.size = 20.0
         for _ in range(64):
-            driver.arrive(class_index=1, client_timeout_us=PATIENCE_US[1])
-        out = [len(server.in_flight) for server in driver.balancer.endpoints.by_server.values()]
-        assert sum(out) == 64
-        spread += max(out) - min(out)
-    assert spread < 60
+            driver.arrive(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
+        in_flight = [len(server.in_flight) for server in driver.balancer.endpoints.by_server.values()]
+        assert sum(in_flight) == 64
+        total_spread += max(in_flight) - min(in_flight)
+    assert total_spread < 60
 
 
-def test_where_servers_know_keys_a_home_in_use_is_still_home() -> None:
-    """Requests left a home for one that it had out, and met servers that did not know their key."""
-    stayed = 0
+def test_a_key_stays_at_its_home_server_while_that_has_attempts_in_flight() -> None:
+    """A single attempt in flight at the home sent requests to servers that did not have their key cached."""
+    same_server = 0
     for seed in range(300):
         driver = Driver(replace(SETTINGS, servers_know_keys=True), servers=3, seed=seed)
-        first, second = (sends(driver.arrive(1, PATIENCE_US[1], key=9)[1])[0].server for _ in range(2))
-        stayed += first == second
-    assert stayed > 180
+        first, second = (sends(driver.arrive(1, CLIENT_TIMEOUTS_US[1], key=9)[1])[0].server for _ in range(2))
+        same_server += first == second
+    assert same_server > 180
--- a/tests/balancing/test_peer_reports.py
+++ b/tests/balancing/test_peer_reports.py
@@ -1,4 +1,4 @@
-"""What the balancer makes of its peers' health reports, and of retry tokens that move."""
+"""The balancer's use of peers' health reports, and of retry tokens moved between proxies."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from tests.helpers import Driver, sends, trip
 
 
-# Tokens for further attempts
+# Retry tokens
 
 
-def test_what_came_from_others_and_was_not_used_is_gone() -> None:
+def test_unused_retry_tokens_of_other_proxies_expire() -> None:
     driver = Driver()
-    module = driver.balancer
-    driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, -module.retry_token_state(driver.now_us)[0]))
-    assert module.retry_token_state(driver.now_us) == (0.0, False)  # a process that begins has none
+    balancer = driver.balancer
+    driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, -balancer.retry_token_state(driver.now_us)[0]))
+    assert balancer.retry_token_state(driver.now_us) == (0.0, False)  # a new process has none
     until_us = driver.now_us + GRANT_LIFETIME_US
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, until_us))
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, until_us))
     driver.arrive()
-    assert module.retry_token_state(until_us - 1)[0] == 2.0  # earning adds nothing above the cap
-    assert module.retry_token_state(until_us)[0] == MAX_SAVED_TOKENS
+    assert balancer.retry_token_state(until_us - 1)[0] == 2.0  # deposits add nothing above the cap
+    assert balancer.retry_token_state(until_us)[0] == MAX_SAVED_TOKENS
 
 
-def test_a_further_attempt_that_had_no_token_is_a_need() -> None:
+def test_retry_tokens_are_wanted_after_a_retry_without_one() -> None:
     driver = Driver()
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, -10.0))
     for _ in range(2):
@@ -42,15 +42,15 @@
     assert len(sends(actions)) == 1
 
 
-# The module's part
+# Health reports
 
 
-def heard(driver: Driver, server: int, good: float, bad: float, reporters: int = 2, well: int = 0) -> None:
+def report(driver: Driver, server: int, good: float, bad: float, reporters: int = 2, well: int = 0) -> None:
     driver.handle(PeerHealthReport(server, 0, good, bad, reporters, well, driver.now_us + OBSERVATION_LIFETIME_US))
 
 
-def shares(driver: Driver, requests: int = 300) -> list[float]:
-    """Of requests that are answered at once, by server."""
+def request_shares(driver: Driver, requests: int = 300) -> list[float]:
+    """Return the share of requests sent to each server; all are answered at once."""
     counts = [0] * len(driver.balancer.endpoints.by_server)
     for _ in range(requests):
         name, actions = driver.arrive()
@@ -60,44 +60,45 @@
     return [count / requests for count in counts]
 
 
-def test_a_server_that_fails_for_others_is_drawn_seldom_and_in_time_as_ever() -> None:
+def test_a_server_that_fails_for_other_proxies_is_selected_rarely_until_the_report_expires() -> None:
     driver = Driver(servers=6)
-    before = shares(driver)
+    before = request_shares(driver)
     worst = max(range(6), key=lambda n: before[n])
-    heard(driver, worst, 0.0, 3.0)
-    assert shares(driver)[worst] < before[worst] / 4
-    assert driver.balancer.endpoints.by_server[worst].breaker.state is BreakerState.CLOSED  # hearsay is no verdict
+    report(driver, worst, 0.0, 3.0)
+    assert request_shares(driver)[worst] < before[worst] / 4
+    # A report alone opens no breaker.
+    assert driver.balancer.endpoints.by_server[worst].breaker.state is BreakerState.CLOSED
     driver.now_us += OBSERVATION_LIFETIME_US
-    assert shares(driver)[worst] > before[worst] / 2
+    assert request_shares(driver)[worst] > before[worst] / 2
 
 
-def test_one_teller_and_good_outcomes_are_no_doubt_and_another_process_is_not_meant() -> None:
+def test_no_suspicion_from_one_reporter_or_good_outcomes_or_for_another_process() -> None:
     driver = Driver(servers=4)
     server = driver.balancer.endpoints.by_server[0]
-    heard(driver, 0, 0.0, 30.0, reporters=1)
+    report(driver, 0, 0.0, 30.0, reporters=1)
     assert server.suspected_until_us == 0
-    heard(driver, 0, 5.0, 3.0)
+    report(driver, 0, 5.0, 3.0)
     assert server.suspected_until_us == 0
     driver.handle(PeerHealthReport(0, 77, 0.0, 9.0, 3, 0, driver.now_us + OBSERVATION_LIFETIME_US))
     assert server.suspected_until_us == 0
-    heard(driver, 0, 0.0, 3.0)
-    heard(driver, 0, 3.0, 1.0)
-    assert server.suspected_until_us == 0  # it is answered well by now
+    report(driver, 0, 0.0, 3.0)
+    report(driver, 0, 3.0, 1.0)
+    assert server.suspected_until_us == 0  # good outcomes outweigh the bad ones by now
 
 
-def test_one_failure_here_opens_what_is_in_doubt_and_five_what_is_not() -> None:
-    for doubted in (False, True):
+def test_one_failure_opens_the_breaker_of_a_suspected_server_only() -> None:
+    for is_suspected in (False, True):
         driver = Driver(servers=1)
-        if doubted:
-            heard(driver, 0, 0.0, 3.0)
+        if is_suspected:
+            report(driver, 0, 0.0, 3.0)
         name, actions = driver.arrive()
         driver.end(name, sends(actions)[0].server, Outcome.ERROR)
-        assert (driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN) is doubted
+        assert (driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN) is is_suspected
     assert MIN_OUTCOMES > 1
 
 
-def test_where_most_fails_here_too_others_say_nothing_new() -> None:
-    """A jam: each server fails for everybody, and none of them is to blame."""
+def test_reports_raise_no_suspicion_while_most_servers_fail_here_too() -> None:
+    """Under overload each server fails for every proxy, and no single server is the cause."""
     driver = Driver(servers=5)
     for _ in range(60):
         name, actions = driver.arrive(class_index=2)
@@ -106,49 +107,49 @@
             break
         driver.end(name, sent[0].server, Outcome.TIMEOUT, latency_us=300_000)
         driver.now_us += 10_000
-    heard(driver, 0, 1.0, 3.0)
+    report(driver, 0, 1.0, 3.0)
     assert driver.balancer.endpoints.by_server[0].suspected_until_us == 0
 
 
-def out(driver: Driver) -> Any:
+def open_first_breaker(driver: Driver) -> Any:
     breaker = driver.balancer.endpoints.by_server[0].breaker
     trip(breaker, driver.now_us)
     return breaker
 
 
-def test_trials_wait_for_others_and_not_for_long() -> None:
+def test_probes_wait_for_other_proxies_for_a_bounded_time() -> None:
     driver = Driver(servers=4)
-    breaker = out(driver)
+    breaker = open_first_breaker(driver)
     driver.now_us = breaker.open_until_us
-    heard(driver, 0, 0.0, 3.0)
+    report(driver, 0, 0.0, 3.0)
     assert not driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
     driver.now_us = breaker.open_until_us + min(INITIAL_COOLDOWN_US, MAX_PROBE_DELAY_US)
-    heard(driver, 0, 0.0, 3.0)  # again and again: it is not held for longer
+    report(driver, 0, 0.0, 3.0)  # a repeated report doesn't extend the wait
     assert driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
 
 
-def test_nobody_waits_for_others_trials_where_next_to_nothing_is_left() -> None:
+def test_probes_do_not_wait_for_other_proxies_while_most_breakers_are_open() -> None:
     driver = Driver(servers=3)
-    breaker = out(driver)
+    breaker = open_first_breaker(driver)
     trip(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
-    heard(driver, 0, 0.0, 3.0)
+    report(driver, 0, 0.0, 3.0)
     assert driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
 
 
-def test_word_of_two_that_it_is_well_brings_a_trial_and_no_verdict() -> None:
+def test_good_answers_at_two_other_proxies_make_a_breaker_half_open() -> None:
     driver = Driver(servers=4)
-    breaker = out(driver)
-    heard(driver, 0, 3.0, 0.0, reporters=0, well=1)
+    breaker = open_first_breaker(driver)
+    report(driver, 0, 3.0, 0.0, reporters=0, well=1)
     assert not driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
-    heard(driver, 0, 3.0, 0.0, reporters=0, well=2)
+    report(driver, 0, 3.0, 0.0, reporters=0, well=2)
     assert (
         driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
         and breaker.state is BreakerState.HALF_OPEN
     )
 
 
-def test_what_the_room_asks_of_the_module() -> None:
+def test_the_balancer_returns_start_times_and_silent_servers() -> None:
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(3, started_us=9))
     assert driver.balancer.started_at_us(3) == 9 and driver.balancer.started_at_us(4) == -1
