--- a/cloverkeel/balancing/circuit_breaker.py
+++ b/cloverkeel/balancing/circuit_breaker.py
@@ -69,7 +69,7 @@
         self.probes_failed = 0
 
     def can_admit(self, now_us: int) -> bool:
-        """Tell whether a request may pass. An open breaker whose cooldown is over becomes half-open."""
+        """Return whether a request may pass. An open breaker whose cooldown is over becomes half-open."""
         if self.state is BreakerState.CLOSED:
             return True
         if self.state is BreakerState.OPEN:
--- a/cloverkeel/balancing/latency_model.py
+++ b/cloverkeel/balancing/latency_model.py
@@ -61,7 +61,7 @@
         return max(MIN_SIZE_FACTOR, 1.0 + self.slope * (size - 1.0))
 
     def sizes_vary(self) -> bool:
-        """Tell whether clients state sizes that differ."""
+        """Return whether clients state sizes that differ."""
         return self.variance > MIN_SIZE_VARIANCE
 
 
--- a/cloverkeel/balancing/load_shedding.py
+++ b/cloverkeel/balancing/load_shedding.py
@@ -74,7 +74,7 @@
         self.served[class_index] += 1
 
     def should_shed(self, now_us: int, request: Request) -> bool:
-        """Tell whether to refuse a request now."""
+        """Return whether to refuse a request now."""
         if self.settings.classes[request.class_index].late_weight <= 0.0 and now_us >= request.objective_us:
             return True  # a retry past its objective has no value
         if not self.client_timeouts.is_regular(request.class_index):
@@ -167,7 +167,7 @@
     def _may_be_connection_loss(
         self, class_: RequestClass, request: Request, attempt: Attempt, event: AttemptEnded
     ) -> bool:
-        """Tell whether a timeout is as likely due to a lost connection as to overload.
+        """Return whether a timeout is as likely due to a lost connection as to overload.
 
         It is if the attempt ended before it was overdue and its server has not answered since it was sent.
         """
--- a/cloverkeel/balancing/outlier_detection.py
+++ b/cloverkeel/balancing/outlier_detection.py
@@ -76,7 +76,7 @@
         self._record_for_server(now_us, attempt, outcome, is_failure, is_overload)
 
     def _is_inconclusive(self, request: Request, attempt: Attempt, event: AttemptEnded, expected_us: float) -> bool:
-        """Tell whether an attempt was never sent, cancelled before it was overdue, or given too short a timeout."""
+        """Return whether an attempt was never sent, cancelled before it was overdue, or given too short a timeout."""
         if event.outcome is Outcome.MOOT:
             return True
         if event.outcome is Outcome.CANCELLED:
@@ -103,7 +103,7 @@
             self._log_change(now_us, attempt.server, health.breaker, f" class={request.class_index}")
 
     def _serves_other_classes(self, server: Endpoint, health: ClassHealth) -> bool:
-        """Tell whether a server has outcomes of other classes, and the last one of each of them was good."""
+        """Return whether a server has outcomes of other classes, and the last one of each of them was good."""
         others = [other.is_last_outcome_good for other in server.health_by_class.values() if other is not health]
         return bool(others) and all(others)
 
--- a/cloverkeel/balancing/peer_reports.py
+++ b/cloverkeel/balancing/peer_reports.py
@@ -25,7 +25,7 @@
         self.fleet_outcomes = fleet_outcomes
 
     def has_closed_majority(self) -> bool:
-        """Tell whether at least half of this proxy's server breakers are closed."""
+        """Return whether at least half of this proxy's server breakers are closed."""
         by_server = self.endpoints.by_server
         closed = sum(endpoint.breaker.state is BreakerState.CLOSED for endpoint in by_server.values())
         return 2 * closed >= len(by_server)
--- a/cloverkeel/balancing/slow_start_budget.py
+++ b/cloverkeel/balancing/slow_start_budget.py
@@ -69,7 +69,7 @@
         return SlowStart(ends_at_us, ends_at_us + duration_us, bucket_us, now_us)
 
     def has_headroom(self, now_us: int, endpoint: Endpoint, request: Request) -> bool:
-        """Tell whether this proxy's quota of a server's budget has headroom for one more request.
+        """Return whether this proxy's quota of a server's budget has headroom for one more request.
 
         From the time a server should be warm until it is settled, the quota is a part of the whole budget, with only
         a small burst: under overload all proxies would turn to the idlest server at that moment, and it may warm up
--- a/cloverkeel/balancing/subset.py
+++ b/cloverkeel/balancing/subset.py
@@ -61,7 +61,7 @@
     def is_eligible(
         self, now_us: int, endpoint: Endpoint, class_index: int, allow_unsafe_probe: bool = False
     ) -> bool:
-        """Tell whether a request of a class may be sent to a server now.
+        """Return whether a request of a class may be sent to a server now.
 
         With `allow_unsafe_probe`, a request of an unsafe class may be a half-open probe.
         """
