--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -35,7 +35,7 @@
 from cloverkeel.core.log import log, log_if_read
 from cloverkeel.core.loop_timers import LoopTimers
 from cloverkeel.core.metrics import METRICS_INTERVAL_US, GatewayMetrics
-from cloverkeel.core.ports import Decisions, Endpoint, EndpointSource, HostTable, Upstream
+from cloverkeel.core.ports import LoadBalancer, Endpoint, EndpointSource, HostTable, Upstream
 from cloverkeel.core.request_table import RequestTable
 from cloverkeel.core.stall_detector import HEARTBEAT_INTERVAL_US, StallDetector
 
@@ -50,7 +50,7 @@
 
     def __init__(self, config: Config, hosts: HostTable, upstream: Upstream, endpoint_source: EndpointSource) -> None:
         self.loop = asyncio.get_running_loop()
-        self.balancer: Decisions = Balancer(config.settings, config.seed)
+        self.balancer: LoadBalancer = Balancer(config.settings, config.seed)
         self.hosts = hosts
         self.upstream = upstream
         self.endpoint_source = endpoint_source
--- a/cloverkeel/core/metrics.py
+++ b/cloverkeel/core/metrics.py
@@ -16,7 +16,7 @@
 from cloverkeel.balancing.events import Outcome
 
 METRICS_INTERVAL_US: Final = 1_000_000
-MAX_HOSTS_A_LINE: Final = 64  # the rest is counted as one: a line fits a pipe at one stroke (4 KiB)
+MAX_HOSTS_PER_LINE: Final = 64  # the rest is counted as one: a line fits a pipe at one stroke (4 KiB)
 OTHER_HOSTS: Final = -1  # the server number under which the rest is counted
 ATTEMPTS_COLUMN: Final = 0
 COLUMN_BY_OUTCOME: Final = {
@@ -39,7 +39,7 @@
         self.row_by_server: dict[int, list[int]] = {}
         self.leases: list[int] = []  # docs/fleet.md; empty: there are none
         self.gossip: list[int] = []  # the same
-        self.received_before = 0  # in the seconds that are written
+        self.received_before_reset = 0  # in the seconds that are written
 
     def record_unserved(self, reason: str) -> None:
         """Count a connection, or bytes of one, that was turned away or closed before it was a request."""
@@ -96,7 +96,7 @@
     def reset(self) -> None:
         """Begin new sums: the last line has been written."""
         class_count = len(self.received_by_class)
-        self.received_before += sum(self.received_by_class)
+        self.received_before_reset += sum(self.received_by_class)
         self.received_by_class = [0] * class_count
         self.rejected_by_class = [0] * class_count
         self.failed_by_class = [0] * class_count
@@ -108,7 +108,7 @@
         """Return the sums of a host, or those of all others where a line has no more room."""
         row = self.row_by_server.get(server)
         if row is None:
-            if len(self.row_by_server) >= MAX_HOSTS_A_LINE:
+            if len(self.row_by_server) >= MAX_HOSTS_PER_LINE:
                 server = OTHER_HOSTS
             row = self.row_by_server.setdefault(server, [0] * HOST_COLUMNS)
         return row
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -48,7 +48,7 @@
 OnResponseStart = Callable[[Reply, int | None, int], ResponseStream | None]
 
 
-class Decisions(Protocol):
+class LoadBalancer(Protocol):
     """Which server is used, whether to retry, what is rejected: events in, actions out, in order."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -110,7 +110,7 @@
     def _exchange_metrics(self) -> None:
         """Give the node the count of requests, and the metrics line the node's counts."""
         tally = self.gateway.metrics
-        self.node.request_count = sum(tally.received_by_class) + tally.received_before
+        self.node.request_count = sum(tally.received_by_class) + tally.received_before_reset
         outliers, transport = self.node.outliers, self.node.counts
         suspected = sum(known.is_suspected_outlier for known in outliers.assessment_by_host.values())
         tally.gossip = [
--- a/tests/golden/core.py
+++ b/tests/golden/core.py
@@ -9,7 +9,7 @@
 from benchmarks.fleet_logs import Count, Second
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.core.log import log_if_read
-from cloverkeel.core.metrics import COLUMN_BY_OUTCOME, MAX_HOSTS_A_LINE, GatewayMetrics
+from cloverkeel.core.metrics import COLUMN_BY_OUTCOME, MAX_HOSTS_PER_LINE, GatewayMetrics
 from tests.golden.store import Sample, SamplesByName
 
 AT_US: Final = 1_796_119_613_761_000
@@ -46,7 +46,7 @@
 def _crowded_metrics() -> GatewayMetrics:
     """Return sums of more hosts than one line names."""
     metrics = GatewayMetrics(1)
-    for server in range(MAX_HOSTS_A_LINE + 3):
+    for server in range(MAX_HOSTS_PER_LINE + 3):
         metrics.record_attempt(server)
     return metrics
 
--- a/tests/gossip/test_commands.py
+++ b/tests/gossip/test_commands.py
@@ -108,7 +108,7 @@
         assert line is not None
         count.read([f"0.100 cloverkeel: {line}"])
         tally.reset()
-        assert tally.received_before == 5
+        assert tally.received_before_reset == 5
     ((_, second),) = count.seconds.items()
     assert second.sharing == [3, 6, 2, 4, 80, 4_000] and not count.unread
     assert "in doubt 3, told 6, 4000 bytes so far" in "".join(table(count, False, 0, 9))
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -13,7 +13,7 @@
 
 from benchmarks.fleet_logs import Count, main
 from cloverkeel.balancing.events import Outcome
-from cloverkeel.core.metrics import MAX_HOSTS_A_LINE, OTHER_HOSTS, GatewayMetrics
+from cloverkeel.core.metrics import MAX_HOSTS_PER_LINE, OTHER_HOSTS, GatewayMetrics
 from standins.parties.fleet import ROOT
 from tests.sockets import configuration, on_loop, peer, request, silent
 from tests.cli.process import ask, program
@@ -53,12 +53,12 @@
 
 def test_a_line_is_bounded_however_many_hosts_there_are() -> None:
     many = GatewayMetrics(1)
-    for server in range(3 * MAX_HOSTS_A_LINE):
+    for server in range(3 * MAX_HOSTS_PER_LINE):
         many.record_attempt(0xFFFF0000 + server)
         for _ in range(20):
             many.record_outcome(0xFFFF0000 + server, Outcome.OK, 900_000)
-    assert len(many.row_by_server) == MAX_HOSTS_A_LINE + 1
-    assert many.row_by_server[OTHER_HOSTS][0] == 2 * MAX_HOSTS_A_LINE
+    assert len(many.row_by_server) == MAX_HOSTS_PER_LINE + 1
+    assert many.row_by_server[OTHER_HOSTS][0] == 2 * MAX_HOSTS_PER_LINE
     line = many.format_line(AT_US, (0.0, 0.0), 0, 0)
     assert line is not None and len(line) < 4000
 
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -9,7 +9,7 @@
 
 from cloverkeel.balancing.actions import Action, Fail, WatchList
 from cloverkeel.balancing.events import AttemptEnded, Event, Outcome, RequestArrived
-from cloverkeel.core.ports import Decisions
+from cloverkeel.core.ports import LoadBalancer
 from tests.sockets import (
     overhear,
     Exchange,
@@ -286,7 +286,7 @@
     class Module:
         """The module, which has something else done first."""
 
-        def __init__(self, module: Decisions) -> None:
+        def __init__(self, module: LoadBalancer) -> None:
             self.module = module
 
         def handle(self, now_us: int, event: Event) -> list[Action]:
