--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -203,7 +203,7 @@
     """What restricts waits with the rest of a long list."""
     from cloverkeel.core.list_batches import ListBatches
 
-    cut(ListBatches, "split", ("listed.status is not ServerStatus.READY or is_another(endpoint)", "False"))
+    cut(ListBatches, "split", ("listed.status is not ServerStatus.READY or has_changed(endpoint)", "False"))
 
 
 @entry("list-parts-known")
--- a/cloverkeel/__init__.py
+++ b/cloverkeel/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway that spreads HTTP requests over hosts, and the pure load-balancing decisions behind it."""
+"""HTTP gateway with client-side load balancing; the balancing decisions are pure code without I/O."""
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -1,4 +1,4 @@
-"""python -m cloverkeel: cloverkeel/cli/command_line.py says which command runs."""
+"""Entry point of `python -m cloverkeel`; cloverkeel/cli/command_line.py selects the command."""
 
 from __future__ import annotations
 
--- a/cloverkeel/assembly.py
+++ b/cloverkeel/assembly.py
@@ -1,4 +1,4 @@
-"""Assemble a gateway: the one place that knows all its packages."""
+"""Assemble a gateway from all packages; no other module imports all of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from cloverkeel.upstream.attempt_sender import AttemptSender
 from cloverkeel.upstream.connection_pool import ConnectionPool
 
-# What is off is not imported: these cost memory and threads that most installations have no use for.
+# Optional parts are imported only where they are enabled: they cost memory and threads that most installations
+# do not need.
 if TYPE_CHECKING:
     from cloverkeel.core.datagrams import PeerSocket
     from cloverkeel.discovery.ejection_filter import EjectionFilter
@@ -26,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerProtocols:
-    """What speaks to other gateways, by one socket; all None where that is off."""
+    """The protocols between gateways, which share one UDP socket. A field is None if its part is disabled."""
 
     datagrams: PeerSocket | None = None
     leases: LeaseDriver | None = None
@@ -35,40 +36,40 @@
 
 @dataclass(slots=True, frozen=True)
 class Program:
-    """All that runs; made on a running loop."""
+    """The parts of a gateway process. To be created on a running event loop."""
 
     gateway: Gateway
     server: Server
     pool: ConnectionPool
     discovery: HttpEndpointSource | MergedEndpointSource | EjectionFilter
-    relay_client: RelayEndpointSource | None = None  # the part of `discovery` that polls relays
+    relay_client: RelayEndpointSource | None = None  # the source within `discovery` that polls relays, if any
     peer_protocols: PeerProtocols = field(default_factory=PeerProtocols)
 
     @property
     def datagrams(self) -> PeerSocket | None:
-        """The socket for datagrams of other gateways."""
+        """The socket for datagrams to and from other gateways; None if no such protocol is enabled."""
         return self.peer_protocols.datagrams
 
     @property
     def peer_drivers(self) -> list[LeaseDriver | GossipDriver]:
-        """The drivers of protocols between gateways that are on."""
+        """The drivers of the enabled protocols between gateways."""
         drivers = (self.peer_protocols.leases, self.peer_protocols.gossip)
         return [driver for driver in drivers if driver is not None]
 
     def start(self) -> None:
-        """Begin to speak to other gateways: clients are accepted by now."""
+        """Start the protocols between gateways. To be called once clients are accepted."""
         for driver in self.peer_drivers:
             driver.start()
         if self.datagrams is not None:
             self.datagrams.start()
 
     def begin_shutdown(self) -> None:
-        """Let other gateways know that this one is about to end."""
+        """Notify other gateways that this process is about to exit."""
         for driver in self.peer_drivers:
             driver.leave()
 
     def close(self) -> None:
-        """Release all that is not closed by the server."""
+        """Close the parts that the server does not close itself."""
         for driver in self.peer_drivers:
             driver.close()
         if self.datagrams is not None:
@@ -77,7 +78,7 @@
 
 
 def assemble(config: Config, options: Options | None = None) -> Program:
-    """Make all parts of a gateway that configuration and options turn on; nothing is started."""
+    """Create the parts of a gateway that configuration and options enable, without starting them."""
     options = options or Options()
     pool = ConnectionPool(config.settings)
     relay_client = _make_relay_client(config, options)
@@ -105,7 +106,7 @@
 def _add_zookeeper(
     config: Config, options: Options, registry: HttpEndpointSource
 ) -> HttpEndpointSource | MergedEndpointSource:
-    """Return the source that merges ZooKeeper's list with the registry's, or the registry alone."""
+    """Return a source that merges the lists of ZooKeeper and the registry; the registry alone if ZooKeeper is off."""
     if options.zookeeper is None:
         return registry
     from cloverkeel.discovery.merged_source import MergedEndpointSource
@@ -117,7 +118,7 @@
 def _add_manual_ejections(
     config: Config, source: HttpEndpointSource | MergedEndpointSource
 ) -> HttpEndpointSource | MergedEndpointSource | EjectionFilter:
-    """Return the source through the filter of hosts that operators have ejected, where there is an admin address."""
+    """Wrap the source in a filter for manually ejected hosts, which needs an admin address for the commands."""
     if config.admin_listen is None:
         return source
     from cloverkeel.discovery.ejection_filter import EjectionFilter
--- a/cloverkeel/core/__init__.py
+++ b/cloverkeel/core/__init__.py
@@ -1,1 +1,1 @@
-"""One Gateway: events in, actions out; calls, configuration, the clock. Knows no front and no host."""
+"""The gateway's core: event handling, calls, configuration and the clock; independent of frontends and upstream."""
--- a/cloverkeel/core/admin_client.py
+++ b/cloverkeel/core/admin_client.py
@@ -1,4 +1,4 @@
-"""Call gateways at their admin addresses, for the operators' commands."""
+"""Client of the gateways' admin addresses, used by the operators' commands."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from cloverkeel.core.config import Address, ConfigError, parse_address
 
-CALL_TIMEOUT_S: Final = 1.0  # for a gateway to answer
+CALL_TIMEOUT_S: Final = 1.0
 MAX_ANSWER_BYTES: Final = 1_000_000
 READ_BYTES: Final = 65_536
 JSON_ACK: Final = "ACK "
 
 
 class GatewayAnswers(NamedTuple):
-    """What several gateways answered to one line."""
+    """Answers of several gateways to one command line."""
 
     answer_by_address: dict[str, Any]
-    errors: list[str]  # a line each
+    errors: list[str]  # one line for each gateway without a usable answer
 
 
 def call(address: Address, line: str) -> str:
-    """Return the answer to a line; "" where nobody answers in time."""
+    """Send a command line and return the answer, or "" if there is none within CALL_TIMEOUT_S."""
     try:
         with socket.create_connection(address, CALL_TIMEOUT_S) as connection:
             connection.sendall(line.encode() + b"\n")
@@ -33,7 +33,7 @@
 
 
 def _read_answer(connection: socket.socket) -> bytes:
-    """Return what is sent up to the end of a line, or of the connection."""
+    """Read until the end of the line or of the connection, MAX_ANSWER_BYTES or a little more at most."""
     answer = b""
     while not answer.endswith(b"\n") and len(answer) < MAX_ANSWER_BYTES:
         chunk = connection.recv(READ_BYTES)
@@ -44,9 +44,9 @@
 
 
 def call_gateways(addresses: Sequence[Address], line: str, reason: str) -> GatewayAnswers:
-    """Call each gateway with this line, and read the JSON object that its ACK holds.
+    """Send a command line to each gateway and decode the JSON object in its ACK.
 
-    `reason`: what a gateway that refuses the line lacks.
+    `reason`: the explanation shown for a gateway that rejects the command, such as a disabled feature.
     """
     answers = GatewayAnswers({}, [])
     for host, port in addresses:
@@ -62,7 +62,7 @@
 
 
 def parse_address_list(text: str) -> list[Address]:
-    """Return the addresses of the option --at; raise ConfigError for what is no list of addresses."""
+    """Parse the value of --at; raise ConfigError if it is not a list of addresses."""
     if not text:
         expected = "host:port,host:port"
         message = f"--at: expected {expected} (or CLOVERKEEL_OPS)"
--- a/cloverkeel/core/body_budget.py
+++ b/cloverkeel/core/body_budget.py
@@ -1,25 +1,25 @@
-"""The common memory budget of large bodies. No I/O, and not compiled: BodyReservation relies on `__del__`.
+"""Memory budget shared by all large bodies. No I/O, and not compiled: BodyReservation relies on `__del__`.
 
-Invariant: `used_bytes` is the sum of the reservations that live.
+Invariant: `used_bytes` is the sum of all reservations that still exist.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-BYTES_A_MB: Final = 1024 * 1024
-BASELINE_MB: Final = 24  # of the memory limit: the program itself, connections, small bodies
-BODY_FRACTION: Final = 0.5  # of the rest; the other half is for buffers, and for what is freed late
-MIN_BUDGET_BYTES: Final = 2 * BYTES_A_MB
+BYTES_PER_MIB: Final = 1024 * 1024
+BASELINE_MB: Final = 24  # part of the memory limit for the program itself, connections and small bodies
+BODY_FRACTION: Final = 0.5  # fraction of the remaining memory; the rest covers buffers and memory that is freed late
+MIN_BUDGET_BYTES: Final = 2 * BYTES_PER_MIB
 
 
 def budget_for_memory(memory_mb: int) -> int:
-    """Return the bytes of large bodies under a limit on memory."""
-    return max(MIN_BUDGET_BYTES, int((memory_mb - BASELINE_MB) * BODY_FRACTION * BYTES_A_MB))
+    """Return the budget for large bodies, in bytes, under a memory limit in MiB."""
+    return max(MIN_BUDGET_BYTES, int((memory_mb - BASELINE_MB) * BODY_FRACTION * BYTES_PER_MIB))
 
 
 class BodyBudget:
-    """Bytes that all large bodies may hold together."""
+    """Limit on the total size of all large bodies in memory."""
 
     __slots__ = ("limit_bytes", "used_bytes")
 
@@ -29,10 +29,10 @@
 
 
 class BodyReservation:
-    """What one body holds of the budget; released when the last who knows the body forgets it.
+    """The bytes of the budget that one body uses; released when the last reference to the body is dropped.
 
-    By `__del__`, as several may hold one body (attempts that write it, a request that may be retried), and each lets
-    go in its own time: without a cycle, it is freed in that very moment.
+    `__del__` releases them, because a body may have several owners (attempts that write it, a request that may be
+    retried) that drop it at different times. Without a reference cycle CPython runs `__del__` immediately.
     """
 
     __slots__ = ("budget", "reserved_bytes")
@@ -42,7 +42,7 @@
         self.reserved_bytes = 0
 
     def try_grow(self, size: int) -> bool:
-        """Reserve so many bytes more; False, and nothing changes, where the budget does not have them."""
+        """Reserve `size` more bytes; return False and reserve nothing if that would exceed the budget."""
         if self.budget.used_bytes + size > self.budget.limit_bytes:
             return False
         self.budget.used_bytes += size
--- a/cloverkeel/core/calls.py
+++ b/cloverkeel/core/calls.py
@@ -1,4 +1,4 @@
-"""What a frontend hands to the core, and how it hears of the one response."""
+"""Interface between a frontend and the core: calls, and the callbacks that deliver the response to each."""
 
 from __future__ import annotations
 
@@ -9,49 +9,52 @@
 
 
 class FlowControl(Protocol):
-    """Where a streamed answer comes from: reading of it can be paused."""
+    """Flow control of the upstream connection that a streamed response is read from."""
 
     def pause_reading(self) -> None:
-        """Stop reading the answer until its client has taken what it has."""
+        """Stop reading the response until the client has received what was read so far."""
 
     def resume_reading(self) -> None:
-        """Read the answer again."""
+        """Resume reading the response."""
 
 
 class ResponseStream(Protocol):
-    """Where a streamed answer goes. After `on_complete` or `on_aborted` nothing follows."""
+    """Receiver of a streamed response. `on_complete` or `on_aborted` is the last call."""
 
     def on_chunk(self, data: bytes) -> None:
-        """Take the next bytes of the body."""
+        """Handle the next bytes of the body."""
 
     def on_complete(self) -> None:
-        """Take the end of the body."""
+        """Handle the end of the body."""
 
     def on_aborted(self) -> None:
-        """Take that the rest does not come: the client must be able to tell."""
+        """Handle an incomplete body: the client must be able to detect the truncation."""
 
 
 class Client(Protocol):
-    """Who awaits the response to a call; it gets just one of these."""
+    """Receiver of the response to a call. Exactly one of its `on_` methods is called."""
 
     def on_response(self, call: Call, reply: Reply) -> None:
-        """Take an answer in full."""
+        """Handle a complete response."""
 
     def on_stream_start(self, call: Call, reply: Reply, size: int | None, flow: FlowControl) -> ResponseStream | None:
-        """Take the head of a large answer, of `size` bytes if that is known. None: the client has gone."""
+        """Handle the head of a large response and return the receiver of its body; None if the client disconnected.
+
+        `size`: length of the body in bytes; None if unknown.
+        """
 
     def on_rejected(self, call: Call, retry_after_us: int) -> None:
-        """Take that the call was rejected; `retry_after_us` is 0 where nothing is known of when to retry."""
+        """Handle the rejection of the call. `retry_after_us`: when to retry; 0 if unknown."""
 
     def on_failed(self, call: Call, timed_out: bool) -> None:
-        """Take that the call has failed."""
+        """Handle the failure of the call."""
 
     def has_disconnected(self) -> bool:
-        """Tell whether the client has ended its connection, also where that is not yet read."""
+        """Return whether the client closed its connection, even if the event loop has not read the close yet."""
 
 
 class Call:
-    """A client's request, as the gateway takes it."""
+    """A client's request, as the frontend hands it to the gateway."""
 
     __slots__ = (
         "affinity_key", "body", "body_chunks", "body_reservation", "class_index", "client", "client_timeout_us",
@@ -62,15 +65,15 @@
         self, id_: str, class_index: int, client_timeout_us: int, affinity_key: int | None, cost_us: int | None,
         is_retry: bool, tenant: int, head: bytes, body: bytes, client: Client,
     ) -> None:  # fmt: skip
-        self.id_ = id_  # the client's; unique among calls in flight alone
+        self.id_ = id_  # chosen by the client; unique only among calls in flight
         self.class_index = class_index
         self.client_timeout_us = client_timeout_us
         self.affinity_key = affinity_key
-        self.cost_us = cost_us  # of CPU, as the client announces it
+        self.cost_us = cost_us  # CPU time that the client announces; None if it does not
         self.is_retry = is_retry
         self.tenant = tenant
-        self.head = head  # request line and headers to forward, all but the time budget and the end
+        self.head = head  # request line and headers to forward, without X-Budget-Ms and the final empty line
         self.body = body
-        self.body_chunks: list[bytes] | None = None  # a large body, in place of `body`
-        self.body_reservation: BodyReservation | None = None  # what that holds of the common budget
+        self.body_chunks: list[bytes] | None = None  # a large body; replaces `body`
+        self.body_reservation: BodyReservation | None = None  # reservation for `body_chunks`
         self.client = client
--- a/cloverkeel/core/clock.py
+++ b/cloverkeel/core/clock.py
@@ -1,6 +1,7 @@
-"""The one clock: Unix time at the start, carried on by a monotonic clock that counts suspends too, in microseconds.
+"""The program's only clock: Unix time at startup plus CLOCK_BOOTTIME since then, in microseconds.
 
-CLOCK_MONOTONIC stands still in some suspends, CLOCK_BOOTTIME does not: a grace that is over must be seen to be.
+CLOCK_MONOTONIC does not advance while the system is suspended, CLOCK_BOOTTIME does: a grace period that expired
+during a suspend must count as expired.
 """
 
 from __future__ import annotations
@@ -13,5 +14,5 @@
 
 
 def now_us() -> int:
-    """Return Unix time that only moves forward, so that it compares with the start times that discovery reports."""
+    """Return monotonic Unix time, which can be compared with the start times that discovery reports."""
     return (_OFFSET_NS + _read(_CLOCK)) // 1000
--- a/cloverkeel/core/config.py
+++ b/cloverkeel/core/config.py
@@ -1,7 +1,7 @@
-"""LB_CONFIG to settings, addresses, names, limits and the endpoint list as last known.
+"""Reads LB_CONFIG: settings, addresses, names, limits and the last known endpoint list.
 
-The keys of the file are the platform's. Where the code's names differ, this module maps them: `ops` is the admin
-address, `lanes` are request classes, `shapes` kinds of host.
+The platform defines the file's keys. Where names in the code differ, this module maps them: `ops` is the admin
+address, `lanes` are request classes, `shapes` are kinds of host.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 
 class ConfigError(ValueError):
-    """Report a configuration that cannot be used; the message says why, in one line.
+    """A configuration that cannot be used; the message is one line.
 
-    `file`, `key` and `expected` are "" where they are not known, or where the error is about none.
+    `file`, `key` and `expected` are "" if they are unknown or do not apply.
     """
 
     def __init__(self, message: str, *, file: str = "", key: str = "", expected: str = "") -> None:
@@ -43,13 +43,13 @@
 
     @classmethod
     def not_an_address(cls, key: str) -> ConfigError:
-        """Return the error for a text that is no address."""
+        """Return the error for a value that is not an address."""
         return cls(f"{key} is no address of the form host:port", key=key, expected="host:port")
 
 
 @dataclass(slots=True, frozen=True)
 class Names:
-    """The names behind the balancer's numbers: each list is in the order of the settings."""
+    """The balancer's number for each name: its position in the corresponding list of the settings."""
 
     classes: dict[bytes, int]
     tenants: dict[bytes, int]
@@ -59,30 +59,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What LB_CONFIG says of one gateway."""
+    """The contents of LB_CONFIG for one gateway."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # descriptors that all connections together may use
+    sockets: int  # maximum number of descriptors for connections
     memory_mb: int
-    known: dict[str, Any]  # the endpoint list as last known, in discovery's form
+    known: dict[str, Any]  # the last known endpoint list, in discovery's format
     settings: Settings
     names: Names
-    admin_listen: Address | None = None  # where operators call; None: there is no admin address
-    peer_listen: Address | None = None  # for datagrams of other gateways; None: there are none
-    peers: tuple[Address, ...] = ()  # of all gateways by their numbers, its own among them
+    admin_listen: Address | None = None  # for operators' commands; None: disabled
+    peer_listen: Address | None = None  # for datagrams of other gateways; None: disabled
+    peers: tuple[Address, ...] = ()  # peer addresses of all gateways, this one included; index: gateway number
 
 
 def stable_id(text: str | bytes, size: int) -> int:
-    """Return a number of `size` bytes that is the same for a text at every gateway and after every restart."""
+    """Return a hash of `size` bytes that is equal on every gateway and after every restart."""
     data = text.encode() if isinstance(text, str) else text
     return int.from_bytes(hashlib.blake2b(data, digest_size=size).digest())
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that LB_CONFIG names; raise ConfigError where it cannot be used."""
+    """Read the file that LB_CONFIG names; raise ConfigError if it cannot be used."""
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigError(message="LB_CONFIG is not set", key="LB_CONFIG", expected="the path of a file")
@@ -94,7 +94,7 @@
     admin_listen = environment.get("LB_OPS")
     if not admin_listen:
         return config
-    # A successor shares the file with the process before it: its own address wins.
+    # A successor process shares the file with its predecessor, so LB_OPS overrides the file's admin address.
     return replace(config, admin_listen=parse_address(admin_listen, "LB_OPS"))
 
 
@@ -109,7 +109,7 @@
 
 
 def parse(raw: object) -> Config:
-    """Return the configuration that an object read from JSON holds; raise ConfigError where it cannot be used."""
+    """Parse a configuration that was decoded from JSON; raise ConfigError if it cannot be used."""
     if not isinstance(raw, dict):
         raise ConfigError(message="the configuration is not an object", expected="an object")
     if not isinstance(raw.get("settings"), dict):
@@ -151,7 +151,7 @@
 
 
 def parse_address(text: object, key: str) -> Address:
-    """Return host and port of `host:port`; raise ConfigError that names `key` for anything else."""
+    """Parse `host:port` into host and port; raise ConfigError with `key` for anything else."""
     if not isinstance(text, str):
         raise ConfigError.not_an_address(key)
     host, _, port = text.rpartition(":")
--- a/cloverkeel/core/dispatcher.py
+++ b/cloverkeel/core/dispatcher.py
@@ -1,6 +1,6 @@
-"""Carries out the balancer's actions: attempts, final responses, timers, lists, health checks.
+"""Carries out the balancer's actions: attempts, final responses, timers, endpoint lists and health checks.
 
-Nothing is chosen here. What an attempt finds out is posted as an event and handled in its turn.
+This module makes no balancing decisions. The outcome of an attempt is posted to the event queue.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class RequestAttempt:
-    """One attempt of a request as the dispatcher sees it; its methods are what the upstream calls."""
+    """One attempt of a request; its methods are the callbacks that the upstream calls."""
 
     __slots__ = ("dispatcher", "index", "request", "server", "started_us", "timeout_us")
 
@@ -50,15 +50,18 @@
         self.timeout_us = timeout_us
 
     def may_start(self, _at_us: int) -> bool:
-        """Tell whether anybody still waits for it.
+        """Return whether the client still waits for the response.
 
-        Guards against sending what nobody waits for: its connection came up after its request was over.
+        Prevents sending a request that was answered or abandoned while its connection was being established.
         """
         request = self.request
         return request.awaits_response() and not request.call.client.has_disconnected()
 
     def build_payload(self, at_us: int) -> list[bytes]:
-        """Return the request with the time that is left as it is written: a connection may take long to come up."""
+        """Return the request with the remaining time at `at_us`, when it is written.
+
+        The time is not computed earlier because the connection may take long to establish.
+        """
         call = self.request.call
         left_us = self.timeout_us - (at_us - self.started_us)
         budget_ms = str(max(1, left_us // 1000)).encode()
@@ -66,7 +69,7 @@
         return head_and_body if call.body_chunks is None else head_and_body + call.body_chunks
 
     def on_response_start(self, reply: Reply, length: int | None, _latency_us: int) -> ResponseStream | None:
-        """Stream a large answer to the client: the first good one to begin."""
+        """Stream a large response to the client; the first attempt whose successful response starts wins."""
         request = self.request
         attempt = request.attempts[self.index]
         if not request.awaits_response() or attempt is None:
@@ -78,7 +81,7 @@
         return request.stream
 
     def on_end(self, result: AttemptResult) -> None:
-        """Post the outcome; a good one has its client's response also during a hold."""
+        """Post the outcome. A successful response is delivered to the client even during a hold."""
         dispatcher = self.dispatcher
         if result.outcome is Outcome.OK and dispatcher.queue.stall_detector.is_holding:
             dispatcher.queue.post_urgent(lambda: dispatcher.end_attempt(self, result))
@@ -87,7 +90,7 @@
 
 
 class ActionDispatcher:
-    """Carries out actions, and makes events of how attempts end."""
+    """Carries out actions, and posts the outcomes of attempts as events."""
 
     def __init__(
         self, settings: Settings, requests: RequestTable, queue: EventQueue, timers: LoopTimers,
@@ -130,27 +133,27 @@
                 log(f"gateway: action not carried out, action={action!r}")
 
     def set_timer(self, due_us: int, token: int) -> None:
-        """Post a timer's event when its time has come."""
+        """Schedule a timer whose event is posted when it expires."""
         self.timers.schedule(due_us, lambda: self.queue.post(lambda: TimerFired(token)))
 
     # Responses
 
     def reject_request(self, action: Refuse) -> None:
-        """Respond that a request is rejected, if it awaits its response."""
+        """Send a rejection to the client, if the request still awaits its response."""
         request = self.requests.claim_response(action.request)
         if request is not None:
             self.metrics.record_rejection(request.call.class_index, action.why)
             request.call.client.on_rejected(request.call, action.retry_after_us)
 
     def fail_request(self, key: str) -> None:
-        """Respond that a request has failed, if it awaits its response."""
+        """Send a failure to the client, if the request still awaits its response."""
         request = self.requests.claim_response(key)
         if request is not None:
             self.metrics.failed_by_class[request.call.class_index] += 1
             request.call.client.on_failed(request.call, request.has_timed_out)
 
     def on_client_disconnected(self, call: Call) -> None:
-        """Give up a request whose client has gone."""
+        """Abandon a request whose client disconnected."""
         request = self.requests.find_unanswered(call)
         if request is None:
             return
@@ -158,18 +161,22 @@
         if request.streaming_attempt != NO_ATTEMPT:
             attempt = request.attempts[request.streaming_attempt]
             if attempt is not None:
-                self.upstream.cancel_attempt(attempt)  # the balancer leaves it to the client
+                self.upstream.cancel_attempt(attempt)  # the balancer does not cancel a streaming attempt
         self.queue.post(lambda: self._end_abandoned(request))
 
     def _end_abandoned(self, request: InFlightRequest) -> Event:
-        """Forget a request only now: what was sent for it before the balancer hears of this gets its outcome."""
+        """Return the event of an abandoned request.
+
+        The request is marked as responded only when the event is handled, so that attempts started before then can
+        still report their outcome.
+        """
         self.requests.mark_responded(request)
         return RequestGone(request.key)
 
     # Attempts
 
     def send_attempt(self, action: Send) -> None:
-        """Start an attempt; where it can't be started any more it ends as moot."""
+        """Start an attempt; if it can no longer be started, it ends with the outcome MOOT."""
         request = self.requests.by_key.get(action.request)
         is_known = self.hosts.has_host(action.server)
         if request is None:
@@ -194,13 +201,13 @@
         )  # fmt: skip
 
     def _end_unsent(self, action: Send, index: int) -> Event:
-        """Return the event of an attempt that was not started."""
+        """Return the end event of an attempt that was not started."""
         request = self.requests.by_key.get(action.request)
         is_finished = request is None or request.is_responded
         return AttemptEnded(action.request, index, action.server, Outcome.MOOT, 0, is_finished)
 
     def end_attempt(self, attempt: RequestAttempt, result: AttemptResult) -> Event:
-        """Respond with what an attempt brought, if a response is due, and return the event of its end."""
+        """Deliver the response of an attempt, if the client awaits one, and return the attempt's end event."""
         request, server, outcome = attempt.request, attempt.server, result.outcome
         request.attempts_in_flight -= 1
         self.metrics.record_outcome(server, outcome, result.latency_us)
@@ -217,7 +224,7 @@
         return AttemptEnded(request.key, attempt.index, server, outcome, latency_us, is_finished, load)
 
     def _end_stream(self, request: InFlightRequest, outcome: Outcome) -> None:
-        """End a streamed response with its attempt, unless the client has gone."""
+        """End a streamed response when its attempt ends, unless the client disconnected."""
         stream, request.stream = request.stream, None
         if request.is_responded or stream is None:
             return
@@ -228,7 +235,7 @@
             stream.on_aborted()
 
     def cancel_attempt(self, action: Cancel) -> None:
-        """Cancel an attempt that is out."""
+        """Cancel an attempt in flight."""
         request = self.requests.by_key.get(action.request)
         if request is None or not 0 <= action.attempt < len(request.attempts):
             return
@@ -239,12 +246,12 @@
     # Health checks
 
     def check_health(self, server: int) -> None:
-        """Send a health check to a host that is on the list."""
+        """Send a health check to a host, if it is still on the endpoint list."""
         if self.hosts.has_host(server):
             self.upstream.send_health_check(
                 server, lambda result: self.queue.post(lambda: self._end_health_check(server, result))
             )
 
     def _end_health_check(self, server: int, result: AttemptResult) -> Event:
-        """Return the event of a health check's end."""
+        """Return the event that reports the result of a health check."""
         return Probed(server, result.outcome, result.latency_us, result.load_report)
--- a/cloverkeel/core/draining.py
+++ b/cloverkeel/core/draining.py
@@ -1,12 +1,12 @@
-"""Schedules of draining a gateway: by an operator (PAUSE), at shutdown (SIGTERM), or with a successor at its address.
+"""Schedules for draining a gateway: on PAUSE, on SIGTERM, and on SIGTERM with a successor at the same address.
 
-Pure: one type of schedule for all three, in seconds since the drain began. The frontend carries it out: which
-connections are closed, which are still accepted, which requests are rejected.
+Pure: the three cases share one type of schedule, in seconds since the drain began. The frontend carries it out: it
+closes connections, accepts new ones and rejects requests accordingly.
 
 Invariants:
-- no connection that awaits a response, or whose request goes on arriving, is closed before `abort_incomplete_from_s`;
-- from `reject_from_s` on no new request is begun, and at `respond_by_s`, before any SIGKILL, each that is in flight
-  has had its response.
+- before `abort_incomplete_from_s` no connection is closed that awaits a response or is still receiving a request;
+- no request that arrives after `reject_from_s` is processed, and by `respond_by_s`, which precedes any SIGKILL, each
+  request in flight has received its response.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 from typing import Final
 
 NEVER_S: Final = 1e9
-KILL_GRACE_S: Final = 0.7  # SIGKILL comes no sooner than the longest client timeout, 3 s at most, and this
-KILL_SAFETY_S: Final = 0.2  # the process ends so long before SIGKILL at the latest
-RESPONSE_DELIVERY_S: Final = 0.2  # for the last responses to reach their clients
-READ_STALL_TIMEOUT_S: Final = 0.4  # between two chunks of a request: a slow client sends some all the time
-MAX_SHUTDOWN_S = 3.4  # after SIGTERM, whatever is left: the longest client timeout, and the time that new ones come
+KILL_GRACE_S: Final = 0.7  # SIGKILL follows SIGTERM after at least the longest client timeout (up to 3 s) plus this
+KILL_SAFETY_S: Final = 0.2  # margin between the latest exit of the process and SIGKILL
+RESPONSE_DELIVERY_S: Final = 0.2  # time for the last responses to reach their clients
+READ_STALL_TIMEOUT_S: Final = 0.4  # maximum gap between two chunks of a request; a slow client keeps sending
+MAX_SHUTDOWN_S = 3.4  # limit after SIGTERM: the longest client timeout plus the time in which clients still connect
 
 
 @dataclass(slots=True, frozen=True)
 class DrainSchedule:
-    """Limits of one drain; times are seconds since it began."""
-
-    is_reported_ready: bool  # what a readiness check is answered
-    accept_until_s: float  # new connections are accepted until then
-    keep_alive_until_s: float  # responses leave their connections open until then
-    close_idle_from_s: float  # idle connections that had a response are closed from then on
-    first_request_timeout_s: float  # a new connection's first request is waited for, since it was accepted
-    reject_from_s: float  # requests that arrive from then on are rejected at once
-    abort_stalled_from_s: float  # a request that stalls for READ_STALL_TIMEOUT_S is aborted from then on
-    abort_incomplete_from_s: float  # any that has not arrived completely by then
-    respond_by_s: float  # what is in flight then gets its response, however long its client would wait
-
-    def can_abort_read(self, now_s: float, quiet_s: float) -> bool:
-        """Tell whether a request that has partly arrived, with nothing new for `quiet_s`, may be aborted."""
+    """Limits of one drain. Times are seconds since the drain began, unless stated otherwise."""
+
+    is_reported_ready: bool  # the answer to readiness checks
+    accept_until_s: float  # end of accepting new connections
+    keep_alive_until_s: float  # responses before this time leave their connection open
+    close_idle_from_s: float  # when to start closing idle connections that had a response
+    first_request_timeout_s: float  # maximum time from accepting a connection to its first request
+    reject_from_s: float  # when to start rejecting new requests immediately
+    abort_stalled_from_s: float  # when to start aborting requests without new data for READ_STALL_TIMEOUT_S
+    abort_incomplete_from_s: float  # when to start aborting all incomplete requests
+    respond_by_s: float  # when requests in flight are answered, even if clients would wait longer
+
+    def can_abort_read(self, now_s: float, read_gap_s: float) -> bool:
+        """Return whether a partly received request may be aborted; `read_gap_s` is the time since its last data."""
         if now_s >= self.abort_incomplete_from_s:
             return True
-        return now_s >= self.abort_stalled_from_s and quiet_s >= READ_STALL_TIMEOUT_S
+        return now_s >= self.abort_stalled_from_s and read_gap_s >= READ_STALL_TIMEOUT_S
 
     def can_close_idle(self, now_s: float, served: bool, age_s: float) -> bool:
-        """Tell whether an idle connection may be closed.
+        """Return whether an idle connection may be closed.
 
-        `served`: it had a response. `age_s`: time since it was accepted.
+        `served`: a response was sent on it. `age_s`: time since it was accepted.
         """
         if now_s >= self.abort_incomplete_from_s:
             return True
@@ -57,9 +57,9 @@
 def shutdown_schedule(max_client_timeout_s: float) -> DrainSchedule:
     """Return the schedule for SIGTERM without a successor.
 
-    New connections go on arriving for 0.4 s, and open ones are used. Both are served for a while: another gateway may
-    be down at the same time, and a client that is sent away finds none. A stalled request does not delay the end: the
-    sooner the process ends, the sooner it is back.
+    New connections keep arriving for 0.4 s, and clients keep using open ones. Both are served for a while: another
+    gateway may be down at the same time, and a client that is turned away may then find no gateway. A stalled request
+    does not delay the exit: the sooner the process exits, the sooner its replacement serves.
     """
     return DrainSchedule(
         is_reported_ready=False,
@@ -75,7 +75,7 @@
 
 
 def response_deadline_s(max_client_timeout_s: float) -> float:
-    """Return when, since SIGTERM, the last responses must be written."""
+    """Return the time since SIGTERM by which the last responses must be written."""
     before_kill_s = max_client_timeout_s + KILL_GRACE_S - KILL_SAFETY_S
     return min(MAX_SHUTDOWN_S, before_kill_s) - RESPONSE_DELIVERY_S
 
@@ -83,8 +83,9 @@
 def pause_schedule() -> DrainSchedule:
     """Return the schedule for PAUSE.
 
-    After 0.2 s no new connections come; after 4 s none is idle or has a request of the last 2 s. Until 1.5 s clients
-    find out by the response to their next request: a close would cross some of these.
+    No new connections arrive after 0.2 s. After 4 s no connection may be idle, nor have a request that began in the
+    last 2 s. Until 1.5 s clients learn of the drain from the response to their next request: closing their
+    connections earlier would race with requests on their way.
     """
     return DrainSchedule(
         is_reported_ready=False,
@@ -102,8 +103,8 @@
 def handover_schedule(max_client_timeout_s: float) -> DrainSchedule:
     """Return the schedule for SIGTERM while a successor serves at this address.
 
-    Nothing new is accepted, and open connections have their time: a request that arrives is served while its response
-    can be in time. `max_client_timeout_s`: the longest that a client waits.
+    No new connections are accepted. Requests on open connections are served as long as their responses can be sent
+    before `respond_by_s`. `max_client_timeout_s`: the longest timeout of any client.
     """
     respond_by_s = response_deadline_s(max_client_timeout_s)
     return DrainSchedule(
--- a/cloverkeel/core/event_queue.py
+++ b/cloverkeel/core/event_queue.py
@@ -1,11 +1,11 @@
-"""Events that wait to be handled, by what may be handled while the endpoint source catches up after a stall.
+"""Queue of events for the balancer, with holds: the times after a stall when the endpoint source catches up.
 
 Invariants:
-- endpoint lists come first: nothing is decided by an old list;
-- urgent events come next, also during a hold, since nothing is sent for them;
-- all other events wait for the end of a hold, or until the time of their request is over: they are urgent then, and
-  the balancer answers them and can send nothing;
-- an event is made in its turn and not when it is posted: it may be void by then (None).
+- endpoint lists are handled first, so that no decision is based on an outdated list;
+- urgent events are next, also during a hold, because handling them sends nothing upstream;
+- other events wait for the end of a hold, or until their request's deadline: then they become urgent, and the
+  balancer answers the request without being able to send it;
+- an event is created when it is handled, not when it is posted; it is None if it no longer applies by then.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 
 class EventProcessor:
-    """What is told that events wait. A base class and not a protocol: its calls stay direct when compiled."""
+    """Handles queued events. A base class, not a protocol, so that compiled code calls it directly."""
 
     def process_events(self) -> None:
-        """Handle what waits, unless that is under way."""
+        """Handle the queued events, unless a call is already doing so."""
         raise NotImplementedError
 
 
 class EventQueue:
-    """Holds events in the order in which they may be handled."""
+    """Queues events by priority: endpoint lists, urgent events, all other events."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, stall_detector: StallDetector, processor: EventProcessor
@@ -46,24 +46,24 @@
         self.events: deque[tuple[PendingEvent, InFlightRequest | None]] = deque()
 
     def post(self, event: PendingEvent, request: InFlightRequest | None = None) -> None:
-        """Queue an event, of a request or of none."""
+        """Queue an event; `request` is the request that it concerns, if any."""
         if self.stall_detector.is_holding:
             event = self._limit_wait(event, request)
         self.events.append((event, request))
         self.processor.process_events()
 
     def post_urgent(self, event: PendingEvent) -> None:
-        """Queue an event that must not wait until the endpoint source has caught up."""
+        """Queue an event that is handled even during a hold."""
         self.urgent.append(event)
         self.processor.process_events()
 
     def post_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """Queue an endpoint list, ahead of whatever else waits."""
+        """Queue an endpoint list, ahead of all other events."""
         self.endpoint_lists.append((kind, entries))
         self.processor.process_events()
 
     def next_event(self, may_send: bool) -> PendingEvent | None:
-        """Take the next event that may be handled now; None if there is none."""
+        """Remove and return the next event that may be handled now; None if there is none."""
         if self.urgent:
             return self.urgent.popleft()
         if self.events and may_send:
@@ -71,11 +71,11 @@
         return None
 
     def limit_waits(self) -> None:
-        """Let what waits now wait no longer than its request may: a hold has begun."""
+        """Limit the wait of each queued event to its request's deadline. Called when a hold begins."""
         self.events = deque((self._limit_wait(event, request), request) for event, request in self.events)
 
     def _limit_wait(self, event: PendingEvent, request: InFlightRequest | None) -> PendingEvent:
-        """Return an event that becomes urgent when its request's time is over, and is made once."""
+        """Return an event that becomes urgent at its request's deadline and is created only once."""
         if request is None:
             return event
         is_waiting = True
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -1,7 +1,7 @@
-"""The one balancer and what surrounds it: events in, actions out, the heartbeat, and holds after a stall.
+"""Drives the balancer: passes it events, carries out its actions, runs the heartbeat and holds after stalls.
 
-Nothing is chosen here. One event is handled and its actions are carried out before the next: what is found out
-meanwhile waits in the event queue.
+This module makes no balancing decisions. The actions of an event are carried out before the next event is handled;
+events that occur meanwhile wait in the event queue.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 from cloverkeel.core.stall_detector import HEARTBEAT_INTERVAL_US, StallDetector
 
 MIN_STALL_LOG_INTERVAL_US: Final = 10_000_000
-TIMER_MARGIN_S: Final = 0.001  # the loop rounds, and nothing must be early
+TIMER_MARGIN_S: Final = 0.001  # asyncio rounds timer deadlines, and no timer may run early
 
-StallListener = Callable[[int, int], None]  # called with the time and the length of a stall, in µs
+StallListener = Callable[[int, int], None]  # arguments: end and duration of a stall, in µs
 
 
 class Gateway(EventProcessor):
-    """Owns the balancer, and the parts that carry out what it decides."""
+    """Owns the balancer and the components that carry out its actions."""
 
     def __init__(self, config: Config, hosts: HostTable, upstream: Upstream, endpoint_source: EndpointSource) -> None:
         self.loop = asyncio.get_running_loop()
@@ -69,25 +69,26 @@
         self.is_closed = False
         self.heartbeat_timer: asyncio.TimerHandle | None = None
         self.metrics_due_us = 0
-        self.opened_before = 0  # connections opened when the last metrics line was written
+        self.opened_at_last_line = 0  # value of hosts.opened_count() at the last metrics line
         self.stall_logged_us = 0
         endpoint_source.set_listener(self.on_endpoint_list)
         upstream.set_write_guard(self.may_write)
 
     def start(self) -> None:
-        """Begin with the endpoint list from before, and ask for a newer one when the balancer says so."""
+        """Load the last known endpoint list; the balancer then requests newer ones."""
         self.stall_detector.check(now_us())
-        self.stall_detector.end_hold(now_us(), caught_up=True)  # what came before the first list is no stall
+        # The time before the first list does not count as a stall.
+        self.stall_detector.end_hold(now_us(), caught_up=True)
         self.on_heartbeat()
         self.endpoint_source.load_known(self.known_endpoints)
 
     @property
     def can_serve(self) -> bool:
-        """Whether there is any host to send to."""
+        """Whether any host is known."""
         return not self.hosts.is_empty()
 
     def close(self) -> None:
-        """Stop: nothing more is handled."""
+        """Stop handling events and close all components."""
         self.is_closed = True
         self.endpoint_updates.close()
         if self.heartbeat_timer is not None:
@@ -99,7 +100,7 @@
     # Requests
 
     def admit_request(self, call: Call) -> bool:
-        """Take a client's request; False if one with its id is in flight."""
+        """Accept a client's request; return False if a request with the same id is in flight."""
         if self.requests.has_client_id(call.id_):
             return False
         request = self.requests.add(call, now_us() + call.client_timeout_us)
@@ -112,48 +113,59 @@
         return True
 
     def on_client_disconnected(self, call: Call) -> None:
-        """Give up a request whose client has gone."""
+        """Abandon a request whose client disconnected."""
         self.dispatcher.on_client_disconnected(call)
 
     def answer_all_requests(self) -> None:
-        """Have every request in flight answered now: this process ends."""
+        """Have every request in flight answered now, because the process is about to exit."""
         if self.requests.by_client_id:
             self.queue.post_urgent(AnswerAll)
 
-    # What other processes and gateways tell: ahead of whatever waits, as it restricts
+    # Reports of other processes and gateways: urgent events, because they restrict what may be sent
 
     def set_process_count(self, processes: int) -> None:
-        """Learn that this gateway is so many processes for a time."""
+        """Set how many processes this gateway consists of for now."""
         self.queue.post_urgent(lambda: ProcessesChanged(processes))
 
     def set_slow_start_quota(
-        self, server: int, started_us: int, lent_us: int, granted: float, granted_us: int
+        self, server: int, started_us: int, lent_until_us: int, granted: float, granted_until_us: int
     ) -> None:
-        """Learn which quotas of a warming-up server's budget are lent or granted, and until when."""
-        self.queue.post_urgent(lambda: SlowStartQuota(server, started_us, lent_us, granted, granted_us))
+        """Set the quotas of a warming server's slow-start budget that are lent and granted, and until when (µs)."""
+        self.queue.post_urgent(lambda: SlowStartQuota(server, started_us, lent_until_us, granted, granted_until_us))
 
     def suspend_probes(self, server: int, until_us: int) -> None:
-        """Learn that another gateway probes a server until then; 0: it answers there."""
+        """Suspend probes of a server, which another gateway probes until `until_us`; 0: it answered, probe it now."""
         self.queue.post_urgent(lambda: ProbesSuspended(server, until_us))
 
     def report_peer_health(
-        self, server: int, started_us: int, good: float, bad: float, reporters: int, well: int, until_us: int
+        self,
+        server: int,
+        started_us: int,
+        successes: float,
+        failures: float,
+        failure_reporters: int,
+        success_reporters: int,
+        until_us: int,
     ) -> None:
-        """Learn what other gateways saw of a server."""
-        self.queue.post_urgent(lambda: PeerHealthReport(server, started_us, good, bad, reporters, well, until_us))
+        """Set what the gateways together observed of a server, which is valid until `until_us`."""
+        self.queue.post_urgent(
+            lambda: PeerHealthReport(
+                server, started_us, successes, failures, failure_reporters, success_reporters, until_us
+            )
+        )
 
-    def grant_retry_tokens(self, cap: float, moved: float = 0.0, until_us: int = 0) -> None:
-        """Learn that retry tokens came or went: nothing may be spent that has gone."""
-        self.queue.post_urgent(lambda: RetryTokenGrant(cap, moved, until_us))
+    def grant_retry_tokens(self, max_tokens: float, token_delta: float = 0.0, expires_us: int = 0) -> None:
+        """Add retry tokens, or remove them if `token_delta` is negative; removed tokens can no longer be spent."""
+        self.queue.post_urgent(lambda: RetryTokenGrant(max_tokens, token_delta, expires_us))
 
     # Events
 
     def on_endpoint_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
-        """Handle a list of the endpoint source."""
+        """Queue a list from the endpoint source and handle it."""
         self.queue.post_endpoint_list(kind, entries)
 
     def process_events(self) -> None:
-        """Handle what waits, unless that is under way; during a hold, what may be handled then."""
+        """Handle the queued events that may be handled now, unless a call is already doing so."""
         if self.is_processing:
             return
         self.is_processing = True
@@ -164,7 +176,7 @@
             self.is_processing = False
 
     def _process_next(self) -> bool:
-        """Handle the next event that may be handled; False if there is none."""
+        """Handle the next event that may be handled now; return False if there is none."""
         at_us = now_us()
         may_send = self.may_write(at_us)
         if self.queue.endpoint_lists:
@@ -183,28 +195,28 @@
         return True
 
     def handle_event(self, at_us: int, event: Event) -> None:
-        """Let the balancer decide on an event, and carry out its actions."""
+        """Pass an event to the balancer and carry out the resulting actions."""
         for action in self._decide(at_us, event):
             try:
                 self.dispatcher.carry_out(action)
             except Exception:
-                # Guards the client whose event is being handled: an error here would end its connection.
+                # Guards the client whose event is being handled: an exception would close its connection.
                 log(f"gateway: action failed, action={action!r}\n{traceback.format_exc()}")
 
     def _decide(self, at_us: int, event: Event) -> list[Action]:
-        """Return the balancer's actions; where it fails, the failure of the request that the event is of."""
+        """Return the balancer's actions; if it raises, an action that fails the event's request, if it has one."""
         try:
             return self.balancer.handle(at_us, event)
         except Exception:
-            # Guards against one bad decision ending the process and all that is in flight.
+            # Guards against one bad decision ending the process and every request in flight.
             log(f"gateway: balancer failed, event={event!r}\n{traceback.format_exc()}")
         return [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
 
     # Heartbeat and metrics
 
     def on_heartbeat(self) -> None:
-        """Check for a stall, and write the metrics line of each second."""
-        # First: nothing below may end it.
+        """Check for a stall, and write the metrics line once a second."""
+        # Scheduled first, so that an exception below cannot stop the heartbeat.
         self.heartbeat_timer = self.loop.call_later(HEARTBEAT_INTERVAL_US / 1e6, self.on_heartbeat)
         at_us = now_us()
         self.check_stall(at_us)
@@ -212,31 +224,34 @@
             self.write_metrics(at_us)
 
     def write_metrics(self, at_us: int) -> None:
-        """Write the metrics line; where nobody reads the log, the sums go on."""
+        """Write the metrics line; if the log cannot be written now, keep adding to the same counters."""
         self.metrics_due_us = at_us - at_us % METRICS_INTERVAL_US + METRICS_INTERVAL_US
         opened = self.hosts.opened_count()
         line = self.metrics.format_line(
-            at_us, self.balancer.shed_ratios(), opened - self.opened_before, self.endpoint_updates.received_entries
+            at_us,
+            self.balancer.shed_ratios(),
+            opened - self.opened_at_last_line,
+            self.endpoint_updates.received_entries,
         )
         if line is not None and log_if_read(line):
-            self.opened_before = opened
+            self.opened_at_last_line = opened
             self.endpoint_updates.received_entries = 0
             self.metrics.reset()
 
     # Stalls
 
     def may_write(self, at_us: int) -> bool:
-        """Tell whether anything may be sent now: not during a hold."""
+        """Return whether anything may be sent now: not during a hold."""
         return at_us <= self.stall_detector.next_check_due_us or self.check_stall(at_us)
 
     def check_stall(self, at_us: int) -> bool:
-        """Check for a stall of the loop; returns whether anything may be sent."""
+        """Check for a stall of the event loop; return whether anything may be sent."""
         if self.stall_detector.check(at_us):
             self.on_stall()
         return not self.stall_detector.is_holding
 
     def on_stall(self) -> None:
-        """Have the endpoint source read what it was notified of meanwhile, before anything is sent."""
+        """Begin a hold: the endpoint source reads the notifications of the stall before anything is sent."""
         hold_started_us, stall_us = self.stall_detector.hold_started_us, self.stall_detector.stall_us
         for listener in self.stall_listeners:
             listener(hold_started_us, stall_us)
@@ -245,9 +260,8 @@
             log(f"gateway: stalled, duration_s={stall_us / 1e6:.2f} count={self.stall_detector.stall_count}")
 
         def on_caught_up() -> None:
-            if (
-                self.stall_detector.hold_started_us == hold_started_us
-            ):  # else there was a further stall, and a new hold
+            # Otherwise a further stall began a new hold.
+            if self.stall_detector.hold_started_us == hold_started_us:
                 self.end_hold(caught_up=True)
 
         self.loop.call_later(self.stall_detector.max_hold_us / 1e6 + TIMER_MARGIN_S, self.end_hold, False)
@@ -255,7 +269,7 @@
         self.endpoint_source.catch_up(stall_us, on_caught_up)
 
     def end_hold(self, caught_up: bool) -> None:
-        """End the hold if it may end, and handle what waited."""
+        """End the hold if it may end, and handle the events that waited."""
         if self.is_closed:
             return
         if self.stall_detector.check(now_us()):
--- a/cloverkeel/core/gc_tuning.py
+++ b/cloverkeel/core/gc_tuning.py
@@ -1,15 +1,17 @@
-"""Keep what lives long out of the garbage collector's way: a full pass visits every object that is not frozen.
+"""Freezes long-lived objects, so that full garbage collections do not visit them.
 
-Where 38,000 endpoints are known such a pass took 69 ms, and the program freezes what its start has made before it
-knows any. So it does again whenever lists have added ENTRIES_PER_FREEZE entries: a pass first, over what was made
-since the last time only (a millisecond or so), so that no garbage is frozen; then what is left is frozen.
+A full collection visits every object that is not frozen; with 38,000 endpoints it took 69 ms. The objects created at
+startup are frozen before any endpoint is known. The objects of endpoints are frozen whenever lists have added
+ENTRIES_PER_FREEZE entries: first a collection, which visits only the objects created since the last freeze (about a
+millisecond), so that no garbage is frozen; then the remaining objects are frozen.
 
-It is told of a list once all batches of it are applied: each pass in between would visit those that still wait.
+A list is counted once all of its batches are applied: a collection before that would visit the pending entries.
 
 Invariants:
-- no object that a list has added is visited by more than one full pass that this one begins;
-- what is frozen is freed all the same when nobody refers to it: endpoints that leave are no cycles. What would leak
-  is a cycle that is in use at a freeze and garbage later; requests, connections and endpoints make none that stay.
+- of the full collections started here, at most one visits an object that a list has added;
+- a frozen object is still freed once its reference count is 0, as removed endpoints are not part of reference cycles.
+  Only a cycle that is in use at a freeze and garbage later would leak; requests, connections and endpoints create no
+  lasting cycles.
 """
 
 from __future__ import annotations
@@ -18,13 +20,14 @@
 from collections.abc import Callable
 from typing import Final
 
-ENTRIES_PER_FREEZE: Final = 500  # some 12 objects of each stay
-YOUNG_THRESHOLD: Final = 5_000  # objects made and not freed between two passes: requests and connections leave none
+ENTRIES_PER_FREEZE: Final = 500  # about 12 long-lived objects for each entry
+# Net allocations between collections of the youngest generation; requests and connections leave no garbage cycles.
+YOUNG_THRESHOLD: Final = 5_000
 OLDER_THRESHOLD: Final = 10
 
 
 def freeze_startup_objects() -> None:
-    """Freeze what the start has made, which is never garbage, and let the collector run more rarely."""
+    """Freeze the objects created at startup, which are never garbage, and make collections less frequent."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(YOUNG_THRESHOLD, OLDER_THRESHOLD, OLDER_THRESHOLD)
@@ -33,7 +36,7 @@
 class EndpointFreezer:
     """Freeze the objects of endpoint lists, once enough entries have been added.
 
-    `call_soon` calls a function in a turn of the loop of its own.
+    `call_soon` schedules a function for a later iteration of the event loop.
     """
 
     def __init__(self, call_soon: Callable[[Callable[[], None]], object]) -> None:
@@ -43,14 +46,14 @@
         self.freezes = 0
 
     def on_entries_added(self, entries: int) -> None:
-        """Count the entries that a list has added; schedule a freeze where it is due."""
+        """Count the entries that a list has added; schedule a freeze if it is due."""
         self._added_entries += entries
         if self._added_entries >= ENTRIES_PER_FREEZE and not self.is_scheduled:
             self.is_scheduled = True
             self._call_soon(self.freeze)
 
     def freeze(self) -> None:
-        """Collect garbage, then freeze all that is left."""
+        """Collect garbage, then freeze all remaining objects."""
         gc.collect()
         gc.freeze()
         self._added_entries = 0
--- a/cloverkeel/core/incremental.py
+++ b/cloverkeel/core/incremental.py
@@ -1,6 +1,6 @@
-"""Work that is done in steps, so that the event loop serves others between them.
+"""Incremental computations, which let the event loop run other callbacks between their steps.
 
-Such work is a generator: each `yield` is a point where it may be suspended, and it returns its result at the end.
+An incremental computation is a generator: it may be suspended at each `yield`, and returns its result at the end.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 Result = TypeVar("Result")
 Incremental = Generator[None, None, Result]
-HintedIncremental = Generator[bool | None, None, Result]  # yields True where the next step is a long one
+HintedIncremental = Generator[bool | None, None, Result]  # yields True if the next step is a long one
 
 
 def run_to_completion(steps: HintedIncremental[Result]) -> Result:
-    """Run all steps without suspending, and return the result."""
+    """Run all steps without suspension, and return the result."""
     while True:
         try:
             next(steps)
--- a/cloverkeel/core/incremental_gzip.py
+++ b/cloverkeel/core/incremental_gzip.py
@@ -1,10 +1,9 @@
-"""Decompress a gzip body in steps, so that the event loop serves others between them. Pure: no I/O, no clock.
+"""Incremental gzip decompression, which lets the event loop run between steps. Pure: no I/O, no clock.
 
 Invariants:
-- a step makes MAX_BYTES_PER_STEP at the most and reads as many: some 0.1 ms, whatever was compressed;
-- no more than a step beyond `limit` is ever made: what is a few bytes compressed may be any number once read;
-- what is returned is one whole gzip member (RFC 1952) and all of the body: what is cut short, or goes
-  on, is rejected.
+- a step consumes and produces at most MAX_BYTES_PER_STEP bytes, which takes about 0.1 ms for any input;
+- decompression stops within one step beyond `limit`, as a few compressed bytes may expand to any size;
+- the body must be exactly one complete gzip member (RFC 1952): truncated and trailing data are rejected.
 """
 
 from __future__ import annotations
@@ -14,11 +13,14 @@
 from typing import Final
 
 MAX_BYTES_PER_STEP: Final = 64 << 10
-_GZIP_WINDOW_BITS: Final = 16 + zlib.MAX_WBITS  # zlib's way to ask for gzip's header and checksum
+_GZIP_WINDOW_BITS: Final = 16 + zlib.MAX_WBITS  # 16 selects the gzip header and checksum in zlib
 
 
 def decompress_gzip(body: bytes, limit: int) -> Generator[None, None, bytes]:
-    """Return what was compressed. ValueError: it is not gzip, not complete, or longer than `limit` bytes."""
+    """Return the decompressed body.
+
+    Raises ValueError if it is not exactly one gzip member, or is longer than `limit` bytes.
+    """
     decompressor = zlib.decompressobj(_GZIP_WINDOW_BITS)
     chunks: list[bytes] = []
     offset = size = 0
@@ -32,12 +34,12 @@
         except zlib.error as error:
             raise ValueError(f"not gzip: {error}") from None
         if not chunk and not compressed:
-            raise ValueError("gzip that is cut short")
+            raise ValueError("truncated gzip data")
         size += len(chunk)
         if size > limit:
-            raise ValueError(f"more than {limit} bytes once read")
+            raise ValueError(f"decompressed body exceeds {limit} bytes")
         chunks.append(chunk)
         yield
     if decompressor.unused_data or offset < len(body):
-        raise ValueError("something comes after the gzip")
+        raise ValueError("trailing data after the gzip member")
     return b"".join(chunks)
--- a/cloverkeel/core/incremental_json.py
+++ b/cloverkeel/core/incremental_json.py
@@ -1,11 +1,11 @@
-"""Decode a long JSON text in steps, so that the event loop serves others between them. Pure: no I/O, no clock.
+"""Incremental JSON decoder, which lets the event loop run between steps. Pure: no I/O, no clock.
 
-Invariants: what `decode_json` returns is what json.loads returns of the same text; what that rejects, this rejects.
+Invariants: `decode_json` returns the same object as json.loads, and rejects whatever json.loads rejects.
 
-Entries are read some at a time, as JSON's own reader is quickest so. A slice of text is cut behind a brace, with no
-look at what that closes: where the slice is a list of values, they are those that stand there, as JSON is read from
-left to right and a value that ends in a brace is over there. Where it is none (the brace closed something inside an
-entry, or stands in a string) the same entries are read one by one.
+Entries are decoded in batches, because one call of json.loads for many entries is fastest. The text is cut after a
+closing brace without checking what the brace closes. If the slice decodes as a list of values, these are the next
+entries: JSON is parsed from left to right, and a value that ends in a brace ends there. If it does not (the brace
+closes something inside an entry, or is part of a string), the same entries are decoded one by one.
 """
 
 from __future__ import annotations
@@ -15,16 +15,19 @@
 from collections.abc import Generator
 from typing import Any, Final
 
-MAX_ENTRIES_PER_STEP: Final = 16  # that are read one by one: some 0.1 ms
-MAX_CHARS_PER_STEP: Final = 4 << 10  # that are read at once: some 25 entries, 0.1 ms
-MAX_QUOTED_CHARS: Final = 20  # of what was found in place of a mark
+MAX_ENTRIES_PER_STEP: Final = 16  # when entries are decoded one by one; about 0.1 ms
+MAX_CHARS_PER_STEP: Final = 4 << 10  # when entries are decoded in a batch; about 25 entries, 0.1 ms
+MAX_QUOTED_CHARS: Final = 20  # of the unexpected text in an error
 INCREMENTAL_KEY: Final = "endpoints"
 _WHITESPACE: Final = re.compile(r"[ \t\n\r]*")
 _decode_value: Final = json.JSONDecoder().raw_decode
 
 
 def decode_json(body: bytes) -> Generator[None, None, dict[str, Any]]:
-    """Decode an object as json.loads does, with a step after some of its `endpoints`. ValueError: it is no object."""
+    """Decode an object as json.loads does, with a step after each batch of `endpoints`.
+
+    Raises ValueError if the text is not a JSON object.
+    """
     text = body.decode()
     decoded: dict[str, Any] = {}
     position = _expect(text, _skip_whitespace(text, 0), "{")
@@ -33,7 +36,7 @@
             position = _expect(text, position, ",")
         key, position = _decode_value(text, position)
         if not isinstance(key, str):
-            raise ValueError("expected a key")
+            raise ValueError("expected a string as key")
         position = _expect(text, _skip_whitespace(text, position), ":")
         if key == INCREMENTAL_KEY and text[position : position + 1] == "[":
             entries: list[Any] = []
@@ -43,12 +46,12 @@
             decoded[key], position = _decode_value(text, position)
         position = _skip_whitespace(text, position)
     if _skip_whitespace(text, position + 1) != len(text):
-        raise ValueError("something comes after the list")
+        raise ValueError("trailing data after the JSON object")
     return decoded
 
 
 def _decode_entries(text: str, position: int, entries: list[Any]) -> Generator[None, None, int]:
-    """Read a list into `entries`, some entries a step; returns the position behind it."""
+    """Decode a list into `entries`, one batch in each step; return the position after it."""
     position = _expect(text, position, "[")
     while text[position : position + 1] != "]":
         if entries:
@@ -60,7 +63,7 @@
 
 
 def _decode_batch(text: str, position: int) -> tuple[list[Any], int]:
-    """Read the next entries, one at the least; returns them and the position behind them."""
+    """Decode at least one entry; return the entries and the position after them."""
     end = text.rfind("},", position, position + MAX_CHARS_PER_STEP) + 1
     if end:
         try:
@@ -88,9 +91,9 @@
     return space.end() if space is not None else position
 
 
-def _expect(text: str, position: int, mark: str) -> int:
-    """Return the position behind a mark and what whitespace follows. ValueError: something else is there."""
-    if text[position : position + 1] != mark:
+def _expect(text: str, position: int, character: str) -> int:
+    """Return the position after `character` and whitespace; raise ValueError if another character is there."""
+    if text[position : position + 1] != character:
         found = text[position : position + MAX_QUOTED_CHARS]
-        raise ValueError(f"expected {mark} at {position}, found {found!r}")
+        raise ValueError(f"expected {character} at {position}, found {found!r}")
     return _skip_whitespace(text, position + 1)
--- a/cloverkeel/core/list_batches.py
+++ b/cloverkeel/core/list_batches.py
@@ -1,18 +1,20 @@
-"""Apply long endpoint lists in batches: what restricts is applied at once, the rest by turns of the loop. Pure.
+"""Splits long endpoint lists into batches, one for each iteration of the event loop. Pure.
 
-A list of six hundred hosts, applied in one piece, stalls the loop for longer than a request may be held up. Between
-two batches requests are served.
+Applying a list of six hundred hosts in one piece would stall the loop for longer than a request may be delayed.
+Between two batches requests are served. Entries that restrict the use of a host are applied immediately.
 
 Invariants:
-- what was applied and what is pending are together the newest entry of each host: what a newer list says of a host,
-  or a snapshot by not naming it, takes the place of what is pending;
-- what is pending restricts nothing: hosts that drain, are gone, have moved or are new processes are applied at once;
-- a list of MAX_UNSPLIT_ENTRIES or fewer is applied in one piece where no more hosts are known, and a list of
-  BATCH_ENTRIES always;
-- so is the list of a gateway that knows few hosts yet: what arrives meanwhile would go to the few of the first batch,
-  from every gateway that starts at that time. Its first list holds up nobody: without one nobody is served;
-- bounded: one entry a host, of those that a snapshot named and changes since.
-It may not know who tells the balancer, nor what time it is.
+- the applied and the pending entries together hold the newest entry of each host: a pending entry is replaced by an
+  entry in a newer list, and dropped by a snapshot without the host;
+- no pending entry restricts a host: entries of hosts that drain, were removed, have moved or restarted are applied
+  immediately;
+- a list of up to MAX_UNSPLIT_ENTRIES is applied in one piece if no more hosts than that are known, and a list of up
+  to BATCH_ENTRIES always;
+- so is the list of a gateway that knows few hosts yet: otherwise it would send all requests to the few hosts of the
+  first batch, as would every other gateway that starts at the same time. The first list delays no requests, as none
+  can be served without it;
+- memory is bounded by one entry for each host in the last snapshot and the changes since then.
+The module must not depend on the balancer's caller or on the clock.
 """
 
 from __future__ import annotations
@@ -25,53 +27,53 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_UNSPLIT_ENTRIES: Final = 200  # and hosts known: the platform's complete list is no longer
-BATCH_ENTRIES: Final = 50  # in a turn: under a millisecond, all of them new, on a machine with other work
-MAX_GROWTH_FACTOR: Final = 4  # a list of more entries than so many times the hosts known is applied in one piece
+MAX_UNSPLIT_ENTRIES: Final = 200  # also limits the known hosts; the platform's complete list is no longer than this
+BATCH_ENTRIES: Final = 50  # takes under 1 ms even if all entries are new and the machine is busy
+MAX_GROWTH_FACTOR: Final = 4  # a list of more than this many times the known hosts is applied in one piece
 
 
 class ListBatches:
-    """What is pending of long lists, by host and in the order they came in; a newer entry has its place."""
+    """Pending entries of long lists, by server number; a newer entry keeps the position of the one it replaces."""
 
     def __init__(self) -> None:
         self.pending: dict[int, Endpoint] = {}
 
     def name_of(self, server: int) -> str | None:
-        """Return the name of a host that is pending."""
+        """Return the name of a host with a pending entry; None if it has none."""
         endpoint = self.pending.get(server)
         return endpoint.name if endpoint is not None else None
 
     def clear(self) -> None:
-        """Drop what is pending: a snapshot has come."""
+        """Drop the pending entries, which a snapshot supersedes."""
         self.pending.clear()
 
     def take_all(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """Return a whole list, which is applied now."""
+        """Return a list that is applied in one piece, and drop the pending entries that it replaces."""
         for endpoint in endpoints if self.pending else ():
             self.pending.pop(endpoint.listed.server, None)
         return endpoints
 
     def split(
-        self, endpoints: list[Endpoint], known_hosts: int, is_another: Callable[[Endpoint], bool]
+        self, endpoints: list[Endpoint], known_hosts: int, has_changed: Callable[[Endpoint], bool]
     ) -> list[Endpoint]:
-        """Return what of a list is to be applied now; the rest is pending.
+        """Return the entries of a list to apply immediately; the others become pending.
 
-        `known_hosts`: how many are known now, what the list leaves out taken off already. `is_another`: whether a
-        host is known as another process, or at another address.
+        `known_hosts`: number of known hosts, without those that the list removes. `has_changed`: whether a host is
+        known with another address or process start time.
         """
         max_unsplit = MAX_UNSPLIT_ENTRIES if known_hosts <= MAX_UNSPLIT_ENTRIES else BATCH_ENTRIES
         if len(endpoints) <= max_unsplit or len(endpoints) > MAX_GROWTH_FACTOR * known_hosts:
             return self.take_all(endpoints)
-        now: list[Endpoint] = []
-        for endpoint in endpoints:  # of a host that is named twice the last entry is applied last
+        immediate: list[Endpoint] = []
+        for endpoint in endpoints:  # if a host is listed twice, its last entry is applied last
             listed = endpoint.listed
-            if listed.status is not ServerStatus.READY or is_another(endpoint):
+            if listed.status is not ServerStatus.READY or has_changed(endpoint):
                 self.pending.pop(listed.server, None)
-                now.append(endpoint)
+                immediate.append(endpoint)
             else:
                 self.pending[listed.server] = endpoint
-        return now
+        return immediate
 
     def next_batch(self) -> list[Endpoint]:
-        """Return the next batch of what is pending; empty where nothing is."""
+        """Remove and return the next batch of pending entries; empty if there are none."""
         return [self.pending.pop(server) for server in list(islice(self.pending, BATCH_ENTRIES))]
--- a/cloverkeel/core/log.py
+++ b/cloverkeel/core/log.py
@@ -1,4 +1,4 @@
-"""The program's log: lines on standard error."""
+"""Logging to standard error, which never blocks."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def log(line: str) -> None:
-    """Write one line of the program's log, or lose it where nobody reads the log any more.
+    """Write one line to the log, or drop it if it cannot be written without blocking.
 
-    Guards against a log that nobody reads: the pipe fills, and the next line would stop the program. Nothing is
-    logged for each request.
+    If no process reads the log, its pipe fills up, and a blocking write would stop the program. No line is logged per
+    request.
     """
     log_if_read(line)
 
 
 def log_if_read(line: str) -> bool:
-    """Write a line that can wait; return False, with nothing written, where whoever reads the log is behind or gone.
+    """Write a line; return False and write nothing if the log's reader is too slow or has exited.
 
-    A line of up to PIPE_BUF bytes (4 KiB) is written whole where it can be written at all.
+    A line of up to PIPE_BUF bytes (4 KiB) is either written completely or not at all.
     """
     with contextlib.suppress(OSError):
         if is_writable():
@@ -32,7 +32,7 @@
 
 
 def is_writable() -> bool:
-    """Tell whether a line can be written without waiting; what is no file takes any."""
+    """Return whether a line can be written without blocking; always True if standard error is not a file."""
     try:
         fd = sys.stderr.fileno()
     except (OSError, ValueError):
--- a/cloverkeel/core/loop_timers.py
+++ b/cloverkeel/core/loop_timers.py
@@ -1,4 +1,4 @@
-"""Timers of one owner behind a single timer of the loop. Which is due, and when, is in timers.py."""
+"""Runs the timers of one owner with a single asyncio timer. The heap of timers is in timers.py."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from cloverkeel.core.log import log
 from cloverkeel.core.timers import Timer, TimerCallback, Timers
 
-LOOP_MARGIN_S: Final = 0.001  # the loop rounds, and nothing must be early
+LOOP_MARGIN_S: Final = 0.001  # asyncio rounds timer deadlines, and no timer may run early
 NOT_ARMED: Final = 0
 
 
 class LoopTimers:
-    """Runs timers on a loop."""
+    """Runs timers on an event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.timers = Timers()
-        self.armed_us = NOT_ARMED  # when the loop's timer is due
+        self.armed_us = NOT_ARMED  # when the asyncio timer is due
         self.handle: asyncio.TimerHandle | None = None
 
     def schedule(self, due_us: int, callback: TimerCallback) -> Timer:
-        """Run a callback once that time of the program's clock has come, and not before."""
+        """Run a callback once the program's clock has reached `due_us`, never earlier."""
         timer = self.timers.schedule(due_us, callback)
         if not self.armed_us or due_us < self.armed_us:
             self.arm(due_us)
         return timer
 
     def arm(self, due_us: int) -> None:
-        """Set the loop's timer, in place of the one that was set."""
+        """Set the asyncio timer, replacing the previous one."""
         if self.handle is not None:
             self.handle.cancel()
         self.armed_us = due_us
         self.handle = self.loop.call_later(max(0, due_us - now_us()) / 1e6 + LOOP_MARGIN_S, self.run_due)
 
     def run_due(self) -> None:
-        """Run all callbacks that are due; one that fails takes no other along."""
+        """Run all callbacks that are due; an exception in one does not affect the others."""
         self.handle = None
         self.armed_us = NOT_ARMED
         at_us = now_us()
@@ -52,7 +52,7 @@
             self.arm(next_us)
 
     def close(self) -> None:
-        """Run nothing any more."""
+        """Drop all timers."""
         if self.handle is not None:
             self.handle.cancel()
         self.handle = None
--- a/cloverkeel/core/messages.py
+++ b/cloverkeel/core/messages.py
@@ -1,6 +1,6 @@
-"""Messages as every protocol has them: limits, headers that end at a hop, whole answers. No bytes, no I/O.
+"""HTTP messages independent of the protocol version: limits, hop-by-hop headers, responses. No parsing, no I/O.
 
-Hop-by-hop headers are those of RFC 9110, section 7.6.1, and the framing that each hop makes anew.
+Hop-by-hop headers are those of RFC 9110, section 7.6.1, and the framing headers, which each hop creates anew.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 Header = tuple[bytes, bytes]
 
-MAX_BUFFERED_BODY_BYTES: Final = 64 * 1024  # kept whole; a larger body is streamed, or kept while the budget has room
+MAX_BUFFERED_BODY_BYTES: Final = 64 * 1024  # a larger body is streamed, or buffered within the body budget
 MAX_BODY_BYTES: Final = 32 * 1024 * 1024
 MAX_HEAD_BYTES: Final = 16 * 1024
 STATUS_OK: Final = 200
@@ -20,29 +20,29 @@
 )
 
 
-def end_to_end_headers(headers: Iterable[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
-    """Return the headers that may be forwarded: none that is meant for this connection only, here or by `Connection`.
+def end_to_end_headers(headers: Iterable[Header], excluded: frozenset[bytes] = frozenset()) -> list[Header]:
+    """Return the headers to forward, without hop-by-hop headers and those that a Connection header lists.
 
-    `without`: further names, in lower case, that are left out.
+    `excluded`: further names to leave out, in lower case.
     """
     kept: list[tuple[bytes, Header]] = []
-    named_by_connection: set[bytes] = set()
+    connection_options: set[bytes] = set()
     for pair in headers:
         name = pair[0].lower()
         if name == b"connection":
-            named_by_connection.update(parse_token_list(pair[1]))
-        elif name not in HOP_BY_HOP_HEADERS and name not in without:
+            connection_options.update(parse_token_list(pair[1]))
+        elif name not in HOP_BY_HOP_HEADERS and name not in excluded:
             kept.append((name, pair))
-    return [pair for name, pair in kept if name not in named_by_connection]
+    return [pair for name, pair in kept if name not in connection_options]
 
 
 def parse_token_list(value: bytes) -> list[bytes]:
-    """Return the names of a comma-separated list, in lower case."""
+    """Return the items of a comma-separated list, in lower case."""
     return [token.strip().lower() for token in value.split(b",")]
 
 
 def find_header(headers: Iterable[Header], wanted: bytes) -> bytes | None:
-    """Return the value of the first header of that name (lower case)."""
+    """Return the value of the first header with the name `wanted` (in lower case); None if there is none."""
     for name, value in headers:
         if name.lower() == wanted:
             return value
@@ -50,7 +50,7 @@
 
 
 class Reply:
-    """One whole answer, or the head of a streamed one."""
+    """A complete response, or the head of a streamed one."""
 
     __slots__ = ("body", "headers", "keep_alive", "status")
 
--- a/cloverkeel/core/metrics.py
+++ b/cloverkeel/core/metrics.py
@@ -1,11 +1,11 @@
-"""What this gateway did in each second, by host and class: figures that are added up over a fleet.
+"""Metrics of one gateway per second, by host and request class, which can be summed over a fleet.
 
-Pure: notified of what happened, formats a line. Bounded by the hosts that were used in that second; a second in which
-nothing happened has no line. docs/fleet.md names each figure, benchmarks/fleet_logs.py reads them.
+Pure: counts what it is notified of, and formats a line. Memory is bounded by MAX_HOSTS_PER_LINE; a second without
+activity has no line. docs/fleet.md describes each figure, benchmarks/fleet_logs.py reads them.
 
-The line's keys are a stored format and keep their names; `format_line` is the one place that maps this module's names
-to them: received "asked", rejected "refused", rejections by reason "why", unserved "door", leases "duties", gossip
-"sharing", endpoint entries "lines".
+The keys of the line are a stored format and must not change; only `format_line` maps this module's names to them:
+received "asked", rejected "refused", rejections by reason "why", unserved "door", leases "duties", gossip "sharing",
+endpoint entries "lines".
 """
 
 from __future__ import annotations
@@ -16,46 +16,47 @@
 from cloverkeel.balancing.events import Outcome
 
 METRICS_INTERVAL_US: Final = 1_000_000
-MAX_HOSTS_PER_LINE: Final = 64  # the rest is counted as one: a line fits a pipe at one stroke (4 KiB)
-OTHER_HOSTS: Final = -1  # the server number under which the rest is counted
+# Further hosts share one row, so that a line fits into a single atomic write to a pipe (PIPE_BUF, 4 KiB).
+MAX_HOSTS_PER_LINE: Final = 64
+OTHER_HOSTS: Final = -1  # server number of the row that further hosts share
 ATTEMPTS_COLUMN: Final = 0
 COLUMN_BY_OUTCOME: Final = {
     Outcome.OK: 1, Outcome.ERROR: 2, Outcome.FULL: 3, Outcome.TIMEOUT: 4, Outcome.CONNECT_FAILED: 5,
     Outcome.RESET: 6, Outcome.CANCELLED: 7,
 }  # fmt: skip
 OK_LATENCY_US_COLUMN: Final = 8
-HOST_COLUMNS: Final = 9  # attempts, the seven outcomes, the summed latency of good answers
+HOST_COLUMNS: Final = 9  # attempts, the seven outcomes, the total latency of successful attempts
 
 
 class GatewayMetrics:
-    """Sums since the last line that was written."""
+    """Counters since the last line that was written."""
 
     def __init__(self, class_count: int) -> None:
         self.received_by_class = [0] * class_count
         self.rejected_by_class = [0] * class_count
         self.failed_by_class = [0] * class_count
         self.rejections_by_reason: dict[str, int] = {}
-        self.unserved_by_reason: dict[str, int] = {}  # what never became a request, or whose connection was closed
+        self.unserved_by_reason: dict[str, int] = {}  # connections refused or closed before a complete request
         self.row_by_server: dict[int, list[int]] = {}
-        self.leases: list[int] = []  # docs/fleet.md; empty: there are none
-        self.gossip: list[int] = []  # the same
-        self.received_before_reset = 0  # in the seconds that are written
+        self.leases: list[int] = []  # figures in the order of docs/fleet.md; empty if leases are off
+        self.gossip: list[int] = []  # figures in the order of docs/fleet.md; empty if gossip is off
+        self.received_before_reset = 0  # requests in the lines written so far
 
     def record_unserved(self, reason: str) -> None:
-        """Count a connection, or bytes of one, that was turned away or closed before it was a request."""
+        """Count a connection, or bytes of one, that was refused or closed before a request was read."""
         self.unserved_by_reason[reason] = self.unserved_by_reason.get(reason, 0) + 1
 
     def record_rejection(self, class_index: int, reason: str) -> None:
-        """Count a request that was rejected."""
+        """Count a rejected request."""
         self.rejected_by_class[class_index] += 1
         self.rejections_by_reason[reason] = self.rejections_by_reason.get(reason, 0) + 1
 
     def record_attempt(self, server: int) -> None:
-        """Count an attempt that was started."""
+        """Count a started attempt."""
         self._row_of(server)[ATTEMPTS_COLUMN] += 1
 
     def record_outcome(self, server: int, outcome: Outcome, latency_us: int) -> None:
-        """Count how an attempt ended; nothing for one that was never sent."""
+        """Count the outcome of an attempt; one that was never sent is not counted."""
         column = COLUMN_BY_OUTCOME.get(outcome)
         if column is None:
             return
@@ -65,9 +66,9 @@
             row[OK_LATENCY_US_COLUMN] += latency_us
 
     def format_line(self, at_us: int, shed_ratios: tuple[float, float], opened: int, entries: int) -> str | None:
-        """Return the sums as one line of JSON; None where nothing happened.
+        """Return the counters as one line of JSON; None if there was no activity.
 
-        `opened` connections to hosts, and `entries` of endpoint lists, since the last line.
+        `opened`: connections opened to hosts since the last line. `entries`: endpoint list entries received since.
         """
         if not self._has_activity(entries):
             return None
@@ -94,7 +95,7 @@
         return "tally " + json.dumps(line, separators=(",", ":"))
 
     def reset(self) -> None:
-        """Begin new sums: the last line has been written."""
+        """Reset the counters after a line was written."""
         class_count = len(self.received_by_class)
         self.received_before_reset += sum(self.received_by_class)
         self.received_by_class = [0] * class_count
@@ -105,7 +106,7 @@
         self.row_by_server = {}
 
     def _row_of(self, server: int) -> list[int]:
-        """Return the sums of a host, or those of all others where a line has no more room."""
+        """Return the row of a host, or the shared row if the line already has MAX_HOSTS_PER_LINE hosts."""
         row = self.row_by_server.get(server)
         if row is None:
             if len(self.row_by_server) >= MAX_HOSTS_PER_LINE:
@@ -114,6 +115,6 @@
         return row
 
     def _has_activity(self, entries: int) -> bool:
-        """Tell whether anything happened that a line would show."""
+        """Return whether there is anything to report."""
         requests = any(self.received_by_class) or any(self.failed_by_class) or bool(self.rejections_by_reason)
         return requests or bool(self.unserved_by_reason) or bool(self.row_by_server) or entries > 0
--- a/cloverkeel/core/options.py
+++ b/cloverkeel/core/options.py
@@ -1,9 +1,9 @@
-"""Settings of ours beside the platform's: a TOML file that CLOVERKEEL_OPTIONS names. Without it all is off.
+"""Options of this program beside the platform's settings: a TOML file that CLOVERKEEL_OPTIONS names.
 
-What is off is not imported. An error names file, key and what was expected. The file's words are kept for those who
-have one; this module is where they are mapped to the code's: `[membership]` is endpoint discovery by ZooKeeper's
-ephemeral nodes, `[duties]` leased roles, `[sharing]` gossip, `warden` the slow-start budget's leader, `trier` the
-prober of half-open hosts, and `store = "ephemeral"` ZooKeeper.
+Without the file all optional parts are disabled; disabled parts are not imported. Errors name the file, the key and
+the expected value. The keys of the file must stay compatible; this module maps them to the names in the code:
+`[membership]` is endpoint discovery with ZooKeeper's ephemeral nodes, `[duties]` leased roles, `[sharing]` gossip,
+`warden` the leader of the slow-start budget, `trier` the prober of half-open hosts, `store = "ephemeral"` ZooKeeper.
 """
 
 from __future__ import annotations
@@ -24,66 +24,67 @@
 MIN_SESSION_MS: Final = 200
 MAX_SESSION_MS: Final = 60_000
 MAX_SPREAD_MS: Final = 10_000
-MAX_RELAYS: Final = 64  # a gateway keeps a connection to each, and tries all before it has gone round
-MAX_SERVICES: Final = 256  # they are named in each call, of which a relay reads 64 KiB, three letters a byte at most
+MAX_RELAYS: Final = 64  # a gateway may connect to each, and tries all of them before it starts over
+# Service names are part of each request, of which a relay reads 64 KiB; a byte takes up to three characters.
+MAX_SERVICES: Final = 256
 MAX_SERVICE_NAME_BYTES: Final = 128  # in UTF-8
-MAX_SERVICE_NAMES_BYTES: Final = 16 << 10  # of all names
+MAX_SERVICE_NAMES_BYTES: Final = 16 << 10  # all names together
 DEFAULT_DIRECT_PER_S: Final = 10
 MAX_DIRECT_PER_S: Final = 10_000
-MAX_FOUND_SHOWN: Final = 200  # characters of a bad value in an error
+MAX_FOUND_SHOWN: Final = 200  # characters of an invalid value in an error
 
 
 @dataclass(slots=True, frozen=True)
 class ZooKeeperOptions:
-    """Configure endpoint discovery by ephemeral nodes."""
+    """Options of endpoint discovery with ZooKeeper's ephemeral nodes."""
 
     hosts: str  # host:port,host:port
     path: str = "/cloverkeel/boxes"
-    session_ms: int = 4_000  # of the gateway's own session: asked for; the service has the last word
-    spread_ms: int = 1_000  # a list is read again after a reconnect at a random moment within this
+    session_ms: int = 4_000  # requested timeout of the gateway's session; ZooKeeper may grant another
+    spread_ms: int = 1_000  # maximum random delay of reading a list again after a reconnect
     precedence: tuple[str, ...] = SOURCES
-    state: str = ""  # file that keeps the last list for the next start; "": none
+    state: str = ""  # file that stores the last list for the next start; "": none
 
 
 class LeaseStore(Enum):
-    """Name what decides who holds a lease; the values are the file's."""
+    """The system that grants leases; the values appear in the options file."""
 
     PEERS = "peers"  # a majority of the voters
-    ZOOKEEPER = "ephemeral"  # the coordination service
+    ZOOKEEPER = "ephemeral"
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseOptions:
-    """Configure leased roles (docs/duties.md). Off where the settings allow no datagrams."""
+    """Options of leased roles (docs/duties.md). Disabled if the settings do not allow datagrams."""
 
-    voters: int = 5  # gateways 0 to 4 decide who holds a lease: two of them may be lost
-    lease_ms: int = 3_000  # a leader that is lost is replaced after this; a third of it goes between renewals
-    has_budget_leader: bool = True  # idle quotas of a warming host's slow-start budget go where requests are
-    has_prober: bool = True  # of a host that is ejected, one gateway of a zone probes it for all
+    voters: int = 5  # 5: gateways 0 to 4 elect the holder of a lease, and two of them may fail
+    lease_ms: int = 3_000  # a failed leader is replaced after this time; renewal interval: a third of it
+    has_budget_leader: bool = True  # moves idle quotas of a warming host's slow-start budget to busy gateways
+    has_prober: bool = True  # one gateway in each zone probes an ejected host on behalf of all
     store: LeaseStore = LeaseStore.PEERS
-    hosts: str = ""  # of the coordination service: host:port,host:port
+    hosts: str = ""  # ZooKeeper's addresses: host:port,host:port
     path: str = "/cloverkeel/duties"
 
 
 @dataclass(slots=True, frozen=True)
 class GossipOptions:
-    """Turn on what the gateways know together (docs/peers.md). Off where no datagrams are allowed. It has no keys."""
+    """Enables gossip (docs/peers.md); has no keys. Disabled if the settings do not allow datagrams."""
 
 
 @dataclass(slots=True, frozen=True)
 class RelayOptions:
-    """Configure endpoint discovery by control-plane relays (docs/relay-design.md)."""
+    """Options of endpoint discovery through control-plane relays (docs/relay-design.md)."""
 
     addresses: tuple[Address, ...]
-    services: tuple[str, ...] = ()  # that this gateway is for; none: all that the relays' roster has for it
-    # Gateways of the whole fleet that may ask discovery itself, where no relay answers. A complete list of 38,000
-    # hosts is 5.4 MB: 10 a second are 54 MB of it, and each of 4,600 gateways has its turn once in 8 minutes.
+    services: tuple[str, ...] = ()  # services of this gateway; empty: all that the relays' roster assigns
+    # Requests per second that the whole fleet may send to discovery directly if no relay answers. A complete list of
+    # 38,000 hosts is 5.4 MB: 10 a second are 54 MB/s, and each of 4,600 gateways sends one request in 8 minutes.
     direct_per_s: int = DEFAULT_DIRECT_PER_S
 
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """All options; None where a part is off."""
+    """All options; a field is None if its part is disabled."""
 
     zookeeper: ZooKeeperOptions | None = None
     leases: LeaseOptions | None = None
@@ -92,11 +93,11 @@
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Options:
-    """Read the file that CLOVERKEEL_OPTIONS names; raise ConfigError where it cannot be used."""
+    """Read the file that CLOVERKEEL_OPTIONS names, if set; raise ConfigError if it cannot be used."""
     path = environment.get("CLOVERKEEL_OPTIONS")
     if not path:
         return Options()
-    import tomllib  # only where there is a file
+    import tomllib  # imported only if needed
 
     try:
         with open(path, "rb") as file:
@@ -109,7 +110,7 @@
 
 
 def parse(raw: dict[str, Any], file: str) -> Options:
-    """Return the options that a file's tables hold; `file` is for errors alone."""
+    """Parse the tables of a file; `file` is used only in errors."""
     root = ConfigTable(file, raw)
     root.check_keys(("membership", "duties", "sharing", "relays"))
     tables = {key: root.read_table(key) for key in raw}
--- a/cloverkeel/core/ports.py
+++ b/cloverkeel/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of the packages that it must not import: upstream, discovery and the frontend."""
+"""Interfaces of packages that the core must not import: upstream, discovery and the frontend."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One host of an endpoint list, for the balancer and for the host table."""
+    """An entry of an endpoint list: one host, with what the balancer and the host table need."""
 
     name: str
     address: Address
@@ -24,7 +24,7 @@
 
 
 class AttemptResult:
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     __slots__ = ("latency_us", "load_report", "outcome", "reply")
 
@@ -39,45 +39,49 @@
 
 OnEndpointList = Callable[[ListKind, list[Endpoint]], None]
 OnAttemptEnd = Callable[[AttemptResult], None]
-# A request in full, built as it is written, with the present time in µs: it tells its host what time is left.
+# Builds a complete request immediately before it is written. Argument: the current time in µs, which determines the
+# remaining time that the request announces to its host.
 PayloadBuilder = Callable[[int], list[bytes]]
-# Asked just before the first byte of an attempt is written, with the present time in µs: whether it is to go out.
+# Called just before the first byte of an attempt is written; returns whether to send it. Argument: the time in µs.
 MayStart = Callable[[int], bool]
-# A large answer has begun: its head, the length of its body if that is known, and the time until then. Where to pass
-# the body on; None: it is not wanted any more.
+# Called when a large response starts; returns the receiver of its body, or None if it is no longer needed.
+# Arguments: the head, the length of the body in bytes (None if unknown), the latency in µs.
 OnResponseStart = Callable[[Reply, int | None, int], ResponseStream | None]
 
 
 class LoadBalancer(Protocol):
-    """Which server is used, whether to retry, what is rejected: events in, actions out, in order."""
+    """Decides which server to use, whether to retry and what to reject: returns actions for each event, in order."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Decide on an event."""
+        """Return the actions for an event."""
 
     def shed_ratios(self) -> tuple[float, float]:
-        """Of what is cheap, and of all else."""
+        """Return the shed ratio of the low-priority classes, and that of all others."""
 
     def ejected_servers(self, now_us: int) -> list[tuple[int, bool]]:
-        """Servers whose breaker is not closed, and whether they are tried here."""
+        """Return the servers whose circuit breaker is not closed, each with whether this gateway probes it."""
 
     def silent_servers(self, now_us: int) -> list[int]:
-        """Servers that get nothing more as their oldest attempt out is overdue."""
+        """Return the servers that receive no requests because their oldest attempt in flight is overdue."""
 
     def retry_token_state(self, now_us: int) -> tuple[float, bool]:
-        """Tokens for further attempts, and whether one was wanting of late."""
+        """Return the available retry tokens, and whether there were recently too few."""
 
     def started_at_us(self, number: int) -> int:
-        """When a server's process started, as listed; -1 for one that is not."""
+        """Return the listed start time of a server's process, in µs; -1 if the server is not listed."""
 
     def slow_start_demands(self, now_us: int) -> list[tuple[int, int, bool, bool]]:
-        """Cold servers within reach: number, start, whether its part is too small, whether it may be lent."""
+        """Return (number, start time in µs, quota is too small, quota may be lent) of the subset's warming servers.
+
+        The quota is this gateway's part of the server's slow-start budget.
+        """
 
 
 class HostTable(Protocol):
-    """The hosts of the endpoint list, as attempts reach them."""
+    """The hosts of the endpoint list and the connections to them."""
 
     def has_host(self, server: int) -> bool:
-        """Tell whether a host is on the list."""
+        """Return whether a host is on the list."""
 
     def host_name(self, server: int) -> str | None:
         """Return a host's name; None if it is not on the list."""
@@ -86,32 +90,35 @@
         """Return how many hosts are on the list."""
 
     def is_empty(self) -> bool:
-        """Tell whether no host is on the list."""
+        """Return whether no host is on the list."""
 
     def has_host_changed(self, id_: int, address: Address, started_us: int) -> bool:
-        """Tell whether a host is on the list, and at another address or as another process."""
+        """Return whether a host is on the list with another address or process start time."""
 
     def update_host(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None:
-        """Learn of a host, of its new address, that its process has restarted, or that it drains."""
+        """Add a host, or update its address, its process start time, or whether it drains (`ready` is False)."""
 
     def remove_host(self, id_: int) -> None:
-        """Forget a host that is gone; attempts in flight still end as they will."""
+        """Remove a host; attempts in flight are not affected."""
 
     def retain_hosts(self, named: set[int]) -> list[int]:
-        """Forget every host that a complete list does not name; returns those."""
+        """Remove every host that is not in `named`, the hosts of a complete list; return the removed ones."""
 
     def close_idle_connections(self, id_: int) -> None:
         """Close the idle connections to a host."""
 
     def opened_count(self) -> int:
-        """Return how many connections were opened since the start."""
+        """Return the number of connections opened since startup."""
 
 
 class Upstream(Protocol):
-    """Carries attempts to hosts. Every attempt that is started ends once, by its `on_end`."""
+    """Sends attempts to hosts. `on_end` is called exactly once for each started attempt."""
 
     def set_write_guard(self, may_write: Callable[[int], bool]) -> None:
-        """Call this, with the time in µs, just before an attempt's first byte is written; False ends it as moot."""
+        """Set a function to call, with the time in µs, just before an attempt's first byte is written.
+
+        If it returns False, the attempt ends with the outcome MOOT.
+        """
 
     def start_attempt(
         self,
@@ -123,48 +130,49 @@
         may_start: MayStart,
         write_deadline_us: int,
     ) -> FlowControl:
-        """Start an attempt at a host that is on the list; its end may come before this returns.
+        """Start an attempt at a host on the list; `on_end` may be called before this returns.
 
-        If it may not start any more, or its last byte is not written by its deadline (0: none), it ends as moot.
+        The attempt ends with the outcome MOOT if `may_start` returns False, or if its last byte is not written by
+        `write_deadline_us` (0: no deadline).
         """
 
     def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None:
-        """Ask a host how it is; its answer ends as an attempt does."""
+        """Send a health check to a host; `on_end` is called as for an attempt."""
 
     def cancel_attempt(self, attempt: Any) -> None:
-        """Cancel an attempt, as `start_attempt` returned it."""
+        """Cancel an attempt; `attempt` is the return value of `start_attempt`."""
 
     def close(self) -> None:
-        """Stop, and close the idle connections."""
+        """Stop sending, and close the idle connections."""
 
 
 class EndpointSource(Protocol):
-    """Notifies of endpoint lists."""
+    """Source of endpoint lists."""
 
     def set_listener(self, on_list: OnEndpointList) -> None:
-        """Notify this of each list, from now on."""
+        """Set the function to call with each list."""
 
     def load_known(self, raw: dict[str, Any]) -> None:
-        """Notify of the list that the configuration has."""
+        """Pass on the last known list, which the configuration contains."""
 
     def watch(self, on: bool) -> None:
-        """Watch the list, or stop doing so."""
+        """Start or stop watching the list."""
 
     def fetch(self) -> None:
-        """Ask for the list now."""
+        """Request the list now."""
 
     def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
-        """Notify of all that came during a stall of that length, then call `done`, once."""
+        """Pass on all notifications that arrived during a stall of `stall_us`, then call `done` once."""
 
     def close(self) -> None:
-        """Stop: nothing is notified any more."""
+        """Stop passing on lists."""
 
 
 class Descriptors(Protocol):
-    """What the frontend shares descriptors with."""
+    """The upstream connections, which share the descriptor limit with the frontend's."""
 
     open_connections: int  # to hosts
-    reserve_descriptor: Callable[[], bool]  # called before a descriptor is taken; False: there is none
+    reserve_descriptor: Callable[[], bool]  # called before a descriptor is used; False: none is available
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that was idle for the longest time; False if there is none."""
+        """Close the connection that has been idle longest; return False if none is idle."""
--- a/cloverkeel/core/reload.py
+++ b/cloverkeel/core/reload.py
@@ -1,6 +1,7 @@
-"""SIGHUP: files are read again while requests go on.
+"""Reloads files on SIGHUP while requests are served.
 
-`FileReloader` reads and applies any files. `ConfigReloader` is the gateway's: discovery may move, relays may change.
+`FileReloader` reads and applies any files. `ConfigReloader` reloads a gateway's: the address of discovery, and the
+relays and services, may change.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 
 class FileReloader(Generic[Contents]):
-    """Read files again off the loop: once for each request, or once for several that come together.
+    """Reloads files on request; requests during a reload are combined into one further reload.
 
-    `read` runs in a thread, as the disk may be slow and a file long; `apply` runs on the loop with what it returned.
-    Where `read` raises ConfigError nothing is applied, and `on_error` is called with it.
+    `read` runs in a thread, as the disk may be slow and a file long; `apply` runs on the event loop with its result.
+    If `read` raises ConfigError, nothing is applied and `on_error` is called with the error.
     """
 
     def __init__(
@@ -40,11 +41,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether every request so far was carried out."""
+        """Return whether no reload is running or requested."""
         return self._task is None
 
     def request_reload(self) -> None:
-        """Read the files again, now or once the reading that goes on is done. To be called on the loop."""
+        """Reload the files now, or after the current reload. To be called on the event loop."""
         self._is_requested = True
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._reload())
@@ -64,48 +65,48 @@
 
 
 class MovableSource(Protocol):
-    """A source of endpoints that can be polled at another address."""
+    """An endpoint source whose address can be changed."""
 
     @property
     def address(self) -> Address:
-        """Where it is polled now."""
+        """The address that is polled now."""
 
     def move(self, address: Address) -> None:
-        """Poll it at this address from now on."""
+        """Poll this address from now on."""
 
 
 class RelayClient(Protocol):
-    """A source of endpoints that polls relays."""
+    """An endpoint source that polls relays."""
 
     def use(self, options: RelayOptions) -> None:
-        """Poll these relays for these services from now on."""
+        """Poll the relays and services of these options from now on."""
 
 
 @dataclass(slots=True, frozen=True)
 class LoadedFiles:
-    """What a gateway's files hold; `options` is None where they are not read again."""
+    """The contents of a gateway's files; `options` is None if the options file is not reloaded."""
 
     config: Config
     options: Options | None
 
 
 class ConfigReloader:
-    """Read LB_CONFIG again, and CLOVERKEEL_OPTIONS too where endpoints come by relays.
+    """Reloads LB_CONFIG, and also CLOVERKEEL_OPTIONS if endpoints come from relays.
 
-    Both can be used, or everything stays as it is.
+    If either file is invalid, neither is applied.
     """
 
     def __init__(
         self, discovery: MovableSource, relay_client: RelayClient | None = None, options: Options | None = None
     ) -> None:
-        """`options`: those that are in use."""
+        """`options`: the options currently in use."""
         self._discovery = discovery
         self._relay_client = relay_client
         self._options = options or Options()
         self._reloader = FileReloader(self._read_files, self._apply, self._on_error)
 
     def request_reload(self) -> None:
-        """Read the files again. To be called on the loop."""
+        """Reload the files. To be called on the event loop."""
         self._reloader.request_reload()
 
     def _read_files(self) -> LoadedFiles:
@@ -122,7 +123,7 @@
         log(f"config: reload rejected, all stays as it is, error={error}")
 
     def _apply_config(self, config: Config) -> None:
-        """Apply what may change while the program runs: the address of discovery."""
+        """Apply the address of discovery, the only part of LB_CONFIG that may change at run time."""
         if config.discovery == self._discovery.address:
             return
         host, port = config.discovery
@@ -130,7 +131,7 @@
         self._discovery.move(config.discovery)
 
     def _apply_options(self, options: Options) -> None:
-        """Apply which relays are polled, and for which services."""
+        """Apply changes of the relays and services."""
         if self._relay_client is None or options.relays == self._options.relays:
             return
         if options.relays is None:
