--- a/benchmarks/guards/mutants/core.py
+++ b/benchmarks/guards/mutants/core.py
@@ -1,4 +1,4 @@
-"""Mutants of the core: each takes out one guard."""
+"""Mutants of the core: each disables one guard."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @entry("answers-module-error")
 def _() -> None:
-    """An event that the module fails at ends the turn; nobody is answered."""
+    """An exception of the balancer ends event processing; no request is answered."""
     from cloverkeel.core.gateway import Gateway
 
     cut(Gateway, "_decide", ("except Exception:\n        # Guards against one bad", "except MemoryError:\n        #"))
@@ -18,7 +18,7 @@
 
 @entry("answers-action-error")
 def _() -> None:
-    """An action that can't be carried out ends the turn, and the actions after it are lost."""
+    """A failing action ends event processing; the actions after it are lost."""
     from cloverkeel.core.gateway import Gateway
 
     cut(
@@ -29,7 +29,7 @@
 
 @entry("answer-owed")
 def _() -> None:
-    """A final answer is carried out for a request that is over."""
+    """A final response is sent for a request that already has one."""
     from cloverkeel.core.request_table import RequestTable
 
     cut(RequestTable, "claim_response", ("not request.awaits_response()", "request.stream is not None"))
@@ -37,7 +37,7 @@
 
 @entry("deadline-gateway")
 def _() -> None:
-    """The gateway waits for as long as the module says, past the client's deadline too."""
+    """An attempt gets the timeout that the balancer sets, even past the client's deadline."""
     from cloverkeel.core.dispatcher import ActionDispatcher
 
     cut(ActionDispatcher, "send_attempt", ("min(action.timeout_us, left_us)", "action.timeout_us"))
@@ -45,7 +45,7 @@
 
 @entry("ids-in-use")
 def _() -> None:
-    """A request with the id of one that is open is taken."""
+    """A request is accepted whose id belongs to a request in flight."""
     from cloverkeel.core.gateway import Gateway
 
     cut(Gateway, "admit_request", ("if self.requests.has_client_id(call.id_):", "if False:"))
@@ -53,24 +53,24 @@
 
 @entry("tickets")
 def _() -> None:
-    """The module knows a request by its client's id."""
+    """The balancer identifies a request by the client's id, which may be reused."""
     from cloverkeel.core.request_table import RequestTable
 
     cut(RequestTable, "add", ("str(next(self.keys))", "call.id_"))
 
 
-def other_way_out(**changes: Any) -> None:
-    from cloverkeel.core import draining as emptying
+def change_shutdown_schedule(**changes: Any) -> None:
+    from cloverkeel.core import draining
     from cloverkeel.frontends.http1 import server
 
-    old = emptying.shutdown_schedule
-    for owner in (emptying, server):
-        swap(owner, "shutdown_schedule", lambda longest_s: replace(old(longest_s), **changes))
+    original = draining.shutdown_schedule
+    for owner in (draining, server):
+        swap(owner, "shutdown_schedule", lambda timeout_s: replace(original(timeout_s), **changes))
 
 
 @entry("way-out-ends")
 def _() -> None:
-    """On SIGTERM the program goes on as long as any client is connected."""
+    """After SIGTERM the program keeps running while any client is connected."""
     from cloverkeel.core.draining import DrainSchedule
 
     swap(DrainSchedule, "can_close_idle", lambda *args: False)
@@ -78,33 +78,33 @@
 
 @entry("way-out-bound")
 def _() -> None:
-    """Nothing bounds the way out."""
-    from cloverkeel.core import draining as emptying
+    """The time limit of a shutdown is one hour."""
+    from cloverkeel.core import draining
 
-    swap(emptying, "MAX_SHUTDOWN_S", 3600.0)
+    swap(draining, "MAX_SHUTDOWN_S", 3600.0)
 
 
 @entry("idle-first")
 def _() -> None:
-    """On the way out a connection is closed before its first request had time to come."""
-    other_way_out(first_request_timeout_s=0.0)
+    """During shutdown a new connection is closed before its first request can arrive."""
+    change_shutdown_schedule(first_request_timeout_s=0.0)
 
 
 @entry("way-out-keeps")
 def _() -> None:
-    """On the way out each answer ends its connection at once."""
-    other_way_out(keep_alive_until_s=0.0)
+    """During shutdown each response closes its connection immediately."""
+    change_shutdown_schedule(keep_alive_until_s=0.0)
 
 
 @entry("way-out-hurry")
 def _() -> None:
-    """On the way out half a request is waited for to the end."""
-    other_way_out(abort_stalled_from_s=3600.0)
+    """During shutdown a stalled request is never aborted."""
+    change_shutdown_schedule(abort_stalled_from_s=3600.0)
 
 
 @entry("budget-as-written")
 def _() -> None:
-    """A host is told the time that was left when its connection was asked for."""
+    """A host is sent the time that remained when its connection was requested."""
     from cloverkeel.core.dispatcher import RequestAttempt
 
     cut(RequestAttempt, "build_payload", ("self.timeout_us - (at_us - self.started_us)", "self.timeout_us"))
@@ -112,7 +112,7 @@
 
 @entry("attempts-gateway")
 def _() -> None:
-    """The gateway counts no attempts."""
+    """The gateway does not enforce the maximum number of attempts."""
     from cloverkeel.core.dispatcher import ActionDispatcher
 
     cut(ActionDispatcher, "send_attempt", ("or index >= self.settings.max_attempts", ""))
@@ -120,7 +120,7 @@
 
 @entry("wanted")
 def _() -> None:
-    """An attempt whose connection comes up goes out, whoever waits for it."""
+    """An attempt is sent when its connection is established, even if no client waits for it."""
     from cloverkeel.core.dispatcher import RequestAttempt
 
     cut(
@@ -131,7 +131,7 @@
 
 @entry("list-before-all")
 def _() -> None:
-    """A list waits behind what came before it was read."""
+    """An endpoint list waits behind the events that were queued before it."""
     from cloverkeel.core.gateway import Gateway
 
     cut(
@@ -143,7 +143,7 @@
 
 @entry("still")
 def _() -> None:
-    """A process that stood still goes on with what comes first."""
+    """A process handles events after a stall without catching up first."""
     from cloverkeel.core.gateway import Gateway
 
     swap(Gateway, "check_stall", lambda self, at_us: True)
@@ -151,7 +151,7 @@
 
 @entry("broken-is-told")
 def _() -> None:
-    """An answer that breaks off is ended as if it were whole."""
+    """A truncated response is ended as if it were complete."""
     from cloverkeel.core.dispatcher import ActionDispatcher
 
     cut(ActionDispatcher, "_end_stream", ("stream.on_aborted()", "stream.on_complete()"))
@@ -159,7 +159,7 @@
 
 @entry("begun-gateway")
 def _() -> None:
-    """What has an answer on its way to the client may be tried again."""
+    """A request may be retried while its response is being streamed to the client."""
     from cloverkeel.core.dispatcher import ActionDispatcher
 
     cut(ActionDispatcher, "_end_stream", ("self.requests.mark_responded(request)", "pass"))
@@ -168,7 +168,7 @@
 
 @entry("room")
 def _() -> None:
-    """Large bodies are held without a bound."""
+    """Large bodies are buffered without a limit."""
     from cloverkeel.core.body_budget import BodyReservation
 
     cut(BodyReservation, "try_grow", ("if self.budget.used_bytes + size > self.budget.limit_bytes:", "if False:"))
@@ -176,7 +176,7 @@
 
 @entry("room-returns")
 def _() -> None:
-    """What a body held is not given back."""
+    """The reservation of a body is never released."""
     from cloverkeel.core.body_budget import BodyReservation
 
     swap(BodyReservation, "__del__", lambda self: None)
@@ -184,7 +184,7 @@
 
 @entry("pause-empties")
 def _() -> None:
-    """A paused gateway keeps its clients."""
+    """A paused gateway keeps its idle client connections."""
     from cloverkeel.core.draining import DrainSchedule
 
     swap(DrainSchedule, "can_close_idle", lambda *args: False)
@@ -192,15 +192,15 @@
 
 @entry("list-parts")
 def _() -> None:
-    """A long list is told in one piece."""
-    from cloverkeel.core import list_batches as slices
+    """A long list is applied in one piece."""
+    from cloverkeel.core import list_batches
 
-    swap(slices, "MAX_UNSPLIT_ENTRIES", 10**9)
+    swap(list_batches, "MAX_UNSPLIT_ENTRIES", 10**9)
 
 
 @entry("list-parts-restrict")
 def _() -> None:
-    """What restricts waits with the rest of a long list."""
+    """Restricting entries of a long list wait in the batches."""
     from cloverkeel.core.list_batches import ListBatches
 
     cut(ListBatches, "split", ("listed.status is not ServerStatus.READY or has_changed(endpoint)", "False"))
@@ -208,7 +208,7 @@
 
 @entry("list-parts-known")
 def _() -> None:
-    """A list of two hundred hosts is told in one piece, however many are known."""
+    """A list of two hundred hosts is applied in one piece regardless of the number of known hosts."""
     from cloverkeel.core.list_batches import ListBatches
 
     cut(
@@ -220,28 +220,28 @@
 
 @entry("gzip-limit")
 def _() -> None:
-    """What comes as gzip may be of any length once read."""
-    from cloverkeel.core import incremental_gzip as gzip_steps
-    from cloverkeel.discovery import relay_client as relayed
+    """The size of decompressed data is not limited."""
+    from cloverkeel.core import incremental_gzip
+    from cloverkeel.discovery import relay_client
 
-    cut(gzip_steps, "decompress_gzip", ("if size > limit:", "if False:"))
-    swap(relayed, "decompress_gzip", gzip_steps.decompress_gzip)
+    cut(incremental_gzip, "decompress_gzip", ("if size > limit:", "if False:"))
+    swap(relay_client, "decompress_gzip", incremental_gzip.decompress_gzip)
 
 
 @entry("gzip-end")
 def _() -> None:
-    """What comes after the end of gzip is left unsaid."""
-    from cloverkeel.core import incremental_gzip as gzip_steps
-    from cloverkeel.discovery import relay_client as relayed
+    """Trailing data after the gzip member is ignored."""
+    from cloverkeel.core import incremental_gzip
+    from cloverkeel.discovery import relay_client
 
-    cut(gzip_steps, "decompress_gzip", ("if decompressor.unused_data or offset < len(body):", "if False:"))
-    swap(relayed, "decompress_gzip", gzip_steps.decompress_gzip)
+    cut(incremental_gzip, "decompress_gzip", ("if decompressor.unused_data or offset < len(body):", "if False:"))
+    swap(relay_client, "decompress_gzip", incremental_gzip.decompress_gzip)
 
 
 @entry("way-out-accepts")
 def _() -> None:
-    """On SIGTERM no connection is taken any more."""
+    """After SIGTERM no connection is accepted."""
     from cloverkeel.frontends.http1.listener import Listener
 
-    other_way_out(accept_until_s=0.0)
+    change_shutdown_schedule(accept_until_s=0.0)
     cut(Listener, "close", ("self.accept(LISTEN_BACKLOG)", "pass"))
--- a/benchmarks/guards/table/frontends.py
+++ b/benchmarks/guards/table/frontends.py
@@ -33,16 +33,16 @@
     row("accept-error", "an accept without a descriptor is survived", "Listener.accept",
         tests="frontends/limits::an_accept_that_finds_no_descriptor_gives_up_who_asks_nothing"),
     row("accept-pauses", "an accept without a descriptor does not turn without end", "Listener.pause",
-        tests="core/crossings::an_accept_without_a_descriptor_is_tried_again_only_after_a_pause"),
+        tests="core/crossings::a_failed_accept_without_descriptors_is_retried_only_after_a_pause"),
     row("slow-yield", "who sent half a request yields", "Admission._abort_slow_client",
-        tests="core/crossings::who_stopped_in_the_middle_of_a_request_yields_to_who_asks"),
+        tests="core/crossings::a_stalled_request_is_dropped_in_favour_of_a_new_client"),
     row("reserve-kept", "hosts do not use up the reserve", "Admission.reserve_descriptor",
-        tests="core/crossings::attempts_leave_the_reserve_alone"),
+        tests="core/crossings::attempts_do_not_use_reserved_descriptors"),
     row("client-share+host-room", "a host gets a descriptor", "Admission.reserve_descriptor",
         tests="upstream/connection_pool::idle_connections_are_closed_when_descriptors_run_short"),
     row("value-space", "white space is not part of a value", "RequestReader, ReplyReader",
         tests="frontends/large_bodies::white_space_round_a_value_is_not_part_of_it"),
     row("gone-unread", "nothing is sent for a client whose end waits to be read", "ClientTransport.has_disconnected",
-        tests="core/crossings::what_a_client_sent_ahead_is_not_sent_on_once_it_has_gone "
-              "core/crossings::a_client_that_has_gone_gets_no_further_attempt_though_its_end_is_not_yet_read"),
+        tests="core/crossings::pipelined_requests_of_a_disconnected_client_are_not_forwarded "
+              "core/crossings::a_disconnected_client_gets_no_further_attempt_even_if_its_close_is_unread"),
 )  # fmt: skip
--- a/benchmarks/guards/table/upstream.py
+++ b/benchmarks/guards/table/upstream.py
@@ -22,13 +22,13 @@
         tests="upstream/outcomes::what_comes_back_is_the_outcome"),
     row("begin-by-check+begin-by-timer", "what may begin by a time does not begin later",
         "AttemptSender.find_refusal",
-        tests="core/crossings::what_may_only_begin_by_a_time_is_written_by_then_or_never "
-              "core/crossings::a_large_repeat_that_is_not_wholly_written_in_time_is_broken_off"),
+        tests="core/crossings::an_attempt_with_a_write_deadline_is_written_by_then_or_never "
+              "core/crossings::a_large_retry_not_fully_written_by_its_deadline_is_aborted"),
     row("host-rests", "what a host says again is not the next request's answer", "ConnectionPool.acquire_idle",
-        tests="core/crossings::a_second_answer_that_comes_late_is_not_the_next_requests"),
+        tests="core/crossings::a_late_second_response_is_not_used_for_the_next_request"),
     row("fresh-connections+idle-share", "a kept connection is one that the host keeps", "ConnectionPool.acquire_idle",
         tests="upstream/connection_pool::spare_connections_end_soon_and_the_last_before_the_host_ends_it "
               "upstream/connection_pool::the_poll_sees_an_end_before_the_loop_does"),
     row("answered-late", "an answer that has come is passed on", "AttemptSender.on_timeout",
-        tests="core/stall_detector::an_answer_that_came_during_a_stall_is_returned_though_its_time_is_over"),
+        tests="core/stall_detector::a_response_received_during_a_stall_is_returned_after_its_deadline"),
 )  # fmt: skip
--- a/tests/core/test_config_errors.py
+++ b/tests/core/test_config_errors.py
@@ -1,4 +1,4 @@
-"""Errors of configuration and options carry file, key and what was expected."""
+"""Errors of configuration and options name the file, the key and the expected value."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     return caught.value
 
 
-def test_a_missing_configuration_carries_its_file(tmp_path: Path) -> None:
+def test_a_missing_configuration_is_reported_with_its_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     error = load_config_error(path)
     assert str(error) == f"{path}: No such file or directory"
     assert error.file == str(path)
 
 
-def test_a_bad_address_carries_file_key_and_form(tmp_path: Path) -> None:
+def test_an_invalid_address_is_reported_with_file_key_and_format(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1", "settings": {}}))
     error = load_config_error(path)
@@ -62,7 +62,7 @@
         ),
     ],
 )
-def test_an_option_that_cannot_be_used_carries_file_key_and_expected(
+def test_an_invalid_option_is_reported_with_file_key_and_expected_value(
     raw: dict[str, object], text: str, key: str, expected: str
 ) -> None:
     with pytest.raises(ConfigError) as caught:
--- a/tests/core/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, each order forced: docs/crossings.md has the table."""
+"""Races between two events, tested in each order; docs/crossings.md has the table of races."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 from tests.cli.process import connect, program
 
 
-class LateHost:
-    """A port at which connections do not come up until `open`: its queue is full, and what knocks is not answered."""
+class FullBacklogHost:
+    """A port where no connection is established before `open`: its accept queue is full, so SYNs are not answered."""
 
     def __init__(self, listener: socket.socket) -> None:
         self.listener = listener
@@ -47,28 +47,28 @@
         for filler in self.fillers:
             filler.setblocking(False)
             filler.connect_ex(listener.getsockname())
-        self.ports = {filler.getsockname()[1] for filler in self.fillers}
+        self.filler_ports = {filler.getsockname()[1] for filler in self.fillers}
 
     def open(self) -> None:
-        """What knocks now comes up; the kernel knocks again a second after the first time, then after two."""
+        """Let connections be established; the kernel repeats a SYN one second after the first, then after two."""
         for filler in self.fillers:
             filler.close()
         self.listener.listen(16)
 
     async def accept(self) -> socket.socket:
-        """The gateway's connection; the fillers' are passed over."""
+        """Return the gateway's connection, skipping those of `fillers`."""
         self.listener.setblocking(False)
         while True:
             sock, (_, port) = await asyncio.get_running_loop().sock_accept(self.listener)
-            if port not in self.ports:
+            if port not in self.filler_ports:
                 return sock
             sock.close()
 
 
 @contextmanager
-def late_host() -> Iterator[LateHost]:
+def full_backlog_host() -> Iterator[FullBacklogHost]:
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
-        host = LateHost(listener)
+        host = FullBacklogHost(listener)
         try:
             yield host
         finally:
@@ -76,18 +76,18 @@
                 filler.close()
 
 
-# Lists
+# Endpoint lists
 
 
-def drained(run: Running, number: int = 0) -> bool:
+def is_draining(run: Running, number: int = 0) -> bool:
     return run.pool.hosts[host_id(number)].draining_since_us is not None
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @on_loop
-async def test_a_watch_that_falls_silent_is_made_anew_in_time(mode: str) -> None:
-    """The change comes right after it fell silent: nobody else will tell of it."""
-    gone_silent: list[float] = []
+async def test_a_silent_watch_is_renewed_in_time(mode: str) -> None:
+    """The host drains right after the watch fell silent, so no notification of it arrives."""
+    silent_since: list[float] = []
 
     def script(exchange: Exchange) -> None:
         if exchange.connection > 1:
@@ -97,20 +97,20 @@
         elif b"hold_ms=0" in exchange.message.first.encode():
             exchange.answer(list_reply(7, snapshot=False))
         else:
-            gone_silent.append(time.monotonic())
+            silent_since.append(time.monotonic())
 
     async with peer() as host, peer(script) as registry:
         config = configuration(host, discovery=registry.address)
         config["settings"]["membershipMode"] = mode
         async with running(config) as run:
             run.gateway.dispatcher.carry_out(WatchList())
-            await until(lambda: gone_silent)
-            await until(lambda: drained(run))
-            assert time.monotonic() - gone_silent[0] < SILENT_WATCH_DETECTION_S < MAX_NOTIFICATION_DELAY_S
+            await until(lambda: silent_since)
+            await until(lambda: is_draining(run))
+            assert time.monotonic() - silent_since[0] < SILENT_WATCH_DETECTION_S < MAX_NOTIFICATION_DELAY_S
 
 
 @on_loop
-async def test_a_connection_that_is_silent_from_the_first_is_given_up_in_time(capsys: Any) -> None:
+async def test_a_connection_silent_from_the_start_is_closed_in_time(capsys: Any) -> None:
     begun: list[float] = []
 
     def script(exchange: Exchange) -> None:
@@ -125,31 +125,31 @@
         peer(script) as registry,
         running(configuration(host, discovery=registry.address)) as run,
     ):
-        await until(lambda: begun and drained(run))
+        await until(lambda: begun and is_draining(run))
         assert time.monotonic() - begun[0] < SILENT_CONNECTION_DETECTION_S < MAX_NOTIFICATION_DELAY_S
         assert "discovery: TimeoutError\n" in capsys.readouterr().err
 
 
 @on_loop
-async def test_what_a_call_was_answered_that_another_has_replaced_is_not_heard() -> None:
-    """The older answer has come, and is not yet read, when the list is asked for anew."""
+async def test_the_reply_to_a_superseded_poll_is_ignored() -> None:
+    """The old reply has arrived but is not read yet when the list is requested again."""
     old = list_reply(8, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
     async with peer(silent) as registry, running(configuration("127.0.0.1:1", discovery=registry.address)) as run:
         await until(lambda: registry.seen)
-        told: list[object] = []
-        overhear(run, told.append)
+        events: list[object] = []
+        overhear(run, events.append)
         os.write(registry.seen[0].writer.get_extra_info("socket").fileno(), old)
         run.gateway.dispatcher.carry_out(FetchList())
         await until(lambda: len(registry.seen) == 2)
         registry.seen[1].answer(list_reply(9, endpoint("s-0", "127.0.0.1:1")))
         await until(lambda: run.discovery.schedule.version == 9)
-        assert not drained(run) and len([event for event in told if isinstance(event, ServerList)]) == 1
+        assert not is_draining(run) and len([event for event in events if isinstance(event, ServerList)]) == 1
         await until(lambda: registry.ended == 1)
 
 
 @on_loop
-async def test_a_service_that_lost_its_versions_tells_all_and_is_believed() -> None:
-    """Changes up to a version below the one held are no answer; the whole list of any version is."""
+async def test_a_snapshot_of_a_registry_that_lost_its_versions_is_applied() -> None:
+    """A delta to a version below the current one is ignored; a snapshot of any version is applied."""
     listed = [endpoint("s-1", "127.0.0.1:1")]
 
     def script(exchange: Exchange) -> None:
@@ -165,7 +165,7 @@
 
 
 @on_loop
-async def test_a_service_that_answers_a_watch_at_once_with_nothing_is_not_asked_without_end() -> None:
+async def test_immediate_empty_replies_to_a_watch_do_not_cause_a_poll_loop() -> None:
     async with (
         peer(answers(list_reply(7, snapshot=False))) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)),
@@ -177,12 +177,12 @@
 
 
 @pytest.mark.parametrize("status", ["DRAINING", "DELETED"])
-@pytest.mark.parametrize("odd", [{}, {"address": "nowhere"}, {"weight": "heavy"}, {"since_ms": "long ago"}])
+@pytest.mark.parametrize("extra", [{}, {"address": "nowhere"}, {"weight": "heavy"}, {"since_ms": "long ago"}])
 @on_loop
-async def test_a_host_that_leaves_is_gone_whatever_else_its_entry_says(status: str, odd: dict[str, object]) -> None:
+async def test_a_leaving_host_is_removed_even_if_its_entry_is_invalid(status: str, extra: dict[str, object]) -> None:
     entry: dict[str, object] = {"name": "s-0", "status": status}
-    if odd:
-        entry = endpoint("s-0", "127.0.0.1:1", status=status) | odd
+    if extra:
+        entry = endpoint("s-0", "127.0.0.1:1", status=status) | extra
     async with (
         peer(silent) as registry,
         running(configuration("127.0.0.1:1", "127.0.0.1:2", discovery=registry.address)) as run,
@@ -196,10 +196,10 @@
 @pytest.mark.parametrize("first", ["silent", "503", "reset", "garbage"])
 @pytest.mark.parametrize("known", [{}, {"index": "new", "endpoints": 3}])
 @on_loop
-async def test_a_process_that_knows_no_host_is_ready_in_time_though_its_first_call_fails(
+async def test_a_process_without_known_hosts_is_ready_in_time_if_its_first_poll_fails(
     first: str, known: dict[str, object]
 ) -> None:
-    """Nine in ten that restart together are to be ready within 10 s: one failure must leave room for another."""
+    """Of gateways that restart together 90% must be ready within 10 s; a failed poll must leave time for another."""
     failing = {"silent": silent, "503": answers(reply(503)), "garbage": answers(b"\x00\x01\r\n\r\n")}
 
     def script(exchange: Exchange) -> None:
@@ -225,51 +225,53 @@
 # Attempts
 
 
-def unwanted(reply: Reply, length: int | None, latency_us: int) -> ResponseStream | None:
+def discard_response(reply: Reply, length: int | None, latency_us: int) -> ResponseStream | None:
     return None
 
 
-@pytest.mark.parametrize("begin_in_s", [0.3, 20.0])
+@pytest.mark.parametrize("write_deadline_s", [0.3, 20.0])
 @on_loop
-async def test_what_may_only_begin_by_a_time_is_written_by_then_or_never(begin_in_s: float) -> None:
-    """A repeat that was chosen while repeats are dropped, and whose connection comes up when they are run again."""
-    with late_host() as late:
-        async with running(configuration(late.address)) as run:
+async def test_an_attempt_with_a_write_deadline_is_written_by_then_or_never(write_deadline_s: float) -> None:
+    """A retry is safe only while its host drops repeated requests; its connection may be established after that."""
+    with full_backlog_host() as backlog_host:
+        async with running(configuration(backlog_host.address)) as run:
             ended: list[Outcome] = []
-            by_us = now_us() + int(begin_in_s * 1e6)
+            by_us = now_us() + int(write_deadline_s * 1e6)
             run.attempt_sender.start_attempt(
                 host_id(0), lambda _: [request("hold")], 20_000_000, lambda result: ended.append(result.outcome),
-                unwanted, None, by_us,
+                discard_response, None, by_us,
             )  # fmt: skip
-            if begin_in_s < 1.0:
+            if write_deadline_s < 1.0:
                 await until(lambda: ended)
                 assert ended == [Outcome.MOOT] and now_us() >= by_us
                 await until(lambda: run.pool.open_connections == 0)
             else:
-                late.open()
-                assert b"POST /hold" in await asyncio.get_running_loop().sock_recv(await late.accept(), 65_536)
+                backlog_host.open()
+                assert b"POST /hold" in await asyncio.get_running_loop().sock_recv(
+                    await backlog_host.accept(), 65_536
+                )
                 assert not ended
 
 
 @on_loop
-async def test_a_host_gets_the_time_that_is_left_when_its_connection_has_come_up() -> None:
-    with late_host() as late:
-        async with running(configuration(late.address)) as run:
+async def test_a_host_is_sent_the_time_remaining_when_its_connection_is_established() -> None:
+    with full_backlog_host() as backlog_host:
+        async with running(configuration(backlog_host.address)) as run:
             client = await run.connect()
             client.send(request("search"))
             await until(lambda: run.pool.open_connections)
             (held,) = run.gateway.requests.by_key.values()
             opened_us = now_us()
-            late.open()
-            heard = await asyncio.get_running_loop().sock_recv(await late.accept(), 65_536)
-            told_ms = int(heard.partition(b"X-Budget-Ms: ")[2].split(b"\r\n")[0])
-            assert 0 < told_ms * 1000 <= held.deadline_us - opened_us
+            backlog_host.open()
+            received = await asyncio.get_running_loop().sock_recv(await backlog_host.accept(), 65_536)
+            budget_ms = int(received.partition(b"X-Budget-Ms: ")[2].split(b"\r\n")[0])
+            assert 0 < budget_ms * 1000 <= held.deadline_us - opened_us
             client.close()
 
 
 @on_loop
-async def test_a_large_repeat_that_is_not_wholly_written_in_time_is_broken_off() -> None:
-    """Its last byte has not gone out, so it has not run; a host that reads it later must not get the rest."""
+async def test_a_large_retry_not_fully_written_by_its_deadline_is_aborted() -> None:
+    """Without its last byte the request has not run; a host that reads it later must not receive the rest."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with running(configuration(f"127.0.0.1:{listener.getsockname()[1]}")) as run:
             ended: list[Outcome] = []
@@ -278,44 +280,45 @@
             by_us = now_us() + 300_000
             run.attempt_sender.start_attempt(
                 host_id(0), lambda _: [head, *body], 20_000_000, lambda result: ended.append(result.outcome),
-                unwanted, None, by_us,
+                discard_response, None, by_us,
             )  # fmt: skip
-            await until(lambda: ended)  # nobody has read any of it
+            await until(lambda: ended)  # the host has not read any of it
             assert ended == [Outcome.MOOT] and now_us() >= by_us
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("leaves", [True, False])
+@pytest.mark.parametrize("client_leaves", [True, False])
 @on_loop
-async def test_nothing_is_written_for_a_client_that_left_while_a_connection_came_up(
-    may_cancel: bool, leaves: bool
+async def test_nothing_is_written_for_a_client_that_left_during_connection_setup(
+    may_cancel: bool, client_leaves: bool
 ) -> None:
-    with late_host() as late:
-        async with running(configuration(late.address, mayCancel=may_cancel)) as run:
+    with full_backlog_host() as backlog_host:
+        async with running(configuration(backlog_host.address, mayCancel=may_cancel)) as run:
             client = await run.connect()
             client.send(request("transfer"))
             await until(lambda: run.pool.open_connections)
-            if leaves:
+            if client_leaves:
                 client.close()
                 await until(lambda: not run.server.connections)
-            if leaves and may_cancel:
-                await until(lambda: not run.pool.open_connections)  # counted out a turn after it is called off
-                assert not run.pool.counts.failed  # that was no connection given up at its time-out
-                late.open()
+            if client_leaves and may_cancel:
+                # The count changes one loop iteration after the cancellation.
+                await until(lambda: not run.pool.open_connections)
+                assert not run.pool.counts.failed  # the connection attempt was cancelled, and did not time out
+                backlog_host.open()
                 assert not run.pool.open_connections and run.pool.counts.opened == 1
                 return
-            late.open()
-            sock = await late.accept()
-            heard = await asyncio.get_running_loop().sock_recv(sock, 65_536)
-            assert heard == b"" if leaves else b"POST /transfer" in heard
-            await until(lambda: not run.gateway.requests.by_key or not leaves)
+            backlog_host.open()
+            sock = await backlog_host.accept()
+            received = await asyncio.get_running_loop().sock_recv(sock, 65_536)
+            assert received == b"" if client_leaves else b"POST /transfer" in received
+            await until(lambda: not run.gateway.requests.by_key or not client_leaves)
             sock.close()
 
 
 @pytest.mark.parametrize("end", ["FIN", "RST"])
 @on_loop
-async def test_what_a_client_sent_ahead_is_not_sent_on_once_it_has_gone(end: str) -> None:
-    """So many requests that nothing more is read of the connection: its end is not read either."""
+async def test_pipelined_requests_of_a_disconnected_client_are_not_forwarded(end: str) -> None:
+    """With so many pipelined requests the gateway pauses reading, so that it does not read the close either."""
     async with peer(silent) as host, running(configuration(host)) as run:
         with socket.create_connection(("127.0.0.1", run.port)) as client:
             client.sendall(b"".join(request("search") for _ in range(200)))
@@ -333,32 +336,37 @@
 
 @pytest.mark.parametrize("end", ["FIN", "RST"])
 @on_loop
-async def test_a_client_that_has_gone_gets_no_further_attempt_though_its_end_is_not_yet_read(end: str) -> None:
-    """It leaves in the very turn in which its first attempt fails; the loop reads of that only afterwards."""
+async def test_a_disconnected_client_gets_no_further_attempt_even_if_its_close_is_unread(end: str) -> None:
+    """The client closes in the loop iteration in which its first attempt fails; the close is read only after it."""
     with socket.socket() as client:
 
-        def leave(server: int, outcome: Outcome, latency_us: int) -> None:
+        def disconnect(server: int, outcome: Outcome, latency_us: int) -> None:
             if end == "RST":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
 
-        turned_away = answers(reply(503, b"", "X-Rejected: 1"))
-        async with peer(turned_away) as one, peer(turned_away) as other, running(configuration(one, other)) as run:
-            run.gateway.dispatcher.on_attempt_outcome = leave
+        rejection = answers(reply(503, b"", "X-Rejected: 1"))
+        async with (
+            peer(rejection) as host_a,
+            peer(rejection) as host_b,
+            running(configuration(host_a, host_b)) as run,
+        ):
+            run.gateway.dispatcher.on_attempt_outcome = disconnect
             client.connect(("127.0.0.1", run.port))
             client.sendall(request("search"))
-            await until(lambda: one.seen or other.seen)
+            await until(lambda: host_a.seen or host_b.seen)
             await until(lambda: not run.gateway.requests.by_key and not run.server.connections)
-            assert len(one.seen) + len(other.seen) == 1
+            assert len(host_a.seen) + len(host_b.seen) == 1
             run.gateway.dispatcher.on_attempt_outcome = None
-            assert (await run.ask(request())).status == 503  # one that stays is tried at both
-            assert len(one.seen) + len(other.seen) == 3
+            # The request of a client that stays connected is tried at both hosts.
+            assert (await run.ask(request())).status == 503
+            assert len(host_a.seen) + len(host_b.seen) == 3
 
 
 @pytest.mark.parametrize("late", [True, False])
 @on_loop
-async def test_a_second_answer_that_comes_late_is_not_the_next_requests(late: bool) -> None:
-    """The next request comes between the two, or after both: it is answered by its own in either order."""
+async def test_a_late_second_response_is_not_used_for_the_next_request(late: bool) -> None:
+    """The next request comes between the two responses or after both; in either order it gets its own response."""
     async with peer(answers(reply(200, b"first"))) as host, running(configuration(host)) as run:
         assert (await run.ask(request())).body == b"first"
         host.script = silent
@@ -379,14 +387,14 @@
 
 
 @on_loop
-async def test_who_stopped_in_the_middle_of_a_request_yields_to_who_asks() -> None:
+async def test_a_stalled_request_is_dropped_in_favour_of_a_new_client() -> None:
     async with peer() as host, running(configuration(host)) as run:
         slow = [await run.connect() for _ in range(3)]
         for client in slow:
             client.send(request("transfer", b"body")[:40])
         await until(lambda: len(run.server.timeouts.reading) == 3)
         for connection in run.server.timeouts.reading:
-            connection.last_read_s -= 60  # nothing of it has come for long
+            connection.last_read_s -= 60  # no data for a long time
         run.server.admission.max_clients = 3
         assert (await run.ask(request())).status == 200
         await until(lambda: len(run.server.timeouts.reading) == 2)
@@ -395,8 +403,8 @@
 
 
 @on_loop
-async def test_attempts_leave_the_reserve_alone() -> None:
-    """Every descriptor is a client's that waits or an attempt's; the next attempt is not sent, and the rest go on."""
+async def test_attempts_do_not_use_reserved_descriptors() -> None:
+    """Waiting clients and attempts use all descriptors; the next attempt is not sent, and the others continue."""
     async with peer(silent) as host, running(configuration(host)) as run:
         clients = [await run.connect() for _ in range(3)]
         await until(lambda: len(run.server.connections) == 3 and not run.server.admission.accepting)
@@ -404,7 +412,7 @@
         for client in clients[:2]:
             client.send(request())
         await until(lambda: len(host.seen) == 2)
-        clients[2].send(request())  # three clients and two attempts: the reserve begins here
+        clients[2].send(request())  # three clients and two attempts: only reserved descriptors are left
         assert (await clients[2].answer()).status == 503
         assert (
             run.server.client_count + run.pool.open_connections + RESERVED_DESCRIPTORS
@@ -419,8 +427,8 @@
 
 
 @on_loop
-async def test_without_descriptors_the_program_waits_and_goes_on_when_there_are_some(tmp_path: Path) -> None:
-    """All are with clients that wait for their answers; the kernel has one more, which is taken later."""
+async def test_without_free_descriptors_the_gateway_waits_and_recovers(tmp_path: Path) -> None:
+    """Waiting clients use all descriptors; further connections wait in the kernel and are accepted later."""
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         numbers = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(numbers) + 9, max(numbers) + 9))
@@ -434,7 +442,7 @@
             client.send(request("transfer", b"half")[:30])
         ticks = cpu_ticks(process.pid)
         await asyncio.sleep(1.0)
-        assert cpu_ticks(process.pid) - ticks < 50  # half of that second: it does not turn all the time
+        assert cpu_ticks(process.pid) - ticks < 50  # less than half of that second: the loop does not spin
         for client in clients + more[:-1]:
             client.close()
         host.script = answers(reply())
@@ -442,14 +450,14 @@
         more[-1].close()
 
 
-class FullListener:
-    """The gateway's listener while the process has no descriptor left: what waits there can't be taken."""
+class ExhaustedListener:
+    """The gateway's listener while the process has no free descriptor: accepting fails with EMFILE."""
 
     def __init__(self, listener: socket.socket) -> None:
-        self.listener, self.tried = listener, 0
+        self.listener, self.accept_count = listener, 0
 
     def accept(self) -> tuple[socket.socket, object]:
-        self.tried += 1
+        self.accept_count += 1
         raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
 
     def __getattr__(self, name: str) -> Any:
@@ -457,25 +465,25 @@
 
 
 @on_loop
-async def test_an_accept_without_a_descriptor_is_tried_again_only_after_a_pause() -> None:
-    """Turns of the loop are counted, not processor time: a busy machine gives a turning loop little of that too."""
+async def test_a_failed_accept_without_descriptors_is_retried_only_after_a_pause() -> None:
+    """Counts attempts to accept, not CPU time: on a busy machine even a spinning loop gets little of that."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         listener = run.server.listener.socket
         assert listener is not None
-        full = FullListener(listener)
-        run.server.listener.socket = cast(socket.socket, full)
+        exhausted = ExhaustedListener(listener)
+        run.server.listener.socket = cast(socket.socket, exhausted)
         client = await run.connect()
-        await until(lambda: full.tried)
-        first, since_s = full.tried, time.monotonic()
+        await until(lambda: exhausted.accept_count)
+        first, since_s = exhausted.accept_count, time.monotonic()
         for _ in range(500):
             await asyncio.sleep(0)
         pauses = (time.monotonic() - since_s) / ACCEPT_RETRY_INTERVAL_S
-        assert full.tried - first <= 1 + pauses
+        assert exhausted.accept_count - first <= 1 + pauses
         run.server.listener.socket = listener
         assert (await client.ask(request())).status == 200
         client.close()
 
 
 def cpu_ticks(pid: int) -> int:
-    """Hundredths of a second of processor time."""
+    """Return the CPU time of a process, in hundredths of a second."""
     return sum(map(int, Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[11:13]))
--- a/tests/core/test_draining.py
+++ b/tests/core/test_draining.py
@@ -1,4 +1,4 @@
-"""Drain schedules: as figures, and carried out by the frontend."""
+"""Drain schedules: their figures, and how the frontend carries them out."""
 
 from __future__ import annotations
 
@@ -17,17 +17,21 @@
 )
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 
-LONGEST_S = (0.4, 1.0, 3.0)  # that a client waits
-SCHEDULES = [pause_schedule(), *map(shutdown_schedule, LONGEST_S), *map(handover_schedule, LONGEST_S)]
+MAX_CLIENT_TIMEOUTS_S = (0.4, 1.0, 3.0)
+SCHEDULES = [
+    pause_schedule(),
+    *map(shutdown_schedule, MAX_CLIENT_TIMEOUTS_S),
+    *map(handover_schedule, MAX_CLIENT_TIMEOUTS_S),
+]
 
 
 @pytest.mark.parametrize("schedule", SCHEDULES)
-@given(now_s=st.floats(0, 10), quiet_s=st.floats(0, 10))
-def test_a_request_that_goes_on_arriving_is_not_aborted(
-    schedule: DrainSchedule, now_s: float, quiet_s: float
+@given(now_s=st.floats(0, 10), read_gap_s=st.floats(0, 10))
+def test_a_request_that_keeps_arriving_is_not_aborted(
+    schedule: DrainSchedule, now_s: float, read_gap_s: float
 ) -> None:
-    if schedule.can_abort_read(now_s, quiet_s):
-        assert now_s >= schedule.abort_incomplete_from_s or quiet_s >= READ_STALL_TIMEOUT_S
+    if schedule.can_abort_read(now_s, read_gap_s):
+        assert now_s >= schedule.abort_incomplete_from_s or read_gap_s >= READ_STALL_TIMEOUT_S
 
 
 @pytest.mark.parametrize("schedule", SCHEDULES)
@@ -39,23 +43,23 @@
         assert now_s >= schedule.close_idle_from_s if served else age_s >= min(schedule.first_request_timeout_s, 0.5)
 
 
-@pytest.mark.parametrize("longest_s", LONGEST_S)
-def test_shutdown_is_over_before_the_kill(longest_s: float) -> None:
-    for schedule in (shutdown_schedule(longest_s), handover_schedule(longest_s)):
-        assert schedule.respond_by_s < longest_s + KILL_GRACE_S
+@pytest.mark.parametrize("max_client_timeout_s", MAX_CLIENT_TIMEOUTS_S)
+def test_shutdown_ends_before_sigkill(max_client_timeout_s: float) -> None:
+    for schedule in (shutdown_schedule(max_client_timeout_s), handover_schedule(max_client_timeout_s)):
+        assert schedule.respond_by_s < max_client_timeout_s + KILL_GRACE_S
         assert schedule.respond_by_s <= MAX_SHUTDOWN_S
 
 
-@pytest.mark.parametrize("longest_s", LONGEST_S)
-def test_with_a_successor_the_gateway_is_ready_and_accepts_nothing_new(longest_s: float) -> None:
-    schedule = handover_schedule(longest_s)
+@pytest.mark.parametrize("max_client_timeout_s", MAX_CLIENT_TIMEOUTS_S)
+def test_with_a_successor_the_gateway_is_ready_and_accepts_no_connections(max_client_timeout_s: float) -> None:
+    schedule = handover_schedule(max_client_timeout_s)
     assert schedule.is_reported_ready and schedule.accept_until_s == 0.0
     assert (
         schedule.close_idle_from_s < schedule.reject_from_s < schedule.abort_incomplete_from_s < schedule.respond_by_s
     )
 
 
-def test_four_seconds_after_a_pause_no_connection_is_idle_and_no_request_is_new() -> None:
+def test_four_seconds_after_a_pause_no_connection_is_idle_or_has_a_recent_request() -> None:
     schedule = pause_schedule()
     for served in (True, False):
         assert schedule.can_close_idle(schedule.abort_incomplete_from_s, served, 0.0)
@@ -65,7 +69,7 @@
 
 @on_loop
 async def test_during_shutdown_an_open_connection_is_served_for_a_while() -> None:
-    """Another gateway may be out at the same time: who is sent away at once finds none."""
+    """Another gateway may be down at the same time: a client that is turned away might find no gateway."""
     schedule = shutdown_schedule(3.0)
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
@@ -83,22 +87,23 @@
     schedule = shutdown_schedule(3.0)
     async with peer(silent) as host, running(configuration(host)) as run:
         data = request("transfer", b"slow")
-        half = await run.connect()
-        half.send(data[:20])
+        stalled_client = await run.connect()
+        stalled_client.send(data[:20])
         await until(lambda: run.server.timeouts.reading)
-        (stuck,) = run.server.timeouts.reading
-        slow = await run.connect()
-        slow.send(data[:-4])
+        (stalled_connection,) = run.server.timeouts.reading
+        slow_client = await run.connect()
+        slow_client.send(data[:-4])
         await until(lambda: len(run.server.timeouts.reading) == 2)
-        (moving,) = set(run.server.timeouts.reading) - {stuck}
-        stuck.last_read_s -= 60  # nothing of it has come for long, and the other's last piece is as new as can be
-        moving.last_read_s += 60
+        (slow_connection,) = set(run.server.timeouts.reading) - {stalled_connection}
+        # One request has received no data for a minute, the other has just received some.
+        stalled_connection.last_read_s -= 60
+        slow_connection.last_read_s += 60
         run.server.start_drain(schedule)
         run.server.drain_state.started_s -= schedule.abort_stalled_from_s + 0.1
-        assert (await half.answer()).status == 408
-        slow.send(data[-4:])
+        assert (await stalled_client.answer()).status == 408
+        slow_client.send(data[-4:])
         await until(lambda: host.seen)
         host.seen[0].answer(reply(200, b"slow"))
-        assert (await slow.answer()).body == b"slow"
-        half.close()
-        slow.close()
+        assert (await slow_client.answer()).body == b"slow"
+        stalled_client.close()
+        slow_client.close()
--- a/tests/core/test_reload.py
+++ b/tests/core/test_reload.py
@@ -1,4 +1,4 @@
-"""Files are read again off the loop: once for requests that come together, and never half applied."""
+"""Files are reloaded in another thread, once for several requests, and invalid ones are not applied."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 
 
 class Recorder:
-    """Files to read, with a gate that keeps a reading from its end, and what was applied of them."""
+    """Simulates the files: counts reads, blocks them until `gate` is set, and records what was applied."""
 
     def __init__(self) -> None:
         self.gate = threading.Event()
-        self.readings = 0
+        self.read_count = 0
         self.reader_threads: set[int] = set()
-        self.is_broken = False
+        self.is_invalid = False
         self.applied: list[int] = []
         self.errors: list[str] = []
         self.reloader = FileReloader(self.read, self.apply, lambda error: self.errors.append(str(error)))
 
     def read(self) -> int:
-        self.readings += 1
+        self.read_count += 1
         self.reader_threads.add(threading.get_ident())
-        reading, is_broken = self.readings, self.is_broken
+        read_number, is_invalid = self.read_count, self.is_invalid
         self.gate.wait()
-        if is_broken:
+        if is_invalid:
             raise ConfigError("cannot be used")
-        return reading
+        return read_number
 
     async def apply(self, contents: int) -> None:
         self.applied.append(contents)
 
 
 @on_loop
-async def test_requests_during_a_reading_lead_to_one_more() -> None:
+async def test_requests_during_a_reload_are_combined_into_one_more() -> None:
     recorder = Recorder()
     recorder.reloader.request_reload()
-    await until(lambda: recorder.readings == 1)
+    await until(lambda: recorder.read_count == 1)
     for _ in range(3):
         recorder.reloader.request_reload()
     recorder.gate.set()
     await until(lambda: recorder.applied == [1, 2])
-    assert recorder.readings == 2
+    assert recorder.read_count == 2
 
 
 @on_loop
-async def test_files_are_read_off_the_loop() -> None:
+async def test_files_are_read_in_another_thread() -> None:
     recorder = Recorder()
     recorder.gate.set()
     recorder.reloader.request_reload()
@@ -57,25 +57,25 @@
 
 
 @on_loop
-async def test_a_file_that_cannot_be_used_is_reported_and_not_applied() -> None:
+async def test_an_invalid_file_is_reported_and_not_applied() -> None:
     recorder = Recorder()
     recorder.gate.set()
-    recorder.is_broken = True
+    recorder.is_invalid = True
     recorder.reloader.request_reload()
     await until(lambda: recorder.errors == ["cannot be used"])
     assert recorder.applied == []
-    recorder.is_broken = False
+    recorder.is_invalid = False
     recorder.reloader.request_reload()
     await until(lambda: recorder.applied == [2])
 
 
 @on_loop
-async def test_a_request_during_a_reading_that_fails_is_kept() -> None:
+async def test_a_request_during_a_failing_reload_is_carried_out() -> None:
     recorder = Recorder()
-    recorder.is_broken = True
+    recorder.is_invalid = True
     recorder.reloader.request_reload()
-    await until(lambda: recorder.readings == 1)
-    recorder.is_broken = False
+    await until(lambda: recorder.read_count == 1)
+    recorder.is_invalid = False
     recorder.reloader.request_reload()
     recorder.gate.set()
     await until(lambda: recorder.applied == [2])
--- a/tests/golden/core.py
+++ b/tests/golden/core.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.core writes: the metrics line of each second."""
+"""Samples of the metrics line that cloverkeel.core writes each second."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def _metrics() -> GatewayMetrics:
-    """Return sums of a second in which every figure is another one."""
+    """Return counters of a second, with a different value in each."""
     metrics = GatewayMetrics(3)
     metrics.received_by_class[:] = [31, 32, 33]
     metrics.record_rejection(0, "shed")
@@ -44,7 +44,7 @@
 
 
 def _crowded_metrics() -> GatewayMetrics:
-    """Return sums of more hosts than one line names."""
+    """Return counters of more hosts than fit into one line."""
     metrics = GatewayMetrics(1)
     for server in range(MAX_HOSTS_PER_LINE + 3):
         metrics.record_attempt(server)
@@ -52,7 +52,7 @@
 
 
 def _logged(metrics: GatewayMetrics) -> bytes:
-    """Return the line as it leaves the process on standard error."""
+    """Return the line as written to standard error."""
     line = metrics.format_line(AT_US, SHED, 5, 6)
     assert line is not None
     errors = io.StringIO()
@@ -62,7 +62,7 @@
 
 
 def _read(data: bytes) -> dict[int, Second]:
-    """Read a line as the command that adds up the logs of a fleet does."""
+    """Parse a line as the command that sums the logs of a fleet does."""
     count = Count()
     count.read([data.decode()])
     assert not count.unread
