--- a/cloverkeel/protocols/__init__.py
+++ b/cloverkeel/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to messages, for every package that speaks to servers. No I/O."""
+"""Wire protocol parsers shared by the packages that connect to servers. No I/O."""
--- a/cloverkeel/protocols/http1.py
+++ b/cloverkeel/protocols/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 answers from bytes (RFC 9112). No I/O: the answers of hosts and of discovery are read by it alike.
+"""HTTP/1.1 response parser (RFC 9112) for the responses of hosts and of discovery. No I/O.
 
-Answers come whole, up to a limit. Where the caller takes larger ones, it gets their head and then their bodies in
-chunks as they come (`on_stream_start`, `on_chunk`); the reply that `feed` returns at their end has no body.
+Responses are returned whole, up to a limit. If the caller passes `on_stream_start` and `on_chunk`, larger ones are
+streamed: first the head, then the body in chunks as it arrives; the reply that `feed` returns at the end has no body.
 """
 
 from __future__ import annotations
@@ -22,28 +22,29 @@
     parse_token_list,
 )
 
-MAX_INTERIM_REPLIES: Final = 8  # answers of status 1xx that may come ahead of the final one
+MAX_INTERIM_REPLIES: Final = 8  # 1xx responses before the final one
 MIN_FINAL_STATUS: Final = 200
 STATUSES_WITHOUT_BODY: Final = (204, 304)
 SUPPORTED_VERSIONS: Final = ("1.1", "1.0")
 
 HEAD_TOO_LONG: Final = "the head is too long"
 BODY_TOO_LONG: Final = "the body is too long"
-OTHER_VERSION: Final = "another version of the protocol"
-UNKNOWN_END: Final = "nobody can tell where it ends"
+UNSUPPORTED_VERSION: Final = "unsupported HTTP version"
+UNKNOWN_BODY_END: Final = "the end of the body is unknown"
 TOO_MANY_INTERIM_REPLIES: Final = "too many interim answers"
 
 
 class ReplyError(ValueError):
-    """What came back is no answer that can be used."""
+    """The received bytes are not a usable response."""
 
 
 class ReplyReader:
-    """Turns the bytes of one connection into answers, one at a time."""
+    """Parses the bytes of one connection into responses, one at a time."""
 
     __slots__ = (
-        "_body", "_headers", "_interim_count", "_is_in_body", "_is_until_close", "_length", "_max_body_bytes",
-        "_on_chunk", "_on_stream_start", "_parser", "_replies", "_size", "_unparsed", "has_begun", "is_streaming",
+        "_body", "_bytes_since_callback", "_headers", "_interim_count", "_is_in_body", "_is_until_close", "_length",
+        "_max_body_bytes", "_on_chunk", "_on_stream_start", "_parser", "_replies", "_size", "has_begun",
+        "is_streaming",
     )  # fmt: skip
 
     def __init__(
@@ -51,37 +52,37 @@
         on_stream_start: Callable[[Reply, int | None], None] | None = None,
         on_chunk: Callable[[bytes], None] | None = None,
     ) -> None:  # fmt: skip
-        self._max_body_bytes = max_body_bytes  # of an answer that is kept whole
+        self._max_body_bytes = max_body_bytes  # limit of a body that is returned whole
         self._on_stream_start = on_stream_start
         self._on_chunk = on_chunk
         self._parser: Any = httptools.HttpResponseParser(self)
         self._replies: list[Reply] = []
         self._headers: list[Header] = []
         self._body: list[bytes] = []
-        self._size = 0  # bytes of the head, then of the body
-        self._length: int | None = None  # of the body, where the head says it
-        self._is_until_close = False  # the body ends with the connection
+        self._size = 0  # bytes so far of the head, then of the body
+        self._length: int | None = None  # of the body, from Content-Length; None if not given
+        self._is_until_close = False  # the body ends when the connection closes
         self._is_in_body = False
         self._interim_count = 0
-        self._unparsed = 0  # bytes since the parser last handed anything over
-        self.has_begun = False  # an answer has begun and is not yet whole
-        self.is_streaming = False  # it is passed on in chunks
+        self._bytes_since_callback = 0  # bytes parsed since the parser last delivered a head, body bytes or an end
+        self.has_begun = False  # part of a response has arrived, and not all of it
+        self.is_streaming = False  # the response is passed on in chunks
 
     def feed(self, data: bytes) -> Reply | None:
-        """Read bytes; returns the answer that they complete. Bytes beyond it end the use of the connection.
+        """Parse bytes; return the response that they complete, if any.
 
-        Raises ReplyError where they are no answer, or none within the limits.
+        Bytes after it clear its `keep_alive`. Raises ReplyError if the bytes are malformed or exceed a limit.
         """
-        self._unparsed += len(data)
+        self._bytes_since_callback += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self._replies:
                 raise ReplyError(str(error.__context__ or error)) from None
-            self._replies[0].keep_alive = False  # a whole answer and something after it
+            self._replies[0].keep_alive = False  # bytes after a complete response
         if not self._replies:
-            # Guards against a status line or a header without end: the parser keeps it and says nothing.
-            if self._unparsed > MAX_HEAD_BYTES:
+            # Guards against an endless status line or header: the parser buffers it without a callback.
+            if self._bytes_since_callback > MAX_HEAD_BYTES:
                 raise ReplyError(HEAD_TOO_LONG)
             return None
         reply = self._replies[0]
@@ -92,7 +93,7 @@
         return reply
 
     def finish(self) -> Reply | None:
-        """Take the end of the other side's sending; returns the answer that this completes, if it does."""
+        """Handle the sender's end of stream; return the response whose body it ends, if any."""
         if not self.has_begun or not self._is_until_close:
             return None
         reply = Reply(self._parser.get_status_code(), self._headers, b"".join(self._body), False)
@@ -102,15 +103,15 @@
         return reply
 
     def close(self) -> None:
-        """Let go of the parser: it knows this reader, and both would wait for the collector."""
+        """Break the reference cycle with the parser, so that both are freed without garbage collection."""
         self._parser = None
         self._on_stream_start = None
         self._on_chunk = None
 
-    # Callbacks of httptools, which finds them by name
+    # Callbacks that httptools looks up by name
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Begin a response."""
         self.has_begun = True
         self._is_in_body = False
         self._headers = []
@@ -118,24 +119,24 @@
         self._size = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header, within the limit of the head."""
+        """Store a header, within the limit of the head."""
         if self._is_in_body:
-            return  # a trailer: bounded as what the parser hands nothing over of
+            return  # a trailer, limited by _bytes_since_callback
         self._size += len(name) + len(value)
         if self._size > MAX_HEAD_BYTES:
             raise ReplyError(HEAD_TOO_LONG)
-        # White space round a value is not part of it; the parser leaves what trails.
+        # White space around a value is not part of it; the parser strips only the leading part.
         self._headers.append((name, value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Find out how the body is framed, and whether it is within the limits."""
+        """Determine the framing of the body, and check the version and the announced body length."""
         self._size = 0
-        self._unparsed = 0
+        self._bytes_since_callback = 0
         self._is_in_body = True
         version = self._parser.get_http_version()
         status = self._parser.get_status_code()
         if version not in SUPPORTED_VERSIONS:
-            raise ReplyError(OTHER_VERSION)
+            raise ReplyError(UNSUPPORTED_VERSION)
         self.is_streaming = False
         self._is_until_close = False
         length = find_header(self._headers, b"content-length")
@@ -148,25 +149,25 @@
             self._expect_body_until_close(version)
 
     def _max_length(self, status: int) -> int:
-        """Return how long a body may be that the head announces."""
+        """Return the maximum body length that the head of a response with this status may announce."""
         can_stream = self._on_stream_start is not None and status == STATUS_OK
         return max(MAX_BODY_BYTES, self._max_body_bytes) if can_stream else self._max_body_bytes
 
     def _expect_body_until_close(self, version: str) -> None:
-        """Take that the body ends with the connection.
+        """Expect the body to end with the connection.
 
-        Only where the answer says so itself: an end of the connection is also what a crash looks like.
+        Raises ReplyError unless the response announces the close itself, as a crash closes the connection too.
         """
         connection_tokens = parse_token_list(find_header(self._headers, b"connection") or b"")
         ends_connection = version == "1.0" or b"close" in connection_tokens
         if self._on_stream_start is None or not ends_connection:
-            raise ReplyError(UNKNOWN_END)
+            raise ReplyError(UNKNOWN_BODY_END)
         self._is_until_close = True
 
     def on_body(self, data: bytes) -> None:
-        """Take bytes of a body: keep them, or pass them on where it is too long to be kept."""
+        """Store bytes of the body, or stream them if the body is too long to be stored."""
         self._size += len(data)
-        self._unparsed = 0
+        self._bytes_since_callback = 0
         if not self.is_streaming and max(self._size, self._length or 0) > self._max_body_bytes:
             self._start_stream()
         if self._size > MAX_BODY_BYTES and self.is_streaming:
@@ -177,7 +178,7 @@
             self._body.append(data)
 
     def _start_stream(self) -> None:
-        """Pass the head on, and what came of the body so far."""
+        """Pass on the head and the part of the body received so far."""
         if self._on_stream_start is None or self._parser.get_status_code() != STATUS_OK:
             raise ReplyError(BODY_TOO_LONG)
         self.is_streaming = True
@@ -187,11 +188,11 @@
             self._pass_on(chunk)
 
     def _pass_on(self, data: bytes) -> None:
-        if self._on_chunk is not None:  # else the connection was closed meanwhile
+        if self._on_chunk is not None:  # None after close()
             self._on_chunk(data)
 
     def on_message_complete(self) -> None:
-        """End an answer; what comes before the final one is not handed over."""
+        """Complete a response; interim (1xx) responses are dropped."""
         status = self._parser.get_status_code()
         if status >= MIN_FINAL_STATUS:
             keep_alive = self._parser.should_keep_alive()
@@ -202,5 +203,5 @@
                 raise ReplyError(TOO_MANY_INTERIM_REPLIES)
         self._headers = []
         self._body = []
-        self._unparsed = 0
+        self._bytes_since_callback = 0
         self.has_begun = False
--- a/cloverkeel/upstream/__init__.py
+++ b/cloverkeel/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to hosts, attempts over them and their outcomes. Knows no frontend."""
+"""Connections to hosts, attempts sent over them and their outcomes. Independent of the frontends."""
--- a/cloverkeel/upstream/attempt.py
+++ b/cloverkeel/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request on its way to one host, until its outcome. State alone; attempt_sender.py drives it."""
+"""State of one attempt: a request sent to one host, up to its outcome. attempt_sender.py drives it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Attempt:
-    """One request on its way to one host. Times are in microseconds of this gateway's clock."""
+    """State of one attempt. Times are in microseconds of this gateway's clock."""
 
     __slots__ = (
         "build_payload", "connect_task", "connect_timer", "connection", "has_ended", "has_rechecked", "host",
@@ -33,12 +33,12 @@
         self.host = host
         self.build_payload: PayloadBuilder = build_payload
         self.may_start: MayStart = may_start or _always_may_start
-        self.write_deadline_us = write_deadline_us  # its last byte is written by then, or it is not sent; 0: no limit
+        self.write_deadline_us = write_deadline_us  # cancelled unless fully written by then; 0: no deadline
         self.on_end: OnAttemptEnd = on_end
         self.on_response_start: OnResponseStart = on_response_start or _discard_response
-        self.stream: ResponseStream | None = None  # receives a large answer, once it has begun
-        self.last_progress_us = 0  # when a chunk of that came last
-        self.is_paused = False  # the client is to read what it has first
+        self.stream: ResponseStream | None = None  # receives the body of a streamed response once it has begun
+        self.last_progress_us = 0  # when the last chunk of the streamed response arrived
+        self.is_paused = False  # reading is paused until the client has read the buffered bytes
         self.sent_us = 0
         self.latency_us = 0
         self.connection: HostConnection | None = None
@@ -47,28 +47,28 @@
         self.connect_timer: Timer | None = None
         self.write_deadline_timer: Timer | None = None
         self.has_ended = False
-        self.has_rechecked = False  # past its timeout, the loop was given a turn to read an answer that waits
+        self.has_rechecked = False  # timed out; the loop got one more iteration to read a pending response
 
     def pause_reading(self) -> None:
-        """Stop reading the answer until the client has taken what it has."""
+        """Stop reading the response until the client has read the buffered bytes."""
         if not self.is_paused and self.connection is not None and self.connection.transport is not None:
             self.is_paused = True
             self.connection.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read the answer again."""
+        """Resume reading the response."""
         if self.is_paused and self.connection is not None and self.connection.transport is not None:
             self.is_paused = False
             self.last_progress_us = now_us()
             self.connection.transport.resume_reading()
 
     def is_written(self) -> bool:
-        """Tell whether its last byte is with the kernel, so that the host may have run it."""
+        """Return whether the kernel has taken the last byte, so that the host may have run the request."""
         connection = self.connection
         return connection is not None and connection.is_written()
 
     def cancel_timers(self) -> None:
-        """Cancel whatever is timed of it."""
+        """Cancel all timers of the attempt."""
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
         if self.connect_timer is not None:
@@ -78,7 +78,7 @@
         self.timeout_timer = self.connect_timer = self.write_deadline_timer = None
 
     def release_references(self) -> None:
-        """Let go of the request, which knows its attempts: both are then freed without a search for cycles."""
+        """Break the reference cycle with the request, so that both are freed without garbage collection."""
         self.connection = self.connect_task = None
         self.on_end = _ignore_result
         self.on_response_start = _discard_response
@@ -88,19 +88,19 @@
 
 
 def _ignore_result(_result: AttemptResult) -> None:
-    """Stand in for the handler of an attempt that has ended."""
+    """Replace `on_end` of an attempt that has ended."""
 
 
 def _build_nothing(_at_us: int) -> list[bytes]:
-    """Stand in for the payload of an attempt that has ended."""
+    """Replace `build_payload` of an attempt that has ended."""
     return []
 
 
 def _always_may_start(_at_us: int) -> bool:
-    """Allow an attempt that nobody limits."""
+    """Allow an attempt that has no start condition."""
     return True
 
 
 def _discard_response(_reply: Reply, _length: int | None, _latency_us: int) -> ResponseStream | None:
-    """Take no large answer."""
+    """Refuse a streamed response."""
     return None
--- a/cloverkeel/upstream/attempt_sender.py
+++ b/cloverkeel/upstream/attempt_sender.py
@@ -1,8 +1,8 @@
-"""Sends attempts over the pool's connections and follows each to its one outcome.
+"""Sends attempts over pooled connections and follows each to its outcome.
 
 Invariants:
-- an attempt ends once, by its `on_end`;
-- nothing is written that `find_refusal` has not let pass in the moment of the write;
+- an attempt ends exactly once, with a call of its `on_end`;
+- nothing is written unless `find_refusal` allows it at the moment of the write;
 - an attempt whose last byte is not written has not run: it ends as CONNECT_FAILED or MOOT, never as RESET or TIMEOUT.
 """
 
@@ -25,45 +25,48 @@
 from cloverkeel.upstream.health_check import HEALTH_CHECK_TIMEOUT_US, build_health_check
 from cloverkeel.upstream.outcomes import classify_reply, parse_load_report
 
-RECHECK_DELAY_US: Final = 1_000  # for the loop to read what waits
-PROGRESS_TIMEOUT_US: Final = 5_000_000  # a large answer of which nothing more comes, while it could, has broken off
+RECHECK_DELAY_US: Final = 1_000  # lets the loop read bytes that already wait in the socket
+PROGRESS_TIMEOUT_US: Final = 5_000_000  # cancels a streamed response that stalls while its reading is not paused
 
 
 class AttemptSender(ConnectionHandler):
-    """Carries attempts to hosts. Implements the core's `Upstream`."""
+    """Sends attempts to hosts. Implements the core's `Upstream`."""
 
     def __init__(self, settings: Settings, pool: ConnectionPool) -> None:
         self.settings = settings
         self.pool = pool
-        self.reads_load_reports = False  # the balancer ignores them: they are read for who does not
+        self.reads_load_reports = False  # the balancer ignores load reports; True parses them for another consumer
         self.loop = asyncio.get_running_loop()
         self.timers = LoopTimers(self.loop)
         self.may_write: Callable[[int], bool] = lambda _now_us: True
 
     def set_write_guard(self, may_write: Callable[[int], bool]) -> None:
-        """Call this, with the time in µs, just before an attempt's first byte is written; False ends it as moot."""
+        """Set a callback that gets the time in µs just before an attempt's first byte is written.
+
+        If it returns False, the attempt ends as MOOT.
+        """
         self.may_write = may_write
 
-    # Start of an attempt
+    # Starting an attempt
 
     def start_attempt(
         self, server: int, build_payload: PayloadBuilder, timeout_us: int, on_end: OnAttemptEnd,
         on_response_start: OnResponseStart, may_start: MayStart | None = None, write_deadline_us: int = 0,
     ) -> Attempt:  # fmt: skip
-        """Start an attempt at a host that is on the list; its end may come before this returns."""
+        """Start an attempt at a listed host; `on_end` may be called before this returns."""
         host = self.pool.hosts[server]
         attempt = Attempt(host, build_payload, on_end, on_response_start, may_start, write_deadline_us)
         self.send(attempt, timeout_us)
         return attempt
 
     def send_health_check(self, server: int, on_end: OnAttemptEnd) -> None:
-        """Ask a host how it is; its answer ends as an attempt does."""
+        """Send a health check to a host; `on_end` gets its result, as for any attempt."""
         host = self.pool.hosts[server]
         payload = build_health_check(host.address, self.settings.reports)
         self.send(Attempt(host, lambda _at_us: [payload], on_end), HEALTH_CHECK_TIMEOUT_US)
 
     def send(self, attempt: Attempt, timeout_us: int) -> None:
-        """Start an attempt on an idle connection, or on a new one where there is none."""
+        """Send an attempt on an idle connection, or on a new one if none is idle."""
         attempt.sent_us = now_us()
         attempt.timeout_timer = self.timers.schedule(attempt.sent_us + timeout_us, lambda: self.on_timeout(attempt))
         refusal = self.find_refusal(attempt, attempt.sent_us)
@@ -82,12 +85,12 @@
         self.open_connection(attempt)
 
     def write_to_idle_connection(self, attempt: Attempt) -> bool:
-        """Write an attempt to an idle connection; False if there is none."""
+        """Write an attempt to an idle connection; return False if there is none."""
         while (connection := self.pool.acquire_idle(attempt.host)) is not None:
             if self.write_attempt(connection, attempt):
                 self.pool.counts.reused += 1
                 return True
-            # The write itself failed: nothing has reached the host, so the same attempt may start anew.
+            # The write failed and nothing has reached the host, so the attempt may use another connection.
             self.pool.counts.stale += 1
         return False
 
@@ -107,11 +110,11 @@
         connect_task.add_done_callback(lambda task: self.on_connect_done(task, connection))
 
     def find_refusal(self, attempt: Attempt, at_us: int) -> Outcome | None:
-        """Return how an attempt ends that may not be written now; None: it may.
+        """Return the outcome of an attempt that must not be written now; None if it may be written.
 
-        The one place that is asked before any byte is written, however long its connection took: nothing starts
-        after a drain's grace, in a stall that was not caught up with, for a request that is over, or when retries
-        are no longer deduplicated.
+        This is the only check before the first byte is written, however long connecting took. It refuses an attempt
+        after its host's drain grace period, after a stall until the missed events are processed, for a request that
+        has ended, and past the time until which retries are deduplicated.
         """
         if not self.may_write(at_us) or not attempt.may_start(at_us):
             return Outcome.MOOT
@@ -123,7 +126,7 @@
         return None
 
     def write_attempt(self, connection: HostConnection, attempt: Attempt) -> bool:
-        """Write an attempt's request; False, and the connection is closed, if it turned out broken."""
+        """Write an attempt's request; close the connection and return False if it is broken."""
         connection.attempt, attempt.connection = attempt, connection
         if connection.write(attempt.build_payload(now_us())):
             return True
@@ -131,10 +134,10 @@
         connection.close()
         return False
 
-    # End of an attempt
+    # Ending an attempt
 
     def cancel_attempt(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Stop waiting: the connection is closed, so that the host can tell, and its descriptor is free."""
+        """End an attempt and close its connection, which notifies the host and frees the descriptor."""
         if attempt.has_ended:
             return
         connection, connect_task = attempt.connection, attempt.connect_task
@@ -146,11 +149,11 @@
             connection.close()
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, reply: Reply | None = None) -> None:
-        """Report how an attempt ended; nothing if that was reported already."""
+        """Report the outcome of an attempt, unless it is already reported."""
         if attempt.has_ended:
             return
         attempt.has_ended = True
-        if attempt.stream is None:  # else it is the time until the first bytes
+        if attempt.stream is None:  # a streamed response sets the latency when it starts
             attempt.latency_us = now_us() - attempt.sent_us
         attempt.cancel_timers()
         if outcome is Outcome.CONNECT_FAILED:
@@ -163,32 +166,35 @@
     # Timers
 
     def on_timeout(self, attempt: Attempt) -> None:
-        """Handle the end of an attempt's time."""
+        """Handle the timeout of an attempt."""
         if not attempt.has_rechecked and attempt.connection is not None and attempt.connection.has_unread():
-            # Guards against giving up an answer that has come: after a stall, timers run before sockets are read.
+            # Guards against dropping a response that has arrived: after a stall, timers run before sockets are read.
             attempt.has_rechecked = True
             attempt.timeout_timer = self.timers.schedule(
                 now_us() + RECHECK_DELAY_US, lambda: self.on_timeout(attempt)
             )
             return
-        # What was never written cannot have run, also when the time ended while connecting.
+        # A request that is not fully written cannot have run, also if the timeout passed while connecting.
         self.cancel_attempt(attempt, Outcome.TIMEOUT if attempt.is_written() else Outcome.CONNECT_FAILED)
 
     def on_connect_timeout(self, attempt: Attempt) -> None:
-        """Handle the end of the time for establishing a connection."""
+        """Handle the timeout of establishing a connection."""
         if attempt.connection is not None and attempt.connection.transport is None:
             self.cancel_attempt(attempt, Outcome.CONNECT_FAILED)
 
     def on_write_deadline(self, attempt: Attempt) -> None:
-        """Cancel what is not wholly written when retries are no longer deduplicated: it has not run, and must not."""
+        """Cancel an attempt that is not fully written at its deadline.
+
+        It has not run, and must not run later, as retries are no longer deduplicated.
+        """
         if not attempt.is_written():
             self.cancel_attempt(attempt, Outcome.MOOT)
 
     def check_progress(self, attempt: Attempt) -> None:
-        """Cancel an attempt whose large answer has stopped coming, and look again when it might have."""
+        """Cancel an attempt whose streamed response has stalled; otherwise schedule the next check."""
         at_us = now_us()
         if attempt.is_paused:
-            attempt.last_progress_us = at_us  # it is not the host that waits
+            attempt.last_progress_us = at_us  # the client stalls, not the host
         if at_us - attempt.last_progress_us >= PROGRESS_TIMEOUT_US:
             self.cancel_attempt(attempt, Outcome.TIMEOUT)
             return
@@ -196,13 +202,13 @@
             attempt.last_progress_us + PROGRESS_TIMEOUT_US, lambda: self.check_progress(attempt)
         )
 
-    # Events of connections
+    # Connection events
 
     def on_connected(self, connection: HostConnection) -> None:
         """Write the attempt for which a connection was opened."""
         attempt = connection.attempt
         if attempt is None or attempt.has_ended:
-            # Given up in the very turn in which it came up: its connect task is cancelled, which closes it next.
+            # Cancelled in the loop iteration that established it; the cancelled connect task closes it next.
             connection.attempt = None
             connection.close()
             return
@@ -214,15 +220,15 @@
         self.end_attempt(attempt, refusal or Outcome.CONNECT_FAILED)
 
     def on_connect_done(self, connect_task: asyncio.Task[object], connection: HostConnection) -> None:
-        """Account for a connection that was not established, or was cancelled in the turn in which it was.
+        """Discard a connection that failed, or was cancelled in the loop iteration that established it.
 
-        Guards against counting it for good: of the latter, no connection_lost need follow.
+        Guards against counting it as open forever: connection_lost need not follow such a cancellation.
         """
         if connect_task.cancelled() or connect_task.exception() is not None:
             self.on_lost(connection)
 
     def on_response_start(self, connection: HostConnection, reply: Reply, length: int | None) -> None:
-        """Stream a large answer: from now on only its progress is timed."""
+        """Stream a large response; from now on only a progress timeout applies."""
         attempt = connection.attempt
         if attempt is None or attempt.has_ended:
             connection.close()
@@ -240,7 +246,7 @@
         self.check_progress(attempt)
 
     def on_reply(self, connection: HostConnection, reply: Reply) -> None:
-        """End an attempt with its answer, and keep the connection if it can be used again."""
+        """End an attempt with its response, and return a reusable connection to the pool."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is None:
             connection.close()
@@ -253,20 +259,20 @@
         self.end_attempt(attempt, classify_reply(reply), reply)
 
     def on_malformed(self, connection: HostConnection) -> None:
-        """End an attempt that was answered with what is no answer."""
+        """End an attempt whose response is malformed."""
         attempt, connection.attempt = connection.attempt, None
         connection.close()
         if attempt is not None:
             self.end_attempt(attempt, Outcome.ERROR)
 
     def on_lost(self, connection: HostConnection) -> None:
-        """End the attempt of a connection that has ended."""
+        """End the attempt of a lost connection."""
         self.pool.discard(connection)
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
             self.end_attempt(attempt, Outcome.RESET if connection.is_written() else Outcome.CONNECT_FAILED)
 
     def close(self) -> None:
-        """Stop timing attempts, and close the idle connections."""
+        """Cancel all timers and close the idle connections."""
         self.timers.close()
         self.pool.close()
--- a/cloverkeel/upstream/connection.py
+++ b/cloverkeel/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a host: a protocol of asyncio that carries one attempt at a time."""
+"""One connection to a host: an asyncio protocol that carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class ConnectionHandler:
-    """What a connection reports to. A base class and not a protocol: its calls stay direct when compiled."""
+    """Receives a connection's events. A base class, not a typing.Protocol: compiled calls to it stay direct."""
 
     def on_connected(self, connection: HostConnection) -> None:
-        """Handle a connection that is established."""
+        """Handle an established connection."""
         raise NotImplementedError
 
     def on_response_start(self, connection: HostConnection, reply: Reply, length: int | None) -> None:
-        """Handle the head of a large answer; `length` is that of its body in bytes, if it is known."""
+        """Handle the head of a streamed response; `length` is its body length in bytes, None if unknown."""
         raise NotImplementedError
 
     def on_reply(self, connection: HostConnection, reply: Reply) -> None:
-        """Handle the end of an answer."""
+        """Handle the end of a response."""
         raise NotImplementedError
 
     def on_malformed(self, connection: HostConnection) -> None:
-        """Handle bytes that are no answer."""
+        """Handle bytes that are not a valid response."""
         raise NotImplementedError
 
     def on_lost(self, connection: HostConnection) -> None:
@@ -38,7 +38,7 @@
 
 
 class HostConnection:
-    """One connection to a host; it carries one attempt at a time. A protocol in asyncio's sense, by its methods."""
+    """One connection to a host, for one attempt at a time. Implements asyncio.Protocol by its method names."""
 
     __slots__ = (
         "address", "attempt", "handler", "host", "idle_since_us", "is_counted", "is_flushed", "poll", "replies",
@@ -52,39 +52,39 @@
         self.address = host.address
         self.transport: asyncio.Transport | None = None
         self.replies = ReplyReader(on_stream_start=self.on_stream_start, on_chunk=self.on_chunk)
-        self.is_flushed = True  # the last byte of what was written is with the kernel
+        self.is_flushed = True  # the kernel has taken the last byte written
         self.idle_since_us = 0
-        self.is_counted = False  # among the open connections of its host and of the pool
+        self.is_counted = False  # in `open_connections` of its host and of the pool
         self.poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Handle asyncio's event: the connection is established."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        # With no room in the buffer, pause_writing tells at once that the last byte is not yet written.
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
+        # With a limit of 0, asyncio calls pause_writing as soon as a byte waits in its buffer.
         self.transport.set_write_buffer_limits(high=0)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.handler.on_connected(self)
 
     def is_reusable(self) -> bool:
-        """Tell whether the host has neither closed it nor sent anything unasked, seen by the loop or not yet.
+        """Return whether the host has neither closed the connection nor sent unsolicited bytes.
 
-        Guards against writing a request to a connection that the host has closed: it would end as a reset,
-        and nobody could tell whether it has run.
+        Polls the socket, as the loop may not have read these yet. Guards against writing a request to a connection
+        that the host has closed: it would end as a reset, which leaves unknown whether the request has run.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self.poll.poll(0)
 
     def has_unread(self) -> bool:
-        """Tell whether bytes from the host, or its end, wait to be read."""
+        """Return whether bytes from the host, or its end of stream, wait to be read."""
         transport = self.transport
         return transport is not None and not transport.is_closing() and bool(self.poll.poll(0))
 
     def is_written(self) -> bool:
-        """Tell whether all that was written is with the kernel."""
+        """Return whether the kernel has taken everything that was written."""
         return self.transport is not None and self.is_flushed
 
     def write(self, payload: list[bytes]) -> bool:
-        """Write a request; False if the connection turned out broken before its last byte was written."""
+        """Write a request; return False if the connection broke before the last byte was written."""
         assert self.transport is not None
         if self.transport.is_closing():
             return False
@@ -95,20 +95,20 @@
         return not self.transport.is_closing()
 
     def close(self) -> None:
-        """Close it at once, whatever is on its way."""
+        """Close the connection at once and discard unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     def pause_writing(self) -> None:
-        """Handle asyncio's event: the kernel takes no more."""
+        """Handle asyncio's event: the kernel's send buffer is full."""
         self.is_flushed = False
 
     def resume_writing(self) -> None:
-        """Handle asyncio's event: the kernel has taken all."""
+        """Handle asyncio's event: the kernel has taken all bytes written."""
         self.is_flushed = True
 
     def data_received(self, data: bytes) -> None:
-        """Handle asyncio's event: read what the host has sent."""
+        """Handle asyncio's event: the host has sent bytes."""
         try:
             reply = self.replies.feed(data)
         except ReplyError:
@@ -120,18 +120,21 @@
             self.close()
 
     def on_stream_start(self, reply: Reply, length: int | None) -> None:
-        """Handle the head of a large answer."""
+        """Handle the head of a streamed response."""
         self.handler.on_response_start(self, reply, length)
 
     def on_chunk(self, data: bytes) -> None:
-        """Pass a chunk of a large answer on."""
+        """Pass on a chunk of a streamed response."""
         attempt = self.attempt
         if attempt is not None and attempt.stream is not None:
             attempt.last_progress_us = now_us()
             attempt.stream.on_chunk(data)
 
     def eof_received(self) -> None:
-        """Handle asyncio's event: the host has ended its sending. Nothing stays half open; some answers end so."""
+        """Handle asyncio's event: the host has closed its sending side, which ends some responses.
+
+        Returns None, so that asyncio closes the connection: it never stays half open.
+        """
         reply = self.replies.finish()
         if reply is not None:
             self.handler.on_reply(self, reply)
--- a/cloverkeel/upstream/connection_pool.py
+++ b/cloverkeel/upstream/connection_pool.py
@@ -1,9 +1,9 @@
 """The hosts of the endpoint list and the idle connections to them.
 
 Invariants:
-- `open_connections`, of a host and of the pool, counts each connection once, from its attempt to connect to its end;
-- a connection that was idle for longer than a host keeps one is never used again;
-- a host that drains, has moved or is a new process has no idle connection of before.
+- `open_connections` of a host and of the pool counts each connection once, from its connection attempt to its end;
+- a connection that was idle for longer than the host's idle timeout is never reused;
+- a host has no idle connections from before it began to drain, moved or restarted.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from cloverkeel.upstream.connection import HostConnection
 from cloverkeel.upstream.host import Host
 
-MAX_IDLE_FRACTION: Final = 0.8  # of the host's idle timeout: no connection is kept unused for longer
-SPARE_IDLE_TIMEOUT_US: Final = 5_000_000  # the same for what only a burst has needed
-MAX_LONG_IDLE_CONNECTIONS: Final = 1  # of a host, that may stay idle for longer than that
+MAX_IDLE_FRACTION: Final = 0.8  # of the host's idle timeout; no connection is kept idle for longer
+SPARE_IDLE_TIMEOUT_US: Final = 5_000_000  # for connections beyond MAX_LONG_IDLE_CONNECTIONS, which only a burst needs
+MAX_LONG_IDLE_CONNECTIONS: Final = 1  # per host, that may stay idle beyond SPARE_IDLE_TIMEOUT_US
 EXPIRY_SCAN_INTERVAL_S: Final = 1.0
-REUSE_DELAY_US: Final = 8_000  # after an answer a connection is not used: a second answer came up to 4 ms later
+REUSE_DELAY_US: Final = 8_000  # after a response: duplicate responses arrived up to 4 ms later
 
 
 @dataclass(slots=True)
 class PoolCounts:
-    """Connections since the start: opened, reused, not established, and found closed when they were to be reused."""
+    """Connections since the start: opened, reused, not established, and found closed on reuse."""
 
     opened: int = 0
     reused: int = 0
@@ -38,12 +38,12 @@
 
 
 class ConnectionPool:
-    """Owns the table of hosts and their idle connections. Implements the core's `HostTable` and `Descriptors`."""
+    """Host table with the idle connections of each host. Implements the core's `HostTable` and `Descriptors`."""
 
     def __init__(self, settings: Settings, reserve_descriptor: Callable[[], bool] = lambda: True) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.reserve_descriptor = reserve_descriptor  # called before a descriptor is taken; False: there is none
+        self.reserve_descriptor = reserve_descriptor  # called before a descriptor is used; False if none is free
         self.hosts: dict[int, Host] = {}
         self.counts = PoolCounts()
         self.open_connections = 0
@@ -52,13 +52,13 @@
     # Hosts
 
     def update_host(self, id_: int, name: str, address: Address, ready: bool, started_us: int = 0) -> None:
-        """Learn of a host, of its new address, that its process has restarted, or that it drains."""
+        """Add a host, or update its address, the start time of its process and whether it drains."""
         host = self.hosts.get(id_)
         if host is None:
             host = self.hosts[id_] = Host(id_, name, address, started_us)
         if not host.is_same_process(address, started_us):
-            # Guards against writing to a connection of its former process: a machine that went silent may not
-            # have ended it, and what is written there ends as a reset.
+            # Guards against writing to a connection of the former process: an unreachable machine may not have
+            # closed it, and a request written to it ends as a reset.
             host.address, host.started_us = address, started_us
             self.close_idle_connections(id_)
         if ready:
@@ -67,26 +67,26 @@
             self.start_drain(host)
 
     def start_drain(self, host: Host) -> None:
-        """Note when a host began to drain, and close its idle connections."""
+        """Record when a host began to drain, and close its idle connections."""
         if host.draining_since_us is None:
             host.draining_since_us = now_us()
         self.close_idle_connections(host.id_)
 
     def remove_host(self, id_: int) -> None:
-        """Forget a host that is gone; attempts in flight still end as they will."""
+        """Remove a host; attempts in flight continue to their outcome."""
         host = self.hosts.pop(id_, None)
         if host is not None:
             self.start_drain(host)
 
     def retain_hosts(self, named: set[int]) -> list[int]:
-        """Forget every host that a complete list does not name; returns those."""
-        gone = [id_ for id_ in self.hosts if id_ not in named]
-        for id_ in gone:
+        """Remove every host that a complete list does not name; return the ids of the removed hosts."""
+        removed = [id_ for id_ in self.hosts if id_ not in named]
+        for id_ in removed:
             self.remove_host(id_)
-        return gone
+        return removed
 
     def has_host(self, server: int) -> bool:
-        """Tell whether a host is on the list."""
+        """Return whether a host is on the list."""
         return server in self.hosts
 
     def host_name(self, server: int) -> str | None:
@@ -95,47 +95,47 @@
         return host.name if host is not None else None
 
     def host_count(self) -> int:
-        """Return how many hosts are on the list."""
+        """Return the number of hosts on the list."""
         return len(self.hosts)
 
     def is_empty(self) -> bool:
-        """Tell whether no host is on the list."""
+        """Return whether no host is on the list."""
         return not self.hosts
 
     def has_host_changed(self, id_: int, address: Address, started_us: int) -> bool:
-        """Tell whether a host is on the list, and at another address or as another process."""
+        """Return whether a host is on the list with another address or process start time."""
         host = self.hosts.get(id_)
         return host is not None and not host.is_same_process(address, started_us)
 
     # Connections
 
     def opened_count(self) -> int:
-        """Return how many connections were opened since the start."""
+        """Return the number of connections opened since the start."""
         return self.counts.opened
 
     def acquire_idle(self, host: Host) -> HostConnection | None:
-        """Take the idle connection used last of those that have rested: the oldest age and are closed.
+        """Take the most recently used connection that was idle for REUSE_DELAY_US, so that older ones expire.
 
-        Guards against taking what a host sends again, some milliseconds after its answer, for the next one's answer:
-        nothing in the protocol tells them apart once the next request is out.
+        The delay guards against taking a duplicate response, sent some milliseconds after the first, for the response
+        to the next request: once that is sent, HTTP/1.1 cannot tell them apart.
         """
         at_us = now_us()
-        oldest_us = self._idle_since_limit_us(at_us)
+        min_idle_since_us = self._min_idle_since_us(at_us)
         idle = host.idle_connections
-        place = len(idle) - 1
-        while place >= 0 and at_us - idle[place].idle_since_us < REUSE_DELAY_US:
-            place -= 1
-        while place >= 0:
-            connection = idle.pop(place)
-            if connection.idle_since_us >= oldest_us and connection.is_reusable():
+        position = len(idle) - 1
+        while position >= 0 and at_us - idle[position].idle_since_us < REUSE_DELAY_US:
+            position -= 1
+        while position >= 0:
+            connection = idle.pop(position)
+            if connection.idle_since_us >= min_idle_since_us and connection.is_reusable():
                 return connection
-            place -= 1
+            position -= 1
             self.counts.stale += 1
             connection.close()
         return None
 
     def release(self, connection: HostConnection) -> None:
-        """Keep a connection whose attempt has ended, unless its host drains or has moved."""
+        """Return a connection to the pool after its attempt, or close it if its host drains or has moved."""
         host = connection.host
         if host.draining_since_us is not None or connection.address != host.address:
             connection.close()
@@ -151,7 +151,7 @@
         self.counts.opened += 1
 
     def discard(self, connection: HostConnection) -> None:
-        """Forget a connection that has ended, or was never established."""
+        """Remove a connection that has ended or was never established from the pool and its counts."""
         if connection.is_counted:
             connection.is_counted = False
             connection.host.open_connections -= 1
@@ -166,21 +166,21 @@
             host.idle_connections.pop().close()
 
     def close_expired(self) -> None:
-        """Close what has been idle for too long, well before the host does it."""
+        """Close connections that were idle for too long, before the host closes them."""
         self.expiry_timer = self.loop.call_later(EXPIRY_SCAN_INTERVAL_S, self.close_expired)
         at_us = now_us()
-        oldest_us = self._idle_since_limit_us(at_us)
-        spare_oldest_us = at_us - SPARE_IDLE_TIMEOUT_US
+        min_idle_since_us = self._min_idle_since_us(at_us)
+        spare_min_idle_since_us = at_us - SPARE_IDLE_TIMEOUT_US
         for host in self.hosts.values():
             idle = host.idle_connections
             while idle:
-                limit_us = spare_oldest_us if len(idle) > MAX_LONG_IDLE_CONNECTIONS else oldest_us
+                limit_us = spare_min_idle_since_us if len(idle) > MAX_LONG_IDLE_CONNECTIONS else min_idle_since_us
                 if idle[0].idle_since_us >= limit_us:
                     break
                 idle.pop(0).close()
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that was idle for the longest time, to gain a descriptor."""
+        """Close the longest idle connection to free a descriptor; return False if none is idle."""
         hosts = [host for host in self.hosts.values() if host.idle_connections]
         if not hosts:
             return False
@@ -189,11 +189,11 @@
         return True
 
     def close(self) -> None:
-        """Close every idle connection, for good."""
+        """Stop the expiry scan and close all idle connections."""
         self.expiry_timer.cancel()
         for host in self.hosts.values():
             self.close_idle_connections(host.id_)
 
-    def _idle_since_limit_us(self, at_us: int) -> int:
-        """Return since when a connection may have been idle, to be used at this time."""
+    def _min_idle_since_us(self, at_us: int) -> int:
+        """Return the earliest `idle_since_us` of a connection that may still be used at `at_us`."""
         return at_us - int(self.settings.keepalive_us * MAX_IDLE_FRACTION)
--- a/cloverkeel/upstream/health_check.py
+++ b/cloverkeel/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""The health check of a host: one request whose answer carries the host's load where the deployment has reports."""
+"""Health check requests; where the deployment has load reports, the response carries the host's load."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def build_health_check(address: Address, reports: Reports) -> bytes:
-    """Return the request in full."""
+    """Return the complete request."""
     path = LIVENESS_PATH if reports is Reports.NONE else STATS_PATH
     authority = f"{address[0]}:{address[1]}".encode()
     return b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (path, authority)
--- a/cloverkeel/upstream/host.py
+++ b/cloverkeel/upstream/host.py
@@ -1,4 +1,4 @@
-"""One upstream host as this gateway reaches it."""
+"""State of one upstream host."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class Host:
     """A host of the endpoint list, with its idle connections.
 
-    `started_us` is the start of its process as discovery announces it; `draining_since_us` is when this gateway was
-    notified that it drains or is gone, by this gateway's clock.
+    `started_us` is the start time of its process as discovery announces it. `draining_since_us` is when this gateway,
+    by its own clock, was notified that the host drains or was removed; None if it does not drain.
     """
 
     id_: int
@@ -24,9 +24,9 @@
     address: Address
     started_us: int = 0
     draining_since_us: int | None = None
-    idle_connections: list[HostConnection] = field(default_factory=list)  # the most recently used last
+    idle_connections: list[HostConnection] = field(default_factory=list)  # most recently used last
     open_connections: int = 0  # established or being established
 
     def is_same_process(self, address: Address, started_us: int) -> bool:
-        """Tell whether this is the process at that address, started at that time."""
+        """Return whether the host has this address and process start time."""
         return (self.address, self.started_us) == (address, started_us)
--- a/cloverkeel/upstream/outcomes.py
+++ b/cloverkeel/upstream/outcomes.py
@@ -1,4 +1,4 @@
-"""What an answer of a host means: the outcome of its attempt, and the load report that came with it. No I/O."""
+"""Interpretation of a host's response: the outcome of the attempt and the load report. No I/O."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from cloverkeel.core.messages import Reply, find_header
 
 STATUS_OK: Final = 200
-STATUSES_OF_REJECTION: Final = (503, 504)  # with X-Rejected: 1 the host has not run the request
+REJECTION_STATUSES: Final = (503, 504)  # with X-Rejected: 1, the host has not run the request
 REJECTED_HEADER: Final = b"x-rejected"
 LOAD_REPORT_HEADER: Final = b"x-load-report"
 LOAD_REPORT_FORMAT: Final = "TEXT"
 
 
 def classify_reply(reply: Reply) -> Outcome:
-    """Return the outcome of an attempt that was answered."""
+    """Return the outcome of an attempt that got a response."""
     if reply.status == STATUS_OK:
         return Outcome.OK
-    if reply.status in STATUSES_OF_REJECTION and find_header(reply.headers, REJECTED_HEADER) == b"1":
+    if reply.status in REJECTION_STATUSES and find_header(reply.headers, REJECTED_HEADER) == b"1":
         return Outcome.FULL
     return Outcome.ERROR
 
 
 def parse_load_report(reply: Reply | None) -> LoadReport | None:
-    """Return the load report that came with an answer; None where there is none, or none that can be read."""
+    """Return the load report in a response's headers; None if it is missing or malformed."""
     text = find_header(reply.headers, LOAD_REPORT_HEADER) if reply is not None else None
     if text is None:
         return None
