--- a/cloverkeel/frontends/__init__.py
+++ b/cloverkeel/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' protocols, one folder each. They know the core and nothing of hosts."""
+"""Client protocols, one package each. They use the core and do not depend on upstream."""
--- a/cloverkeel/frontends/http1/__init__.py
+++ b/cloverkeel/frontends/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 for clients."""
+"""The HTTP/1.1 frontend."""
--- a/cloverkeel/frontends/http1/call_reader.py
+++ b/cloverkeel/frontends/http1/call_reader.py
@@ -1,4 +1,4 @@
-"""A client's request as the core takes it, and every check of its class, headers and method. No I/O."""
+"""Conversion of a client's request to a `Call`, with all checks of its class, headers and method. No I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def read_call(request: Request, path: bytes, config: Config, client: Client) -> Call:
-    """Return the request as the core takes it. Raises RequestError where a check fails."""
+    """Return the call for a request. Raises RequestError if a check fails."""
     for name in request.repeated_names:
         if name in UNIQUE_HEADERS:
             raise RequestError(400, f"{name.decode()} comes twice")
@@ -34,7 +34,7 @@
     if not id_ or len(id_) > MAX_ID_BYTES:
         raise RequestError(400, "no X-Call-Id that can be used")
     budget_ms = _read_number(headers.get(b"x-budget-ms"), "X-Budget-Ms")
-    # No client waits for longer than its class is given: what says so is cut to that.
+    # The class's client timeout limits the budget that a client may ask for.
     client_timeout_us = (
         settings.client_timeout_us if budget_ms is None else min(budget_ms * 1000, settings.client_timeout_us)
     )
@@ -57,7 +57,7 @@
 
 
 def _read_class(request: Request, path: bytes, segments: list[bytes], index_by_class: Mapping[bytes, int]) -> int:
-    """Return the index of the class that the path names, and the header where there is one."""
+    """Return the index of the class in the path, which must match the class header if there is one."""
     named = request.header_by_name.get(b"x-call-class")
     if named is not None and named not in index_by_class:
         raise RequestError(400, "unknown class")
@@ -71,7 +71,7 @@
 
 
 def _check_method(request: Request, effect: Effect) -> None:
-    """Check that the method fits the effect of the class, and that a keyed request has its key."""
+    """Check that the method fits the effect of the class, and that a keyed request has a key."""
     method = b"GET" if effect is Effect.SAFE else b"POST"
     if request.method != method:
         raise RequestError(405, f"{method.decode()} it", (b"Allow", method))
@@ -80,7 +80,7 @@
 
 
 def _read_number(text: bytes | None, name: str) -> int | None:
-    """Return a header's whole number; None where it is missing."""
+    """Return a header's value as a non-negative integer; None if the header is missing."""
     if text is None:
         return None
     if not text.isdigit() or len(text) > MAX_NUMBER_DIGITS:
@@ -89,15 +89,15 @@
 
 
 def _build_forwarded_head(request: Request) -> bytes:
-    """Return what goes on to a host, all but the time budget and the empty line."""
-    parts = [request.method, b" ", request.target, b" HTTP/1.1"]  # joined at once: cheaper than formatting each
-    left_out = NOT_FORWARDED_HEADERS
+    """Return the head to forward to a host, without the time budget and the final empty line."""
+    parts = [request.method, b" ", request.target, b" HTTP/1.1"]  # joined once: cheaper than formatting each line
+    excluded = NOT_FORWARDED_HEADERS
     if b"connection" in request.header_by_name:
-        # What it names is meant for this connection only, too.
+        # Headers that Connection names are hop-by-hop too.
         values = [value for lower, _, value in request.header_lines if lower == b"connection"]
-        left_out = NOT_FORWARDED_HEADERS.union(*map(parse_token_list, values))
+        excluded = NOT_FORWARDED_HEADERS.union(*map(parse_token_list, values))
     for lower, name, value in request.header_lines:
-        if lower not in left_out:
+        if lower not in excluded:
             parts += (b"\r\n", name, b": ", value)
     if request.body_size or request.method == b"POST":
         parts += (b"\r\nContent-Length: ", str(request.body_size).encode())
--- a/cloverkeel/frontends/http1/client_transport.py
+++ b/cloverkeel/frontends/http1/client_transport.py
@@ -1,4 +1,4 @@
-"""The transport of one client's connection: its phase, how it is closed, whether the client has gone."""
+"""Transport of one client connection: its phase, its closing, and detection of a disconnected client."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 
 
 class ClientTransport:
-    """What timeouts, admission and drain know of a connection; ClientConnection adds the requests."""
+    """Connection state for timeouts, admission and drain; ClientConnection adds the requests."""
 
     def __init__(self, context: ConnectionContext) -> None:
         self.context = context
         self.transport: asyncio.Transport | None = None
         self.phase: Phase | None = None
         self.accepted_s = 0.0
-        self.last_read_s = 0.0  # when a part of a request came last
+        self.last_read_s = 0.0  # when bytes of a request last arrived
         self.has_responded = False
-        self.ignores_input = False  # nothing more is read as a request
-        self.is_lingering = False  # it has been answered, and has time to read that
+        self.ignores_input = False  # received bytes are no longer parsed as requests
+        self.is_lingering = False  # the response is written, and the client has time to read it before the close
         self.stream_progress = StreamProgress()
         self.poll = select.poll()
 
     def is_idle(self) -> bool:
-        """Tell whether it may be closed."""
+        """Return whether the connection may be closed as idle."""
         raise NotImplementedError
 
-    def is_request_slow(self, now_s: float, beyond_s: float) -> bool:
-        """Tell whether a request does not come as fast as it must, so long beyond the time that any may take."""
+    def is_request_slow(self, now_s: float, overtime_s: float) -> bool:
+        """Return whether a request arrives too slowly, `overtime_s` after REQUEST_TIMEOUT_S has passed."""
         raise NotImplementedError
 
     def time_out_request(self) -> None:
-        """Answer a request whose rest has not come in time."""
+        """Respond to a request that did not arrive completely in time."""
         raise NotImplementedError
 
     def set_transport(self, transport: asyncio.BaseTransport) -> None:
-        """Begin with a connection that is set up."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Set the transport of an accepted connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.accepted_s = self.context.loop.time()
         self.enter_phase(self.context.timeouts.accepted, self.accepted_s)
 
     def has_disconnected(self) -> bool:
-        """Tell whether the client has ended its sending or its connection, also where that waits to be read.
+        """Return whether the client has closed its sending side or its connection, even if that is not read yet.
 
-        Guards against requests forwarded for nobody: where a crowd of them is read ahead nothing is read any more,
-        and after a stall timers run before sockets.
+        Guards against forwarding requests of disconnected clients: the loop reads no more of a connection while many
+        pipelined requests wait, and after a stall it runs timers before it reads sockets.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -61,7 +61,10 @@
         return any(event & DISCONNECTED_EVENTS for _, event in self.poll.poll(0))
 
     def enter_phase(self, phase: Phase | None, since_s: float | None = None) -> None:
-        """Note what this connection waits for, and since when; None: for no client."""
+        """Enter a phase at `since_s`, by default now.
+
+        `phase`: None if the connection does not wait for its client.
+        """
         if phase is self.phase:
             return
         if self.phase is not None:
@@ -71,34 +74,34 @@
             phase[self] = self.context.loop.time() if since_s is None else since_s
 
     def has_client_read_more(self) -> bool:
-        """Tell whether the client has taken more of streamed responses since this was last asked."""
+        """Return whether the client has read more of its streamed responses since the last call."""
         return self.transport is not None and self.stream_progress.has_advanced(self.transport)
 
     def write_stream(self, data: bytes) -> None:
-        """Write a part of a streamed response."""
+        """Write part of a streamed response."""
         if self.transport is not None:
             self.stream_progress.written_bytes += len(data)
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close once what was written is with the client, and within bounds."""
+        """Close once the client has received the bytes written, within the limits of the closing phase."""
         self.ignores_input = True
         if self.transport is not None:
             self.enter_phase(self.context.timeouts.closing, self.context.loop.time() + WRITE_TIMEOUT_S)
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once and discard unsent bytes."""
         self.ignores_input = True
         self.enter_phase(None)
         if self.transport is not None:
             self.transport.abort()
 
     def end(self, linger: bool) -> None:
-        """Close once the response is written.
+        """Close once the response is written; with `linger`, give the client time to read it first.
 
-        Guards against a reset that overtakes the response where the client has still more to send: then it is
-        left to read first. What it sends meanwhile is left with the kernel, which holds little of it.
+        Guards against a TCP reset that overtakes the response if the client is still sending (RFC 9112, 9.6). Bytes
+        that arrive meanwhile stay in the kernel's receive buffer, which is small.
         """
         if not linger:
             self.close()
--- a/cloverkeel/frontends/http1/connection.py
+++ b/cloverkeel/frontends/http1/connection.py
@@ -1,9 +1,9 @@
-"""One connection of a client: its requests are answered one after the other.
+"""One client connection, whose requests are answered in order.
 
 Invariants:
-- one request at a time is processed; those that were read ahead wait for its response;
-- a response is written only for the call that the connection awaits it for;
-- a connection is closed as idle only where nothing is due, nothing has begun, and nothing waits to be read.
+- one request at a time is processed; pipelined requests wait for its response;
+- a response is written only for the call that the connection currently awaits;
+- a connection is closed as idle only if no response is due, no request has begun, and no bytes wait to be read.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from cloverkeel.frontends.http1.context import ConnectionContext
 from cloverkeel.frontends.http1.requests import Request, RequestError, RequestReader
 from cloverkeel.frontends.http1.responses import CONTINUE, HEADERS_NOT_RETURNED, LAST_CHUNK, build_head, frame_chunk
-from cloverkeel.frontends.http1.timeouts import MAX_READ_GAP_S, MIN_BODY_BYTES_A_S, WRITE_TIMEOUT_S
+from cloverkeel.frontends.http1.timeouts import MIN_BODY_BYTES_PER_S, READ_IDLE_TIMEOUT_S, WRITE_TIMEOUT_S
 
 READY_PATH: Final = b"/health/ready"
-MAX_PIPELINED_REQUESTS: Final = 16  # read ahead on one connection
-HIGH_WATER_MARK_BYTES: Final = 256 * 1024  # of a streamed response wait here for the client, and what one read brings
+MAX_PIPELINED_REQUESTS: Final = 16  # parsed ahead on one connection
+HIGH_WATER_MARK_BYTES: Final = 256 * 1024  # buffered of a streamed response, plus one read from the host
 
 
 class ClientConnection(ClientTransport):
-    """One connection of a client, and the requests on it."""
+    """One client connection and its requests."""
 
     def __init__(self, context: ConnectionContext) -> None:
         super().__init__(context)
         self.reader = RequestReader(self.on_expect, context.body_budget)
-        self.request: Request | None = None  # is processed and not yet answered
-        self.call: Call | None = None  # the same for the core
+        self.request: Request | None = None  # being processed, not yet answered
+        self.call: Call | None = None  # the same request, as the core handles it
         self.is_write_paused = False  # the client does not read its responses
-        self.is_continue_due = False  # a request waits for its turn before its body is asked for
-        self.flow_control: FlowControl | None = None  # of a response that is streamed
-        self.is_chunked = False  # so that is framed
+        self.is_continue_due = False  # `100 Continue` waits until earlier responses are written
+        self.flow_control: FlowControl | None = None  # of the streamed response
+        self.is_chunked = False  # the streamed response uses the chunked transfer coding
 
-    # Life of the connection
+    # Connection lifecycle
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Handle asyncio's event: the connection is set up."""
@@ -58,13 +58,16 @@
             self.context.gateway.on_client_disconnected(call)
 
     def eof_received(self) -> None:
-        """Handle asyncio's event: the client has ended its sending. Nothing stays half open."""
+        """Handle asyncio's event: the client has closed its sending side.
+
+        Returns None, so that asyncio closes the connection: it never stays half open.
+        """
 
     def is_idle(self) -> bool:
-        """Tell whether it may be closed: nothing is due, nothing has begun, nothing waits to be read.
+        """Return whether it may be closed: no response is due, no request has begun, no bytes wait to be read.
 
-        Guards against losing a request that has reached this machine and not yet this program, and one that a
-        client sends for the second time, on a new connection, since the first crossed the end of its old one.
+        Guards against losing a request that the kernel has received and the loop has not read, and a request that a
+        client repeats on a new connection because the first try crossed the close of the old one.
         """
         if self.ignores_input or self.request is not None or self.reader.completed or self.reader.has_begun:
             return False
@@ -73,7 +76,7 @@
     # Phases
 
     def update_phase(self) -> None:
-        """Enter the phase that follows from what has come and what is due."""
+        """Enter the phase that follows from the bytes received and the responses due."""
         timeouts = self.context.timeouts
         if self.ignores_input:
             return
@@ -90,51 +93,51 @@
             self.enter_phase(timeouts.keep_alive)
 
     def pause_writing(self) -> None:
-        """Handle asyncio's event: the client does not read as fast as is written."""
+        """Handle asyncio's event: the client reads more slowly than responses are written."""
         self.is_write_paused = True
         if self.flow_control is not None:
             self.flow_control.pause_reading()
         self.update_phase()
 
     def resume_writing(self) -> None:
-        """Handle asyncio's event: the client has read what was written."""
+        """Handle asyncio's event: the client has read the bytes written."""
         self.is_write_paused = False
         if self.flow_control is not None:
             self.flow_control.resume_reading()
         self.update_phase()
         self.schedule_next_request()
 
-    def is_request_slow(self, now_s: float, beyond_s: float) -> bool:
-        """Tell whether a request does not come as fast as it must, so long beyond the time that any may take."""
-        if now_s - self.last_read_s > MAX_READ_GAP_S:
+    def is_request_slow(self, now_s: float, overtime_s: float) -> bool:
+        """Return whether a request arrives too slowly, `overtime_s` after REQUEST_TIMEOUT_S has passed."""
+        if now_s - self.last_read_s > READ_IDLE_TIMEOUT_S:
             return True
-        return self.reader.body_size < beyond_s * MIN_BODY_BYTES_A_S
+        return self.reader.body_size < overtime_s * MIN_BODY_BYTES_PER_S
 
     # Requests
 
     def data_received(self, data: bytes) -> None:
-        """Handle asyncio's event: bytes have come."""
+        """Handle asyncio's event: the client has sent bytes."""
         if self.ignores_input:
-            return  # what follows a request that can't be read, until the connection ends
+            return  # bytes after a malformed request or after the last response
         self.last_read_s = self.context.loop.time()
         self.read(data)
         self.process_next_request()
         self.update_phase()
 
     def read(self, data: bytes) -> None:
-        """Parse bytes, and those that were left; read no more of the socket where requests enough wait."""
+        """Parse bytes after those left unparsed; pause reading while enough requests wait."""
         assert self.transport is not None
         self.reader.feed(data, MAX_PIPELINED_REQUESTS)
         if self.reader.is_broken or self.reader.unparsed:
             self.transport.pause_reading()
 
     def on_expect(self) -> None:
-        """Handle a head that expects `100 Continue`."""
+        """Handle a head with `Expect: 100-continue`."""
         self.is_continue_due = True
         self.write_continue()
 
     def write_continue(self) -> None:
-        """Write `100 Continue`, which comes after the responses that are due before."""
+        """Write `100 Continue` if it is due and all earlier responses are written."""
         if not self.is_continue_due or self.request is not None or self.reader.completed:
             return
         if self.transport is not None:
@@ -142,12 +145,12 @@
             self.transport.write(CONTINUE)
 
     def time_out_request(self) -> None:
-        """Answer a request whose rest has not come in time."""
+        """Respond to a request that did not arrive completely in time."""
         self.reader.fail(RequestError(408, "the request did not come in time"))
         self.process_next_request()
 
     def process_next_request(self) -> None:
-        """Process the next request that was read, once the one before is answered."""
+        """Process the next parsed request if the previous one is answered."""
         if self.request is not None or self.is_write_paused or self.transport is None or self.ignores_input:
             return
         if not self.reader.completed and self.reader.unparsed:
@@ -164,7 +167,7 @@
             self.respond(error.status, error.headers, f"{error}\n".encode())
 
     def process_request(self, request: Request) -> None:
-        """Answer a request here, or hand it to the core. Raises RequestError where it is answered with an error."""
+        """Answer a request here or pass it to the core. Raises RequestError for an error response."""
         if request.error is not None:
             raise request.error
         path = request.target.partition(b"?")[0]
@@ -179,7 +182,7 @@
             raise RequestError(400, "this X-Call-Id is in use")
 
     def answer_readiness_check(self, request: Request) -> None:
-        """Answer whether clients are served."""
+        """Respond to a readiness check: 200 if clients are served, else 503."""
         if request.method not in (b"GET", b"HEAD"):
             raise RequestError(405, "GET it", (b"Allow", b"GET, HEAD"))
         self.respond(200 if self.context.is_ready() else 503, [], b"")
@@ -187,30 +190,30 @@
     # Responses
 
     def on_response(self, call: Call, reply: Reply) -> None:
-        """Return a host's answer."""
+        """Write a host's response."""
         if self.call is call:
             self.respond(200, end_to_end_headers(reply.headers, HEADERS_NOT_RETURNED), reply.body)
 
     def on_rejected(self, call: Call, retry_after_us: int) -> None:
-        """Respond that the call was rejected."""
+        """Write that the call was rejected; `retry_after_us` is 0 if no time to retry is known."""
         if self.call is call:
             after = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
             self.respond(503, after, b"")
 
     def on_failed(self, call: Call, timed_out: bool) -> None:
-        """Respond that the call has failed."""
+        """Write that the call has failed."""
         if self.call is call:
             self.respond(504 if timed_out else 502, [], b"")
 
     def on_stream_start(self, call: Call, reply: Reply, size: int | None, flow: FlowControl) -> ResponseStream | None:
-        """Write the head of a large answer, whose body follows as it comes."""
+        """Write the head of a streamed response; return None if the client no longer awaits it."""
         request, transport = self.request, self.transport
         if self.call is not call or request is None or transport is None:
             return None
         self.flow_control = flow
         self.is_chunked = size is None and not request.is_http10
         if size is None and request.is_http10:
-            request.keep_alive = False  # its end is that of the connection
+            request.keep_alive = False  # the end of the connection ends the body
         is_last = self.is_last(request)
         if is_last:
             request.keep_alive = False
@@ -235,18 +238,18 @@
             self.finish_response(request, not request.keep_alive)
 
     def on_aborted(self) -> None:
-        """Abort a streamed response: its length is not reached, or its last chunk is missing: the client can tell."""
+        """Abort a streamed response; the client notices the short body or the missing last chunk."""
         self.call = None
         self.flow_control = None
         self.abort()
 
     def is_last(self, request: Request) -> bool:
-        """Tell whether the connection ends with this response; what was read is answered, during a drain too."""
+        """Return whether the connection ends with this response; a drain answers pipelined requests first."""
         has_more = bool(self.reader.completed) or self.reader.has_begun
         return not request.keep_alive or (self.context.drain.closes_connections() and not has_more)
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write a whole response at once, and go on with the next request."""
+        """Write a complete response, and go on with the next request."""
         request, transport = self.request, self.transport
         assert request is not None
         assert transport is not None
@@ -261,7 +264,7 @@
         self.finish_response(request, is_last)
 
     def finish_response(self, request: Request, is_last: bool) -> None:
-        """Go on with the next request, or end the connection."""
+        """Go on with the next request, or close the connection after its last response."""
         if is_last:
             self.reader.completed.clear()
             self.end(linger=request.error is not None)
@@ -271,6 +274,6 @@
             self.update_phase()
 
     def schedule_next_request(self) -> None:
-        """Process the next request in the next turn of the loop."""
+        """Process the next request in the next iteration of the loop."""
         if self.reader.completed or self.reader.unparsed:
             self.context.loop.call_soon(self.process_next_request)
--- a/cloverkeel/frontends/http1/context.py
+++ b/cloverkeel/frontends/http1/context.py
@@ -1,4 +1,4 @@
-"""What all connections of clients share."""
+"""State shared by all client connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConnectionContext:
-    """What all connections share."""
+    """The configuration, the gateway and the state that all client connections share."""
 
     __slots__ = ("body_budget", "config", "connections", "drain", "gateway", "loop", "timeouts")
 
@@ -32,5 +32,5 @@
         self.drain = drain
 
     def is_ready(self) -> bool:
-        """Tell what a readiness check is answered."""
+        """Return whether readiness checks succeed."""
         return self.drain.is_reported_ready() and self.gateway.can_serve
--- a/cloverkeel/frontends/http1/drain.py
+++ b/cloverkeel/frontends/http1/drain.py
@@ -1,4 +1,4 @@
-"""Draining a gateway of its clients, by the schedule of core/draining.py."""
+"""Drain of client connections, on a schedule of core/draining.py."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DrainState:
-    """Whether a drain is under way, and since when."""
+    """The schedule and start time of a drain; `schedule` is None if no drain is in progress."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -27,15 +27,15 @@
         self.started_s = 0.0
 
     def elapsed_s(self) -> float:
-        """Return how long the drain has been under way."""
+        """Return the time since the drain began."""
         return self.loop.time() - self.started_s
 
     def is_reported_ready(self) -> bool:
-        """Tell what a readiness check is answered, as far as a drain goes."""
+        """Return whether readiness checks may succeed: no drain is in progress, or its schedule allows it."""
         return self.schedule is None or self.schedule.is_reported_ready
 
     def limit_call(self, call: Call) -> None:
-        """Have a call end with the drain that is under way. Raises RequestError where it has come too late."""
+        """Limit a call's timeout to the end of the drain. Raises RequestError once calls are rejected."""
         schedule = self.schedule
         if schedule is None:
             return
@@ -45,12 +45,12 @@
         call.client_timeout_us = min(call.client_timeout_us, max(1, int(left_s * 1e6)))
 
     def closes_connections(self) -> bool:
-        """Tell whether a response ends its connection."""
+        """Return whether connections are closed after a response."""
         return self.schedule is not None and self.elapsed_s() >= self.schedule.keep_alive_until_s
 
 
 class ClientDrain:
-    """Carries a drain out, on a timer of its own."""
+    """Carries out a drain, driven by its own timer."""
 
     def __init__(
         self, state: DrainState, gateway: Gateway, listener: Listener, connections: set[ClientConnection],
@@ -62,28 +62,28 @@
         self.listener = listener
         self.connections = connections
         self.timeouts = timeouts
-        self.is_shutdown = False  # it ends with the process
+        self.is_shutdown = False  # the process exits at the end of the drain
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self, schedule: DrainSchedule) -> None:
-        """Begin to send clients away."""
+        """Start a drain."""
         self.state.schedule = schedule
         self.state.started_s = self.loop.time()
         if self.timer is None:
             self.on_timer()
 
     def stop(self) -> None:
-        """Serve clients again, unless the process shuts down."""
+        """End the drain and serve clients again, unless the process shuts down."""
         if not self.is_shutdown:
             self.state.schedule = None
 
     def close(self) -> None:
-        """Carry nothing more out."""
+        """Cancel the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
     def on_timer(self) -> None:
-        """Do what the schedule asks for by now; again as long as it holds."""
+        """Carry out the steps of the schedule that are due, and repeat until the drain ends."""
         schedule = self.state.schedule
         self.timer = None
         if schedule is None:
--- a/cloverkeel/frontends/http1/listener.py
+++ b/cloverkeel/frontends/http1/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: connections of clients are accepted, a few in a turn of the loop."""
+"""The listening socket, which accepts a limited number of client connections per loop iteration."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from cloverkeel.frontends.http1.admission import Admission
 
 LISTEN_BACKLOG: Final = 1024
-MAX_ACCEPTS_A_TURN: Final = 16
-ACCEPT_RETRY_INTERVAL_S: Final = 0.1  # where there is no descriptor, and no client to close for one
+MAX_ACCEPTS_PER_ITERATION: Final = 16
+ACCEPT_RETRY_INTERVAL_S: Final = 0.1  # used when no descriptor is free and no client can be closed
 
 
 class Listener:
@@ -31,21 +31,24 @@
         self.socket: socket.socket | None = None
 
     def open(self, address: Address, reuse_port: bool) -> None:
-        """Bind the address; `accept` is not called before `start`.
+        """Bind the address and listen; connections are accepted after `start`.
 
-        `reuse_port`: another process may be bound to it at the same time.
+        `reuse_port`: another process may be bound to the address at the same time.
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.create_server(address, family=family, backlog=LISTEN_BACKLOG, reuse_port=reuse_port)
         self.socket.setblocking(False)
 
     def start(self) -> None:
-        """Accept connections, from the next turn of the loop on."""
+        """Accept connections, from the next loop iteration on."""
         if self.socket is not None:
             self.loop.add_reader(self.socket.fileno(), self.accept)
 
-    def accept(self, max_connections: int = MAX_ACCEPTS_A_TURN) -> None:
-        """Accept what waits, a few in a turn, so that a crowd is met by closing others, not by an error."""
+    def accept(self, max_connections: int = MAX_ACCEPTS_PER_ITERATION) -> None:
+        """Accept pending connections, `max_connections` at most.
+
+        The limit lets others be closed during a burst of connections, before accept fails for lack of descriptors.
+        """
         for _ in range(max_connections):
             if self.socket is None:
                 return
@@ -60,35 +63,35 @@
                 return
             if not self.admission.has_room() and not self.admission.close_one_client():
                 self.metrics.record_unserved("full")
-                accepted.close()  # the client is told at once
+                accepted.close()  # the client sees the close at once
                 continue
             self._set_up(accepted)
 
     def _set_up(self, accepted: socket.socket) -> None:
-        """Set a connection up, in a task of its own."""
+        """Set up a connection in its own task."""
         task: asyncio.Task[object] = self.loop.create_task(self._connect(accepted))
         self.admission.accepting.add(task)
         task.add_done_callback(self.admission.accepting.discard)
 
     async def _connect(self, accepted: socket.socket) -> None:
-        """Hand a connection to its protocol."""
+        """Attach a protocol to a connection."""
         try:
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self.loop.connect_accepted_socket(lambda: cast(asyncio.Protocol, self.make_protocol()), accepted)
         except OSError:
-            accepted.close()  # it has gone already
+            accepted.close()  # the client has already disconnected
 
     def pause(self) -> None:
-        """Wait before accepting again.
+        """Stop accepting for ACCEPT_RETRY_INTERVAL_S.
 
-        Guards against turning without end where there is no descriptor, and no client to close for one.
+        Guards against a busy loop when no descriptor is free and no client can be closed.
         """
         if self.socket is not None:
             self.loop.remove_reader(self.socket.fileno())
             self.loop.call_later(ACCEPT_RETRY_INTERVAL_S, self.start)
 
     def close(self) -> None:
-        """Accept what waits, and nothing after it."""
+        """Accept the pending connections, then stop listening."""
         if self.socket is not None:
             self.accept(LISTEN_BACKLOG)
             self.loop.remove_reader(self.socket.fileno())
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -1,4 +1,4 @@
-"""What clients send: requests from bytes, and what of HTTP can be checked in them. No I/O."""
+"""HTTP/1.1 request parser, which checks syntax, framing and limits. No I/O."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 )
 from cloverkeel.core.body_budget import BodyBudget, BodyReservation
 
-SLICE_BYTES: Final = 4096  # parsed before it is checked how many requests they held
-BODY_SLICE_BYTES: Final = 64 * 1024  # the same within a large body
+SLICE_BYTES: Final = 4096  # parsed between checks of the number of complete requests
+BODY_SLICE_BYTES: Final = 64 * 1024  # the slice within a large body
 SUPPORTED_VERSIONS: Final = ("1.1", "1.0")
 
 
 class RequestError(ValueError):
-    """A request that is answered here, with this status; its text is the body of the response."""
+    """A request that the gateway answers with this status; the message is the body of the response."""
 
     def __init__(self, status: int, reason: str, *headers: Header) -> None:
         super().__init__(reason)
@@ -31,7 +31,7 @@
 
 
 class Request:
-    """One request as it was read; `error` tells that it can't be, and nothing after it."""
+    """One parsed request; if `error` is set, it is invalid and no request follows it."""
 
     __slots__ = (
         "body", "body_reservation", "body_size", "error", "header_by_name", "header_lines", "is_http10", "keep_alive",
@@ -41,54 +41,54 @@
     def __init__(self, error: RequestError | None = None) -> None:
         self.method = b""
         self.target = b""
-        self.header_by_name: dict[bytes, bytes] = {}  # by name in lower case; of several, the first
+        self.header_by_name: dict[bytes, bytes] = {}  # name in lower case; the first value of a repeated header
         self.repeated_names: list[bytes] = []
-        self.header_lines: list[tuple[bytes, bytes, bytes]] = []  # name in lower case, name and value as they came
+        self.header_lines: list[tuple[bytes, bytes, bytes]] = []  # name in lower case, name as received, value
         self.body: list[bytes] = []
         self.body_size = 0
-        self.body_reservation: BodyReservation | None = None  # what a large body holds of the common budget
+        self.body_reservation: BodyReservation | None = None  # what a large body holds of the shared budget
         self.keep_alive = False
-        self.is_http10 = False  # no chunks are understood
+        self.is_http10 = False  # the client does not understand chunks
         self.error = error
 
 
 class RequestReader:
-    """Turns the bytes of one client's connection into requests (RFC 9112)."""
+    """Parses the bytes of one client connection into requests (RFC 9112)."""
 
     __slots__ = (
-        "_awaited_body_bytes", "_body_budget", "_head_size", "_is_in_body", "_on_expect", "_parser", "_request",
-        "_undelivered", "completed", "is_broken", "unparsed",
+        "_body_budget", "_bytes_since_callback", "_head_size", "_is_in_body", "_on_expect", "_parser",
+        "_remaining_body_bytes", "_request", "completed", "is_broken", "unparsed",
     )  # fmt: skip
 
     def __init__(self, on_expect: Callable[[], None], body_budget: BodyBudget) -> None:
         self._parser: Any = httptools.HttpRequestParser(self)
         self._on_expect = on_expect
-        self._request: Request | None = None  # the one that is being read
+        self._request: Request | None = None  # being parsed
         self._body_budget = body_budget
-        self._awaited_body_bytes = 0  # of the body that is being read, as its head has it
-        self._is_in_body = False  # the head is read
-        self._head_size = 0  # of headers: names and values
-        self._undelivered = 0  # bytes since the parser last handed anything over
-        self.completed: deque[Request] = deque()  # read and not yet taken
-        self.unparsed = b""  # left, as enough requests wait
-        self.is_broken = False  # nothing more is read
+        self._remaining_body_bytes = 0  # of the body being parsed; 0 if its length is not announced
+        self._is_in_body = False  # the head is complete
+        self._head_size = 0  # bytes of header names and values
+        self._bytes_since_callback = 0  # bytes parsed since the parser last delivered a head, body bytes or an end
+        self.completed: deque[Request] = deque()  # parsed, not yet processed
+        self.unparsed = b""  # input left over while enough requests wait
+        self.is_broken = False  # nothing more is parsed
 
     @property
     def has_begun(self) -> bool:
-        """Whether part of a request has come, and not all of it."""
-        return self._request is not None or self._undelivered > 0 or bool(self.unparsed)
+        """Whether part of a request has arrived, and not all of it."""
+        return self._request is not None or self._bytes_since_callback > 0 or bool(self.unparsed)
 
     @property
     def body_size(self) -> int:
-        """Bytes of the body that is being read, as far as it has come."""
+        """Bytes received so far of the body being parsed."""
         return self._request.body_size if self._request is not None else 0
 
     def feed(self, data: bytes, max_requests: int) -> None:
-        """Read on, until so many requests wait: hundreds at once must not hold up everyone else."""
+        """Parse until `max_requests` requests wait, so that hundreds at once do not block other clients."""
         data = b"%s%s" % (self.unparsed, data) if self.unparsed else data
         begin, end = 0, len(data)
         while begin < end and not self.is_broken and len(self.completed) < max_requests:
-            size = min(end - begin, max(SLICE_BYTES, min(BODY_SLICE_BYTES, self._awaited_body_bytes)))
+            size = min(end - begin, max(SLICE_BYTES, min(BODY_SLICE_BYTES, self._remaining_body_bytes)))
             part = data if size == end else data[begin : begin + size]
             begin += size
             error = self._parse(part)
@@ -97,14 +97,14 @@
         self.unparsed = b"" if begin >= end or self.is_broken else data[begin:]
 
     def fail(self, error: RequestError) -> None:
-        """Answer with this error after what was read before, and read nothing more."""
+        """Add `error` after the requests parsed so far, and parse nothing more."""
         self.is_broken = True
         self._request = None
         self.unparsed = b""
         self.completed.append(Request(error))
 
     def close(self) -> None:
-        """Read nothing more, and let go of the parser and of the handler: they know this reader."""
+        """Stop parsing, and drop the parser and the handler, which refer back to this reader."""
         self.is_broken = True
         self._request = None
         self.unparsed = b""
@@ -113,7 +113,7 @@
         self._on_expect = _ignore_expect
 
     def _parse(self, part: bytes) -> RequestError | None:
-        self._undelivered += len(part)
+        self._bytes_since_callback += len(part)
         try:
             self._parser.feed_data(part)
         except httptools.HttpParserUpgrade:
@@ -121,32 +121,32 @@
         except httptools.HttpParserError as error:
             cause = error.__context__
             return cause if isinstance(cause, RequestError) else RequestError(400, "malformed")
-        # Guards against a head, a chunk's extension or blank lines without end: the parser hands a header
-        # over only once it is whole, and says nothing of the rest.
-        return RequestError(431, "the head is too long") if self._undelivered > MAX_HEAD_BYTES else None
+        # Guards against an endless head, chunk extension or run of blank lines: the parser delivers only complete
+        # headers, and buffers or skips the rest without a callback.
+        return RequestError(431, "the head is too long") if self._bytes_since_callback > MAX_HEAD_BYTES else None
 
-    # Callbacks of httptools, which finds them by name
+    # Callbacks that httptools looks up by name
 
     def on_message_begin(self) -> None:
         """Begin a request."""
         self._request = Request()
         self._head_size = 0
-        self._awaited_body_bytes = 0
+        self._remaining_body_bytes = 0
         self._is_in_body = False
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append part of the request target."""
         assert self._request is not None
         self._request.target = b"%s%s" % (self._request.target, url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header."""
         request = self._request
         assert request is not None
         if self._is_in_body:
-            return  # a trailer: not forwarded, and bounded as what the parser hands nothing over of
+            return  # a trailer: not forwarded, and limited by _bytes_since_callback
         self._head_size += len(name) + len(value)
-        value = value.strip(b" \t")  # white space round a value is not part of it; the parser leaves what trails
+        value = value.strip(b" \t")  # white space around a value is not part of it; the parser keeps trailing space
         lower = name.lower()
         if lower in request.header_by_name:
             request.repeated_names.append(lower)
@@ -155,10 +155,10 @@
         request.header_lines.append((lower, name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the head: its size, the version, how the body is framed."""
+        """Check the size of the head, the version, the framing of the body and `Expect`."""
         request = self._request
         assert request is not None
-        self._undelivered = 0
+        self._bytes_since_callback = 0
         self._is_in_body = True
         request.method = self._parser.get_method()
         if self._head_size + len(request.target) > MAX_HEAD_BYTES:
@@ -175,28 +175,28 @@
             self._on_expect()
 
     def _check_framing(self, header_by_name: dict[bytes, bytes]) -> None:
-        """Check the transfer coding, and the length of the body where the head has it."""
+        """Check the transfer coding, and the length of the body if the head has it."""
         coding = header_by_name.get(b"transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
             raise RequestError(501, "no transfer encoding but chunked is read")
         length = header_by_name.get(b"content-length")
-        self._awaited_body_bytes = int(length) if length is not None else 0
-        if self._awaited_body_bytes > MAX_BODY_BYTES:
+        self._remaining_body_bytes = int(length) if length is not None else 0
+        if self._remaining_body_bytes > MAX_BODY_BYTES:
             raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
 
     def on_body(self, data: bytes) -> None:
-        """Take bytes of the body, within the common budget where it is large."""
+        """Store bytes of the body, within the shared budget if it is large."""
         request = self._request
         assert request is not None
-        self._undelivered = 0
+        self._bytes_since_callback = 0
         request.body_size += len(data)
-        self._awaited_body_bytes = max(0, self._awaited_body_bytes - len(data))
+        self._remaining_body_bytes = max(0, self._remaining_body_bytes - len(data))
         if request.body_size > MAX_BUFFERED_BODY_BYTES:
             self._reserve_body(request, len(data))
         request.body.append(data)
 
     def _reserve_body(self, request: Request, size: int) -> None:
-        """Reserve the last bytes of a large body, and of one that has become large all that came."""
+        """Reserve budget for the latest `size` bytes of a large body, at first for all bytes received."""
         if request.body_size > MAX_BODY_BYTES:
             raise RequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
         if request.body_reservation is None:
@@ -206,14 +206,14 @@
             raise RequestError(503, "no room for a large body now; ask again later")
 
     def on_message_complete(self) -> None:
-        """End a request."""
+        """Complete a request."""
         request = self._request
         assert request is not None
         self._request = None
-        self._undelivered = 0
+        self._bytes_since_callback = 0
         request.keep_alive = self._parser.should_keep_alive()
         self.completed.append(request)
 
 
 def _ignore_expect() -> None:
-    """Stand in for the handler of a connection that has ended."""
+    """Replace the handler of a closed connection."""
--- a/cloverkeel/frontends/http1/responses.py
+++ b/cloverkeel/frontends/http1/responses.py
@@ -1,4 +1,4 @@
-"""Heads of responses, as bytes (RFC 9112). No I/O."""
+"""Response heads and chunks as bytes (RFC 9112). No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     505: b"HTTP Version Not Supported",
 }  # fmt: skip
 STATUS_LINES: Final = {status: b"HTTP/1.1 %d %s" % (status, reason) for status, reason in REASON_BY_STATUS.items()}
-HEADERS_NOT_RETURNED: Final = frozenset({b"x-load-report", b"x-rejected"})  # a host's, for the gateway alone
+HEADERS_NOT_RETURNED: Final = frozenset({b"x-load-report", b"x-rejected"})  # sent by hosts for the gateway only
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK: Final = b"0\r\n\r\n"
 
@@ -21,9 +21,9 @@
 def build_head(
     status: int, headers: list[Header], content_length: int | None, is_chunked: bool, is_last: bool
 ) -> list[bytes]:
-    """Return a head in parts, for the caller to join with what follows.
+    """Return the parts of a head, which the caller joins with the body.
 
-    `content_length`: of the body, if it is known. `is_last`: the connection ends with this response.
+    `content_length`: of the body, None if unknown. `is_last`: the connection ends with this response.
     """
     parts = [STATUS_LINES[status]]
     for name, value in headers:
@@ -39,5 +39,5 @@
 
 
 def frame_chunk(data: bytes) -> bytes:
-    """Return bytes of a body as one chunk."""
+    """Return bytes of a body framed as one chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 frontend: its parts put together, their start, expiry scan, drain and end."""
+"""The HTTP/1.1 frontend: its components, start, expiry scan, drain and shutdown."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
         hosts.reserve_descriptor = self.admission.reserve_descriptor
 
     async def start(self) -> None:
-        """Listen; no client is accepted before there is a list of hosts to serve from."""
-        # With a second address this process may be replaced while it serves; without one a second start must fail.
+        """Listen; clients are accepted only after the gateway has started with a list of hosts."""
+        # With an admin address a successor may bind the port while this serves; else a second start must fail.
         self.listener.open(self.config.listen, reuse_port=self.config.admin_listen is not None)
         self.gateway.start()
         self.listener.start()
         self.expiry_timer = self.loop.call_later(EXPIRY_SCAN_INTERVAL_S, self.scan_expired)
 
     def make_connection(self) -> ClientConnection:
-        """Return the protocol of a connection that is accepted."""
+        """Return the protocol for an accepted connection."""
         return ClientConnection(self.context)
 
     @property
     def is_ready(self) -> bool:
-        """Whether a readiness check is answered so."""
+        """Whether readiness checks succeed."""
         return self.context.is_ready()
 
     @property
@@ -61,35 +61,35 @@
 
     @property
     def client_count(self) -> int:
-        """How many connections clients have."""
+        """Number of client connections, including those not yet set up."""
         return self.admission.client_count
 
     def set_process_count(self, processes: int) -> None:
-        """Divide the descriptors among so many processes of this gateway."""
+        """Divide the descriptors among the `processes` of this gateway."""
         self.admission.set_process_count(processes)
 
     def scan_expired(self) -> None:
-        """End connections that have stayed as they are for too long."""
+        """End connections that exceed a timeout."""
         self.expiry_timer = self.loop.call_later(EXPIRY_SCAN_INTERVAL_S, self.scan_expired)
         self.timeouts.end_expired(self.connections, self.loop.time(), self.admission.is_crowded())
 
     def start_drain(self, schedule: DrainSchedule) -> None:
-        """Begin to send clients away."""
+        """Start a drain."""
         self.client_drain.start(schedule)
 
     def stop_drain(self) -> None:
-        """Serve clients again, unless the process shuts down."""
+        """End the drain and serve clients again, unless the process shuts down."""
         self.client_drain.stop()
 
     async def shut_down(self, schedule: DrainSchedule | None = None) -> None:
-        """Drain for good: every request that was read, or waits to be accepted, is answered first."""
+        """Drain and stop: every request received, or waiting to be accepted, is answered first."""
         self.client_drain.is_shutdown = True
         self.start_drain(schedule or shutdown_schedule(self.max_client_timeout_s))
         while self.listener.socket is not None or self.connections or self.admission.accepting:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def close(self) -> None:
-        """End everything at once."""
+        """Close the listener and abort all connections."""
         self.listener.close()
         self.client_drain.close()
         if self.expiry_timer is not None:
--- a/cloverkeel/frontends/http1/stream_progress.py
+++ b/cloverkeel/frontends/http1/stream_progress.py
@@ -1,4 +1,4 @@
-"""How much of streamed responses a client has taken: the kernel knows what it still keeps."""
+"""How much of its streamed responses a client has received, according to the kernel's send queue."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import termios
 from typing import Final
 
-UNSENT_COUNT_BYTES: Final = 4  # of the integer that TIOCOUTQ fills
+UNSENT_COUNT_BYTES: Final = 4  # size of the integer that TIOCOUTQ returns
 
 
 class StreamProgress:
@@ -18,21 +18,21 @@
 
     def __init__(self) -> None:
         self.written_bytes = 0
-        self.delivered_bytes = 0  # with the client, when that was checked last
+        self.delivered_bytes = 0  # received by the client as of the last check
 
     def has_advanced(self, transport: asyncio.Transport) -> bool:
-        """Tell whether the client has taken more since this was last asked."""
+        """Return whether the client has received more bytes since the last call."""
         sock = transport.get_extra_info("socket")
         if sock is None:
             return False
-        waiting = transport.get_write_buffer_size() + count_unsent(sock.fileno())
-        before = self.delivered_bytes
-        self.delivered_bytes = max(before, self.written_bytes - waiting)
-        return self.delivered_bytes > before
+        pending_bytes = transport.get_write_buffer_size() + count_unsent(sock.fileno())
+        previous_bytes = self.delivered_bytes
+        self.delivered_bytes = max(previous_bytes, self.written_bytes - pending_bytes)
+        return self.delivered_bytes > previous_bytes
 
 
 def count_unsent(fd: int) -> int:
-    """Return how many bytes the kernel keeps for the other side."""
+    """Return the number of bytes in the kernel's send queue; 0 if the socket is closed."""
     try:
         return int.from_bytes(fcntl.ioctl(fd, termios.TIOCOUTQ, bytes(UNSENT_COUNT_BYTES)), sys.byteorder)
     except OSError:
