--- a/benchmarks/guards/mutants/frontends.py
+++ b/benchmarks/guards/mutants/frontends.py
@@ -1,4 +1,4 @@
-"""Mutants of the HTTP front: each takes out one guard."""
+"""Mutants of the HTTP frontend: each removes one guard."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @entry("answer-own")
 def _() -> None:
-    """A client's connection writes an answer whatever request it is for."""
+    """A client connection writes a response even if it belongs to another call."""
     from cloverkeel.frontends.http1.connection import ClientConnection
 
     for name in ("on_response", "on_rejected", "on_failed"):
@@ -18,7 +18,7 @@
 
 @entry("way-out-answers")
 def _() -> None:
-    """On SIGTERM the program ends with what it holds."""
+    """On SIGTERM the program exits without answering the requests in flight."""
     from cloverkeel.frontends.http1.server import Server
 
     async def shut_down(self: Any) -> None:
@@ -29,7 +29,7 @@
 
 @entry("idle-unread")
 def _() -> None:
-    """A connection counts as idle though a request waits in the kernel."""
+    """A connection counts as idle although a request waits in the kernel's buffer."""
     from cloverkeel.frontends.http1.connection import ClientConnection
 
     cut(ClientConnection, "is_idle", ("return not self.poll.poll(0)", "return True"))
@@ -37,7 +37,7 @@
 
 @entry("head-deadline")
 def _() -> None:
-    """A request that has begun to come has all the time in the world."""
+    """A request that has begun to arrive never times out."""
     from cloverkeel.frontends.http1.timeouts import ConnectionTimeouts
 
     cut(ConnectionTimeouts, "_time_out_requests", ("connection.time_out_request()", "pass"))
@@ -45,7 +45,7 @@
 
 @entry("silent-deadline")
 def _() -> None:
-    """A client's connection that has said nothing stays."""
+    """A client connection that has sent nothing never times out."""
     from cloverkeel.frontends.http1.timeouts import ConnectionTimeouts
 
     cut(
@@ -57,7 +57,7 @@
 
 @entry("head-limit")
 def _() -> None:
-    """A head may be of any length."""
+    """The head of a request may have any length."""
     from cloverkeel.frontends.http1 import requests
 
     swap(requests, "MAX_HEAD_BYTES", 1 << 40)
@@ -65,7 +65,7 @@
 
 @entry("body-limit")
 def _() -> None:
-    """A body may be of any length."""
+    """The body of a request may have any length."""
     from cloverkeel.frontends.http1 import requests
 
     swap(requests, "MAX_BODY_BYTES", 1 << 40)
@@ -73,7 +73,7 @@
 
 @entry("read-ahead")
 def _() -> None:
-    """All that comes on one connection is read at once."""
+    """Any number of pipelined requests is parsed ahead."""
     from cloverkeel.frontends.http1 import connection
 
     swap(connection, "MAX_PIPELINED_REQUESTS", 1 << 30)
@@ -81,7 +81,7 @@
 
 @entry("both-framings")
 def _() -> None:
-    """A request with a length and a transfer coding is read by the coding."""
+    """A request with Content-Length and Transfer-Encoding is framed by the latter."""
     from cloverkeel.frontends.http1.requests import RequestReader
 
     old = RequestReader.__init__
@@ -95,7 +95,7 @@
 
 @entry("repeated-headers")
 def _() -> None:
-    """Of headers that come twice, the first counts."""
+    """Of a repeated header, the first value is used."""
     from cloverkeel.frontends.http1 import call_reader
 
     swap(call_reader, "UNIQUE_HEADERS", frozenset())
@@ -103,7 +103,7 @@
 
 @entry("budget-cut")
 def _() -> None:
-    """A client's budget may be of any length."""
+    """A client's time budget may exceed the limit of its class."""
     from cloverkeel.frontends.http1 import call_reader
 
     cut(
@@ -115,7 +115,7 @@
 
 @entry("client-share")
 def _() -> None:
-    """Clients may take every descriptor."""
+    """Client connections may use every descriptor."""
     from cloverkeel.frontends.http1.admission import Admission
 
     swap(Admission, "has_room", lambda self: True)
@@ -123,7 +123,7 @@
 
 @entry("accept-error")
 def _() -> None:
-    """An accept that fails for want of descriptors ends the turn."""
+    """An accept that fails for lack of descriptors raises out of the callback."""
     from cloverkeel.frontends.http1.listener import Listener
 
     cut(Listener, "accept", ("except OSError as error:", "except MemoryError as error:"))
@@ -131,7 +131,7 @@
 
 @entry("host-room")
 def _() -> None:
-    """No descriptor is freed for a connection to a host."""
+    """No client is closed to free a descriptor for a connection to a host."""
     from cloverkeel.frontends.http1.admission import Admission
 
     swap(Admission, "reserve_descriptor", lambda self: True)
@@ -139,7 +139,7 @@
 
 @entry("accept-pauses")
 def _() -> None:
-    """An accept without a descriptor is tried again at once."""
+    """An accept that fails for lack of descriptors is retried at once."""
     from cloverkeel.frontends.http1.listener import Listener
 
     swap(Listener, "pause", lambda self: None)
@@ -147,7 +147,7 @@
 
 @entry("slow-yield")
 def _() -> None:
-    """Who has sent half a request keeps its descriptor for its time."""
+    """A client whose request has stalled keeps its descriptor until the request times out."""
     from cloverkeel.frontends.http1.admission import Admission
 
     swap(Admission, "_abort_slow_client", lambda self: False)
@@ -155,7 +155,7 @@
 
 @entry("reserve-kept")
 def _() -> None:
-    """Where nobody can yield, connections to hosts take what is left."""
+    """If no connection can be closed, connections to hosts use the reserved descriptors."""
     from cloverkeel.frontends.http1.admission import Admission
 
     cut(
@@ -167,7 +167,7 @@
 
 @entry("gone-unread")
 def _() -> None:
-    """A client has gone when the loop has read so."""
+    """A disconnect is noticed only once the loop has read it."""
     from cloverkeel.frontends.http1.client_transport import ClientTransport
 
     swap(ClientTransport, "has_disconnected", lambda self: self.transport is None)
@@ -175,7 +175,7 @@
 
 @entry("answer-all")
 def _() -> None:
-    """The process ends at its time with whatever it holds."""
+    """At its deadline the process exits without answering the requests in flight."""
     from cloverkeel.frontends.http1.drain import ClientDrain
 
     cut(ClientDrain, "on_timer", ("self.gateway.answer_all_requests()", "pass"))
@@ -183,7 +183,7 @@
 
 @entry("value-space")
 def _() -> None:
-    """White space that trails a value is part of it."""
+    """Trailing white space is kept as part of a header's value."""
     from cloverkeel.frontends.http1.requests import RequestReader
     from cloverkeel.protocols.http1 import ReplyReader
 
--- a/benchmarks/guards/mutants/protocols.py
+++ b/benchmarks/guards/mutants/protocols.py
@@ -1,4 +1,4 @@
-"""Mutants of the reader of answers: each takes out one guard."""
+"""Mutants of the response parser: each removes one guard."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @entry("replies-behind")
 def _() -> None:
-    """A connection on which more came than an answer is used again."""
+    """A connection with bytes after a response is reused."""
     from cloverkeel.protocols.http1 import ReplyReader
 
     cut(
@@ -19,7 +19,7 @@
 
 @entry("reply-body-limit")
 def _() -> None:
-    """A host's answer may be of any length."""
+    """The body of a host's response may have any length."""
     from cloverkeel.protocols import http1
 
     swap(http1, "MAX_BODY_BYTES", 1 << 40)
@@ -28,7 +28,7 @@
 
 @entry("reply-head-limit")
 def _() -> None:
-    """The head of a host's answer may be of any length."""
+    """The head of a host's response may have any length."""
     from cloverkeel.protocols import http1
 
     swap(http1, "MAX_HEAD_BYTES", 1 << 40)
--- a/benchmarks/guards/mutants/upstream.py
+++ b/benchmarks/guards/mutants/upstream.py
@@ -1,4 +1,4 @@
-"""Mutants of the connection pool: each takes out one guard."""
+"""Mutants of the upstream package: each removes one guard."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @entry("cancel-closes")
 def _() -> None:
-    """The connection of an attempt that was given up is kept."""
+    """The connection of a cancelled attempt is kept."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     cut(
@@ -21,7 +21,7 @@
 
 @entry("unasked-closes")
 def _() -> None:
-    """What a host says unasked is let pass."""
+    """Unsolicited bytes from a host are ignored, and the connection is kept."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
     from cloverkeel.upstream.connection import HostConnection
 
@@ -35,7 +35,7 @@
 
 @entry("reset-may-have-run")
 def _() -> None:
-    """A connection that breaks was never written to."""
+    """The request on a lost connection counts as never written."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     cut(
@@ -47,7 +47,7 @@
 
 @entry("timeout-may-have-run")
 def _() -> None:
-    """What was not answered in time was never written."""
+    """A request without a response in time counts as never written."""
     from cloverkeel.upstream.attempt import Attempt
 
     swap(Attempt, "is_written", lambda self: False)
@@ -55,7 +55,7 @@
 
 @entry("error-may-have-run")
 def _() -> None:
-    """Any answer but 200 says that it never ran."""
+    """Any response but 200 counts as a rejection: the request has not run."""
     from cloverkeel.upstream import outcomes
 
     cut(outcomes, "classify_reply", ("return Outcome.ERROR", "return Outcome.FULL"))
@@ -63,7 +63,7 @@
 
 @entry("garbage-may-have-run")
 def _() -> None:
-    """What can't be read says that it never ran."""
+    """After a malformed response the request counts as not run."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     cut(AttemptSender, "on_malformed", ("Outcome.ERROR", "Outcome.CONNECT_FAILED"))
@@ -71,7 +71,7 @@
 
 @entry("drain-pools")
 def _() -> None:
-    """Whoever carries attempts sends to hosts that drain."""
+    """Attempts are written to draining hosts after the grace period."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     cut(AttemptSender, "find_refusal", ("> self.settings.stop_sending_within_us", "> 10**15"))
@@ -79,7 +79,7 @@
 
 @entry("gone-pools")
 def _() -> None:
-    """Whoever carries attempts keeps hosts that left the list."""
+    """Hosts that are removed from the list stay in the pool."""
     from cloverkeel.upstream.connection_pool import ConnectionPool
 
     swap(ConnectionPool, "remove_host", lambda self, id_: None)
@@ -87,7 +87,7 @@
 
 @entry("begin-by-check")
 def _() -> None:
-    """What was to begin by a time is written when its connection comes up."""
+    """An attempt whose write deadline has passed is written when its connection is established."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     cut(AttemptSender, "find_refusal", ("at_us > attempt.write_deadline_us", "False"))
@@ -95,7 +95,7 @@
 
 @entry("begin-by-timer")
 def _() -> None:
-    """What is not wholly written by that time goes on."""
+    """An attempt that is partly written at its deadline goes on."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     swap(AttemptSender, "on_write_deadline", lambda self, attempt: None)
@@ -103,7 +103,7 @@
 
 @entry("host-rests")
 def _() -> None:
-    """A connection is used again in the moment of its answer."""
+    """A connection is reused immediately after a response."""
     from cloverkeel.upstream import connection_pool
 
     swap(connection_pool, "REUSE_DELAY_US", 0)
@@ -111,7 +111,7 @@
 
 @entry("fresh-connections")
 def _() -> None:
-    """A kept connection is used though its host may have closed it."""
+    """An idle connection is reused without a check whether its host has closed it."""
     from cloverkeel.upstream.connection import HostConnection
 
     cut(HostConnection, "is_reusable", ("and not self.poll.poll(0)", ""))
@@ -119,7 +119,7 @@
 
 @entry("idle-share")
 def _() -> None:
-    """Connections are kept for as long as a host keeps them, and longer."""
+    """Connections are kept idle beyond the host's idle timeout."""
     from cloverkeel.upstream import connection_pool
 
     swap(connection_pool, "MAX_IDLE_FRACTION", 100.0)
@@ -128,7 +128,7 @@
 
 @entry("answered-late")
 def _() -> None:
-    """An attempt is given up though its answer has come."""
+    """An attempt times out although its response has arrived."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     cut(AttemptSender, "on_timeout", ("if not attempt.has_rechecked and", "if False and"))
@@ -136,7 +136,7 @@
 
 @entry("held-up")
 def _() -> None:
-    """A host's answer is read however far its client is behind."""
+    """A host's response is read without regard to how much its client has read."""
     from cloverkeel.upstream.attempt import Attempt
 
     swap(Attempt, "pause_reading", lambda self: None)
