--- a/benchmarks/guards/table/protocols.py
+++ b/benchmarks/guards/table/protocols.py
@@ -6,9 +6,9 @@
 
 ROWS = (
     row("replies-behind", "bytes after a response are not a response", "ReplyReader.feed",
-        tests="upstream/connection_pool::an_answer_that_overtakes_its_request_ends_the_connection"),
+        tests="upstream/connection_pool::second_response_ends_the_connection"),
     row("reply-body-limit", "a response body is at most 32 MB", "ReplyReader", "floods", "bounds", quick=True,
-        tests="upstream/outcomes::what_comes_back_is_the_outcome"),
+        tests="upstream/outcomes::response_determines_the_outcome"),
     row("reply-head-limit", "a response head is at most 16 KiB", "ReplyReader", "floods", "bounds",
-        tests="upstream/outcomes::what_comes_back_is_the_outcome"),
+        tests="upstream/outcomes::response_determines_the_outcome"),
 )  # fmt: skip
--- a/tests/frontends/test_clients.py
+++ b/tests/frontends/test_clients.py
@@ -23,7 +23,7 @@
 
 
 @on_loop
-async def test_the_balancer_gets_what_the_headers_say() -> None:
+async def test_request_headers_reach_the_balancer() -> None:
     from cloverkeel.balancing.events import RequestArrived
 
     async with peer() as host, running(configuration(host)) as run:
@@ -71,7 +71,7 @@
     ],
 )
 @on_loop
-async def test_what_cannot_be_taken_is_answered_and_the_program_goes_on(data: bytes, status: int) -> None:
+async def test_invalid_request_gets_an_error_and_the_gateway_goes_on(data: bytes, status: int) -> None:
     async with peer() as host, running(configuration(host)) as run:
         answer = await run.ask(data)
         assert answer.status == status
@@ -82,7 +82,7 @@
 
 
 @on_loop
-async def test_a_body_comes_in_parts_or_chunks() -> None:
+async def test_body_arrives_in_parts_or_chunks() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
@@ -100,7 +100,7 @@
 
 
 @on_loop
-async def test_a_body_of_the_largest_size_passes_both_ways() -> None:
+async def test_body_of_the_largest_buffered_size_is_forwarded_both_ways() -> None:
     body = bytes(range(256)) * 256
     async with peer(answers(reply(200, body))) as host, running(configuration(host)) as run:
         answer = await run.ask(request("transfer", body))
@@ -108,7 +108,7 @@
 
 
 @on_loop
-async def test_requests_on_one_connection_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
@@ -119,7 +119,7 @@
 
 
 @on_loop
-async def test_a_good_request_before_a_bad_one_is_answered_first() -> None:
+async def test_valid_request_before_a_malformed_one_is_answered_first() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer") + b"rubbish\r\n\r\n")
@@ -133,7 +133,7 @@
 
 
 @on_loop
-async def test_a_client_that_says_close_is_closed_after_its_answer() -> None:
+async def test_connection_close_from_the_client_ends_the_connection() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         answer = await client.ask(request(connection="close"))
@@ -143,7 +143,7 @@
 
 
 @on_loop
-async def test_an_id_that_is_in_use_is_not_taken_twice() -> None:
+async def test_call_id_in_use_is_rejected() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         data = request("transfer")
         first = await run.connect()
@@ -157,7 +157,7 @@
 
 
 @on_loop
-async def test_ready_means_that_requests_can_be_served() -> None:
+async def test_readiness_depends_on_drain_and_known_hosts() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
     async with peer() as host:
         async with running(configuration(host)) as run:
@@ -169,7 +169,7 @@
 
 
 @on_loop
-async def test_a_refusal_tells_when_to_come_back_where_the_module_says_so() -> None:
+async def test_rejection_has_retry_after_if_configured() -> None:
     async with running(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
         answer = await run.ask(request())
         assert answer.status == 503
@@ -177,7 +177,7 @@
 
 
 @on_loop
-async def test_on_the_way_out_a_new_connection_has_time_for_its_first_request() -> None:
+async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
     """It may bring what has crossed the end of an older connection, and that is sent only once more."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
@@ -199,7 +199,7 @@
 
 
 @on_loop
-async def test_what_waits_to_be_read_keeps_its_connection() -> None:
+async def test_connection_with_unread_bytes_is_not_closed_as_idle() -> None:
     """The kernel is asked: a request may have reached the machine while the loop was elsewhere."""
     import socket
 
--- a/tests/frontends/test_large_bodies.py
+++ b/tests/frontends/test_large_bodies.py
@@ -64,7 +64,7 @@
 
 
 @on_loop
-async def test_large_answers_in_every_framing_arrive_as_they_are() -> None:
+async def test_large_responses_arrive_unchanged_in_every_framing() -> None:
     async with peer() as host, running(configuration(host)) as run:
         for script in (answers(reply(200, LARGE)), answers(chunked(LARGE)), until_close):
             host.script = script
@@ -78,7 +78,7 @@
 
 
 @on_loop
-async def test_an_answer_is_passed_on_while_it_comes() -> None:
+async def test_response_is_streamed_while_it_arrives() -> None:
     async def halves(exchange: Exchange) -> None:
         exchange.writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % (2 * MB) + LARGE[:MB])
         await go_on.wait()
@@ -96,7 +96,7 @@
 
 
 @on_loop
-async def test_an_answer_that_breaks_off_is_seen_to_be_not_whole() -> None:
+async def test_client_can_detect_a_truncated_response() -> None:
     """Also for a class that may be repeated: part of the answer is with the client."""
     async with peer() as one, peer() as other, running(configuration(one, other)) as run:
         for head, framed in ((b"Content-Length: 2000000", LARGE[:MB]), (b"Transfer-Encoding: chunked", None)):
@@ -117,7 +117,7 @@
 
 
 @on_loop
-async def test_a_slow_reader_holds_up_its_own_host_alone_and_little_memory() -> None:
+async def test_slow_client_pauses_only_its_own_response_and_uses_little_memory() -> None:
     async with peer(answers(reply(200, LARGE * 8))) as host, running(configuration(host)) as run:
         slow = await run.connect()
         slow.send(request())
@@ -133,7 +133,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_ends_the_attempt() -> None:
+async def test_client_disconnect_ends_a_streamed_response() -> None:
     async with peer(answers(reply(200, LARGE * 8))) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
@@ -145,7 +145,7 @@
 
 
 @on_loop
-async def test_large_requests_in_every_framing_arrive_as_they_are() -> None:
+async def test_large_requests_arrive_unchanged_in_every_framing() -> None:
     def sum_of(exchange: Exchange) -> None:
         exchange.answer(reply(200, hashlib.sha256(exchange.message.body).hexdigest().encode()))
 
@@ -164,7 +164,7 @@
 
 
 @on_loop
-async def test_a_large_request_is_tried_again_at_another_host() -> None:
+async def test_large_request_is_retried_at_another_host() -> None:
     def once(exchange: Exchange) -> None:
         first = len(a.seen) + len(b.seen) == 1
         exchange.answer(reply(503, b"", "X-Rejected: 1") if first else reply(200, b"done"))
@@ -177,14 +177,14 @@
 
 
 @on_loop
-async def test_a_body_above_the_limit_is_413_before_it_has_come() -> None:
+async def test_body_above_the_limit_gets_413_before_it_arrives() -> None:
     async with peer() as host, running(configuration(host)) as run:
         answer = await run.ask(request("transfer", content_length=str(MAX_BODY_BYTES + 1)))
         assert answer.status == 413 and not host.seen
 
 
 @on_loop
-async def test_a_pipelined_request_with_expect_is_asked_for_its_body_in_its_turn() -> None:
+async def test_pipelined_request_with_expect_gets_100_continue_in_order() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer", b"one"))
@@ -196,7 +196,7 @@
 
 
 @on_loop
-async def test_white_space_round_a_value_is_not_part_of_it() -> None:
+async def test_white_space_around_a_header_value_is_not_part_of_it() -> None:
     """Guards against 400 for a class that trails a space, and against taking a refusal for an error."""
 
     def refused(exchange: Exchange) -> None:
@@ -214,7 +214,7 @@
 # Pure parts
 
 
-def test_chunks_beyond_the_limit_are_413() -> None:
+def test_chunked_body_above_the_limit_gets_413() -> None:
     reader = RequestReader(lambda: None, BodyBudget(MAX_BODY_BYTES * 2))
     reader.feed(b"POST /transfer/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 1)
     for _ in range(MAX_BODY_BYTES // MB):
@@ -225,7 +225,7 @@
     assert reader.is_broken and fault is not None and fault.status == 413
 
 
-def test_the_body_budget_is_released_when_the_last_who_knows_a_body_forgets_it() -> None:
+def test_body_budget_is_released_with_the_last_reference_to_a_body() -> None:
     room = BodyBudget(100)
     one, two = BodyReservation(room), BodyReservation(room)
     assert one.try_grow(60) and not two.try_grow(41) and two.try_grow(40)
@@ -238,7 +238,7 @@
     assert room.used_bytes == 0
 
 
-def test_the_body_budget_follows_the_memory_limit() -> None:
+def test_body_budget_depends_on_the_memory_limit() -> None:
     assert budget_for_memory(32) < 8 * MB < budget_for_memory(64) < 64 * MB
 
 
@@ -274,7 +274,7 @@
     assert b"".join(pieces) == body
 
 
-def test_an_answer_without_a_length_that_does_not_say_close_is_not_taken() -> None:
+def test_response_without_length_and_close_is_rejected() -> None:
     reader = ReplyReader(on_stream_start=lambda head, length: None, on_chunk=lambda data: None)
     try:
         reader.feed(b"HTTP/1.1 200 X\r\n\r\nx")
--- a/tests/frontends/test_limits.py
+++ b/tests/frontends/test_limits.py
@@ -24,7 +24,7 @@
 
 
 @on_loop
-async def test_a_silent_client_and_a_kept_connection_are_let_go_and_a_busy_one_is_not(
+async def test_silent_and_idle_connections_time_out_and_a_busy_one_does_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
@@ -55,9 +55,7 @@
     ],
 )
 @on_loop
-async def test_a_request_that_does_not_come_in_time_is_answered_408(
-    begun: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_request_that_does_not_arrive_in_time_gets_408(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     hurry(monkeypatch, timeouts, "REQUEST_TIMEOUT_S")
     hurry(monkeypatch, client_transport, "LINGER_TIMEOUT_S")
     async with peer() as host, running(configuration(host)) as run:
@@ -71,7 +69,7 @@
 
 
 @on_loop
-async def test_silent_clients_crowd_out_neither_hosts_nor_other_clients(tmp_path: Path) -> None:
+async def test_silent_clients_leave_descriptors_to_hosts_and_other_clients(tmp_path: Path) -> None:
     """The real program at 80 descriptors, and 300 connections that say nothing."""
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
     async with peer() as host:
@@ -131,7 +129,7 @@
     ],
 )
 @on_loop
-async def test_what_is_no_request_is_refused_and_nothing_of_it_reaches_a_host(data: bytes, status: int) -> None:
+async def test_invalid_request_is_rejected_and_does_not_reach_a_host(data: bytes, status: int) -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(data)
@@ -143,7 +141,7 @@
 
 
 @on_loop
-async def test_hundreds_of_requests_at_once_wait_unparsed_and_are_all_answered() -> None:
+async def test_pipelined_requests_beyond_the_limit_wait_unparsed_and_are_answered() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 1000)
@@ -156,7 +154,7 @@
 
 
 @on_loop
-async def test_a_time_beyond_the_class_is_cut_and_none_at_all_is_answered_at_once() -> None:
+async def test_budget_is_limited_to_the_class_timeout_and_zero_fails_at_once() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         clients = [await run.connect() for _ in range(2)]
         for client, klass in zip(clients, ("transfer", "search"), strict=True):
@@ -169,7 +167,7 @@
 
 
 @on_loop
-async def test_an_accept_that_finds_no_descriptor_gives_up_who_asks_nothing(tmp_path: Path) -> None:
+async def test_accept_without_a_free_descriptor_closes_an_idle_client(tmp_path: Path) -> None:
     """The real program, and fewer descriptors than its configuration says."""
     async with peer() as host, program(tmp_path, configuration(host)) as (process, port):
         numbers = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -39,7 +39,7 @@
 
 
 @on_loop
-async def test_a_connection_is_used_again_and_only_by_one_at_a_time() -> None:
+async def test_connections_are_reused_and_carry_one_request_at_a_time() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(2)]
         await until(lambda: len(host.seen) == 2)
@@ -57,7 +57,7 @@
 
 
 @on_loop
-async def test_a_connection_that_the_host_has_closed_is_not_written_to() -> None:
+async def test_connection_closed_by_the_host_is_not_written_to() -> None:
     async with peer() as host, running(configuration(host)) as run:
         assert (await run.ask(request("transfer"))).status == 200
         pool, connection = run.pool, idle(run)[0]
@@ -78,7 +78,7 @@
 
 
 @on_loop
-async def test_the_poll_sees_an_end_before_the_loop_does() -> None:
+async def test_closed_connection_is_detected_before_the_loop_reads_it() -> None:
     """A blocked loop must not write to what is already closed: the kernel is asked, not the loop's memory."""
     import socket
 
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("said", [reply(200, b"another's"), b"HTTP/1.1 200 OK\r\nContent-Le"])
 @on_loop
-async def test_a_connection_on_which_a_host_speaks_unasked_is_closed(said: bytes) -> None:
+async def test_connection_with_unsolicited_bytes_is_closed(said: bytes) -> None:
     async with peer() as host, running(configuration(host)) as run:
         assert (await run.ask(request())).status == 200
         host.seen[0].answer(said)
@@ -109,7 +109,7 @@
 
 
 @on_loop
-async def test_a_host_that_asks_for_the_end_of_a_connection_gets_it() -> None:
+async def test_connection_close_from_the_host_ends_the_connection() -> None:
     async with (
         peer(answers(reply(200, b"", "Connection: close"))) as host,
         running(configuration(host)) as run,
@@ -121,7 +121,7 @@
 
 
 @on_loop
-async def test_spare_connections_end_soon_and_the_last_before_the_host_ends_it() -> None:
+async def test_spare_connections_expire_early_and_the_last_before_the_hosts_timeout() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(4)]
         await until(lambda: len(host.seen) == 4)
@@ -139,7 +139,7 @@
 
 
 @on_loop
-async def test_a_drained_host_keeps_no_idle_connection_and_finishes_what_it_has() -> None:
+async def test_draining_host_finishes_its_requests_and_keeps_no_idle_connection() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         asking = asyncio.create_task(run.ask(request()))
         await until(lambda: host.seen)
@@ -156,7 +156,7 @@
 
 
 @on_loop
-async def test_nothing_starts_after_the_grace_of_a_drain() -> None:
+async def test_no_attempt_starts_after_the_drain_grace() -> None:
     """A connection that comes up too late carries nothing, even if the attempt was begun in time."""
     async with peer() as host, running(configuration(host)) as run:
         pool, ended = run.pool, list[Outcome]()
@@ -174,7 +174,7 @@
 
 
 @on_loop
-async def test_a_host_that_moves_is_reached_at_its_new_address() -> None:
+async def test_moved_host_is_reached_at_its_new_address() -> None:
     async with peer() as old, peer() as new, running(configuration(old)) as run:
         old.script = silent
         asking = asyncio.create_task(run.ask(request()))
@@ -190,7 +190,7 @@
 
 
 @on_loop
-async def test_a_host_that_has_started_anew_gets_new_connections() -> None:
+async def test_restarted_host_gets_new_connections() -> None:
     async with peer() as host, running(configuration(host)) as run:
         names = parse(configuration(host)).names
         assert (await run.ask(request())).status == 200
@@ -227,7 +227,7 @@
 
 
 @on_loop
-async def test_an_answer_that_overtakes_its_request_ends_the_connection() -> None:
+async def test_second_response_ends_the_connection() -> None:
     """Bytes beyond the one answer that is due belong to nothing: the connection is not used again."""
 
     def twice(exchange: Exchange) -> None:
@@ -241,7 +241,7 @@
 
 
 @on_loop
-async def test_an_attempt_given_up_as_its_connection_comes_up_leaves_nothing_behind() -> None:
+async def test_attempt_cancelled_as_its_connection_is_established_leaks_nothing() -> None:
     """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
     async with peer(silent) as host, running(configuration(host)) as run:
         pool, looks = run.pool, 0
@@ -267,7 +267,7 @@
 
 
 @on_loop
-async def test_what_a_request_leaves_behind_is_freed_at_once() -> None:
+async def test_answered_requests_leave_no_reference_cycles() -> None:
     """No cycle is left for the collector to find: it runs seldom, and walks over all that is held."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -86,7 +86,7 @@
     ],
 )
 @on_loop
-async def test_what_comes_back_is_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
+async def test_response_determines_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
     async with peer(script) as host, running(configuration(host)) as run:
         told = outcomes(run)
         answer = await run.ask(request("transfer", b"42"))
@@ -98,7 +98,7 @@
 
 
 @on_loop
-async def test_a_refused_connection_never_ran() -> None:
+async def test_refused_connection_is_connect_failed() -> None:
     async with running(configuration(CLOSED_PORT)) as run:
         told = outcomes(run)
         assert (await run.ask(request("transfer"))).status == 503
@@ -106,7 +106,7 @@
 
 
 @on_loop
-async def test_a_connection_that_never_comes_up_is_given_up_in_the_time_of_the_settings() -> None:
+async def test_connecting_times_out_after_the_connect_timeout() -> None:
     import socket
 
     with socket.socket() as full:
@@ -128,7 +128,7 @@
 
 
 @on_loop
-async def test_a_time_out_closes_the_connection_and_fails_what_may_have_run() -> None:
+async def test_timeout_closes_the_connection_and_fails_a_request_that_may_have_run() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         told = outcomes(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
@@ -138,7 +138,7 @@
 
 
 @on_loop
-async def test_a_late_answer_of_an_ended_attempt_is_dropped() -> None:
+async def test_late_response_of_an_ended_attempt_is_dropped() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         told = outcomes(run)
         client = await run.connect()
@@ -155,7 +155,7 @@
 
 @pytest.mark.parametrize(("klass", "again"), [("search", True), ("hold", True), ("transfer", False)])
 @on_loop
-async def test_after_a_reset_only_what_may_run_twice_goes_out_again(klass: str, again: bool) -> None:
+async def test_only_repeatable_requests_are_retried_after_a_reset(klass: str, again: bool) -> None:
     first: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize("klass", ["search", "hold", "transfer"])
 @on_loop
-async def test_every_class_goes_elsewhere_when_a_host_is_full(klass: str) -> None:
+async def test_every_class_is_retried_elsewhere_when_a_host_is_full(klass: str) -> None:
     turned_away: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -191,7 +191,7 @@
 
 
 @on_loop
-async def test_a_keyed_request_that_may_have_run_stays_in_its_group() -> None:
+async def test_keyed_request_that_may_have_run_stays_in_its_group() -> None:
     async with peer(reset) as one, peer() as other:
         config = configuration(one)
         config["settings"]["lanes"][1]["group"] = "cell"
@@ -207,7 +207,7 @@
 
 
 @on_loop
-async def test_what_the_host_says_passes_back_and_what_the_client_says_passes_on() -> None:
+async def test_headers_and_bodies_are_forwarded_both_ways() -> None:
     script = answers(reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2"))
     async with peer(script) as host, running(configuration(host)) as run:
         told = outcomes(run)
@@ -229,14 +229,14 @@
 
 @pytest.mark.parametrize("report", ["TEXT queue=lots", "JSON {}", "TEXT", "TEXT =,=", "\xff"])
 @on_loop
-async def test_a_load_report_that_cannot_be_read_costs_nothing(report: str) -> None:
+async def test_malformed_load_report_is_ignored(report: str) -> None:
     data = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nX-Load-Report: " + report.encode("latin-1") + b"\r\n\r\n"
     async with peer(answers(data)) as host, running(configuration(host)) as run:
         assert (await run.ask(request())).status == 200
 
 
 @on_loop
-async def test_answers_in_chunks_and_interim_answers_are_read() -> None:
+async def test_chunked_and_interim_responses_are_parsed() -> None:
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     data += b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
     async with peer(answers(data)) as host, running(configuration(host)) as run:
@@ -247,7 +247,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_ends_the_attempt() -> None:
+async def test_client_disconnect_cancels_the_attempt() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         told = outcomes(run)
         client = await run.connect()
@@ -261,7 +261,7 @@
 
 
 @on_loop
-async def test_an_error_of_the_module_fails_one_request_and_no_more() -> None:
+async def test_balancer_error_fails_only_one_request() -> None:
     async with peer() as host, running(configuration(host)) as run:
         errors = [RuntimeError("planted")]
 
@@ -275,7 +275,7 @@
 
 
 @on_loop
-async def test_an_action_that_fails_takes_no_other_along() -> None:
+async def test_failing_action_does_not_prevent_later_actions() -> None:
     class Deaf:
         def watch(self, on: bool) -> None:
             raise RuntimeError("planted")
@@ -318,7 +318,7 @@
 
 
 @on_loop
-async def test_a_response_that_is_not_awaited_goes_to_nobody() -> None:
+async def test_response_that_is_not_awaited_is_dropped() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer"))
@@ -335,7 +335,7 @@
 
 
 @on_loop
-async def test_a_send_that_comes_too_late_is_moot() -> None:
+async def test_send_to_an_unlisted_host_is_moot() -> None:
     from cloverkeel.balancing.actions import Send
 
     async with peer() as host, running(configuration(host)) as run:
