--- a/tests/frontends/test_clients.py
+++ b/tests/frontends/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what is read, what is malformed, health, and many requests on one connection."""
+"""Client connections: headers, malformed requests, readiness checks and pipelined requests."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
     from cloverkeel.balancing.events import RequestArrived
 
     async with peer() as host, running(configuration(host)) as run:
-        told: list[RequestArrived] = []
+        events: list[RequestArrived] = []
 
-        def listen(event: object) -> None:
+        def record(event: object) -> None:
             if isinstance(event, RequestArrived):
-                told.append(event)
+                events.append(event)
 
-        overhear(run, listen)
+        overhear(run, record)
         data = request("hold", b"x", budget_ms=480, x_call_cost="61000", x_again="1", x_caller="zeta")
         assert (await run.ask(data)).status == 200
-        (event,) = told
+        (event,) = events
         assert (event.class_index, event.client_timeout_us, event.work_us) == (1, 480_000, 61_000)
         assert event.is_retry and event.tenant == 1
         assert event.key == stable_id("7f3a9c21e0b4d655", 8)
         data = b"GET /search HTTP/1.1\r\nHost: b\r\nX-Call-Id: bare\r\n\r\n"
         assert (await run.ask(data)).status == 200
-        assert told[1].key is None and told[1].client_timeout_us == 20_000_000 and not told[1].is_retry
+        assert events[1].key is None and events[1].client_timeout_us == 20_000_000 and not events[1].is_retry
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
         client.send(head + b"3\r\nabc\r\n")
         client.send(b"2\r\nde\r\n0\r\n\r\n")
         assert (await client.answer()).status == 200
-        assert [e.message.body for e in host.seen] == [b"in many pieces", b"abcde"]
+        assert [exchange.message.body for exchange in host.seen] == [b"in many pieces", b"abcde"]
         assert "transfer-encoding" not in host.seen[1].message.headers
         client.close()
 
@@ -114,7 +114,7 @@
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
         for _ in range(40):
             assert (await client.answer()).status == 200
-        assert [e.message.body for e in host.seen] == [b"%d" % n for n in range(40)]
+        assert [exchange.message.body for exchange in host.seen] == [b"%d" % n for n in range(40)]
         client.close()
 
 
@@ -178,7 +178,7 @@
 
 @on_loop
 async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
-    """It may bring what has crossed the end of an older connection, and that is sent only once more."""
+    """The request may be a retry after the close of an older connection crossed it, and clients retry only once."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         await until(lambda: run.server.connections)
@@ -188,19 +188,19 @@
         answer = await client.ask(request("transfer"))
         assert answer.status == 200
         assert await client.reader.read() == b""
-        silent_one = await run.connect()
+        silent_client = await run.connect()
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
         connection.accepted_s -= 60
         run.server.client_drain.on_timer()
-        assert await silent_one.reader.read() == b""
+        assert await silent_client.reader.read() == b""
         client.close()
-        silent_one.close()
+        silent_client.close()
 
 
 @on_loop
 async def test_connection_with_unread_bytes_is_not_closed_as_idle() -> None:
-    """The kernel is asked: a request may have reached the machine while the loop was elsewhere."""
+    """The socket is polled, as a request may have arrived while the loop was busy."""
     import socket
 
     async with peer() as host, running(configuration(host)) as run:
@@ -208,11 +208,11 @@
             await until(lambda: run.server.connections)
             (connection,) = run.server.connections
             connection.has_responded = True
-            client.sendall(request("transfer"))  # and the loop has had no turn since
+            client.sendall(request("transfer"))  # the loop does not run between this and on_timer
             run.server.start_drain(shutdown_schedule(3.0))
             run.server.drain_state.started_s -= (
                 shutdown_schedule(3.0).close_idle_from_s + 0.1
-            )  # well past it: the loop's time stands still here
+            )  # past this time: the loop's clock does not advance in between
             run.server.client_drain.on_timer()
             assert not connection.ignores_input
             loop = asyncio.get_running_loop()
--- a/tests/frontends/test_large_bodies.py
+++ b/tests/frontends/test_large_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies above 64 KiB, both ways, through the gateway on sockets."""
+"""Bodies above 64 KiB in both directions, through the gateway over sockets."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 LARGE = random.Random(1).randbytes(3 * MB)
 
 
-async def read_any(client: Client) -> tuple[Message, bool]:
-    """An answer in any framing, and whether it is whole."""
+async def read_response(client: Client) -> tuple[Message, bool]:
+    """Read a response in any framing; return it and whether it is complete."""
     reader = client.reader
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head[:-4].split("\r\n")
@@ -58,7 +58,7 @@
     return b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + framed + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-def until_close(exchange: Exchange) -> None:
+def close_delimited(exchange: Exchange) -> None:
     exchange.writer.write(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\n" + LARGE)
     exchange.writer.close()
 
@@ -66,12 +66,12 @@
 @on_loop
 async def test_large_responses_arrive_unchanged_in_every_framing() -> None:
     async with peer() as host, running(configuration(host)) as run:
-        for script in (answers(reply(200, LARGE)), answers(chunked(LARGE)), until_close):
+        for script in (answers(reply(200, LARGE)), answers(chunked(LARGE)), close_delimited):
             host.script = script
             client = await run.connect()
             client.send(request())
-            answer, whole = await read_any(client)
-            assert whole and answer.status == 200 and answer.body == LARGE
+            response, is_complete = await read_response(client)
+            assert is_complete and response.status == 200 and response.body == LARGE
             host.script = answers(reply(200, b"next"))
             assert (await client.ask(request())).body == b"next"  # on the same connection
             client.close()
@@ -79,26 +79,26 @@
 
 @on_loop
 async def test_response_is_streamed_while_it_arrives() -> None:
-    async def halves(exchange: Exchange) -> None:
+    async def send_halves(exchange: Exchange) -> None:
         exchange.writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % (2 * MB) + LARGE[:MB])
-        await go_on.wait()
+        await send_rest.wait()
         exchange.writer.write(LARGE[MB : 2 * MB])
 
-    go_on = asyncio.Event()
-    async with peer(halves) as host, running(configuration(host)) as run:
+    send_rest = asyncio.Event()
+    async with peer(send_halves) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         assert await client.reader.readexactly(MB) == LARGE[:MB]
-        go_on.set()
+        send_rest.set()
         assert await client.reader.readexactly(MB) == LARGE[MB : 2 * MB]
         client.close()
 
 
 @on_loop
 async def test_client_can_detect_a_truncated_response() -> None:
-    """Also for a class that may be repeated: part of the answer is with the client."""
-    async with peer() as one, peer() as other, running(configuration(one, other)) as run:
+    """It is not retried even for a repeatable class, as the client already has part of the response."""
+    async with peer() as first, peer() as second, running(configuration(first, second)) as run:
         for head, framed in ((b"Content-Length: 2000000", LARGE[:MB]), (b"Transfer-Encoding: chunked", None)):
             data = framed if framed is not None else chunked(LARGE).partition(b"\r\n\r\n")[2][:MB]
 
@@ -106,13 +106,13 @@
                 exchange.writer.write(b"HTTP/1.1 200 X\r\n" + head + b"\r\n\r\n" + data)
                 exchange.writer.close()
 
-            one.script = other.script = break_off
-            before = len(one.seen) + len(other.seen)
+            first.script = second.script = break_off
+            before = len(first.seen) + len(second.seen)
             client = await run.connect()
             client.send(request("search"))
-            _, whole = await read_any(client)
+            _, is_complete = await read_response(client)
             await until(lambda: not run.gateway.requests.by_key)
-            assert not whole and len(one.seen) + len(other.seen) == before + 1
+            assert not is_complete and len(first.seen) + len(second.seen) == before + 1
             client.close()
 
 
@@ -146,11 +146,11 @@
 
 @on_loop
 async def test_large_requests_arrive_unchanged_in_every_framing() -> None:
-    def sum_of(exchange: Exchange) -> None:
+    def send_digest(exchange: Exchange) -> None:
         exchange.answer(reply(200, hashlib.sha256(exchange.message.body).hexdigest().encode()))
 
     expected = hashlib.sha256(LARGE).hexdigest().encode()
-    async with peer(sum_of) as host, running(configuration(host)) as run:
+    async with peer(send_digest) as host, running(configuration(host)) as run:
         client = await run.connect()
         assert (await client.ask(request("transfer", LARGE))).body == expected
         framed = chunked(LARGE).partition(b"\r\n\r\n")[2]
@@ -165,11 +165,11 @@
 
 @on_loop
 async def test_large_request_is_retried_at_another_host() -> None:
-    def once(exchange: Exchange) -> None:
-        first = len(a.seen) + len(b.seen) == 1
-        exchange.answer(reply(503, b"", "X-Rejected: 1") if first else reply(200, b"done"))
+    def reject_first(exchange: Exchange) -> None:
+        is_first = len(a.seen) + len(b.seen) == 1
+        exchange.answer(reply(503, b"", "X-Rejected: 1") if is_first else reply(200, b"done"))
 
-    async with peer(once) as a, peer(once) as b, running(configuration(a, b)) as run:
+    async with peer(reject_first) as a, peer(reject_first) as b, running(configuration(a, b)) as run:
         assert (await run.ask(request("transfer", LARGE))).body == b"done"
         assert [exchange.message.body for exchange in (*a.seen, *b.seen)] == [LARGE, LARGE]
         assert len(a.seen) == len(b.seen) == 1
@@ -197,9 +197,9 @@
 
 @on_loop
 async def test_white_space_around_a_header_value_is_not_part_of_it() -> None:
-    """Guards against 400 for a class that trails a space, and against taking a refusal for an error."""
+    """Guards against 400 for a class with a trailing space, and against taking a rejection for an error."""
 
-    def refused(exchange: Exchange) -> None:
+    def send_rejection(exchange: Exchange) -> None:
         exchange.answer(b"HTTP/1.1 503 X\r\nContent-Length:  0 \t\r\nX-Rejected:\t1 \r\n\r\n")
 
     async with peer() as host, running(configuration(host)) as run:
@@ -207,11 +207,11 @@
         spaced = spaced.replace(b"20000", b"  20000 ") + b"2\r\nab\r\n0\r\n\r\n"
         assert (await run.ask(spaced)).status == 200
         assert host.seen[0].message.body == b"ab"
-        host.script = refused
-        assert (await run.ask(request("transfer"))).status == 503  # it has not run: a refusal, not 502
+        host.script = send_rejection
+        assert (await run.ask(request("transfer"))).status == 503  # rejected without running, so not 502
 
 
-# Pure parts
+# Without sockets
 
 
 def test_chunked_body_above_the_limit_gets_413() -> None:
@@ -221,21 +221,21 @@
         reader.feed(b"100000\r\n" + bytes(MB) + b"\r\n", 1)
         assert not reader.is_broken
     reader.feed(b"1\r\nx\r\n", 1)
-    fault = reader.completed[0].error
-    assert reader.is_broken and fault is not None and fault.status == 413
+    error = reader.completed[0].error
+    assert reader.is_broken and error is not None and error.status == 413
 
 
 def test_body_budget_is_released_with_the_last_reference_to_a_body() -> None:
-    room = BodyBudget(100)
-    one, two = BodyReservation(room), BodyReservation(room)
-    assert one.try_grow(60) and not two.try_grow(41) and two.try_grow(40)
-    again = one
-    del one
-    assert room.used_bytes == 100
-    del again
-    assert room.used_bytes == 40 and two.try_grow(60)
-    del two
-    assert room.used_bytes == 0
+    budget = BodyBudget(100)
+    first, second = BodyReservation(budget), BodyReservation(budget)
+    assert first.try_grow(60) and not second.try_grow(41) and second.try_grow(40)
+    alias = first
+    del first
+    assert budget.used_bytes == 100
+    del alias
+    assert budget.used_bytes == 40 and second.try_grow(60)
+    del second
+    assert budget.used_bytes == 0
 
 
 def test_body_budget_depends_on_the_memory_limit() -> None:
@@ -280,4 +280,4 @@
         reader.feed(b"HTTP/1.1 200 X\r\n\r\nx")
     except ReplyError:
         return
-    raise AssertionError("taken")
+    raise AssertionError("the response was accepted")
--- a/tests/frontends/test_limits.py
+++ b/tests/frontends/test_limits.py
@@ -1,4 +1,4 @@
-"""What clients may not do: stay silent, never end, crowd out others, ask for what is no request."""
+"""Limits on clients: silent clients, unfinished requests, too many connections, malformed requests."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 HIDDEN = b"0\r\n\r\n" + request("transfer")
 
 
-def hurry(monkeypatch: pytest.MonkeyPatch, module: ModuleType, *names: str) -> None:
-    """The same limits, sooner, as the module reads them."""
+def shorten_timeouts(monkeypatch: pytest.MonkeyPatch, module: ModuleType, *names: str) -> None:
+    """Set these time limits to 0.05 s in the module that reads them."""
     for name in names:
         monkeypatch.setattr(module, name, 0.05)
 
@@ -28,19 +28,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
-        busy, quiet, kept = [await run.connect() for _ in range(3)]
+        busy, silent_client, idle_client = [await run.connect() for _ in range(3)]
         busy.send(request("transfer"))
-        assert (await kept.ask(READY)).status == 200
+        assert (await idle_client.ask(READY)).status == 200
         await until(lambda: host.seen)
-        hurry(monkeypatch, timeouts, "FIRST_BYTE_TIMEOUT_S", "KEEP_ALIVE_TIMEOUT_S", "CROWDED_KEEP_ALIVE_TIMEOUT_S")
-        assert await quiet.reader.read() == b"" and await kept.reader.read() == b""
+        shorten_timeouts(
+            monkeypatch, timeouts, "FIRST_BYTE_TIMEOUT_S", "KEEP_ALIVE_TIMEOUT_S", "CROWDED_KEEP_ALIVE_TIMEOUT_S"
+        )
+        assert await silent_client.reader.read() == b"" and await idle_client.reader.read() == b""
         await until(lambda: len(run.server.connections) == 1)
         host.seen[0].answer(reply(200, b"late"))
         assert (await busy.answer()).body == b"late"
         limits = run.server.timeouts
         for phase in (limits.accepted, limits.reading, limits.keep_alive, limits.closing):
             await until(lambda phase=phase: not phase)  # type: ignore[misc]
-        for client in (busy, quiet, kept):
+        for client in (busy, silent_client, idle_client):
             client.close()
 
 
@@ -56,8 +58,8 @@
 )
 @on_loop
 async def test_request_that_does_not_arrive_in_time_gets_408(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    hurry(monkeypatch, timeouts, "REQUEST_TIMEOUT_S")
-    hurry(monkeypatch, client_transport, "LINGER_TIMEOUT_S")
+    shorten_timeouts(monkeypatch, timeouts, "REQUEST_TIMEOUT_S")
+    shorten_timeouts(monkeypatch, client_transport, "LINGER_TIMEOUT_S")
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         answer = await client.ask(begun)
@@ -70,7 +72,7 @@
 
 @on_loop
 async def test_silent_clients_leave_descriptors_to_hosts_and_other_clients(tmp_path: Path) -> None:
-    """The real program at 80 descriptors, and 300 connections that say nothing."""
+    """Runs the real program with 80 descriptors and 300 connections that send nothing."""
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
     async with peer() as host:
         config["known"]["endpoints"][0]["address"] = host.address
@@ -79,20 +81,20 @@
             assert (await client.ask(request("transfer"))).status == 200
             crowd = await asyncio.gather(*(connect(port) for _ in range(300)))
             other = await connect(port)
-            for asker in (client, other):
+            for sender in (client, other):
                 await rested()
-                asker.send(request("transfer"))
+                sender.send(request("transfer"))
                 try:
-                    assert (await asker.answer()).status == 200
-                except (ConnectionError, asyncio.IncompleteReadError):  # crossed: it asks once more
+                    assert (await sender.answer()).status == 200
+                except (ConnectionError, asyncio.IncompleteReadError):  # crossed the close: sent again
                     again = await connect(port)
                     assert (await again.ask(request("transfer"))).status == 200
                     again.close()
-            assert host.opened == 1  # the kept connection has been kept
+            assert host.opened == 1  # the connection to the host is reused
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
-            for one in (*crowd, client, other):
-                one.close()
+            for connected_client in (*crowd, client, other):
+                connected_client.close()
 
 
 @pytest.mark.parametrize(
@@ -145,11 +147,13 @@
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 1000)
-        most = 0
+        max_completed = 0
         for _ in range(1000):
             assert (await client.answer()).status == 200
-            most = max(most, *(len(c.reader.completed) for c in run.server.connections))
-        assert 0 < most < 200
+            max_completed = max(
+                max_completed, *(len(connection.reader.completed) for connection in run.server.connections)
+            )
+        assert 0 < max_completed < 200
         client.close()
 
 
@@ -168,7 +172,7 @@
 
 @on_loop
 async def test_accept_without_a_free_descriptor_closes_an_idle_client(tmp_path: Path) -> None:
-    """The real program, and fewer descriptors than its configuration says."""
+    """Runs the real program with fewer descriptors than its configuration says."""
     async with peer() as host, program(tmp_path, configuration(host)) as (process, port):
         numbers = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(numbers) + 1, max(numbers) + 1))
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: kept, reused, given up; drains."""
+"""Connections to hosts: reuse, expiry, closing and draining."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
             assert (await run.ask(request())).status == 200
         assert host.opened == 2
         last = [exchange.connection for exchange in host.seen[2:]]
-        assert len(set(last)) == 1  # the one used last, so that the other can age
+        assert len(set(last)) == 1  # the most recently used one, so that the other expires
 
 
 @on_loop
@@ -63,23 +63,23 @@
         pool, connection = run.pool, idle(run)[0]
         host.seen[0].writer.close()
         await until(lambda: not connection.is_reusable())
-        ended: list[Outcome] = []
-        # Sent before the loop has told of the end, if it has not yet.
+        outcomes: list[Outcome] = []
+        # As if the loop had not noticed the close yet: the connection is still idle.
         if not idle(run):
             idle(run).append(connection)
 
         def on_end(result: AttemptResult) -> None:
-            ended.append(result.outcome)
+            outcomes.append(result.outcome)
 
         data = request("transfer")
         run.attempt_sender.send(Attempt(pool.hosts[host_id(0)], lambda _: [data], on_end), 20_000_000)
-        await until(lambda: ended)
-        assert ended == [Outcome.OK] and host.opened == 2
+        await until(lambda: outcomes)
+        assert outcomes == [Outcome.OK] and host.opened == 2
 
 
 @on_loop
 async def test_closed_connection_is_detected_before_the_loop_reads_it() -> None:
-    """A blocked loop must not write to what is already closed: the kernel is asked, not the loop's memory."""
+    """Guards against a write to a connection that was closed while the loop was blocked: the socket is polled."""
     import socket
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -87,23 +87,23 @@
         config = configuration(f"127.0.0.1:{listener.getsockname()[1]}")
         async with running(config) as run:
             loop = asyncio.get_running_loop()
-            asking = asyncio.create_task(run.ask(request()))
-            taken, _ = await loop.run_in_executor(None, listener.accept)
-            await loop.run_in_executor(None, taken.recv, 65536)
-            taken.sendall(reply())
-            await asking
+            response_task = asyncio.create_task(run.ask(request()))
+            accepted, _ = await loop.run_in_executor(None, listener.accept)
+            await loop.run_in_executor(None, accepted.recv, 65536)
+            accepted.sendall(reply())
+            await response_task
             connection = idle(run)[0]
             assert connection.is_reusable()
-            taken.close()  # and the loop has had no turn since
+            accepted.close()  # the loop does not run between this and the check
             assert not connection.is_reusable()
 
 
-@pytest.mark.parametrize("said", [reply(200, b"another's"), b"HTTP/1.1 200 OK\r\nContent-Le"])
+@pytest.mark.parametrize("unsolicited", [reply(200, b"another's"), b"HTTP/1.1 200 OK\r\nContent-Le"])
 @on_loop
-async def test_connection_with_unsolicited_bytes_is_closed(said: bytes) -> None:
+async def test_connection_with_unsolicited_bytes_is_closed(unsolicited: bytes) -> None:
     async with peer() as host, running(configuration(host)) as run:
         assert (await run.ask(request())).status == 200
-        host.seen[0].answer(said)
+        host.seen[0].answer(unsolicited)
         await until(lambda: not idle(run))
         assert (await run.ask(request())).body == b"fine" and host.opened == 2
 
@@ -141,50 +141,50 @@
 @on_loop
 async def test_draining_host_finishes_its_requests_and_keeps_no_idle_connection() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
-        asking = asyncio.create_task(run.ask(request()))
+        response_task = asyncio.create_task(run.ask(request()))
         await until(lambda: host.seen)
         names = parse(configuration(host)).names
         entries = parse_endpoint_list(
             hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names
         ).endpoints
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
-        assert (await run.ask(request())).status == 503  # nowhere to go
+        assert (await run.ask(request())).status == 503  # no other host is listed
         host.seen[0].answer(reply(200, b"done"))
-        assert (await asking).body == b"done"
+        assert (await response_task).body == b"done"
         await until(lambda: host.ended == 1)
         assert len(host.seen) == 1
 
 
 @on_loop
 async def test_no_attempt_starts_after_the_drain_grace() -> None:
-    """A connection that comes up too late carries nothing, even if the attempt was begun in time."""
+    """An attempt that starts in time is not written if its connection is established too late."""
     async with peer() as host, running(configuration(host)) as run:
-        pool, ended = run.pool, list[Outcome]()
+        pool, outcomes = run.pool, list[Outcome]()
 
         def on_end(result: AttemptResult) -> None:
-            ended.append(result.outcome)
+            outcomes.append(result.outcome)
 
-        known = pool.hosts[host_id(0)]
-        run.attempt_sender.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
-        known.draining_since_us = now_us() - 1_000_001
-        await until(lambda: ended)
-        assert ended == [Outcome.CONNECT_FAILED] and not host.seen
-        run.attempt_sender.send(Attempt(known, lambda _: [request()], on_end), 20_000_000)
-        assert ended == [Outcome.CONNECT_FAILED] * 2
+        pool_host = pool.hosts[host_id(0)]
+        run.attempt_sender.send(Attempt(pool_host, lambda _: [request()], on_end), 20_000_000)
+        pool_host.draining_since_us = now_us() - 1_000_001
+        await until(lambda: outcomes)
+        assert outcomes == [Outcome.CONNECT_FAILED] and not host.seen
+        run.attempt_sender.send(Attempt(pool_host, lambda _: [request()], on_end), 20_000_000)
+        assert outcomes == [Outcome.CONNECT_FAILED] * 2
 
 
 @on_loop
 async def test_moved_host_is_reached_at_its_new_address() -> None:
     async with peer() as old, peer() as new, running(configuration(old)) as run:
         old.script = silent
-        asking = asyncio.create_task(run.ask(request()))
+        response_task = asyncio.create_task(run.ask(request()))
         await until(lambda: old.seen)
         names = parse(configuration(old)).names
         entries = parse_endpoint_list(hosts_list(8, endpoint("s-0", new.address)), names).endpoints
         run.gateway.on_endpoint_list(ListKind.DELTA, entries)
         old.seen[0].answer(reply())
-        await asking
-        assert not idle(run)  # the old connection is not kept for the new address
+        await response_task
+        assert not idle(run)  # the connection to the old address is not kept
         assert (await run.ask(request())).status == 200
         assert len(old.seen) == len(new.seen) == 1
 
@@ -206,21 +206,21 @@
 
 @on_loop
 async def test_idle_connections_are_closed_when_descriptors_run_short() -> None:
-    async with peer() as one, peer() as two:
-        config = configuration(one, two)
+    async with peer() as first, peer() as second:
+        config = configuration(first, second)
         async with running(config) as run:
             client = await run.connect()
             for _ in range(6):
                 assert (await client.ask(request())).status == 200
             pool = run.pool
-            had = pool.open_connections
-            assert had >= 1
+            open_before = pool.open_connections
+            assert open_before >= 1
             run.server.admission.max_descriptors = 1
-            # A client that asks nothing yields before what hosts had a handshake for.
+            # An idle client is closed before idle connections to hosts, which cost a handshake.
             run.server.admission.reserve_descriptor()
             await until(lambda: not run.server.connections)
-            assert pool.open_connections == had
-            for _ in range(had):
+            assert pool.open_connections == open_before
+            for _ in range(open_before):
                 run.server.admission.reserve_descriptor()
             await until(lambda: pool.open_connections == 0)
             client.close()
@@ -228,12 +228,12 @@
 
 @on_loop
 async def test_second_response_ends_the_connection() -> None:
-    """Bytes beyond the one answer that is due belong to nothing: the connection is not used again."""
+    """Bytes after the expected response belong to no request, so the connection is not reused."""
 
-    def twice(exchange: Exchange) -> None:
+    def respond_twice(exchange: Exchange) -> None:
         exchange.answer(reply(200, b"mine") + reply(200, b"whose?"))
 
-    async with peer(twice) as host, running(configuration(host)) as run:
+    async with peer(respond_twice) as host, running(configuration(host)) as run:
         for opened in (1, 2):
             assert (await run.ask(request())).body == b"mine"
             assert host.opened == opened
@@ -242,33 +242,33 @@
 
 @on_loop
 async def test_attempt_cancelled_as_its_connection_is_established_leaks_nothing() -> None:
-    """Its opening is cancelled between connection_made and the task's end: the handle is closed unheard."""
+    """The connect task is cancelled after connection_made and before its end; connection_lost may not follow."""
     async with peer(silent) as host, running(configuration(host)) as run:
-        pool, looks = run.pool, 0
-
-        def give_up(at_us: int) -> bool:
-            """Asked as the attempt begins, and again as its connection comes up."""
-            nonlocal looks
-            looks += 1
-            if looks == 2:
-                (held,) = run.gateway.requests.by_key.values()
-                (attempt,) = held.attempts
+        pool, calls = run.pool, 0
+
+        def cancel_on_second_call(at_us: int) -> bool:
+            """Called when the attempt starts, and again when its connection is established."""
+            nonlocal calls
+            calls += 1
+            if calls == 2:
+                (pending_request,) = run.gateway.requests.by_key.values()
+                (attempt,) = pending_request.attempts
                 run.attempt_sender.cancel_attempt(attempt)  # type: ignore[arg-type]
-            return looks == 1
+            return calls == 1
 
-        run.attempt_sender.set_write_guard(give_up)
+        run.attempt_sender.set_write_guard(cancel_on_second_call)
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: pool.counts.opened)
         await until(lambda: pool.open_connections == 0)
-        (known,) = pool.hosts.values()
-        assert known.open_connections == 0 and not known.idle_connections and not host.seen
+        (pool_host,) = pool.hosts.values()
+        assert pool_host.open_connections == 0 and not pool_host.idle_connections and not host.seen
         client.close()
 
 
 @on_loop
 async def test_answered_requests_leave_no_reference_cycles() -> None:
-    """No cycle is left for the collector to find: it runs seldom, and walks over all that is held."""
+    """Cycles would wait for the garbage collector, which runs seldom and scans all live objects."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         for _ in range(3):
@@ -278,12 +278,12 @@
         try:
             for _ in range(100):
                 assert (await client.ask(request())).status == 200
-            found = gc.collect()
+            collected = gc.collect()
             for _ in range(100):
                 assert (await run.ask(request())).status == 200
             await until(lambda: len(run.server.connections) == 1)
-            by_connection = sum(isinstance(one, ClientConnection) for one in gc.get_objects())
+            live_connections = sum(isinstance(item, ClientConnection) for item in gc.get_objects())
         finally:
             gc.enable()
-        assert found < 100 and by_connection < 10
+        assert collected < 100 and live_connections < 10
         client.close()
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Each outcome of an attempt, and what each class of request may do after it, end to end."""
+"""Outcomes of attempts, and the retries that each class of request allows, end to end."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
 )
 
 
-def outcomes(run: Running) -> list[AttemptEnded]:
-    """What the module is told of attempts from now on."""
-    told: list[AttemptEnded] = []
+def record_attempt_ends(run: Running) -> list[AttemptEnded]:
+    """Record the ends of attempts that the balancer receives from now on."""
+    events: list[AttemptEnded] = []
 
-    def listen(event: object) -> None:
+    def record(event: object) -> None:
         if isinstance(event, AttemptEnded):
-            told.append(event)
+            events.append(event)
 
-    overhear(run, listen)
-    return told
+    overhear(run, record)
+    return events
 
 
 def reset(exchange: Exchange) -> None:
     exchange.reset()
 
 
-def half_an_answer(exchange: Exchange) -> None:
+def truncated_response(exchange: Exchange) -> None:
     exchange.answer(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     exchange.writer.close()
 
@@ -62,14 +62,14 @@
     [
         (answers(reply(200, b"a book")), Outcome.OK, 200),
         (answers(reply(500)), Outcome.ERROR, 502),
-        (answers(reply(503)), Outcome.ERROR, 502),  # without the mark nothing is known
+        (answers(reply(503)), Outcome.ERROR, 502),  # without X-Rejected the request may have run
         (answers(reply(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
         (answers(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
         (answers(FULL), Outcome.FULL, 503),
         (answers(reply(504, b"", "X-Rejected: 1")), Outcome.FULL, 503),
         (reset, Outcome.RESET, 502),
-        (half_an_answer, Outcome.RESET, 502),  # a 200 must be whole
-        # What can't be an answer is judged by what has come; the rest is not waited for.
+        (truncated_response, Outcome.RESET, 502),  # a truncated 200 is not OK
+        # Malformed or oversized responses end the attempt at once; the rest is not awaited.
         (answers(b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 20_000), Outcome.ERROR, 502),
         (answers(b"HTTP/1.1 200 " + b"O" * 20_000), Outcome.ERROR, 502),
         (answers(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 2_000), Outcome.ERROR, 502),
@@ -88,101 +88,101 @@
 @on_loop
 async def test_response_determines_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
     async with peer(script) as host, running(configuration(host)) as run:
-        told = outcomes(run)
+        events = record_attempt_ends(run)
         answer = await run.ask(request("transfer", b"42"))
         assert answer.status == status
-        assert [event.outcome for event in told] == [outcome]
-        assert told[0].server == host_id(0) and told[0].finished is (outcome is Outcome.OK)
-        assert len(host.seen) == 1  # an unsafe request goes out once
+        assert [event.outcome for event in events] == [outcome]
+        assert events[0].server == host_id(0) and events[0].finished is (outcome is Outcome.OK)
+        assert len(host.seen) == 1  # an unsafe request is sent once
         assert not run.gateway.requests.by_key
 
 
 @on_loop
 async def test_refused_connection_is_connect_failed() -> None:
     async with running(configuration(CLOSED_PORT)) as run:
-        told = outcomes(run)
+        events = record_attempt_ends(run)
         assert (await run.ask(request("transfer"))).status == 503
-        assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
+        assert [event.outcome for event in events] == [Outcome.CONNECT_FAILED]
 
 
 @on_loop
 async def test_connecting_times_out_after_the_connect_timeout() -> None:
     import socket
 
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        address = full.getsockname()
-        fill = [socket.socket() for _ in range(4)]
-        for one in fill:  # a backlog that is full lets nothing more come up
-            one.setblocking(False)
-            one.connect_ex(address)
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        address = listener.getsockname()
+        fillers = [socket.socket() for _ in range(4)]
+        for filler in fillers:  # once the backlog is full, no further connection is established
+            filler.setblocking(False)
+            filler.connect_ex(address)
         config = configuration(f"127.0.0.1:{address[1]}", connectTimeoutUs=50_000)
         async with running(config) as run:
-            told = outcomes(run)
+            events = record_attempt_ends(run)
             assert (await run.ask(request("transfer"))).status == 503
-            assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
+            assert [event.outcome for event in events] == [Outcome.CONNECT_FAILED]
             assert run.pool.open_connections == 0
-        for one in fill:
-            one.close()
+        for filler in fillers:
+            filler.close()
 
 
 @on_loop
 async def test_timeout_closes_the_connection_and_fails_a_request_that_may_have_run() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
-        told = outcomes(run)
+        events = record_attempt_ends(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
-        assert [event.outcome for event in told] == [Outcome.TIMEOUT]
-        await until(lambda: host.ended == 1)  # the host can tell that nobody waits
+        assert [event.outcome for event in events] == [Outcome.TIMEOUT]
+        await until(lambda: host.ended == 1)  # the host sees that its response is no longer awaited
         assert run.pool.open_connections == 0 and not run.gateway.requests.by_key
 
 
 @on_loop
 async def test_late_response_of_an_ended_attempt_is_dropped() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
-        told = outcomes(run)
+        events = record_attempt_ends(run)
         client = await run.connect()
         assert (await client.ask(request("transfer", budget_ms=60))).status == 504
         host.seen[0].answer(reply(200, b"too late"))
         host.script = answers(reply(200, b"in time"))
-        # After a time-out the module may refuse a few.
+        # After a timeout the balancer may reject some requests.
         while (answer := await client.ask(request())).status == 503:
             pass
         assert answer.body == b"in time"
-        assert [event.outcome for event in told] == [Outcome.TIMEOUT, Outcome.OK]
+        assert [event.outcome for event in events] == [Outcome.TIMEOUT, Outcome.OK]
         client.close()
 
 
-@pytest.mark.parametrize(("klass", "again"), [("search", True), ("hold", True), ("transfer", False)])
+@pytest.mark.parametrize(("klass", "is_retried"), [("search", True), ("hold", True), ("transfer", False)])
 @on_loop
-async def test_only_repeatable_requests_are_retried_after_a_reset(klass: str, again: bool) -> None:
-    first: list[Exchange] = []
+async def test_only_repeatable_requests_are_retried_after_a_reset(klass: str, is_retried: bool) -> None:
+    exchanges: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
-        first.append(exchange)
-        if len(first) == 1:
+        exchanges.append(exchange)
+        if len(exchanges) == 1:
             exchange.reset()
         else:
             exchange.answer(reply())
 
     async with peer(script) as one, peer(script) as two, running(configuration(one, two)) as run:
         answer = await run.ask(request(klass))
-        assert answer.status == (200 if again else 502)
-        assert len(first) == (2 if again else 1)
-        keys = {exchange.message.headers.get("idempotency-key") for exchange in first}
-        assert len(keys) == 1  # the repeat carries the key of the first
+        assert answer.status == (200 if is_retried else 502)
+        assert len(exchanges) == (2 if is_retried else 1)
+        keys = {exchange.message.headers.get("idempotency-key") for exchange in exchanges}
+        assert len(keys) == 1  # the retry has the key of the first attempt
 
 
 @pytest.mark.parametrize("klass", ["search", "hold", "transfer"])
 @on_loop
 async def test_every_class_is_retried_elsewhere_when_a_host_is_full(klass: str) -> None:
-    turned_away: list[Exchange] = []
+    rejected: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
-        if turned_away:
+        if rejected:
             exchange.answer(reply())
         else:
-            turned_away.append(exchange)
+            rejected.append(exchange)
             exchange.answer(FULL)
 
     async with peer(script) as one, peer(script) as two, running(configuration(one, two)) as run:
@@ -201,16 +201,16 @@
         async with running(config) as run:
             statuses = [(await run.ask(request("hold"))).status for _ in range(8)]
             assert one.seen and set(statuses) == {200, 502}
-            # What was reset at one host has not gone to the other group.
-            lost = {e.message.headers["x-call-id"] for e in one.seen}
-            assert lost.isdisjoint(e.message.headers["x-call-id"] for e in other.seen)
+            # Requests that were reset at one host are not retried in the other group.
+            reset_ids = {exchange.message.headers["x-call-id"] for exchange in one.seen}
+            assert reset_ids.isdisjoint(exchange.message.headers["x-call-id"] for exchange in other.seen)
 
 
 @on_loop
 async def test_headers_and_bodies_are_forwarded_both_ways() -> None:
     script = answers(reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2"))
     async with peer(script) as host, running(configuration(host)) as run:
-        told = outcomes(run)
+        events = record_attempt_ends(run)
         data = request("hold", b"slip", connection="keep-alive, x-hop", x_hop="1", budget_ms=5_000)
         answer = await run.ask(data)
         assert answer.body == b"\x00\xff body"
@@ -221,10 +221,10 @@
         assert message.headers["x-call-id"] and message.headers["idempotency-key"]
         assert 0 < int(message.headers["x-budget-ms"]) <= 5_000
         assert "x-hop" not in message.headers
-        assert told[0].load is None  # nobody here uses it, and reading it costs
+        assert events[0].load is None  # not parsed by default: the balancer ignores it, and parsing costs time
         run.attempt_sender.reads_load_reports = True
         await run.ask(request("hold", b"slip"))
-        assert told[1].load is not None and told[1].load.queue == 2
+        assert events[1].load is not None and events[1].load.queue == 2
 
 
 @pytest.mark.parametrize("report", ["TEXT queue=lots", "JSON {}", "TEXT", "TEXT =,=", "\xff"])
@@ -249,14 +249,14 @@
 @on_loop
 async def test_client_disconnect_cancels_the_attempt() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
-        told = outcomes(run)
+        events = record_attempt_ends(run)
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: host.seen)
         client.close()
         await until(lambda: host.ended == 1)
-        await until(lambda: told)
-        assert told[0].outcome is Outcome.CANCELLED and told[0].finished
+        await until(lambda: events)
+        assert events[0].outcome is Outcome.CANCELLED and events[0].finished
         assert not run.gateway.requests.by_key and not run.module.lifecycle.requests
 
 
@@ -276,15 +276,15 @@
 
 @on_loop
 async def test_failing_action_does_not_prevent_later_actions() -> None:
-    class Deaf:
+    class FailingEndpointSource:
         def watch(self, on: bool) -> None:
             raise RuntimeError("planted")
 
         def close(self) -> None:
-            """So that a test that fails ends."""
+            """Let the gateway close after a failed test."""
 
-    class Module:
-        """The module, which has something else done first."""
+    class BalancerWithFailingAction:
+        """The balancer, with a failing action before its own."""
 
         def __init__(self, module: Decisions) -> None:
             self.module = module
@@ -311,10 +311,13 @@
             return self.module.retry_token_state(now_us)
 
     async with peer() as host, running(configuration(host)) as run:
-        told = run.gateway.dispatcher.endpoint_source
-        run.gateway.dispatcher.endpoint_source, run.gateway.balancer = cast(Any, Deaf()), Module(run.gateway.balancer)
+        endpoint_source = run.gateway.dispatcher.endpoint_source
+        run.gateway.dispatcher.endpoint_source, run.gateway.balancer = (
+            cast(Any, FailingEndpointSource()),
+            BalancerWithFailingAction(run.gateway.balancer),
+        )
         assert (await run.ask(request("transfer"))).status == 200
-        run.gateway.dispatcher.endpoint_source = told
+        run.gateway.dispatcher.endpoint_source = endpoint_source
 
 
 @on_loop
@@ -323,12 +326,12 @@
         client = await run.connect()
         client.send(request("transfer"))
         await until(lambda: host.seen)
-        (ticket,) = run.gateway.requests.by_key
-        run.gateway.dispatcher.carry_out(Fail(ticket))
+        (key,) = run.gateway.requests.by_key
+        run.gateway.dispatcher.carry_out(Fail(key))
         assert (await client.answer()).status == 502
         client.send(request("transfer"))
         await until(lambda: len(host.seen) == 2)
-        run.gateway.dispatcher.carry_out(Fail(ticket))  # its attempt is still out, and so it is still known
+        run.gateway.dispatcher.carry_out(Fail(key))  # its attempt has not ended, so the request is still known
         host.seen[1].answer(reply(200, b"mine"))
         assert (await client.answer()).body == b"mine"
         client.close()
@@ -339,14 +342,14 @@
     from cloverkeel.balancing.actions import Send
 
     async with peer() as host, running(configuration(host)) as run:
-        told = outcomes(run)
+        events = record_attempt_ends(run)
         client = await run.connect()
         host.script = silent
         data = request("transfer")
         client.send(data)
         await until(lambda: host.seen)
-        (ticket,) = run.gateway.requests.by_key
-        run.gateway.dispatcher.carry_out(Send(ticket, 12345, 1_000_000))  # a host that nobody has listed
-        assert [event.outcome for event in told] == [Outcome.MOOT]
+        (key,) = run.gateway.requests.by_key
+        run.gateway.dispatcher.carry_out(Send(key, 12345, 1_000_000))  # not on the list
+        assert [event.outcome for event in events] == [Outcome.MOOT]
         client.close()
         await asyncio.sleep(0)
