--- a/cloverkeel/frontends/http1/admission.py
+++ b/cloverkeel/frontends/http1/admission.py
@@ -18,7 +18,7 @@
     from cloverkeel.frontends.http1.connection import ClientConnection
 
 RESERVED_DESCRIPTORS: Final = 32  # for uses other than client and host connections: discovery, the loop, files
-HOSTS_FRACTION: Final = 0.35  # of the other descriptors, kept free of clients
+HOSTS_FRACTION: Final = 0.35  # part of the other descriptors that clients leave to hosts
 CROWDED_DIVISOR: Final = 3  # above max_clients / 3 clients, idle ones are closed sooner
 EVICT_FIRST_IDLE_S: Final = 0.3  # clients idle for this long are closed first when descriptors run short
 
@@ -34,7 +34,7 @@
         hosts: Descriptors,
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.total_descriptors = max_descriptors  # of all processes of this gateway
+        self.total_descriptors = max_descriptors  # shared by all processes of this gateway
         self.connections = connections
         self.accepting: set[asyncio.Task[object]] = set()  # connections that are accepted and not yet set up
         self.timeouts = timeouts
--- a/cloverkeel/frontends/http1/connection.py
+++ b/cloverkeel/frontends/http1/connection.py
@@ -22,7 +22,7 @@
 
 READY_PATH: Final = b"/health/ready"
 MAX_PIPELINED_REQUESTS: Final = 16  # parsed ahead on one connection
-HIGH_WATER_MARK_BYTES: Final = 256 * 1024  # buffered of a streamed response, plus one read from the host
+HIGH_WATER_MARK_BYTES: Final = 256 * 1024  # limit of buffered bytes above which reading from the host pauses
 
 
 class ClientConnection(ClientTransport):
@@ -35,7 +35,7 @@
         self.call: Call | None = None  # the same request, as the core handles it
         self.is_write_paused = False  # the client does not read its responses
         self.is_continue_due = False  # `100 Continue` waits until earlier responses are written
-        self.flow_control: FlowControl | None = None  # of the streamed response
+        self.flow_control: FlowControl | None = None  # pauses the source of the streamed response
         self.is_chunked = False  # the streamed response uses the chunked transfer coding
 
     # Connection lifecycle
--- a/cloverkeel/frontends/http1/listener.py
+++ b/cloverkeel/frontends/http1/listener.py
@@ -47,7 +47,7 @@
     def accept(self, max_connections: int = MAX_ACCEPTS_PER_ITERATION) -> None:
         """Accept pending connections, `max_connections` at most.
 
-        The limit lets others be closed during a burst of connections, before accept fails for lack of descriptors.
+        During a burst, the limit lets other connections be closed before accept fails for lack of descriptors.
         """
         for _ in range(max_connections):
             if self.socket is None:
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -65,7 +65,7 @@
         self._on_expect = on_expect
         self._request: Request | None = None  # being parsed
         self._body_budget = body_budget
-        self._remaining_body_bytes = 0  # of the body being parsed; 0 if its length is not announced
+        self._remaining_body_bytes = 0  # not yet received of the body; 0 also if its length is not announced
         self._is_in_body = False  # the head is complete
         self._head_size = 0  # bytes of header names and values
         self._bytes_since_callback = 0  # bytes parsed since the parser last delivered a head, body bytes or an end
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -39,7 +39,7 @@
 
     async def start(self) -> None:
         """Listen; clients are accepted only after the gateway has started with a list of hosts."""
-        # With an admin address a successor may bind the port while this serves; else a second start must fail.
+        # With an admin address a successor may bind the port while this one serves; else a second start must fail.
         self.listener.open(self.config.listen, reuse_port=self.config.admin_listen is not None)
         self.gateway.start()
         self.listener.start()
--- a/cloverkeel/frontends/http1/timeouts.py
+++ b/cloverkeel/frontends/http1/timeouts.py
@@ -16,8 +16,8 @@
 
 FIRST_BYTE_TIMEOUT_S = 2.0  # from accept to the first byte
 REQUEST_TIMEOUT_S = 2.4  # from the first byte of a request, or from accept for the first request
-READ_IDLE_TIMEOUT_S: Final = 1.0  # between two chunks of a request that takes longer than REQUEST_TIMEOUT_S
-MIN_BODY_BYTES_PER_S: Final = 32 * 1024  # required of a body for the time beyond REQUEST_TIMEOUT_S
+READ_IDLE_TIMEOUT_S: Final = 1.0  # between two chunks, after REQUEST_TIMEOUT_S or when descriptors run short
+MIN_BODY_BYTES_PER_S: Final = 32 * 1024  # a body that is slower, counted from REQUEST_TIMEOUT_S on, gets 408
 KEEP_ALIVE_TIMEOUT_S = 20.0  # between two requests
 CROWDED_KEEP_ALIVE_TIMEOUT_S = 2.0  # between two requests while many clients are connected
 LINGER_TIMEOUT_S: Final = 0.5  # for the client to read an error response before the close
--- a/cloverkeel/protocols/http1.py
+++ b/cloverkeel/protocols/http1.py
@@ -60,7 +60,7 @@
         self._headers: list[Header] = []
         self._body: list[bytes] = []
         self._size = 0  # bytes so far of the head, then of the body
-        self._length: int | None = None  # of the body, from Content-Length; None if not given
+        self._length: int | None = None  # body length from Content-Length; None if not given
         self._is_until_close = False  # the body ends when the connection closes
         self._is_in_body = False
         self._interim_count = 0
