--- a/tests/frontends/test_clients.py
+++ b/tests/frontends/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what is read, what is malformed, health, and many requests on one connection."""
+"""Client connections: headers, malformed requests, readiness checks and pipelined requests."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 
 @on_loop
-async def test_the_balancer_gets_what_the_headers_say() -> None:
+async def test_request_headers_reach_the_balancer() -> None:
     from cloverkeel.balancing.events import RequestArrived
 
     async with peer() as host, running(configuration(host)) as run:
-        told: list[RequestArrived] = []
+        events: list[RequestArrived] = []
 
-        def listen(event: object) -> None:
+        def record(event: object) -> None:
             if isinstance(event, RequestArrived):
-                told.append(event)
+                events.append(event)
 
-        overhear(run, listen)
+        overhear(run, record)
         data = request("hold", b"x", budget_ms=480, x_call_cost="61000", x_again="1", x_caller="zeta")
         assert (await run.ask(data)).status == 200
-        (event,) = told
+        (event,) = events
         assert (event.class_index, event.client_timeout_us, event.work_us) == (1, 480_000, 61_000)
         assert event.is_retry and event.tenant == 1
         assert event.key == stable_id("7f3a9c21e0b4d655", 8)
         data = b"GET /search HTTP/1.1\r\nHost: b\r\nX-Call-Id: bare\r\n\r\n"
         assert (await run.ask(data)).status == 200
-        assert told[1].key is None and told[1].client_timeout_us == 20_000_000 and not told[1].is_retry
+        assert events[1].key is None and events[1].client_timeout_us == 20_000_000 and not events[1].is_retry
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
     ],
 )
 @on_loop
-async def test_what_cannot_be_taken_is_answered_and_the_program_goes_on(data: bytes, status: int) -> None:
+async def test_invalid_request_gets_an_error_and_the_gateway_goes_on(data: bytes, status: int) -> None:
     async with peer() as host, running(configuration(host)) as run:
         answer = await run.ask(data)
         assert answer.status == status
@@ -82,7 +82,7 @@
 
 
 @on_loop
-async def test_a_body_comes_in_parts_or_chunks() -> None:
+async def test_body_arrives_in_parts_or_chunks() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
@@ -94,13 +94,13 @@
         client.send(head + b"3\r\nabc\r\n")
         client.send(b"2\r\nde\r\n0\r\n\r\n")
         assert (await client.answer()).status == 200
-        assert [e.message.body for e in host.seen] == [b"in many pieces", b"abcde"]
+        assert [exchange.message.body for exchange in host.seen] == [b"in many pieces", b"abcde"]
         assert "transfer-encoding" not in host.seen[1].message.headers
         client.close()
 
 
 @on_loop
-async def test_a_body_of_the_largest_size_passes_both_ways() -> None:
+async def test_body_of_the_largest_buffered_size_is_forwarded_both_ways() -> None:
     body = bytes(range(256)) * 256
     async with peer(answers(reply(200, body))) as host, running(configuration(host)) as run:
         answer = await run.ask(request("transfer", body))
@@ -108,18 +108,18 @@
 
 
 @on_loop
-async def test_requests_on_one_connection_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
         for _ in range(40):
             assert (await client.answer()).status == 200
-        assert [e.message.body for e in host.seen] == [b"%d" % n for n in range(40)]
+        assert [exchange.message.body for exchange in host.seen] == [b"%d" % n for n in range(40)]
         client.close()
 
 
 @on_loop
-async def test_a_good_request_before_a_bad_one_is_answered_first() -> None:
+async def test_valid_request_before_a_malformed_one_is_answered_first() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer") + b"rubbish\r\n\r\n")
@@ -133,7 +133,7 @@
 
 
 @on_loop
-async def test_a_client_that_says_close_is_closed_after_its_answer() -> None:
+async def test_connection_close_from_the_client_ends_the_connection() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         answer = await client.ask(request(connection="close"))
@@ -143,7 +143,7 @@
 
 
 @on_loop
-async def test_an_id_that_is_in_use_is_not_taken_twice() -> None:
+async def test_call_id_in_use_is_rejected() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         data = request("transfer")
         first = await run.connect()
@@ -157,7 +157,7 @@
 
 
 @on_loop
-async def test_ready_means_that_requests_can_be_served() -> None:
+async def test_readiness_depends_on_drain_and_known_hosts() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
     async with peer() as host:
         async with running(configuration(host)) as run:
@@ -169,7 +169,7 @@
 
 
 @on_loop
-async def test_a_refusal_tells_when_to_come_back_where_the_module_says_so() -> None:
+async def test_rejection_has_retry_after_if_configured() -> None:
     async with running(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
         answer = await run.ask(request())
         assert answer.status == 503
@@ -177,8 +177,8 @@
 
 
 @on_loop
-async def test_on_the_way_out_a_new_connection_has_time_for_its_first_request() -> None:
-    """It may bring what has crossed the end of an older connection, and that is sent only once more."""
+async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
+    """The request may be a retry after the close of an older connection crossed it, and clients retry only once."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         await until(lambda: run.server.connections)
@@ -188,19 +188,19 @@
         answer = await client.ask(request("transfer"))
         assert answer.status == 200
         assert await client.reader.read() == b""
-        silent_one = await run.connect()
+        silent_client = await run.connect()
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
         connection.accepted_s -= 60
         run.server.client_drain.on_timer()
-        assert await silent_one.reader.read() == b""
+        assert await silent_client.reader.read() == b""
         client.close()
-        silent_one.close()
+        silent_client.close()
 
 
 @on_loop
-async def test_what_waits_to_be_read_keeps_its_connection() -> None:
-    """The kernel is asked: a request may have reached the machine while the loop was elsewhere."""
+async def test_connection_with_unread_bytes_is_not_closed_as_idle() -> None:
+    """The socket is polled, as a request may have arrived while the loop was busy."""
     import socket
 
     async with peer() as host, running(configuration(host)) as run:
@@ -208,11 +208,11 @@
             await until(lambda: run.server.connections)
             (connection,) = run.server.connections
             connection.has_responded = True
-            client.sendall(request("transfer"))  # and the loop has had no turn since
+            client.sendall(request("transfer"))  # the loop does not run between this and on_timer
             run.server.start_drain(shutdown_schedule(3.0))
             run.server.drain_state.started_s -= (
                 shutdown_schedule(3.0).close_idle_from_s + 0.1
-            )  # well past it: the loop's time stands still here
+            )  # past this time: the loop's clock does not advance in between
             run.server.client_drain.on_timer()
             assert not connection.ignores_input
             loop = asyncio.get_running_loop()
