--- a/cloverkeel/discovery/backend.py
+++ b/cloverkeel/discovery/backend.py
@@ -1,4 +1,4 @@
-"""A backend as a discovery source has it, independent of which source that is."""
+"""The description of a backend, common to all discovery sources."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class BackendStatus(Enum):
-    """Whether a backend takes new requests, by the names of the node data."""
+    """Whether a backend accepts new requests; the values are the names in the node data."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Backend:
-    """One backend in one life of its process."""
+    """One incarnation of a backend's process."""
 
     name: str
     address: tuple[str, int]
     status: BackendStatus = BackendStatus.SERVING
-    zone: str | int = ""  # a number where the source has numbered it
+    zone: str | int = ""  # a number is an index into the configuration's names
     kind: str | int = ""
     group: int | str = 0
     weight: float = 1.0
-    since_ms: int = 0  # when its process started, Unix ms; 0: long ago
-    czxid: int = 0  # ZooKeeper's id of the transaction that created its node: which registration this is
+    since_ms: int = 0  # start of the backend's process, Unix ms; 0 if long ago or unknown
+    czxid: int = 0  # ZooKeeper transaction id of the node's creation, identifies the registration; 0 without a node
--- a/cloverkeel/discovery/backend_conversion.py
+++ b/cloverkeel/discovery/backend_conversion.py
@@ -1,4 +1,4 @@
-"""Convert backends of the merge to endpoints of the core, and back. Pure: no I/O, no clock."""
+"""Conversion between backends of the merge and endpoints of the core. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def to_endpoint(backend: Backend, names: Names, is_removed: bool = False) -> Endpoint:
-    """Return a backend in the terms of the core."""
+    """Convert a backend to an endpoint of the core; `is_removed` gives it the status GONE."""
     status = ServerStatus.READY if backend.status is BackendStatus.SERVING else ServerStatus.DRAINING
     listed = ListedServer(
         server=stable_id(backend.name, SERVER_ID_BYTES),
@@ -28,7 +28,7 @@
 
 
 def to_backend(endpoint: Endpoint) -> Backend:
-    """Return an endpoint of the registry as a backend; what the registry has numbered stays a number."""
+    """Convert an endpoint of the registry to a backend; zone, kind and group stay numbers."""
     listed = endpoint.listed
     return Backend(
         name=endpoint.name,
@@ -43,7 +43,7 @@
 
 
 def with_setting_names(backend: Backend, names: Names) -> Backend:
-    """Return a backend with names in place of numbers: these may differ at the next start."""
+    """Replace zone and kind numbers by their names; the numbers may differ after a restart."""
     zones = {number: name for name, number in names.zones.items()}
     kinds = {number: name for name, number in names.kinds.items()}
     zone = zones.get(backend.zone, "") if isinstance(backend.zone, int) else backend.zone
--- a/cloverkeel/discovery/merged_source.py
+++ b/cloverkeel/discovery/merged_source.py
@@ -1,7 +1,8 @@
-"""Several discovery sources as one for the core: what they tell goes through the pure merge, and on to the core.
+"""An endpoint source that combines ZooKeeper's ephemeral nodes with the registry's list.
 
-Imported only where ephemeral membership is switched on. With the registry among the sources, the core's wish for a
-watch or a call goes to it, and its failures come back; without it nobody is asked.
+Updates of all sources pass through `SourceMerge`; the resulting changes are reported to the core. Imported only if
+ephemeral membership is enabled. If the registry is one of the sources, watches and fetches that the core requests are
+forwarded to it, and its failures are reported to the core; without the registry such requests are ignored.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 from cloverkeel.discovery.zookeeper_session import ZookeeperSessionOptions
 from cloverkeel.discovery.zookeeper_source import BackendListener, ZookeeperWatcher
 
-SAVE_DELAY_S: Final = 0.2  # after a change, for others that come with it
-LOG_INTERVAL_S: Final = 10.0  # between lines of the log, while something changes
+SAVE_DELAY_S: Final = 0.2  # collects changes that follow each other closely into one write
+LOG_INTERVAL_S: Final = 10.0  # between two log lines of the counters; none is logged if they are unchanged
 
 
 class MergedEndpointSource:
-    """An endpoint source over others (`EndpointSource` in core/ports.py, `Movable` in core/reload.py)."""
+    """Merge other endpoint sources (implements `EndpointSource` in core/ports.py, `Movable` in core/reload.py)."""
 
     def __init__(self, options: ZooKeeperOptions, registry: HttpEndpointSource | None, names: Names) -> None:
         self.names, self.registry = names, registry
@@ -39,7 +40,7 @@
         self.save_task: asyncio.Task[None] | None = None
         self.is_unsaved = False
         self.merge = SourceMerge(tuple(Source(name) for name in options.precedence))
-        self.on_list: OnEndpointList = lambda _kind, _endpoints: None  # until the core sets its own
+        self.on_list: OnEndpointList = lambda _kind, _endpoints: None  # replaced by set_listener
         self.zookeeper = ZookeeperWatcher(
             ZookeeperSessionOptions(options.hosts, options.path, options.session_ms, options.spread_ms / 1000),
             BackendListener(self.on_nodes, self.on_session_state, self.on_nodes_confirmed, self.on_node_deleted),
@@ -50,19 +51,19 @@
             registry.set_listener(self.on_registry_list)
 
     def set_listener(self, on_list: OnEndpointList) -> None:
-        """Set who is notified, from now on."""
+        """Set the callback for changes of the list; it replaces the previous one."""
         self.on_list = on_list
 
     def load_known(self, raw: dict[str, Any]) -> None:
-        """Begin with the list from before a restart, and to read the sources."""
+        """Start from the list known before a restart, then start reading the sources."""
         endpoints: list[Endpoint] = []
         try:
             endpoints = parse_endpoint_list(raw, self.names).endpoints
         except (KeyError, TypeError, ValueError) as error:
             if raw:
                 log(f"discovery: known list unusable, cause={error!r}")
-        # What this gateway wrote down itself is newer than what it is given at a start: a backend that it was told
-        # is removed must not come back with an old list.
+        # The gateway's own snapshot is newer than the list in its configuration: a backend whose removal the gateway
+        # has seen must not reappear from the older list.
         saved = snapshot_file.load_snapshot(self.snapshot_path) if self.snapshot_path else None
         known = [to_backend(endpoint) for endpoint in endpoints] if saved is None else saved
         changes = self.merge.load_known(now_us(), known)
@@ -73,28 +74,28 @@
         if self.registry is not None and self.registry.pushed:
             self.registry.watch(True)
 
-    # From the sources
+    # Callbacks of the sources
 
     def on_nodes(self, backends: list[Backend]) -> None:
-        """Take the list of all nodes."""
+        """Merge the complete list of nodes."""
         self._notify(self.merge.on_snapshot(now_us(), Source.EPHEMERAL, backends))
 
     def on_node_deleted(self, name: str) -> None:
-        """Note that a node was deleted; whether the backend has another is yet to be read."""
+        """Remove the backend of a deleted node; the next list shows whether the backend has another node."""
         self._notify(self.merge.on_changes(now_us(), Source.EPHEMERAL, removed=[name]))
 
     def on_session_state(self, state: ConnectionState) -> None:
-        """Note the session's state: the list stands."""
+        """Record the state of the session; the list is kept in every state."""
         self.merge.on_connection_state(now_us(), Source.EPHEMERAL, state)
         if state is not ConnectionState.CONNECTED:
             log(f"discovery: session {state.value}, backends_kept={len(self.merge.backend_by_name)}")
 
     def on_nodes_confirmed(self) -> None:
-        """Note that the list of all nodes is as it was read."""
+        """Record that the list of nodes is unchanged since it was read."""
         self.merge.confirm(now_us(), Source.EPHEMERAL)
 
     def on_registry_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        """Take what the registry tells, failures too."""
+        """Merge a list or a delta of the registry; an error is passed on to the core."""
         if kind is ListKind.ERROR:
             self.merge.on_connection_state(now_us(), Source.REGISTRY, ConnectionState.SUSPENDED)
             self.on_list(kind, endpoints)
@@ -108,7 +109,7 @@
         self._notify(self.merge.on_changes(now_us(), Source.REGISTRY, present, removed))
 
     def _notify(self, changes: BackendChanges) -> None:
-        """Notify the core of what changed, and have it saved."""
+        """Report changes to the core and schedule writing the snapshot."""
         removed = [to_endpoint(backend, self.names, is_removed=True) for backend in changes.removed]
         updated = [to_endpoint(backend, self.names) for backend in changes.updated]
         self.on_list(ListKind.DELTA, removed + updated)
@@ -118,7 +119,7 @@
                 self.save_task = asyncio.get_running_loop().create_task(self._save())
 
     async def _save(self) -> None:
-        """Write the snapshot off the loop, and once for several changes that come together."""
+        """Write the snapshot in a worker thread, once for several changes within SAVE_DELAY_S."""
         try:
             while self.is_unsaved:
                 await asyncio.sleep(SAVE_DELAY_S)
@@ -132,20 +133,20 @@
         finally:
             self.save_task = None
 
-    # From the core
+    # Calls from the core
 
     def watch(self, on: bool) -> None:
-        """Have the registry watched, or not."""
+        """Start or stop watching the registry."""
         if self.registry is not None:
             self.registry.watch(on)
 
     def fetch(self) -> None:
-        """Ask the registry for a snapshot."""
+        """Request a snapshot from the registry."""
         if self.registry is not None:
             self.registry.fetch()
 
     def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
-        """Have all sources catch up after a stall of this process; `done` is called once all have."""
+        """Let all sources catch up after this process was stalled for `stall_us`; `done` is called once all have."""
         remaining = 1 if self.registry is None else 2
 
         def on_source_done() -> None:
@@ -160,16 +161,16 @@
 
     @property
     def address(self) -> Address:
-        """Return the registry's address: what a reload may move."""
+        """Return the registry's address, which a reload may change; ("", 0) without a registry."""
         return self.registry.address if self.registry is not None else ("", 0)
 
     def move(self, address: Address) -> None:
-        """Ask the registry at another address."""
+        """Use another address of the registry."""
         if self.registry is not None:
             self.registry.move(address)
 
     def close(self) -> None:
-        """Stop for good."""
+        """Stop permanently: close the sources, cancel a pending write of the snapshot."""
         if self.log_timer is not None:
             self.log_timer.cancel()
         self.zookeeper.close()
@@ -179,7 +180,7 @@
             self.registry.close()
 
     def _log_counts(self) -> None:
-        """Log a line where something has changed since the last one."""
+        """Log the counters if they have changed since the previous line, and schedule the next check."""
         self.log_timer = asyncio.get_running_loop().call_later(LOG_INTERVAL_S, self._log_counts)
         merged, read = self.merge.counters, self.zookeeper.counters
         counts = (merged.changes, merged.suspended, merged.lost)
--- a/cloverkeel/discovery/node_codec.py
+++ b/cloverkeel/discovery/node_codec.py
@@ -1,10 +1,10 @@
-"""The data of a backend's node, versioned JSON, to a Backend and back. Pure.
+"""Codec of the data of a backend's node: versioned JSON. Pure.
 
     {"v": 1, "name": "s-5be2a07c", "address": "10.1.0.18:8081", "zone": "kita-room", "type": "small-2c",
      "group": 3, "status": "SERVING", "weight": 1.0, "since_ms": 1796119613761}
 
-Fields are those of the registry's entry; this module maps `type` to `kind`. Fields that are not known pass; what
-cannot be used is one NodeDataError, and that backend alone is left out.
+The fields are those of a registry entry; `type` is called `kind` in the code. Unknown fields are ignored. Invalid
+data raises NodeDataError, and only that backend is left out.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from cloverkeel.discovery.errors import NodeDataError
 
 FORMAT_VERSION: Final = 1
-MAX_DATA_BYTES: Final = 64 * 1024  # more is no entry, whatever it says
+MAX_DATA_BYTES: Final = 64 * 1024  # larger data is rejected unparsed
 MAX_NAME_LENGTH: Final = 255
 MAX_WEIGHT: Final = 1e9
 MAX_PORT: Final = 65_535
-MAX_SINCE_MS: Final = (1 << 53) - 1  # whole numbers that every JSON reader keeps
-MAX_ECHOED_CHARS: Final = 60  # of a value that cannot be used
+MAX_SINCE_MS: Final = (1 << 53) - 1  # largest integer that every JSON parser keeps exact
+MAX_ECHOED_CHARS: Final = 60  # length to which error messages quote an invalid value
 
 
 def decode_backend(data: bytes, czxid: int = 0) -> Backend:
-    """Read a node's data. NodeDataError for what is no entry of a version that is known."""
+    """Decode the data of a node. Raise NodeDataError for invalid data and for an unknown version."""
     raw = _decode_object(data)
     version = _read_field(raw, "v", (int,), "a whole number")
     if version != FORMAT_VERSION:
@@ -46,7 +46,7 @@
 
 
 def encode_backend(backend: Backend) -> bytes:
-    """Return the data of a backend's node."""
+    """Encode a backend as the data of its node."""
     raw = asdict(backend)
     del raw["czxid"]
     raw["address"] = f"{backend.address[0]}:{backend.address[1]}"
--- a/cloverkeel/discovery/registration.py
+++ b/cloverkeel/discovery/registration.py
@@ -1,7 +1,7 @@
-"""What a backend's node should be, decided from what was seen. Pure: no I/O, times come with the events.
+"""Decisions about a backend's node: its existence and its data. Pure: no I/O, events carry their time.
 
-Invariants: no node for a backend that is not healthy; DRAINING stands for its whole time before a deletion; a
-session's end is no new start of the backend.
+Invariants: an unhealthy backend has no node; on termination the node is DRAINING for `drain_s` before it is deleted;
+a new session does not change the backend's start time.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 
 
 class RegistrationAction(Enum):
-    """What is to be done with the node."""
+    """The next operation on the node."""
 
     NONE = "nothing"
     CREATE = "create"
     UPDATE = "update"
     DELETE = "delete"
-    END = "end"  # delete, and end the program
+    END = "end"  # delete the node and exit
 
 
 @dataclass(slots=True)
 class Registration:
-    """Decide what the node should be. Times in seconds of one clock that moves forward."""
+    """Decide the next operation on the node. `_s`: seconds of a monotonic clock; `_ms`: Unix milliseconds."""
 
     backend: Backend
-    max_failed_checks: int = 3  # in a row
-    drain_s: float = 2.0  # from DRAINING to the deletion
+    max_failed_checks: int = 3  # consecutive failures after which the backend is unhealthy
+    drain_s: float = 2.0  # from DRAINING to the deletion of the node
     failed_checks: int = 0
     is_healthy: bool = False
     has_node: bool = False
-    written_data: bytes = b""
-    draining_since_s: float | None = None
+    written_data: bytes = b""  # last data written to the node; empty if there is none
+    draining_since_s: float | None = None  # None while not draining
 
-    def on_health_check(self, now_ms: int, has_passed: bool) -> None:
-        """Note a health check. A backend that was unhealthy and passes is a new process, begun at `now_ms`."""
-        if not has_passed:
+    def on_health_check(self, now_ms: int, check_passed: bool) -> None:
+        """Record a health check. A backend that becomes healthy again counts as a new process started at `now_ms`."""
+        if not check_passed:
             self.failed_checks += 1
             if self.failed_checks >= self.max_failed_checks:
                 self.is_healthy = False
@@ -50,22 +50,22 @@
         self.failed_checks = 0
 
     def on_new_session(self) -> None:
-        """Note a new session: what the old one had created is deleted, or will be."""
+        """Record a new session: ZooKeeper deletes the node of the previous one, or has deleted it."""
         self.has_node = False
         self.written_data = b""
 
     def on_termination(self, now_s: float) -> None:
-        """Begin to drain; a second call changes nothing."""
+        """Start draining; further calls have no effect."""
         if self.draining_since_s is None:
             self.draining_since_s = now_s
 
     def node_data(self) -> bytes:
-        """Return what the node's data should be."""
+        """Return the data that the node should have."""
         status = BackendStatus.SERVING if self.draining_since_s is None else BackendStatus.DRAINING
         return encode_backend(replace(self.backend, status=status))
 
     def next_action(self, now_s: float) -> RegistrationAction:
-        """Return what is to be done now."""
+        """Return the operation that is due now."""
         if self.draining_since_s is not None:
             is_drained = now_s - self.draining_since_s >= self.drain_s
             if is_drained or not self.has_node:
@@ -81,6 +81,6 @@
         return RegistrationAction.UPDATE if self.written_data != self.node_data() else RegistrationAction.NONE
 
     def on_action_done(self, action: RegistrationAction, data: bytes) -> None:
-        """Note that an action was carried out, and what was written."""
+        """Record that an operation succeeded, and the data that it wrote."""
         self.has_node = action in (RegistrationAction.CREATE, RegistrationAction.UPDATE)
         self.written_data = data if self.has_node else b""
--- a/cloverkeel/discovery/registration_agent.py
+++ b/cloverkeel/discovery/registration_agent.py
@@ -1,14 +1,15 @@
-"""`python -m cloverkeel register`: a small program beside a backend that keeps its node.
+"""`python -m cloverkeel register`: the registration agent, which runs beside a backend and maintains its node.
 
-It holds a session, checks the backend's health, and never keeps a node for a backend that is not healthy:
+The agent holds a ZooKeeper session and checks the backend's health; an unhealthy backend has no node:
 
-- the backend passes a check: its node exists, with the data that it was given and the time when its process was first
-  seen;
-- it fails `--fails` checks in a row: the node is deleted, and created again once it passes;
-- SIGTERM: the node says DRAINING, then after `--drain-s` it is deleted, and the program ends with 0;
-- the session expires: a new one registers again, with the same start, if the backend has been healthy all the while.
+- after a successful check the node exists, with the data from the options and the time when the
+  backend's process was first seen;
+- after `--fails` consecutive failed checks the node is deleted; it is created again after the next success;
+- on SIGTERM or SIGINT the node becomes DRAINING; after `--drain-s` it is deleted, and the agent exits with 0;
+- after the session expired, a new session creates the node again; the start time is unchanged if the backend stayed
+  healthy.
 
-What to do next is decided by registration.py, which is pure; this program carries that out.
+registration.py, which is pure, decides the operations; this module performs them.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 from cloverkeel.discovery.registration import Registration, RegistrationAction
 from cloverkeel.discovery.zookeeper_session import create_client
 
-MAX_WAIT_S: Final = 0.05  # between checks whether a signal came
+MAX_WAIT_S: Final = 0.05  # longest wait between two checks for a signal
 MIN_WAIT_S: Final = 0.01
 HTTP_OK: Final = 200
 EXIT_BAD_OPTIONS: Final = 2
@@ -43,18 +44,18 @@
 
 @dataclass(slots=True, frozen=True)
 class AgentOptions:
-    """How a backend is checked, and where it is registered."""
+    """Where a backend is registered, and how its health is checked."""
 
-    hosts: str  # of the coordination service: host:port,host:port
+    hosts: str  # of the ZooKeeper ensemble: host:port,host:port
     path: str  # the folder of the backends' nodes
     session_ms: int
     health_path: str = "/health/live"
-    check_interval_s: float = 0.5  # also the time that one check may take
-    is_start_given: bool = False  # the backend's start is not to be taken from an earlier agent's node
+    check_interval_s: float = 0.5  # also the timeout of one check
+    has_explicit_start: bool = False  # then the start time in an earlier agent's node is ignored
 
 
 def is_healthy(host: str, port: int, path: str, timeout_s: float) -> bool:
-    """Check a backend's health: whether a GET of the path answers 200 in time."""
+    """Check a backend's health: whether a GET of `path` is answered with 200 within the timeout."""
     connection = http.client.HTTPConnection(host, port, timeout=timeout_s)
     try:
         connection.request("GET", path)
@@ -66,7 +67,7 @@
 
 
 class RegistrationAgent:
-    """Carry out what the registration decides."""
+    """Perform the operations that the registration decides."""
 
     def __init__(self, registration: Registration, options: AgentOptions) -> None:
         self.registration, self.options = registration, options
@@ -77,7 +78,7 @@
         self.client.add_listener(lambda _state: self.wake_event.set())
 
     def run(self) -> int:
-        """Keep the node until a signal ends that; returns the exit code."""
+        """Maintain the node until SIGTERM or SIGINT; return the exit code."""
         for signum in (signal.SIGTERM, signal.SIGINT):
             signal.signal(signum, self._on_signal)
         self.client.start_async()
@@ -89,23 +90,23 @@
                 self._check_health()
             self._detect_new_session()
             if self.registration.next_action(time.monotonic()) is RegistrationAction.END:
-                self._end()
+                self._shut_down()
                 return 0
-            self._carry_out()
+            self._perform_next_action()
             self.wake_event.wait(min(max(MIN_WAIT_S, next_check_s - time.monotonic()), MAX_WAIT_S))
             self.wake_event.clear()
 
     def _check_health(self) -> None:
         host, port = self.registration.backend.address
-        has_passed = is_healthy(host, port, self.options.health_path, self.options.check_interval_s)
-        self.registration.on_health_check(int(time.time() * 1000), has_passed)
+        check_passed = is_healthy(host, port, self.options.health_path, self.options.check_interval_s)
+        self.registration.on_health_check(int(time.time() * 1000), check_passed)
 
     def _on_signal(self, _signum: int, _frame: object) -> None:
-        # No lock is taken here: the main thread may hold it.
+        # Takes no lock (wake_event.set would): the handler runs on the main thread, which may hold it.
         self.registration.on_termination(time.monotonic())
 
     def _detect_new_session(self) -> None:
-        """Note where the session is another than before: then the node that the old one created goes, or has gone."""
+        """Record a change of the session id: the node of the previous session is deleted with that session."""
         if not self.client.connected or self.client.client_id is None:
             return
         session_id = self.client.client_id[0]
@@ -113,8 +114,8 @@
             self.session_id = session_id
             self.registration.on_new_session()
 
-    def _carry_out(self) -> None:
-        """Do what is next, if anything; what fails is decided anew."""
+    def _perform_next_action(self) -> None:
+        """Perform the next operation, if one is due; a failed one is decided again in the next iteration."""
         if not self.client.connected:
             return
         action, data = self.registration.next_action(time.monotonic()), self.registration.node_data()
@@ -130,29 +131,30 @@
                 case _:
                     return
         except NoNodeError:
-            self.registration.on_new_session()  # somebody has deleted it: create it again
+            self.registration.on_new_session()  # deleted by another client: create it again
             return
         except (KazooException, KazooTimeoutError) as error:
             print(f"cloverkeel register: {action.value}: {type(error).__name__}", file=sys.stderr, flush=True)
             return
-        self.registration.on_action_done(action, data)  # what was written: a signal may have come meanwhile
+        # Passes the data that was written: a signal may have changed node_data() since.
+        self.registration.on_action_done(action, data)
         draining = " (draining)" if self.registration.draining_since_s is not None else ""
         print(f"cloverkeel register: {self.registration.backend.name}: {action.value}{draining}", flush=True)
 
     def _create(self, data: bytes) -> bytes:
-        """Create the node; one that an earlier session left is replaced, so that its owner is this one.
+        """Create the node and return the data written.
 
-        Returns what was written.
+        A node of an earlier session is replaced, so that this session owns it.
         """
         try:
             self.client.create(self.node_path, data, ephemeral=True, makepath=True)
         except NodeExistsError:
             old_data, stat = self.client.get(self.node_path)
             if stat.ephemeralOwner == self.session_id:
-                self.client.set(self.node_path, data)  # the answer to an earlier attempt was lost
+                self.client.set(self.node_path, data)  # the reply to an earlier attempt was lost
                 return data
-            if not self.options.is_start_given:
-                data = self._adopt_start(old_data, data)
+            if not self.options.has_explicit_start:
+                data = self._adopt_start_time(old_data, data)
             self._replace_node(data)
         return data
 
@@ -164,8 +166,8 @@
             if isinstance(result, Exception):
                 raise result from None
 
-    def _adopt_start(self, old_data: bytes, data: bytes) -> bytes:
-        """Take the start that an earlier agent of this backend told: an agent that restarts makes no new backend."""
+    def _adopt_start_time(self, old_data: bytes, data: bytes) -> bytes:
+        """Adopt the start time in the node of an earlier agent: an agent's restart is no restart of the backend."""
         with contextlib.suppress(NodeDataError):
             before = decode_backend(old_data)
             if before.address == self.registration.backend.address and before.since_ms:
@@ -173,11 +175,11 @@
                 return self.registration.node_data()
         return data
 
-    def _end(self) -> None:
+    def _shut_down(self) -> None:
         with contextlib.suppress(KazooException, KazooTimeoutError):
             if self.registration.has_node and self.client.connected:
                 self.client.delete(self.node_path)
-        # The session ends too: an agent that ends while it is cut off leaves the node to its expiry.
+        # stop() ends the session too; if the agent is disconnected, the node remains until the session expires.
         self.client.stop()
         self.client.close()
 
@@ -201,8 +203,8 @@
     return parser.parse_args(arguments)
 
 
-def _backend_of(options: argparse.Namespace) -> Backend:
-    """Read the backend from the options, by the rules of node data. NodeDataError names the field."""
+def _parse_backend(options: argparse.Namespace) -> Backend:
+    """Return the backend that the options describe. Raise NodeDataError, which names the field, if one is invalid."""
     raw = {
         "v": 1,
         "name": options.name,
@@ -218,10 +220,10 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the command; returns its exit code."""
+    """Run the command and return its exit code."""
     options = _parse_options(arguments)
     try:
-        backend = _backend_of(options)
+        backend = _parse_backend(options)
     except NodeDataError as error:
         print(f"cloverkeel register: --{error}", file=sys.stderr)
         return EXIT_BAD_OPTIONS
@@ -231,6 +233,6 @@
         session_ms=options.session_ms,
         health_path=options.health,
         check_interval_s=options.every_ms / 1000,
-        is_start_given=options.since_ms is not None,
+        has_explicit_start=options.since_ms is not None,
     )
     return RegistrationAgent(Registration(backend, options.fails, options.drain_s), agent_options).run()
--- a/cloverkeel/discovery/snapshot_file.py
+++ b/cloverkeel/discovery/snapshot_file.py
@@ -1,9 +1,9 @@
-"""The last list of backends on a lasting disk: what a gateway that restarts without the service begins with.
+"""Snapshot file of the last list of backends, with which a gateway starts while ZooKeeper is unavailable.
 
     {"v": 1, "boxes": [node data, ...]}
 
-Written as a whole beside the file and renamed into its place, so that a reader finds the old one or the new one. A
-file that cannot be read is one line of the log and no list. At most MAX_BACKENDS are written.
+The snapshot is written to a temporary file that is then renamed, so that a reader finds the old or the new content. A
+file that cannot be used is logged and gives no list. At most MAX_BACKENDS are written.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def save_snapshot(path: str, backends: Iterable[Backend]) -> None:
-    """Write the list. OSError where it cannot be written; the old file stands then."""
+    """Write the list. Raise OSError if it cannot be written; the old file is then unchanged."""
     entries = [json.loads(encode_backend(backend)) for backend in list(backends)[:MAX_BACKENDS]]
     new_file = Path(path + ".new")
     with new_file.open("w") as file:
@@ -36,7 +36,7 @@
 
 
 def load_snapshot(path: str) -> list[Backend] | None:
-    """Return the list as it was written last; None where there is none that can be used."""
+    """Return the saved list; None if the file is missing or cannot be used."""
     try:
         return [decode_backend(json.dumps(entry).encode()) for entry in _read_entries(path)]
     except FileNotFoundError:
@@ -47,7 +47,7 @@
 
 
 def _read_entries(path: str) -> list[Any]:
-    """Return the entries of a file. SnapshotFileError where it is too long, or none of ours."""
+    """Return the entries of a file. Raise SnapshotFileError if it is too long or has another format."""
     if os.path.getsize(path) > MAX_FILE_BYTES:
         raise SnapshotFileError(path, f"at most {MAX_FILE_BYTES} bytes")
     raw = json.loads(Path(path).read_text())
--- a/cloverkeel/discovery/source_merge.py
+++ b/cloverkeel/discovery/source_merge.py
@@ -1,17 +1,18 @@
-"""Merge several discovery sources into one list of backends. Pure: no I/O, no clock, times come with the events.
+"""Merge several discovery sources into one list of backends. Pure: no I/O, no clock, events carry their time.
 
-What a source says of a backend is that it is present (SERVING, DRAINING) or removed. What no source has said anything
-of is unknown, which is another thing:
+For a source, a backend is present (SERVING or DRAINING), removed, or unknown (never reported). Removed and unknown
+are different states:
 
-- A source that is live tells: what its snapshot no longer names is removed, at once and for any number of backends.
-- A source that lost its connection tells nothing: what it said last stands, with its age.
-- For each backend the first source, in the order of precedence, that knows it decides. A backend that it removed
-  stays removed whatever a later source lists, until the first one lists it again, or a later one lists a new life of
-  it that began after the removal.
-- The list known from before a restart has the last place, and only until some source has given a snapshot.
+- A backend that a connected source's snapshot no longer contains is removed, immediately and for any number of them.
+- The loss of a source's connection removes nothing: its last report stays valid, and its age is measured.
+- The first source in the order of precedence for which a backend is present or removed decides. A removed backend
+  stays removed, whatever a later source lists, until the same source lists it again or a later source lists an
+  incarnation that started after the removal.
+- The list known before a restart has the lowest precedence and is used only until any source delivers a snapshot.
 
-Invariants: the list depends on what each source said last alone, not on the order in which sources said it; nothing
-that one source says changes what another said; what is kept of removed backends is bounded (MAX_REMOVALS_REMEMBERED).
+Invariants: the list depends only on the last report of each source, not on how the reports of several sources are
+interleaved; a report of one source does not change the state of another; the number of remembered removals is bounded
+(MAX_REMOVALS_REMEMBERED).
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 from cloverkeel.discovery.backend import Backend
 from cloverkeel.discovery.errors import PrecedenceError
 
-MAX_REMOVALS_REMEMBERED: Final = 4_096  # of each source; the oldest are forgotten first
+MAX_REMOVALS_REMEMBERED: Final = 4_096  # for each source; the oldest are dropped first
 
 
 class Source(Enum):
-    """Where backends are known from, by the names in the options file."""
+    """A source of backends; the values are the names in the options file."""
 
     EPHEMERAL = "ephemeral"
     REGISTRY = "registry"
@@ -37,30 +38,30 @@
 
 
 class ConnectionState(Enum):
-    """A source's connection, by ZooKeeper's names of a session's states."""
+    """State of a source's connection, in ZooKeeper's terms of session states."""
 
     CONNECTED = "connected"
-    SUSPENDED = "suspended"  # the connection is lost, the session may live
+    SUSPENDED = "suspended"  # disconnected; the session may still exist
     LOST = "lost"  # the session has expired
 
 
 @dataclass(slots=True)
 class SourceState:
-    """What one source said last."""
+    """The last report of one source."""
 
     backend_by_name: dict[str, Backend] = field(default_factory=dict)
-    removed_ms_by_name: OrderedDict[str, int] = field(default_factory=OrderedDict)  # Unix ms
+    removed_ms_by_name: OrderedDict[str, int] = field(default_factory=OrderedDict)  # time of the removal, Unix ms
     connection: ConnectionState = ConnectionState.LOST
-    has_snapshot: bool = False  # it has given one since the start
-    confirmed_us: int = 0  # when what is held was last known to be as the source has it
+    has_snapshot: bool = False  # whether one was delivered since the start
+    confirmed_us: int = 0  # Unix time at which this state was last known to be current
 
     def add(self, backend: Backend) -> None:
-        """Note a backend that is present."""
+        """Record a backend that is present."""
         self.backend_by_name[backend.name] = backend
         self.removed_ms_by_name.pop(backend.name, None)
 
     def remove(self, name: str, now_us: int) -> None:
-        """Note a backend that is removed."""
+        """Record the removal of a backend."""
         self.backend_by_name.pop(name, None)
         self.removed_ms_by_name.pop(name, None)
         self.removed_ms_by_name[name] = now_us // 1000
@@ -70,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendChanges:
-    """What an event came to: backends that are new or other than before, and backends that are removed."""
+    """The changes of the merged list caused by an event: new or changed backends, and removed ones."""
 
     updated: tuple[Backend, ...] = ()
     removed: tuple[Backend, ...] = ()
@@ -81,7 +82,7 @@
 
 @dataclass(slots=True)
 class MergeCounters:
-    """What was told since the start."""
+    """Totals of events since the start."""
 
     changes: int = 0
     snapshots: int = 0
@@ -90,7 +91,7 @@
 
 
 class SourceMerge:
-    """Feed it what the sources say; each call returns the change that follows for the gateway."""
+    """Merge the reports of the sources; each event method returns the resulting changes of the merged list."""
 
     def __init__(self, precedence: Sequence[Source] = (Source.EPHEMERAL, Source.REGISTRY)) -> None:
         if Source.KNOWN in precedence or len(set(precedence)) != len(precedence) or not precedence:
@@ -100,17 +101,17 @@
         self.backend_by_name: dict[str, Backend] = {}
         self.counters = MergeCounters()
 
-    # What sources say
+    # Reports of the sources
 
     def load_known(self, now_us: int, backends: Iterable[Backend]) -> BackendChanges:
-        """Take the list from before a restart: it stands where nothing newer does."""
+        """Set the list known before a restart, which has the lowest precedence."""
         state = self.state_by_source[Source.KNOWN]
         state.backend_by_name = {backend.name: backend for backend in backends}
         state.confirmed_us = now_us
         return self._recompute()
 
     def on_snapshot(self, now_us: int, source: Source, backends: Iterable[Backend]) -> BackendChanges:
-        """Take all that a source has now; what it had and no longer has is removed."""
+        """Apply a source's complete list; backends that it no longer contains are removed."""
         state = self.state_by_source[source]
         present = {backend.name: backend for backend in backends}
         for name in state.backend_by_name.keys() - present.keys():
@@ -124,7 +125,7 @@
     def on_changes(
         self, now_us: int, source: Source, present: Iterable[Backend] = (), removed: Iterable[str] = ()
     ) -> BackendChanges:
-        """Take single changes of a live source."""
+        """Apply a delta of a connected source."""
         state = self.state_by_source[source]
         for backend in present:
             state.add(backend)
@@ -134,7 +135,7 @@
         return self._recompute()
 
     def on_connection_state(self, now_us: int, source: Source, connection: ConnectionState) -> BackendChanges:
-        """Note a source's connection: that says nothing of any backend."""
+        """Record the state of a source's connection. Changes no backend, whatever the state."""
         state = self.state_by_source[source]
         if connection is not state.connection:
             self.counters.suspended += connection is ConnectionState.SUSPENDED
@@ -145,25 +146,25 @@
         return BackendChanges()
 
     def confirm(self, now_us: int, source: Source) -> None:
-        """Note that a source still has what it said last."""
+        """Record that the last report of a source is still current."""
         state = self.state_by_source[source]
         if state.connection is ConnectionState.CONNECTED and state.has_snapshot:
             state.confirmed_us = now_us
 
-    # What follows
+    # Merged state
 
     @property
     def has_snapshot(self) -> bool:
-        """Whether some source has given a snapshot."""
+        """Whether any source has delivered a snapshot."""
         return any(state.has_snapshot for state in self.state_by_source.values())
 
     def age_us(self, now_us: int) -> int:
-        """Return how old the newest confirmation is of the list that stands; never less than 0."""
+        """Return the age of the newest confirmation of a source with a snapshot; 0 without one, never negative."""
         times = [state.confirmed_us for state in self.state_by_source.values() if state.has_snapshot]
         return max(0, now_us - max(times)) if times else 0
 
     def _resolve(self, name: str) -> Backend | None:
-        """Return a backend as the first source that knows it has it; None: it is removed, or unknown."""
+        """Return a backend as reported by the first source that knows it; None if it is removed or unknown."""
         removed_ms: int | None = None
         for source in self.order:
             state = self.state_by_source[source]
@@ -171,16 +172,16 @@
                 return None
             backend = state.backend_by_name.get(name)
             if backend is not None:
-                # Removed by a source before this one: only a life that began since is another backend.
-                is_new_life = removed_ms is None or (backend.since_ms and backend.since_ms > removed_ms)
-                return backend if is_new_life else None
+                # After a removal by a source of higher precedence, only an incarnation started since then is listed.
+                is_present = removed_ms is None or (backend.since_ms and backend.since_ms > removed_ms)
+                return backend if is_present else None
             removed_here_ms = state.removed_ms_by_name.get(name)
             if removed_here_ms is not None:
                 removed_ms = removed_here_ms if removed_ms is None else max(removed_ms, removed_here_ms)
         return None
 
     def _recompute(self) -> BackendChanges:
-        """Bring the list to what the sources say, and return what changed."""
+        """Update the merged list from the states of the sources, and return the changes."""
         names = {name for state in self.state_by_source.values() for name in state.backend_by_name}
         resolved: dict[str, Backend] = {}
         for name in sorted(names):
@@ -198,7 +199,7 @@
 
 
 def deduplicate_by_name(backend_by_node: Mapping[str, Backend]) -> tuple[dict[str, Backend], list[str]]:
-    """Return backends by name, and the names that several nodes have: there the newest registration counts."""
+    """Return the backends by name, and the names that several nodes have; the newest registration is kept."""
     backend_by_name: dict[str, Backend] = {}
     duplicates: set[str] = set()
     for backend in backend_by_node.values():
--- a/cloverkeel/discovery/zookeeper_session.py
+++ b/cloverkeel/discovery/zookeeper_session.py
@@ -1,4 +1,4 @@
-"""Sessions at a ZooKeeper ensemble, through kazoo: how they are opened, and the names of their states."""
+"""ZooKeeper sessions through kazoo: creation of clients, and mapping of session states."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ZookeeperSessionOptions:
-    """Which service is asked, and how."""
+    """The ensemble and the folder of backends' nodes, and the timing of the session."""
 
     hosts: str  # host:port,host:port
     path: str  # the folder of the backends' nodes
     session_ms: int
-    spread_s: float  # in which a fleet that reconnects begins to read
+    spread_s: float  # period over which the first reads of gateways that reconnect together are spread
 
 
 def create_client(hosts: str, session_ms: int, connection_retry: dict[str, Any]) -> KazooClient:
-    """Return a client that connects again by these options of KazooRetry; a command that fails is not made again."""
-    logging.getLogger("kazoo").setLevel(logging.CRITICAL)  # what matters is logged by its users, in one line
+    """Create a client that reconnects with these KazooRetry options and does not retry a failed command."""
+    logging.getLogger("kazoo").setLevel(logging.CRITICAL)  # the callers log failures, in one line
     return KazooClient(
         hosts,
         timeout=session_ms / 1000,
--- a/cloverkeel/discovery/zookeeper_source.py
+++ b/cloverkeel/discovery/zookeeper_source.py
@@ -1,10 +1,10 @@
-"""Backends from ephemeral nodes of a ZooKeeper ensemble, through kazoo. Imported only where it is switched on.
+"""Backends from ephemeral nodes of a ZooKeeper ensemble, through kazoo. Imported only if it is enabled.
 
-kazoo's threads hold the session and call the watches; one thread of ours reads. What is found out goes to the event
-loop, in order. Invariants:
-- no change is missed between a watch that fired and its renewal (node_reader.py);
-- a read that fails is made again as a whole;
-- a list is told only when all of it was read.
+kazoo's threads maintain the session and call the watches; a reader thread of this module reads the nodes. The results
+are posted to the event loop in order. Invariants:
+- no change is missed between a watch event and the renewal of the watch (node_reader.py);
+- after a failed read everything is read again;
+- a list is reported only when it was read completely.
 """
 
 from __future__ import annotations
@@ -26,58 +26,58 @@
 from cloverkeel.discovery.source_merge import ConnectionState, deduplicate_by_name
 from cloverkeel.discovery.zookeeper_session import STATE_BY_KAZOO_NAME, ZookeeperSessionOptions, create_client
 
-DELETION_DELAY_S: Final = 0.2  # until it is notified without a list: far under the drain rule's second
-CALLBACK_FLUSH_TIMEOUT_S: Final = 1.0  # for kazoo's threads to call back
-CONFIRM_INTERVAL_S: Final = 1.0  # between checks whether the list is still the service's
-ACL_RETRY_DELAY_S: Final = 5.0  # before what an ACL refuses is asked for again
-INITIAL_RETRY_DELAY_S: Final = 0.1  # between reads that fail
+DELETION_DELAY_S: Final = 0.2  # from a watch event to its report without a new list; the drain rule allows 1 s
+CALLBACK_FLUSH_TIMEOUT_S: Final = 1.0  # for pending callbacks on kazoo's threads
+CONFIRM_INTERVAL_S: Final = 1.0  # between checks that the list is still current
+ACL_RETRY_DELAY_S: Final = 5.0  # before the next read after an ACL denied one
+INITIAL_RETRY_DELAY_S: Final = 0.1  # between failed reads; doubled up to MAX_RETRY_DELAY_S
 MAX_RETRY_DELAY_S: Final = 2.0
-# Between connects that fail: doubled each time, spread over its whole length, so that a fleet does not come together.
+# Reconnect delay (KazooRetry, in s): doubled, and jittered over its whole length to spread the gateways of a fleet.
 CONNECTION_RETRY_OPTIONS: Final = {"max_tries": -1, "delay": 0.5, "backoff": 2, "max_jitter": 0.5, "max_delay": 5.0}
-DELETED_EVENT: Final = "DELETED"  # kazoo's name
+DELETED_EVENT: Final = "DELETED"  # as in kazoo.protocol.states.EventType
 
 
 @dataclass(slots=True, frozen=True)
 class BackendListener:
-    """Who is notified; all are called on the event loop."""
+    """Callbacks of a ZookeeperWatcher, all called on the event loop."""
 
-    on_backends: Callable[[list[Backend]], None]  # the complete list, each time that it changed
+    on_backends: Callable[[list[Backend]], None]  # the complete list, after each change
     on_connection_state: Callable[[ConnectionState], None]
-    on_confirmed: Callable[[], None] = lambda: None  # the list is still the service's
+    on_confirmed: Callable[[], None] = lambda: None  # the list is still current
     on_deleted: Callable[[str], None] = lambda _name: None  # a backend's node was deleted; no list was read since
 
 
 @dataclass(slots=True, frozen=True)
 class PendingReads:
-    """What is to be read."""
+    """The reads that are due."""
 
     everything: bool
-    children: bool
-    nodes: set[str]
-    deletions: dict[str, int]
+    children: bool  # the names of all nodes
+    nodes: set[str]  # names of single nodes
+    deletions: dict[str, int]  # deletion_number_by_node when the read started
 
 
 class ZookeeperWatcher:
-    """Keep the list of backends as the service has it, and notify of changes."""
+    """Mirror the list of backends in ZooKeeper, and report its changes."""
 
     def __init__(self, options: ZookeeperSessionOptions, listener: BackendListener) -> None:
         self.loop = asyncio.get_running_loop()
         self.path, self.spread_s = options.path, options.spread_s
         self.listener = listener
         self.wake_event = threading.Event()
-        self.lock = threading.Lock()  # of what follows
-        self.reads_everything = True
+        self.lock = threading.Lock()  # guards the pending changes and callbacks, and the reported list
+        self.must_read_all = True
         self.changed_nodes: set[str] = set()
         self.has_changed_children = False
-        self.deletion_by_node: dict[str, int] = {}  # nodes that went and were not read anew since
-        self.deletions = 0
+        self.deletion_number_by_node: dict[str, int] = {}  # nodes deleted and not read again since
+        self.deletion_count = 0
         self.is_deletion_timer_set = False
-        self.catch_ups: list[Callable[[], None]] = []  # who waits for what was sent while the process was stalled
-        self.was_connected = False
+        self.catch_up_callbacks: list[Callable[[], None]] = []  # pending `done` of catch_up()
+        self.has_read_list = False
         self.is_closed = False
-        self.backend_by_node: dict[str, Backend] = {}  # what was notified last
-        self.notified: dict[str, Backend] | None = None  # the same by backend
-        self.must_notify = False  # of the next list, changed or not
+        self.backend_by_node: dict[str, Backend] = {}  # last reported list, by node
+        self.notified_backends: dict[str, Backend] | None = None  # the same by backend name; None before the first
+        self.must_notify = False  # report the next list even if it is unchanged
         self.client = create_client(options.hosts, options.session_ms, CONNECTION_RETRY_OPTIONS)
         self.client.add_listener(self._on_session_state)
         self.reader = NodeReader(self.client, self.path, self._on_children_changed, self._on_node_changed)
@@ -85,20 +85,20 @@
         self.reader_thread = threading.Thread(target=self._run, name="zookeeper-reader", daemon=True)
 
     def start(self) -> None:
-        """Begin a session, and to read."""
+        """Open the session and start the reader thread."""
         self.client.start_async()
         self.reader_thread.start()
 
     def close(self) -> None:
-        """End the session; what it held is nobody's but ours, so nothing waits for it."""
+        """End the session in the background: it owns no nodes, so no other client depends on its end."""
         self.is_closed = True
         self.wake_event.set()
         threading.Thread(target=self._end_session, name="zookeeper-end", daemon=True).start()
 
     def catch_up(self, done: Callable[[], None]) -> None:
-        """Call `done`, on the loop, once all was notified of that this process was told before."""
+        """Call `done` on the event loop once every change received before this call has been reported."""
         with self.lock:
-            self.catch_ups.append(done)
+            self.catch_up_callbacks.append(done)
         self.wake_event.set()
 
     def _end_session(self) -> None:
@@ -109,7 +109,7 @@
             log(f"zookeeper: session end failed, cause={error!r}")
 
     def _post(self, callback: Callable[..., None], *values: Any) -> None:
-        """Call back on the loop."""
+        """Schedule a callback on the event loop."""
         if self.is_closed:
             return
         try:
@@ -117,7 +117,7 @@
         except RuntimeError:
             self.is_closed = True  # the loop has ended
 
-    # From kazoo's threads
+    # Called on kazoo's threads
 
     def _on_session_state(self, state: str) -> None:
         self._post(self.listener.on_connection_state, STATE_BY_KAZOO_NAME[state])
@@ -125,7 +125,7 @@
             return
         self.counters.connects += 1
         with self.lock:
-            self.reads_everything = True  # kazoo's watches ended with the connection
+            self.must_read_all = True  # the previous connection's watches are lost
         self.wake_event.set()
 
     def _on_children_changed(self, _event: Any) -> None:
@@ -140,37 +140,37 @@
         with self.lock:
             self.changed_nodes.add(name)
             if event.type == DELETED_EVENT:
-                self._note_deletion(name)
+                self._record_deletion(name)
         self.wake_event.set()
 
-    def _note_deletion(self, name: str) -> None:
-        self.deletions += 1
-        self.deletion_by_node[name] = self.deletions
+    def _record_deletion(self, name: str) -> None:
+        self.deletion_count += 1
+        self.deletion_number_by_node[name] = self.deletion_count
         if not self.is_deletion_timer_set:
             self.is_deletion_timer_set = True
             self._post(self._set_deletion_timer)
 
-    # On the loop
+    # Called on the event loop
 
     def _set_deletion_timer(self) -> None:
         self.loop.call_later(DELETION_DELAY_S, self._notify_deletions)
 
     def _notify_deletions(self) -> None:
-        """Notify of what was deleted and could not be read anew since: what restricts needs no list.
+        """Report deletions after which no list could be read: a removal is safe to report without one.
 
-        Guards against a connection that is lost, or falls silent, between the watch event and the reading.
+        Guards against a connection that is lost or becomes unresponsive between the watch event and the read.
         """
         with self.lock:
             self.is_deletion_timer_set = False
-            for name in self.deletion_by_node:
+            for name in self.deletion_number_by_node:
                 deleted = self.backend_by_node.get(name)
-                if deleted is None or self.notified is None:
+                if deleted is None or self.notified_backends is None:
                     continue
-                if self.notified.get(deleted.name) == deleted:
+                if self.notified_backends.get(deleted.name) == deleted:
                     self.must_notify = True
                     self._post(self.listener.on_deleted, deleted.name)
 
-    # The reader's thread
+    # Called on the reader thread
 
     def _run(self) -> None:
         retry_delay_s = INITIAL_RETRY_DELAY_S
@@ -194,7 +194,7 @@
                 if not isinstance(error, KazooException):
                     log(f"zookeeper: read failed, cause={error!r}")
             except Exception as error:
-                # Whatever it is: a reader that ends would leave the list as it is for ever.
+                # Any exception: if the reader thread ended, the list would never be updated again.
                 log(f"zookeeper: DEFECT: {error!r}")
                 self._schedule_retry(MAX_RETRY_DELAY_S)
 
@@ -204,30 +204,30 @@
             self._read()
         else:
             self._confirm()
-        self._release_catch_ups(waiting)
+        self._complete_catch_ups(waiting)
 
     def _is_read_due(self) -> bool:
-        """Whether anything is to be read: by what is noted, not by the wake.
+        """Whether a read is due, according to the recorded changes and not to wake_event.
 
-        Guards against an event that comes between the end of a wait and the clearing of its flag, or before the
-        session counts as up: its wake is lost, and without this the list would stand as it is for ever.
+        Guards against an event between the return of wait() and clear(), or before the client counts as connected:
+        its wake-up is lost, and the list would stay outdated.
         """
         with self.lock:
-            has_changes = self.has_changed_children or self.changed_nodes or self.deletion_by_node
-            return bool(self.reads_everything or has_changes or self.catch_ups)
+            has_changes = self.has_changed_children or self.changed_nodes or self.deletion_number_by_node
+            return bool(self.must_read_all or has_changes or self.catch_up_callbacks)
 
     def _schedule_retry(self, delay_s: float) -> None:
         with self.lock:
-            self.reads_everything = True
+            self.must_read_all = True
         threading.Event().wait(delay_s)
         self.wake_event.set()
 
     def _flush_callbacks(self) -> int:
-        """Let kazoo's threads hand over what had come before now; returns how many catch-ups wait for that.
+        """Wait until kazoo's threads have delivered all events received so far; return the number of catch-ups.
 
-        A notification precedes the answer to what is asked after it, and the threads call back in their order.
+        ZooKeeper sends a watch event before the reply to a later request, and kazoo's threads call back in order.
         """
-        waiting = len(self.catch_ups)
+        waiting = len(self.catch_up_callbacks)
         if waiting:
             self.client.exists(self.path)
             is_flushed = threading.Event()
@@ -235,31 +235,31 @@
             is_flushed.wait(CALLBACK_FLUSH_TIMEOUT_S)
         return waiting
 
-    def _release_catch_ups(self, count: int) -> None:
+    def _complete_catch_ups(self, count: int) -> None:
         with self.lock:
-            released, self.catch_ups = self.catch_ups[:count], self.catch_ups[count:]
-        for done in released:
+            completed, self.catch_up_callbacks = self.catch_up_callbacks[:count], self.catch_up_callbacks[count:]
+        for done in completed:
             self._post(done)
 
     def _confirm(self) -> None:
-        """Ask for anything: that it is answered shows that the watches hold."""
-        if self.notified is not None:
+        """Send a request without use for its result: a reply shows that the session and its watches are alive."""
+        if self.notified_backends is not None:
             self.client.exists(self.path)
             self._post(self.listener.on_confirmed)
 
     def _take_pending(self) -> PendingReads:
         with self.lock:
-            deletions = dict(self.deletion_by_node)
-            nodes = self.changed_nodes | deletions.keys()  # what stands under a deleted name is another node
-            pending = PendingReads(self.reads_everything, self.has_changed_children, nodes, deletions)
-            self.reads_everything, self.has_changed_children, self.changed_nodes = False, False, set()
+            deletions = dict(self.deletion_number_by_node)
+            nodes = self.changed_nodes | deletions.keys()  # a node found under a deleted name is a new node
+            pending = PendingReads(self.must_read_all, self.has_changed_children, nodes, deletions)
+            self.must_read_all, self.has_changed_children, self.changed_nodes = False, False, set()
         return pending
 
     def _read(self) -> None:
         pending = self._take_pending()
         if pending.everything:
-            if self.was_connected and self.spread_s:
-                # Guards against hundreds of gateways that all read all of it at once after a reconnect.
+            if self.has_read_list and self.spread_s:
+                # Guards against hundreds of gateways that read everything at the same time after a reconnect.
                 threading.Event().wait(random.uniform(0, self.spread_s))
             self.reader.clear()
         try:
@@ -268,32 +268,32 @@
             for name in pending.nodes & self.reader.node_by_name.keys():
                 self.reader.read_node(name)
         except NoNodeError:
-            # There is no such folder: nobody has registered there, ever. That tells nothing of any backend.
-            self.reader.await_folder()
+            # No backend has ever registered in this folder: its absence does not mean that known ones were removed.
+            self.reader.watch_missing_folder()
             log(f"zookeeper: folder missing, path={self.path}")
             return
         except BaseException:
             with self.lock:
-                self.reads_everything = True
+                self.must_read_all = True
             raise
-        self.was_connected = True
+        self.has_read_list = True
         self.counters.list_reads += 1
         self._notify_list(pending.deletions)
 
     def _notify_list(self, handled: dict[str, int]) -> None:
-        """Notify of what was read; deletions from before it began are `handled` with that, later ones are not."""
+        """Report the list that was read; it covers deletions before the read (`handled`), but no later ones."""
         with self.lock:
-            remaining = {n: number for n, number in self.deletion_by_node.items() if handled.get(n) != number}
-            self.deletion_by_node = remaining
-            self.backend_by_node = self.reader.backend_by_node(except_for=remaining)
+            remaining = {n: number for n, number in self.deletion_number_by_node.items() if handled.get(n) != number}
+            self.deletion_number_by_node = remaining
+            self.backend_by_node = self.reader.backend_by_node(excluded=remaining)
             backends, duplicates = deduplicate_by_name(self.backend_by_node)
-            is_changed = backends != self.notified or self.must_notify
-            self.notified, self.must_notify = backends, False
+            is_changed = backends != self.notified_backends or self.must_notify
+            self.notified_backends, self.must_notify = backends, False
             if is_changed:
                 self._post(self.listener.on_backends, list(backends.values()))
             else:
                 self._post(self.listener.on_confirmed)
         for name in duplicates:
             self.reader.log_unusable(
-                name, -len(self.reader.node_by_name), "two nodes name this backend; the newer counts"
+                name, -len(self.reader.node_by_name), "several nodes name this backend; the newest one is used"
             )
--- a/cloverkeel/simulator/__init__.py
+++ b/cloverkeel/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that plays the decisions on the simulator's wire."""
+"""Adapter that runs the balancing decisions over the simulator's line protocol."""
--- a/cloverkeel/simulator/adapter.py
+++ b/cloverkeel/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""Run balancers on the simulator's wire: batches from standard input, one reply each to standard output.
+"""Run balancers over the simulator's line protocol: batches from standard input, a reply to each on standard output.
 
-Every instance has a Balancer of its own; nothing is shared and nothing is decided here. A line that cannot be
-read is named on standard error and skipped.
+Every instance has its own Balancer; instances share no state, and this module makes no decisions. An invalid line is
+reported on standard error and skipped.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 class SimulatorAdapter:
-    """Hold the balancers of one simulation, by the names of their instances."""
+    """The balancers of one simulation, by instance name."""
 
-    def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
-        self.source, self.sink, self.errors = source, sink, errors
+    def __init__(self, source: TextIO, output: TextIO, errors: TextIO) -> None:
+        self.source, self.output, self.errors = source, output, errors
         self.balancers: dict[str, Balancer] = {}
-        self.lists_by_name: dict[str, tuple[ListedServer, ...]] = {}
+        self.servers_by_table: dict[str, tuple[ListedServer, ...]] = {}
         self.instance = ""
-        self.replying_instance = ""
+        self.reply_instance = ""
         self.now_us = 0
         self.line_number = 0
         self.reply: list[str] = []
 
     def run(self) -> None:
-        """Read lines until the end of the input; one that cannot be read is reported and skipped."""
+        """Process lines until the end of the input; an invalid line is reported and skipped."""
         for raw_line in self.source:
             self.line_number += 1
             line = raw_line.rstrip("\r\n")
@@ -42,11 +42,11 @@
                 self.report_bad_line(line, str(error))
 
     def report_bad_line(self, line: str, reason: str) -> None:
-        """Name a line that cannot be read on standard error."""
+        """Report an invalid line on standard error."""
         print(f"cloverkeel: line {self.line_number}: {reason}: {line[:200]}", file=self.errors, flush=True)
 
     def read_line(self, line: str) -> None:
-        """Read one line; messages that a later wire adds are ignored, as unknown keys are."""
+        """Process one line; unknown messages and keys are ignored, so that later protocol versions may add them."""
         if line == "go":
             self.finish_batch()
             return
@@ -60,20 +60,20 @@
             self.read_inventory(fields)
         elif name == "registry":
             kind = LIST_KINDS[fields["how"]]
-            servers = () if kind is ListKind.ERROR else self.lists_by_name[fields["table"]]
+            servers = () if kind is ListKind.ERROR else self.servers_by_table[fields["table"]]
             self.deliver(ServerList(kind, servers))
         else:
             self.read_control(name, fields)
 
     def read_control(self, name: str, fields: Fields) -> None:
-        """Read a message about batches or instances."""
+        """Process a message about batches or instances."""
         if name == "begin_batch":
             self.reply = []
             self.instance = ""
-            self.replying_instance = ""
+            self.reply_instance = ""
             self.now_us = int(fields["simTimeUs"])
         elif name == "instance":
-            self.instance = ""  # a malformed name must not leave events to the one before
+            self.instance = ""  # after a malformed line, events must not go to the previous instance
             self.instance = fields["i"]
         elif name == "launch":
             self.launch(fields)
@@ -81,7 +81,7 @@
             raise WireError(f"unknown instance '{self.instance}'")
 
     def launch(self, fields: Fields) -> None:
-        """Start the balancer of the present instance, in the place of one before."""
+        """Start the balancer of the current instance, replacing an earlier one."""
         self.balancers.pop(self.instance, None)
         if not self.instance:
             raise WireError("launch outside any instance")
@@ -89,7 +89,7 @@
         self.balancers[self.instance] = Balancer(settings, int(fields["prng"]))
 
     def read_inventory(self, fields: Fields) -> None:
-        """Read a server list, whose entries are the lines that follow."""
+        """Read a server list; its entries are the following lines."""
         members: list[ListedServer] = []
         for _ in range(int(fields["members"])):
             entry = self.source.readline()
@@ -104,32 +104,32 @@
                 self.report_bad_line(entry, f"field or value {error} is missing or unknown")
             except ValueError as error:
                 self.report_bad_line(entry, str(error))
-        self.lists_by_name[fields["table"]] = tuple(members)
+        self.servers_by_table[fields["table"]] = tuple(members)
 
     def deliver(self, event: Event) -> None:
-        """Feed an event to the balancer of the present instance, and append its actions to the reply."""
+        """Pass an event to the balancer of the current instance, and append the resulting actions to the reply."""
         balancer = self.balancers.get(self.instance)
         if balancer is None:
             raise WireError(f"unknown instance '{self.instance}'")
         actions = balancer.handle(self.now_us, event)
         if not actions:
             return
-        if self.replying_instance != self.instance:
-            self.replying_instance = self.instance
+        if self.reply_instance != self.instance:
+            self.reply_instance = self.instance
             self.reply.append(f"by i={self.instance}")
         self.reply.extend(map(format_action, actions))
 
     def finish_batch(self) -> None:
         """Write the reply to a batch."""
         self.reply.append("next\n")
-        self.sink.write("\n".join(self.reply))
-        self.sink.flush()
+        self.output.write("\n".join(self.reply))
+        self.output.flush()
         self.reply = []
 
 
 def main() -> int:
     """Run the adapter on standard input and output."""
-    gc.freeze()  # what the imports made is never garbage
+    gc.freeze()  # objects created by imports live until exit: exclude them from collections
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
     SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
--- a/cloverkeel/simulator/codec.py
+++ b/cloverkeel/simulator/codec.py
@@ -1,15 +1,15 @@
-"""Codec of the simulator's text wire: lines to events and settings, actions to lines.
-
-The one place that maps the wire's words and the configuration's keys to the code's names: a lane is a request class,
-`aimUs` its latency objective, `giveUpUs` the client timeout, `value` the priority weight, a customer a tenant, a shot
-an attempt, heft a weight, a campus a zone, grace the client timeout of one try.
-
-Read and dropped, because nothing can be decided from them: names of classes, tenants, kinds, zones and tiers,
-and `family` (decisions never rest on a name); `stage`, `familyInfo.passesDeadline` (one tier is served);
-`lanes[].streamed` (told by `streaming` itself); `isWrite` (the class's effect says more); `prices.fleet`,
-`moves`, `origin` (not this proxy's actions); `tickUs`, `caps.mostHeld`, `caps.cpuUsPerRequest` (nothing to
-choose by); `weights` (a listed weight is a factor in the draw, whatever it means); `registry.index` (lists
-come complete and in order).
+"""Codec of the simulator's line protocol: parses events and list entries, formats actions.
+
+All of the protocol's names are mapped to the code's names here: a lane is a request class, `aimUs` its latency
+objective, `giveUpUs` the client timeout, `value` the priority weight, a customer a tenant, a shot an attempt, heft a
+weight, a campus a zone, grace the client timeout of one try.
+
+Ignored, because no decision depends on them: names of classes, tenants, kinds, zones and tiers, and `family`
+(decisions never depend on a name); `stage`, `familyInfo.passesDeadline` (only one tier is served); `lanes[].streamed`
+(the message `streaming` reports it); `isWrite` (the class's effect is more precise); `prices.fleet`, `moves`,
+`origin` (they concern actions that this proxy does not take); `tickUs`, `caps.mostHeld`, `caps.cpuUsPerRequest` (they
+influence no choice); `weights` (a listed weight is a factor in the random selection, whatever its meaning);
+`registry.index` (lists arrive complete and in order).
 """
 
 from __future__ import annotations
@@ -73,25 +73,25 @@
 
 
 def split_line(line: str) -> tuple[str, dict[str, str]]:
-    """Take a line apart into its message name and its fields."""
+    """Split a line into its message name and its fields."""
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
-    text_mark = TEXT_FIELDS.get(name)
-    if text_mark is not None:
-        before, mark, text = (" " + rest).partition(text_mark)
-        if mark:
-            fields[text_mark.strip(" =")] = text
+    text_prefix = TEXT_FIELDS.get(name)
+    if text_prefix is not None:
+        before, separator, text = (" " + rest).partition(text_prefix)
+        if separator:
+            fields[text_prefix.strip(" =")] = text
         rest = before.strip()
     for part in rest.split():
-        key, mark, value = part.partition("=")
-        if not mark:
+        key, separator, value = part.partition("=")
+        if not separator:
             raise WireError(f"'{part}' is not name=value")
         fields[key] = value
     return name, fields
 
 
 def parse_server(fields: Fields) -> ListedServer:
-    """Read one entry of a server list."""
+    """Parse an entry of a server list."""
     return ListedServer(
         server=int(fields["host"]),
         status=STATUSES[fields.get("status", "Ready")],
@@ -104,7 +104,7 @@
 
 
 def parse_incoming(fields: Fields) -> RequestArrived:
-    """Read the arrival of a request."""
+    """Parse the arrival of a request."""
     key, work = fields.get("affinity"), fields.get("costUs")
     return RequestArrived(
         fields["requestId"],
@@ -118,7 +118,7 @@
 
 
 def parse_load(text: str | None) -> LoadReport | None:
-    """Read the values of a load report that have a meaning here; others are ignored."""
+    """Parse a load report; unknown values are ignored. Return None for an absent one."""
     if not text or text == "-":
         return None
     pairs = (part.partition(":") for part in text.split(","))
@@ -126,7 +126,7 @@
 
 
 def parse_outcome(fields: Fields) -> AttemptEnded:
-    """Read the end of an attempt."""
+    """Parse the end of an attempt."""
     return AttemptEnded(
         fields["requestId"],
         int(fields["shot"]),
@@ -139,28 +139,28 @@
 
 
 def parse_dropped(fields: Fields) -> RequestGone:
-    """Read the disconnect of a client."""
+    """Parse the disconnect of a client."""
     return RequestGone(fields["requestId"])
 
 
 def parse_streaming(fields: Fields) -> StreamStarted:
-    """Read the start of a response stream."""
+    """Parse the start of a response stream."""
     return StreamStarted(fields["requestId"], int(fields["shot"]))
 
 
 def parse_reminder(fields: Fields) -> TimerFired:
-    """Read that a timer is due."""
+    """Parse the expiry of a timer."""
     return TimerFired(int(fields["keyBack"]))
 
 
 def parse_pong(fields: Fields) -> Probed:
-    """Read the result of a health check."""
+    """Parse the result of a health check."""
     outcome, load = OUTCOMES[fields["verdict"]], parse_load(fields.get("pressure"))
     return Probed(int(fields["host"]), outcome, int(fields.get("durationUs", "0")), load)
 
 
 def parse_inbox(fields: Fields) -> PeerMessage:
-    """Read a message of another proxy."""
+    """Parse a message of another proxy."""
     text = fields["bytes"]
     return PeerMessage(int(fields["src"]), b"" if text == "-" else base64.b64decode(text, validate=True))
 
@@ -177,7 +177,7 @@
 
 
 def format_action(action: Action) -> str:
-    """Return the line of an action."""
+    """Format an action as a line."""
     match action:
         case Send():
             return f"pass_on requestId={action.request} maxWaitUs={action.timeout_us} host={action.server}"
--- a/cloverkeel/simulator/settings_codec.py
+++ b/cloverkeel/simulator/settings_codec.py
@@ -1,6 +1,6 @@
-"""Codec of the settings object, in the simulator's launch and in the gateway's configuration.
+"""Parser of the settings object in the simulator's `launch` message and in the gateway's configuration.
 
-The one place that maps the configuration's keys to the code's names: a lane is a request class, `aimUs` its latency
+All of the configuration's keys are mapped to the code's names here: a lane is a request class, `aimUs` its latency
 objective, `giveUpUs` the client timeout, `value` the priority weight, `tipMultiple` and `fallUs` the collapse budget.
 """
 
@@ -27,11 +27,11 @@
 
 
 class WireError(ValueError):
-    """Raise for a line that cannot be read; the message says why."""
+    """Raised for an invalid line or invalid settings; the message states the reason."""
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings object of a launch; unknown keys are ignored, missing optional ones have defaults."""
+    """Parse a settings object. Unknown keys are ignored; missing optional keys have defaults."""
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
@@ -39,23 +39,23 @@
     if not isinstance(raw, dict):
         raise WireError("settings are not an object")
     try:
-        return _settings(raw)
+        return _parse_settings_object(raw)
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
         raise WireError(f"settings cannot be used: {error}") from None
 
 
-def _settings(raw: dict[str, Any]) -> Settings:
+def _parse_settings_object(raw: dict[str, Any]) -> Settings:
     caps, contract = raw.get("caps", {}), raw.get("contract", {})
     prices = raw.get("prices", {})
     return Settings(
-        classes=tuple(_request_class(lane) for lane in raw.get("lanes", [])),
-        goal=_goal(raw.get("objectiveMix", {})),
+        classes=tuple(_parse_request_class(lane) for lane in raw.get("lanes", [])),
+        goal=_parse_goal(raw.get("objectiveMix", {})),
         weight_by_work=raw.get("worthBy") == "work",
         proxies=int(raw.get("balancers", 1)),
         proxy=int(raw.get("index", 0)),
         zone=int(raw.get("zone", 0)),
         prices=Prices(**{name: float(prices.get(key, 0.0)) for name, key in PRICES.items()}),
-        tenants=tuple(_tenant(tenant) for tenant in raw.get("tenants", [])),
+        tenants=tuple(_parse_tenant(tenant) for tenant in raw.get("tenants", [])),
         overuse_weight=float(raw.get("overShareWorth", 1.0)),
         marks_retry=bool(raw.get("clients", {}).get("marksRetry", False)),
         max_attempts=int(caps.get("maxAttempts", 3)),
@@ -83,7 +83,7 @@
     )
 
 
-def _goal(goal: dict[str, Any]) -> Goal:
+def _parse_goal(goal: dict[str, Any]) -> Goal:
     return Goal(
         overall=float(goal.get("whole", 1.0)),
         worst_window=float(goal.get("worstWindow", 0.0)),
@@ -92,11 +92,11 @@
     )
 
 
-def _tenant(tenant: dict[str, Any]) -> Tenant:
+def _parse_tenant(tenant: dict[str, Any]) -> Tenant:
     return Tenant(float(tenant.get("fraction", 0.0)), float(tenant.get("allowancePerS", "inf")))
 
 
-def _request_class(lane: dict[str, Any]) -> RequestClass:
+def _parse_request_class(lane: dict[str, Any]) -> RequestClass:
     if "giveUpUs" not in lane:
         raise ValueError("a class has no giveUpUs")
     effect = str(lane.get("effect", "single_shot"))
--- a/tests/golden/discovery.py
+++ b/tests/golden/discovery.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.discovery asks, and stores in the coordination service and on disk."""
+"""Samples of the requests of cloverkeel.discovery, and of its data in ZooKeeper and on disk."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 SERVING: Final = Backend(
     "s-5be2a07c", ("10.1.0.18", 8081), BackendStatus.SERVING, "kita-room", "small-2c", 3, 1.0, 1_796_119_613_761
 )
-FULL_MEMBER: Final = replace(SERVING, status=BackendStatus.DRAINING, weight=0.25, czxid=0x500000007)
-MEMBERS: Final = {
+BACKEND_WITH_ALL_FIELDS: Final = replace(SERVING, status=BackendStatus.DRAINING, weight=0.25, czxid=0x500000007)
+BACKENDS: Final = {
     "serving": SERVING,
     "draining": replace(SERVING, status=BackendStatus.DRAINING),
     "defaults": Backend("s-1", ("10.1.0.19", 1)),
@@ -32,8 +32,8 @@
 RELAY_ADDRESSES: Final = tuple(("10.9.0.1", 7_000 + number) for number in range(5))
 
 
-def _node(member: Backend) -> Sample:
-    return Sample(lambda: encode_backend(member), decode_backend, member)
+def _node_sample(backend: Backend) -> Sample:
+    return Sample(lambda: encode_backend(backend), decode_backend, backend)
 
 
 def _agent_node_path() -> bytes:
@@ -41,36 +41,36 @@
     return RegistrationAgent(Registration(SERVING), options).node_path.encode()
 
 
-def _kept_node(is_draining: bool) -> bytes:
-    """Return the data that the agent's decisions want in the node."""
+def _agent_node_data(is_draining: bool) -> bytes:
+    """Return the data that the agent would write to the node."""
     registration = Registration(SERVING)
-    registration.on_health_check(1_796_119_700_000, has_passed=True)
+    registration.on_health_check(1_796_119_700_000, check_passed=True)
     assert registration.next_action(0.0) is RegistrationAction.CREATE
     if is_draining:
         registration.on_termination(0.0)
     return registration.node_data()
 
 
-def _saved(members: Sequence[Backend]) -> bytes:
+def _write_snapshot(backends: Sequence[Backend]) -> bytes:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "list.json"
-        save_snapshot(str(path), members)
+        save_snapshot(str(path), backends)
         return path.read_bytes()
 
 
-def _loaded(data: bytes) -> list[Backend] | None:
+def _read_snapshot(data: bytes) -> list[Backend] | None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "list.json"
         path.write_bytes(data)
         return load_snapshot(str(path))
 
 
-def _snapshot(*members: Backend) -> Sample:
-    return Sample(lambda: _saved(members), _loaded, list(members))
+def _snapshot_sample(*backends: Backend) -> Sample:
+    return Sample(lambda: _write_snapshot(backends), _read_snapshot, list(backends))
 
 
 def _first_targets(schedule: PollSchedule) -> bytes:
-    """Return what is asked with nothing held, on a new connection, and for news."""
+    """Return the request targets without a list, after a snapshot, and after a reconnect."""
     targets = [schedule.next_request(0.0).target]
     schedule.on_reply(0.0, 41, is_snapshot=True)
     targets.append(schedule.next_request(0.1).target)
@@ -79,9 +79,9 @@
     return b"\n".join(targets)
 
 
-def _relay_target(services: tuple[str, ...], wide: int) -> bytes:
+def _relay_target(services: tuple[str, ...], doublings: int) -> bytes:
     target = INSTANCES_PATH + b"?from=41&hold_ms=400"
-    return identify_gateway(target, "n0/ö", services, wide)
+    return identify_gateway(target, "n0/ö", services, doublings)
 
 
 def _relay_order() -> bytes:
@@ -89,26 +89,28 @@
     return " ".join(f"{host}:{port}" for host, port in addresses).encode()
 
 
-STATE_OF_RELAY: Final = b'{"version":41,"age_ms":1250}'
+RELAY_STATE: Final = b'{"version":41,"age_ms":1250}'
 
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
     "membership_nodes": {
-        **{name: _node(member) for name, member in MEMBERS.items()},
+        **{name: _node_sample(backend) for name, backend in BACKENDS.items()},
         "all_fields": Sample(
-            lambda: encode_backend(FULL_MEMBER), lambda data: decode_backend(data, FULL_MEMBER.czxid), FULL_MEMBER
+            lambda: encode_backend(BACKEND_WITH_ALL_FIELDS),
+            lambda data: decode_backend(data, BACKEND_WITH_ALL_FIELDS.czxid),
+            BACKEND_WITH_ALL_FIELDS,
         ),
         "agent_path": Sample(_agent_node_path),
-        "agent_serving": Sample(lambda: _kept_node(is_draining=False), decode_backend, SERVING),
-        "agent_draining": Sample(lambda: _kept_node(is_draining=True), decode_backend, MEMBERS["draining"]),
+        "agent_serving": Sample(lambda: _agent_node_data(is_draining=False), decode_backend, SERVING),
+        "agent_draining": Sample(lambda: _agent_node_data(is_draining=True), decode_backend, BACKENDS["draining"]),
     },
-    "membership_snapshot": {"empty": _snapshot(), "all": _snapshot(*MEMBERS.values())},
+    "membership_snapshot": {"empty": _snapshot_sample(), "all": _snapshot_sample(*BACKENDS.values())},
     "membership_calls": {
         "discovery": Sample(lambda: _first_targets(PollSchedule())),
         "relay": Sample(lambda: _first_targets(RelayPollSchedule())),
         "relay_named": Sample(lambda: _relay_target(("a", "b,c", ""), 2)),
         "relay_named_for_all_services": Sample(lambda: _relay_target((), 0)),
         "relay_state": Sample(lambda: STATE_PATH),
-        "relay_state_answer": Sample(lambda: STATE_OF_RELAY, parse_state_age_s, 1.25),
+        "relay_state_answer": Sample(lambda: RELAY_STATE, parse_state_age_s, 1.25),
         "relay_order": Sample(_relay_order),
     },
 }
--- a/tests/golden/simulator.py
+++ b/tests/golden/simulator.py
@@ -1,4 +1,4 @@
-"""Samples of the simulator's wire: lines that cloverkeel.balancing reads, and the lines that it writes."""
+"""Samples of the simulator's line protocol: the lines that cloverkeel.simulator parses and formats."""
 
 from __future__ import annotations
 
@@ -171,36 +171,36 @@
 )  # fmt: skip
 
 
-def _line(line: str, read: Callable[[bytes], object], expected: object) -> Sample:
-    return Sample(line.encode, read, expected)
+def _line_sample(line: str, parse: Callable[[bytes], object], expected: object) -> Sample:
+    return Sample(line.encode, parse, expected)
 
 
-def _read_event(data: bytes) -> Event:
+def _parse_event(data: bytes) -> Event:
     name, fields = split_line(data.decode())
     return PARSERS[name](fields)
 
 
-def _read_server(data: bytes) -> ListedServer:
+def _parse_server(data: bytes) -> ListedServer:
     return parse_server(split_line(data.decode())[1])
 
 
-def _action(action: Action) -> Sample:
+def _action_sample(action: Action) -> Sample:
     return Sample(lambda: format_action(action).encode())
 
 
-def _dialogue() -> bytes:
-    """Return what the adapter writes to standard output."""
+def _dialogue_output() -> bytes:
+    """Return the output of the adapter for DIALOGUE."""
     output = io.StringIO()
     SimulatorAdapter(io.StringIO("".join(f"{line}\n" for line in DIALOGUE)), output, io.StringIO()).run()
     return output.getvalue().encode()
 
 
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
-    "simulator_actions": {name: _action(action) for name, action in ACTIONS.items()},
+    "simulator_actions": {name: _action_sample(action) for name, action in ACTIONS.items()},
     "simulator_events": {
-        **{name: _line(line, _read_event, event) for name, (line, event) in EVENTS.items()},
-        **{name: _line(line, _read_server, server) for name, (line, server) in SERVERS.items()},
-        "settings": _line(SETTINGS_TEXT, lambda data: parse_settings(data.decode()), SETTINGS),
+        **{name: _line_sample(line, _parse_event, event) for name, (line, event) in EVENTS.items()},
+        **{name: _line_sample(line, _parse_server, server) for name, (line, server) in SERVERS.items()},
+        "settings": _line_sample(SETTINGS_TEXT, lambda data: parse_settings(data.decode()), SETTINGS),
     },
-    "simulator_dialogue": {"dialogue": Sample(_dialogue)},
+    "simulator_dialogue": {"dialogue": Sample(_dialogue_output)},
 }
--- a/tests/golden/test_coverage.py
+++ b/tests/golden/test_coverage.py
@@ -19,7 +19,7 @@
     "admin words": (admin.WORDS, admin.WORDS_OF_SAMPLES),
 }
 FULL_SAMPLES: dict[str, Any] = {
-    "box": discovery.FULL_MEMBER,
+    "box": discovery.BACKEND_WITH_ALL_FIELDS,
     "relay poll request": control_plane.FULL_CALL,
     "relay subscriber": control_plane.FULL_CALL.subscriber,
     "simulator load report": simulator.LOAD,
