--- a/cloverkeel/leases/__init__.py
+++ b/cloverkeel/leases/__init__.py
@@ -1,1 +1,4 @@
-"""Leases: what one gateway at most does at a time. docs/duties-design.md; imported only where it is on."""
+"""Leased roles: each is held by at most one gateway at a time (docs/duties-design.md).
+
+The package is imported only if leases are enabled.
+"""
--- a/cloverkeel/leases/acceptor.py
+++ b/cloverkeel/leases/acceptor.py
@@ -1,16 +1,16 @@
-"""The acceptor's (voter's) side of leases by majority. Pure: time comes in.
-
-After PaxosLease (Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases", 2012): an accepted lease is a
-lock that expires.
-
-Invariants (docs/duties-design.md has the proof that rests on them):
-- at most one accepted lease of a name at a time; until it expires nobody but its holder is promised or accepted
-  anything, but with that holder's consent;
-- for `quarantine_us` after its start, the longest lease there is, it does not vote: what was accepted before the
-  restart is forgotten;
-- nothing is accepted for longer than `lease_us`;
-- what is promised of a lease only grows, also over a state that was forgotten;
-- at most `max_leases` states, 64 bytes or so each; a further one is refused.
+"""The acceptor's (voter's) side of quorum leases. Pure: the current time is an argument.
+
+Follows PaxosLease (Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases", 2012): an accepted lease is
+a lock that expires.
+
+Invariants (the proof in docs/duties-design.md relies on them):
+- at most one lease per name is accepted at a time; until it expires, requests of other processes are refused unless
+  the holder has consented;
+- a voter does not vote for `quarantine_us` after its start, which exceeds the longest lease: leases that it accepted
+  before the restart are not stored;
+- no lease is accepted for longer than `lease_us`;
+- the promised ballot of a lease never decreases, even if the lease's state was evicted in between;
+- at most `max_leases` states of about 64 bytes each are kept; requests for further leases are refused.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
 )
 
 DEFAULT_MAX_LEASES: Final = 1024
-IDLE_TIMEOUT_US: Final = 60_000_000  # after which a lease that nobody asked for is forgotten
+IDLE_TIMEOUT_US: Final = 60_000_000  # a lease without requests for longer than this may be evicted
 
 
 class AcceptedLease:
-    """The lease that this voter has accepted, and the process that holds it."""
+    """A lease that this voter has accepted, and the process that holds it."""
 
     __slots__ = ("ballot", "expires_us", "gateway", "nonce")
 
     def __init__(self, gateway: int, nonce: int, ballot: int, expires_us: int) -> None:
         self.gateway = gateway
-        self.nonce = nonce  # drawn by the gateway's process at its start
+        self.nonce = nonce  # drawn at random when the gateway's process started
         self.ballot = ballot
         self.expires_us = expires_us
 
     def is_held_by(self, gateway: int, nonce: int) -> bool:
-        """Tell whether this process of this gateway holds it."""
+        """Return whether this process of this gateway holds the lease."""
         return self.gateway == gateway and self.nonce == nonce
 
 
 class AcceptorState:
-    """What a voter knows of one lease."""
+    """A voter's state of one lease."""
 
     __slots__ = ("accepted", "last_used_us", "promised_ballot")
 
@@ -63,7 +63,7 @@
 
 
 class Acceptor:
-    """One voter, for all leases."""
+    """One voter: its votes on all leases."""
 
     def __init__(
         self, now_us: int, config: LeaseConfig, ballot_clock: BallotClock, max_leases: int = DEFAULT_MAX_LEASES
@@ -73,21 +73,24 @@
         self.ballot_clock = ballot_clock
         self.max_leases = max_leases
         self.state_by_lease: dict[int, AcceptorState] = {}
-        self.min_promised_ballot = 0  # the highest promise that may have been forgotten
+        self.min_promised_ballot = 0  # upper bound of all promises that are no longer stored
 
     def can_vote(self, now_us: int) -> bool:
-        """Guard against voting twice: a restarted process does not know what it had accepted."""
+        """Return whether the quarantine after the start is over.
+
+        A restarted process has lost the leases that it had accepted, and could vote for a second holder.
+        """
         return now_us >= self.votes_from_us
 
     def unexpired_lease(self, now_us: int, lease_id: int) -> AcceptedLease | None:
-        """Return the lease that was accepted here and has not expired; a hint, no proof that it has a majority."""
+        """Return the lease that this voter accepted and that has not expired; a majority may not have accepted it."""
         state = self.state_by_lease.get(lease_id)
         if state is None or state.accepted is None or now_us >= state.accepted.expires_us:
             return None
         return state.accepted
 
     def find_or_add_state(self, now_us: int, lease_id: int) -> AcceptorState | None:
-        """Return the state of a lease, made if it is new; None where there is no room for it."""
+        """Return the state of a lease, created if it is new; None if the table is full."""
         state = self.state_by_lease.get(lease_id)
         if state is None:
             if len(self.state_by_lease) >= self.max_leases:
@@ -95,14 +98,14 @@
             if len(self.state_by_lease) >= self.max_leases:
                 return None
             if not self.min_promised_ballot:
-                # What was promised before the start is forgotten; it was no more than what others have observed.
+                # Promises made before the restart are lost, but none of them exceeds what other gateways observed.
                 self.min_promised_ballot = self.ballot_clock.highest << COUNTER_SHIFT
             state = self.state_by_lease[lease_id] = AcceptorState(self.min_promised_ballot, now_us)
         state.last_used_us = now_us
         return state
 
     def forget_idle(self, now_us: int) -> None:
-        """Forget leases that have expired and that nobody asked for in a while."""
+        """Evict leases that have expired and that no gateway requested for IDLE_TIMEOUT_US."""
         for lease_id, state in list(self.state_by_lease.items()):
             is_idle = now_us - state.last_used_us > IDLE_TIMEOUT_US
             if is_idle and self.unexpired_lease(now_us, lease_id) is None:
@@ -110,7 +113,7 @@
                 del self.state_by_lease[lease_id]
 
     def receive(self, now_us: int, request: VoteRequest, gateway: int, nonce: int) -> VoteResponse | None:
-        """Vote; None: nothing may be said, or there is no answer to it."""
+        """Handle a vote request; None if this voter may not vote yet or the request has no response."""
         if isinstance(request, Prepare):
             return self.on_prepare(now_us, request, gateway, nonce)
         if isinstance(request, Propose):
@@ -119,7 +122,7 @@
         return None
 
     def on_prepare(self, now_us: int, request: Prepare, gateway: int, nonce: int) -> Promised | Refused | None:
-        """Answer the first phase of a round; None: nothing may be said."""
+        """Answer the first phase of a round; None if this voter may not vote yet."""
         checked = self.check_request(now_us, request, gateway, nonce)
         if not isinstance(checked, AcceptorState):
             return checked
@@ -127,7 +130,7 @@
         return Promised(request.lease_id, request.ballot, request.round)
 
     def on_propose(self, now_us: int, request: Propose, gateway: int, nonce: int) -> Accepted | Refused | None:
-        """Accept a lease, or extend the same holder's; None: nothing may be said."""
+        """Accept a lease, or extend the same holder's lease; None if this voter may not vote yet."""
         checked = self.check_request(now_us, request, gateway, nonce)
         if not isinstance(checked, AcceptorState):
             return checked
@@ -140,7 +143,7 @@
     def check_request(
         self, now_us: int, request: Prepare | Propose, gateway: int, nonce: int
     ) -> AcceptorState | Refused | None:
-        """Return the lease's state if this process may have it, else why not; None: nothing may be said."""
+        """Return the lease's state if the request is admissible, else a refusal; None if not allowed to vote yet."""
         if not self.can_vote(now_us):
             return None
         if not self.ballot_clock.observe(now_us, counter_of(request.ballot)):
@@ -151,7 +154,7 @@
         accepted = self.unexpired_lease(now_us, request.lease_id)
         has_consent = accepted is not None and request.consent_ballot == accepted.ballot != 0
         if has_consent:
-            # Its holder stopped acting before it consented, and never acts under this ballot again.
+            # The holder stopped acting before it consented, and never acts under this ballot again.
             state.accepted = accepted = None
         if accepted is not None and not accepted.is_held_by(gateway, nonce):
             return refuse_held(request, accepted, now_us, state.promised_ballot)
@@ -169,12 +172,12 @@
 
 
 def refuse(request: Prepare | Propose, reason: RefusalReason, promised_ballot: int = 0) -> Refused:
-    """Make a refusal that names no holder."""
+    """Return a refusal that names no holder."""
     return Refused(request.lease_id, request.ballot, request.round, reason, 0, 0, 0, promised_ballot)
 
 
 def refuse_held(request: Prepare | Propose, accepted: AcceptedLease, now_us: int, promised_ballot: int) -> Refused:
-    """Make a refusal that names the holder and how long its lease lasts."""
+    """Return a refusal that names the holder and the remaining time of its lease."""
     return Refused(
         request.lease_id, request.ballot, request.round, RefusalReason.HELD, accepted.gateway, accepted.nonce,
         accepted.expires_us - now_us, promised_ballot,
--- a/cloverkeel/leases/ballots.py
+++ b/cloverkeel/leases/ballots.py
@@ -1,28 +1,29 @@
-"""Ballots: numbers that only grow over the whole fleet, without a disk. Pure.
+"""Ballot numbers that increase monotonically over the whole fleet, without persistent storage. Pure.
 
-A ballot has 60 bits: a counter, the gateway's number, and random bits of its process. Compiled code leaks integers
-beyond 62 bits. The counter is a Lamport clock (Lamport, "Time, Clocks, and the Ordering of Events", 1978) that also
-follows the wall clock, so that it grows when all processes are restarted at once. The ballot under which a lease was
-won is its fencing token.
+A ballot has 60 bits: a counter, the gateway's number, and random bits of its process. Integers of more than 62 bits
+leak memory in compiled code. The counter is a Lamport clock (Lamport, "Time, Clocks, and the Ordering of Events",
+1978) that also follows the wall clock, so that it increases even if all processes are restarted at once. The ballot
+under which a lease was won is its fencing token.
 
 Invariants:
-- a new ballot is above all that were observed and made before;
-- two processes never make the same one, but by chance of 1 in 4,096 where they share a gateway's number, in one step;
-- a counter from far in the future is ignored.
+- a new ballot is higher than all ballots that the process has observed or made;
+- two processes never make the same ballot, except with probability 1/4,096 if both have the same gateway number and
+  make a ballot in the same counter step;
+- a counter far in the future is ignored.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-COUNTER_STEP_US: Final = 16_000  # of the wall clock, for each step of the counter: 34 years in 36 bits
+COUNTER_STEP_US: Final = 16_000  # wall-clock time per counter step; 36 bits last 34 years
 REFERENCE_TIME_US: Final = 1_767_225_600_000_000  # 2026-01-01
 GATEWAY_BITS: Final = 12
 RANDOM_BITS: Final = 12
 COUNTER_SHIFT: Final = GATEWAY_BITS + RANDOM_BITS
 MAX_COUNTER: Final = (1 << 36) - 1
-# One year: clocks are hours off, not years. Guards against one bad clock or one corrupted datagram that uses up all
-# counters there are.
+# One year: wall clocks are off by hours, not years. Without this limit one wrong clock or one corrupted datagram
+# could exhaust the counter's range.
 MAX_COUNTER_LEAP: Final = 365 * 86_400_000_000 // COUNTER_STEP_US
 MAX_GATEWAYS: Final = 1 << GATEWAY_BITS
 
@@ -38,7 +39,7 @@
 
 
 class BallotClock:
-    """The Lamport clock of one process, and the ballots it makes."""
+    """The Lamport clock of one process, from which its ballots are made."""
 
     __slots__ = ("gateway", "highest", "random_bits", "rejected_leaps")
 
@@ -49,15 +50,15 @@
         self.rejected_leaps = 0  # observed counters too far in the future
 
     def wall_counter(self, now_us: int) -> int:
-        """Return the counter that the wall clock alone would give."""
+        """Return the counter that corresponds to the wall clock."""
         return min(MAX_COUNTER, max(0, (now_us - REFERENCE_TIME_US) // COUNTER_STEP_US))
 
     def is_leap(self, now_us: int, counter: int) -> bool:
-        """Tell whether a counter is too far in the future to be believed."""
+        """Return whether a counter is too far in the future to be accepted."""
         return counter > max(self.highest, self.wall_counter(now_us)) + MAX_COUNTER_LEAP
 
     def observe(self, now_us: int, counter: int) -> bool:
-        """Follow another process's counter; False, and nothing changes, where it is too far in the future."""
+        """Advance the clock to another process's counter; return False and ignore it if too far in the future."""
         if self.is_leap(now_us, counter):
             self.rejected_leaps += 1
             return False
@@ -65,6 +66,6 @@
         return True
 
     def next_ballot(self, now_us: int) -> int:
-        """Make a new ballot."""
+        """Return a new ballot, higher than all observed ones."""
         self.highest = min(MAX_COUNTER, max(self.highest + 1, self.wall_counter(now_us)))
         return (self.highest << COUNTER_SHIFT) | (self.gateway << RANDOM_BITS) | self.random_bits
--- a/cloverkeel/leases/commands.py
+++ b/cloverkeel/leases/commands.py
@@ -20,7 +20,7 @@
 from cloverkeel.core.admin_client import parse_address_list, call_gateways, call
 from cloverkeel.core.config import Address, ConfigError
 
-# What gateways answer to DUTIES, by their addresses: LeaseDriver.describe has the keys.
+# Gateways' answers to DUTIES, by address; LeaseDriver.describe defines the keys.
 Answers = dict[str, Any]
 
 LEASE_ROW: Final = "{:<44} {:>7} {:>8} {:>9} {:>20}"
@@ -28,9 +28,9 @@
 
 
 def differences(answers: Answers) -> list[str]:
-    """Return a line for each lease that two gateways hold, and for each that is taken for a holder wrongly."""
-    token_by_holder: dict[str, dict[int, int]] = {}  # by name: who says that it holds, and its token
-    reporters_by_holder: dict[str, dict[int, list[int]]] = {}  # by name: who reports to whom
+    """Return a line for each lease with more than one holder, and for each gateway wrongly presumed the holder."""
+    token_by_holder: dict[str, dict[int, int]] = {}  # by lease name: gateways that claim to hold it, their tokens
+    reporters_by_holder: dict[str, dict[int, list[int]]] = {}  # by lease name: presumed holder, its reporters
     for answer in answers.values():
         for lease in answer["duties"]:
             if is_held(lease):
@@ -38,15 +38,15 @@
             elif lease["holder"] >= 0:
                 reporters = reporters_by_holder.setdefault(lease["duty"], {}).setdefault(lease["holder"], [])
                 reporters.append(answer["gateway"])
-    return [*double_holders(token_by_holder), *wrong_holders(token_by_holder, reporters_by_holder)]
+    return [*duplicate_holders(token_by_holder), *misdirected_reports(token_by_holder, reporters_by_holder)]
 
 
 def is_held(lease: dict[str, Any]) -> bool:
-    """Tell whether the gateway that answered holds this lease."""
+    """Return whether the gateway that answered holds this lease."""
     return bool(lease["phase"] == "held")
 
 
-def double_holders(token_by_holder: dict[str, dict[int, int]]) -> Iterator[str]:
+def duplicate_holders(token_by_holder: dict[str, dict[int, int]]) -> Iterator[str]:
     """Yield a line for each lease that more than one gateway holds."""
     for name, tokens in sorted(token_by_holder.items()):
         if len(tokens) > 1:
@@ -54,10 +54,10 @@
             yield f"{name}: held by {holders}; asked one after another, it may have changed hands meanwhile"
 
 
-def wrong_holders(
+def misdirected_reports(
     token_by_holder: dict[str, dict[int, int]], reporters_by_holder: dict[str, dict[int, list[int]]]
 ) -> Iterator[str]:
-    """Yield a line for each gateway that others report to, and that does not hold the lease."""
+    """Yield a line for each gateway that receives reports for a lease that another gateway holds."""
     for name, reporters in sorted(reporters_by_holder.items()):
         holders = token_by_holder.get(name)
         for holder, gateways in sorted(reporters.items()):
@@ -66,13 +66,13 @@
 
 
 def show(answers: Answers, failures: Sequence[str]) -> None:
-    """Print who holds what, a row for each gateway, and where they differ."""
+    """Print a row per lease, a row per gateway, and the differences between the gateways' answers."""
     for row in [*lease_rows(answers), *gateway_rows(answers), *differences(answers), *failures]:
         print(row)
 
 
 def lease_rows(answers: Answers) -> Iterator[str]:
-    """Yield a row for each lease."""
+    """Yield the header and a row for each lease."""
     yield LEASE_ROW.format("duty", "holder", "left ms", "held s", "epoch")
     row_by_name = {
         lease["duty"]: LEASE_ROW.format(
@@ -87,7 +87,7 @@
 
 
 def gateway_rows(answers: Answers) -> Iterator[str]:
-    """Yield a row for each gateway."""
+    """Yield the header and a row for each gateway."""
     yield GATEWAY_ROW.format(
         "gateway", "voter", "off", "held", "lost", "lent", "taken", "sent", "old acts", "dropped"
     )  # fmt: skip
@@ -100,7 +100,7 @@
 
 
 def hand_over(addresses: Sequence[Address], name: str) -> int:
-    """Let the holder of a lease hand it over; returns the exit code."""
+    """Ask the holder of a lease to hand it over; return the exit code."""
     for address in addresses:
         answer = call(address, f"HANDON {name}")
         if answer.startswith("ACK"):
@@ -111,7 +111,7 @@
 
 
 def call_gateway(addresses: Sequence[Address], gateway: int, line: str) -> int:
-    """Send an admin line to the gateway with this number; returns the exit code."""
+    """Send an admin line to the gateway with this number; return the exit code."""
     for address in addresses:
         answer = call(address, "DUTIES")
         if answer.startswith("ACK {") and json.loads(answer[4:])["gateway"] == gateway:
@@ -140,7 +140,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the command; returns its exit code."""
+    """Run the command; return its exit code."""
     options = make_parser().parse_args(arguments)
     try:
         addresses = parse_address_list(options.at)
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -1,6 +1,7 @@
-"""The I/O around the leases: datagrams, timers, and what the balancer is told. Nothing is decided here.
+"""I/O of the leases: datagrams, timers, and the exchange with the balancer. Contains no decisions about leases.
 
-Bounds: MAX_SENDS_PER_POLL datagrams in a POLL_INTERVAL_S, what is beyond is lost like any datagram.
+At most MAX_SENDS_PER_POLL datagrams are sent per POLL_INTERVAL_S; further ones are dropped, which the protocol treats
+like any lost datagram.
 """
 
 from __future__ import annotations
@@ -32,20 +33,20 @@
 if TYPE_CHECKING:
     from cloverkeel.leases.zookeeper_driver import LeaseNodeClient
 
-POLL_INTERVAL_S: Final = 0.1  # between two looks at what the balancer needs
+POLL_INTERVAL_S: Final = 0.1  # between two polls of the balancer's demands
 MIN_TIMER_S: Final = 0.001
 MAX_SENDS_PER_POLL: Final = 400
-DROP_LOG_INTERVAL_US: Final = 60_000_000  # between log lines about datagrams that were dropped
+DROP_LOG_INTERVAL_US: Final = 60_000_000  # between log lines about dropped datagrams
 
 
 class LeaseDriver:
-    """The leases of this gateway, as one of the parts that speak to other gateways."""
+    """Runs the leases of this gateway, as one of the protocols on the socket shared with other gateways."""
 
     def __init__(
         self, config: Config, options: LeaseOptions, gateway: Gateway, datagrams: PeerSocket,
         clock: Callable[[], int] = now_us,
     ) -> None:  # fmt: skip
-        """`clock`: microseconds, read anew for each thing that is done; of the program's form (core/clock.py)."""
+        """Initialize without starting; `clock` returns microseconds (core/clock.py) and is read for each event."""
         self.clock = clock
         self.datagrams = datagrams
         self.peers = config.peers
@@ -69,27 +70,27 @@
         self.timer: asyncio.TimerHandle | None = None
         self.poll_timer: asyncio.TimerHandle | None = None
         self.sends_since_poll = 0
-        self.unsent = 0  # datagrams beyond MAX_SENDS_PER_POLL, or without a socket
-        self.dropped: Counter[str] = Counter()  # datagrams by reason
+        self.unsent = 0  # datagrams in excess of MAX_SENDS_PER_POLL, or that the socket did not take
+        self.dropped: Counter[str] = Counter()  # received datagrams and late replies, by reason
         self.drops_logged_us = 0
         self.is_closed = False
 
     def make_node_client(self, options: LeaseOptions, process: ProcessId) -> LeaseNodeClient:
-        """Make the client of the coordination service; imported here alone: kazoo and its threads cost memory."""
+        """Return the client of the coordination service; imported only here, as kazoo and its threads cost memory."""
         from cloverkeel.leases.zookeeper_driver import LeaseNodeClient
 
         return LeaseNodeClient(options, process, self.on_node_response, self.on_session_lost)
 
-    # Start and end
+    # Lifecycle
 
     def start(self) -> None:
-        """Begin alone; as a voter, and a holder, once the socket is there."""
+        """Start the leases; voting and proposing begin when the socket is open."""
         is_listed = self.number in range(len(self.peers))
         if not is_listed or not (self.nodes or len(self.peers) >= self.config.quorum):
             log(f"leases: off, too few gateways, gateways={len(self.peers)}, voters={self.config.voters}")
             return
         if self.moves_quotas:
-            # What a process before this one has lent may still be out.
+            # The former process of this gateway may have lent the quota shortly before its end.
             self.gateway.set_slow_start_quota(-1, 0, self.clock() + LOAN_US, 0.0, 0)
         self.gateway.stall_listeners.append(self.on_stall)
         if self.nodes is not None:
@@ -97,23 +98,23 @@
         self.datagrams.register(MAGIC, self)
 
     def on_socket_open(self) -> None:
-        """Begin to vote and to ask: the socket is there."""
+        """Start to vote and to request leases: the socket is open."""
         at_us = self.clock()
         if self.number < self.config.voters and self.nodes is None:
-            # From now on: it has heard nothing that was sent before.
+            # The quarantine counts from now on: datagrams sent to a former process were not received.
             self.manager.acceptor = Acceptor(at_us, self.config, self.manager.ballot_clock)
         for voter in range(min(self.config.voters, len(self.peers))):
             if voter != self.number:
                 self.manager.outbox.send(voter, Hello(1))
-        self.poll_needs()
+        self.poll_balancer()
 
     def leave(self) -> None:
-        """Hand over what is held, and ask for nothing more: the shutdown has begun."""
+        """Hand over all held leases and request no more: the shutdown has begun."""
         self.manager.set_excluded(self.clock(), True)
         self.run_due()
 
     def close(self) -> None:
-        """Leave nothing held: who comes next need not wait."""
+        """Release all held leases, so that the next holder does not have to wait until they expire."""
         self.is_closed = True
         for handle in (self.timer, self.poll_timer):
             if handle is not None:
@@ -123,11 +124,12 @@
         if self.nodes is not None:
             self.nodes.close()
 
-    # Time
+    # Timers
 
-    def poll_needs(self) -> None:
-        """Ask for the leases that the balancer has a use for, every POLL_INTERVAL_S."""
-        self.poll_timer = self.loop.call_later(POLL_INTERVAL_S, self.poll_needs)  # first: nothing below may end it
+    def poll_balancer(self) -> None:
+        """Request the leases that the balancer needs, every POLL_INTERVAL_S."""
+        # Scheduled first, so that an exception below does not end the polling.
+        self.poll_timer = self.loop.call_later(POLL_INTERVAL_S, self.poll_balancer)
         self.sends_since_poll = 0
         at_us = self.clock()
         if self.moves_quotas:
@@ -138,7 +140,7 @@
         self.update_metrics()
 
     def update_metrics(self) -> None:
-        """Set the leases' figures on the metrics line, once there are any."""
+        """Set the leases' figures on the metrics line as soon as one of them is not zero."""
         counters = self.manager.counters
         lent, received = self.budgets.lending_reports, self.budgets.received_grants
         suspensions = self.probes.suspensions
@@ -147,31 +149,31 @@
             self.gateway.metrics.leases = [held, counters.acquired, counters.lost, lent, received, suspensions]
 
     def on_stall(self, at_us: int, stall_us: int) -> None:  # noqa: ARG002 (the gateway's callback)
-        """Look at the leases first: the process has stalled, and what it held may be another's."""
+        """Check the leases before other events: the process stalled, and another gateway may hold them by now."""
         if self.poll_timer is not None:
             self.manager.on_stall(at_us)
             self.run_due()
 
     def on_timer(self) -> None:
-        """Do what was planned for this moment."""
+        """Run what is due at the end of the timer."""
         self.timer = None
         self.run_due()
 
     def run_due(self) -> None:
-        """Do what is due, send what is to be sent, and set the timer."""
+        """Run what is due, send the queued messages, and set the timer."""
         self.manager.tick(self.clock())
         self.flush()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         wait_us = self.manager.next_timer_us() - self.clock()
-        if wait_us < POLL_INTERVAL_S * 1e6 and not self.is_closed:  # else the next poll finds it
+        if wait_us < POLL_INTERVAL_S * 1e6 and not self.is_closed:  # otherwise the next poll comes first
             self.timer = self.loop.call_later(max(MIN_TIMER_S, wait_us / 1e6), self.on_timer)
 
-    # PeerSocket
+    # Datagrams
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
-        """Take a datagram of a listed gateway that names the same number of voters."""
+        """Handle a datagram; drop it unless a listed gateway with the same number of voters sent it."""
         datagram = decode(data)
         if datagram is None:
             self.count_drop("unreadable")
@@ -187,7 +189,7 @@
         self.run_due()
 
     def count_drop(self, reason: str) -> None:
-        """Count a dropped datagram, and log the counts now and then. The reasons are keys of `duties show --json`."""
+        """Count a dropped datagram, and log the counts periodically; `duties show --json` prints the reasons."""
         self.dropped[reason] += 1
         at_us = self.clock()
         if at_us - self.drops_logged_us > DROP_LOG_INTERVAL_US:
@@ -195,7 +197,7 @@
             log(f"leases: datagrams dropped, total={dict(self.dropped)}")
 
     def flush(self) -> None:
-        """Send what is in the outbox."""
+        """Send all queued node requests and datagrams."""
         for request in self.manager.outbox.take_node_requests():
             if self.nodes is not None:
                 self.nodes.send(request)
@@ -206,21 +208,21 @@
                 self.send(sent.to, sent.message)
 
     def deliver_to_self(self, message: Message) -> None:
-        """Take a message of this gateway to itself: a voter asks itself too."""
+        """Handle a message of this gateway to itself: its proposer requests the vote of its own acceptor, too."""
         if not self.is_closed:
             self.manager.receive(self.clock(), self.manager.header(), message)
             self.run_due()
 
     def send(self, number: int, message: Message) -> None:
-        """Send a datagram to the gateway with this number, unless it would be one too many or too late."""
+        """Send a datagram to a gateway, unless the send limit is reached or a reply's lease has expired."""
         if self.sends_since_poll >= MAX_SENDS_PER_POLL:
             self.unsent += 1
             return
         self.sends_since_poll += 1
         data = encode(self.manager.header(), message)
         if isinstance(message, LeaderReply) and not self.manager.can_act(self.clock(), message.lease_id):
-            # Guards against a stall since it was made. What a stall after this line lets out is one datagram, and
-            # the fencing check of whoever has seen a newer token rejects it.
+            # The process may have stalled since the reply was made. If it stalls after this check, one late datagram
+            # is sent, and the fencing check of each gateway that has seen a newer token rejects it.
             self.dropped["act too late"] += 1
             return
         if not self.datagrams.send(number, data):
@@ -232,21 +234,21 @@
     # The coordination service
 
     def on_node_response(self, lease_id: int, response: NodeResponse) -> None:
-        """Take a response of the service."""
+        """Handle a response of the service."""
         if not self.is_closed:
             self.manager.on_node_response(self.clock(), lease_id, response)
             self.run_due()
 
     def on_session_lost(self) -> None:
-        """Stop acting: the session is lost, and all that was held by it."""
+        """Stop acting: the session is lost, and all leases of the session with it."""
         if not self.is_closed:
             self.manager.on_session_lost(self.clock())
             self.run_due()
 
-    # Staff
+    # Admin lines
 
     def call(self, line: bytes) -> tuple[bool, str] | None:
-        """Answer the admin words DUTIES, HANDON NAME, KEEPOFF and KEEPON; None for any other line."""
+        """Answer the admin lines DUTIES, HANDON NAME, KEEPOFF and KEEPON; None for any other line."""
         word, _, argument = line.strip(b"\r\n").partition(b" ")
         at_us = self.clock()
         if word == b"HANDON" and argument:
@@ -263,7 +265,7 @@
         return None
 
     def hand_over(self, at_us: int, name: bytes) -> tuple[bool, str]:
-        """Hand over the lease of this name, if it is held here."""
+        """Hand over the lease of this name if this gateway holds it."""
         requests = self.manager.request_by_lease.values()
         request = next((request for request in requests if request.name.encode() == name), None)
         if request is None or not self.manager.hand_over(at_us, request):
@@ -272,7 +274,7 @@
         return True, f"handed on to gateway {request.lease.successor}"
 
     def describe(self, at_us: int) -> dict[str, object]:
-        """Return what staff are shown. The keys are those of `duties show --json`, which stay."""
+        """Return the state that operators are shown; the keys are part of the output of `duties show --json`."""
         manager, counters = self.manager, self.manager.counters
         return {
             "gateway": self.number,
--- a/cloverkeel/leases/errors.py
+++ b/cloverkeel/leases/errors.py
@@ -1,4 +1,4 @@
-"""Errors that the package raises."""
+"""Errors raised by the leases package."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PayloadTooLargeError(LeaseMessageError):
-    """A payload longer than one datagram may carry."""
+    """A payload that exceeds the limit of one datagram."""
 
     def __init__(self, size_bytes: int, max_bytes: int) -> None:
         super().__init__(f"a payload of {size_bytes} bytes, {max_bytes} at most")
@@ -17,7 +17,7 @@
 
 
 class FieldRangeError(LeaseMessageError):
-    """A field whose value does not fit its place in the datagram."""
+    """A field value outside the range of its encoding."""
 
     def __init__(self, message: object, cause: Exception) -> None:
         super().__init__(f"{message!r}: {cause}")
--- a/cloverkeel/leases/fencing.py
+++ b/cloverkeel/leases/fencing.py
@@ -1,11 +1,11 @@
-"""The receiver's check of fencing tokens: what a former lease holder sends is rejected. Pure.
+"""The receiver's check of fencing tokens: messages of former lease holders are rejected. Pure.
 
-A fencing token is the ballot under which a lease was won, or the czxid of its node; it only grows from one holder
-to the next (Kleppmann, "How to do distributed locking", 2016).
+A fencing token is the ballot under which a lease was won, or the czxid of its node; it increases from each holder to
+the next (Kleppmann, "How to do distributed locking", 2016).
 
 Invariants:
-- of one lease no token older than the newest seen is admitted;
-- one token belongs to one process.
+- no token older than the newest token seen for the same lease is admitted;
+- each token belongs to one process.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 
 
 class FencingTokenCheck:
-    """The newest token seen of each lease.
+    """The newest fencing token seen for each lease.
 
-    Bounded: beyond `max_leases` the lease that was heard of longest ago is forgotten, which only a lease that nobody
-    acts on can be.
+    Holds at most `max_leases` entries and evicts the least recently used one, which belongs to a lease whose holder
+    no longer sends.
     """
 
     __slots__ = ("max_leases", "rejected", "seen_by_lease")
 
     def __init__(self, max_leases: int = DEFAULT_MAX_LEASES) -> None:
         self.max_leases = max_leases
-        self.seen_by_lease: dict[int, SeenToken] = {}  # the one heard of longest ago first
+        self.seen_by_lease: dict[int, SeenToken] = {}  # least recently used first
         self.rejected = 0
 
     def admit(self, lease_id: int, token: int, process: int) -> bool:
-        """Tell whether what this process sent under this token counts; if so it is the newest from now on.
+        """Return whether a message that this process sent under this token is accepted, and record the token if so.
 
         A token that another process presented before is rejected too: a coordination service that was restored
-        from an older state gives a token twice.
+        from an older state can issue the same token twice.
         """
         newest = self.seen_by_lease.pop(lease_id, SeenToken(0, process))
         presented = SeenToken(token, process)
@@ -54,6 +54,6 @@
         return is_current
 
     def newest_token(self, lease_id: int) -> int:
-        """Return the newest token seen of a lease; 0 where none was."""
+        """Return the newest token seen for a lease; 0 if none was seen."""
         seen = self.seen_by_lease.get(lease_id)
         return seen.token if seen is not None else 0
--- a/cloverkeel/leases/lease_request.py
+++ b/cloverkeel/leases/lease_request.py
@@ -1,72 +1,72 @@
-"""A lease that a gateway asks for, and the task that its holder does for all. Pure."""
+"""A lease that a gateway requests, and the interface of the leased role. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from cloverkeel.leases.lease import NOBODY
+from cloverkeel.leases.lease import NO_GATEWAY
 from cloverkeel.leases.quorum_lease import QuorumLease
 from cloverkeel.leases.zookeeper_lease import ZookeeperLease
 
 
 class LeasedTask(Protocol):
-    """What one kind of lease is about: gateways report to its holder, the holder replies."""
+    """A leased role: gateways report to the lease holder, and the holder replies."""
 
     def build_report(self, now_us: int, lease_id: int, holder_process: int) -> bytes | None:
-        """Return what to report to the holder, at the moment of sending; None: nothing, and no reply is wanted.
+        """Return the payload of a report that is sent right now; None if no report has to be sent.
 
-        `holder_process`: the process whose timestamp the report echoes; UNKNOWN_PROCESS: it echoes none.
+        `holder_process`: the process whose timestamp the report echoes; UNKNOWN_PROCESS if it echoes none.
         """
 
     def on_report(self, now_us: int, lease_id: int, reporter: int, echoed_us: int, payload: bytes) -> bytes:
-        """Return the holder's reply. `echoed_us`: when its own timestamp was made that came back; 0: none did."""
+        """Return the holder's reply; `echoed_us`: when the holder made the echoed timestamp, 0 if there is none."""
 
     def on_reply(self, now_us: int, lease_id: int, reported_us: int, payload: bytes) -> None:
-        """Take what the holder replied to the report of that moment."""
+        """Handle the holder's reply to the report that was sent at `reported_us`."""
 
     def on_acquired(self, lease_id: int, state: bytes) -> None:
-        """Begin to act as the holder, with what the holder before handed over."""
+        """Start to act as the holder, with the state that the former holder handed over."""
 
     def on_ended(self, lease_id: int) -> None:
-        """Act as the holder no more."""
+        """Stop acting as the holder."""
 
     def handover_state(self, lease_id: int) -> bytes:
-        """Return what a successor should know."""
+        """Return the state to hand over to a successor."""
 
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """One lease that this gateway has a use for."""
+    """One lease that this gateway requests."""
 
     name: str
     task: LeasedTask
     lease: QuorumLease | ZookeeperLease
-    rendezvous_order: list[int]  # gateways, the one that should hold it first
-    holder: int = NOBODY  # the gateway to report to, where one is known
-    report_timestamp: int = 0  # of the last report
-    unanswered_reports: int = 0
-    holder_timestamp: int = 0  # the holder's last one
+    rendezvous_order: list[int]  # gateways, the preferred holder first
+    holder: int = NO_GATEWAY  # the gateway to report to; NO_GATEWAY if unknown
+    report_timestamp: int = 0  # timestamp of the last report
+    unanswered_reports: int = 0  # consecutive
+    holder_timestamp: int = 0  # the holder's newest timestamp; 0 if unknown
     next_report_us: int = 0
-    acquired_us: int = 0  # by this gateway
-    reported_us_by_gateway: dict[int, int] = field(default_factory=dict)  # those with the same request
+    acquired_us: int = 0  # when this gateway acquired the lease
+    reported_us_by_gateway: dict[int, int] = field(default_factory=dict)  # last report of each other requester
 
     def expect_holder(self, gateway: int, now_us: int) -> None:
-        """Report to this gateway from now on."""
+        """Send reports to this gateway from now on."""
         self.holder = gateway
         self.unanswered_reports = 0
         self.holder_timestamp = 0
         self.next_report_us = now_us
 
     def forget_holder(self, now_us: int) -> None:
-        """Report to nobody: the holder lost the lease, or does not answer."""
-        self.holder = NOBODY
+        """Stop reporting: the holder lost the lease or does not answer."""
+        self.holder = NO_GATEWAY
         self.unanswered_reports = 0
         self.holder_timestamp = 0
-        self.lease.on_holder_gone(now_us)
+        self.lease.on_holder_lost(now_us)
 
     def describe(self, now_us: int, gateway: int, newest_token: int) -> dict[str, object]:
-        """Return what this gateway knows of the lease. The keys are those of `duties show --json`, which stay."""
+        """Return this gateway's view of the lease; the keys are part of the output of `duties show --json`."""
         is_holder = self.holder == gateway
         return {
             "duty": self.name,
@@ -80,13 +80,13 @@
 
 @dataclass(slots=True)
 class LeaseCounters:
-    """Counts since the start."""
+    """Counters since the process started."""
 
-    strangers: int = 0  # datagrams naming another number of voters
-    stale_replies: int = 0  # rejected for their fencing token
+    rejected_headers: int = 0  # datagrams with a different number of voters or an invalid gateway number
+    stale_replies: int = 0  # replies rejected because of their fencing token
     sent: int = 0  # datagrams
     sent_bytes: int = 0
-    received: int = 0
-    acquired: int = 0
+    received: int = 0  # datagrams
+    acquired: int = 0  # leases
     lost: int = 0  # leases that could not be renewed in time
-    rejected_requests: int = 0  # beyond MAX_REQUESTS
+    rejected_requests: int = 0  # requests in excess of MAX_REQUESTS
--- a/cloverkeel/leases/manager.py
+++ b/cloverkeel/leases/manager.py
@@ -1,9 +1,9 @@
-"""All leases of one gateway: those that it holds or asks for, and its part as a voter. Pure: the outbox is sent.
+"""All leases of one gateway, held and requested, and its acceptor if it is a voter. Pure: messages go to the outbox.
 
 Invariants:
-- nothing is answered to who names another number of voters;
-- what a holder sends goes out only if its lease says at that moment that it may act;
-- at most MAX_REQUESTS leases are asked for at a time; what is beyond is left as it is without any of this.
+- a datagram with a different number of voters gets no answer;
+- a holder replies only while its lease is valid;
+- at most MAX_REQUESTS leases are requested at a time; the balancer handles further hosts as without leases.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from cloverkeel.leases.fencing import FencingTokenCheck
 from cloverkeel.leases.lease import (
     NEVER_US,
-    NOBODY,
+    NO_GATEWAY,
     Action,
     LeaseAcquired,
     LeaseEnded,
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class LeaseManager:
-    """Leases of one gateway's process, by name."""
+    """The leases of one gateway process."""
 
     process: ProcessId
     gateway_count: int
@@ -63,9 +63,9 @@
     log: Callable[[str], None]
     draw_random: Callable[[], float]
     ballot_clock: BallotClock
-    acceptor: Acceptor | None = None  # of a voter
-    uses_zookeeper: bool = False  # the coordination service decides who holds, not a majority of voters
-    is_excluded: bool = False  # staff want it to hold nothing
+    acceptor: Acceptor | None = None  # None if this gateway is not a voter
+    uses_zookeeper: bool = False  # ZooKeeper grants the leases, not a quorum of voters
+    is_excluded: bool = False  # an operator or the shutdown keeps this gateway from holding leases
     fencing: FencingTokenCheck = field(default_factory=FencingTokenCheck)
     request_by_lease: dict[int, LeaseRequest] = field(default_factory=dict)
     counters: LeaseCounters = field(default_factory=LeaseCounters)
@@ -79,13 +79,13 @@
         )
 
     def header(self) -> Header:
-        """Return what a datagram sent now begins with."""
+        """Return the header of a datagram that is sent now."""
         return Header(self.config.voters, self.process.gateway, self.process.nonce, self.ballot_clock.highest)
 
     # Requests
 
     def request_lease(self, now_us: int, name: str, task: LeasedTask) -> int:
-        """Ask for a lease that somebody should hold; returns its id."""
+        """Request a lease by name, unless it is already requested or there are too many; return its id."""
         lease_id = lease_id_of(name)
         if lease_id in self.request_by_lease:
             return lease_id
@@ -100,24 +100,24 @@
         return lease_id
 
     def make_lease(self, lease_id: int, rendezvous_rank: float) -> QuorumLease | ZookeeperLease:
-        """Make a lease of the kind that is configured."""
+        """Return a lease of the configured kind."""
         if self.uses_zookeeper:
             return ZookeeperLease(lease_id, self.config.lease_us, rendezvous_rank, self.draw_random)
         return QuorumLease(lease_id, self.config, self.ballot_clock, rendezvous_rank, self.draw_random)
 
     def withdraw_request(self, now_us: int, lease_id: int) -> None:
-        """Ask for a lease no more, and release it if it is held here."""
+        """Stop requesting a lease, and release it if this gateway holds it."""
         request = self.request_by_lease.pop(lease_id, None)
         if request is not None:
             self.apply_actions(now_us, request, request.lease.set_wanted(now_us, False))
 
     def can_act(self, now_us: int, lease_id: int) -> bool:
-        """Tell whether this gateway may act as the lease's holder at this very moment."""
+        """Return whether this gateway may act as the lease's holder at this moment."""
         request = self.request_by_lease.get(lease_id)
         return request is not None and request.lease.can_act(now_us)
 
     def apply_actions(self, now_us: int, request: LeaseRequest, actions: list[Action]) -> None:
-        """Send what a lease wants sent, and tell its task what became of it."""
+        """Perform a lease's actions: queue its messages, and notify its task when it is acquired or ends."""
         for action in actions:
             if isinstance(action, SendMessage):
                 self.outbox.messages.append(action)
@@ -129,7 +129,7 @@
                 self.on_ended(request, action)
 
     def on_acquired(self, now_us: int, request: LeaseRequest, acquired: LeaseAcquired) -> None:
-        """Begin to act as the holder."""
+        """Start to act as the holder."""
         self.counters.acquired += 1
         request.holder = self.process.gateway
         request.acquired_us = now_us
@@ -138,16 +138,16 @@
         self.log(f"leases: acquired, name={request.name}, token={acquired.token}")
 
     def on_ended(self, request: LeaseRequest, ended: LeaseEnded) -> None:
-        """Act as the holder no more."""
+        """Stop acting as the holder."""
         self.counters.lost += request.lease.phase is LeasePhase.LOST
-        request.holder = NOBODY
+        request.holder = NO_GATEWAY
         request.task.on_ended(ended.lease_id)
         self.log(f"leases: ended, name={request.name}, token={ended.token}, reason={ended.reason}")
 
-    # Staff, shutdown, stalls
+    # Exclusion, shutdown, stalls
 
     def set_excluded(self, now_us: int, is_excluded: bool) -> None:
-        """Hold nothing and ask for nothing, or end that; what is held is handed over."""
+        """Exclude this gateway from holding leases, handing over those that it holds, or end the exclusion."""
         self.is_excluded = is_excluded
         for request in self.request_by_lease.values():
             if is_excluded:
@@ -156,20 +156,20 @@
                 self.apply_actions(now_us, request, request.lease.set_wanted(now_us, True))
 
     def exclude(self, now_us: int, request: LeaseRequest) -> None:
-        """Hand a lease over; one that is being asked for is released too: it would be held a moment later."""
+        """Hand a lease over; one that is being acquired is released, as pending responses could still grant it."""
         was_held = self.hand_over(now_us, request)
         request.lease.is_wanted = False
         if not was_held and request.lease.phase is LeasePhase.ACQUIRING:
             self.apply_actions(now_us, request, request.lease.release(now_us, "no longer requested"))
 
     def release_all(self, now_us: int) -> None:
-        """Release what is still held: the process ends now."""
+        """Release all leases that are still held: the process is about to exit."""
         for request in self.request_by_lease.values():
             request.lease.is_wanted = False
             self.apply_actions(now_us, request, request.lease.release(now_us, "shutdown"))
 
     def hand_over(self, now_us: int, request: LeaseRequest) -> bool:
-        """Hand a lease to the live gateway that should have it; False where it is not held here."""
+        """Hand a lease to the preferred gateway among those alive; False if this gateway does not hold it."""
         lease = request.lease
         if not lease.can_act(now_us):
             return False
@@ -182,7 +182,7 @@
         return True
 
     def on_stall(self, now_us: int) -> None:
-        """After a stall: leases first, by the time it is now. A gateway that stalls repeatedly hands over."""
+        """Check all leases against the current time; hand them over if the gateway stalls repeatedly."""
         self.tick(now_us)
         self.recent_stalls_us = [at_us for at_us in self.recent_stalls_us if now_us - at_us < STALL_WINDOW_US]
         self.recent_stalls_us.append(now_us)
@@ -191,32 +191,32 @@
             for request in self.request_by_lease.values():
                 self.hand_over(now_us, request)
 
-    # Time
+    # Timers
 
     def next_timer_us(self) -> int:
-        """Return when to call `tick`; reports to this gateway itself wait for the next call."""
+        """Return when to call `tick`; reports of this gateway to itself are not counted and wait for another call."""
         due_us = NEVER_US
         for request in self.request_by_lease.values():
             due_us = min(due_us, request.lease.next_timer_us())
-            if request.holder not in (NOBODY, self.process.gateway):
+            if request.holder not in (NO_GATEWAY, self.process.gateway):
                 due_us = min(due_us, request.next_report_us)
         return due_us
 
     def tick(self, now_us: int) -> None:
-        """Do what is due."""
+        """Run the due steps of all leases, and send the due reports."""
         for request in list(self.request_by_lease.values()):
             if request.lease.is_due(now_us):
                 self.apply_actions(now_us, request, request.lease.tick(now_us))
-            if request.holder != NOBODY and now_us >= request.next_report_us:
+            if request.holder != NO_GATEWAY and now_us >= request.next_report_us:
                 self.reports.send_report(now_us, request)
 
-    # PeerSocket
+    # Datagrams
 
     def receive(self, now_us: int, header: Header, message: Message) -> None:
-        """Take a datagram."""
+        """Handle a datagram."""
         self.counters.received += 1
         if header.voters != self.config.voters or header.sender >= MAX_GATEWAYS:
-            self.counters.strangers += 1
+            self.counters.rejected_headers += 1
             return
         if not self.ballot_clock.observe(now_us, header.highest_counter):
             return
@@ -234,7 +234,7 @@
                 self.on_lease_message(now_us, message, sender, request)
 
     def on_vote_request(self, now_us: int, request: VoteRequest, sender: ProcessId) -> None:
-        """Vote, if this gateway is a voter."""
+        """Answer a vote request if this gateway is a voter."""
         if self.acceptor is None:
             return
         response = self.acceptor.receive(now_us, request, sender.gateway, sender.nonce)
@@ -242,7 +242,7 @@
             self.outbox.send(sender.gateway, response)
 
     def on_lease_message(self, now_us: int, message: LeaseMessage, sender: ProcessId, request: LeaseRequest) -> None:
-        """Take what concerns a lease that is asked for here."""
+        """Handle a message about a lease that this gateway requests."""
         if isinstance(message, LeaderReply):
             self.reports.on_reply(now_us, message, sender, request)
         elif isinstance(message, NotLeaseHolder):
@@ -257,12 +257,12 @@
             self.apply_actions(now_us, request, request.lease.receive(now_us, message, sender.gateway))
 
     def learn_holder(self, now_us: int, holder: int, request: LeaseRequest) -> None:
-        """Report to the holder that a voter or the node names, where none is known."""
-        if request.holder == NOBODY and holder != self.process.gateway:
+        """Report from now on to the holder that a voter or the lease's node names, unless one is already known."""
+        if request.holder == NO_GATEWAY and holder != self.process.gateway:
             request.expect_holder(holder, now_us)
 
     def on_handover(self, now_us: int, handover: Handover, sender: int, request: LeaseRequest) -> None:
-        """Take a lease over; an excluded gateway does not answer, and the sender breaks off."""
+        """Take a lease over; an excluded gateway does not answer, so the sender aborts the handover."""
         if self.is_excluded:
             return
         lease = request.lease
@@ -274,10 +274,10 @@
     # The coordination service
 
     def on_node_response(self, now_us: int, lease_id: int, response: NodeResponse) -> None:
-        """Take a response of the coordination service."""
+        """Handle a response of the coordination service."""
         request = self.request_by_lease.get(lease_id)
         if request is None:
-            if response.outcome is NodeOutcome.OWNED:  # too late: nobody asks for it here
+            if response.outcome is NodeOutcome.OWNED:  # the request was withdrawn before the response came
                 self.outbox.node_requests.append(NodeRequest(lease_id, NodeOperation.DELETE, NO_ROUND))
             return
         if response.outcome is NodeOutcome.TAKEN:
@@ -286,13 +286,13 @@
             self.apply_actions(now_us, request, request.lease.on_response(now_us, response))
 
     def on_session_lost(self, now_us: int) -> None:
-        """Stop acting under all leases of the session."""
+        """Stop acting under any lease of the session."""
         for request in self.request_by_lease.values():
             if isinstance(request.lease, ZookeeperLease):
                 self.apply_actions(now_us, request, request.lease.on_session_lost(now_us))
 
     def describe(self, now_us: int) -> list[dict[str, object]]:
-        """Return what is known of each lease, for staff."""
+        """Return the state of each requested lease, for operators."""
         return [
             request.describe(now_us, self.process.gateway, self.fencing.newest_token(lease_id))
             for lease_id, request in self.request_by_lease.items()
--- a/cloverkeel/leases/messages.py
+++ b/cloverkeel/leases/messages.py
@@ -1,11 +1,11 @@
-"""The codec of datagrams about leases: at most 256 bytes each, with a version and a checksum. Pure.
+"""Codec of lease datagrams: at most 256 bytes each, with a version and a checksum. Pure.
 
-docs/duties-wire.md has the form. It keeps the names of the protocol; this module maps them to the code's:
+docs/duties-wire.md specifies the format, in which some names differ from those in this module:
 
-    on the wire                  here
+    specification                this module
     duty                         lease_id
     epoch                        token (fencing token)
-    stamp, echo                  timestamp, echoed_timestamp (as TSval and TSecr of RFC 7323)
+    stamp, echo                  timestamp, echoed_timestamp (like TSval and TSecr of RFC 7323)
     length                       duration_us
     why, number, nonce, left     reason, holder, holder_nonce, remaining_us
     hand, taken                  Handover, HandoverAck
@@ -13,9 +13,9 @@
     not mine, older              NotLeaseHolder, StaleTokenNotice
 
 Invariants:
-- whatever the bytes are, there is a message or None, never an error;
-- what is decoded from what was encoded is the same;
-- no message is longer than MAX_DATAGRAM_BYTES.
+- `decode` returns a message or None for any bytes, and never raises;
+- decoding an encoded message yields an equal message;
+- no datagram is longer than MAX_DATAGRAM_BYTES.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 from cloverkeel.leases.errors import FieldRangeError, PayloadTooLargeError
 
 MAX_DATAGRAM_BYTES: Final = 256
-MAX_PAYLOAD_BYTES: Final = 160  # that a leased task may add
+MAX_PAYLOAD_BYTES: Final = 160  # limit of a leased role's data in a message
 MAGIC: Final = 0xC7
 VERSION: Final = 1
 HEADER_FORMAT: Final = struct.Struct(">BBBBHIQ")  # magic, version, kind, and the fields of Header
-CHECKSUM_FORMAT: Final = struct.Struct(">I")  # CRC-32 of all before it
+CHECKSUM_FORMAT: Final = struct.Struct(">I")  # CRC-32 of the preceding bytes
 LEASE_ID_BITS: Final = 60
 
 
 class RefusalReason(IntEnum):
     """Why a voter refuses."""
 
-    HELD = 1  # another process holds it
+    HELD = 1  # another process holds the lease
     BALLOT = 2  # a higher ballot was promised
-    FULL = 3  # it knows as many leases as it may
-    LENGTH = 4  # longer than it accepts
-    LEAP = 5  # a ballot from far in the future
+    FULL = 3  # the voter's table of leases is full
+    LENGTH = 4  # the proposed duration exceeds the configured one
+    LEAP = 5  # the ballot's counter is far in the future
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,7 +54,7 @@
     lease_id: int
     ballot: int
     round: int
-    consent_ballot: int = 0  # of a holder that hands over; 0: none
+    consent_ballot: int = 0  # ballot of the holder that hands over; 0 if none does
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Promised:
-    """Answer a prepare: no lower ballot will be promised."""
+    """Answer a Prepare: the voter will reject lower ballots."""
 
     lease_id: int
     ballot: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """Answer a propose: the lease runs at this voter."""
+    """Answer a Propose: the voter has accepted the lease."""
 
     lease_id: int
     ballot: int
@@ -88,21 +88,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """Answer a prepare or a propose with no."""
+    """Reject a Prepare or a Propose."""
 
     lease_id: int
     ballot: int
     round: int
-    reason: int  # a RefusalReason, or a number of a later version
-    holder: int  # the gateway that holds it
+    reason: int  # a RefusalReason, or a value added by a later version
+    holder: int  # the gateway that holds the lease; meaningful only if remaining_us > 0
     holder_nonce: int
-    remaining_us: int  # until its lease expires at this voter
+    remaining_us: int  # time until the holder's lease expires at this voter; 0 if there is none
     promised_ballot: int
 
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Tell a voter that nobody acts under this ballot any more."""
+    """Inform a voter that no process acts under this ballot any more."""
 
     lease_id: int
     ballot: int
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Handover:
-    """Hand a lease to a successor: the holder has stopped acting, and its ballot is its consent."""
+    """Hand a lease to a successor: the holder has stopped acting, and its ballot serves as its consent."""
 
     lease_id: int
     ballot: int
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HandoverAck:
-    """Tell the former holder the new holder's fencing token."""
+    """Acknowledge a handover to the former holder, with the new holder's fencing token."""
 
     lease_id: int
     token: int
@@ -127,42 +127,45 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """Report to the presumed lease holder. A timestamp is of its maker's clock, and comes back as it was."""
+    """Report to the presumed lease holder.
+
+    A timestamp is a reading of its maker's own clock; the other side echoes it unchanged.
+    """
 
     lease_id: int
-    timestamp: int  # of the reporter
-    echoed_timestamp: int  # the holder's last one; 0: none
+    timestamp: int  # made by the reporter
+    echoed_timestamp: int  # the holder's newest timestamp; 0 if unknown
     payload: bytes = b""
 
 
 @dataclass(slots=True, frozen=True)
 class LeaderReply:
-    """Answer a report: what the lease holder decided, under its fencing token."""
+    """Answer a report with the lease holder's decision, under its fencing token."""
 
     lease_id: int
     token: int
-    timestamp: int  # of the holder
-    echoed_timestamp: int  # of the report
+    timestamp: int  # made by the holder
+    echoed_timestamp: int  # timestamp of the report
     payload: bytes = b""
 
 
 @dataclass(slots=True, frozen=True)
 class NotLeaseHolder:
-    """Tell a reporter that this gateway does not hold the lease."""
+    """Inform a reporter that this gateway does not hold the lease."""
 
     lease_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """Carry nothing but the header: the highest counter that its sender has observed."""
+    """Carry only the header, which contains the highest ballot counter that the sender has observed."""
 
     wants_reply: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class StaleTokenNotice:
-    """Tell a holder whose reply was rejected the newest token that this gateway has seen."""
+    """Inform a holder whose reply was rejected of the newest token that this gateway has seen."""
 
     lease_id: int
     newest_token: int
@@ -176,12 +179,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Header:
-    """What every datagram begins with."""
+    """The fields at the start of every datagram, after magic, version and kind."""
 
-    voters: int
-    sender: int  # the gateway's number
-    nonce: int  # drawn by the sender's process at its start
-    highest_counter: int  # of a ballot, that the sender has observed
+    voters: int  # number of voters in the sender's configuration
+    sender: int  # gateway number
+    nonce: int  # drawn at random when the sender's process started
+    highest_counter: int  # highest ballot counter that the sender has observed
 
 
 @dataclass(slots=True, frozen=True)
@@ -194,7 +197,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Layout:
-    """The form of one kind's body: its fields in their order, and whether the rest is a payload."""
+    """Body layout of one message kind: the fixed fields in order, and whether a payload follows them."""
 
     kind: int
     body: struct.Struct
@@ -223,9 +226,9 @@
 
 
 def encode(header: Header, message: Message) -> bytes:
-    """Make a datagram.
+    """Encode a datagram.
 
-    Raises PayloadTooLargeError or FieldRangeError (both ValueError) for what does not fit.
+    Raises PayloadTooLargeError or FieldRangeError (both ValueError) if a payload or a field does not fit.
     """
     layout = _LAYOUT_BY_TYPE[type(message)]
     values = [getattr(message, name) for name in _FIELD_NAMES_BY_TYPE[type(message)]]
@@ -243,7 +246,7 @@
 
 
 def decode(data: bytes) -> Datagram | None:
-    """Read a datagram; None for what is cut short, corrupted, too long, of another version or an unknown kind."""
+    """Decode a datagram; None if it is truncated, corrupted, too long, of another version or of an unknown kind."""
     if not HEADER_FORMAT.size + CHECKSUM_FORMAT.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
     checked = data[: -CHECKSUM_FORMAT.size]
--- a/cloverkeel/leases/outbox.py
+++ b/cloverkeel/leases/outbox.py
@@ -1,4 +1,4 @@
-"""What the pure parts want sent, in order. Pure."""
+"""Queue of outgoing datagrams and node requests, filled by the modules without I/O. Pure."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """PeerSocket to gateways, and requests to the coordination service."""
+    """Datagrams to gateways and requests to the coordination service, each in order."""
 
     messages: list[SendMessage] = field(default_factory=list)
     node_requests: list[NodeRequest] = field(default_factory=list)
 
     def send(self, to: int, message: Message) -> None:
-        """Add a datagram to a gateway."""
+        """Queue a datagram to a gateway."""
         self.messages.append(SendMessage(to, message))
 
     def take_messages(self) -> list[SendMessage]:
-        """Return all datagrams, and keep none."""
+        """Remove and return all queued datagrams."""
         messages, self.messages = self.messages, []
         return messages
 
     def take_node_requests(self) -> list[NodeRequest]:
-        """Return all requests to the coordination service, and keep none."""
+        """Remove and return all queued requests to the coordination service."""
         requests, self.node_requests = self.node_requests, []
         return requests
--- a/cloverkeel/leases/process.py
+++ b/cloverkeel/leases/process.py
@@ -1,6 +1,6 @@
-"""Who sends, and the timestamps that others echo. Pure.
+"""Process identity, and the timestamps that other gateways echo. Pure.
 
-Invariant: only the process that made a timestamp reads it.
+Invariant: a timestamp is interpreted only by the process that made it.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 from cloverkeel.leases.ballots import RANDOM_BITS, REFERENCE_TIME_US
 
 NONCE_BITS: Final = 32
-TIMESTAMP_BITS: Final = 48  # microseconds since 2026; the bits above are random bits of the process
+TIMESTAMP_BITS: Final = 48  # microseconds since 2026; the higher bits are random bits of the process
 MAX_TIMESTAMP: Final = (1 << TIMESTAMP_BITS) - 1
 UNKNOWN_PROCESS: Final = -1
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessId:
-    """One process of a gateway: a restarted one is another."""
+    """One process of a gateway; each restart yields a new identity."""
 
     gateway: int
-    nonce: int  # drawn at its start
+    nonce: int  # drawn at random when the process starts
 
     @property
     def key(self) -> int:
-        """Return one number for the process."""
+        """Return the identity as one integer."""
         return (self.gateway << NONCE_BITS) | self.nonce
 
     def make_timestamp(self, now_us: int) -> int:
-        """Return this moment, for others to echo."""
+        """Encode the current time as a timestamp that other gateways echo."""
         return (self._random_bits << TIMESTAMP_BITS) | min(MAX_TIMESTAMP, max(1, now_us - REFERENCE_TIME_US))
 
     def read_timestamp(self, timestamp: int) -> int:
-        """Return the moment of a timestamp of this process; 0 for one of another.
+        """Decode a timestamp of this process to microseconds; 0 if another process made it.
 
-        Guards against a restarted process with another wall clock: old timestamps would seem to be of now.
+        If the wall clock changed at a restart, timestamps of the former process could otherwise appear current.
         """
         if timestamp >> TIMESTAMP_BITS != self._random_bits:
             return 0
@@ -47,5 +47,5 @@
 
 
 def process_of_timestamp(gateway: int, timestamp: int) -> int:
-    """Return a number for the process of a gateway that made a timestamp."""
+    """Return an integer that identifies the gateway process that made a timestamp."""
     return (gateway << RANDOM_BITS) | (timestamp >> TIMESTAMP_BITS)
--- a/cloverkeel/leases/quorum_lease.py
+++ b/cloverkeel/leases/quorum_lease.py
@@ -1,13 +1,13 @@
-"""A lease by a majority of voters: the proposer's side. Pure: time comes in, actions go out.
+"""The proposer's side of quorum leases. Pure: the current time is an argument, and methods return actions.
 
-After PaxosLease (Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases", 2012): a round is a prepare
-to all voters, and after a majority of promises a propose; a renewal is one propose of the same ballot.
+Follows PaxosLease (Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases", 2012): a Prepare to all
+voters, then, after a majority of promises, a Propose; a renewal is a Propose under the same ballot.
 
 Invariants (docs/duties-design.md):
-- the gateway relies on its lease until the moment at which the round that won was begun, before its first datagram
-  left, and the lease's duration less the allowance for clock drift;
-- answers count for the round that they name and for no other;
-- once it has begun to hand over it acts no more under that ballot, whatever comes.
+- a lease is valid for its duration less the allowance for clock drift, counted from the start of the round that won
+  it, which precedes the round's first datagram;
+- a response counts only for the round that it names;
+- once the holder has started a handover it never acts under that ballot again.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
     Release,
 )
 
-MAX_HANDOVER_ATTEMPTS: Final = 4  # messages to a successor, a resend interval apart
+MAX_HANDOVER_ATTEMPTS: Final = 4  # Handover messages to a successor, one per resend interval
 MAX_ROUND: Final = 0xFFFFFFFF
 
 
 class QuorumLease(Lease):
-    """A lease that a majority of voters has accepted."""
+    """A lease that is held once a majority of voters has accepted it."""
 
     def __init__(
         self, lease_id: int, config: LeaseConfig, ballot_clock: BallotClock, rendezvous_rank: float,
@@ -56,11 +56,11 @@
         super().__init__(lease_id, config.lease_us, rendezvous_rank, draw_random)
         self.config = config
         self.ballot_clock = ballot_clock
-        self.ballot = 0  # of the open round, or under which it is held
-        self.round = 0  # counts what was sent to the voters; answers name it
+        self.ballot = 0  # ballot of the current round
+        self.round = 0  # counts the broadcasts of Prepare and Propose; responses carry it
         self.round_started_us = 0
         self.is_round_open = False
-        self.is_proposing = False  # the round is for acceptance, not for promises
+        self.is_proposing = False  # the round's request is a Propose, not a Prepare
         self.promised_by: set[int] = set()
         self.accepted_by: set[int] = set()
         self.refusal_by_voter: dict[int, Refused] = {}
@@ -69,7 +69,7 @@
     # Messages
 
     def receive(self, now_us: int, message: Message, sender: int) -> list[Action]:
-        """Take an answer of the voter with this number, or the acknowledgement of a handover."""
+        """Handle a response of the voter with this number, or the acknowledgement of a handover."""
         if isinstance(message, HandoverAck):
             return self.on_handover_ack(message)
         if not isinstance(message, Promised | Accepted | Refused) or not self.is_of_open_round(message):
@@ -81,7 +81,7 @@
         return self.on_accepted(sender)
 
     def is_of_open_round(self, message: Promised | Accepted | Refused) -> bool:
-        """Tell whether an answer is to the open round; one to an older round proves nothing of this one."""
+        """Return whether a response belongs to the open round; responses to older rounds are ignored."""
         return self.is_round_open and message.round == self.round and message.ballot == self.ballot
 
     def on_promised(self, now_us: int, voter: int) -> list[Action]:
@@ -103,7 +103,7 @@
         return self.on_quorum_accepted()
 
     def on_quorum_accepted(self) -> list[Action]:
-        """Hold the lease, counted from the round's begin, and acknowledge the handover that led to it."""
+        """Hold the lease, valid from the start of the round, and acknowledge the handover that led to it."""
         is_new = self.phase is not LeasePhase.HELD or self.token != self.ballot
         self.phase = LeasePhase.HELD
         self.token = self.ballot
@@ -121,7 +121,7 @@
         return actions
 
     def on_refused(self, now_us: int, refused: Refused, voter: int) -> list[Action]:
-        """Count a refusal; give the round up when no majority can come of it."""
+        """Record a refusal, and end the round when a majority is no longer possible."""
         self.refusal_by_voter[voter] = refused
         if refused.promised_ballot:
             self.ballot_clock.observe(now_us, counter_of(refused.promised_ballot))
@@ -130,9 +130,9 @@
         return self.on_quorum_refused(now_us)
 
     def on_quorum_refused(self, now_us: int) -> list[Action]:
-        """Begin anew as the holder, else back off until the lease of whoever holds it has ended."""
+        """Start a round with a new ballot as the holder; otherwise back off until the holder's lease has ended."""
         if self.phase is LeasePhase.HELD:
-            # Restarted voters may have promised more than its ballot to nobody in particular.
+            # A restarted voter's minimum promise may exceed this ballot although no rival proposed.
             self.start_ballot(now_us)
             return self.send_prepare(now_us)
         refusals = self.refusal_by_voter.values()
@@ -140,11 +140,11 @@
         return self.on_round_failed(now_us, max(held, default=0))
 
     def on_round_failed(self, now_us: int, remaining_us: int) -> list[Action]:
-        """Retry a handover at once, else back off; `remaining_us`: of another holder's lease, 0 if there is none."""
+        """Retry a handover at once, otherwise back off; `remaining_us`: of another holder's lease, 0 if none."""
         self.failed_attempts += 1
         actions: list[Action] = []
         if self.is_proposing:
-            # Answers may be lost: what voters may have accepted is given back, whether or not they said so.
+            # Responses may be lost, so a voter may have accepted: release the ballot at all voters.
             actions += self.broadcast_to_voters(Release(self.lease_id, self.ballot))
         if self.consent_ballot and self.failed_attempts < MAX_HANDOVER_ATTEMPTS:
             self.start_ballot(now_us)
@@ -153,7 +153,7 @@
         return actions
 
     def on_stale_token(self, now_us: int, newest_token: int) -> list[Action]:
-        """Follow the newer token, and begin a round above it."""
+        """Observe the newer token, and start a round with a higher ballot."""
         if self.phase is not LeasePhase.HELD or newest_token <= self.token:
             return []
         if not self.ballot_clock.observe(now_us, counter_of(newest_token)):
@@ -172,7 +172,7 @@
         return [ended, *self.broadcast_to_voters(Release(self.lease_id, self.ballot))]
 
     def on_due(self, now_us: int) -> list[Action]:
-        """Do what was planned for this moment."""
+        """Perform the step scheduled for `due_us`."""
         if self.phase is LeasePhase.HANDING_OVER:
             return self.send_handover(now_us)
         if self.phase is LeasePhase.HELD:
@@ -185,19 +185,19 @@
         return []
 
     def acquire(self, now_us: int) -> list[Action]:
-        """Begin a round for a lease that is not held here."""
+        """Start a round for a lease that this gateway does not hold."""
         self.phase = LeasePhase.ACQUIRING
         self.start_ballot(now_us)
         return self.send_prepare(now_us)
 
     def renew(self, now_us: int) -> list[Action]:
-        """Renew by the ballot that it has; or repeat the round that was not answered in time."""
+        """Renew under the current ballot, or repeat a round that got no quorum of responses in time."""
         if self.is_round_open and not self.is_proposing:
             return self.send_prepare(now_us)
         return self.send_propose(now_us)
 
     def release(self, now_us: int, reason: str) -> list[Action]:
-        """Hold it no more, at once; whoever wants it need not wait. If it is wanted here, others come first."""
+        """Stop acting and free the lease at the voters at once; if it is still wanted, retry after two leases."""
         actions: list[Action] = []
         if self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER):
             actions.append(LeaseEnded(self.lease_id, self.token, reason))
@@ -210,12 +210,12 @@
     # Rounds
 
     def start_ballot(self, now_us: int) -> None:
-        """Take a new ballot, which needs promises first."""
+        """Switch to a new ballot, which needs promises before it can be proposed."""
         self.ballot = self.ballot_clock.next_ballot(now_us)
         self.is_proposing = False
 
     def start_round(self, now_us: int) -> None:
-        """Open a round: from now on only answers to it count."""
+        """Open a new round; from now on only responses to it count."""
         self.round = (self.round + 1) & MAX_ROUND
         self.round_started_us = now_us
         self.is_round_open = True
@@ -225,12 +225,12 @@
             self.due_us = min(self.due_us, self.valid_until_us)
 
     def send_prepare(self, now_us: int) -> list[Action]:
-        """Open a round for promises."""
+        """Open a round and ask the voters for promises."""
         self.start_round(now_us)
         return self.broadcast_to_voters(Prepare(self.lease_id, self.ballot, self.round, self.consent_ballot))
 
     def send_propose(self, now_us: int) -> list[Action]:
-        """Open a round for acceptance."""
+        """Open a round and ask the voters to accept the lease."""
         self.start_round(now_us)
         self.is_proposing = True
         proposal = Propose(self.lease_id, self.ballot, self.round, self.config.lease_us, self.consent_ballot)
@@ -241,14 +241,14 @@
         return [SendMessage(voter, message) for voter in range(self.config.voters)]
 
     def become_free(self, next_attempt_us: int) -> None:
-        """Hold nothing, and ask again at that time if it is wanted."""
+        """Reset to FREE, and schedule the next attempt if the lease is wanted."""
         super().become_free(next_attempt_us)
         self.is_round_open = False
 
     # Handover
 
     def hand_over(self, now_us: int, successor: int, state: bytes) -> list[Action]:
-        """Stop acting, and let this gateway have the lease with this state; nothing where it is not held."""
+        """Stop acting and hand the lease with this state to `successor`; no effect unless the lease is held."""
         if not self.can_act(now_us):
             return []
         self.phase = LeasePhase.HANDING_OVER
@@ -260,7 +260,7 @@
         return self.send_handover(now_us)
 
     def send_handover(self, now_us: int) -> list[Action]:
-        """Offer the lease to the successor, or break off after the last attempt."""
+        """Offer the lease to the successor, or abort after the last attempt."""
         self.handover_attempts += 1
         if self.handover_attempts > MAX_HANDOVER_ATTEMPTS:
             return self.abort_handover(now_us)
@@ -268,7 +268,7 @@
         return [SendMessage(self.successor, Handover(self.lease_id, self.token, self.handover_state))]
 
     def abort_handover(self, now_us: int) -> list[Action]:
-        """Leave the lease to anybody: a late handover finds another's lease, or none."""
+        """End the handover and release the lease: the voters ignore the consent of a handover that arrives later."""
         ended = LeaseEnded(self.lease_id, self.token, f"handover to gateway {self.successor} not acknowledged")
         actions: list[Action] = [ended, *self.broadcast_to_voters(Release(self.lease_id, self.token))]
         self.failed_attempts += 1
@@ -284,9 +284,9 @@
         return [ended]
 
     def on_handover(self, now_us: int, handover: Handover) -> list[Action]:
-        """Ask at once with the consent of the holder that hands over to this gateway."""
+        """Propose at once, with the consent of the holder that hands over to this gateway."""
         if self.phase is LeasePhase.HELD and handover.ballot < self.token:
-            ack = HandoverAck(self.lease_id, self.token)  # the first one was lost
+            ack = HandoverAck(self.lease_id, self.token)  # the first acknowledgement was lost
             return [SendMessage(gateway_of(handover.ballot), ack)]
         is_busy = self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER)
         if is_busy or self.consent_ballot == handover.ballot:
--- a/cloverkeel/leases/zookeeper_driver.py
+++ b/cloverkeel/leases/zookeeper_driver.py
@@ -1,7 +1,7 @@
-"""The client of the coordination service for leases, through kazoo. Imported only where that service is the store.
+"""ZooKeeper client of the leases, based on kazoo. Imported only if ZooKeeper is the configured store.
 
-One session of its own. Calls are asynchronous and of one session, so the service does them in the order in which
-they were made; responses go to the loop. Nothing is retried here.
+The client has a session of its own. Calls are asynchronous and belong to one session, so the service executes them in
+the order in which they were made. Responses are passed to the event loop; the client does not retry calls.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 from cloverkeel.core.log import log
 from cloverkeel.core.options import LeaseOptions
-from cloverkeel.leases.lease import NOBODY, NodeOperation, NodeRequest
+from cloverkeel.leases.lease import NO_GATEWAY, NodeOperation, NodeRequest
 from cloverkeel.leases.messages import LEASE_ID_BITS
 from cloverkeel.leases.process import ProcessId
 from cloverkeel.leases.zookeeper_lease import NO_ROUND, NodeOutcome, NodeResponse
 
 CONNECTION_RETRY: Final = {"max_tries": -1, "delay": 0.2, "backoff": 2, "max_jitter": 0.5, "max_delay": 2.0}
-TIMEOUT_PER_READ: Final = 1.5  # kazoo reads for two thirds of the timeout that the service has granted
+TIMEOUT_PER_READ: Final = 1.5  # kazoo's read timeout is two thirds of the session timeout that the service granted
 
 OnResponse = Callable[[int, NodeResponse], None]
 
 
 class LeaseNodeClient:
-    """Create, renew and delete the nodes of leases."""
+    """Client that creates, renews and deletes the nodes of leases."""
 
     def __init__(
         self, options: LeaseOptions, process: ProcessId, on_response: OnResponse, on_session_lost: Callable[[], None]
     ) -> None:
-        """Make a client that is not connected; the two callbacks are called on the running loop."""
+        """Initialize without connecting; the two callbacks are called on the running event loop."""
         self.loop = asyncio.get_running_loop()
         self.path = options.path
         self.session_ms = options.lease_ms
@@ -43,7 +43,7 @@
         self.on_response = on_response
         self.on_session_lost = on_session_lost
         self.is_closed = False
-        self.granted_session_ms = 0  # the session's timeout as the service granted it
+        self.granted_session_ms = 0  # session timeout granted by the service; 0 before the first connection
         logging.getLogger("kazoo").setLevel(logging.CRITICAL)
         self.client = KazooClient(
             options.hosts, timeout=options.lease_ms / 1000, connection_retry=KazooRetry(**CONNECTION_RETRY),
@@ -53,7 +53,10 @@
         self.observe_granted_timeout()
 
     def observe_granted_timeout(self) -> None:
-        """Guard against a service that grants less than was asked for: kazoo tells of it nowhere else."""
+        """Record the session timeout that the service grants, which may be shorter than the requested one.
+
+        kazoo exposes it only as the read timeout returned by its private connect method.
+        """
         connection: Any = self.client._connection
         connect = connection._connect
 
@@ -65,11 +68,11 @@
         connection._connect = connect_and_observe
 
     def start(self) -> None:
-        """Begin to connect; returns at once."""
+        """Start to connect, without blocking."""
         self.client.start_async()
 
     def close(self) -> None:
-        """End the session, and its nodes with it; nothing waits for that."""
+        """End the session, which deletes its nodes, in a background thread."""
         self.is_closed = True
         threading.Thread(target=self.end_session, name="leases-session-end", daemon=True).start()
 
@@ -85,30 +88,30 @@
         """Return the path of a lease's node."""
         return f"{self.path}/{lease_id:0{LEASE_ID_BITS // 4}x}"
 
-    # From kazoo's threads
+    # Callbacks on kazoo's threads
 
     def on_session_state(self, state: str) -> None:
-        """Pass the session's loss on to the loop; a suspended one may come back."""
+        """Pass the loss of the session to the event loop; a suspended session is ignored, as it may resume."""
         if state == "LOST":
             self.call_on_loop(self.on_session_lost)
 
     def call_on_loop(self, callback: Callable[..., None], *values: Any) -> None:
-        """Call something on the loop, unless that has ended."""
+        """Call a function on the event loop, unless the client or the loop is closed."""
         if self.is_closed:
             return
         try:
             self.loop.call_soon_threadsafe(callback, *values)
         except RuntimeError:
-            self.is_closed = True  # the loop has ended
+            self.is_closed = True  # the event loop is closed
 
     def respond(self, lease_id: int, response: NodeResponse) -> None:
-        """Pass a response on to the loop."""
+        """Pass a response to the event loop."""
         self.call_on_loop(self.on_response, lease_id, response)
 
-    # Requests, on the loop
+    # Requests, on the event loop
 
     def send(self, request: NodeRequest) -> None:
-        """Make a request; its response comes to `on_response`."""
+        """Send a request; its response is passed to `on_response`."""
         lease_id, round_ = request.lease_id, request.round
         path = self.path_of(lease_id)
         try:
@@ -128,7 +131,7 @@
     # Results, on kazoo's threads
 
     def on_created(self, lease_id: int, round_: int, result: Any) -> None:
-        """Respond to a create; where there is a node, read whose it is."""
+        """Respond to a create; if the node already exists, read it to find its owner."""
         try:
             _, stat = result.get()
             self.respond(lease_id, self.classify(round_, self.node_data, stat))
@@ -139,7 +142,7 @@
             self.respond(lease_id, NodeResponse(round_, NodeOutcome.FAILED))
 
     def on_read(self, lease_id: int, round_: int, result: Any) -> None:
-        """Take a node that is there: perhaps our own, of a create whose response was lost. A write shows it."""
+        """Classify an existing node; confirm our own node, left by a create whose response was lost, by a write."""
         try:
             data, stat = result.get()
         except NoNodeError:
@@ -165,19 +168,22 @@
             self.respond(lease_id, NodeResponse(round_, NodeOutcome.FAILED))
 
     def on_read_to_delete(self, lease_id: int, result: Any) -> None:
-        """Delete a node if it is our own, and only as it was read."""
+        """Delete a node if it is our own and its version has not changed since it was read."""
         try:
             data, stat = result.get()
             if self.classify(NO_ROUND, data, stat).outcome is NodeOutcome.OWNED:
                 self.client.delete_async(self.path_of(lease_id), version=stat.version)
         except Exception:
-            return  # it is gone, or ends with the session
+            return  # the node does not exist any more, or is deleted when the session ends
 
     def classify(self, round_: int, data: bytes, stat: Any) -> NodeResponse:
-        """Tell whose node it is by its data and its owner."""
+        """Return whose node it is, according to its data and its owning session.
+
+        It counts as our own only if the granted session timeout is not shorter than the lease.
+        """
         session = self.client.client_id[0] if self.client.client_id else 0
         is_own = stat.ephemeralOwner == session and data == self.node_data
         if is_own and self.granted_session_ms >= self.session_ms:
             return NodeResponse(round_, NodeOutcome.OWNED, stat.czxid)
         owner, _, _ = data.partition(b" ")
-        return NodeResponse(round_, NodeOutcome.TAKEN, stat.czxid, int(owner) if owner.isdigit() else NOBODY)
+        return NodeResponse(round_, NodeOutcome.TAKEN, stat.czxid, int(owner) if owner.isdigit() else NO_GATEWAY)
--- a/cloverkeel/leases/zookeeper_lease.py
+++ b/cloverkeel/leases/zookeeper_lease.py
@@ -1,13 +1,12 @@
-"""A lease by the coordination service: an ephemeral node. Pure: time and responses come in, actions go out.
+"""A lease in ZooKeeper: an ephemeral node. Pure: time and responses are arguments, and methods return actions.
 
 Invariants (docs/duties-design.md):
-- the gateway relies on its lease until the moment before its last write that the service has done was sent, and the
-  session's timeout less what follows, at the most: a follower reports the sessions that it heard from to the leader
-  every half tick, and no session is shorter than two ticks, so a quarter of the timeout; and one part in 200 for
-  clock drift;
-- a node counts as its own only if its owner is the session that responds and its data was written by this process;
-- a response that comes too late to count leaves no node behind;
-- a suspended session takes nothing away but renewals; a lost one ends the lease at once.
+- a lease is valid for the session timeout less two deductions, counted from the time just before the last successful
+  write was sent. The deductions are a quarter of the timeout, because a follower reports active sessions to the
+  leader every half tick and a session timeout is at least two ticks, and 1/200 for clock drift;
+- a node counts as the gateway's own only if its owner is the session that responds and this process wrote its data;
+- a response that is too late to count leaves no node behind;
+- a suspended session only prevents renewals; a lost session ends the lease at once.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 from cloverkeel.leases.lease import (
     NEVER_US,
-    NOBODY,
+    NO_GATEWAY,
     RENEWALS_PER_LEASE,
     RESENDS_PER_LEASE,
     Action,
@@ -34,29 +33,29 @@
 from cloverkeel.leases.lease_config import CLOCK_DRIFT_DIVISOR
 from cloverkeel.leases.messages import Handover, HandoverAck, Message
 
-FOLLOWER_DELAY_DIVISOR: Final = 4  # part of the timeout by which the leader may hear of a session too late
-RETRY_DIVISOR: Final = 4  # part of the lease after which a create that was not answered is repeated
-HANDOVER_DIVISOR: Final = 2  # part of the lease for which a successor's acknowledgement is awaited
-NO_ROUND: Final = 0  # of a request whose response is not awaited
+FOLLOWER_DELAY_DIVISOR: Final = 4  # a follower's report of a session may be 1/4 of the timeout late at the leader
+RETRY_DIVISOR: Final = 4  # an unanswered create is repeated after 1/4 of the lease
+HANDOVER_DIVISOR: Final = 2  # a successor's acknowledgement is awaited for 1/2 of the lease
+NO_ROUND: Final = 0  # round of a request whose response is ignored
 
 
 class NodeOutcome(Enum):
-    """What came of a request to the coordination service."""
+    """Outcome of a request to the coordination service."""
 
-    OWNED = "owned"  # created, or written: it is there, and this session's and process's
-    TAKEN = "taken"  # it is another process's
+    OWNED = "owned"  # the node was created or written, and belongs to this session and process
+    TAKEN = "taken"  # the node belongs to another process
     MISSING = "missing"
-    FAILED = "failed"  # not known: the connection was lost, or there is none
+    FAILED = "failed"  # unknown: the connection was lost or does not exist
 
 
 @dataclass(slots=True, frozen=True)
 class NodeResponse:
-    """The response to the request of this round."""
+    """The response to the request with the same round."""
 
     round: int
     outcome: NodeOutcome
-    czxid: int = 0  # of the node's creation: its fencing token
-    owner: int = NOBODY  # the gateway that the node names
+    czxid: int = 0  # ZooKeeper's transaction id of the node's creation: the fencing token
+    owner: int = NO_GATEWAY  # the gateway named in the node's data
 
 
 class ZookeeperLease(Lease):
@@ -66,20 +65,22 @@
         self, lease_id: int, lease_us: int, rendezvous_rank: float, draw_random: Callable[[], float]
     ) -> None:
         super().__init__(lease_id, lease_us, rendezvous_rank, draw_random)
-        self.round = 0  # counts requests; responses name it
+        self.round = 0  # counts requests; responses carry it
         self.request_sent_us = 0
         self.is_awaiting_response = False
-        self.min_token = 0  # seen by others: a service that was restored from an older state gives lower ones
+        # Newest token known to have been seen by other gateways; own tokens must be higher. A service that was
+        # restored from an older state issues lower ones.
+        self.min_token = 0
 
     @property
     def validity_us(self) -> int:
-        """Return how long a holder may rely on its lease, from before its write was sent."""
+        """Return how long a holder may rely on its lease, counted from before its write was sent."""
         return self.lease_us - self.lease_us // FOLLOWER_DELAY_DIVISOR - self.lease_us // CLOCK_DRIFT_DIVISOR
 
     # Requests to the service
 
     def request(self, now_us: int, operation: NodeOperation) -> list[Action]:
-        """Ask the service for something; a delete's response is not awaited."""
+        """Send a request to the service; the response to a delete is not awaited."""
         self.round += 1
         self.request_sent_us = now_us
         self.is_awaiting_response = operation is not NodeOperation.DELETE
@@ -89,11 +90,11 @@
         return [NodeRequest(self.lease_id, operation, self.round)]
 
     def on_response(self, now_us: int, response: NodeResponse) -> list[Action]:
-        """Take the service's response."""
+        """Handle a response of the service."""
         if response.round != self.round or not self.is_awaiting_response:
             return self.on_late_response(response)
         if response.outcome is NodeOutcome.FAILED:
-            return []  # what was not answered in time is repeated
+            return []  # the request is repeated when `due_us` has passed
         self.is_awaiting_response = False
         if response.outcome is NodeOutcome.OWNED:
             return self.on_owned(response.czxid)
@@ -107,12 +108,12 @@
         return []
 
     def on_late_response(self, response: NodeResponse) -> list[Action]:
-        """Delete a node that was created when nothing of it was wanted any more."""
+        """Delete a node whose creation is reported after this gateway stopped trying to acquire the lease."""
         is_leftover = response.outcome is NodeOutcome.OWNED and self.phase in (LeasePhase.FREE, LeasePhase.LOST)
         return [NodeRequest(self.lease_id, NodeOperation.DELETE, NO_ROUND)] if is_leftover else []
 
     def on_owned(self, czxid: int) -> list[Action]:
-        """Hold the lease, counted from before the write was sent, and acknowledge the handover that led to it."""
+        """Hold the lease, valid from before the write was sent, and acknowledge the handover that led to it."""
         token = self.token_of(czxid)
         is_new = self.phase is not LeasePhase.HELD or token != self.token
         self.phase = LeasePhase.HELD
@@ -130,7 +131,7 @@
         return actions
 
     def token_of(self, czxid: int) -> int:
-        """Return the node's czxid, or a token above what others have seen where that is lower."""
+        """Return the node's czxid as the token, or a token above `min_token` if the czxid is not."""
         if czxid > self.min_token:
             return czxid
         held_token = self.token if self.token > self.min_token else 0
@@ -146,7 +147,7 @@
         return actions
 
     def lose(self, now_us: int, reason: str) -> list[Action]:
-        """Stop acting: the lease is not held any more, or that can't be known."""
+        """Stop acting: the lease is lost, or this gateway cannot know whether it still holds it."""
         if self.phase is not LeasePhase.HELD:
             return []
         ended = LeaseEnded(self.lease_id, self.token, reason)
@@ -157,10 +158,11 @@
         return [ended]
 
     def on_stale_token(self, now_us: int, newest_token: int) -> list[Action]:
-        """Stop acting; the node is asked for like any other, and counts above what was seen if it is still owned.
+        """Stop acting, and request the node again; if it is still owned, its token is raised above `newest_token`.
 
-        Guards against two that outbid each other: the newer token may be another holder's, made after this session
-        was ended before its time. Where the service was restored from an older state, the node is found again.
+        The holder must not raise its token without asking the service: the newer token may belong to another holder,
+        whose node was created after the service ended this session early, and the two would outbid each other. If
+        the service was restored from an older state instead, the node is found to be still owned.
         """
         if self.phase is not LeasePhase.HELD or newest_token < self.token:
             return []
@@ -174,7 +176,7 @@
         return self.lose(now_us, "not renewed in time")
 
     def on_due(self, now_us: int) -> list[Action]:
-        """Do what was planned for this moment."""
+        """Perform the step scheduled for `due_us`."""
         if self.phase is LeasePhase.HELD:
             return self.request(now_us, NodeOperation.RENEW)
         if self.phase is LeasePhase.HANDING_OVER:
@@ -187,7 +189,7 @@
         return []
 
     def acquire(self, now_us: int) -> list[Action]:
-        """Ask for the node; again after a response that was lost: what that made is found to be owned."""
+        """Request the node's creation; if an earlier response was lost, the existing node is found to be owned."""
         self.failed_attempts += self.phase is LeasePhase.ACQUIRING
         self.phase = LeasePhase.ACQUIRING
         actions = self.request(now_us, NodeOperation.CREATE)
@@ -195,7 +197,7 @@
         return actions
 
     def release(self, now_us: int, reason: str) -> list[Action]:
-        """Hold it no more, at once; whoever wants it need not wait. If it is wanted here, others come first."""
+        """Stop acting and delete the node at once; if the lease is still wanted, retry after two leases."""
         actions: list[Action] = []
         if self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER):
             actions.append(LeaseEnded(self.lease_id, self.token, reason))
@@ -207,7 +209,7 @@
     # Handover
 
     def hand_over(self, now_us: int, successor: int, state: bytes) -> list[Action]:
-        """Stop acting, delete the node, and tell the successor; whoever asks first has it."""
+        """Stop acting, delete the node, and notify the successor; any gateway may create the node first."""
         if not self.can_act(now_us):
             return []
         actions = self.request(now_us, NodeOperation.DELETE)
@@ -218,20 +220,20 @@
         return [*actions, SendMessage(successor, Handover(self.lease_id, self.token, state))]
 
     def on_handover(self, now_us: int, handover: Handover, former_holder: int) -> list[Action]:
-        """Ask for the node at once: its holder hands over to this gateway."""
+        """Request the node at once: its holder hands over to this gateway."""
         if self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER):
             return []
         self.consent_ballot = handover.ballot
         self.handover_state = handover.state
-        self.successor = former_holder  # to whom the handover is acknowledged
+        self.successor = former_holder  # receives the acknowledgement of the handover
         self.is_wanted = True
         self.phase = LeasePhase.ACQUIRING
         actions = self.request(now_us, NodeOperation.CREATE)
         self.due_us = now_us + self.lease_us // RESENDS_PER_LEASE
         return actions
 
-    def receive(self, now_us: int, message: Message, sender: int) -> list[Action]:  # noqa: ARG002 (as leases by majority)
-        """Take the acknowledgement of a handover."""
+    def receive(self, now_us: int, message: Message, sender: int) -> list[Action]:  # noqa: ARG002 (signature of Lease)
+        """Handle the acknowledgement of a handover."""
         if not isinstance(message, HandoverAck) or self.phase is not LeasePhase.HANDING_OVER:
             return []
         ended = LeaseEnded(self.lease_id, self.token, f"handed over to gateway {self.successor}")
--- a/tests/leases/test_driver.py
+++ b/tests/leases/test_driver.py
@@ -102,7 +102,7 @@
     datagrams, wire = PeerSocket(parsed.peer_listen, parsed.peers), Wire(clock)
     datagrams.connection_made(cast(Any, wire))
     driver = LeaseDriver(parsed, LeaseOptions(3, LEASE_US // 1000), cast(Any, Gateway(clock)), datagrams, clock)
-    driver.poll_needs()
+    driver.poll_balancer()
     for _ in range(20):
         clock.now_us += LEASE_US // 12
         driver.run_due()
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -118,7 +118,7 @@
     manager = make_manager(0)
     lease_id = manager.request_lease(NOW_US, "warden/1/0", NoTask())
     manager.receive(NOW_US, Header(5, 1, 1, 0), Prepare(lease_id, ballot(1), 1))
-    assert not manager.outbox.messages and manager.counters.strangers == 1
+    assert not manager.outbox.messages and manager.counters.rejected_headers == 1
     manager.outbox.take_messages()
     manager.receive(NOW_US, Header(3, 1, 1, 0), LeaderReply(lease_id, 10, 1, 1))
     manager.receive(NOW_US, Header(3, 2, 1, 0), LeaderReply(lease_id, 9, 1, 1))
