--- a/benchmarks/guards/mutants/leases.py
+++ b/benchmarks/guards/mutants/leases.py
@@ -1,4 +1,4 @@
-"""Mutants of the leased roles: each takes out one guard."""
+"""Mutants of the leased roles: each removes one guard."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @entry("lease-one")
 def _() -> None:
-    """A voter lets a higher ballot in though another's lease has not expired."""
+    """A voter grants a higher ballot although another process's lease has not expired."""
     from cloverkeel.leases.acceptor import Acceptor
 
     cut(
@@ -29,7 +29,7 @@
 
 @entry("lease-consent")
 def _() -> None:
-    """A voter takes any ballot for its holder's consent."""
+    """A voter treats any ballot as the holder's consent."""
     from cloverkeel.leases.acceptor import Acceptor
 
     cut(Acceptor, "check_request", ("request.consent_ballot == accepted.ballot != 0", "request.consent_ballot != 0"))
@@ -37,7 +37,7 @@
 
 @entry("lease-sent")
 def _() -> None:
-    """A lease counts from the moment at which the answers came."""
+    """A lease is valid from the time at which the responses arrived."""
     from cloverkeel.leases.quorum_lease import QuorumLease
 
     cut(QuorumLease, "receive", ("return self.on_acc", "self.round_started_us = now_us; return self.on_acc"))
@@ -45,7 +45,7 @@
 
 @entry("lease-round")
 def _() -> None:
-    """Answers to an older round count for the open one."""
+    """Responses to an older round count for the open round."""
     from cloverkeel.leases.quorum_lease import QuorumLease
 
     cut(QuorumLease, "is_of_open_round", (" and message.round == self.round and message.ballot == self.ballot", ""))
@@ -53,7 +53,7 @@
 
 @entry("lease-ends")
 def _() -> None:
-    """A holder does not look at the time before it acts: what wakes it first is answered."""
+    """A holder does not check the time before it acts, and answers the first message after a stall."""
     from cloverkeel.leases.quorum_lease import QuorumLease
 
     cut(QuorumLease, "can_act", (" and now_us < self.valid_until_us", ""))
@@ -61,7 +61,7 @@
 
 @entry("lease-validity")
 def _() -> None:
-    """A holder relies on its lease until somebody says otherwise."""
+    """A holder relies on its lease without a time limit."""
     from cloverkeel.leases.lease_config import LeaseConfig
 
     LeaseConfig.validity_us = property(lambda self: 1 << 50)  # type: ignore[assignment]
@@ -69,7 +69,7 @@
 
 @entry("lease-handover")
 def _() -> None:
-    """A holder acts while it hands over."""
+    """A holder continues to act during a handover."""
     from cloverkeel.leases.quorum_lease import QuorumLease
 
     acting = "self.phase in (LeasePhase.HELD, LeasePhase.HANDING_OVER)"
@@ -79,7 +79,7 @@
 
 @entry("lease-clock")
 def _() -> None:
-    """What comes in is answered by the time that was read last, before a stall."""
+    """Datagrams are handled with the time read before a stall."""
     from cloverkeel.leases.driver import LeaseDriver
 
     stale = "receive(self.gateway.stall_detector.last_check_us, header"
@@ -88,7 +88,7 @@
 
 @entry("reply-late")
 def _() -> None:
-    """A holder's reply is sent without a further look at the time."""
+    """A holder's reply is sent without another check of the time."""
     from cloverkeel.leases.driver import LeaseDriver
 
     check = "isinstance(message, LeaderReply) and not self.manager.can_act(self.clock(), message.lease_id)"
@@ -97,7 +97,7 @@
 
 @entry("token-fencing")
 def _() -> None:
-    """Replies under an older fencing token count too."""
+    """Replies under an older fencing token are accepted."""
     from cloverkeel.leases.fencing import FencingTokenCheck
 
     swap(FencingTokenCheck, "admit", lambda self, lease_id, token, process: True)
@@ -105,7 +105,7 @@
 
 @entry("token-observed")
 def _() -> None:
-    """Ballots follow the wall clock alone."""
+    """Ballots follow only the wall clock."""
     from cloverkeel.leases.ballots import BallotClock
 
     swap(BallotClock, "observe", lambda self, now_us, counter: True)
@@ -115,7 +115,7 @@
 
 @entry("token-stale")
 def _() -> None:
-    """A holder whose reply was rejected for an older token goes on as before."""
+    """A holder whose reply was rejected because of an older token keeps that token."""
     from cloverkeel.leases.quorum_lease import QuorumLease
 
     swap(QuorumLease, "on_stale_token", lambda self, now_us, newest_token: [])
@@ -123,7 +123,7 @@
 
 @entry("token-outbid")
 def _() -> None:
-    """A holder by the service whose reply was rejected goes on above what was seen, whoever that was."""
+    """A ZooKeeper holder whose reply was rejected raises its token without asking the service."""
     from cloverkeel.leases.lease import LeaseAcquired
     from cloverkeel.leases.zookeeper_lease import ZookeeperLease
 
@@ -136,7 +136,7 @@
 
 @entry("voters-differ")
 def _() -> None:
-    """Any number of voters is as good as one's own."""
+    """Datagrams with a different number of voters are accepted."""
     from cloverkeel.leases.manager import LeaseManager
 
     cut(LeaseManager, "receive", ("header.voters != self.config.voters or ", ""))
@@ -144,7 +144,7 @@
 
 @entry("grant-ends")
 def _() -> None:
-    """Granted quota is used for good."""
+    """Granted quota never expires at the borrower."""
     from cloverkeel.leases.slow_start_budget import QuotaAccount
 
     cut(QuotaAccount, "usable", ("self.granted if now_us < self.granted_until_us else 0.0", "self.granted"))
@@ -152,7 +152,7 @@
 
 @entry("lent-counted")
 def _() -> None:
-    """A budget's leader does not count what it has granted to others."""
+    """A budget's leader ignores the quota that it has granted to others."""
     from cloverkeel.leases.slow_start_budget import SlowStartBudget
 
     fair = "fair = pool / max(1, len(self.wanted_us_by_gateway))"
@@ -161,7 +161,7 @@
 
 @entry("lent-once")
 def _() -> None:
-    """Quota is lent to whoever holds the lease now, though an older loan has not ended."""
+    """Quota is lent to the current leader although a loan to a former one has not ended."""
     from cloverkeel.leases.slow_start_budget import QuotaAccount
 
     cut(QuotaAccount, "lend", ("if now_us < self.lent_until_us and holder_process != self.lent_to:", "if False:"))
@@ -169,7 +169,7 @@
 
 @entry("lent-timestamp")
 def _() -> None:
-    """A loan counts from the moment at which the budget's leader hears of it."""
+    """A loan starts when the budget's leader receives the report."""
     from cloverkeel.leases.slow_start_budget import SlowStartBudget
 
     cut(SlowStartBudget, "record_loan", ("until_us = echoed_us + LOAN_US", "until_us = now_us + LOAN_US"))
@@ -177,7 +177,7 @@
 
 @entry("probes-idle")
 def _() -> None:
-    """A holder that does not probe suspends the others' probes."""
+    """A holder that does not probe suspends the other gateways' probes."""
     from cloverkeel.leases.probe_election import ProbeElection
 
     cut(ProbeElection, "on_report", ("PROBING if circuit.is_probed else IDLE", "PROBING"))
@@ -185,7 +185,7 @@
 
 @entry("probes-end")
 def _() -> None:
-    """Probes are suspended from whenever the reply comes."""
+    """A suspension of probes starts when the reply arrives."""
     from cloverkeel.leases.probe_election import ProbeElection
 
     until = ("reported_us + SUSPEND_US)", "now_us + SUSPEND_US)")
--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -80,7 +80,7 @@
     row("share-start", "a new process uses no quota that may be lent", "SlowStartBudget.apply_quota",
         tests="balancing/slow_start_quotas::no_warming_server_is_used_while_an_earlier_process_may_have_lent_its_quota"),
     row("trials-left", "probes are not suspended while most breakers are open", "PeerReports.suspend_probes",
-        tests="leases/probe_election::probes_are_not_suspended_where_next_to_nothing_is_left"),
+        tests="leases/probe_election::probes_are_not_suspended_when_most_servers_are_ejected"),
     row("hearsay-used", "a server that fails for other proxies is selected rarely", "PeerReports.apply_report",
         tests="fleet/gossip::a_gateway_uses_little_what_fails_for_others "
               "fleet/gossip::most_gateways_restart_at_once_and_are_sent_reports_by_the_rest "
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -1,6 +1,6 @@
-"""Leases by a majority of peers: real gateways, faults between them, judged from what an outside party saw.
+"""Quorum leases: real gateways with faults between them, checked against the replies that an external watcher saw.
 
-Each test waits for acts that the watcher saw. A lease is 0.6 s here, so that time limits are met often.
+A lease lasts 0.6 s unless a test sets another duration, so that expiries are frequent.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from tests.sockets import on_loop
 
 
-def others(fleet: Ground, *but: int) -> list[int]:
-    return [number for number in range(fleet.count) if number not in but]
+def others(fleet: Ground, *excluded: int) -> list[int]:
+    return [number for number in range(fleet.count) if number not in excluded]
 
 
 @on_loop
@@ -37,8 +37,8 @@
 
 
 @on_loop
-async def test_a_holder_that_stalled_for_longer_than_a_lease_acts_no_more(tmp_path: Path) -> None:
-    """Its socket is full of questions when it wakes, each of which it would have answered with an act."""
+async def test_a_holder_that_stalled_for_longer_than_a_lease_stops_acting(tmp_path: Path) -> None:
+    """When the holder resumes, its socket buffer is full of reports that it must not answer as the holder."""
     async with ground(tmp_path) as fleet:
         for _ in range(3):
             held = await fleet.holder()
@@ -51,7 +51,7 @@
 
 
 @on_loop
-async def test_a_holder_that_stalled_for_a_third_of_a_lease_goes_on(tmp_path: Path) -> None:
+async def test_a_holder_that_stalled_for_a_third_of_a_lease_keeps_it(tmp_path: Path) -> None:
     async with ground(tmp_path, lease_ms=3_000) as fleet:
         held = await fleet.holder()
         fleet.stop(held.gateway)
@@ -62,13 +62,15 @@
 
 
 @on_loop
-async def test_all_but_the_holder_stall_and_it_stops_in_time(tmp_path: Path) -> None:
+async def test_a_holder_stops_in_time_when_all_other_gateways_stall(tmp_path: Path) -> None:
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         fleet.stop(*others(fleet, held.gateway))
         stopped_us = now_us()
-        await fleet.wait(lambda: now_us() - fleet.acts[-1].at_us > 200_000, "it stops acting", 4 * fleet.lease_s)
-        # Not later than its lease by its own clock, and what the watcher's question and the answer take.
+        await fleet.wait(
+            lambda: now_us() - fleet.acts[-1].at_us > 200_000, "the holder stops acting", 4 * fleet.lease_s
+        )
+        # The limit is one lease by the holder's clock, plus an allowance for the watcher's report and its reply.
         assert fleet.acts[-1].at_us - stopped_us < fleet.lease_ms * 1000 + 100_000
         await fleet.nobody(fleet.lease_s)
         fleet.wake(*others(fleet, held.gateway))
@@ -78,7 +80,7 @@
 
 
 @on_loop
-async def test_a_holder_that_is_cut_off_stops_and_the_rest_has_another(tmp_path: Path) -> None:
+async def test_a_holder_that_is_cut_off_stops_and_another_gateway_takes_over(tmp_path: Path) -> None:
     async with ground(tmp_path, count=5, voters=5) as fleet:
         held = await fleet.holder()
         fleet.cut([held.gateway], others(fleet, held.gateway))
@@ -92,7 +94,7 @@
 @pytest.mark.parametrize("hears", [True, False])
 @on_loop
 async def test_a_holder_that_is_cut_off_one_way_stops(tmp_path: Path, hears: bool) -> None:
-    """It renews and hears no answer, or hears all and nobody hears it."""
+    """The holder can send but not receive, or receive but not send."""
     async with ground(tmp_path, count=5, voters=5) as fleet:
         held = await fleet.holder()
         rest = others(fleet, held.gateway)
@@ -108,14 +110,14 @@
 
 
 @on_loop
-async def test_of_two_partitions_the_one_with_a_majority_of_voters_holds(tmp_path: Path) -> None:
+async def test_the_holder_is_in_the_partition_with_a_majority_of_voters(tmp_path: Path) -> None:
     async with ground(tmp_path, count=6, voters=5) as fleet:
         await fleet.holder()
-        few, most = [0, 1, 5], [2, 3, 4]
-        for one, other in ((few, most), ([0, 3, 4], [1, 2, 5])):
-            fleet.cut(one, other)
-            voters = {number for number in one if number < fleet.voters}
-            winners = one if len(voters) >= 3 else other
+        minority, majority = [0, 1, 5], [2, 3, 4]
+        for first, second in ((minority, majority), ([0, 3, 4], [1, 2, 5])):
+            fleet.cut(first, second)
+            voters = {number for number in first if number < fleet.voters}
+            winners = first if len(voters) >= 3 else second
             await fleet.wait(
                 lambda winners=winners: (  # type: ignore[misc]
                     (act := fleet.mesh.watcher.holder(fleet.duty)) is not None
@@ -123,7 +125,7 @@
                 ),
                 f"one of {winners} holds",
             )  # fmt: skip
-            # Voters that were on the other side have promised others more: it may need a new epoch to renew.
+            # Voters may have promised higher ballots to the other partition, so that a renewal needs a new token.
             held = await fleet.holder(after_us=now_us() + 2 * fleet.lease_ms * 1000)
             assert held.gateway in winners
             await fleet.goes_on(held, 2 * fleet.lease_s)
@@ -133,7 +135,7 @@
 
 @on_loop
 async def test_a_bridge_between_two_partitions_makes_no_second_holder(tmp_path: Path) -> None:
-    """Gateway 2 hears both halves, which don't hear each other: with it each has a majority."""
+    """Gateway 2 reaches both halves, which do not reach each other; each half has a majority together with it."""
     async with ground(tmp_path, count=5, voters=5) as fleet:
         await fleet.holder()
         fleet.cut([0, 1], [3, 4])
@@ -144,8 +146,8 @@
 
 
 @on_loop
-async def test_voters_that_are_killed_in_turn_faster_than_a_lease_vote_once(tmp_path: Path) -> None:
-    """All but two are voters; each begins anew and knows nothing of what it had accepted."""
+async def test_voters_that_are_killed_in_turn_within_a_lease_do_not_vote_twice(tmp_path: Path) -> None:
+    """A restarted voter has lost the leases that it had accepted. Two of the five gateways are not voters."""
     async with ground(tmp_path, count=5, voters=3) as fleet:
         await fleet.holder()
         for voter in (0, 1, 2, 0, 1, 2):
@@ -157,7 +159,7 @@
 
 
 @on_loop
-async def test_tokens_grow_when_every_gateway_is_restarted_at_once(tmp_path: Path) -> None:
+async def test_tokens_increase_when_every_gateway_is_restarted_at_once(tmp_path: Path) -> None:
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         await fleet.kill(0, 1, 2)
@@ -169,8 +171,11 @@
 
 
 @on_loop
-async def test_a_fleet_restarted_with_its_clocks_an_hour_back_goes_above_the_rejected_token(tmp_path: Path) -> None:
-    """No gateway remembers the last epoch, and the clocks give a lower one: the fence refuses it, and says why."""
+async def test_a_fleet_restarted_with_clocks_an_hour_back_continues_above_the_rejected_token(tmp_path: Path) -> None:
+    """No gateway stores the last token, and the clocks yield a lower one, which the watcher's fencing check rejects.
+
+    The notice of the rejected reply carries the newest token, and the holder continues above it.
+    """
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         await fleet.kill(0, 1, 2)
@@ -179,10 +184,10 @@
         fleet.start(0, 1, 2)
         await fleet.ready(0, 1, 2)
         first = await fleet.holder(after_us=fleet.blanks[-1])
-        assert first.fencing_token < held.fencing_token  # else nothing was tried
+        assert first.fencing_token < held.fencing_token  # otherwise the test exercises nothing
         await fleet.wait(
             lambda: (act := fleet.mesh.watcher.holder(fleet.duty)) and act.fencing_token > held.fencing_token,
-            "an epoch above",
+            "a token above the rejected one",
         )
         await fleet.goes_on(await fleet.holder(after_us=now_us()), fleet.lease_s)
         fleet.check()
@@ -209,7 +214,7 @@
                 lambda number=number: (  # type: ignore[misc]
                     (act := fleet.mesh.watcher.holder(fleet.duty)) is not None and act.gateway != number
                 ),
-                f"another than n{number} holds",
+                f"a gateway other than n{number} holds",
             )  # fmt: skip
             fleet.wake(number)
         fleet.mesh.trouble(Conditions())
@@ -218,15 +223,15 @@
 
 
 @on_loop
-async def test_staff_hand_a_lease_over_at_once_and_exclude_a_gateway(tmp_path: Path) -> None:
+async def test_operators_hand_a_lease_over_at_once_and_exclude_a_gateway(tmp_path: Path) -> None:
     async with ground(tmp_path, lease_ms=10_000) as fleet:
         held = await fleet.holder(within_s=28.0)
         shown = await fleet.shown(held.gateway)
-        (duty,) = [d["duty"] for d in shown["duties"]]
-        assert (await fleet.call(held.gateway, f"HANDON {duty}")).startswith("ACK handed on to gateway")
-        after = await fleet.holder(but=held.gateway, within_s=7.0)  # nobody waited for the lease's end
+        (name,) = [lease["duty"] for lease in shown["duties"]]
+        assert (await fleet.call(held.gateway, f"HANDON {name}")).startswith("ACK handed on to gateway")
+        after = await fleet.holder(but=held.gateway, within_s=7.0)  # before the lease expires
         assert after.fencing_token > held.fencing_token
-        assert (await fleet.call(held.gateway, f"HANDON {duty}")).startswith("NAK")
+        assert (await fleet.call(held.gateway, f"HANDON {name}")).startswith("NAK")
         assert (await fleet.call(after.gateway, "KEEPOFF")).startswith("ACK")
         last = await fleet.holder(but=after.gateway, within_s=7.0)
         await fleet.goes_on(last, 0.5)
@@ -235,16 +240,16 @@
 
 
 @on_loop
-async def test_a_successor_that_is_dead_leaves_the_lease_to_the_rest(tmp_path: Path) -> None:
-    """The hand-over breaks off: exactly one or none holds at any time, and soon one does."""
+async def test_a_handover_to_an_unresponsive_successor_leaves_the_lease_to_others(tmp_path: Path) -> None:
+    """The handover is aborted: there is at most one holder at any time, and soon another gateway is the holder."""
     async with ground(tmp_path, count=5, voters=3, lease_ms=1_000) as fleet:
         held = await fleet.holder()
         shown = await fleet.shown(held.gateway)
-        (duty,) = [d["duty"] for d in shown["duties"]]
-        fleet.cut([held.gateway], [n for n in others(fleet, held.gateway) if n >= 3])
-        said = await fleet.call(held.gateway, f"HANDON {duty}")
-        assert said.startswith("ACK")
-        successor = int(said.split()[-1])
+        (name,) = [lease["duty"] for lease in shown["duties"]]
+        fleet.cut([held.gateway], [number for number in others(fleet, held.gateway) if number >= 3])
+        answer = await fleet.call(held.gateway, f"HANDON {name}")
+        assert answer.startswith("ACK")
+        successor = int(answer.split()[-1])
         if successor < fleet.count:
             fleet.stop(successor)
         await fleet.holder(but=held.gateway, after_us=now_us())
@@ -256,19 +261,19 @@
 
 
 @on_loop
-async def test_a_graceful_shutdown_leaves_nothing_to_wait_for(tmp_path: Path) -> None:
+async def test_a_graceful_shutdown_frees_the_lease_before_it_expires(tmp_path: Path) -> None:
     async with ground(tmp_path, lease_ms=5_000) as fleet:
         held = await fleet.holder()
         fleet.signal(held.gateway, signal.SIGTERM)
         after = await fleet.holder(but=held.gateway)
         acted = [act for act in fleet.acts if act.gateway == held.gateway]
-        assert after.at_us - acted[-1].at_us < 2_500_000  # half a lease: its release was heard
+        assert after.at_us - acted[-1].at_us < 2_500_000  # half a lease: its release was received
         fleet.check()
 
 
 @on_loop
 async def test_an_upgrade_has_one_voter_and_one_holder_at_a_time(tmp_path: Path) -> None:
-    """Two processes under one name: the socket is the old one's until its end."""
+    """Two processes of the same gateway run at once; the old one keeps the socket until it exits."""
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
         await fleet.gateways[held.gateway].upgrade()
@@ -278,30 +283,30 @@
 
 @pytest.mark.parametrize("hours", [-1, 1])
 @on_loop
-async def test_a_gateway_that_comes_back_with_its_clock_an_hour_off_does_no_harm(tmp_path: Path, hours: int) -> None:
-    """It has to hold the lease, and another one after it: neither may act under an older token."""
+async def test_a_gateway_restarted_with_its_clock_an_hour_off_uses_no_older_token(tmp_path: Path, hours: int) -> None:
+    """The restarted gateway becomes the holder, then another one: neither may act under an older token."""
     async with ground(tmp_path) as fleet:
         held = await fleet.holder()
-        odd = held.gateway
-        await fleet.kill(odd)
-        gateway = fleet.gateways[odd]
+        restarted = held.gateway
+        await fleet.kill(restarted)
+        gateway = fleet.gateways[restarted]
         gateway.command = (sys.executable, "-m", "tests.fleet.clocks", f"wall={hours * 3600}", *gateway.command[2:])
-        after = await fleet.holder(but=odd)
-        fleet.start(odd)
-        await fleet.ready(odd)
-        for number in others(fleet, odd):
+        after = await fleet.holder(but=restarted)
+        fleet.start(restarted)
+        await fleet.ready(restarted)
+        for number in others(fleet, restarted):
             assert (await fleet.call(number, "KEEPOFF")).startswith("ACK")
-        # The first that is kept off may hand on to the second before that is kept off too.
-        odds = await fleet.wait(
-            lambda: act if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.gateway == odd else None,
-            f"n{odd} holds",
+        # The first excluded gateway may hand over to the second one before that is excluded, too.
+        second = await fleet.wait(
+            lambda: act if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.gateway == restarted else None,
+            f"n{restarted} holds",
         )  # fmt: skip
-        assert odds.fencing_token > after.fencing_token
-        for number in others(fleet, odd):
+        assert second.fencing_token > after.fencing_token
+        for number in others(fleet, restarted):
             assert (await fleet.call(number, "KEEPON")).startswith("ACK")
-        assert (await fleet.call(odd, "KEEPOFF")).startswith("ACK")
-        last = await fleet.holder(but=odd)
-        assert last.fencing_token > odds.fencing_token
+        assert (await fleet.call(restarted, "KEEPOFF")).startswith("ACK")
+        last = await fleet.holder(but=restarted)
+        assert last.fencing_token > second.fencing_token
         fleet.check()
 
 
--- a/tests/fleet/test_leases_zookeeper.py
+++ b/tests/fleet/test_leases_zookeeper.py
@@ -1,4 +1,4 @@
-"""Leases by the coordination service: real gateways, and a service that fails in every way it may."""
+"""Leases in ZooKeeper: real gateways, and a stand-in service with injected faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 
 @asynccontextmanager
-async def served(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, Threaded]]:
+async def zookeeper_fleet(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, Threaded]]:
+    """Run gateways and the service that stores their leases."""
     keeper = Threaded(servers=3, timeouts_ms=(200, 40_000))
     try:
         async with ground(folder, count=count, lease_ms=LEASE_MS, keeper=keeper) as fleet:
@@ -30,20 +31,21 @@
         keeper.close()
 
 
-async def call(keeper: Threaded, what: Callable[[], Any]) -> Any:
-    return await asyncio.get_running_loop().run_in_executor(None, keeper.call, what)
+async def call(keeper: Threaded, function: Callable[[], Any]) -> Any:
+    """Call a function on the service's thread."""
+    return await asyncio.get_running_loop().run_in_executor(None, keeper.call, function)
 
 
 def owner(fleet: Ground, keeper: Threaded) -> Session:
-    """The session that owns the lease's node."""
+    """Return the session that owns the lease's node."""
     node = keeper.ensemble.tree.nodes[f"/cloverkeel/duties/{fleet.duty:015x}"]
     found: Session = keeper.ensemble.sessions[node.stat.ephemeral_owner]
     return found
 
 
 @on_loop
-async def test_one_holds_by_its_node_and_another_after_it_was_killed_or_stalled(tmp_path: Path) -> None:
-    async with served(tmp_path) as (fleet, _):
+async def test_one_gateway_owns_the_node_and_another_after_it_was_killed_or_stalled(tmp_path: Path) -> None:
+    async with zookeeper_fleet(tmp_path) as (fleet, _):
         held = await fleet.holder()
         await fleet.goes_on(held, 2 * fleet.lease_s)
         await fleet.kill(held.gateway)
@@ -57,41 +59,41 @@
 
 
 @on_loop
-async def test_a_session_that_expires_while_its_owner_acts(tmp_path: Path) -> None:
-    """By the service's own hand: then the owner learns of it by LOST, or by its next write."""
-    async with served(tmp_path) as (fleet, keeper):
+async def test_another_gateway_takes_over_when_a_session_expires_while_its_owner_acts(tmp_path: Path) -> None:
+    """The service expires the session; the owner learns of it by the session state LOST or by its next write."""
+    async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
         session = await call(keeper, lambda: owner(fleet, keeper))
-        await call(keeper, lambda: keeper.ensemble.sever(session.id, "out"))  # it is told nothing
+        await call(keeper, lambda: keeper.ensemble.sever(session.id, "out"))  # the service's responses are lost
         after = await fleet.holder(but=held.gateway)
         assert after.fencing_token > held.fencing_token
         await fleet.goes_on(after, fleet.lease_s)
         fleet.check()
 
 
-@pytest.mark.parametrize("how", ["in", "out", "both"])
+@pytest.mark.parametrize("direction", ["in", "out", "both"])
 @on_loop
-async def test_a_holder_that_is_cut_off_from_the_service_stops(tmp_path: Path, how: str) -> None:
-    async with served(tmp_path) as (fleet, keeper):
+async def test_a_holder_that_is_cut_off_from_the_service_stops(tmp_path: Path, direction: str) -> None:
+    async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
         session = await call(keeper, lambda: owner(fleet, keeper))
-        await call(keeper, lambda: keeper.ensemble.sever(session.id, how))
-        # By another session, and another epoch: perhaps the same gateway's, which has found a way to a new one.
+        await call(keeper, lambda: keeper.ensemble.sever(session.id, direction))
+        # The next holder has another session and a newer token; it may be the same gateway after it reconnected.
         after = await fleet.wait(
             lambda: (
                 act
                 if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.fencing_token > held.fencing_token
                 else None
             ),
-            "a new epoch",
+            "a newer token",
         )  # fmt: skip
         await fleet.goes_on(after, fleet.lease_s)
         fleet.check()
 
 
 @on_loop
-async def test_a_connection_that_is_reset_costs_the_holder_nothing(tmp_path: Path) -> None:
-    async with served(tmp_path) as (fleet, keeper):
+async def test_a_holder_keeps_the_lease_when_its_connection_is_reset(tmp_path: Path) -> None:
+    async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
         for _ in range(3):
             session = await call(keeper, lambda: owner(fleet, keeper))
@@ -101,19 +103,19 @@
 
 
 @on_loop
-async def test_responses_that_are_lost_after_the_request_took_effect(tmp_path: Path) -> None:
-    """Every write of every gateway, for a while: creates and renewals are done, and their answers never come."""
-    async with served(tmp_path) as (fleet, keeper):
+async def test_a_lease_is_acquired_after_responses_to_executed_requests_were_lost(tmp_path: Path) -> None:
+    """For three leases the service executes writes of all gateways, but the connection ends before the response."""
+    async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
 
-        def lose() -> None:
+        def lose_responses() -> None:
             for session in keeper.ensemble.sessions.values():
                 session.lose_reply = True
 
         await fleet.kill(held.gateway)
         end_us = now_us() + 3 * LEASE_MS * 1000
         while now_us() < end_us:
-            await call(keeper, lose)
+            await call(keeper, lose_responses)
             await asyncio.sleep(0.05)
         after = await fleet.holder(after_us=end_us)
         assert after.fencing_token > held.fencing_token
@@ -122,11 +124,11 @@
 
 
 @on_loop
-async def test_a_service_that_was_gone_and_is_restored_from_an_older_state(
+async def test_tokens_do_not_decrease_after_the_service_was_restored_from_an_older_state(
     tmp_path: Path,
 ) -> None:
-    """Nobody holds meanwhile; its last changes are lost with it, the node and its epoch too."""
-    async with served(tmp_path) as (fleet, keeper):
+    """No gateway holds the lease during the outage; the service's last changes, including the node, are lost."""
+    async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
         changes = len(keeper.ensemble.log)
         await call(keeper, keeper.ensemble.stop)
@@ -136,7 +138,8 @@
         after = await fleet.holder(after_us=now_us(), within_s=25.0)
         assert after.gateway < fleet.count and held.fencing_token > 0
 
-        # The watcher tells nobody what it has seen, the gateways do: another holder goes on above it.
+        # Receivers reject a token below the newest one they have seen, so a new holder must get above it; the same
+        # holder may keep its token.
         def is_above(act: ObservedAct | None) -> bool:
             same = act is not None and (act.process_nonce, act.fencing_token) == (
                 held.process_nonce,
@@ -145,13 +148,13 @@
             return act is not None and (same or act.fencing_token > held.fencing_token)
 
         await fleet.wait(
-            lambda: is_above(fleet.mesh.watcher.holder(fleet.duty)), "a higher epoch, or the same holder", 25.0
+            lambda: is_above(fleet.mesh.watcher.holder(fleet.duty)), "a newer token, or the same holder", 25.0
         )
 
 
 @on_loop
-async def test_no_leader_for_a_while_and_all_sessions_end_at_once(tmp_path: Path) -> None:
-    async with served(tmp_path) as (fleet, keeper):
+async def test_a_lease_is_acquired_after_a_leaderless_phase_and_after_all_sessions_expired(tmp_path: Path) -> None:
+    async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
         await call(keeper, lambda: keeper.ensemble.lose_leader(2.0))
         after = await fleet.holder(after_us=now_us() + 2_000_000)
--- a/tests/fleet/test_probe_election.py
+++ b/tests/fleet/test_probe_election.py
@@ -1,4 +1,4 @@
-"""Half-open probes: real gateways under load, one host that answers errors, faults between gateways."""
+"""Election of the prober: real gateways under load, one host that answers with errors, faults between gateways."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from tests.fleet.ground import Ground, ground
 from tests.sockets import Client, Peer, answers, on_loop, peer, reply, request
 
-ERRS, FINE = answers(reply(500, b"")), answers(reply())
+FAILING, RECOVERED = answers(reply(500, b"")), answers(reply())
 
 
 @asynccontextmanager
 async def under_load(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, Peer]]:
-    """Each gateway is asked some fifty times a second; the second of three warm hosts is told to err."""
+    """Send each gateway up to fifty requests a second from two clients each; the second of three warm hosts fails."""
     async with peer() as one, peer() as bad, peer() as two, ground(folder, count, warm=(one, bad, two)) as fleet:
-        over = False
+        is_over = False
 
-        async def ask(number: int) -> None:
-            while not over:
+        async def send_requests(number: int) -> None:
+            while not is_over:
                 try:
                     client = Client(*await asyncio.open_connection(*fleet.gateways[number].address))
-                    while not over:
+                    while not is_over:
                         await client.ask(request())
                         await asyncio.sleep(0.02)
                 except (OSError, asyncio.IncompleteReadError):
                     await asyncio.sleep(0.05)
 
-        tasks = [asyncio.create_task(ask(number)) for number in range(count) for _ in range(2)]
-        bad.script = ERRS
+        tasks = [asyncio.create_task(send_requests(number)) for number in range(count) for _ in range(2)]
+        bad.script = FAILING
         try:
             yield fleet, bad
         finally:
-            over = True
+            is_over = True
             for task in tasks:
                 task.cancel()
 
@@ -52,7 +52,7 @@
 
 
 async def until_one_probes(fleet: Ground, numbers: list[int], but: int = -1) -> int:
-    """One of these probes for all, and the others' probes were suspended since; returns which."""
+    """Wait until one of these gateways is the prober and the others have suspended probes; return its number."""
     before = {s["gateway"]: s["held_back"] for s in await all_shown(fleet, numbers)}
     while True:
         shown = await all_shown(fleet, numbers)
@@ -64,22 +64,22 @@
 
 
 async def until_recovered(fleet: Ground, numbers: list[int]) -> None:
-    """The circuit of the host is closed at each gateway."""
+    """Wait until the host's circuit is closed at each of these gateways."""
     while any(any(not out["well"] for out in s["outs"]) for s in await all_shown(fleet, numbers)):
         await asyncio.sleep(0.05)
 
 
 @on_loop
-async def test_one_gateway_probes_for_all_and_all_use_the_host_again_when_it_has_recovered(tmp_path: Path) -> None:
+async def test_one_gateway_probes_and_all_gateways_use_the_host_again_after_its_recovery(tmp_path: Path) -> None:
     async with under_load(tmp_path) as (fleet, bad):
         await until_one_probes(fleet, [0, 1, 2])
-        bad.script = FINE
+        bad.script = RECOVERED
         await until_recovered(fleet, [0, 1, 2])
         fleet.check()
 
 
 @on_loop
-async def test_a_prober_that_is_killed_or_stalls_is_followed_by_another(tmp_path: Path) -> None:
+async def test_a_prober_that_is_killed_or_stalls_is_replaced(tmp_path: Path) -> None:
     async with under_load(tmp_path) as (fleet, bad):
         first = await until_one_probes(fleet, [0, 1, 2])
         await fleet.kill(first)
@@ -87,19 +87,19 @@
         second = await until_one_probes(fleet, rest, but=first)
         fleet.stop(second)
         (last,) = [number for number in rest if number != second]
-        bad.script = FINE
-        await until_recovered(fleet, [last])  # alone it probes for itself
+        bad.script = RECOVERED
+        await until_recovered(fleet, [last])  # the only live gateway probes for itself
         fleet.wake(second)
         await until_recovered(fleet, [second])
         fleet.check()
 
 
 @on_loop
-async def test_gateways_that_are_cut_off_probe_for_themselves(tmp_path: Path) -> None:
+async def test_gateways_cut_off_from_each_other_probe_for_themselves(tmp_path: Path) -> None:
     async with under_load(tmp_path) as (fleet, bad):
         await until_one_probes(fleet, [0, 1, 2])
         fleet.cut([0], [1, 2])
         fleet.cut([1], [2])
-        bad.script = FINE
+        bad.script = RECOVERED
         await until_recovered(fleet, [0, 1, 2])
         fleet.check()
--- a/tests/golden/leases.py
+++ b/tests/golden/leases.py
@@ -47,49 +47,51 @@
 from tests.golden.store import Sample, SamplesByName
 from tests.sockets import configuration
 
-HEAD: Final = Header(voters=5, sender=0x1203, nonce=0x89ABCDEF, highest_counter=0x0123456789ABCDEF)
-PEER_HEAD: Final = Header(voters=5, sender=1, nonce=2, highest_counter=3)
-DUTY: Final = 0x0FEDCBA987654321
+HEADER: Final = Header(voters=5, sender=0x1203, nonce=0x89ABCDEF, highest_counter=0x0123456789ABCDEF)
+PEER_HEADER: Final = Header(voters=5, sender=1, nonce=2, highest_counter=3)
+LEASE_ID: Final = 0x0FEDCBA987654321
 BALLOT: Final = 0x0123456789ABCDE
 NOW_US: Final = 1_796_119_613_761_000
 
 MESSAGES: Final[dict[str, Message]] = {
-    "prepare": Prepare(DUTY, BALLOT, 7, 0x0102030405060708),
-    "propose": Propose(DUTY, BALLOT, 7, 4_000_000, 0x0102030405060708),
-    "promised": Promised(DUTY, BALLOT, 7),
-    "accepted": Accepted(DUTY, BALLOT, 7),
+    "prepare": Prepare(LEASE_ID, BALLOT, 7, 0x0102030405060708),
+    "propose": Propose(LEASE_ID, BALLOT, 7, 4_000_000, 0x0102030405060708),
+    "promised": Promised(LEASE_ID, BALLOT, 7),
+    "accepted": Accepted(LEASE_ID, BALLOT, 7),
     **{
-        f"refused_{why.name.lower()}": Refused(DUTY, BALLOT, 7, why, 0x0203, 0x13579BDF, 1_234_567, BALLOT + 1)
-        for why in RefusalReason
+        f"refused_{reason.name.lower()}": Refused(
+            LEASE_ID, BALLOT, 7, reason, 0x0203, 0x13579BDF, 1_234_567, BALLOT + 1
+        )
+        for reason in RefusalReason
     },
-    "release": Release(DUTY, BALLOT),
-    "hand_on": Handover(DUTY, BALLOT),
-    "hand_on_with_state": Handover(DUTY, BALLOT, bytes(range(MAX_PAYLOAD_BYTES))),
-    "taken": HandoverAck(DUTY, BALLOT),
-    "report": Report(DUTY, 0x1111222233334444, 0x5555666677778888),
-    "report_with_payload": Report(DUTY, 0x1111222233334444, 0, encode_report(True, 0.5)),
-    "act": LeaderReply(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888),
-    "act_with_payload": LeaderReply(DUTY, BALLOT, 0x1111222233334444, 0x5555666677778888, encode_grant(1.25)),
-    "not_mine": NotLeaseHolder(DUTY),
+    "release": Release(LEASE_ID, BALLOT),
+    "hand_on": Handover(LEASE_ID, BALLOT),
+    "hand_on_with_state": Handover(LEASE_ID, BALLOT, bytes(range(MAX_PAYLOAD_BYTES))),
+    "taken": HandoverAck(LEASE_ID, BALLOT),
+    "report": Report(LEASE_ID, 0x1111222233334444, 0x5555666677778888),
+    "report_with_payload": Report(LEASE_ID, 0x1111222233334444, 0, encode_report(True, 0.5)),
+    "act": LeaderReply(LEASE_ID, BALLOT, 0x1111222233334444, 0x5555666677778888),
+    "act_with_payload": LeaderReply(LEASE_ID, BALLOT, 0x1111222233334444, 0x5555666677778888, encode_grant(1.25)),
+    "not_mine": NotLeaseHolder(LEASE_ID),
     "hello": Hello(),
     "hello_wants_answer": Hello(1),
-    "older": StaleTokenNotice(DUTY, BALLOT),
+    "older": StaleTokenNotice(LEASE_ID, BALLOT),
 }
 MESSAGE_CLASSES: Final[frozenset[type]] = frozenset(get_args(Message))
 MESSAGE_CLASSES_OF_SAMPLES: Final[frozenset[type]] = frozenset(map(type, MESSAGES.values()))
 
-NODES_NUMBER: Final = 3
-NODES_NONCE: Final = 0x00BCDEF1
+NODE_GATEWAY: Final = 3
+NODE_NONCE: Final = 0x00BCDEF1
 
 
 def _datagram(message: Message) -> Sample:
-    return Sample(lambda: encode(HEAD, message), decode, Datagram(HEAD, message))
+    return Sample(lambda: encode(HEADER, message), decode, Datagram(HEADER, message))
 
 
-def _with_nodes(use: Callable[[LeaseNodeClient], object]) -> object:
+def _with_node_client(use: Callable[[LeaseNodeClient], object]) -> object:
     async def run() -> object:
         options = LeaseOptions(hosts="127.0.0.1:2181", path="/cloverkeel/duties", lease_ms=4_000)
-        process = ProcessId(NODES_NUMBER, NODES_NONCE)
+        process = ProcessId(NODE_GATEWAY, NODE_NONCE)
         nodes = LeaseNodeClient(options, process, lambda lease_id, response: None, lambda: None)
         try:
             return use(nodes)
@@ -100,15 +102,15 @@
 
 
 def _node_data() -> bytes:
-    return cast(bytes, _with_nodes(lambda nodes: nodes.node_data))
+    return cast(bytes, _with_node_client(lambda nodes: nodes.node_data))
 
 
 def _node_path() -> bytes:
-    return cast(str, _with_nodes(lambda nodes: nodes.path_of(DUTY >> 8))).encode()
+    return cast(str, _with_node_client(lambda nodes: nodes.path_of(LEASE_ID >> 8))).encode()
 
 
 def _read_node_data(data: bytes) -> object:
-    """Read a node of another session, and one of this session's own."""
+    """Classify a node of another session, and a node of this session."""
     others = SimpleNamespace(ephemeralOwner=1, czxid=77)
     own = SimpleNamespace(ephemeralOwner=0, czxid=78)
 
@@ -116,11 +118,11 @@
         nodes.granted_session_ms = nodes.session_ms
         return nodes.classify(5, data, others), nodes.classify(6, data, own)
 
-    return _with_nodes(use)
+    return _with_node_client(use)
 
 
 def _admin_answers() -> dict[str, bytes]:
-    """Ask a gateway that holds one of its two leases, as an admin connection does."""
+    """Return the answers to admin lines of a gateway that holds one of its two leases."""
 
     async def run() -> dict[str, bytes]:
         peers = ["127.0.0.1:7", "127.0.0.1:8"]
@@ -144,7 +146,7 @@
             manager.on_node_response(
                 asked_us + 500_000, held, NodeResponse(request.round, NodeOutcome.OWNED, 0x500000007)
             )
-            manager.receive(NOW_US - 100_000, PEER_HEAD, Report(held, 1, 0, encode_report(True, 0.0)))
+            manager.receive(NOW_US - 100_000, PEER_HEADER, Report(held, 1, 0, encode_report(True, 0.0)))
             driver.budgets.update(NOW_US, [(5, 1, True, False)], manager)
             driver.probes.update(NOW_US, [(7, True)], manager)
             return {
@@ -165,7 +167,7 @@
 
 
 def _line_answer(driver: LeaseDriver, line: bytes) -> bytes:
-    """Return yes or no and the words; nothing for a line that is not one of these calls."""
+    """Return the answer's outcome (yes or no) and its text; a fixed text if the driver does not know the line."""
     found = driver.call(line)
     if found is None:
         return b"not a line of this package"
@@ -230,7 +232,7 @@
         "data": Sample(
             _node_data,
             _read_node_data,
-            (NodeResponse(5, NodeOutcome.TAKEN, 77, NODES_NUMBER), NodeResponse(6, NodeOutcome.OWNED, 78)),
+            (NodeResponse(5, NodeOutcome.TAKEN, 77, NODE_GATEWAY), NodeResponse(6, NodeOutcome.OWNED, 78)),
         ),
     },
     "duties_admin": {
--- a/tests/leases/__init__.py
+++ b/tests/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of cloverkeel.leases but for those with several processes (tests/fleet)."""
+"""Tests of cloverkeel.leases; those with several processes are in tests/fleet."""
--- a/tests/leases/helpers.py
+++ b/tests/leases/helpers.py
@@ -1,4 +1,4 @@
-"""Voters, ballots and managers for tests of leases."""
+"""Acceptors, ballots and managers for tests of leases."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def make_acceptor(now_us: int = NOW_US, max_leases: int = 1024) -> Acceptor:
-    """Make a voter that may vote from this moment on."""
+    """Make an acceptor that may vote from `now_us` on."""
     return Acceptor(now_us - CONFIG.quarantine_us, CONFIG, BallotClock(0, 0), max_leases)
 
 
-def ballot(count: int, gateway: int = 1) -> int:
-    """Make a ballot of a gateway, so many above the wall clock's."""
-    counter = counter_of(BallotClock(gateway, 0).next_ballot(NOW_US)) + count
+def ballot(steps: int, gateway: int = 1) -> int:
+    """Make a ballot of a gateway whose counter is `steps` above the wall clock's counter."""
+    counter = counter_of(BallotClock(gateway, 0).next_ballot(NOW_US)) + steps
     return (counter << COUNTER_SHIFT) | gateway << GATEWAY_BITS
 
 
@@ -43,7 +43,7 @@
 
 
 def make_manager(gateway: int, gateway_count: int = 5) -> LeaseManager:
-    """Make the manager of one gateway, a voter where its number is low enough."""
+    """Make the manager of one gateway, which is a voter if its number is below the number of voters."""
     logged: list[str] = []
     clock = BallotClock(gateway, gateway)
     manager = LeaseManager(ProcessId(gateway, gateway + 1), gateway_count, CONFIG, logged.append, lambda: 0.5, clock)
--- a/tests/leases/test_ballots.py
+++ b/tests/leases/test_ballots.py
@@ -1,4 +1,4 @@
-"""Ballots: a Lamport clock that follows the wall clock."""
+"""Ballots: a Lamport clock that also follows the wall clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     st.integers(0, MAX_GATEWAYS - 1),
     st.integers(0, 2**32 - 1),
 )
-def test_ballots_only_grow_whatever_the_wall_clock_does(steps: list[int], number: int, random_bits: int) -> None:
+def test_ballots_increase_even_if_the_wall_clock_jumps(steps: list[int], number: int, random_bits: int) -> None:
     clock, now_us, before = BallotClock(number, random_bits), NOW_US, 0
     for step in steps:
         now_us = max(0, now_us + step)
@@ -32,9 +32,9 @@
         before = ballot
 
 
-def test_a_clock_follows_observed_counters_but_for_leaps() -> None:
+def test_a_clock_follows_observed_counters_except_for_leaps() -> None:
     clock = BallotClock(1, 2)
     first = counter_of(clock.next_ballot(NOW_US))
-    assert clock.observe(NOW_US, first + 3_600_000_000 // COUNTER_STEP_US)  # a clock that is an hour ahead
+    assert clock.observe(NOW_US, first + 3_600_000_000 // COUNTER_STEP_US)  # the counter of a clock an hour ahead
     assert counter_of(clock.next_ballot(NOW_US)) == first + 3_600_000_000 // COUNTER_STEP_US + 1
     assert not clock.observe(NOW_US, clock.highest + MAX_COUNTER_LEAP + 1) and clock.rejected_leaps == 1
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -1,4 +1,4 @@
-"""All leases of several gateways that hear one another."""
+"""Lease managers of several gateways that exchange messages."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Fleet:
-    """Managers that hear one another at once."""
+    """Managers whose messages are delivered without delay."""
 
     def __init__(self, count: int) -> None:
         self.managers = [make_manager(number, count) for number in range(count)]
-        self.cut: set[int] = set()
+        self.unreachable: set[int] = set()
 
     def deliver(self, now_us: int) -> None:
         while any(manager.outbox.messages for manager in self.managers):
             for manager in self.managers:
                 for sent in manager.outbox.take_messages():
-                    is_cut = bool({manager.process.gateway, sent.to} & self.cut)
-                    if sent.to < len(self.managers) and not is_cut:
+                    is_lost = bool({manager.process.gateway, sent.to} & self.unreachable)
+                    if sent.to < len(self.managers) and not is_lost:
                         self.managers[sent.to].receive(now_us, manager.header(), sent.message)
 
     def run(self, now_us: int, until_us: int) -> None:
@@ -37,7 +37,7 @@
     return [manager.process.gateway for manager in fleet.managers if manager.can_act(now_us, lease_id)]
 
 
-def test_leases_are_spread_and_few_move_when_one_gateway_goes() -> None:
+def test_leases_are_spread_and_only_those_of_a_lost_gateway_move() -> None:
     fleet = Fleet(8)
     names = [f"warden/{n}/0" for n in range(40)]
     for manager in fleet.managers:
@@ -47,7 +47,7 @@
     before = {name: holders(fleet, lease_id_of(name), NOW_US + 10_000_000) for name in names}
     assert all(len(found) == 1 for found in before.values())
     assert len({found[0] for found in before.values()}) >= 6
-    fleet.cut = {7}
+    fleet.unreachable = {7}
     fleet.run(NOW_US + 10_000_000, NOW_US + 20_000_000)
     for name, (holder,) in before.items():
         found = [number for number in holders(fleet, lease_id_of(name), NOW_US + 20_000_000) if number != 7]
@@ -70,7 +70,7 @@
     assert second == alive[0]
 
 
-def test_a_holder_whose_reply_was_rejected_goes_on_above_the_newest_token() -> None:
+def test_a_holder_whose_reply_was_rejected_continues_above_the_newest_token() -> None:
     fleet = Fleet(3)
     (lease_id,) = {manager.request_lease(NOW_US, "warden/1/0", NoTask()) for manager in fleet.managers}
     at_us = NOW_US + 6_000_000
@@ -78,14 +78,14 @@
     (first,) = holders(fleet, lease_id, at_us)
     seen = ballot(100_000, 2)
     other = fleet.managers[(first + 1) % 3]
-    other.fencing.admit(lease_id, seen, 99)  # it has seen a newer token, from who knows where
+    other.fencing.admit(lease_id, seen, 99)  # a newer token of an unknown process
     fleet.run(at_us, at_us + 1_000_000)
     assert other.counters.stale_replies >= 1
     assert holders(fleet, lease_id, at_us + 1_000_000) == [first]
     assert fleet.managers[first].request_by_lease[lease_id].lease.token > seen
 
 
-def test_an_excluded_gateway_holds_nothing_and_requests_are_bounded() -> None:
+def test_an_excluded_gateway_holds_no_lease_and_requests_are_limited() -> None:
     fleet = Fleet(3)
     for manager in fleet.managers:
         manager.set_excluded(NOW_US, True)
@@ -97,14 +97,15 @@
         manager.set_excluded(NOW_US + 8_000_000, False)
     fleet.run(NOW_US + 8_000_000, NOW_US + 16_000_000)
     assert len(holders(fleet, lease_id, NOW_US + 16_000_000)) == 1
-    for manager in fleet.managers:  # asking just now: what it asks for it must not get
+    for manager in fleet.managers:
         manager.set_excluded(NOW_US + 16_000_000, True)
     fleet.deliver(NOW_US + 16_000_000)
-    asker = fleet.managers[1]
-    asker.set_excluded(NOW_US + 40_000_000, False)
-    asker.tick(NOW_US + 50_000_000)
-    assert asker.request_by_lease[lease_id].lease.phase is LeasePhase.ACQUIRING
-    asker.set_excluded(NOW_US + 50_000_000, True)
+    # A gateway that is excluded while it acquires a lease must not get it.
+    proposer = fleet.managers[1]
+    proposer.set_excluded(NOW_US + 40_000_000, False)
+    proposer.tick(NOW_US + 50_000_000)
+    assert proposer.request_by_lease[lease_id].lease.phase is LeasePhase.ACQUIRING
+    proposer.set_excluded(NOW_US + 50_000_000, True)
     fleet.deliver(NOW_US + 50_000_000)
     assert not holders(fleet, lease_id, NOW_US + 50_000_000)
     for number in range(2 * MAX_REQUESTS):
@@ -114,7 +115,7 @@
     )
 
 
-def test_another_number_of_voters_is_not_answered_and_an_older_token_is_rejected() -> None:
+def test_a_different_number_of_voters_gets_no_answer_and_an_older_token_is_rejected() -> None:
     manager = make_manager(0)
     lease_id = manager.request_lease(NOW_US, "warden/1/0", NoTask())
     manager.receive(NOW_US, Header(5, 1, 1, 0), Prepare(lease_id, ballot(1), 1))
--- a/tests/leases/test_messages.py
+++ b/tests/leases/test_messages.py
@@ -1,4 +1,4 @@
-"""PeerSocket about leases: encoding and decoding."""
+"""Encoding and decoding of lease datagrams."""
 
 from __future__ import annotations
 
@@ -50,18 +50,18 @@
     st.builds(Hello, st.integers(0, 1)),
     st.builds(StaleTokenNotice, U60, U60),
 )
-HEADS = st.builds(Header, st.integers(0, 255), U16, U32, st.integers(0, 2**36))
+HEADERS = st.builds(Header, st.integers(0, 255), U16, U32, st.integers(0, 2**36))
 
 
-@given(HEADS, MESSAGES)
-def test_an_encoded_message_is_decoded_to_the_same(header: Header, message: Message) -> None:
+@given(HEADERS, MESSAGES)
+def test_an_encoded_message_decodes_to_an_equal_one(header: Header, message: Message) -> None:
     data = encode(header, message)
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == Datagram(header, message)
 
 
-@given(HEADS, MESSAGES, st.data())
-def test_a_truncated_or_corrupted_datagram_is_no_message(
+@given(HEADERS, MESSAGES, st.data())
+def test_a_truncated_or_corrupted_datagram_is_not_decoded(
     header: Header, message: Message, data: st.DataObject
 ) -> None:
     encoded = encode(header, message)
@@ -75,15 +75,15 @@
     decode(data)
 
 
-def test_another_version_an_unknown_kind_and_a_payload_that_is_too_long() -> None:
-    def changed(at: int, to: int) -> bytes:
+def test_another_version_an_unknown_kind_and_an_overlong_payload_are_rejected() -> None:
+    def encode_with(position: int, value: int) -> bytes:
         encoded = bytearray(encode(Header(3, 1, 2, 3), Hello(1))[:-4])
-        encoded[at] = to
+        encoded[position] = value
         return bytes(encoded) + struct.pack(">I", zlib.crc32(encoded))
 
-    assert decode(changed(0, messages.MAGIC)) is not None
-    assert decode(changed(1, messages.VERSION + 1)) is None
-    assert decode(changed(2, 99)) is None
+    assert decode(encode_with(0, messages.MAGIC)) is not None
+    assert decode(encode_with(1, messages.VERSION + 1)) is None
+    assert decode(encode_with(2, 99)) is None
     with pytest.raises(ValueError, match="161 bytes"):
         encode(Header(3, 1, 2, 3), Handover(1, 2, b"x" * 161))
     with pytest.raises(ValueError, match="Promised"):
--- a/tests/leases/test_model.py
+++ b/tests/leases/test_model.py
@@ -1,4 +1,4 @@
-"""Every order of events of a small fleet: the pure parts of leases never let two act at once."""
+"""Model check of a small fleet: no explored order of events lets two gateways act as the lease holder at once."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 @pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_order_of_events_lets_two_act(start: str) -> None:
+def test_no_order_of_events_lets_two_holders_act(start: str) -> None:
     found = search(STARTS[start], depth=9, most=4_000)
     assert not found.wrong, found.trace
     assert found.states == 4_000 and found.depth >= 4
 
 
 @pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_order_of_questions_and_late_messages_lets_two_act(start: str) -> None:
+def test_no_order_of_vote_requests_and_late_messages_lets_two_holders_act(start: str) -> None:
     found = search(STARTS[start], depth=9, most=8_000, coarse=True)
     assert not found.wrong, found.trace
     assert found.states == 8_000 and found.depth >= 5
 
 
 @pytest.mark.parametrize("start", sorted(STARTS))
-def test_no_long_walk_lets_two_act(start: str) -> None:
+def test_no_random_walk_lets_two_holders_act(start: str) -> None:
     found = walk(STARTS[start], walks=400, steps=STEPS, seed=1)
     assert not found.wrong, found.trace
     assert found.states == 400 * STEPS
@@ -35,6 +35,6 @@
     first, second = replay(STARTS["held"], trace), replay(STARTS["held"], trace)
     assert first.key() == second.key() and not first.wrong
     assert first.restarts == 1 and first.now_us > STARTS["held"]().now_us
-    assert shorten(STARTS["held"], trace) == trace  # nothing is wrong, so nothing can be left out
+    assert shorten(STARTS["held"], trace) == trace  # no violation, so no event is removed
     with pytest.raises(ValueError, match="expected words such as tick:0"):
         parse("moon:1")
--- a/tests/leases/test_probe_election.py
+++ b/tests/leases/test_probe_election.py
@@ -1,4 +1,4 @@
-"""Half-open probes, suspended for those of one gateway: the balancer's part and the election."""
+"""Half-open probes by one elected gateway: the suspension in the balancer, and the election."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
     return driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
 
 
-def test_a_server_that_another_gateway_probes_is_not_probed_until_that_ends() -> None:
+def test_a_server_probed_by_another_gateway_is_not_probed_until_the_suspension_ends() -> None:
     driver = make_tripped()
     driver.now_us += INITIAL_COOLDOWN_US
     driver.handle(ProbesSuspended(0, driver.now_us + SUSPEND_US))
     assert not is_probed(driver)
     driver.now_us += SUSPEND_US
-    driver.balancer.handle(driver.now_us, ProbesSuspended(99, 0))  # the time goes on
+    driver.balancer.handle(driver.now_us, ProbesSuspended(99, 0))  # advances the balancer's clock
     assert is_probed(driver)
 
 
-def test_a_reported_recovery_brings_a_probe_at_once_and_no_verdict() -> None:
+def test_a_reported_recovery_triggers_a_probe_and_does_not_close_the_circuit() -> None:
     driver = make_tripped()
     driver.handle(ProbesSuspended(0, driver.now_us + SUSPEND_US))
     driver.now_us += 1_000
@@ -46,7 +46,7 @@
     assert is_probed(driver) and driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.HALF_OPEN
 
 
-def test_probes_are_not_suspended_where_next_to_nothing_is_left() -> None:
+def test_probes_are_not_suspended_when_most_servers_are_ejected() -> None:
     driver = make_tripped(servers=3)
     trip(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
     driver.now_us += INITIAL_COOLDOWN_US
@@ -54,11 +54,11 @@
     assert is_probed(driver)
 
 
-def test_open_circuits_and_whether_they_are_probed() -> None:
+def test_open_circuits_are_listed_with_whether_they_are_probed() -> None:
     driver = make_tripped()
     assert driver.balancer.ejected_servers(driver.now_us) == [(0, True)]
     late_us = driver.now_us + 2 * INITIAL_COOLDOWN_US + 1
-    assert driver.balancer.ejected_servers(late_us) == [(0, False)]  # no request has come that could be risked
+    assert driver.balancer.ejected_servers(late_us) == [(0, False)]  # no request was available as a probe
     driver.balancer.endpoints.by_server[0].breaker.close()
     assert driver.balancer.ejected_servers(late_us) == []
 
@@ -71,7 +71,7 @@
         self.calls.append((server, until_us))
 
 
-def test_a_holder_replies_what_it_does_and_for_a_while_that_the_host_has_recovered() -> None:
+def test_a_holder_replies_whether_it_probes_and_later_that_the_host_has_recovered() -> None:
     election, manager = ProbeElection(1, SuspendProbes()), make_manager(0)
     election.update(NOW_US, [(5, True)], manager)
     ((lease_id, request),) = manager.request_by_lease.items()
@@ -91,7 +91,7 @@
     )
 
 
-def test_replies_suspend_probes_by_ones_own_clock_and_late_ones_do_not() -> None:
+def test_replies_suspend_probes_by_the_reporters_clock_and_late_replies_do_not() -> None:
     suspend_probes = SuspendProbes()
     election, manager = ProbeElection(1, suspend_probes), make_manager(0)
     election.update(NOW_US, [(5, True)], manager)
@@ -101,9 +101,9 @@
     election.on_reply(NOW_US + SUSPEND_US, lease_id, NOW_US, PROBING)  # late
     assert len(suspend_probes.calls) == 1
     election.on_reply(NOW_US + 200, lease_id, NOW_US, IDLE)
-    assert suspend_probes.calls[-1] == (5, 1)  # past: it suspends nothing, and ends no cooldown
+    assert suspend_probes.calls[-1] == (5, 1)  # a time in the past: ends the suspension, but not the cooldown
     for _ in range(3):
         election.on_reply(NOW_US + RECOVERED_NOTICE_US, lease_id, NOW_US, RECOVERED)
-    assert suspend_probes.calls[2:] == [(5, 0)]  # once: a probe that fails here stays a verdict of one's own
+    assert suspend_probes.calls[2:] == [(5, 0)]  # one probe per recovery
     election.on_acquired(lease_id, b"")
     assert suspend_probes.calls[-1] == (5, 1)
--- a/tests/leases/test_quorum_lease.py
+++ b/tests/leases/test_quorum_lease.py
@@ -1,4 +1,4 @@
-"""The proposer's side of leases by majority."""
+"""The proposer's side of quorum leases."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 @dataclass
 class Fleet:
-    """Three voters and a few proposers that hear one another at once, unless a test keeps something back."""
+    """Three voters and a few proposers; messages arrive without delay, except at unreachable voters."""
 
     proposers: list[QuorumLease]
     voters: list[Acceptor] = field(default_factory=lambda: [make_acceptor() for _ in range(3)])
-    unreachable: set[int] = field(default_factory=set)  # voters that hear nothing
+    unreachable: set[int] = field(default_factory=set)  # voters that receive no messages
     events: list[LeaseAcquired | LeaseEnded | NodeRequest] = field(default_factory=list)
 
     def apply_actions(self, number: int, now_us: int, actions: list[Action]) -> None:
@@ -47,15 +47,15 @@
             if action.to in self.unreachable:
                 continue
             acceptor = self.voters[action.to]
-            answer: Message | None = None
+            response: Message | None = None
             if isinstance(message, Prepare):
-                answer = acceptor.on_prepare(now_us, message, number + 10, number)
+                response = acceptor.on_prepare(now_us, message, number + 10, number)
             elif isinstance(message, Propose):
-                answer = acceptor.on_propose(now_us, message, number + 10, number)
+                response = acceptor.on_propose(now_us, message, number + 10, number)
             elif isinstance(message, Release):
                 acceptor.on_release(message)
-            if answer is not None:
-                self.apply_actions(number, now_us, self.proposers[number].receive(now_us, answer, action.to))
+            if response is not None:
+                self.apply_actions(number, now_us, self.proposers[number].receive(now_us, response, action.to))
 
     def tick(self, number: int, now_us: int) -> None:
         self.apply_actions(number, now_us, self.proposers[number].tick(now_us))
@@ -68,16 +68,16 @@
     return made
 
 
-def test_a_lease_counts_from_the_begin_of_its_round() -> None:
+def test_a_lease_is_valid_from_the_start_of_its_round() -> None:
     fleet = make_fleet(1)
     (lease,) = fleet.proposers
     prepares = [m for _, m in sent_messages(lease.tick(NOW_US), Prepare)]
     assert isinstance(prepares[0], Prepare)
     proposed: list[Action] = []
     for number in (0, 1):
-        answer = fleet.voters[number].on_prepare(NOW_US, prepares[0], 10, 0)
-        assert answer is not None
-        proposed = lease.receive(NOW_US + 50_000, answer, number)
+        promised = fleet.voters[number].on_prepare(NOW_US, prepares[0], 10, 0)
+        assert promised is not None
+        proposed = lease.receive(NOW_US + 50_000, promised, number)
     (_, proposal), *_ = sent_messages(proposed, Propose)
     assert isinstance(proposal, Propose)
     for number in (0, 1):
@@ -87,10 +87,10 @@
     assert lease.phase is LeasePhase.HELD
     end_us = NOW_US + 50_000 + CONFIG.validity_us
     assert lease.can_act(end_us - 1) and not lease.can_act(end_us)
-    assert end_us < NOW_US + 60_000 + CONFIG.lease_us  # before any voter lets another in
+    assert end_us < NOW_US + 60_000 + CONFIG.lease_us  # the lease ends before it expires at any voter
 
 
-def test_a_holder_renews_under_the_same_token_and_stops_in_time_when_it_can_not() -> None:
+def test_a_holder_renews_under_the_same_token_and_stops_in_time_if_it_cannot() -> None:
     fleet = make_fleet()
     fleet.tick(0, NOW_US)
     lease, token = fleet.proposers[0], fleet.proposers[0].token
@@ -108,32 +108,32 @@
     assert fleet.proposers[1].token > token
 
 
-def test_restarted_voters_with_higher_promises_cost_a_holder_nothing() -> None:
+def test_restarted_voters_with_higher_promises_do_not_end_a_lease() -> None:
     fleet = make_fleet(1)
     fleet.tick(0, NOW_US)
     lease, token = fleet.proposers[0], fleet.proposers[0].token
     later_us = lease.next_timer_us()
-    for number in (0, 1):  # restarted, and has observed higher ballots of other leases
+    for number in (0, 1):  # the voters restart, having observed higher ballots of other leases
         fleet.voters[number] = make_acceptor(later_us)
         fleet.voters[number].min_promised_ballot = ballot(500, 3)
     fleet.tick(0, later_us)
     assert lease.phase is LeasePhase.HELD and lease.token > token and lease.valid_until_us > later_us
 
 
-def test_a_handover_takes_effect_at_once_and_ends_the_old_holder_first() -> None:
+def test_a_handover_takes_effect_at_once_and_the_former_holder_has_stopped() -> None:
     fleet = make_fleet()
     fleet.tick(0, NOW_US)
     old, new = fleet.proposers
-    fleet.apply_actions(0, NOW_US + 1, old.hand_over(NOW_US + 1, 11, b"what it knew"))
+    fleet.apply_actions(0, NOW_US + 1, old.hand_over(NOW_US + 1, 11, b"state"))
     assert not old.can_act(NOW_US + 1) and new.can_act(NOW_US + 1) and new.token > old.token
     assert [type(event) for event in fleet.events] == [LeaseAcquired, LeaseAcquired, LeaseEnded] or [
         type(event) for event in fleet.events
     ] == [LeaseAcquired, LeaseEnded, LeaseAcquired]
-    began = [event for event in fleet.events if isinstance(event, LeaseAcquired)]
-    assert began[1].state == b"what it knew"
+    acquired = [event for event in fleet.events if isinstance(event, LeaseAcquired)]
+    assert acquired[1].state == b"state"
 
 
-def test_a_handover_that_is_not_acknowledged_leaves_the_lease_free() -> None:
+def test_an_unacknowledged_handover_frees_the_lease() -> None:
     fleet = make_fleet()
     fleet.tick(0, NOW_US)
     old, other = fleet.proposers
@@ -150,8 +150,8 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32), st.integers(2, 6))
-def test_of_rival_proposers_one_holds_soon(seed: int, count: int) -> None:
-    """No livelock: within four leases, though a fifth of all messages is lost."""
+def test_one_of_several_rival_proposers_acquires_the_lease_within_four_leases(seed: int, count: int) -> None:
+    """There is no livelock: one proposer holds the lease within four lease durations at 20 % message loss."""
     rng = random.Random(seed)
     fleet = Fleet([QuorumLease(7, CONFIG, BallotClock(n + 10, n), n / count, rng.random) for n in range(count)])
     for lease in fleet.proposers:
--- a/tests/leases/test_zookeeper_lease.py
+++ b/tests/leases/test_zookeeper_lease.py
@@ -1,4 +1,4 @@
-"""Leases by the coordination service: an ephemeral node."""
+"""Leases in ZooKeeper: an ephemeral node."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
     return [(a.operation, a.round) for a in actions if isinstance(a, NodeRequest)]
 
 
-def test_a_lease_counts_from_before_its_write_was_sent() -> None:
+def test_a_lease_is_valid_from_before_its_write_was_sent() -> None:
     lease = make_lease()
     ((operation, round_),) = requests_in(lease.tick(NOW_US))
     assert operation == NodeOperation.CREATE
-    began = lease.on_response(NOW_US + 300_000, NodeResponse(round_, NodeOutcome.OWNED, 50))
-    assert began == [LeaseAcquired(7, 50)]
+    actions = lease.on_response(NOW_US + 300_000, NodeResponse(round_, NodeOutcome.OWNED, 50))
+    assert actions == [LeaseAcquired(7, 50)]
     end_us = NOW_US + lease.validity_us
     assert lease.validity_us <= LEASE_US * 3 // 4 and lease.can_act(end_us - 1) and not lease.can_act(end_us)
-    ((operation, again),) = requests_in(lease.tick(lease.next_timer_us()))
+    ((operation, renewal),) = requests_in(lease.tick(lease.next_timer_us()))
     assert (
         operation is NodeOperation.RENEW
         and lease.on_response(lease.next_timer_us(), NodeResponse(round_, NodeOutcome.OWNED, 50)) == []
-    )  # an old answer
+    )  # a response to an older request
     assert lease.valid_until_us == end_us
-    lease.on_response(NOW_US + 1_000_000, NodeResponse(again, NodeOutcome.OWNED, 50))
+    lease.on_response(NOW_US + 1_000_000, NodeResponse(renewal, NodeOutcome.OWNED, 50))
     assert lease.valid_until_us > end_us and lease.token == 50
 
 
@@ -53,28 +53,29 @@
     assert requests_in(late) == [(NodeOperation.DELETE, 0)]
 
 
-def test_a_lease_that_cannot_be_renewed_ends_in_time_and_a_lost_session_at_once() -> None:
-    for how in ("time", "session", "gone", "others"):
+def test_a_lease_that_cannot_be_renewed_ends_in_time_and_a_lost_session_ends_it_at_once() -> None:
+    for cause in ("time", "session", "missing", "taken"):
         lease = make_lease()
         ((_, round_),) = requests_in(lease.tick(NOW_US))
         lease.on_response(NOW_US + 1, NodeResponse(round_, NodeOutcome.OWNED, 50))
         now_us = lease.next_timer_us()
         ((_, renewal),) = requests_in(lease.tick(now_us))
-        if how == "time":
-            lease.on_response(now_us, NodeResponse(renewal, NodeOutcome.FAILED))  # SUSPENDED
+        if cause == "time":
+            lease.on_response(now_us, NodeResponse(renewal, NodeOutcome.FAILED))  # the session is suspended
             assert lease.can_act(lease.valid_until_us - 1)
             ended = lease.tick(lease.valid_until_us)
-        elif how == "session":
+        elif cause == "session":
             ended = lease.on_session_lost(now_us)
         else:
             ended = lease.on_response(
-                now_us, NodeResponse(renewal, NodeOutcome.MISSING if how == "gone" else NodeOutcome.TAKEN, 51, 3)
+                now_us,
+                NodeResponse(renewal, NodeOutcome.MISSING if cause == "missing" else NodeOutcome.TAKEN, 51, 3),
             )
         assert isinstance(ended[0], LeaseEnded) and not lease.can_act(now_us)
 
 
 def after_stale_token(lease: ZookeeperLease, response: NodeResponse) -> list[Action]:
-    """An act was refused for epoch 90: it acts no more, and asks the service; operation its answer brings."""
+    """Reject a reply because of token 90: the holder stops and asks the service; return what its response causes."""
     (ended,) = lease.on_stale_token(NOW_US + 2, 90)
     assert isinstance(ended, LeaseEnded) and not lease.can_act(NOW_US + 2)
     lease.tick(lease.next_timer_us())
@@ -82,7 +83,7 @@
     return lease.on_response(NOW_US + 3, replace(response, round=round_))
 
 
-def test_a_service_restored_from_an_older_state_gives_no_older_token() -> None:
+def test_a_service_restored_from_an_older_state_leads_to_no_older_token() -> None:
     lease = make_lease()
     ((_, round_),) = requests_in(lease.tick(NOW_US))
     lease.on_response(NOW_US + 1, NodeResponse(round_, NodeOutcome.OWNED, 50))
@@ -94,8 +95,11 @@
     assert lease.on_response(NOW_US + 3, NodeResponse(renewal, NodeOutcome.OWNED, 50)) == [] and lease.token == 91
 
 
-def test_two_that_hold_by_the_service_do_not_outbid_one_another() -> None:
-    """Its session was ended before its time, and another made the node: a refusal brings nothing above that one's."""
+def test_two_zookeeper_holders_do_not_outbid_each_other() -> None:
+    """The holder's session was ended early, and another gateway created the node.
+
+    After a rejected reply the former holder must not raise its token above the new holder's.
+    """
     lease = make_lease()
     ((_, round_),) = requests_in(lease.tick(NOW_US))
     lease.on_response(NOW_US + 1, NodeResponse(round_, NodeOutcome.OWNED, 50))
