--- a/cloverkeel/leases/acceptor.py
+++ b/cloverkeel/leases/acceptor.py
@@ -98,7 +98,7 @@
             if len(self.state_by_lease) >= self.max_leases:
                 return None
             if not self.min_promised_ballot:
-                # Promises made before the restart are lost, but none of them exceeds what other gateways observed.
+                # Promises made before the restart are lost; the highest observed counter is an upper bound of them.
                 self.min_promised_ballot = self.ballot_clock.highest << COUNTER_SHIFT
             state = self.state_by_lease[lease_id] = AcceptorState(self.min_promised_ballot, now_us)
         state.last_used_us = now_us
--- a/cloverkeel/leases/quorum_lease.py
+++ b/cloverkeel/leases/quorum_lease.py
@@ -56,7 +56,7 @@
         super().__init__(lease_id, config.lease_us, rendezvous_rank, draw_random)
         self.config = config
         self.ballot_clock = ballot_clock
-        self.ballot = 0  # ballot of the current round
+        self.ballot = 0  # ballot of the open round, or under which the lease is held
         self.round = 0  # counts the broadcasts of Prepare and Propose; responses carry it
         self.round_started_us = 0
         self.is_round_open = False
