--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -249,16 +249,16 @@
 
     def call(self, line: bytes) -> tuple[bool, str] | None:
         """Answer the admin lines DUTIES, HANDON NAME, KEEPOFF and KEEPON; None for any other line."""
-        word, _, argument = line.strip(b"\r\n").partition(b" ")
+        command, _, argument = line.strip(b"\r\n").partition(b" ")
         at_us = self.clock()
-        if word == b"HANDON" and argument:
+        if command == b"HANDON" and argument:
             return self.hand_over(at_us, argument)
         if argument:
             return None
-        if word == b"DUTIES":
+        if command == b"DUTIES":
             return True, json.dumps(self.describe(at_us), separators=(",", ":"))
-        if word in (b"KEEPOFF", b"KEEPON"):
-            is_excluded = word == b"KEEPOFF"
+        if command in (b"KEEPOFF", b"KEEPON"):
+            is_excluded = command == b"KEEPOFF"
             self.manager.set_excluded(at_us, is_excluded)
             self.run_due()
             return True, "it holds no duty" if is_excluded else "it may hold duties"
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -91,14 +91,14 @@
         fleet.check()
 
 
-@pytest.mark.parametrize("hears", [True, False])
+@pytest.mark.parametrize("can_receive", [True, False])
 @on_loop
-async def test_a_holder_that_is_cut_off_one_way_stops(tmp_path: Path, hears: bool) -> None:
+async def test_a_holder_that_is_cut_off_one_way_stops(tmp_path: Path, can_receive: bool) -> None:
     """The holder can send but not receive, or receive but not send."""
     async with ground(tmp_path, count=5, voters=5) as fleet:
         held = await fleet.holder()
         rest = others(fleet, held.gateway)
-        if hears:
+        if can_receive:
             fleet.cut([held.gateway], rest, one_way=True)
         else:
             fleet.cut(rest, [held.gateway], one_way=True)
