--- a/cloverkeel/gossip/commands.py
+++ b/cloverkeel/gossip/commands.py
@@ -1,9 +1,9 @@
-"""python -m cloverkeel peers: what gateways know of one another and of hosts, asked at their second addresses.
+"""python -m cloverkeel peers: the gateways' views of one another and of hosts, read from their admin addresses.
 
-    peers show [--json]    who hears whom, hosts in doubt and how gateways differ on them, datagrams and bytes
+    peers show [--json]    members, suspected hosts, differences between the gateways' views, datagrams and bytes
 
-`--at HOST:PORT,...` names the second addresses, or CLOVERKEEL_OPS does. Exit code 0: all answered; 1: one did not;
-2: the options cannot be used.
+`--at HOST:PORT,...` lists the admin addresses; the default is CLOVERKEEL_OPS. Exit code 0: all gateways answered;
+1: at least one did not; 2: invalid options.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from cloverkeel.core.admin_client import call_gateways, parse_address_list
 from cloverkeel.core.config import ConfigError
 
-Status = dict[str, Any]  # the answer of one gateway to PEERS (status.py)
+Status = dict[str, Any]  # a gateway's answer to the admin command PEERS (status.py)
 
 GATEWAY_ROW = "{:>7} {:>4} {:>6} {:>6} {:>7} {:>5} {:>8} {:>9} {:>7} {:>6} {:>5}  {}"
 GATEWAY_TITLES = (
@@ -29,13 +29,13 @@
 
 
 def find_differences(status_by_address: dict[str, Status]) -> list[str]:
-    """Return a line for each gateway or host on which the gateways' views differ."""
+    """Return one line for each gateway or host of which the gateways' views differ."""
     status_by_gateway = {status["gateway"]: status for status in status_by_address.values()}
     return [*_member_differences(status_by_gateway), *_host_differences(status_by_gateway)]
 
 
 def _member_differences(status_by_gateway: dict[int, Status]) -> list[str]:
-    """Return the gateways that some hold for dead and others hear."""
+    """Return one line for each gateway that is dead to some gateways and alive to others."""
     lines = []
     members = {int(member) for status in status_by_gateway.values() for member in status["peers"]}
     for member in sorted(members):
@@ -45,13 +45,13 @@
             if peer is not None:
                 observers_by_state.setdefault(peer["state"], []).append(observer)
         if "gone" in observers_by_state and "alive" in observers_by_state:
-            gone, alive = _joined(observers_by_state["gone"]), _joined(observers_by_state["alive"])
-            lines.append(f"gateway {member}: gone for {gone}, heard by {alive}")
+            dead_for, alive_for = _joined(observers_by_state["gone"]), _joined(observers_by_state["alive"])
+            lines.append(f"gateway {member}: gone for {dead_for}, heard by {alive_for}")
     return lines
 
 
 def _host_differences(status_by_gateway: dict[int, Status]) -> list[str]:
-    """Return the hosts that some gateways suspect and others do not."""
+    """Return one line for each host that some gateways suspect and others do not."""
     suspecting_by_host: dict[str, list[int]] = {}
     for observer, status in sorted(status_by_gateway.items()):
         for host in status["hosts"]:
@@ -60,8 +60,8 @@
     lines = []
     for name, suspecting in sorted(suspecting_by_host.items()):
         if len(suspecting) < len(status_by_gateway):
-            others = [gateway for gateway in sorted(status_by_gateway) if gateway not in suspecting]
-            lines.append(f"host {name}: in doubt at {_joined(suspecting)}, not at {_joined(others)}")
+            not_suspecting = [gateway for gateway in sorted(status_by_gateway) if gateway not in suspecting]
+            lines.append(f"host {name}: in doubt at {_joined(suspecting)}, not at {_joined(not_suspecting)}")
     return lines
 
 
@@ -70,7 +70,7 @@
 
 
 def print_status(status_by_address: dict[str, Status], failures: Sequence[str]) -> None:
-    """Print tables of gateways and hosts, then differences and the addresses that did not answer."""
+    """Print tables of gateways and hosts, then the differences and the failed calls."""
     print(GATEWAY_ROW.format(*GATEWAY_TITLES))
     for status in sorted(status_by_address.values(), key=lambda status: int(status["gateway"])):
         print(GATEWAY_ROW.format(*_gateway_cells(status)))
@@ -113,7 +113,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run `peers`; return its exit code."""
+    """Run the `peers` command and return its exit code."""
     options = _parser().parse_args(arguments)
     try:
         addresses = parse_address_list(options.at)
--- a/cloverkeel/gossip/dissemination.py
+++ b/cloverkeel/gossip/dissemination.py
@@ -1,12 +1,12 @@
-"""Broadcasts that wait to be piggybacked on datagrams: in which order, how often, to how many. Pure.
+"""Queue of broadcasts to be piggybacked on datagrams: their order, number of transmissions and targets. Pure.
 
-The infection-style dissemination of SWIM (Das, Gupta, Motivala 2002, section 4.1), as memberlist's broadcast queue:
-each item leaves this gateway a bounded number of times, some multiple of the logarithm of the fleet's size.
+SWIM's infection-style dissemination (Das, Gupta, Motivala 2002, section 4.1), implemented like memberlist's broadcast
+queue: each gateway sends an item a bounded number of times, which grows with the logarithm of the fleet size.
 
 Invariants:
-- each broadcast leaves this gateway a fixed number of times at the most, and the most urgent first;
-- at most MAX_QUEUED_BROADCASTS wait; the least urgent gives way;
-- status of members is not sent from the last OBSERVATION_RESERVE_BYTES of the token bucket.
+- this gateway sends each broadcast at most a fixed number of times, and the most urgent broadcasts first;
+- at most MAX_QUEUED_BROADCASTS are queued; when the queue is full, the least urgent broadcast is dropped;
+- member status is not sent while the token bucket holds less than OBSERVATION_RESERVE_BYTES.
 """
 
 from __future__ import annotations
@@ -29,30 +29,30 @@
 from cloverkeel.gossip.sampling import UniformRandom, shuffled
 from cloverkeel.gossip.token_bucket import ByteTokenBucket
 
-UNCONFIRMED_FANOUT: Final = 3  # gateways that hear of a failure that nobody has confirmed
-SMALL_FLEET_SIZE: Final = 8  # gateways: all of so few do
-FANOUT: Final = 2  # gateways that a round of broadcasts goes to
-EXTRA_TRANSMISSIONS: Final = 2  # over the logarithm: some are lost
-OBSERVATION_RESERVE_BYTES: Final = 8_000.0  # of the bucket, kept for observations of hosts
+UNCONFIRMED_FANOUT: Final = 3  # gateways that receive a report that no second gateway has confirmed
+SMALL_FLEET_SIZE: Final = 8  # up to this many gateways, all of them receive unconfirmed reports
+FANOUT: Final = 2  # target gateways of a round of broadcasts
+EXTRA_TRANSMISSIONS: Final = 2  # added to the logarithm to compensate for lost datagrams
+OBSERVATION_RESERVE_BYTES: Final = 8_000.0  # part of the token bucket reserved for observations of hosts
 MAX_QUEUED_BROADCASTS: Final = 256
-NO_REPORTER: Final = -1
+NO_REPORTER: Final = -1  # accuser in the key of a status other than SUSPECT
 
 
 def max_transmissions(fleet_size: int) -> int:
-    """Return how often each gateway forwards an item at the most, so that all get it though some are lost."""
+    """Return how many times a gateway may send an item, so that it reaches all gateways despite lost datagrams."""
     return math.ceil(math.log(max(2, fleet_size))) + EXTRA_TRANSMISSIONS
 
 
 def unconfirmed_fanout(fleet_size: int) -> int:
-    """Return how many gateways are sent what nobody has confirmed."""
+    """Return how many gateways are sent an unconfirmed report."""
     return fleet_size - 1 if fleet_size <= SMALL_FLEET_SIZE else UNCONFIRMED_FANOUT
 
 
-Broadcast = ObservationItem | MemberItem  # what goes to all; other items are between two gateways
+Broadcast = ObservationItem | MemberItem  # items for the whole fleet; the other items are for one gateway
 
 
 class BroadcastPriority(IntEnum):
-    """Urgency of a broadcast: the lowest first. Restrictions come before what lifts them."""
+    """Priority of a broadcast; lower values are sent first. Failures precede the recoveries that lift them."""
 
     HOST_FAILURE = 0
     MEMBER_DOWN = 1
@@ -61,14 +61,14 @@
 
 
 class MemberKey(NamedTuple):
-    """What a status of a gateway replaces: each accuser's suspicion is kept apart."""
+    """Key of a member's status. Suspicions are queued separately for each accuser."""
 
     gateway: int
     accuser: int
 
 
 class ObservationKey(NamedTuple):
-    """What an observation replaces."""
+    """Key of one reporter's observation of one host process."""
 
     reporter: int
     process: HostProcess
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class QueuedBroadcast:
-    """An item and how often it is still to be sent."""
+    """A queued item with its priority and remaining transmissions."""
 
     item: Broadcast
     transmissions_left: int
@@ -87,7 +87,7 @@
 
 
 def priority_of(item: Broadcast) -> BroadcastPriority:
-    """Return an item's urgency."""
+    """Return the priority of an item."""
     if isinstance(item, ObservationItem):
         return BroadcastPriority.HOST_FAILURE if item.failures else BroadcastPriority.HOST_SUCCESS
     if item.status != MemberStatus.ALIVE:
@@ -96,7 +96,7 @@
 
 
 def key_of(item: Broadcast) -> BroadcastKey:
-    """Return what an item is about: a newer one with the same key replaces it."""
+    """Return the key of an item: an item that is added replaces a queued one with the same key."""
     if isinstance(item, MemberItem):
         is_suspicion = item.status == MemberStatus.SUSPECT
         return MemberKey(item.gateway, item.reporter if is_suspicion else NO_REPORTER)
@@ -104,22 +104,22 @@
 
 
 class BroadcastQueue:
-    """Broadcasts that wait, and the token bucket that pays for datagrams."""
+    """Queued broadcasts, and the token bucket that limits the bytes sent."""
 
     def __init__(self, fleet_size: int, rng: UniformRandom) -> None:
         self.fleet_size, self.rng = fleet_size, rng
         self.queued: dict[BroadcastKey, QueuedBroadcast] = {}
         self.bucket = ByteTokenBucket()
-        self.dropped_count = 0  # for want of room
+        self.dropped_count = 0  # broadcasts dropped because the queue was full
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a failure of a host waits."""
+        """Whether a failure of a host is queued."""
         return any(broadcast.priority == BroadcastPriority.HOST_FAILURE for broadcast in self.queued.values())
 
     @property
     def has_affordable(self) -> bool:
-        """Whether something waits that the bucket pays for."""
+        """Whether a broadcast is queued that the token bucket allows to be sent."""
         if not self.queued:
             return False
         if self.bucket.available_bytes >= OBSERVATION_RESERVE_BYTES:
@@ -127,14 +127,14 @@
         return any(isinstance(broadcast.item, ObservationItem) for broadcast in self.queued.values())
 
     def add(self, item: Broadcast, transmissions: int) -> None:
-        """Queue an item to be sent so often; it replaces one with the same key."""
+        """Queue an item for a number of transmissions, replacing a queued item with the same key."""
         key = key_of(item)
-        if key not in self.queued and len(self.queued) >= MAX_QUEUED_BROADCASTS and not self._make_room(item):
+        if key not in self.queued and len(self.queued) >= MAX_QUEUED_BROADCASTS and not self._evict_for(item):
             return
         self.queued[key] = QueuedBroadcast(item, transmissions, priority_of(item))
 
-    def _make_room(self, item: Broadcast) -> bool:
-        """Drop the least urgent broadcast; False where that is the item itself."""
+    def _evict_for(self, item: Broadcast) -> bool:
+        """Drop the least urgent queued broadcast; return False, dropping none, if the new item is less urgent."""
         self.dropped_count += 1
         least_urgent = max(
             self.queued, key=lambda key: (self.queued[key].priority, -self.queued[key].transmissions_left)
@@ -145,13 +145,13 @@
         return True
 
     def forward(self, observation: Observation) -> None:
-        """Queue a peer's observation, once."""
+        """Queue a peer's observation with its remaining transmissions; further calls have no effect."""
         if observation.transmissions_left > 0:
             self.add(observation.item, observation.transmissions_left)
             observation.transmissions_left = 0
 
     def on_duplicate(self, item: Broadcast) -> None:
-        """Count an item that came from another gateway too as one transmission."""
+        """Count the receipt of a queued item from another gateway as one transmission."""
         key = key_of(item)
         broadcast = self.queued.get(key)
         if broadcast is not None and broadcast.item == item:
@@ -163,7 +163,7 @@
             del self.queued[key]
 
     def take_items(self, items: tuple[Item, ...] = ()) -> tuple[Item, ...]:
-        """Return what fits into one datagram beside its own items; each counts as one transmission."""
+        """Return broadcasts that fit into a datagram beside its own `items`; each counts as one transmission."""
         room_bytes = MAX_ITEMS_BYTES - sum(item_size(item) for item in items)
         is_below_reserve = self.bucket.available_bytes < OBSERVATION_RESERVE_BYTES
         own_keys = {key_of(item) for item in items if isinstance(item, ObservationItem | MemberItem)}
@@ -180,7 +180,7 @@
         return tuple(chosen)
 
     def choose_targets(self, gateways: list[int]) -> list[int]:
-        """Draw whom a round of broadcasts goes to: more gateways where a failure waits."""
+        """Draw the targets of a round of broadcasts: more of them while a failure of a host is queued."""
         fanout = unconfirmed_fanout(self.fleet_size) if self.is_urgent else FANOUT
         return shuffled(gateways, self.rng)[:fanout]
 
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -1,6 +1,6 @@
-"""I/O around the gossip node: datagrams, timers, outcomes of attempts, events for the balancer. Decides nothing.
+"""I/O for the gossip node: datagrams, timers, outcomes of attempts, events for the balancer. Has no protocol logic.
 
-Bounds: the token bucket of token_bucket.py for what is sent; one timer beside the periodic check.
+Bounds: the bytes sent, by the token bucket (token_bucket.py); the timers, by one besides the periodic check.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 from cloverkeel.gossip.status import node_status
 
 MIN_GATEWAYS: Final = 2
-CHECK_INTERVAL_S: Final = 0.1  # between two checks for hosts that do not answer
+CHECK_INTERVAL_S: Final = 0.1  # between checks for unresponsive hosts
 MIN_TIMER_DELAY_S: Final = 0.005
 DROP_LOG_INTERVAL_US: Final = 60_000_000
 INCARNATION_EPOCH_US: Final = 1_767_225_600_000_000  # 2026-01-01
 INCARNATION_UNIT_US: Final = 125_000
 SEED_BITS: Final = 64
-# What the end of an attempt says of its host. FULL: it is overloaded, and answers. CANCELLED and MOOT: nothing.
+# Outcomes that count for or against the host. FULL is left out, as an overloaded host still answers; CANCELLED and
+# MOOT are left out, as they say nothing about the host.
 IS_SUCCESS_BY_OUTCOME: Final = {
     Outcome.OK: True,
     Outcome.ERROR: False,
@@ -43,12 +44,12 @@
 
 
 class GossipDriver:
-    """Runs a gossip node on the event loop, between the peers' socket and the gateway."""
+    """Runs a gossip node on the event loop and connects it to the peers' socket and the gateway."""
 
     def __init__(
         self, config: Config, gateway: Gateway, datagrams: PeerSocket, clock: Callable[[], int] = now_us
     ) -> None:
-        """`clock`: microseconds, of the program's form (core/clock.py)."""
+        """`clock` returns microseconds, like `now_us` of core/clock.py."""
         self.clock = clock
         self.gateway, self.datagrams = gateway, datagrams
         self.loop = asyncio.get_running_loop()
@@ -63,31 +64,31 @@
         self.drop_logged_us = 0
         self.timer: asyncio.TimerHandle | None = None
         self.check_timer: asyncio.TimerHandle | None = None  # None: not started, or closed
-        self.is_run_scheduled = False  # in this turn of the loop
+        self.is_run_scheduled = False  # whether `_run` is scheduled for the next loop iteration
         self.silent_hosts: set[HostProcess] = set()
 
     def start(self) -> None:
-        """Register for datagrams, before the socket is opened."""
+        """Register as a handler of datagrams. To be called before the socket is opened."""
         if self.fleet_size < MIN_GATEWAYS or self.gateway_number >= self.fleet_size:
             log(f"gossip: disabled, reason=too_few_gateways gateways={self.fleet_size}")
             return
-        # It begins with none: a process before this one may have spent its own a moment ago. From now on, not from
-        # when the socket is there: while its gateway is replaced that may be long.
+        # Start without retry tokens: the previous process of this gateway may just have spent its own. Done here and
+        # not when the socket opens, as during a handover the old process may hold the address for long.
         self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_token_state(self.clock())[0])
         self.datagrams.register(MAGIC, self)
 
     def on_socket_open(self) -> None:
-        """Begin: the socket is open."""
+        """Start the node, listeners and timers."""
         self.node.start(self.clock())
         self.gateway.stall_listeners.append(self.on_stall)
         self.gateway.dispatcher.on_attempt_outcome = self.on_outcome
         self.on_check_timer()
 
     def leave(self) -> None:
-        """Do nothing when the graceful shutdown begins: it goes on receiving, and peers notice its end."""
+        """Do nothing at the start of a graceful shutdown: gossip continues, and peers detect the exit by probes."""
 
     def close(self) -> None:
-        """Stop the timers."""
+        """Cancel the timers and stop observing outcomes."""
         self.gateway.dispatcher.on_attempt_outcome = None
         for handle in (self.timer, self.check_timer):
             if handle is not None:
@@ -97,23 +98,23 @@
     # Time
 
     def on_check_timer(self) -> None:
-        """Bring the node's view of the gateway up to date, ten times a second."""
-        # First: nothing below may end it.
+        """Update the node's view of the gateway, every CHECK_INTERVAL_S."""
+        # Scheduled first, so that an exception below does not end the periodic check.
         self.check_timer = self.loop.call_later(CHECK_INTERVAL_S, self.on_check_timer)
         at_us = self.clock()
         self._exchange_metrics()
-        self._record_silences(at_us)
+        self._record_silent_hosts(at_us)
         if self.gateway.balancer.retry_token_state(at_us)[1]:
             self.node.request_retry_tokens(at_us)
         self._run()
 
     def _exchange_metrics(self) -> None:
-        """Give the node the count of requests, and the metrics line the node's counts."""
-        tally = self.gateway.metrics
-        self.node.request_count = sum(tally.received_by_class) + tally.received_before_reset
+        """Pass the number of requests to the node, and the node's counts to the metrics line."""
+        metrics = self.gateway.metrics
+        self.node.request_count = sum(metrics.received_by_class) + metrics.received_before_reset
         outliers, transport = self.node.outliers, self.node.counts
-        suspected = sum(known.is_suspected_outlier for known in outliers.assessment_by_host.values())
-        tally.gossip = [
+        suspected = sum(assessment.is_suspected_outlier for assessment in outliers.assessment_by_host.values())
+        metrics.gossip = [
             suspected,
             outliers.counts.unconfirmed_reports,
             outliers.counts.confirmed_hosts,
@@ -122,8 +123,8 @@
             transport.sent_bytes,
         ]
 
-    def _record_silences(self, at_us: int) -> None:
-        """Count a host whose oldest attempt is overdue as failed, once for each time that it falls silent."""
+    def _record_silent_hosts(self, at_us: int) -> None:
+        """Record one failure for each host that has become silent: its oldest attempt is overdue."""
         silent_hosts = set()
         for server in self.gateway.balancer.silent_servers(at_us):
             host = self._host_process(server)
@@ -135,11 +136,11 @@
         self.silent_hosts = silent_hosts
 
     def on_stall(self, at_us: int, stall_us: int) -> None:
-        """Note that the event loop was stopped for so long."""
+        """Forward a stall of the event loop to the node."""
         self.node.on_stall(at_us, stall_us)
 
     def on_timer(self) -> None:
-        """Do what the node has due."""
+        """Run the node's due work."""
         self.timer = None
         self._run()
 
@@ -149,7 +150,7 @@
             self.loop.call_soon(self._run)
 
     def _run(self) -> None:
-        """Do what is due, send what is to be sent, and set the timer."""
+        """Run the node's due work, send its datagrams and set the timer."""
         self.is_run_scheduled = False
         if self.check_timer is None:
             return  # closed
@@ -160,7 +161,7 @@
             self.timer.cancel()
             self.timer = None
         wait_s = (self.node.next_timer_us() - self.clock()) / 1e6
-        if wait_s < CHECK_INTERVAL_S:  # else the next check finds it
+        if wait_s < CHECK_INTERVAL_S:  # later work is done by the next periodic check
             self.timer = self.loop.call_later(max(MIN_TIMER_DELAY_S, wait_s), self.on_timer)
 
     # Outcomes of attempts, and events for the balancer
@@ -170,14 +171,14 @@
         return HostProcess(server, timestamp_ms_of(started_us)) if started_us >= 0 else None
 
     def on_outcome(self, server: int, outcome: Outcome, latency_us: int) -> None:
-        """Take the end of an attempt."""
+        """Record the end of an attempt; `latency_us`: time since it was sent."""
         is_success = IS_SUCCESS_BY_OUTCOME.get(outcome)
         host = self._host_process(server)
         if is_success is None or host is None:
             return
         is_timeout = outcome is Outcome.TIMEOUT
         if is_timeout and host in self.silent_hosts:
-            return  # the timeouts of a silent host were counted as one
+            return  # _record_silent_hosts counts all timeouts of a silent host as one failure
         at_us = self.clock()
         sent_us = at_us - latency_us if is_timeout else 0
         self.node.record_outcome(at_us, host, is_success, sent_us)
@@ -185,7 +186,7 @@
             self._run_soon()
 
     def on_assessment(self, host: HostProcess, assessment: Assessment) -> None:
-        """Tell the balancer what is known of a host; not of an earlier process, or one that is not listed here."""
+        """Report an assessment to the balancer, unless the host is not listed or has another process now."""
         started_us = self.gateway.balancer.started_at_us(host.host)
         if started_us < 0 or timestamp_ms_of(started_us) != host.started_ms:
             return
@@ -197,7 +198,7 @@
     # Retry tokens of the balancer (RetryTokenBucket)
 
     def withdraw(self, max_tokens: float) -> float:
-        """Return what is gone from the balancer, not what it was asked to give up."""
+        """Remove tokens from the balancer, and return how many it actually gave up, not how many were requested."""
         available, is_short = self.gateway.balancer.retry_token_state(self.clock())
         if is_short or available < MIN_TRANSFER_TOKENS:
             return 0.0
@@ -205,13 +206,13 @@
         return max(0.0, available - self.gateway.balancer.retry_token_state(self.clock())[0])
 
     def deposit(self, tokens: float, expires_us: int) -> None:
-        """Give tokens to the balancer, until then."""
+        """Add tokens to the balancer, which expire at `expires_us`."""
         self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, tokens, expires_us)
 
     # Datagrams
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
-        """Take a datagram, if it can be read and comes from the listed address of its sender."""
+        """Process a datagram, if it can be decoded and comes from the listed address of its sender."""
         datagram = decode(data)
         if datagram is None:
             self._count_drop("unreadable")
@@ -233,7 +234,7 @@
     # Admin address
 
     def call(self, line: bytes) -> tuple[bool, str] | None:
-        """Answer PEERS; None for any other line."""
+        """Answer the admin command PEERS; return None for any other line."""
         if line.strip(b"\r\n") != b"PEERS":
             return None
         status = node_status(self.node, self.clock()) | {"dropped": dict(self.dropped_by_reason)}
--- a/cloverkeel/gossip/errors.py
+++ b/cloverkeel/gossip/errors.py
@@ -4,11 +4,11 @@
 
 
 class DatagramEncodeError(ValueError):
-    """Report a datagram that can not be encoded."""
+    """A datagram cannot be encoded."""
 
 
 class FieldOutOfRangeError(DatagramEncodeError):
-    """Report a number that does not fit its field; `reason` names the range, the text shows the header, too."""
+    """A number does not fit its field. `reason` names the valid range; the message includes the header."""
 
     def __init__(self, header: object, reason: object) -> None:
         super().__init__(f"{header!r}: {reason}")
@@ -16,7 +16,7 @@
 
 
 class DatagramTooLargeError(DatagramEncodeError):
-    """Report a datagram that is longer than the limit."""
+    """A datagram exceeds the size limit."""
 
     def __init__(self, size_bytes: int, max_bytes: int) -> None:
         super().__init__(f"{size_bytes} bytes, {max_bytes} at most")
--- a/cloverkeel/gossip/failure_detector.py
+++ b/cloverkeel/gossip/failure_detector.py
@@ -1,13 +1,13 @@
-"""Probes of other gateways: SWIM's failure detector with Lifeguard's refinements. Pure: time is passed in.
+"""Failure detector: SWIM's probes of peers with Lifeguard's extensions. Pure: time is passed in.
 
-SWIM (Das, Gupta, Motivala 2002, section 3.1): each period one peer is pinged, in a shuffled round (section 4.3); if
-it does not answer, others are asked to ping it (ping-req). Lifeguard (Dadgar, Phillips, Currey 2018) adds nacks of
-those, and a local health multiplier that stretches the timeouts.
+SWIM (Das, Gupta, Motivala 2002, section 3.1): in each period one peer is pinged, in an order shuffled for each round
+(section 4.3); if it does not answer, other gateways are asked to ping it (ping-req). Lifeguard (Dadgar, Phillips,
+Currey 2018) adds nacks from these gateways, and a local health multiplier that stretches the timeouts.
 
 Invariants:
-- nobody is held for dead by one failed probe: it is suspected first (membership.py);
-- the worse this gateway's own health, the longer it waits before it accuses another;
-- after a stall nobody is accused for what went unanswered.
+- a failed probe alone does not make a peer dead: the peer is suspected first (membership.py);
+- the worse this gateway's local health, the longer it waits before it suspects a peer;
+- after a stall of this process, no peer is suspected for a probe that was unanswered meanwhile.
 """
 
 from __future__ import annotations
@@ -19,41 +19,42 @@
 from cloverkeel.gossip.peer_state import OutgoingMessage, Probe, RelayedProbe
 from cloverkeel.gossip.sampling import UniformRandom, shuffled
 
-PROBE_TIMEOUT_US: Final = 250_000  # for an answer, before others are asked to probe
-INDIRECT_PROBES: Final = 3
-NACK_TIMEOUT_RATIO: Final = 0.8  # of the probe timeout, after which who was asked to probe sends a nack
-DEAD_PROBE_INTERVAL_US: Final = 60_000_000  # after which a dead peer is probed again: it may be back and alone
+PROBE_TIMEOUT_US: Final = 250_000  # for a direct ack; indirect probes start after it
+INDIRECT_PROBES: Final = 3  # gateways that are asked to ping the target
+NACK_TIMEOUT_RATIO: Final = 0.8  # part of the probe timeout after which a relaying gateway sends a nack
+# A peer that has been dead for this long is probed again: it may be alive, and consider all others dead.
+DEAD_PROBE_INTERVAL_US: Final = 60_000_000
 MAX_RELAYED_PROBES: Final = 64
 MIN_INTERVAL_JITTER: Final = 0.9
 INTERVAL_JITTER_RANGE: Final = 0.2
 
 
 class FailureDetector:
-    """Probes that one gateway sends, relays and answers."""
+    """The probes that this gateway sends, relays and answers."""
 
     def __init__(self, membership: MembershipTable, rng: UniformRandom) -> None:
         self.membership, self.rng = membership, rng
         self.health = membership.health
         self.probe: Probe | None = None
-        self.round: list[int] = []  # peers that are still to be probed in this round
-        self.relayed_probe_by_sequence: dict[int, RelayedProbe] = {}  # of our own pings
+        self.remaining_targets: list[int] = []  # peers that are not yet probed in this round
+        self.relayed_probe_by_sequence: dict[int, RelayedProbe] = {}  # by the sequence number of this gateway's ping
         self.sequence = 0
         self.next_probe_us = 0
-        self.suspicion_count = 0  # peers that this gateway was the first to suspect, to its knowledge
+        self.suspicion_count = 0  # peers suspected after a failed probe that were considered alive before
 
     def start(self, now_us: int) -> None:
-        """Begin at a random moment of the first period: gateways that started together do not probe together."""
+        """Start probing at a random time in the first period: gateways started together must not synchronize."""
         self.next_probe_us = now_us + int(self.rng() * PROBE_INTERVAL_US)
 
     def on_stall(self, now_us: int, stall_us: int) -> None:
-        """Note that this process was stopped: what went unanswered is nobody's fault."""
+        """Cancel all probes after a stall of this process: answers may have been missed meanwhile."""
         self.probe = None
         self.relayed_probe_by_sequence.clear()
         self.membership.on_stall(stall_us)
         self.start(now_us)
 
     def next_timer_us(self) -> int:
-        """Return when `tick` has something to do."""
+        """Return the time at which `tick` next has work to do."""
         due_us = self.next_probe_us
         probe = self.probe
         if probe is not None:
@@ -65,7 +66,7 @@
         return due_us
 
     def tick(self, now_us: int) -> None:
-        """Do what is due."""
+        """Do the work that is due."""
         self._send_due_nacks(now_us)
         if self.probe is not None:
             self._advance_probe(now_us, self.probe)
@@ -112,15 +113,15 @@
         self._send_ping(target, sequence)
 
     def _next_target(self, now_us: int) -> int | None:
-        """Return each peer in turn, in an order drawn anew for each round; dead ones only once in a while."""
+        """Return the next peer of the shuffled round, skipping those that died recently; None if there is none."""
         for _ in range(2):
-            while self.round:
-                gateway = self.round.pop()
+            while self.remaining_targets:
+                gateway = self.remaining_targets.pop()
                 peer = self.membership.peers[gateway]
                 is_dead = peer.status is MemberStatus.DEAD
                 if not is_dead or now_us - peer.status_since_us > DEAD_PROBE_INTERVAL_US:
                     return gateway
-            self.round = shuffled(self.membership.peers, self.rng)
+            self.remaining_targets = shuffled(self.membership.peers, self.rng)
         return None
 
     def _advance_probe(self, now_us: int, probe: Probe) -> None:
@@ -134,8 +135,8 @@
             self._end_probe(now_us, probe)
 
     def _probe_indirectly(self, probe: Probe) -> None:
-        """Ask others to ping the target."""
-        probe.has_gone_indirect = True
+        """Ask other gateways to ping the target."""
+        probe.is_indirect = True
         candidates = [gateway for gateway in self.membership.gateways_not_dead() if gateway != probe.target]
         for gateway in shuffled(candidates, self.rng)[:INDIRECT_PROBES]:
             probe.indirect_probes += 1
@@ -146,22 +147,22 @@
         if probe.is_acked:
             self.health.improve()
             return
-        # Who was asked and answers nothing at all is a sign that this gateway is badly connected itself.
+        # A relaying gateway that sends neither ack nor nack indicates that this gateway's own network is faulty.
         missing_nacks = max(0, probe.indirect_probes - probe.nacks)
         self.health.worsen(missing_nacks)
         if self.membership.suspect(now_us, probe.target):
             self.suspicion_count += 1
 
-    # Messages of peers
+    # Messages from peers
 
     def on_ping(self, gateway: int, sequence: int) -> None:
-        """Answer a ping, with the sender's own status if it is suspected."""
+        """Answer a ping with an ack, and notify the sender if it is suspected or dead."""
         notice = self.membership.suspicion_notice(gateway)
         own_gateway = self.membership.gateway
         self._send(OutgoingMessage(gateway, MessageKind.ACK, sequence, own_gateway, notice))
 
     def on_ping_req(self, now_us: int, requester: int, sequence: int, target: int) -> None:
-        """Ping the target for another gateway."""
+        """Ping the target on behalf of another gateway."""
         peers = self.membership.peers
         if target not in peers or requester not in peers:
             return
@@ -173,7 +174,7 @@
         self._send_ping(target, own_sequence)
 
     def on_ack(self, sequence: int, target: int) -> None:
-        """Take an answer to a probe of our own, or forward it to the gateway that asked for it."""
+        """Record the answer to this gateway's probe, or forward it to the gateway that requested the probe."""
         probe = self.probe
         if probe is not None and sequence == probe.sequence and target == probe.target:
             probe.is_acked = True
@@ -182,6 +183,6 @@
             self._answer_requester(relayed_probe, MessageKind.ACK)
 
     def on_nack(self, sequence: int) -> None:
-        """Count a gateway that was asked to probe and heard nothing: it can be heard itself."""
+        """Count a nack: the target did not answer the relaying gateway, which is itself reachable."""
         if self.probe is not None and sequence == self.probe.sequence:
             self.probe.nacks += 1
--- a/cloverkeel/gossip/local_health.py
+++ b/cloverkeel/gossip/local_health.py
@@ -8,18 +8,18 @@
 
 
 class LocalHealth:
-    """This gateway's trust in its own failure detector: the higher the score, the slower it accuses others."""
+    """Estimate of this gateway's own health: the higher the score, the later its failure detector suspects peers."""
 
     def __init__(self) -> None:
-        self.score = 0  # 0: well
+        self.score = 0  # 0 if healthy
 
     @property
     def multiplier(self) -> int:
-        """The factor by which the probe interval and its timeout are stretched."""
+        """Factor applied to the probe interval and the probe timeout."""
         return 1 + self.score
 
     def worsen(self, steps: int = 1) -> None:
-        """Raise the score: it is likely that this gateway is slow or badly connected."""
+        """Raise the score: this gateway or its network is probably slow or faulty."""
         self.score = min(MAX_LOCAL_HEALTH_SCORE, self.score + steps)
 
     def improve(self) -> None:
--- a/cloverkeel/gossip/membership.py
+++ b/cloverkeel/gossip/membership.py
@@ -1,13 +1,13 @@
-"""What is believed of each gateway: SWIM's member list with suspicion and incarnations. Pure: time is passed in.
+"""SWIM's member list with suspicion and incarnations. Pure: time is passed in.
 
 After SWIM (Das, Gupta, Motivala 2002, section 4.2) with the suspicion timeouts of Lifeguard (Dadgar, Phillips, Currey
 2018); docs/peers-design.md.
 
 Invariants:
-- what is believed of a gateway only grows: by incarnation, and within one from alive to suspect to dead;
-- nobody is held for dead without having been suspected for the suspicion timeout, unless another gateway says so;
-- a gateway that learns that it is suspected, or of a higher incarnation under its number, refutes that with a higher
-  one, once in REFUTATION_INTERVAL_US at the most.
+- the state of a peer only advances: to higher incarnations, and within one from alive to suspect to dead;
+- a peer becomes dead only after the suspicion timeout, or when another gateway reports it as dead;
+- a gateway that receives a suspicion of itself, or a higher incarnation under its number, refutes it with a still
+  higher incarnation, at most once per REFUTATION_INTERVAL_US.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from cloverkeel.gossip.peer_state import OutgoingMessage, PeerState
 
 PROBE_INTERVAL_US: Final = 1_000_000
-SUSPICION_MULTIPLIER: Final = 3.0  # probe intervals, times log10 of the number of gateways, at least once
-MAX_SUSPICION_TIMEOUT_MULTIPLIER: Final = 4.0  # times that for a single accuser
-MAX_CONFIRMATIONS: Final = 3  # further accusers after which the timeout is as short as it gets
+SUSPICION_MULTIPLIER: Final = 3.0  # minimum suspicion timeout / (probe interval * max(1, log10(fleet size)))
+MAX_SUSPICION_TIMEOUT_MULTIPLIER: Final = 4.0  # timeout with a single accuser / minimum timeout
+MAX_CONFIRMATIONS: Final = 3  # additional accusers that shorten the timeout to the minimum
 REFUTATION_INTERVAL_US: Final = 1_000_000
-SUSPICION_NOTICE_INTERVAL_US: Final = 500_000  # between two notices to a gateway of its status, outside of probes
+SUSPICION_NOTICE_INTERVAL_US: Final = 500_000  # between status notices to one gateway, besides those in probes
 
 
 class MembershipTable:
@@ -37,59 +37,60 @@
         self.peers = {gateway: PeerState() for gateway in range(fleet_size) if gateway != self.gateway}
         self.suspects: set[int] = set()
         self.last_refutation_us = -REFUTATION_INTERVAL_US
-        self.updates: list[MemberItem] = []  # changes that others should hear of
-        self.outbox: list[OutgoingMessage] = []  # of the failure detector, too: one queue keeps their order
+        self.updates: list[MemberItem] = []  # changes to be broadcast
+        self.outbox: list[OutgoingMessage] = []  # shared with the failure detector, to keep the order of messages
         self.refutation_count = 0
-        self.recovery_count = 0  # peers that came back from suspect or dead
+        self.recovery_count = 0  # transitions of peers from suspect or dead to alive
 
     @property
     def own_item(self) -> MemberItem:
-        """The status of this gateway."""
+        """This gateway's own status."""
         return MemberItem(self.gateway, self.incarnation, MemberStatus.ALIVE, self.gateway)
 
     def member_item(self, gateway: int) -> MemberItem:
-        """Return what is believed of a peer."""
+        """Return the status of a peer, with its lowest-numbered accuser as the reporter, else this gateway."""
         peer = self.peers[gateway]
         accuser = min(peer.accusers, default=self.gateway)
         return MemberItem(gateway, peer.incarnation, peer.status, accuser)
 
     def gateways_not_dead(self) -> list[int]:
-        """Return whom to send to."""
+        """Return the peers that are alive or suspected, to which messages are sent."""
         return [gateway for gateway, peer in self.peers.items() if peer.status is not MemberStatus.DEAD]
 
     def is_alive(self, gateway: int) -> bool:
-        """Return whether a peer is neither suspected nor held for dead."""
+        """Return whether a peer is neither suspected nor dead."""
         return self.peers[gateway].status is MemberStatus.ALIVE
 
     def suspicion_notice(self, gateway: int) -> tuple[MemberItem, ...]:
-        """Return what a suspected peer must learn, so that it can refute it at once; nothing for others."""
+        """Return the status of a suspected or dead peer, for it to refute at once; empty if the peer is alive."""
         return () if self.is_alive(gateway) else (self.member_item(gateway),)
 
     def drain_outbox(self) -> list[OutgoingMessage]:
-        """Return the messages that wait, in their order."""
+        """Remove and return the queued messages, oldest first."""
         messages, self.outbox = self.outbox, []
         return messages
 
     def drain_updates(self) -> list[MemberItem]:
-        """Return the changes that others have not been sent yet."""
+        """Remove and return the changes that have not been broadcast yet."""
         updates, self.updates = self.updates, []
         return updates
 
     def on_datagram(self, now_us: int, gateway: int, incarnation: int) -> None:
-        """Note a datagram of a peer's own."""
+        """Process the sender and incarnation of a datagram received directly from a peer."""
         peer = self.peers.get(gateway)
         if peer is None:
             return
-        peer.last_heard_us = now_us
+        peer.last_received_us = now_us
         if incarnation > peer.incarnation:
             self.set_status(now_us, MemberItem(gateway, incarnation, MemberStatus.ALIVE, gateway))
         elif peer.status is not MemberStatus.ALIVE or incarnation < peer.incarnation:
             self._notify_of_status(now_us, gateway)
 
     def _notify_of_status(self, now_us: int, gateway: int) -> None:
-        """Tell a peer what is believed of it: it does not know that, and can refute it.
+        """Notify a peer that it is not considered alive, or of its newer incarnation, so that it can refute this.
 
-        Not each time: two that suspect one another, and may not refute it yet, would answer each other's answers.
+        Rate-limited: two gateways that suspect each other, and may not refute it yet, would answer each other's
+        notices endlessly.
         """
         peer = self.peers[gateway]
         if now_us - peer.last_notice_us >= SUSPICION_NOTICE_INTERVAL_US:
@@ -97,7 +98,7 @@
             self.outbox.append(OutgoingMessage(gateway, MessageKind.GOSSIP, items=(self.member_item(gateway),)))
 
     def merge(self, now_us: int, item: MemberItem) -> None:
-        """Take in what another gateway claims of one, perhaps of this one."""
+        """Merge a status received from a peer, which may be about this gateway itself."""
         if item.gateway == self.gateway:
             self.on_claim_about_self(now_us, item)
             return
@@ -105,21 +106,21 @@
         if peer is None or item.status not in MemberStatus._value2member_map_:
             return
         status = MemberStatus(item.status)
-        claimed, believed = (item.incarnation, status), (peer.incarnation, peer.status)
-        if claimed > believed:
+        claimed, current = (item.incarnation, status), (peer.incarnation, peer.status)
+        if claimed > current:
             self.set_status(now_us, item)
-        elif claimed == believed and status is MemberStatus.SUSPECT:
+        elif claimed == current and status is MemberStatus.SUSPECT:
             self._add_accuser(peer, item)
 
     def _add_accuser(self, peer: PeerState, item: MemberItem) -> None:
-        """Count an independent suspicion: it shortens the timeout (Lifeguard's dynamic suspicion timeout)."""
+        """Add an independent accuser, which shortens the timeout (Lifeguard's dynamic suspicion timeout)."""
         if item.reporter in peer.accusers or len(peer.accusers) > MAX_CONFIRMATIONS:
             return
         peer.accusers.add(item.reporter)
         self.updates.append(item)
 
     def on_claim_about_self(self, now_us: int, item: MemberItem) -> None:
-        """Refute a claim that this gateway is not alive, or of a higher incarnation under its number."""
+        """Refute a claim that this gateway is not alive or has a higher incarnation than its own."""
         is_accusation = item.incarnation == self.incarnation and item.status != MemberStatus.ALIVE
         if not is_accusation and item.incarnation <= self.incarnation:
             return
@@ -127,13 +128,13 @@
             return
         self.last_refutation_us = now_us
         if is_accusation:
-            self.health.worsen()  # it was this process that could not be reached
+            self.health.worsen()  # peers could not reach this process
         self.incarnation = item.incarnation + 1
         self.refutation_count += 1
         self.updates.append(self.own_item)
 
     def suspect(self, now_us: int, gateway: int) -> bool:
-        """Accuse a peer on this gateway's own account; return whether it was believed alive."""
+        """Suspect a peer after a failed probe by this gateway; return whether it was considered alive before."""
         peer = self.peers[gateway]
         item = MemberItem(gateway, peer.incarnation, MemberStatus.SUSPECT, self.gateway)
         if peer.status is MemberStatus.ALIVE:
@@ -145,12 +146,12 @@
         return False
 
     def set_status(self, now_us: int, item: MemberItem) -> None:
-        """Believe what an item claims of a peer, and queue it for others."""
+        """Apply a status to a peer and queue it for broadcast, unless the peer was and stays alive."""
         peer = self.peers[item.gateway]
         status = MemberStatus(item.status)
         if peer.status is not MemberStatus.ALIVE and status is MemberStatus.ALIVE:
             self.recovery_count += 1
-        is_worth_telling = status is not MemberStatus.ALIVE or peer.status is not MemberStatus.ALIVE
+        needs_broadcast = status is not MemberStatus.ALIVE or peer.status is not MemberStatus.ALIVE
         peer.incarnation = item.incarnation
         peer.status = status
         peer.status_since_us = now_us
@@ -160,25 +161,25 @@
         else:
             self.suspects.discard(item.gateway)
             peer.accusers = set()
-        if is_worth_telling:
+        if needs_broadcast:
             self.updates.append(item)
 
     def suspicion_timeout_us(self, peer: PeerState) -> int:
-        """Return how long a peer is suspected before it is held for dead; each further accuser shortens it."""
+        """Return how long a peer stays suspected before it is considered dead; each further accuser shortens it."""
         min_us = SUSPICION_MULTIPLIER * max(1.0, math.log10(self.fleet_size)) * PROBE_INTERVAL_US
         max_us = MAX_SUSPICION_TIMEOUT_MULTIPLIER * min_us
         confirmations = min(MAX_CONFIRMATIONS, max(0, len(peer.accusers) - 1))
         return int(max_us - (max_us - min_us) * math.log(confirmations + 1) / math.log(MAX_CONFIRMATIONS + 1))
 
     def expire_suspicions(self, now_us: int) -> None:
-        """Hold for dead who has been suspected for the timeout and has not refuted it."""
+        """Mark the peers as dead that did not refute their suspicion within the timeout."""
         for gateway in list(self.suspects):
             peer = self.peers[gateway]
             if now_us - peer.status_since_us >= self.suspicion_timeout_us(peer):
                 self.set_status(now_us, MemberItem(gateway, peer.incarnation, MemberStatus.DEAD, self.gateway))
 
     def on_stall(self, stall_us: int) -> None:
-        """Note that this process was stopped so long: no suspicion ages meanwhile."""
+        """Extend all suspicions by the duration of a stall of this process."""
         self.health.worsen()
         for gateway in self.suspects:
             self.peers[gateway].status_since_us += stall_us
--- a/cloverkeel/gossip/messages.py
+++ b/cloverkeel/gossip/messages.py
@@ -1,6 +1,6 @@
 """Codec of the datagrams between gateways: at most 256 bytes each, with a checksum. Pure.
 
-The form is documented in docs/peers-wire.md; this module alone maps its words to names of the code:
+docs/peers-wire.md documents the format. Some of its terms differ from the names in the code:
 
 | on the wire | in the code |
 | --- | --- |
@@ -11,11 +11,11 @@
 | want, give | TokenRequestItem, TokenGrantItem |
 
 Invariants:
-- whatever the bytes are, decoding gives a message or None, never an error;
-- what is decoded from an encoded message equals it;
-- no message is longer than MAX_DATAGRAM_BYTES;
-- an item of an unknown kind, or with more bytes than are known, does not invalidate the rest: the next release may
-  add either.
+- decoding any bytes returns a datagram or None and never raises;
+- decoding an encoded datagram returns an equal datagram;
+- no datagram is longer than MAX_DATAGRAM_BYTES;
+- an item of an unknown kind, or with extra bytes at its end, does not invalidate the other items: a later release may
+  add both.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 MAGIC: Final = 0xC8
 VERSION: Final = 1
 MASK32: Final = 0xFFFFFFFF
-MAX_COUNT: Final = 255  # of what is sent in one byte
+MAX_COUNT: Final = 255  # largest value of a one-byte field
 
 HEADER_STRUCT: Final = struct.Struct(">BBBHIIIH")  # magic, version, then the fields of Header
 CHECKSUM_STRUCT: Final = struct.Struct(">I")
-ITEM_HEADER_STRUCT: Final = struct.Struct(">BB")  # kind, bytes of the body
+ITEM_HEADER_STRUCT: Final = struct.Struct(">BB")  # kind, length of the body in bytes
 MEMBER_STRUCT: Final = struct.Struct(">HIBH")
 OBSERVATION_STRUCT: Final = struct.Struct(">HIIIIBBBB")
 TOKEN_REQUEST_STRUCT: Final = struct.Struct(">H")
@@ -49,18 +49,18 @@
 
 
 class MessageKind(IntEnum):
-    """What a datagram asks for or answers (SWIM's message types); any kind may carry items."""
+    """Kinds of datagrams (SWIM's message types); any kind may carry items."""
 
-    GOSSIP = 1  # items alone
-    PING = 2  # an ACK with the same sequence is wanted
-    PING_REQ = 3  # indirect probe: ping the gateway `subject`, and forward its ACK
+    GOSSIP = 1  # only carries items
+    PING = 2  # requests an ACK with the same sequence number
+    PING_REQ = 3  # indirect probe: requests a ping to gateway `subject`, and its ACK to be forwarded
     ACK = 4  # `subject` is alive
     NACK = 5  # `subject` has not answered in time (Lifeguard)
-    STATE_REQUEST = 6  # from a gateway that has just started: what is known that matters is wanted
+    STATE_REQUEST = 6  # sent after a start: requests the members that are not alive and the suspected hosts
 
 
 class MemberStatus(IntEnum):
-    """Status of a gateway; within one incarnation the higher value overrides the lower."""
+    """Status of a gateway; within one incarnation, higher values override lower ones."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -77,7 +77,7 @@
 
 
 class HostProcess(NamedTuple):
-    """One process of a host. A named tuple, as it is the key of most mappings here: its hash is the cheapest."""
+    """One process of a host. A named tuple because most mappings use it as their key, and its hash is cheap."""
 
     host: int
     started_ms: int  # modulo 2**32
@@ -92,52 +92,52 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberItem:
-    """Status of a gateway, as `reporter` claims it."""
+    """Status of a gateway, according to `reporter`."""
 
     gateway: int
     incarnation: int
-    status: int  # of MemberStatus; a later release may send others
+    status: int  # a MemberStatus, or a value that a later release added
     reporter: int
 
 
 @dataclass(slots=True, frozen=True)
 class ObservationItem:
-    """Outcomes at one host over the last two seconds, as one gateway observed them at its timestamp."""
+    """Outcomes of one gateway's attempts at one host, over the two seconds before its timestamp."""
 
     reporter: int
     incarnation: int
-    timestamp_ms: int  # of the reporter's clock, modulo 2**32
+    timestamp_ms: int  # reporter's clock, modulo 2**32
     host: int
     host_started_ms: int  # modulo 2**32
     successes: int
     failures: int
-    failure_ratio_elsewhere: int  # in 255ths: what fails for the reporter at all other hosts
+    failure_ratio_elsewhere: int  # in 255ths: the reporter's failures / outcomes at all other hosts
     zone: int
 
     @property
     def process(self) -> HostProcess:
-        """The process of the host that was observed."""
+        """The observed process of the host."""
         return HostProcess(self.host, self.host_started_ms)
 
 
 @dataclass(slots=True, frozen=True)
 class TokenRequestItem:
-    """The sender asks the receiver for retry tokens."""
+    """A request for retry tokens, from the sender to the receiver of the datagram."""
 
-    hundredths: int
+    hundredths: int  # of a token
 
 
 @dataclass(slots=True, frozen=True)
 class TokenGrantItem:
-    """Retry tokens that the grantor has already given up, for one process of one gateway."""
+    """A grant of retry tokens to one gateway process. The grantor has already removed them from its own bucket."""
 
     grantor: int
     incarnation: int
     sequence: int
-    timestamp_ms: int  # of the grantor's clock, modulo 2**32
+    timestamp_ms: int  # grantor's clock, modulo 2**32
     recipient: int
     recipient_incarnation: int
-    hundredths: int
+    hundredths: int  # of a token
 
 
 Item = MemberItem | ObservationItem | TokenRequestItem | TokenGrantItem
@@ -145,14 +145,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Header:
-    """Fields that every datagram has."""
+    """Fields of every datagram."""
 
-    kind: int  # of MessageKind
+    kind: int  # a MessageKind
     sender: int
     incarnation: int
-    timestamp_ms: int  # of the sender's clock, modulo 2**32
-    sequence: int = 0  # of a probe
-    subject: int = 0  # the gateway that a probe or its answer is about
+    timestamp_ms: int  # sender's clock, modulo 2**32
+    sequence: int = 0  # number of a probe, which its answers repeat; else 0
+    subject: int = 0  # gateway that a probe request or an answer is about; else 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -161,7 +161,7 @@
 
     header: Header
     items: tuple[Item, ...]
-    unknown_items: int = 0  # how many were skipped
+    unknown_items: int = 0  # number of items skipped
 
 
 ITEM_CODECS: Final[dict[int, tuple[struct.Struct, Callable[..., Item]]]] = {
@@ -173,12 +173,12 @@
 
 
 def item_size(item: Item) -> int:
-    """Return the bytes that an item takes in a datagram, its own header included."""
+    """Return the size of an encoded item in bytes, including the item header."""
     return ITEM_HEADER_STRUCT.size + len(encode_item_body(item)[1])
 
 
 def encode_item_body(item: Item) -> tuple[ItemKind, bytes]:
-    """Return an item's kind and body; raise struct.error for a number that does not fit its field."""
+    """Return the kind and body of an item; raise struct.error for a number out of its field's range."""
     if isinstance(item, MemberItem):
         return ItemKind.MEMBER, MEMBER_STRUCT.pack(item.gateway, item.incarnation, item.status, item.reporter)
     if isinstance(item, TokenRequestItem):
@@ -195,7 +195,7 @@
 
 
 def encode(header: Header, items: tuple[Item, ...] = ()) -> bytes:
-    """Encode a datagram; raise DatagramEncodeError for a number out of range or too many items."""
+    """Encode a datagram; raise DatagramEncodeError if a number is out of range or the datagram is too large."""
     try:
         payload = HEADER_STRUCT.pack(
             MAGIC, VERSION, header.kind, header.sender, header.incarnation, header.timestamp_ms, header.sequence,
@@ -213,7 +213,7 @@
 
 
 def decode(data: bytes) -> Datagram | None:
-    """Decode a datagram; None for one that is truncated, corrupt, too long, or of an unknown version or kind."""
+    """Decode a datagram; return None if it is truncated, corrupt, too long, or of an unknown version or kind."""
     if not MIN_DATAGRAM_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
     payload = data[: -CHECKSUM_STRUCT.size]
@@ -227,7 +227,7 @@
 
 
 def _decode_items(header: Header, payload: bytes) -> Datagram | None:
-    """Decode what follows the header; None where an item is truncated."""
+    """Decode the items after the header; return None if an item is truncated."""
     items: list[Item] = []
     unknown_items = 0
     offset = HEADER_STRUCT.size
--- a/cloverkeel/gossip/node.py
+++ b/cloverkeel/gossip/node.py
@@ -1,12 +1,12 @@
-"""One gateway's gossip: datagrams, outcomes and time in; datagrams and assessments of hosts out. Pure.
+"""Gossip of one gateway: takes datagrams, outcomes and time; produces datagrams and assessments of hosts. Pure.
 
-It dispatches what comes to the failure detector, the outlier reports and the retry tokens, and sends what they have
-to send, filled up with broadcasts.
+Dispatches incoming datagrams to the failure detector, outlier reports and retry tokens, and sends their messages,
+filled up with piggybacked broadcasts.
 
 Invariants:
-- a datagram is sent only if the token bucket pays for it, but for answers to probes and for grants of tokens, which
-  their grantor has given up already;
-- a gateway that has just started is sent what matters in a bounded number of datagrams, at a bounded rate.
+- a datagram is sent only if the token bucket allows it; exempt are answers to probes, and grants of retry tokens, as
+  the grantor has already given the tokens up;
+- a gateway that has just started is sent the state it requests in a bounded number of datagrams, at a bounded rate.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 from cloverkeel.gossip.retry_tokens import TOKEN_REQUEST_FANOUT, RetryTokenBucket, RetryTokens
 from cloverkeel.gossip.sampling import UniformRandom, shuffled
 
-MIN_ACCUSERS: Final = 2  # of a gateway, before all hear that it is suspected
-BROADCAST_INTERVAL_US: Final = 100_000  # between rounds of broadcasts that are not urgent
-URGENT_BROADCAST_INTERVAL_US: Final = 10_000  # and of those that are: some of it comes together
-STATE_REQUEST_FANOUT: Final = 3  # gateways that are asked for what they know, after a start
+MIN_ACCUSERS: Final = 2  # accusers required to broadcast a suspicion to the whole fleet
+BROADCAST_INTERVAL_US: Final = 100_000  # between rounds while no urgent broadcast is queued
+URGENT_BROADCAST_INTERVAL_US: Final = 10_000  # above 0, so that broadcasts queued together share a round
+STATE_REQUEST_FANOUT: Final = 3  # gateways that are sent a STATE_REQUEST after a start
 STATE_REQUEST_JITTER_US: Final = 300_000
 MAX_STATE_RESPONSE_DATAGRAMS: Final = 8
 MAX_STATE_RESPONSES_PER_S: Final = 20.0
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeIdentity:
-    """Which gateway of which fleet this is."""
+    """This gateway process, its zone and the size of its fleet."""
 
     process: GatewayProcess
     fleet_size: int
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OutgoingDatagram:
-    """Bytes to be sent to a gateway."""
+    """An encoded datagram and the gateway to send it to."""
 
     recipient: int
     payload: bytes
@@ -68,25 +68,25 @@
 
 @dataclass(slots=True)
 class TransportCounts:
-    """Counts of datagrams since the start."""
+    """Counters of datagrams, bytes and items since the start."""
 
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
-    unaffordable: int = 0  # that the token bucket did not pay for
-    unknown_items: int = 0  # of a later version
+    unaffordable: int = 0  # not sent, as the token bucket did not allow it
+    unknown_items: int = 0  # items of a later release
 
 
 class GossipNode:
-    """All that one gateway gossips, without I/O."""
+    """The gossip protocol of one gateway, without I/O."""
 
     def __init__(
         self, identity: NodeIdentity, rng: UniformRandom, on_assessment: AssessmentHandler,
         retry_token_bucket: RetryTokenBucket | None = None,
     ) -> None:  # fmt: skip
-        """`on_assessment` is called with what is known of a host when that has changed.
+        """`on_assessment` is called with the assessment of a host when it has changed.
 
-        `retry_token_bucket`: the balancer's, where tokens may move.
+        `retry_token_bucket`: the balancer's tokens; None if they are not transferred.
         """
         self.gateway, self.zone, self.rng = identity.process.gateway, identity.zone, rng
         fleet_size = identity.fleet_size
@@ -100,35 +100,35 @@
         self.max_transmissions = max_transmissions(fleet_size)
         self.unconfirmed_fanout = unconfirmed_fanout(fleet_size)
         self.counts = TransportCounts()
-        self.request_count = 0  # since the start; the driver keeps it
-        self.broadcast_us = 0  # the last round
-        self.assessed_us = 0  # when assessments were last refreshed
-        self.state_request_due_us = 0  # 0: done
+        self.request_count = 0  # received by the gateway since its start; set by the driver
+        self.last_broadcast_us = 0  # start of the last round
+        self.last_assessed_us = 0  # last refresh of the assessments
+        self.state_request_due_us = 0  # 0 if sent, or not started yet
         self.state_responses_left, self.state_responses_refilled_us = MAX_STATE_RESPONSES_PER_S, 0
         self.outbox: list[OutgoingDatagram] = []
 
     def start(self, now_us: int) -> None:
-        """Begin: datagrams can be sent from now on."""
+        """Start the protocol: datagrams can be sent from now on."""
         self.failure_detector.start(now_us)
         self.state_request_due_us = now_us + 1 + int(self.rng() * STATE_REQUEST_JITTER_US)
         self.broadcasts.bucket.refilled_us = now_us
 
     def record_outcome(self, now_us: int, host: HostProcess, is_success: bool, sent_us: int = 0) -> None:
-        """Take the end of an attempt; `sent_us`: of a timeout, when it was sent, else 0."""
+        """Record the end of an attempt; `sent_us`: the time it was sent if it timed out, else 0."""
         self.outliers.record_outcome(now_us, host, is_success, sent_us)
 
     def request_retry_tokens(self, now_us: int) -> None:
-        """Ask some peers for retry tokens: they are wanted here."""
+        """Request retry tokens from some peers, because this gateway is short of them."""
         request = self.retry_tokens.request(now_us) if self.retry_tokens is not None else None
         if request is None:
             return
         for gateway in shuffled(self.membership.gateways_not_dead(), self.rng)[:TOKEN_REQUEST_FANOUT]:
             self._send(now_us, OutgoingMessage(gateway, MessageKind.GOSSIP, items=(request,)))
 
-    # Datagrams that come
+    # Incoming datagrams
 
     def receive(self, now_us: int, datagram: Datagram) -> None:
-        """Take a datagram that came from the listed address of its sender (the driver checks that)."""
+        """Process a datagram. The driver has checked that it came from the listed address of its sender."""
         header = datagram.header
         if header.sender not in self.membership.peers:
             return
@@ -185,7 +185,7 @@
             self._handle_state_request(now_us, header.sender)
 
     def _handle_state_request(self, now_us: int, sender: int) -> None:
-        """Send all that matters to one that knows nothing, at a bounded rate: most of a fleet may start at once."""
+        """Send non-alive members and suspected hosts, at a bounded rate: most of a fleet may restart at once."""
         elapsed_s = (now_us - self.state_responses_refilled_us) / 1e6
         refilled = self.state_responses_left + elapsed_s * MAX_STATE_RESPONSES_PER_S
         self.state_responses_left = min(MAX_STATE_RESPONSES_PER_S, refilled)
@@ -206,12 +206,12 @@
     # Time
 
     def on_stall(self, now_us: int, stall_us: int) -> None:
-        """Note that this process was stopped for so long."""
+        """Notify the failure detector that this process was stalled."""
         self.failure_detector.on_stall(now_us, stall_us)
 
     def next_timer_us(self) -> int:
-        """Return when `tick` has something to do."""
-        due_us = min(self.failure_detector.next_timer_us(), self.assessed_us + WINDOW_SLOT_US)
+        """Return the time at which `tick` next has work to do."""
+        due_us = min(self.failure_detector.next_timer_us(), self.last_assessed_us + WINDOW_SLOT_US)
         if self.broadcasts.has_affordable:
             due_us = min(due_us, self._broadcast_due_us())
         if self.state_request_due_us:
@@ -219,10 +219,10 @@
         return due_us
 
     def tick(self, now_us: int) -> None:
-        """Do what is due."""
+        """Do the work that is due."""
         self.broadcasts.bucket.refill(now_us, self.request_count)
-        if now_us >= self.assessed_us + WINDOW_SLOT_US:
-            self.assessed_us = now_us
+        if now_us >= self.last_assessed_us + WINDOW_SLOT_US:
+            self.last_assessed_us = now_us
             self.outliers.refresh_assessments(now_us)
         if self.state_request_due_us and now_us >= self.state_request_due_us:
             self._request_state(now_us)
@@ -239,7 +239,8 @@
 
     def _queue_member_updates(self) -> None:
         for item in self.membership.drain_updates():
-            # One accuser may be badly connected itself: it tells a few, and whom it accuses.
+            # A single accuser may have a faulty network itself, so its suspicion is sent to a few gateways only (and
+            # to the suspected gateway, by the failure detector).
             is_unconfirmed = item.gateway == self.gateway or (
                 item.status == MemberStatus.SUSPECT
                 and len(self.membership.peers[item.gateway].accusers) < MIN_ACCUSERS
@@ -250,15 +251,15 @@
         for message in self.membership.drain_outbox():
             self._send(now_us, message, is_exempt=message.kind is MessageKind.ACK)
 
-    # Datagrams that leave
+    # Outgoing datagrams
 
     def _broadcast_due_us(self) -> int:
         is_urgent = self.broadcasts.is_urgent
-        return self.broadcast_us + (URGENT_BROADCAST_INTERVAL_US if is_urgent else BROADCAST_INTERVAL_US)
+        return self.last_broadcast_us + (URGENT_BROADCAST_INTERVAL_US if is_urgent else BROADCAST_INTERVAL_US)
 
     def _broadcast(self, now_us: int) -> None:
-        """Send a round of broadcasts; those that are not urgent leave with other datagrams if they can."""
-        self.broadcast_us = now_us
+        """Send a round of broadcasts, for those that were not piggybacked on other datagrams in time."""
+        self.last_broadcast_us = now_us
         for gateway in self.broadcasts.choose_targets(self.membership.gateways_not_dead()):
             if not self.broadcasts.queued:
                 break
@@ -268,7 +269,7 @@
             self._send(now_us, OutgoingMessage(gateway, MessageKind.GOSSIP))
 
     def _send(self, now_us: int, message: OutgoingMessage, is_exempt: bool = False) -> None:
-        """Put one datagram into the outbox, filled up with broadcasts; `is_exempt`: whatever the bucket holds."""
+        """Queue a datagram filled up with broadcasts; `is_exempt`: sent even if the token bucket is empty."""
         bucket = self.broadcasts.bucket
         if bucket.available_bytes <= 0 and not is_exempt:
             self.counts.unaffordable += 1
@@ -286,6 +287,6 @@
         self.outbox.append(OutgoingDatagram(message.recipient, payload))
 
     def drain_outbox(self) -> list[OutgoingDatagram]:
-        """Return the datagrams to be sent."""
+        """Remove and return the datagrams to be sent."""
         datagrams, self.outbox = self.outbox, []
         return datagrams
--- a/cloverkeel/gossip/outcome_window.py
+++ b/cloverkeel/gossip/outcome_window.py
@@ -1,9 +1,9 @@
-"""Outcomes of attempts that this gateway observed itself, in a sliding window for each host. Pure: time is passed in.
+"""Outcomes of this gateway's own attempts, in a sliding window for each host. Pure: time is passed in.
 
 Invariants:
 - an outcome counts for OBSERVATION_LIFETIME_US, in steps of WINDOW_SLOT_US;
-- of a host, successes count from its last first failure on: what was well before says nothing of now;
-- RECOVERY_STREAK successes in a row end a host's failures here;
+- the first failure in a host's window clears its successes, which say nothing about the host's present state;
+- RECOVERY_STREAK consecutive successes clear a host's failures;
 - at most MAX_HOSTS hosts are kept.
 """
 
@@ -18,14 +18,14 @@
 WINDOW_SLOT_US: Final = 250_000
 WINDOW_SLOTS: Final = OBSERVATION_LIFETIME_US // WINDOW_SLOT_US
 MAX_HOSTS: Final = 256
-RECOVERY_STREAK: Final = 3  # as many successes as close a breaker
-SMOOTHING_OUTCOMES: Final = 2  # added to those at the other hosts: a few outcomes say little
+RECOVERY_STREAK: Final = 3  # consecutive successes; equal to the number that closes a circuit breaker
+SMOOTHING_OUTCOMES: Final = 2  # added to the outcomes at other hosts, as a ratio of a few is unreliable
 
 assert OBSERVATION_LIFETIME_US % WINDOW_SLOT_US == 0
 
 
 class OutcomeTotals(NamedTuple):
-    """Outcomes within the window."""
+    """Numbers of outcomes within the window."""
 
     successes: int
     failures: int
@@ -44,13 +44,13 @@
 
     successes: list[int] = field(default_factory=_empty_slots)
     failures: list[int] = field(default_factory=_empty_slots)
-    newest_slot: int = 0  # counted from the clock's beginning
+    newest_slot: int = 0  # slots since time 0 of the clock
     last_success_us: int = 0
     last_failure_us: int = -OBSERVATION_LIFETIME_US
     success_streak: int = 0
 
     def advance(self, now_us: int) -> None:
-        """Empty the slots that the time since the last call has left behind."""
+        """Clear the slots that have expired since the last call."""
         slot = now_us // WINDOW_SLOT_US
         for expired in range(max(self.newest_slot + 1, slot - WINDOW_SLOTS + 1), slot + 1):
             self.successes[expired % WINDOW_SLOTS] = 0
@@ -58,12 +58,12 @@
         self.newest_slot = max(slot, self.newest_slot)
 
     def totals(self, now_us: int) -> OutcomeTotals:
-        """Return the outcomes that count now."""
+        """Return the outcomes within the window."""
         self.advance(now_us)
         return OutcomeTotals(sum(self.successes), sum(self.failures))
 
     def record(self, now_us: int, is_success: bool) -> None:
-        """Count one outcome."""
+        """Record one outcome."""
         self.advance(now_us)
         if is_success:
             self.successes[self.newest_slot % WINDOW_SLOTS] += 1
@@ -75,19 +75,19 @@
             self.success_streak = 0
 
     def clear_successes(self) -> None:
-        """Drop all successes."""
+        """Set all slots of successes to zero."""
         self.successes = _empty_slots()
 
     def clear_failures(self) -> None:
-        """Drop all failures."""
+        """Set all slots of failures to zero."""
         self.failures = _empty_slots()
 
 
 class LocalOutcomes:
-    """Windows of all hosts that this gateway sent attempts to.
+    """Outcome windows of all hosts that this gateway sent attempts to.
 
-    A suspicion must not wait until the successes from before the fault have aged. Therefore the first failure starts
-    the count anew, and so does a confirmation by others (`clear_successes`).
+    Successes from before a fault must not delay a suspicion until they expire. Therefore the first failure clears
+    them, and so does a confirmation by peers (`clear_successes`).
     """
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
         self.all_hosts = OutcomeWindow()
 
     def record(self, now_us: int, host: HostProcess, is_success: bool) -> None:
-        """Count one outcome; it is ignored where there is no room for another host."""
+        """Record one outcome; it is ignored if MAX_HOSTS other hosts have outcomes in their windows."""
         window = self._window_for(now_us, host)
         if window is None:
             return
@@ -118,42 +118,42 @@
         return window
 
     def clear_successes(self, host: HostProcess) -> None:
-        """Drop a host's successes: others have seen it fail, and these are from before that."""
+        """Clear a host's successes, which precede the failures that peers reported."""
         window = self.window_by_host.get(host)
         if window is not None:
             window.clear_successes()
 
     def has_just_recovered(self, host: HostProcess) -> bool:
-        """Return whether the last success is the one that ended a host's failures here."""
+        """Return whether the last success completed the streak that cleared a host's failures."""
         window = self.window_by_host.get(host)
         return window is not None and window.success_streak == RECOVERY_STREAK and window.last_failure_us > 0
 
     def has_succeeded_since(self, host: HostProcess, since_us: int) -> bool:
-        """Return whether a host has answered here since: then a timeout there is overload, not the host's fault."""
+        """Return whether a host has answered since a time: a timeout of an attempt sent then indicates overload."""
         window = self.window_by_host.get(host)
         return window is not None and window.last_success_us >= since_us
 
     def last_failure_us(self, host: HostProcess) -> int:
-        """Return when a host last failed here; a time out of the window for one that never did."""
+        """Return the time of a host's last failure; -OBSERVATION_LIFETIME_US if it has none."""
         window = self.window_by_host.get(host)
         return window.last_failure_us if window is not None else -OBSERVATION_LIFETIME_US
 
     def totals(self, now_us: int, host: HostProcess) -> OutcomeTotals:
-        """Return a host's outcomes that count now."""
+        """Return a host's outcomes within its window."""
         window = self.window_by_host.get(host)
         return window.totals(now_us) if window is not None else NO_OUTCOMES
 
     def failure_ratio_elsewhere(self, now_us: int, host: HostProcess) -> float:
-        """Return which part of the outcomes at all other hosts are failures."""
-        everywhere = self.all_hosts.totals(now_us)
-        here = self.totals(now_us, host)
-        outcomes = everywhere.successes + everywhere.failures - here.successes - here.failures
+        """Return the ratio of failures to outcomes at all other hosts, smoothed by SMOOTHING_OUTCOMES."""
+        all_hosts = self.all_hosts.totals(now_us)
+        this_host = self.totals(now_us, host)
+        outcomes = all_hosts.successes + all_hosts.failures - this_host.successes - this_host.failures
         if outcomes <= 0:
             return 0.0
-        return max(0, everywhere.failures - here.failures) / (outcomes + SMOOTHING_OUTCOMES)
+        return max(0, all_hosts.failures - this_host.failures) / (outcomes + SMOOTHING_OUTCOMES)
 
     def drop_empty_windows(self, now_us: int) -> None:
-        """Forget the hosts of which nothing counts any more."""
+        """Remove the hosts without outcomes in their windows."""
         self.window_by_host = {
             host: window for host, window in self.window_by_host.items() if any(window.totals(now_us))
         }
--- a/cloverkeel/gossip/outlier_gossip.py
+++ b/cloverkeel/gossip/outlier_gossip.py
@@ -1,13 +1,13 @@
-"""Which failures and successes of hosts are reported and forwarded, and what the balancer is told. Pure.
+"""Selects which outcomes of hosts are reported and forwarded to peers, and notifies the balancer. Pure.
 
-A failure is sent to a few peers. Where two reporters of one host meet, all peers hear of both: a chance failure ends
-where it was reported (docs/peers-design.md, 'Why two tellers').
+A failure is reported to a few peers. A gateway that knows of two reporters for one host broadcasts both observations
+to the fleet, so that an isolated failure spreads no further (docs/peers-design.md, 'Why two tellers').
 
 Invariants:
-- nothing is reported of a host while most fails here: then it is this gateway that is at fault;
-- an observation is forwarded where a second reporter confirms it or where it contradicts a suspicion, and never more
-  than MAX_FAILURE_REPORTERS or MAX_SUCCESS_REPORTERS of them for one host;
-- the balancer is told of a host again only when what is known of it has changed, or expires.
+- no failure is reported while most attempts at other hosts fail too: then this gateway itself is probably faulty;
+- an observation is forwarded if a second reporter confirms it or if it contradicts a suspicion, and at most
+  MAX_FAILURE_REPORTERS or MAX_SUCCESS_REPORTERS of them for one host;
+- the balancer is notified of a host again only when the host's assessment has changed or expires.
 """
 
 from __future__ import annotations
@@ -23,34 +23,34 @@
 from cloverkeel.gossip.outlier_reports import MIN_REPORTERS, Assessment, Observation, PeerObservations, assess
 from cloverkeel.gossip.peer_clock import timestamp_ms_of
 
-REPORT_INTERVAL_US: Final = 800_000  # between two reports of one host by this gateway
-CONFIRMATION_WINDOW_US: Final = 600_000  # two reporters that saw it fail within this confirm one another
-MAX_FAILURE_REPORTERS: Final = 3  # of one host that are forwarded, and are enough to report no more
-MAX_SUCCESS_REPORTERS: Final = 4  # and of those that contradict
-MAX_COMMON_FAILURE_RATIO: Final = 0.5  # of what fails elsewhere, above which nothing is reported
-SUSPICION_MEMORY_US: Final = 10_000_000  # after a suspicion, successes of that host are worth reporting
+REPORT_INTERVAL_US: Final = 800_000  # between this gateway's reports about one host
+CONFIRMATION_WINDOW_US: Final = 600_000  # reporters that saw a host fail within this time confirm each other
+MAX_FAILURE_REPORTERS: Final = 3  # forwarded per host; if as many are known, this gateway does not report
+MAX_SUCCESS_REPORTERS: Final = 4  # likewise, for observations that contradict a suspicion
+MAX_COMMON_FAILURE_RATIO: Final = 0.5  # failure ratio at other hosts above which failures are not reported
+SUSPICION_MEMORY_US: Final = 10_000_000  # for this long after a suspicion, successes of the host are reported
 
 AssessmentHandler = Callable[[HostProcess, Assessment], None]
 
 
 @dataclass(slots=True)
 class OutlierCounts:
-    """Counts since the start."""
+    """Counters since the start."""
 
-    unconfirmed_reports: int = 0  # failures that were sent to a few
-    confirmed_hosts: int = 0  # hosts that a second reporter made worth forwarding
-    success_reports: int = 0
-    withheld_reports: int = 0  # failures that were not reported, as most fails here
-    notifications: int = 0  # of the balancer
+    unconfirmed_reports: int = 0  # own reports of failures that had no second reporter
+    confirmed_hosts: int = 0  # suspicions of hosts by a second reporter
+    success_reports: int = 0  # own reports of successes that contradict a suspicion
+    withheld_reports: int = 0  # failures not reported because most attempts at other hosts fail too
+    notifications: int = 0  # assessments passed to the balancer
 
 
 class OutlierGossip:
-    """Reports of one gateway: its own outcomes and its peers' observations in, broadcasts and assessments out."""
+    """Turns own outcomes and observations of peers into broadcasts, and into assessments for the balancer."""
 
     def __init__(
         self, zone: int, membership: MembershipTable, broadcasts: BroadcastQueue, on_assessment: AssessmentHandler
     ) -> None:
-        """`on_assessment` is called with what is known of a host when that has changed."""
+        """`on_assessment` is called with the assessment of a host when it has changed."""
         self.zone, self.membership, self.broadcasts = zone, membership, broadcasts
         self.on_assessment = on_assessment
         self.local = LocalOutcomes()
@@ -59,24 +59,24 @@
         self.unconfirmed_fanout = unconfirmed_fanout(membership.fleet_size)
         self.reported_us_by_host: dict[HostProcess, int] = {}
         self.suspected_us_by_host: dict[HostProcess, int] = {}
-        self.assessment_by_host: dict[HostProcess, Assessment] = {}  # what the balancer knows
+        self.assessment_by_host: dict[HostProcess, Assessment] = {}  # last ones passed to the balancer
         self.counts = OutlierCounts()
 
     # Own outcomes
 
     def record_outcome(self, now_us: int, host: HostProcess, is_success: bool, sent_us: int = 0) -> None:
-        """Take the end of an attempt; `sent_us`: of a timeout, when it was sent, else 0.
+        """Record the end of an attempt; `sent_us`: the time it was sent if it timed out, else 0.
 
-        A timeout at a host that has answered since says nothing: it is overload.
+        A timeout is ignored if the host has answered this gateway since: it indicates overload, not a faulty host.
         """
         if not is_success and sent_us and self.local.has_succeeded_since(host, sent_us):
             return
         self.local.record(now_us, host, is_success)
         if not is_success:
             self._on_local_failure(now_us, host)
-        elif self._was_suspected(now_us, host):
-            is_news = self.local.has_just_recovered(host) or self.failure_observations(now_us, host)
-            if is_news:
+        elif self._was_suspected_recently(now_us, host):
+            contradicts_suspicion = self.local.has_just_recovered(host) or self.failure_observations(now_us, host)
+            if contradicts_suspicion:
                 self._on_contradicting_success(now_us, host)
 
     def _on_local_failure(self, now_us: int, host: HostProcess) -> None:
@@ -102,7 +102,7 @@
             self._report(now_us, host, self.max_transmissions)
         self._update_assessment(now_us, host)
 
-    def _was_suspected(self, now_us: int, host: HostProcess) -> bool:
+    def _was_suspected_recently(self, now_us: int, host: HostProcess) -> bool:
         return now_us - self.suspected_us_by_host.get(host, -SUSPICION_MEMORY_US) < SUSPICION_MEMORY_US
 
     def _may_report(self, now_us: int, host: HostProcess) -> bool:
@@ -111,13 +111,17 @@
     def failure_observations(
         self, now_us: int, host: HostProcess, within_us: int = OBSERVATION_LIFETIME_US
     ) -> list[Observation]:
-        """Return the observations of peers that saw a host fail, not longer ago than this."""
+        """Return the observations of peers that saw a host fail within the last `within_us`."""
         live = self.observations.live_observations(now_us, host)
-        return [seen for seen in live if seen.item.failures > 0 and now_us - seen.observed_us < within_us]
+        return [
+            observation
+            for observation in live
+            if observation.item.failures > 0 and now_us - observation.observed_us < within_us
+        ]
 
     def _success_observations(self, now_us: int, host: HostProcess) -> list[Observation]:
         live = self.observations.live_observations(now_us, host)
-        return [seen for seen in live if seen.item.failures == 0]
+        return [observation for observation in live if observation.item.failures == 0]
 
     def _local_observation(self, now_us: int, host: HostProcess) -> ObservationItem:
         totals = self.local.totals(now_us, host)
@@ -129,16 +133,16 @@
         )  # fmt: skip
 
     def _report(self, now_us: int, host: HostProcess, transmissions: int) -> None:
-        """Broadcast what this gateway observed itself."""
+        """Broadcast this gateway's own observation of a host."""
         if len(self.reported_us_by_host) >= MAX_HOSTS:
             self.reported_us_by_host = _recent(self.reported_us_by_host, now_us - REPORT_INTERVAL_US)
         self.reported_us_by_host[host] = now_us
         self.broadcasts.add(self._local_observation(now_us, host), transmissions)
 
-    # Observations of peers
+    # Observations from peers
 
     def on_observation(self, now_us: int, item: ObservationItem) -> None:
-        """Take what a peer reports, or forwards of another's."""
+        """Process an observation that a peer reported or forwarded."""
         if item.reporter not in self.membership.peers:
             return
         observation = self.observations.merge(now_us, item)
@@ -149,14 +153,14 @@
         if item.failures > 0:
             observation.transmissions_left = self.max_transmissions
             reporters = len(self.failure_observations(now_us, host, CONFIRMATION_WINDOW_US))
-            reporters += self._failed_here_lately(now_us, host)
+            reporters += self._failed_here_recently(now_us, host)
             if reporters >= MIN_REPORTERS:
                 self._confirm(now_us, host)
-        elif self._was_suspected(now_us, host):
+        elif self._was_suspected_recently(now_us, host):
             self._forward_contradiction(now_us, host, observation)
         self._update_assessment(now_us, host)
 
-    def _failed_here_lately(self, now_us: int, host: HostProcess) -> bool:
+    def _failed_here_recently(self, now_us: int, host: HostProcess) -> bool:
         return now_us - self.local.last_failure_us(host) < CONFIRMATION_WINDOW_US
 
     def _forward_contradiction(self, now_us: int, host: HostProcess, observation: Observation) -> None:
@@ -165,16 +169,16 @@
             self.broadcasts.forward(observation)
 
     def _confirm(self, now_us: int, host: HostProcess) -> None:
-        """Forward what is known of a host that a second reporter saw fail: all are to hear of both."""
+        """Broadcast the failure observations of a host with a second reporter; add an own one if few are known."""
         self._note_suspicion(now_us, host)
         observations = self.failure_observations(now_us, host, CONFIRMATION_WINDOW_US)
         newest_first = sorted(observations, key=lambda observation: -observation.observed_us)
-        for place, observation in enumerate(newest_first):
-            if place < MAX_FAILURE_REPORTERS:
+        for rank, observation in enumerate(newest_first):
+            if rank < MAX_FAILURE_REPORTERS:
                 self.broadcasts.forward(observation)
             observation.transmissions_left = 0
-        is_short_of_reporters = len(observations) < MAX_FAILURE_REPORTERS
-        if self._failed_here_lately(now_us, host) and is_short_of_reporters and self._may_report(now_us, host):
+        has_too_few_reporters = len(observations) < MAX_FAILURE_REPORTERS
+        if self._failed_here_recently(now_us, host) and has_too_few_reporters and self._may_report(now_us, host):
             self._report(now_us, host, self.max_transmissions)
 
     def _note_suspicion(self, now_us: int, host: HostProcess) -> None:
@@ -186,7 +190,7 @@
             self.suspected_us_by_host = _recent(self.suspected_us_by_host, now_us - SUSPICION_MEMORY_US)
         self.suspected_us_by_host[host] = now_us
 
-    # What the balancer is told
+    # Assessments for the balancer
 
     def _update_assessment(self, now_us: int, host: HostProcess) -> None:
         observations = self.observations.live_observations(now_us, host)
@@ -205,7 +209,7 @@
         self.on_assessment(host, assessment)
 
     def refresh_assessments(self, now_us: int) -> None:
-        """Assess anew what the balancer knows: that changes by age alone, too."""
+        """Update the assessments passed to the balancer, which also change as observations age."""
         for host, assessment in list(self.assessment_by_host.items()):
             if now_us >= assessment.expires_us:
                 del self.assessment_by_host[host]
@@ -215,10 +219,10 @@
         self.observations.expire(now_us)
 
     def suspicion_items(self, now_us: int) -> list[ObservationItem]:
-        """Return, for a gateway that has just started, the newest observations that make hosts suspected."""
+        """Return the newest observations that make hosts suspected, for a gateway that has just started."""
         items: list[ObservationItem] = []
         for host in self.observations.observations_by_host:
-            if self._was_suspected(now_us, host):
+            if self._was_suspected_recently(now_us, host):
                 observations = self.failure_observations(now_us, host)
                 newest_first = sorted(observations, key=lambda observation: -observation.observed_us)
                 items += [observation.item for observation in newest_first[:MIN_REPORTERS]]
@@ -226,17 +230,17 @@
 
 
 def _recent(time_by_host: dict[HostProcess, int], after_us: int) -> dict[HostProcess, int]:
-    """Return the entries that are younger than this."""
+    """Return the entries with a time after `after_us`."""
     return {host: at_us for host, at_us in time_by_host.items() if at_us > after_us}
 
 
 def _is_actionable(assessment: Assessment) -> bool:
-    """Return whether the balancer would act on it."""
+    """Return whether the balancer would act on an assessment."""
     return assessment.failure_reporters >= MIN_REPORTERS or assessment.success_reporters >= MIN_REPORTERS
 
 
 def _has_changed(previous: Assessment, assessment: Assessment) -> bool:
-    """Return whether the balancer has to be told again."""
+    """Return whether the balancer has to be notified again."""
     if assessment.is_suspected_outlier != previous.is_suspected_outlier:
         return True
     if assessment.failure_reporters != previous.failure_reporters:
--- a/cloverkeel/gossip/outlier_reports.py
+++ b/cloverkeel/gossip/outlier_reports.py
@@ -1,11 +1,11 @@
-"""What peers observed of hosts, and what it amounts to for one host. Pure: time is passed in.
+"""Peers' observations of hosts, and the assessment of a host computed from them. Pure: time is passed in.
 
 Invariants:
-- of one reporter and host the newest observation counts, whatever the order and number of arrivals (a join
-  semilattice by incarnation and timestamp, as in a state-based CRDT);
-- an observation counts for OBSERVATION_LIFETIME_US from the moment that its reporter made it, by this clock;
+- for each reporter and host the newest observation counts, regardless of the order and number of arrivals (a join
+  semilattice ordered by incarnation and timestamp, as in a state-based CRDT);
+- an observation counts for OBSERVATION_LIFETIME_US after its reporter made it, measured by this gateway's clock;
 - at most MAX_REPORTERS_PER_HOST observations for each of MAX_HOSTS hosts are kept, and one clock for each gateway;
-- what one reporter claims alone makes no host a suspected outlier.
+- observations of a single reporter do not make a host a suspected outlier.
 """
 
 from __future__ import annotations
@@ -19,50 +19,50 @@
 from cloverkeel.gossip.peer_clock import PeerClocks, timestamp_difference_ms
 
 MAX_REPORTERS_PER_HOST: Final = 16
-MIN_REPORTERS: Final = 2  # of failures at a host, for it to be a suspected outlier
-MIN_CREDIBILITY: Final = 0.25  # of a reporter that is counted: half of the rest fails for it
+MIN_REPORTERS: Final = 2  # reporters of failures that make a host a suspected outlier
+MIN_CREDIBILITY: Final = 0.25  # of a reporter that counts; the value if half of its attempts elsewhere fail
 
 
 @dataclass(slots=True)
 class Observation:
-    """The newest that one gateway reported of one host."""
+    """The newest observation of one host by one reporter."""
 
     item: ObservationItem
-    observed_us: int  # by this clock
-    transmissions_left: int = 0  # how often it is still to be forwarded
+    observed_us: int  # on this gateway's clock
+    transmissions_left: int = 0  # transmissions if it is forwarded; 0 if it is not to be, or already was
 
     def is_live(self, now_us: int) -> bool:
-        """Return whether it still counts."""
+        """Return whether the observation has not expired."""
         return now_us - self.observed_us < OBSERVATION_LIFETIME_US
 
 
 @dataclass(slots=True, frozen=True)
 class Assessment:
-    """What peers, and this gateway of late, observed of one host: what the balancer is told."""
+    """Weighted outcomes of one host at this gateway and its peers, as passed to the balancer."""
 
     successes: float
     failures: float
-    failure_reporters: int  # peers that saw it fail
-    success_reporters: int  # peers that saw only successes
-    expires_us: int  # nothing of it counts after that
+    failure_reporters: int  # credible peers that observed failures
+    success_reporters: int  # peers that observed only successes
+    expires_us: int  # when the last observation expires
 
     @property
     def is_suspected_outlier(self) -> bool:
-        """Whether enough peers saw it fail, and it fails at least as often as it succeeds."""
+        """Whether enough peers observed failures, and there are at least as many failures as successes."""
         return self.failure_reporters >= MIN_REPORTERS and self.failures >= self.successes
 
 
 class PeerObservations:
-    """All observations of peers."""
+    """The newest observations of all peers."""
 
     def __init__(self) -> None:
         self.clocks = PeerClocks()
-        self.observations_by_host: dict[HostProcess, dict[int, Observation]] = {}  # then by reporter
-        self.stale_count = 0  # items that were no newer than what is known
-        self.late_count = 0  # items that had expired on the way
+        self.observations_by_host: dict[HostProcess, dict[int, Observation]] = {}  # inner key: reporter
+        self.stale_count = 0  # items no newer than the known observation, or of an old incarnation
+        self.late_count = 0  # items that had expired on arrival
 
     def merge(self, now_us: int, item: ObservationItem) -> Observation | None:
-        """Take an item in; return its observation where it is new and counts."""
+        """Merge a received item; return its observation, or None if it is stale, expired or there is no room."""
         age_ms = self._age_ms(now_us, item)
         if age_ms is None:
             return None
@@ -82,7 +82,7 @@
         return observation
 
     def _age_ms(self, now_us: int, item: ObservationItem) -> int | None:
-        """Return an item's age; None, and count it, where it does not count."""
+        """Return the age of an item; None, after counting it as stale or late, if it is to be ignored."""
         self.clocks.observe(now_us, item.reporter, item.incarnation, item.timestamp_ms)
         age_ms = self.clocks.age_ms(now_us, item.reporter, item.incarnation, item.timestamp_ms)
         if age_ms is None:
@@ -94,12 +94,12 @@
         return age_ms
 
     def live_observations(self, now_us: int, host: HostProcess) -> list[Observation]:
-        """Return what counts now of a host."""
+        """Return the unexpired observations of a host."""
         observations = self.observations_by_host.get(host, {})
         return [observation for observation in observations.values() if observation.is_live(now_us)]
 
     def expire(self, now_us: int) -> bool:
-        """Drop what has expired; return whether there is room for another host."""
+        """Drop expired observations; return whether there is room for another host."""
         for host, observations in list(self.observations_by_host.items()):
             for reporter, observation in list(observations.items()):
                 if not observation.is_live(now_us):
@@ -110,37 +110,37 @@
 
 
 def is_newer(item: ObservationItem, known: ObservationItem) -> bool:
-    """Return whether an item replaces what is known of the same reporter and host."""
+    """Return whether an item replaces the known item of the same reporter and host."""
     if item.incarnation != known.incarnation:
         return item.incarnation > known.incarnation
     if item.timestamp_ms != known.timestamp_ms:
         return timestamp_difference_ms(item.timestamp_ms, known.timestamp_ms) > 0
-    # A reporter makes one claim at one moment; should it make two, all gateways keep the same one.
-    return _claims(item) > _claims(known)
+    # If a reporter made two observations at the same time, all gateways must keep the same one.
+    return _tie_breaker(item) > _tie_breaker(known)
 
 
-def _claims(item: ObservationItem) -> tuple[int, int, int, int]:
+def _tie_breaker(item: ObservationItem) -> tuple[int, int, int, int]:
     return item.failures, item.successes, item.failure_ratio_elsewhere, item.zone
 
 
 def reporter_credibility(item: ObservationItem) -> float:
-    """Return how much a reporter's failures count against the host: little where most fails for it elsewhere."""
+    """Return the weight of a reporter's failures, 0 to 1: low if most of its attempts at other hosts fail too."""
     return (1.0 - item.failure_ratio_elsewhere / MAX_COUNT) ** 2
 
 
 def _prefer_own_zone(live: list[Observation], zone: int, local: OutcomeTotals) -> list[Observation]:
-    """Return the observations of the own zone alone where that zone is answered well, else all."""
-    near = [observation for observation in live if observation.item.zone == zone]
-    successes = local.successes + sum(observation.item.successes for observation in near)
-    failures = local.failures + sum(observation.item.failures for observation in near)
-    is_well_from_here = successes > 0 and successes >= 2 * failures
-    return near if is_well_from_here else live
+    """Return only observations from this gateway's zone if the host is healthy from there, else all."""
+    own_zone = [observation for observation in live if observation.item.zone == zone]
+    successes = local.successes + sum(observation.item.successes for observation in own_zone)
+    failures = local.failures + sum(observation.item.failures for observation in own_zone)
+    is_healthy_from_zone = successes > 0 and successes >= 2 * failures
+    return own_zone if is_healthy_from_zone else live
 
 
 def assess(
     now_us: int, observations: Iterable[Observation], zone: int, local: OutcomeTotals = NO_OUTCOMES
 ) -> Assessment:
-    """Sum up what is known of one host: newer observations weigh more; `local`: this gateway's own outcomes."""
+    """Assess one host, giving newer observations more weight; `local`: this gateway's own outcomes."""
     live = [observation for observation in observations if observation.is_live(now_us)]
     live = _prefer_own_zone(live, zone, local)
     successes, failures = float(local.successes), float(local.failures)
--- a/cloverkeel/gossip/peer_state.py
+++ b/cloverkeel/gossip/peer_state.py
@@ -1,4 +1,4 @@
-"""State of the failure detector: what is believed of a peer, probes under way, messages to be sent. Pure data."""
+"""State of the failure detector: peers, probes in progress and messages to be sent. Data only."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """What is believed of one other gateway."""
+    """Status of one peer."""
 
     incarnation: int = 0
     status: MemberStatus = MemberStatus.ALIVE
     status_since_us: int = 0
-    last_heard_us: int = 0  # the last datagram of its own; 0: none yet
-    last_notice_us: int = 0  # when it was last notified of its status, outside of probes
-    accusers: set[int] = field(default_factory=set)
+    last_received_us: int = 0  # time of the last datagram sent by the peer itself; 0 if none
+    last_notice_us: int = 0  # time of the last notice to the peer of its status, besides those in probes
+    accusers: set[int] = field(default_factory=set)  # gateways that suspect it; empty unless it is SUSPECT
 
 
 @dataclass(slots=True, frozen=True)
 class OutgoingMessage:
-    """A datagram for one gateway, before its header and piggybacked broadcasts are added."""
+    """A message to one gateway, before its header and piggybacked broadcasts are added."""
 
     recipient: int
     kind: MessageKind
     sequence: int = 0
     subject: int = 0
-    items: tuple[Item, ...] = ()  # what the recipient is to learn above all
+    items: tuple[Item, ...] = ()  # precede the piggybacked broadcasts
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """An indirect probe that this gateway carries out for another."""
+    """An indirect probe that this gateway sends on behalf of another."""
 
     requester: int
     requester_sequence: int
@@ -42,20 +42,20 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this period."""
+    """The probe of the current period."""
 
     target: int
     sequence: int
-    resend_due_us: int  # one datagram may be lost
+    resend_due_us: int  # the ping is sent twice, as a datagram may be lost
     indirect_due_us: int
     ends_us: int
     is_resent: bool = False
     is_acked: bool = False
-    has_gone_indirect: bool = False
-    indirect_probes: int = 0  # gateways that were asked to probe it
-    nacks: int = 0
+    is_indirect: bool = False
+    indirect_probes: int = 0  # number of gateways asked to ping the target
+    nacks: int = 0  # number of nacks received from them
 
     @property
     def is_waiting_for_direct_ack(self) -> bool:
-        """Whether neither an answer has come nor others were asked yet."""
-        return not self.is_acked and not self.has_gone_indirect
+        """Whether no ack was received and no indirect probe was sent yet."""
+        return not self.is_acked and not self.is_indirect
--- a/cloverkeel/gossip/sampling.py
+++ b/cloverkeel/gossip/sampling.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-UniformRandom = Callable[[], float]  # draws a number from 0 to 1
+UniformRandom = Callable[[], float]  # returns a random number in [0, 1)
 
 
 def shuffled(gateways: Iterable[int], rng: UniformRandom) -> list[int]:
--- a/cloverkeel/gossip/status.py
+++ b/cloverkeel/gossip/status.py
@@ -1,6 +1,6 @@
-"""Answer to the admin word PEERS: members, hosts and what the gossip costs. Pure.
+"""Answer to the admin command PEERS: members, hosts, and counters of gossip. Pure.
 
-The one place that maps the names of the code to the JSON keys of docs/peers.md.
+Only this module maps the names of the code to the JSON keys that docs/peers.md documents.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from cloverkeel.gossip.peer_state import PeerState
 from cloverkeel.gossip.retry_tokens import RetryTokens
 
-NEVER_HEARD_MS = -1
+NEVER_RECEIVED_MS = -1  # value of `heard_ms` if the peer has sent no datagram yet
 STATE_BY_STATUS = {MemberStatus.ALIVE: "alive", MemberStatus.SUSPECT: "suspect", MemberStatus.DEAD: "gone"}
 
 
 def peer_state_name(peer: PeerState) -> str:
-    """Return a peer's state as it is shown."""
-    if peer.status is MemberStatus.ALIVE and not peer.last_heard_us:
+    """Return the displayed state of a peer."""
+    if peer.status is MemberStatus.ALIVE and not peer.last_received_us:
         return "not heard"
     return STATE_BY_STATUS[peer.status]
 
 
 def node_status(node: GossipNode, now_us: int) -> dict[str, object]:
-    """Return what a node knows and counts, ready for JSON."""
+    """Return the state and counters of a node, ready for JSON."""
     membership, broadcasts = node.membership, node.broadcasts
     outliers, counts = node.outliers, node.counts
     return {
@@ -57,7 +57,7 @@
 
 
 def _peer_status(peer: PeerState, now_us: int) -> dict[str, object]:
-    heard_ms = (now_us - peer.last_heard_us) // 1000 if peer.last_heard_us else NEVER_HEARD_MS
+    heard_ms = (now_us - peer.last_received_us) // 1000 if peer.last_received_us else NEVER_RECEIVED_MS
     return {"state": peer_state_name(peer), "incarnation": peer.incarnation, "heard_ms": heard_ms}
 
 
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -172,7 +172,7 @@
         node.outliers.on_observation(NOW_US, observe(reporter))
     assert len(assessments) == 1
     assert assessments[0].is_suspected_outlier
-    node.assessed_us = 0
+    node.last_assessed_us = 0
     node.tick(NOW_US + OBSERVATION_LIFETIME_US)
     assert assessments[-1].failure_reporters == 0
     assert len(assessments) == 2
