--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -1,4 +1,4 @@
-"""Mutants of gossip between gateways: each takes out one guard."""
+"""Mutants of gossip between gateways: each removes one guard."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @entry("reporter-credibility")
 def _() -> None:
-    """A gateway for which all fails reports, and is believed like others."""
+    """A gateway for which all hosts fail reports failures, with full credibility."""
     from cloverkeel.gossip import outlier_gossip, outlier_reports
 
     outlier_reports.reporter_credibility = lambda item: 1.0
@@ -19,7 +19,7 @@
 
 @entry("observation-age")
 def _() -> None:
-    """Whatever comes is new."""
+    """Every received timestamp has age 0."""
     from cloverkeel.gossip.peer_clock import PeerClock
 
     swap(PeerClock, "age_ms", lambda self, now_us, timestamp_ms: 0)
@@ -27,7 +27,7 @@
 
 @entry("observation-expiry")
 def _() -> None:
-    """What was reported counts for ever."""
+    """Observations and reports never expire."""
     from cloverkeel.gossip.outlier_gossip import OutlierGossip
     from cloverkeel.gossip.outlier_reports import Observation
 
@@ -35,13 +35,13 @@
     swap(OutlierGossip, "refresh_assessments", lambda self, now_us: None)
     from cloverkeel.balancing.peer_reports import PeerReports
 
-    for_good = "event.until_us + 10**9 if is_suspected else 0"
-    cut(PeerReports, "apply_report", ("event.until_us if is_suspected else 0", for_good))
+    unlimited = "event.until_us + 10**9 if is_suspected else 0"
+    cut(PeerReports, "apply_report", ("event.until_us if is_suspected else 0", unlimited))
 
 
 @entry("zone-preference")
 def _() -> None:
-    """Observations of other zones count like those of one's own."""
+    """Observations from other zones count like those from the own zone."""
     from cloverkeel.gossip import outlier_gossip
     from cloverkeel.gossip.outlier_reports import assess
 
@@ -56,7 +56,7 @@
 
 @entry("observation-newest")
 def _() -> None:
-    """The observation that comes last counts, of whatever incarnation."""
+    """The last observation received counts, regardless of incarnation and timestamp."""
     from cloverkeel.gossip import outlier_reports
     from cloverkeel.gossip.peer_clock import PeerClocks
 
@@ -66,7 +66,7 @@
 
 @entry("peer-successes")
 def _() -> None:
-    """Successes at other gateways do not count."""
+    """Successes do not count in assessments."""
     from cloverkeel.gossip import outlier_gossip
     from cloverkeel.gossip.outlier_reports import assess
 
@@ -75,7 +75,7 @@
 
 @entry("broadcast-confirmed")
 def _() -> None:
-    """Each failure is forwarded by whoever receives it."""
+    """Each received failure is forwarded without a second reporter."""
     from cloverkeel.gossip.outlier_gossip import OutlierGossip
 
     cut(OutlierGossip, "on_observation", ("if reporters >= MIN_REPORTERS:", "if True:"))
@@ -83,7 +83,7 @@
 
 @entry("broadcast-bytes")
 def _() -> None:
-    """Datagrams cost nothing."""
+    """Datagrams do not use up bytes of the token bucket."""
     from cloverkeel.gossip.node import GossipNode
 
     cut(GossipNode, "_send", ("bucket.spend(len(payload))", "pass"))
@@ -91,7 +91,7 @@
 
 @entry("retry-tokens-escrow")
 def _() -> None:
-    """A gateway that grants tokens goes on using them."""
+    """A gateway keeps the tokens that it grants."""
     from cloverkeel.gossip.driver import GossipDriver
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
@@ -106,7 +106,7 @@
 
 @entry("retry-tokens-once")
 def _() -> None:
-    """A grant that comes twice is accepted twice."""
+    """A grant that is received twice is accepted twice."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
     cut(RetryTokens, "accept", ("is_new = self._record_sequence(grant)", "is_new = True"))
@@ -114,7 +114,7 @@
 
 @entry("retry-tokens-recipient")
 def _() -> None:
-    """A grant is anybody's, whenever it comes."""
+    """A grant is accepted by any process and at any age."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
     cut(RetryTokens, "accept", (" and grant.recipient_incarnation == own_incarnation", ""),
@@ -124,18 +124,18 @@
 
 @entry("retry-tokens-start")
 def _() -> None:
-    """A process that begins saves up as much as ever, and has it."""
+    """A new process starts with tokens, and saves as many as without transfers."""
     from cloverkeel.gossip.driver import GossipDriver
 
-    begins = (
+    initial_grant = (
         "self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_token_state(self.clock())[0])"
     )
-    cut(GossipDriver, "start", (begins, "pass"))
+    cut(GossipDriver, "start", (initial_grant, "pass"))
 
 
 @entry("timeout-overload")
 def _() -> None:
-    """A time-out speaks against a host that has answered others since it was sent."""
+    """A timeout counts as a failure of a host that has answered other attempts since it was sent."""
     from cloverkeel.gossip.outcome_window import LocalOutcomes
 
     swap(LocalOutcomes, "has_succeeded_since", lambda self, host, since_us: False)
@@ -143,7 +143,7 @@
 
 @entry("member-probe")
 def _() -> None:
-    """A probe that nobody answers tells nothing."""
+    """An unanswered probe has no effect."""
     from cloverkeel.gossip.membership import MembershipTable
 
     cut(MembershipTable, "suspect", ("if peer.status is MemberStatus.ALIVE:", "if False:"))
@@ -151,7 +151,7 @@
 
 @entry("member-suspicion")
 def _() -> None:
-    """A gateway that does not answer one probe is dead."""
+    """A suspected gateway is considered dead at once."""
     from cloverkeel.gossip.membership import MembershipTable
 
     swap(MembershipTable, "suspicion_timeout_us", lambda self, peer: 0)
@@ -159,7 +159,7 @@
 
 @entry("member-refutation")
 def _() -> None:
-    """A gateway that learns of a higher incarnation under its number does not refute that."""
+    """A gateway does not refute suspicions or a higher incarnation under its number."""
     from cloverkeel.gossip.membership import MembershipTable
 
     swap(MembershipTable, "on_claim_about_self", lambda self, now_us, item: None)
@@ -167,7 +167,7 @@
 
 @entry("member-notice")
 def _() -> None:
-    """Each datagram of a suspected gateway is answered with a notice of that."""
+    """Each datagram of a suspected gateway is answered with a notice, without a rate limit."""
     from cloverkeel.gossip import membership
 
     membership.SUSPICION_NOTICE_INTERVAL_US = 0  # type: ignore[misc]
@@ -175,7 +175,7 @@
 
 @entry("member-stall")
 def _() -> None:
-    """A gateway that was stalled accuses others of what it did not receive."""
+    """A gateway that was stalled suspects peers whose answers it missed meanwhile."""
     from cloverkeel.gossip.failure_detector import FailureDetector
 
     swap(FailureDetector, "on_stall", lambda self, now_us, stall_us: None)
--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -82,16 +82,16 @@
     row("trials-left", "probes are not suspended while most breakers are open", "PeerReports.suspend_probes",
         tests="leases/probe_election::probes_are_not_suspended_where_next_to_nothing_is_left"),
     row("hearsay-used", "a server that fails for other proxies is selected rarely", "PeerReports.apply_report",
-        tests="fleet/gossip::a_gateway_uses_little_what_fails_for_others "
-              "fleet/gossip::most_gateways_restart_at_once_and_are_sent_reports_by_the_rest "
+        tests="fleet/gossip::gateway_rarely_uses_a_host_that_fails_for_other_gateways "
+              "fleet/gossip::restarted_majority_is_sent_reports_by_the_remaining_gateway "
               "balancing/peer_reports::a_server_that_fails_for_other_proxies_is_selected_rarely_until_the_report_expires"),
     row("hearsay-two", "one reporter alone causes no suspicion", "assess, PeerReports.apply_report",
-        tests="gossip/outlier_reports::one_reporter_makes_no_suspected_outlier_and_two_do "
+        tests="gossip/outlier_reports::suspected_outlier_needs_two_reporters "
               "balancing/peer_reports::no_suspicion_from_one_reporter_or_good_outcomes_or_for_another_process"),
     row("hearsay-verdict+reporter-credibility+peer-successes",
         "gateways with a faulty network don't stop others from using a host",
         "assess, reporter_credibility, PeerReports.apply_report",
-        tests="fleet/gossip::gateways_for_which_every_host_is_dead_turn_none_off_for_others"),
+        tests="fleet/gossip::gateways_for_which_every_host_is_dead_cause_no_suspicion_at_others"),
     row("hearsay-verdict", "a report of other proxies opens no breaker", "PeerReports.apply_report",
         tests="balancing/peer_reports::a_server_that_fails_for_other_proxies_is_selected_rarely_until_the_report_expires"),
     row("hearsay-common", "no server is suspected while all servers fail", "PeerReports.apply_report",
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between real gateways, with faults between them, judged by what hosts saw."""
+"""Gossip between real gateways over faulty links, checked by the requests that hosts received."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from tests.fleet.shared import Shared, shared
 from tests.sockets import on_loop, rested
 
-FAILING_HOST = f"{stable_id('s-0', 4):x}"  # as `peers show` names it
-LAST = 5  # the gateway that has seen nothing of it
-REST = range(5)
+FAILING_HOST = f"{stable_id('s-0', 4):x}"  # id of host 0 in the answer to PEERS
+LAST_GATEWAY = 5  # in most tests, sends the failing host no requests before others report it
+OTHER_GATEWAYS = range(5)
 
 
 async def wait_until_suspected(fleet: Shared, gateway: int, is_suspected: bool = True) -> None:
@@ -34,7 +34,7 @@
 
 @contextlib.asynccontextmanager
 async def loaded(fleet: Shared, gateways: Iterable[int]) -> AsyncIterator[None]:
-    """Requests at these gateways all the while."""
+    """Keep sending requests to these gateways."""
 
     async def send_requests(gateway: int) -> None:
         while True:
@@ -50,86 +50,88 @@
 
 
 async def fail_host_for_others(fleet: Shared) -> None:
-    """The host fails for all, and the last gateway hears of it before it has sent it anything."""
+    """Make host 0 fail, and wait until the last gateway suspects it because of reports, without own requests."""
     fleet.fail(0)
-    async with loaded(fleet, REST):
-        await wait_until_suspected(fleet, LAST)
+    async with loaded(fleet, OTHER_GATEWAYS):
+        await wait_until_suspected(fleet, LAST_GATEWAY)
 
 
 @pytest.mark.parametrize("clocks", [False, True])
 @on_loop
-async def test_a_gateway_uses_little_what_fails_for_others(tmp_path: Path, clocks: bool) -> None:
-    """It has seen nothing of the host itself. With clocks: two are an hour off, one runs fast."""
-    words = {0: "wall=3600", 1: "wall=-3600", LAST: "rate=1.001"} if clocks else {}
+async def test_gateway_rarely_uses_a_host_that_fails_for_other_gateways(tmp_path: Path, clocks: bool) -> None:
+    """The gateway has no own outcomes of the host. With `clocks`, two clocks are an hour off and one runs fast."""
+    clock_arguments = {0: "wall=3600", 1: "wall=-3600", LAST_GATEWAY: "rate=1.001"} if clocks else {}
     start = (sys.executable, "-m", "tests.fleet.clocks")
-    commands = {number: (*start, word, *sockets.PROGRAM[2:]) for number, word in words.items()}
+    commands = {n: (*start, argument, *sockets.PROGRAM[2:]) for n, argument in clock_arguments.items()}
     async with shared(tmp_path, commands=commands) as fleet:
         await fail_host_for_others(fleet)
         marks = fleet.marks()
-        await fleet.load([LAST], 30)
-        bad = fleet.sent([LAST], marks)[0]
-        assert bad <= 1, f"{bad} of 30\n{fleet.timeline()}"  # of 10 otherwise; one failure of its own is enough
+        await fleet.load([LAST_GATEWAY], 30)
+        attempts = fleet.sent([LAST_GATEWAY], marks)[0]
+        # About 10 without gossip; the breaker of a suspected host opens after a single own failure.
+        assert attempts <= 1, f"{attempts} of 30\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
-async def test_a_gateway_that_hears_nothing_finds_out_for_itself(tmp_path: Path) -> None:
-    """Cut off from its peers it goes on as ever; joined again, it hears of the next fault."""
+async def test_partitioned_gateway_detects_a_failing_host_itself(tmp_path: Path) -> None:
+    """Without its peers it works as without gossip; when the links are back, it receives reports of the fault."""
     async with shared(tmp_path) as fleet:
-        fleet.cut([LAST], list(REST))
+        fleet.cut([LAST_GATEWAY], list(OTHER_GATEWAYS))
         fleet.fail(0)
-        async with loaded(fleet, REST):
+        async with loaded(fleet, OTHER_GATEWAYS):
             await wait_until_suspected(fleet, 0)
             marks = fleet.marks()
-            await fleet.load([LAST], 60)
-        bad = fleet.sent([LAST], marks)[0]
-        assert 2 <= bad <= 20, f"{bad} of 60\n{fleet.timeline()}"  # by its own ring, as without any of this
+            await fleet.load([LAST_GATEWAY], 60)
+        attempts = fleet.sent([LAST_GATEWAY], marks)[0]
+        # Limited by the gateway's own circuit breaker, as without gossip.
+        assert 2 <= attempts <= 20, f"{attempts} of 60\n{fleet.timeline()}"
         fleet.heal()
-        async with loaded(fleet, REST):
-            await wait_until_suspected(fleet, LAST)
+        async with loaded(fleet, OTHER_GATEWAYS):
+            await wait_until_suspected(fleet, LAST_GATEWAY)
         fleet.check()
 
 
 @on_loop
 async def test_reports_expire_when_nothing_more_is_received(tmp_path: Path) -> None:
-    """Suspected, then cut off: the host is well, and no datagram says so."""
+    """A gateway suspects a host and is cut off: no datagram tells it that the host has recovered."""
     async with shared(tmp_path) as fleet:
         await fail_host_for_others(fleet)
-        fleet.cut([LAST], list(REST))
+        fleet.cut([LAST_GATEWAY], list(OTHER_GATEWAYS))
         fleet.mend(0)
-        await wait_until_suspected(fleet, LAST, is_suspected=False)
+        await wait_until_suspected(fleet, LAST_GATEWAY, is_suspected=False)
         marks = fleet.marks()
-        await fleet.load([LAST], 60)
-        assert fleet.sent([LAST], marks)[0] >= 6, fleet.timeline()  # a third, as the two others
+        await fleet.load([LAST_GATEWAY], 60)
+        assert fleet.sent([LAST_GATEWAY], marks)[0] >= 6, fleet.timeline()  # its fair share is a third
         fleet.check()
 
 
-async def check_others_use_all_hosts(fleet: Shared, well: list[int], cut_off: list[int]) -> None:
-    """While some see every host as dead, each host keeps what the others send it."""
+async def check_others_use_all_hosts(fleet: Shared, others: list[int], cut_off: list[int]) -> None:
+    """Check that the other gateways use all hosts while every host is dead for the gateways in `cut_off`."""
     marks = fleet.marks()
     async with loaded(fleet, cut_off):
-        await fleet.load(well, 1200 // len(well))
-    counts = fleet.sent(well, marks)
-    assert sum(counts) >= 0.95 * 1200, f"{counts}\n{fleet.timeline()}"  # what is refused reaches no host
+        await fleet.load(others, 1200 // len(others))
+    counts = fleet.sent(others, marks)
+    assert sum(counts) >= 0.95 * 1200, f"{counts}\n{fleet.timeline()}"  # rejected requests reach no host
     assert min(counts) >= 0.8 * sum(counts) / len(counts), f"{counts}\n{fleet.timeline()}"
 
 
 @pytest.mark.parametrize("cut_off", [[0], [0, 1]])
 @on_loop
-async def test_gateways_for_which_every_host_is_dead_turn_none_off_for_others(
+async def test_gateways_for_which_every_host_is_dead_cause_no_suspicion_at_others(
     tmp_path: Path, cut_off: list[int]
 ) -> None:
-    """One is too few; two are two reporters, and each says that all else fails for it too."""
+    """One reporter is not enough; two are not credible, as they report that all other hosts fail for them too."""
     async with shared(tmp_path) as fleet:
         fleet.cut_from_hosts(*cut_off)
-        well = [gateway for gateway in range(6) if gateway not in cut_off]
-        await check_others_use_all_hosts(fleet, well, cut_off)
+        others = [gateway for gateway in range(6) if gateway not in cut_off]
+        await check_others_use_all_hosts(fleet, others, cut_off)
         assert fleet.statuses[500] == 0
         fleet.check()
 
 
 @on_loop
-async def test_a_host_that_fails_from_one_zone_alone_stays_in_use_from_the_rest(tmp_path: Path) -> None:
+async def test_host_that_fails_from_one_zone_stays_in_use_in_the_other_zone(tmp_path: Path) -> None:
     async with shared(tmp_path, zones=(0, 0, 0, 1, 1, 1)) as fleet:
         await fleet.load(range(6), 10)
         fleet.fail(0, lambda number: number >= 3)
@@ -142,101 +144,111 @@
 
 
 @on_loop
-async def test_datagrams_that_are_late_by_seconds_do_not_turn_off_a_host_that_is_well(tmp_path: Path) -> None:
+async def test_datagrams_late_by_seconds_cause_no_suspicion_of_a_recovered_host(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
-        await fleet.wait(lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "all have spoken")
+        await fleet.wait(
+            lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "datagrams were sent over all links"
+        )
         fleet.mesh.trouble(Conditions(late=1.0, late_us=4_000_000))
         fleet.fail(0)
-        await fleet.until(REST, lambda: all(fleet.seen(0)[number] >= 2 for number in REST), "all saw it fail")
+        await fleet.until(
+            OTHER_GATEWAYS,
+            lambda: all(fleet.seen(0)[gateway] >= 2 for gateway in OTHER_GATEWAYS),
+            "the other gateways sent requests to the failing host",
+        )
         fleet.mend(0)
         fleet.mesh.trouble(Conditions())
         marks = fleet.marks()
-        came = {pair: link.came for pair, link in fleet.mesh.links.items()}
-        await asyncio.sleep(3.5)  # what was said then is still on its way
-        late = fleet.marks()
-        async with loaded(fleet, [LAST]):
-            # It has never seen the host fail: it takes a third of the requests, also while the news of then arrives.
+        received = {pair: link.came for pair, link in fleet.mesh.links.items()}
+        await asyncio.sleep(3.5)  # the reports sent during the fault are still in transit
+        late_marks = fleet.marks()
+        async with loaded(fleet, [LAST_GATEWAY]):
+            # This gateway saw no failure: the host gets a third of its requests, even while late reports arrive.
             await asyncio.sleep(2.0)
-        counts = fleet.sent([LAST], late)
-        assert counts[0] >= 0.7 * sum(counts) / 3, f"{counts} {marks} {came}\n{fleet.timeline()}"
+        counts = fleet.sent([LAST_GATEWAY], late_marks)
+        assert counts[0] >= 0.7 * sum(counts) / 3, f"{counts} {marks} {received}\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
-async def test_a_gateway_that_wakes_with_a_full_socket_reads_old_reports_as_old(tmp_path: Path) -> None:
+async def test_resumed_gateway_treats_queued_reports_as_old(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
-        await fleet.wait(lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "all have spoken")
-        fleet.stop(LAST)
+        await fleet.wait(
+            lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "datagrams were sent over all links"
+        )
+        fleet.stop(LAST_GATEWAY)
         fleet.fail(0)
-        async with loaded(fleet, REST):
+        async with loaded(fleet, OTHER_GATEWAYS):
             await wait_until_suspected(fleet, 0)
             await asyncio.sleep(0.5)
         fleet.mend(0)
-        await asyncio.sleep(2.5)  # nothing of it counts any more
-        fleet.wake(LAST)
+        await asyncio.sleep(2.5)  # all reports have expired
+        fleet.wake(LAST_GATEWAY)
         marks = fleet.marks()
-        await fleet.load([LAST], 150)
-        counts = fleet.sent([LAST], marks)
+        await fleet.load([LAST_GATEWAY], 150)
+        counts = fleet.sent([LAST_GATEWAY], marks)
         assert counts[0] >= 0.5 * sum(counts) / 3, f"{counts}\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
-async def test_lost_doubled_truncated_and_corrupt_datagrams_are_survived(tmp_path: Path) -> None:
+async def test_reports_spread_despite_lost_repeated_truncated_and_corrupt_datagrams(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
         fleet.mesh.trouble(
             Conditions(jitter_us=20_000, loss=0.3, double=0.3, late=0.1, late_us=1_000_000, short=0.1, spoilt=0.1)
         )
         await fail_host_for_others(fleet)
-        while not (await fleet.shown(LAST, "PEERS"))["dropped"].get("unreadable"):  # probes bring them too
+        while not (await fleet.shown(LAST_GATEWAY, "PEERS"))["dropped"].get("unreadable"):  # probes are corrupted too
             await asyncio.sleep(0.05)
         fleet.check()
 
 
 @on_loop
-async def test_most_gateways_restart_at_once_and_are_sent_reports_by_the_rest(tmp_path: Path) -> None:
-    """Five of six are killed while a host fails; they begin empty, and one that sent nothing hears of it."""
+async def test_restarted_majority_is_sent_reports_by_the_remaining_gateway(tmp_path: Path) -> None:
+    """Five of six gateways are killed while a host fails; one of them suspects it again without own requests."""
     async with shared(tmp_path) as fleet:
         await fail_host_for_others(fleet)
-        await fleet.kill(1, 2, 3, 4, LAST)
-        fleet.start(1, 2, 3, 4, LAST)
-        await fleet.ready(1, 2, 3, 4, LAST)
+        await fleet.kill(1, 2, 3, 4, LAST_GATEWAY)
+        fleet.start(1, 2, 3, 4, LAST_GATEWAY)
+        await fleet.ready(1, 2, 3, 4, LAST_GATEWAY)
         async with loaded(fleet, (0, 1, 2, 3)):
-            await wait_until_suspected(fleet, LAST)
+            await wait_until_suspected(fleet, LAST_GATEWAY)
         marks = fleet.marks()
-        await fleet.load([LAST], 30)
-        assert fleet.sent([LAST], marks)[0] <= 1, fleet.timeline()
+        await fleet.load([LAST_GATEWAY], 30)
+        assert fleet.sent([LAST_GATEWAY], marks)[0] <= 1, fleet.timeline()
         fleet.check()
 
 
 async def max_overdraft(fleet: Shared, min_accepted: float) -> float:
-    """Return the most tokens that one gateway spent beyond what it earned, over any stretch of its requests.
+    """Return the maximum of tokens spent minus tokens earned by gateway 0, over any interval of its requests.
 
-    Every second answer there is an error, the others are idle. It goes on until that gateway says that so many
-    tokens came from others, for 400 requests at the least, and until it has made 100 retries: with its breakers open
-    it makes none for seconds, and earns all the same.
+    Every second response is an error, and the other gateways are idle. Runs until gateway 0 has accepted
+    `min_accepted` tokens from others, for at least 400 requests, and until it has made 100 retries: while its circuit
+    breakers are open it makes none for seconds, but still earns tokens.
     """
-    await fleet.load(range(1, fleet.count), 10)  # each has saved up what it may
+    await fleet.load(range(1, fleet.count), 10)  # each saves the maximum
     await fleet.load([0], 60)
     count = itertools.count()
     for host in range(len(fleet.hosts)):
         fleet.fail(host, lambda number: next(count) % 2 == 0)
-    marks, requests, retries, overdraft, highest = fleet.marks(), 0, 0, 0.0, 0.0
+    marks, requests, retries, overdraft, max_seen = fleet.marks(), 0, 0, 0.0, 0.0
     while requests < 400 or retries < 100 or (await fleet.shown(0, "PEERS"))["rights"]["taken"] < min_accepted:
         for _ in range(50):
             await fleet.load([0], 1)
-            await rested()  # else each opens a connection, and what waits for that passes for overload
-            before, (_, retries) = retries, fleet.attempts(marks)
-            overdraft = max(0.0, overdraft + ERROR_RETRY_COST * (retries - before) - RETRY_RATIO)
-            highest = max(highest, overdraft)
+            await rested()  # otherwise waiting for a new connection counts as overload
+            previous, (_, retries) = retries, fleet.attempts(marks)
+            overdraft = max(0.0, overdraft + ERROR_RETRY_COST * (retries - previous) - RETRY_RATIO)
+            max_seen = max(max_seen, overdraft)
         requests += 50
-    return highest
+    return max_seen
 
 
 @pytest.mark.parametrize("doubled", [False, True])
 @on_loop
-async def test_tokens_move_to_who_wants_them_and_are_never_spent_twice(tmp_path: Path, doubled: bool) -> None:
-    """What hosts saw of retries: no more than all may save up, though most of it has come to one."""
+async def test_tokens_move_to_the_gateway_short_of_them_and_are_never_spent_twice(
+    tmp_path: Path, doubled: bool
+) -> None:
+    """One gateway spends at most what all gateways together may save, though most tokens moved to it."""
     async with shared(tmp_path, count=4) as fleet:
         if doubled:
             fleet.mesh.trouble(Conditions(double=1.0, jitter_us=5_000))
@@ -246,7 +258,7 @@
 
 
 @on_loop
-async def test_who_is_cut_off_spends_no_more_than_its_own_tokens(tmp_path: Path) -> None:
+async def test_partitioned_gateway_spends_only_its_own_tokens(tmp_path: Path) -> None:
     async with shared(tmp_path, count=4) as fleet:
         fleet.cut([0], [1, 2, 3])
         spent = await max_overdraft(fleet, 0.0)
@@ -255,7 +267,7 @@
 
 
 @on_loop
-async def test_an_upgrade_leaves_one_process_that_gossips(tmp_path: Path) -> None:
+async def test_only_one_process_of_a_gateway_gossips_after_an_upgrade(tmp_path: Path) -> None:
     async with shared(tmp_path, count=3) as fleet:
         async with loaded(fleet, (0, 1, 2)):
             await fleet.gateways[1].upgrade()
@@ -266,12 +278,12 @@
 
 
 @on_loop
-async def test_a_gateway_that_is_killed_is_gone_for_the_rest_and_back_when_it_is(tmp_path: Path) -> None:
+async def test_killed_gateway_is_dead_for_its_peers_until_it_restarts(tmp_path: Path) -> None:
     async with shared(tmp_path, count=4) as fleet:
 
-        async def states(number: int) -> set[str]:
-            statuses = [await fleet.shown(n, "PEERS") for n in range(fleet.count) if n != number]
-            return {status["peers"][str(number)]["state"] for status in statuses}
+        async def states(gateway: int) -> set[str]:
+            statuses = [await fleet.shown(n, "PEERS") for n in range(fleet.count) if n != gateway]
+            return {status["peers"][str(gateway)]["state"] for status in statuses}
 
         while await states(2) != {"alive"}:
             await asyncio.sleep(0.05)
@@ -285,7 +297,7 @@
         fleet.check()
 
 
-def test_where_the_settings_allow_no_datagrams_nothing_of_it_is_imported() -> None:
+def test_gossip_and_leases_are_not_imported_if_settings_forbid_datagrams() -> None:
     script = (
         "import asyncio, sys\n"
         "from cloverkeel.assembly import assemble\n"
@@ -303,5 +315,5 @@
         "asyncio.run(main())\n"
     )
     environment = os.environ | {"CLOVERKEEL_PLAIN": "1"}
-    done = subprocess.run([sys.executable, "-c", script], cwd=ROOT, env=environment, capture_output=True, text=True)
-    assert done.returncode == 0, done.stderr
+    result = subprocess.run([sys.executable, "-c", script], cwd=ROOT, env=environment, capture_output=True, text=True)
+    assert result.returncode == 0, result.stderr
--- a/tests/golden/gossip.py
+++ b/tests/golden/gossip.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.gossip sends and prints."""
+"""Samples of the datagrams, admin answers and command output of cloverkeel.gossip."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 NOW_US: Final = 1_796_119_613_761_000
 INCARNATION: Final = 0x01020304
-STAMP: Final = 0xF0E0D0C0
+TIMESTAMP_MS: Final = 0xF0E0D0C0
 
-# The kept samples are named by the words of docs/peers-wire.md.
+# The stored samples are named after the terms of docs/peers-wire.md.
 MEMBER_SAMPLE_NAMES: Final = {MemberStatus.DEAD: "gone"}
 KIND_SAMPLE_NAMES: Final = {
     MessageKind.GOSSIP: "news", MessageKind.PING_REQ: "ping_for", MessageKind.STATE_REQUEST: "ask",
@@ -52,27 +52,27 @@
         )
         for status in MemberStatus
     },
-    "evidence": ObservationItem(0x0102, INCARNATION, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 250, 3, 128, 4),
+    "evidence": ObservationItem(0x0102, INCARNATION, TIMESTAMP_MS, 0x5BE2A07C, 0xA1B2C3D4, 250, 3, 128, 4),
     "evidence_largest": ObservationItem(0xFFFF, MASK32, MASK32, MASK32, MASK32, 255, 255, 255, 255),
     "want": TokenRequestItem(1_250),
-    "give": TokenGrantItem(0x0102, INCARNATION, 77, STAMP, 0x0304, 0x05060708, 450),
+    "give": TokenGrantItem(0x0102, INCARNATION, 77, TIMESTAMP_MS, 0x0304, 0x05060708, 450),
 }
 ITEM_CLASSES: Final[frozenset[type]] = frozenset(get_args(Item))
 ITEM_CLASSES_OF_SAMPLES: Final[frozenset[type]] = frozenset(map(type, ITEMS.values()))
 DATAGRAM_KINDS: Final[frozenset[str]] = frozenset(map(_sample_name, MessageKind))
 
 
-def _head(kind: MessageKind) -> Header:
-    return Header(kind, 0x1203, INCARNATION, STAMP, sequence=0x89ABCDEF, subject=0x0405)
+def _header(kind: MessageKind) -> Header:
+    return Header(kind, 0x1203, INCARNATION, TIMESTAMP_MS, sequence=0x89ABCDEF, subject=0x0405)
 
 
 def _datagram(kind: MessageKind, *items: Item) -> Sample:
-    head = _head(kind)
-    return Sample(lambda: encode(head, items), decode, Datagram(head, items))
+    header = _header(kind)
+    return Sample(lambda: encode(header, items), decode, Datagram(header, items))
 
 
 def _admin_answers() -> dict[str, bytes]:
-    """Ask a gateway that has heard of failures of one host from two peers, as an admin connection does."""
+    """Return a gateway's answers to PEERS before and after two peers reported failures of one host."""
 
     async def run() -> dict[str, bytes]:
         peers = [f"127.0.0.1:{port}" for port in (7, 8, 9, 10)]
@@ -86,11 +86,11 @@
         try:
             before = driver.call(b"PEERS")
             driver.node.start(NOW_US)
-            for number in (1, 2):
-                observation = ObservationItem(number, 9, STAMP, 0x5BE2A07C, 0xA1B2C3D4, 0, 40, 0, 0)
-                alive = MemberItem(number, 9, MemberStatus.ALIVE, number)
-                head = Header(MessageKind.GOSSIP, number, 9, STAMP)
-                driver.node.receive(NOW_US, Datagram(head, (alive, observation)))
+            for reporter in (1, 2):
+                observation = ObservationItem(reporter, 9, TIMESTAMP_MS, 0x5BE2A07C, 0xA1B2C3D4, 0, 40, 0, 0)
+                alive = MemberItem(reporter, 9, MemberStatus.ALIVE, reporter)
+                header = Header(MessageKind.GOSSIP, reporter, 9, TIMESTAMP_MS)
+                driver.node.receive(NOW_US, Datagram(header, (alive, observation)))
             driver.node.tick(NOW_US)
             after = driver.call(b"PEERS\r\n")
             assert before is not None
@@ -108,8 +108,8 @@
     return Sample(lambda: _admin_answers()[name])
 
 
-def _shown(gateway: int, state: str, doubted: bool) -> str:
-    shown = {
+def _peers_answer(gateway: int, state: str, doubted: bool) -> str:
+    status = {
         "gateway": gateway, "zone": 0, "incarnation": 7, "health": 0,
         "peers": {"2": {"state": state, "incarnation": 7, "heard_ms": 5}},
         "hosts": [
@@ -118,10 +118,10 @@
         ],
         "sent": 3, "sent_bytes": 99, "came": 4, "budget": 16_000, "poor": 0, "dropped": {},
     }  # fmt: skip
-    return "ACK " + json.dumps(shown)
+    return "ACK " + json.dumps(status)
 
 
-def _show(*answers: str) -> Sample:
+def _show_output(*answers: str) -> Sample:
     targets = ("cloverkeel.core.admin_client.call",)
     return Sample(lambda: output_of(main, ("show", "--json"), {"PEERS": answers}, targets))
 
@@ -136,7 +136,7 @@
     },
     "sharing_admin": {name: _admin_answer(name) for name in ("peers_of_nothing", "peers")},
     "sharing_commands": {
-        "show_json": _show(_shown(0, "gone", True), _shown(1, "alive", False)),
-        "show_json_without_answers": _show("NAK unknown call", ""),
+        "show_json": _show_output(_peers_answer(0, "gone", True), _peers_answer(1, "alive", False)),
+        "show_json_without_answers": _show_output("NAK unknown call", ""),
     },
 }
--- a/tests/gossip/helpers.py
+++ b/tests/gossip/helpers.py
@@ -1,4 +1,4 @@
-"""Short ways to build what gateways send one another."""
+"""Helpers to build items of gossip datagrams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def constant_rng() -> float:
-    """Draw the same number each time."""
+    """Return the same number each time, in place of a random one."""
     return 0.5
 
 
@@ -20,7 +20,7 @@
     reporter: int, failures: int = 1, successes: int = 0, at_us: int = NOW_US, host: HostProcess = HOST,
     failure_ratio: int = 0, zone: int = 0, incarnation: int = 1,
 ) -> ObservationItem:  # fmt: skip
-    """Return what a gateway reports of a host."""
+    """Return one gateway's observation of a host."""
     return ObservationItem(
         reporter, incarnation, timestamp_ms_of(at_us), host.host, host.started_ms, successes, failures, failure_ratio,
         zone,
--- a/tests/gossip/test_commands.py
+++ b/tests/gossip/test_commands.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel peers`, against scripted second addresses, and what the metrics line tells of gossip."""
+"""The command `peers` against scripted admin addresses, gossip in the metrics line, and retry tokens at the start."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 
 from benchmarks.fleet_logs import Count, table
-from cloverkeel.cli.command_line import main as program
+from cloverkeel.cli.command_line import main as run_program
 from cloverkeel.assembly import assemble
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import ConfigError
@@ -26,7 +26,7 @@
 
 
 def status_of(gateway: int, peers: dict[str, str], hosts: dict[str, bool]) -> dict[str, Any]:
-    """Return the answer of one gateway to PEERS."""
+    """Return one gateway's answer to PEERS."""
     return {
         "gateway": gateway, "zone": 0, "incarnation": 7, "health": 0,
         "peers": {n: {"state": state, "heard_ms": 5, "incarnation": 7} for n, state in peers.items()},
@@ -40,10 +40,10 @@
 
 
 @contextmanager
-def answering(*lines: str) -> Iterator[str]:
-    """Second addresses that each give one line to any call; "" where nobody listens."""
+def serve_answers(*lines: str) -> Iterator[str]:
+    """Yield admin addresses that each answer PEERS with one line; "" for an address where nothing listens."""
     listeners = [socket.create_server(("127.0.0.1", 0)) for _ in lines]
-    at = ",".join(f"127.0.0.1:{one.getsockname()[1]}" for one in listeners)
+    addresses = ",".join(f"127.0.0.1:{listener.getsockname()[1]}" for listener in listeners)
 
     def serve(listener: socket.socket, line: str) -> None:
         while True:
@@ -56,78 +56,78 @@
                     connection.sendall(line.encode() + b"\n")
 
     threads = [threading.Thread(target=serve, args=pair) for pair in zip(listeners, lines, strict=True) if pair[1]]
-    for one, line in zip(listeners, lines, strict=True):
+    for listener, line in zip(listeners, lines, strict=True):
         if not line:
-            one.close()
+            listener.close()
     for thread in threads:
         thread.start()
     try:
-        yield at
+        yield addresses
     finally:
-        for one in listeners:
-            if one.fileno() >= 0:
-                one.shutdown(socket.SHUT_RDWR)
-                one.close()
+        for listener in listeners:
+            if listener.fileno() >= 0:
+                listener.shutdown(socket.SHUT_RDWR)
+                listener.close()
         for thread in threads:
             thread.join()
 
 
-def test_show_lists_who_hears_whom_and_where_gateways_differ(capsys: pytest.CaptureFixture[str]) -> None:
-    one = status_of(0, {"1": "alive", "2": "gone"}, {"abc": True})
-    other = status_of(1, {"0": "alive", "2": "alive"}, {"abc": False})
-    with answering(f"ACK {json.dumps(one)}", f"ACK {json.dumps(other)}") as at:
-        assert main(["show", "--at", at]) == 0
-    said = capsys.readouterr().out
-    assert "gateway 2: gone for 0, heard by 1" in said
-    assert "host abc: in doubt at 0, not at 1" in said
-    assert find_differences({"a": other}) == []
+def test_show_lists_differences_between_the_views_of_gateways(capsys: pytest.CaptureFixture[str]) -> None:
+    first = status_of(0, {"1": "alive", "2": "gone"}, {"abc": True})
+    second = status_of(1, {"0": "alive", "2": "alive"}, {"abc": False})
+    with serve_answers(f"ACK {json.dumps(first)}", f"ACK {json.dumps(second)}") as addresses:
+        assert main(["show", "--at", addresses]) == 0
+    output = capsys.readouterr().out
+    assert "gateway 2: gone for 0, heard by 1" in output
+    assert "host abc: in doubt at 0, not at 1" in output
+    assert find_differences({"a": second}) == []
 
 
-def test_a_gateway_that_shares_nothing_or_does_not_answer_is_named(capsys: pytest.CaptureFixture[str]) -> None:
-    with answering("NAK what is PEERS", "") as at:
-        assert main(["show", "--json", "--at", at]) == 1
-    wrong = json.loads(capsys.readouterr().out)["wrong"]
-    assert "nothing is shared here" in wrong[0] and "no answer" in wrong[1]
-    assert program(["peers", "show", "--at", "nowhere"]) == 2
+def test_show_lists_gateways_without_gossip_or_without_an_answer(capsys: pytest.CaptureFixture[str]) -> None:
+    with serve_answers("NAK what is PEERS", "") as addresses:
+        assert main(["show", "--json", "--at", addresses]) == 1
+    failures = json.loads(capsys.readouterr().out)["wrong"]
+    assert "nothing is shared here" in failures[0] and "no answer" in failures[1]
+    assert run_program(["peers", "show", "--at", "nowhere"]) == 2
     assert "host:port" in capsys.readouterr().err
 
 
-def test_the_table_has_no_keys_and_says_so() -> None:
+def test_options_table_accepts_no_keys() -> None:
     assert parse({"sharing": {}}, "o.toml").gossip == GossipOptions()
     with pytest.raises(ConfigError, match="o.toml: sharing: gossip: unknown; expected no keys"):
         parse({"sharing": {"gossip": 1}}, "o.toml")
 
 
-def test_metrics_of_a_fleet_are_added_up() -> None:
+def test_gossip_figures_of_metrics_lines_are_added_up() -> None:
     count = Count()
     for suspected in (1, 2):
-        tally = GatewayMetrics(1)
-        tally.received_by_class[0] = 5
-        tally.gossip = [suspected, 3, 1, 2, 40, 2_000]
-        line = tally.format_line(1_700_000_000_000_000, (0.0, 0.0), 0, 0)
+        metrics = GatewayMetrics(1)
+        metrics.received_by_class[0] = 5
+        metrics.gossip = [suspected, 3, 1, 2, 40, 2_000]
+        line = metrics.format_line(1_700_000_000_000_000, (0.0, 0.0), 0, 0)
         assert line is not None
         count.read([f"0.100 cloverkeel: {line}"])
-        tally.reset()
-        assert tally.received_before_reset == 5
+        metrics.reset()
+        assert metrics.received_before_reset == 5
     ((_, second),) = count.seconds.items()
     assert second.sharing == [3, 6, 2, 4, 80, 4_000] and not count.unread
     assert "in doubt 3, told 6, 4000 bytes so far" in "".join(table(count, False, 0, 9))
 
 
 @on_loop
-async def test_a_process_that_begins_has_no_tokens_though_its_socket_is_anothers() -> None:
-    """While its gateway is replaced the old process has the address: nothing is saved up twice meanwhile."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as old:
-        old.bind(("127.0.0.1", 0))
-        at = "{}:{}".format(*old.getsockname())
-        raw = configuration("127.0.0.1:9", peers=True) | {"peer_listen": at, "peers": [at, "127.0.0.1:9"]}
+async def test_new_process_has_no_tokens_while_the_old_process_holds_the_address() -> None:
+    """During a handover the old process keeps the address. Guards against two processes saving tokens meanwhile."""
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as old_socket:
+        old_socket.bind(("127.0.0.1", 0))
+        address = "{}:{}".format(*old_socket.getsockname())
+        raw = configuration("127.0.0.1:9", peers=True) | {"peer_listen": address, "peers": [address, "127.0.0.1:9"]}
         raw["settings"] |= {"balancers": 2, "index": 0}
         program = assemble(parse_config(raw), Options(gossip=GossipOptions()))
         try:
-            before = program.gateway.balancer.retry_token_state(now_us())[0]
+            initial = program.gateway.balancer.retry_token_state(now_us())[0]
             program.start()
             await asyncio.sleep(0)
             assert program.datagrams is not None and program.datagrams.transport is None
-            assert before > MAX_SAVED_TOKENS and program.gateway.balancer.retry_token_state(now_us()) == (0.0, False)
+            assert initial > MAX_SAVED_TOKENS and program.gateway.balancer.retry_token_state(now_us()) == (0.0, False)
         finally:
             program.close()
--- a/tests/gossip/test_dissemination.py
+++ b/tests/gossip/test_dissemination.py
@@ -1,4 +1,4 @@
-"""The queue of broadcasts and the token bucket: what goes first, how often, and what it may cost."""
+"""The broadcast queue and the token bucket: order, number of transmissions and bytes sent."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from tests.gossip.helpers import NOW_US, constant_rng, observe
 
 
-def test_restrictions_go_first_and_each_is_sent_so_often() -> None:
+def test_failures_are_sent_before_recoveries_and_each_as_often_as_requested() -> None:
     queue = BroadcastQueue(40, constant_rng)
     queue.add(MemberItem(1, 1, MemberStatus.ALIVE, 1), 2)
     queue.add(observe(2, 0, 3), 2)
     queue.add(MemberItem(3, 1, MemberStatus.DEAD, 1), 2)
     queue.add(observe(4), 2)
-    first = queue.take_items()
-    assert [type(item) for item in first] == [ObservationItem, MemberItem, ObservationItem, MemberItem]
-    assert first[0] == observe(4)
+    items = queue.take_items()
+    assert [type(item) for item in items] == [ObservationItem, MemberItem, ObservationItem, MemberItem]
+    assert items[0] == observe(4)
     assert queue.is_urgent
     assert queue.take_items()
     assert not queue.queued
     assert queue.take_items() == ()
 
 
-def test_what_comes_from_others_too_is_sent_less_often() -> None:
+def test_duplicates_from_other_gateways_reduce_transmissions() -> None:
     queue = BroadcastQueue(40, constant_rng)
     queue.add(observe(1), 2)
-    queue.on_duplicate(observe(1, failures=9))  # another observation
+    queue.on_duplicate(observe(1, failures=9))  # same key, but not the same observation
     queue.on_duplicate(observe(1))
     assert len(queue.queued) == 1
     queue.on_duplicate(observe(1))
     assert not queue.queued
 
 
-def test_the_queue_is_bounded_and_the_least_urgent_gives_way() -> None:
+def test_full_queue_drops_the_least_urgent_broadcast() -> None:
     queue = BroadcastQueue(200, constant_rng)
     for gateway in range(MAX_QUEUED_BROADCASTS):
         queue.add(MemberItem(gateway, 1, MemberStatus.ALIVE, 1), 3)
@@ -46,7 +46,7 @@
     assert queue.is_urgent
 
 
-def test_member_status_does_not_use_up_what_observations_need() -> None:
+def test_member_status_is_not_sent_from_the_reserve_for_observations() -> None:
     queue = BroadcastQueue(200, constant_rng)
     queue.bucket.available_bytes = 100.0
     queue.add(MemberItem(1, 1, MemberStatus.DEAD, 1), 3)
@@ -57,7 +57,7 @@
     assert queue.take_items() == (observe(1),)
 
 
-def test_bytes_follow_the_requests_and_are_saved_up_to_a_bound() -> None:
+def test_byte_rate_follows_the_request_rate_and_saved_bytes_are_bounded() -> None:
     bucket = ByteTokenBucket(available_bytes=0.0, refilled_us=NOW_US, rate_measured_us=NOW_US)
     bucket.refill(NOW_US + 1_000_000, 100)
     assert bucket.available_bytes == pytest.approx(MIN_BYTES_PER_S)
--- a/tests/gossip/test_messages.py
+++ b/tests/gossip/test_messages.py
@@ -1,4 +1,4 @@
-"""The codec of gossip datagrams: round trips, truncated and corrupt ones, limits, items of a later release."""
+"""Codec of gossip datagrams: round trips, truncated and corrupt datagrams, limits, items of a later release."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 @given(headers, st.lists(st.one_of(member_items, observation_items, token_grants, token_requests), max_size=8))
-def test_what_is_encoded_is_decoded_and_fits(header: Header, items: list[Item]) -> None:
+def test_encoded_datagrams_decode_to_equal_ones_and_fit_the_limit(header: Header, items: list[Item]) -> None:
     data = encode(header, tuple(items))
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == Datagram(header, tuple(items))
 
 
 @given(st.binary(max_size=300))
-def test_whatever_the_bytes_are_decoding_gives_a_message_or_none(data: bytes) -> None:
+def test_decoding_arbitrary_bytes_never_raises(data: bytes) -> None:
     decode(data)
 
 
@@ -61,10 +61,10 @@
     assert decode(bytes(corrupt)) is None
 
 
-def test_what_a_later_release_adds_is_skipped() -> None:
-    known = encode(Header(MessageKind.GOSSIP, 1, 2, 3), (observe(1),))[:-4]
-    longer = bytearray(known)
-    longer[-OBSERVATION_ITEM_BYTES + 1] += 2  # the item says that it has two bytes more
+def test_additions_of_a_later_release_are_skipped() -> None:
+    current = encode(Header(MessageKind.GOSSIP, 1, 2, 3), (observe(1),))[:-4]
+    longer = bytearray(current)
+    longer[-OBSERVATION_ITEM_BYTES + 1] += 2  # the item's header states two more bytes
     payload = bytes(longer) + b"xx" + struct.pack(">BB", 77, 3) + b"new"
     datagram = decode(payload + struct.pack(">I", zlib.crc32(payload)))
     assert datagram is not None
@@ -72,7 +72,7 @@
     assert datagram.unknown_items == 1
 
 
-def test_what_does_not_fit_is_an_error() -> None:
+def test_too_many_items_and_fields_out_of_range_are_errors() -> None:
     too_many = MAX_ITEMS_BYTES // OBSERVATION_ITEM_BYTES + 1
     with pytest.raises(ValueError, match="256 at most") as too_large:
         encode(Header(MessageKind.GOSSIP, 1, 1, 1), tuple(observe(reporter) for reporter in range(too_many)))
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -1,4 +1,4 @@
-"""Gossip nodes, alone and in simulated fleets: what is reported, forwarded and told to the balancer."""
+"""Gossip nodes, alone and in simulated fleets: reports, forwarding and notifications of the balancer."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def ignore(host: HostProcess, assessment: Assessment) -> None:
-    """Take an assessment for the balancer."""
+    """Discard an assessment."""
 
 
 def make_node(
@@ -57,7 +57,7 @@
 # Fleets
 
 
-def test_all_hear_of_a_host_that_fails_within_a_second_and_it_ends_after() -> None:
+def test_fleet_suspects_a_failing_host_within_a_second_and_until_reports_expire() -> None:
     fleet = make_fleet(40)
     fleet.run(BEGIN_US + 1_000_000)
     fleet.failing[0] = 0.9
@@ -68,7 +68,7 @@
     assert fleet.doubting(0) == 0
 
 
-def test_a_gateway_for_which_every_host_fails_withholds_its_reports_and_nobody_believes_it() -> None:
+def test_gateway_for_which_every_host_fails_withholds_reports_and_causes_no_suspicion() -> None:
     fleet = make_fleet(12)
     fleet.run(BEGIN_US + 500_000)
     for _ in range(200):
@@ -81,11 +81,11 @@
 
 
 @pytest.mark.parametrize("fault", ["lossy", "late", "restarts", "stalls"])
-def test_a_well_host_is_not_suspected_for_long_whatever_the_network_does(fault: str) -> None:
-    """It failed, and is well again: no datagram of then may turn it off for longer than observations count."""
+def test_recovered_host_is_not_suspected_for_long_despite_network_faults(fault: str) -> None:
+    """Datagrams from the time of the fault must not cause a suspicion after the observations have expired."""
     faults = {"loss": 0.3, "doubled": 0.3} | ({"late": 0.3} if fault == "late" else {})
     fleet = make_fleet(12, **faults)
-    fleet.run(BEGIN_US + 3_000_000)  # clocks are known
+    fleet.run(BEGIN_US + 3_000_000)  # each node knows its peers' clocks
     fleet.failing[0] = 0.9
     fleet.run(fleet.at_us + 2_000_000)
     if fault == "stalls":
@@ -94,7 +94,7 @@
         fleet.failing.clear()
         fleet.run(fleet.at_us + 100_000)
         fleet.stopped = set()
-        fleet.run(fleet.at_us + 100_000)  # sockets are read: nothing in them is younger than it is
+        fleet.run(fleet.at_us + 100_000)  # the queued datagrams are read; all of them are old
         assert fleet.doubting(0) <= 1
     else:
         fleet.failing.clear()
@@ -107,7 +107,7 @@
             assert fleet.doubting(0) == 0
 
 
-def test_a_gateway_that_is_cut_off_forgets_what_it_heard() -> None:
+def test_partitioned_gateway_drops_suspicions_when_reports_expire() -> None:
     fleet = make_fleet(8)
     fleet.run(BEGIN_US + 1_000_000)
     fleet.failing[0] = 0.9
@@ -117,7 +117,7 @@
     assert not fleet.doubts(7, 0)
 
 
-def test_a_gateway_that_starts_is_sent_what_matters() -> None:
+def test_restarted_gateway_is_sent_the_suspicions() -> None:
     fleet = make_fleet(12)
     fleet.run(BEGIN_US + 1_000_000)
     fleet.failing[0] = 0.9
@@ -128,7 +128,7 @@
     assert fleet.nodes[3].outliers.local.totals(fleet.clock(3), HostProcess(0, 1)) <= (1, 1)
 
 
-def test_nothing_is_sent_beyond_what_the_token_bucket_pays_for() -> None:
+def test_bytes_sent_are_limited_by_the_token_bucket() -> None:
     fleet = make_fleet(40, rate=30.0)
     fleet.failing = dict.fromkeys(range(fleet.hosts), 0.45)
     seconds = 12
@@ -142,20 +142,20 @@
 # One node
 
 
-def test_a_timeout_at_a_host_that_has_answered_since_is_no_failure() -> None:
-    """It is overload: each host would be a suspected outlier for all."""
+def test_timeout_is_no_failure_if_the_host_has_answered_since() -> None:
+    """Such a timeout indicates overload. Guards against suspecting every host under overload."""
     node = make_node(9)
     local, broadcasts = node.outliers.local, node.broadcasts
     node.record_outcome(NOW_US, HOST, True)
     node.record_outcome(NOW_US + 1_000, HOST, False, NOW_US - 500_000)
     assert local.totals(NOW_US + 1_000, HOST) == (1, 0)
     assert not broadcasts.queued
-    node.record_outcome(NOW_US + 2_000, HOST, False, NOW_US + 500)  # it was silent to this one
+    node.record_outcome(NOW_US + 2_000, HOST, False, NOW_US + 500)  # no answer since this attempt was sent
     assert local.totals(NOW_US + 2_000, HOST) == (0, 1)
     assert broadcasts.queued
 
 
-def test_two_processes_of_one_host_are_two_hosts() -> None:
+def test_processes_of_one_host_are_assessed_separately() -> None:
     assessed: list[HostProcess] = []
     node = make_node(4, lambda host, assessment: assessed.append(host))
     for reporter in (1, 2):
@@ -164,7 +164,7 @@
     assert not node.outliers.observations.live_observations(NOW_US, HostProcess(5, 2))
 
 
-def test_the_balancer_is_told_again_only_of_what_has_changed() -> None:
+def test_balancer_is_notified_only_of_changed_assessments() -> None:
     assessments: list[Assessment] = []
     node = make_node(9, lambda host, assessment: assessments.append(assessment))
     for reporter in (1, 2):
@@ -180,7 +180,7 @@
     assert REPORT_INTERVAL_US < OBSERVATION_LIFETIME_US < PROBE_INTERVAL_US * 3
 
 
-def test_a_chance_failure_goes_no_further_and_two_that_meet_go_to_all() -> None:
+def test_failure_is_forwarded_only_with_a_second_reporter() -> None:
     node = make_node(40, rng=random.Random(1).random)
     node.outliers.on_observation(NOW_US, observe(1))
     assert not node.broadcasts.queued
@@ -189,11 +189,11 @@
     assert {item.reporter for item in items if isinstance(item, ObservationItem)} == {1, 2}
 
 
-# One node behind its socket
+# One node with a real socket
 
 
 async def suspected_for_us(read_after_us: int) -> int:
-    """Return how long a host is suspected, from when two failure reports are read so long after they were sent."""
+    """Return how long a host is suspected after two failure reports were read `read_after_us` after being sent."""
     clock_us = NOW_US
     with contextlib.ExitStack() as stack:
         peers = [stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) for _ in range(2)]
@@ -220,11 +220,11 @@
             peers[reporter - 1].sendto(encode(header, items), gateway_address)
 
         for reporter in (1, 2):
-            send(reporter)  # read at once: the least delay of each peer is known
+            send(reporter)  # read at once, so that the minimum delay of each peer is known
         await until(lambda: driver.node.counts.received == 2)
         for reporter in (1, 2):
             send(reporter, observe(reporter, at_us=clock_us))
-        clock_us += read_after_us  # the loop has not turned since: the reports wait in the socket
+        clock_us += read_after_us  # the event loop has not run since, so the reports are still in the socket
         await until(lambda: driver.node.counts.received == 4)
         assessment = driver.node.outliers.assessment_by_host.get(HOST)
         if assessment is None or not assessment.is_suspected_outlier:
@@ -233,8 +233,8 @@
 
 
 @on_loop
-async def test_reports_that_waited_in_the_socket_of_a_stopped_gateway_count_by_their_age() -> None:
-    """Guards against a gateway that, after a stall, suspects a host for a fault that is over."""
+async def test_reports_read_late_after_a_stall_count_by_their_age() -> None:
+    """Guards against suspecting a host after a stall for a fault that is over."""
     assert await suspected_for_us(0) == OBSERVATION_LIFETIME_US
     assert await suspected_for_us(500_000) == OBSERVATION_LIFETIME_US - 500_000
     assert await suspected_for_us(OBSERVATION_LIFETIME_US) == 0
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -1,4 +1,4 @@
-"""Observations of peers: which one counts, how old it is, and what they amount to for one host."""
+"""Observations from peers: merging, age, and the assessment of a host."""
 
 from __future__ import annotations
 
@@ -27,28 +27,28 @@
 from tests.gossip.helpers import HOST, NOW_US, observe
 
 u8 = st.integers(0, 255)
-# Reporter, incarnation, age in ms, successes, failures.
+# Tuples of (reporter, incarnation, age in ms, successes, failures).
 reports = st.tuples(st.integers(1, 3), st.integers(1, 2), st.integers(0, 1500), u8, u8)
 
 
 @given(st.lists(reports, max_size=12), st.randoms())
-def test_observations_merge_to_the_same_in_whatever_order_and_however_often_they_come(
-    made: list[tuple[int, int, int, int, int]], rng: random.Random
+def test_merging_observations_is_independent_of_order_and_repetition(
+    drawn: list[tuple[int, int, int, int, int]], rng: random.Random
 ) -> None:
-    """Of one reporter the newest counts: of its newest incarnation, by its timestamp."""
+    """The newest observation of each reporter counts, ordered by incarnation, then timestamp."""
     items = [
         observe(reporter, failures, successes, NOW_US - age_ms * 1000, incarnation=incarnation)
-        for reporter, incarnation, age_ms, successes, failures in made
+        for reporter, incarnation, age_ms, successes, failures in drawn
     ]
     merged = []
-    for order in range(2):
+    for repeats in range(2):
         observations = PeerObservations()
-        for reporter in range(1, 4):  # every clock is known, as its newest incarnation has sent something
+        for reporter in range(1, 4):  # the newest incarnation of each reporter has sent a datagram
             newest = max((item.incarnation for item in items if item.reporter == reporter), default=1)
             observations.clocks.observe(NOW_US, reporter, newest, timestamp_ms_of(NOW_US))
-        mixed = items * (1 + order)
-        rng.shuffle(mixed)
-        for item in mixed:
+        received = items * (1 + repeats)
+        rng.shuffle(received)
+        for item in received:
             observations.merge(NOW_US, item)
         by_reporter = observations.observations_by_host.get(HOST, {})
         merged.append({reporter: observation.item for reporter, observation in by_reporter.items()})
@@ -58,16 +58,18 @@
 
 
 @given(st.integers(0, 2**40), st.integers(0, 2**40), st.integers(0, 90_000), st.floats(-1e-3, 1e-3))
-def test_age_is_measured_against_the_fastest_path_whatever_the_clocks_say(
-    ours_us: int, theirs_us: int, late_ms: int, rate: float
+def test_age_is_measured_against_the_fastest_path_despite_clock_offset_and_drift(
+    own_clock_us: int, peer_clock_us: int, age_ms: int, drift: float
 ) -> None:
-    base_offset_ms = (timestamp_ms_of(ours_us) - timestamp_ms_of(theirs_us)) & MASK32
-    clock = PeerClock(1, base_offset_ms, period_started_us=ours_us)
-    for second in range(0, 100, 10):  # some were fast
-        clock.observe(ours_us + second * 1_000_000, timestamp_ms_of(theirs_us + int(second * 1e6 * (1 + rate))))
-    now_us = ours_us + 100_000_000
-    timestamp_ms = timestamp_ms_of(theirs_us + int((100_000_000 - late_ms * 1000) * (1 + rate)))
-    assert abs(clock.age_ms(now_us, timestamp_ms) - late_ms) <= 202  # a thousandth of the time since the fastest
+    base_offset_ms = (timestamp_ms_of(own_clock_us) - timestamp_ms_of(peer_clock_us)) & MASK32
+    clock = PeerClock(1, base_offset_ms, period_started_us=own_clock_us)
+    for second in range(0, 100, 10):  # timestamps that are received without delay
+        clock.observe(
+            own_clock_us + second * 1_000_000, timestamp_ms_of(peer_clock_us + int(second * 1e6 * (1 + drift)))
+        )
+    now_us = own_clock_us + 100_000_000
+    timestamp_ms = timestamp_ms_of(peer_clock_us + int((100_000_000 - age_ms * 1000) * (1 + drift)))
+    assert abs(clock.age_ms(now_us, timestamp_ms) - age_ms) <= 202  # up to 0.1% of the time since the minimum delay
 
 
 def test_timestamps_wrap_around() -> None:
@@ -75,14 +77,14 @@
     assert timestamp_difference_ms(MASK32 - 4, 5) == -10
 
 
-def test_what_is_late_by_a_minute_does_not_count() -> None:
+def test_observation_received_a_minute_late_is_ignored() -> None:
     observations = PeerObservations()
     observations.clocks.observe(NOW_US, 1, 1, timestamp_ms_of(NOW_US))
     assert observations.merge(NOW_US + 60_000_000, observe(1, at_us=NOW_US)) is None
     assert observations.late_count == 1
 
 
-def test_a_restarted_reporter_replaces_what_it_had_reported_and_its_old_observations_are_stale() -> None:
+def test_restarted_reporter_replaces_its_observations_and_older_ones_are_stale() -> None:
     observations = PeerObservations()
     assert observations.merge(NOW_US, observe(1, failures=3)) is not None
     assert observations.merge(NOW_US + 1000, observe(1, 0, 2, NOW_US + 1000, incarnation=2)) is not None
@@ -91,7 +93,7 @@
     assert [observation.item.failures for observation in live] == [0]
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_numbers_of_hosts_and_reporters_are_bounded() -> None:
     observations, local = PeerObservations(), LocalOutcomes()
     for host in range(2 * MAX_HOSTS):
         observations.merge(NOW_US, observe(1, host=HostProcess(host, 0)))
@@ -105,12 +107,12 @@
     assert not observations.observations_by_host
 
 
-def test_successes_count_from_the_first_failure_on_and_three_in_a_row_end_it() -> None:
+def test_first_failure_clears_successes_and_three_successes_clear_failures() -> None:
     local = LocalOutcomes()
     for _ in range(9):
         local.record(NOW_US, HOST, True)
     local.record(NOW_US, HOST, False)
-    assert local.totals(NOW_US, HOST) == (0, 1)  # the successes before say nothing of now
+    assert local.totals(NOW_US, HOST) == (0, 1)  # earlier successes do not count
     local.record(NOW_US, HOST, True)
     assert local.totals(NOW_US, HOST) == (1, 1)
     for _ in range(RECOVERY_STREAK - 1):
@@ -120,35 +122,35 @@
     assert local.totals(NOW_US + OBSERVATION_LIFETIME_US, HOST) == (0, 0)
 
 
-def observed(*items: ObservationItem, at_us: int = NOW_US) -> list[Observation]:
+def observations_of(*items: ObservationItem, at_us: int = NOW_US) -> list[Observation]:
     return [Observation(item, at_us) for item in items]
 
 
-def test_one_reporter_makes_no_suspected_outlier_and_two_do() -> None:
-    assert not assess(NOW_US, observed(observe(1, failures=200)), 0).is_suspected_outlier
-    assert assess(NOW_US, observed(observe(1), observe(2)), 0).is_suspected_outlier
+def test_suspected_outlier_needs_two_reporters() -> None:
+    assert not assess(NOW_US, observations_of(observe(1, failures=200)), 0).is_suspected_outlier
+    assert assess(NOW_US, observations_of(observe(1), observe(2)), 0).is_suspected_outlier
 
 
-def test_a_reporter_for_which_all_fails_counts_for_little() -> None:
-    badly_connected = [observe(reporter, failures=9, failure_ratio=230) for reporter in (1, 2)]
-    assessment = assess(NOW_US, observed(*badly_connected, observe(3)), 0)
+def test_reporter_for_which_all_hosts_fail_has_low_credibility() -> None:
+    not_credible = [observe(reporter, failures=9, failure_ratio=230) for reporter in (1, 2)]
+    assessment = assess(NOW_US, observations_of(*not_credible, observe(3)), 0)
     assert assessment.failure_reporters == 1
     assert not assessment.is_suspected_outlier
 
 
-def test_a_host_that_answers_the_own_zone_stays_in_use_there() -> None:
-    far = observed(observe(1, failures=5, zone=1), observe(2, failures=5, zone=1))
-    near = observed(observe(3, 0, 2, zone=0))
-    assert assess(NOW_US, far, 0).is_suspected_outlier  # nobody here knows better
-    assert not assess(NOW_US, far + near, 0).is_suspected_outlier
-    assert not assess(NOW_US, far, 0, local=OutcomeTotals(1, 0)).is_suspected_outlier
-    assert assess(NOW_US, far + near, 2).is_suspected_outlier  # a third zone has nobody
+def test_host_that_answers_the_own_zone_is_not_suspected_there() -> None:
+    other_zone = observations_of(observe(1, failures=5, zone=1), observe(2, failures=5, zone=1))
+    own_zone = observations_of(observe(3, 0, 2, zone=0))
+    assert assess(NOW_US, other_zone, 0).is_suspected_outlier  # no observation from zone 0
+    assert not assess(NOW_US, other_zone + own_zone, 0).is_suspected_outlier
+    assert not assess(NOW_US, other_zone, 0, local=OutcomeTotals(1, 0)).is_suspected_outlier
+    assert assess(NOW_US, other_zone + own_zone, 2).is_suspected_outlier  # no observation from zone 2
 
 
-def test_older_observations_count_for_less_and_expire() -> None:
+def test_older_observations_have_less_weight_and_expire() -> None:
     old_us = NOW_US - OBSERVATION_LIFETIME_US * 9 // 10
-    old = observed(observe(1, failures=2), observe(2, failures=2), at_us=old_us)
-    assert not assess(NOW_US, old + observed(observe(3, 0, 2)), 0).is_suspected_outlier
+    old = observations_of(observe(1, failures=2), observe(2, failures=2), at_us=old_us)
+    assert not assess(NOW_US, old + observations_of(observe(3, 0, 2)), 0).is_suspected_outlier
     assert assess(NOW_US, old, 0).expires_us == NOW_US + OBSERVATION_LIFETIME_US // 10
     end_us = NOW_US + OBSERVATION_LIFETIME_US
     assert assess(end_us, old, 0) == Assessment(0.0, 0.0, 0, 0, end_us)
