--- a/benchmarks/guards/mutants/discovery.py
+++ b/benchmarks/guards/mutants/discovery.py
@@ -159,7 +159,11 @@
     """Whatever a relay permits is believed, though it may not have heard of a drain that is known."""
     from cloverkeel.discovery.known_state import KnownState
 
-    cut(KnownState, "_is_too_early", ("restriction.read_s > as_of_s and restriction.run != self.run", "False"))
+    cut(
+        KnownState,
+        "_may_predate_restriction",
+        ("restriction.read_s > as_of_s and restriction.run != self.run", "False"),
+    )
 
 
 @entry("relay-looks")
--- a/benchmarks/guards/table/discovery.py
+++ b/benchmarks/guards/table/discovery.py
@@ -41,7 +41,7 @@
         tests="discovery/relay_selection::whoever_is_replaced_the_present_relay_is_one_of_those_named_or_is_left"),
     row("relay-names", "a gateway names itself", "relay_requests.identify_gateway",
         tests="discovery/relay_client::it_names_itself_and_asks_one_relay_alone"),
-    row("relay-old-permits", "no relay undoes a drain that is known", "KnownState._is_too_early",
+    row("relay-old-permits", "no relay undoes a drain that is known", "KnownState._may_predate_restriction",
         tests="discovery/relay_client::a_move_at_the_moment_of_a_drain_does_not_undo_it"),
     row("relay-looks", "a stale relay is left for one that is well, whatever it was left for",
         "RelaySelector.next_freshness_check",
--- a/cloverkeel/discovery/__init__.py
+++ b/cloverkeel/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint sources: who is there, from the registry, relays, or ephemeral nodes. Knows no frontend or upstream."""
+"""Endpoint sources: the registry, relays and ephemeral nodes. Imports no frontend and no upstream code."""
--- a/cloverkeel/discovery/connection.py
+++ b/cloverkeel/discovery/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to discovery or to a relay: one request at a time, its reply read to the end."""
+"""An HTTP/1.1 client connection to discovery or a relay: one request at a time, each reply buffered completely."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from cloverkeel.discovery.errors import ConnectionEndedError, DiscoveryCallError
 from cloverkeel.protocols.http1 import ReplyError, ReplyReader
 
-MAX_REPLY_BYTES: Final = 16 * 1024 * 1024  # compressed or not
+MAX_REPLY_BYTES: Final = 16 * 1024 * 1024  # applies to the body before and after decompression
 
 HTTP_OK: Final = 200
 
 
 def get_request(address: Address, target: bytes, extra_headers: bytes = b"") -> bytes:
-    """Return the head of a GET; `extra_headers` are lines, each with its end."""
+    """Return the head of a GET request; `extra_headers` are complete header lines, each ending in CRLF."""
     host, port = address
     return b"GET %s HTTP/1.1\r\nHost: %s:%d\r\n%s\r\n" % (target, host.encode(), port, extra_headers)
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """Send a request, and wait for its reply; a reply that cannot be read ends the connection."""
+    """Sends a request and waits for its reply; a reply that cannot be parsed closes the connection."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -32,23 +32,23 @@
         self.socket_poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport (asyncio)."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Store the transport (asyncio callback)."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not subclass asyncio's
         self.socket_poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
 
     @property
     def is_open(self) -> bool:
-        """Whether a request can be sent."""
+        """Whether a request can be sent on this connection."""
         return self.transport is not None and not self.transport.is_closing()
 
     @property
     def is_awaiting_reply(self) -> bool:
-        """Whether a request is under way."""
+        """Whether a request was sent whose reply is not complete."""
         return self.pending_reply is not None
 
     @property
     def has_unread(self) -> bool:
-        """Whether a reply, or a part of one, has arrived that nobody was notified of yet."""
+        """Whether a reply, or part of one, has arrived that its caller has not received."""
         if not self.is_open:
             return False
         if self.pending_reply is not None and self.pending_reply.done():
@@ -56,7 +56,7 @@
         return self.reply_reader.has_begun or bool(self.socket_poll.poll(0))
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the reply (asyncio)."""
+        """Parse received bytes of the reply (asyncio callback)."""
         try:
             reply = self.reply_reader.feed(data)
         except ReplyError as error:
@@ -66,23 +66,23 @@
             self.pending_reply.set_result(reply)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Fail the request that is under way (asyncio)."""
+        """Fail the pending request (asyncio callback)."""
         self.transport = None
         self.fail("the connection ended")
 
     def fail(self, cause: str) -> None:
-        """Fail the request that is under way, and close."""
+        """Fail the pending request and close the connection."""
         if self.pending_reply is not None and not self.pending_reply.done():
             self.pending_reply.set_exception(DiscoveryCallError(cause))
         self.close()
 
     def close(self) -> None:
-        """Close at once, without waiting for what is still to be written."""
+        """Close immediately and discard unsent data."""
         if self.transport is not None:
             self.transport.abort()
 
     async def request(self, head: bytes) -> Reply:
-        """Send a request, and return its reply. DiscoveryCallError where the connection ends before that."""
+        """Send a request and return its reply; raise DiscoveryCallError if the connection closes first."""
         if self.transport is None or not self.is_open:
             raise ConnectionEndedError
         self.pending_reply = asyncio.get_running_loop().create_future()
--- a/cloverkeel/discovery/ejection_filter.py
+++ b/cloverkeel/discovery/ejection_filter.py
@@ -1,4 +1,4 @@
-"""Endpoint lists with hosts ejected by hand: any source's lists go through the pure overlay to the core."""
+"""Apply manual ejections to the endpoint lists of any source before the core receives them."""
 
 from __future__ import annotations
 
@@ -13,64 +13,64 @@
 
 
 class MovableSource(EndpointSource, Protocol):
-    """An endpoint source that a reload of the configuration can move."""
+    """An endpoint source whose address a configuration reload can change."""
 
     @property
     def address(self) -> Address:
-        """Return the address that is asked."""
+        """Return the address that this source polls."""
 
     def move(self, address: Address) -> None:
-        """Ask at another address from now on."""
+        """Poll another address from now on."""
 
 
 class EjectionFilter:
-    """An endpoint source around another (`EndpointSource` in core/ports.py, `Movable` in core/reload.py)."""
+    """Wraps an endpoint source (`EndpointSource` in core/ports.py, `MovableSource` in core/reload.py)."""
 
     def __init__(self, source: MovableSource) -> None:
         self.source = source
         self.ejections = ManualEjections()
-        self.on_list: OnEndpointList = lambda _kind, _endpoints: None  # until the core sets its own
+        self.on_list: OnEndpointList = lambda _kind, _endpoints: None  # replaced by the core
         source.set_listener(self.on_source_list)
 
     def set_listener(self, on_list: OnEndpointList) -> None:
-        """Set who is notified, from now on."""
+        """Set the function that receives endpoint lists from now on."""
         self.on_list = on_list
 
     def on_source_list(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        """Pass on what the source tells, with ejected hosts draining."""
+        """Forward a list of the source, with ejected hosts as draining."""
         self.on_list(kind, self.ejections.apply(kind, endpoints))
 
     def synchronize(self, ejected_us_by_name: dict[str, int], reinstated_us_by_name: dict[str, int]) -> None:
-        """Take on the ejections as staff, or another process of this gateway, left them; in force when it returns."""
+        """Adopt ejections that an operator, or another process of this gateway, stored; in force on return."""
         endpoints = self.ejections.synchronize(ejected_us_by_name, reinstated_us_by_name)
         if endpoints:
             self.on_list(ListKind.DELTA, endpoints)
 
-    # The rest is the source's
+    # Delegated to the source
 
     def load_known(self, raw: dict[str, Any]) -> None:
-        """Have the source begin with the list from before a restart."""
+        """Give the source the list from before a restart."""
         self.source.load_known(raw)
 
     def watch(self, on: bool) -> None:
-        """Have the source begin to watch, or stop."""
+        """Start or stop the source's watch."""
         self.source.watch(on)
 
     def fetch(self) -> None:
-        """Have the source ask for a snapshot."""
+        """Make the source request a snapshot."""
         self.source.fetch()
 
     def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
-        """Have the source catch up after a stall of this process."""
+        """Make the source catch up after a stall of this process, then call `done`."""
         self.source.catch_up(stall_us, done)
 
     @property
     def address(self) -> Address:
-        """Return the address that the source asks."""
+        """Return the address that the source polls."""
         return self.source.address
 
     def move(self, address: Address) -> None:
-        """Have the source ask at another address."""
+        """Make the source poll another address."""
         self.source.move(address)
 
     def close(self) -> None:
--- a/cloverkeel/discovery/endpoint_parser.py
+++ b/cloverkeel/discovery/endpoint_parser.py
@@ -1,12 +1,12 @@
-"""Read the registry's list of instances, as discovery and relays answer it in JSON. Pure: no I/O, no clock.
+"""Parse the JSON endpoint lists that discovery and relays send. Pure: no I/O, no clock.
 
-This module maps the wire's words to the code's: SERVING, DRAINING and DELETED are `ServerStatus`, `type` is `kind`,
-`since_ms` is `started_us`, `index` is the list's version and `snapshot` says that the list is complete.
+This module maps wire names to those of the code: SERVING, DRAINING and DELETED to `ServerStatus`, `type` to `kind`,
+`since_ms` to `started_us`, `index` to the list's version; `snapshot` states that the list is complete.
 
 Invariants:
-- one entry that cannot be used never costs the others: it is left out, and logged;
-- an entry that says that its host leaves is never left out while the name can be read;
-- numbers of zones and kinds that the settings do not name are the same in every process.
+- an invalid entry does not affect the others: it is skipped and logged;
+- an entry that drains or deletes its host is not skipped as long as its name is readable;
+- zones and kinds that the settings do not name get the same number in every process.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from cloverkeel.discovery.errors import EndpointEntryError, EndpointListError
 from cloverkeel.core.incremental import HintedIncremental, run_to_completion
 
-ENTRIES_PER_STEP: Final = 8  # some 0.1 ms
+ENTRIES_PER_STEP: Final = 8  # about 0.1 ms of parsing
 MAX_WEIGHT: Final = 1e9
-MAX_LOGGED_CHARS: Final = 200  # of an entry that cannot be used
+MAX_LOGGED_CHARS: Final = 200  # of an invalid entry
 SERVER_ID_BYTES: Final = 4
 STATUS_BY_WIRE_NAME: Final = {
     "SERVING": ServerStatus.READY,
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """One answer: the list's version, whether it names every host, and the entries that can be used."""
+    """A parsed reply: the list's version, whether it is a complete snapshot, and its usable entries."""
 
     version: int
     is_snapshot: bool
@@ -45,7 +45,10 @@
 
 
 def parse_endpoint(raw: dict[str, Any], names: Names) -> Endpoint:
-    """Read one entry. KeyError, TypeError, ValueError, AttributeError or OverflowError where it cannot be used."""
+    """Parse one entry.
+
+    Raises KeyError, TypeError, ValueError, AttributeError or OverflowError if the entry is invalid.
+    """
     name = raw["name"]
     if not isinstance(name, str) or not name:
         raise EndpointEntryError("name", "no name")
@@ -67,9 +70,9 @@
 
 
 def parse_departed_endpoint(raw: object) -> Endpoint | None:
-    """Read no more than a leaving host's name, of an entry that cannot be used otherwise; None: it does not leave.
+    """Return the host that an otherwise invalid entry drains or deletes as GONE; None for any other entry.
 
-    Guards against a host that is used for good because the one entry that ends it had no address or an odd weight.
+    Without this, a host is used forever if the only entry that removes it has no address or an invalid weight.
     """
     if not isinstance(raw, dict):
         return None
@@ -82,9 +85,9 @@
 
 
 def index_of_name(name: object, index_by_name: dict[str, int]) -> int:
-    """Return a name's place in the settings; a name that is not there gets a number beyond them, the same everywhere.
+    """Return a name's index in the settings.
 
-    What is a number is returned as it is.
+    An unknown name gets an index above all known ones, equal in every process; an integer is returned unchanged.
     """
     if isinstance(name, int):
         return name
@@ -93,12 +96,12 @@
 
 
 def parse_endpoint_list(raw: object, names: Names) -> EndpointList:
-    """Read a whole answer. KeyError, TypeError or ValueError where it is no list of instances."""
+    """Parse a complete reply; raise KeyError, TypeError or ValueError if it is not an endpoint list."""
     return run_to_completion(parse_endpoint_list_incrementally(raw, names))
 
 
 def parse_endpoint_list_incrementally(raw: object, names: Names) -> HintedIncremental[EndpointList]:
-    """Read an answer as `parse_endpoint_list` does, ENTRIES_PER_STEP entries a step."""
+    """Parse a reply like `parse_endpoint_list`, ENTRIES_PER_STEP entries per step."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints", []), list):
         raise EndpointListError
     endpoint_by_server: dict[int, Endpoint] = {}
@@ -108,7 +111,7 @@
         try:
             endpoint = parse_endpoint(item, names)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            departed = _salvage(item, error)
+            departed = _recover_removal(item, error)
             if departed is None:
                 continue
             endpoint = departed
@@ -120,8 +123,8 @@
     return EndpointList(int(raw["index"]), bool(raw.get("snapshot", False)), list(endpoint_by_server.values()))
 
 
-def _salvage(item: object, error: Exception) -> Endpoint | None:
-    """Log an entry that cannot be used, and return what can be known of it: that its host leaves, if it does."""
+def _recover_removal(item: object, error: Exception) -> Endpoint | None:
+    """Log an invalid entry; return the removal of its host if the entry drains or deletes it, else None."""
     departed = parse_departed_endpoint(item)
     event = "entry skipped" if departed is None else "entry taken for a deletion"
     log(f"discovery: {event}, cause={error!r}, entry={str(item)[:MAX_LOGGED_CHARS]}")
@@ -136,7 +139,7 @@
 
 
 def _parse_user_count(users: object) -> int:
-    """Return how many gateways have this host, as a relay says; what is no count is as none."""
+    """Return the number of gateways that use this host, as a relay reports it; 0 if it is not a valid count."""
     if not isinstance(users, int) or isinstance(users, bool):
         return 0
     return max(users, 0)
@@ -144,5 +147,5 @@
 
 @lru_cache(maxsize=1024)
 def _index_of_unknown_name(name: str) -> int:
-    # Cached: many entries have the same few names, and the hash is a tenth of reading one.
+    # Cached: many entries share a few names, and the hash takes a tenth of the time to parse an entry.
     return stable_id(name, SERVER_ID_BYTES)
--- a/cloverkeel/discovery/errors.py
+++ b/cloverkeel/discovery/errors.py
@@ -1,32 +1,32 @@
-"""Errors that this package raises; all say what was expected and what was found instead."""
+"""Exceptions of this package; their messages state what was expected and what was found."""
 
 from __future__ import annotations
 
 from typing import Final
 
-MAX_ECHOED_BYTES: Final = 40  # of a header that cannot be used
+MAX_ECHOED_BYTES: Final = 40  # of an unsupported header value, in messages
 
 
 class DiscoveryError(Exception):
-    """Base of what goes wrong between this process and a source of endpoints."""
+    """Base class of errors between this process and an endpoint source."""
 
 
 # Calls
 
 
 class DiscoveryCallError(DiscoveryError):
-    """A call to discovery, or to a relay, has failed; the message says how."""
+    """A call to discovery or a relay failed; the message states the cause."""
 
 
 class ConnectionEndedError(DiscoveryCallError):
-    """A request cannot be sent: the connection has ended."""
+    """A request cannot be sent because the connection is closed."""
 
     def __init__(self) -> None:
         super().__init__("the connection has ended")
 
 
 class UnexpectedStatusError(DiscoveryCallError):
-    """The answer's status is another than 200."""
+    """The status of the reply is not 200."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"answered {status}")
@@ -34,7 +34,7 @@
 
 
 class UnsupportedCodingError(DiscoveryCallError):
-    """The answer has a content coding that was not offered."""
+    """The reply has a content coding that was not offered."""
 
     def __init__(self, coding: bytes) -> None:
         super().__init__(f"expected gzip or no coding, found {coding[:MAX_ECHOED_BYTES]!r}")
@@ -42,31 +42,31 @@
 
 
 class NotAListError(DiscoveryCallError):
-    """The answer is JSON, but no list of instances."""
+    """The reply is JSON but not an endpoint list."""
 
     def __init__(self) -> None:
-        super().__init__("no list of hosts")
+        super().__init__("reply is not an endpoint list")
 
 
 class NoUsableEntryError(DiscoveryCallError):
-    """A snapshot has entries, and none of them can be used."""
+    """A snapshot has entries, but none of them is valid."""
 
     def __init__(self) -> None:
-        super().__init__("a whole list without one entry that can be used")
+        super().__init__("snapshot has no valid entry")
 
 
 class NoListYetError(DiscoveryError, ValueError):
-    """A relay says that it has no list, or says nothing of it."""
+    """A relay's state shows no list, or not the list's age."""
 
     def __init__(self) -> None:
-        super().__init__("it has no list yet")
+        super().__init__("relay has no list yet")
 
 
 # Content
 
 
 class FieldError(DiscoveryError, ValueError):
-    """A field cannot be used: the message names it, what was expected and, where that is of use, what was found."""
+    """A field is invalid: the message names it, the expected value and, if given, the value found."""
 
     def __init__(self, field: str, expected: str, found: str | None = None) -> None:
         super().__init__(f"{field}: expected {expected}" + ("" if found is None else f", found {found}"))
@@ -74,11 +74,11 @@
 
 
 class NodeDataError(FieldError):
-    """The data of a backend's node cannot be used."""
+    """The data of a backend's node is invalid."""
 
 
 class SnapshotFileError(DiscoveryError, ValueError):
-    """The saved list cannot be used."""
+    """The saved endpoint list is invalid."""
 
     def __init__(self, path: str, expected: str) -> None:
         super().__init__(f"expected {expected}")
@@ -86,14 +86,14 @@
 
 
 class EndpointListError(DiscoveryError, ValueError):
-    """What came is no list of instances."""
+    """A decoded value is not an endpoint list."""
 
     def __init__(self) -> None:
         super().__init__("not a list of hosts")
 
 
 class EndpointEntryError(DiscoveryError, ValueError):
-    """A field of one entry of the list cannot be used."""
+    """A field of an entry of an endpoint list is invalid."""
 
     def __init__(self, field: str, cause: str) -> None:
         super().__init__(cause)
@@ -101,7 +101,7 @@
 
 
 class PrecedenceError(DiscoveryError, ValueError):
-    """The order of the sources makes no sense."""
+    """The order of precedence of the sources is invalid."""
 
     def __init__(self) -> None:
         super().__init__("precedence names sources other than the known list, each once")
--- a/cloverkeel/discovery/http_client.py
+++ b/cloverkeel/discovery/http_client.py
@@ -1,4 +1,4 @@
-"""The gateway's endpoint source over HTTP: polls discovery itself, and notifies the core."""
+"""The gateway's HTTP endpoint source: polls discovery directly and passes its lists to the core."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class HttpEndpointSource(PollingClient):
-    """Notify `on_list` of each list and change, and of failures (`EndpointSource` in core/ports.py)."""
+    """Passes snapshots, deltas and failures to `on_list` (`EndpointSource` in core/ports.py)."""
 
     def __init__(self, address: Address, names: Names, pushed: bool) -> None:
         super().__init__(address, pushed)
         self.names = names
-        self.on_list: OnEndpointList = lambda _kind, _endpoints: None  # until the core sets its own
+        self.on_list: OnEndpointList = lambda _kind, _endpoints: None  # replaced by the core
 
     def set_listener(self, on_list: OnEndpointList) -> None:
-        """Set who is notified, from now on."""
+        """Set the function that receives endpoint lists from now on."""
         self.on_list = on_list
 
     def load_known(self, raw: dict[str, Any]) -> None:
-        """Begin with the list that this gateway had before it was restarted."""
+        """Start from the list that this gateway had before its restart."""
         endpoints: list[Endpoint] = []
         try:
             known = parse_endpoint_list(raw, self.names)
@@ -41,15 +41,15 @@
             self.watch(True)
 
     def handle_body(self, body: bytes) -> HintedIncremental[bool]:
-        """Read a list, and notify of it."""
+        """Parse a list and pass it to the core."""
         raw = yield from self.decode_body(body)
         answer = yield from parse_endpoint_list_incrementally(raw, self.names)
-        yield True  # the core is notified of all of it in one step
+        yield True  # the core applies the complete list in one step
         now_s = asyncio.get_running_loop().time()
         if self.schedule.on_reply(now_s, answer.version, answer.is_snapshot):
             self.on_list(ListKind.FULL if answer.is_snapshot else ListKind.DELTA, answer.endpoints)
         return bool(answer.endpoints)
 
     def on_call_failed(self) -> None:
-        """Notify of the failure: the balancer may ask again."""
+        """Report the failure to the core; the balancer may poll again."""
         self.on_list(ListKind.ERROR, [])
--- a/cloverkeel/discovery/known_state.py
+++ b/cloverkeel/discovery/known_state.py
@@ -1,25 +1,26 @@
-"""What a gateway behind relays knows of each host, and what of an answer the core may be notified of. Pure.
+"""The host states known to a gateway behind relays, and the part of each relay reply that the core may apply. Pure.
 
-Relays are caches of different staleness: a gateway that moves from one to another may read an older state there. No
-drain that is known may be undone by that.
+Relays are caches of different staleness: after a failover, a gateway may read an older state from the next relay.
+This must not undo a drain that the gateway already knows. A restriction is an entry with status DRAINING or DELETED,
+or a host's absence from a snapshot; a permission is an entry with status SERVING.
 
-Why that holds: an answer that was requested at q and says it is of age a shows a state that discovery had at q - a
-or later: the relay's age counts from a moment at which discovery had just this or more (its side of the bargain), and
-the answer was made after q. A restriction that this gateway read at r is of a state that discovery had by r. So an
-answer with q - a >= r knows of it, and is right where it permits; any other may be older.
+Why this holds: a reply requested at time q that reports age a shows a state that discovery had at q - a or later. The
+relay counts the age from a time at which discovery had this state or a newer one, and made the reply after q. A
+restriction read at time r belongs to a state that discovery had by r. So a reply with q - a >= r includes that
+restriction, and its permissions are valid; any other reply may be older.
 
 Invariants:
-- a restriction (DRAINING, DELETED, absent from a snapshot) counts at once from a relay that is not stale; from a
-  stale one the first two, of hosts that are known;
-- a permission that contradicts a restriction read in an earlier run of answers counts only with
-  q - a >= r + CLOCK_RATE_SLACK_S; until then it is deferred, and released once an answer of the same run is as young
-  as that. A run is a snapshot and the changes after it from one relay: each of its answers is later than the last,
-  and permits over its own restrictions;
-- from an answer older than MAX_STALENESS_S no permission counts where a list is known; once such a relay is young
-  again, its snapshot is asked for. Where none is known, any list is better;
-- so a restriction need be remembered for RESTRICTION_RETENTION_S before q alone: an answer that is not stale has
+- restrictions from a relay that is not stale apply immediately; from a stale relay, only DRAINING and DELETED of
+  known hosts apply;
+- a permission that contradicts a restriction read in an earlier run applies only if q - a >= r + CLOCK_RATE_SLACK_S.
+  Until then it is deferred, and released by a reply of the same run that meets this condition. A run is a snapshot
+  and the deltas after it from one relay: its replies are in order, so a permission overrides the run's own
+  restrictions;
+- with a known list, permissions from a reply older than MAX_STALENESS_S do not apply; once that relay's list is fresh
+  again, a snapshot is requested. Without a known list, any list is accepted;
+- so restrictions are kept only for RESTRICTION_RETENTION_S before q, because a reply that is not stale has
   q - a >= q - MAX_STALENESS_S;
-- the list that is known stands until a snapshot that may replace it has come.
+- the known list stays in use until a snapshot arrives that may replace it.
 """
 
 from __future__ import annotations
@@ -32,16 +33,16 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_STALENESS_S: Final = 3.0  # a healthy relay's is 1 s and some, at the worst; a drain must be known after 6 s
-CLOCK_RATE_SLACK_S: Final = 0.05  # between two clocks' rates over the longest age
+MAX_STALENESS_S: Final = 3.0  # a healthy relay's list is at worst little over 1 s old; a drain must apply within 6 s
+CLOCK_RATE_SLACK_S: Final = 0.05  # error from different clock rates over the longest age
 RESTRICTION_RETENTION_S: Final = MAX_STALENESS_S + CLOCK_RATE_SLACK_S
-NO_RUN: Final = 0  # of a restriction that two runs have named: either may mean an earlier one
+NO_RUN: Final = 0  # for a restriction read in two runs: either may have read an earlier one
 RANK_BY_STATUS: Final = {ServerStatus.READY: 2, ServerStatus.DRAINING: 1, ServerStatus.GONE: 0}
 
 
 @dataclass(slots=True, frozen=True)
 class RelayAnswer:
-    """One answer: when it was requested and read, the age that it says, and its entries."""
+    """A relay's reply: when it was requested and read, the age that it reports, and its entries."""
 
     read_s: float
     requested_s: float
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AcceptedUpdate:
-    """What the core is notified of, and whether a snapshot is to be asked for now."""
+    """The update that the core receives, and whether to request a snapshot next."""
 
     kind: ListKind
     endpoints: list[Endpoint]
@@ -61,34 +62,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Restriction:
-    """When a host was restricted last, as read here, and in which run."""
+    """When this gateway last read a restriction of a host, and in which run."""
 
     read_s: float
     run: int
 
 
 class KnownState:
-    """The status of each host that is known, and the restrictions and deferred permissions behind it."""
+    """The status of each known host, the recent restrictions and the deferred permissions."""
 
     def __init__(self) -> None:
-        self.status_by_server: dict[int, ServerStatus] = {}  # hosts that are not removed
+        self.status_by_server: dict[int, ServerStatus] = {}  # without removed hosts
         self.run = NO_RUN  # counts runs, from 1
         self.restriction_by_server: dict[int, Restriction] = {}  # oldest first
-        self.deferred_by_server: dict[int, Endpoint] = {}  # permissions of the present relay, too old as yet
-        self.awaits_snapshot = False  # the present relay was stale, and not all of its answers was accepted
+        self.deferred_by_server: dict[
+            int, Endpoint
+        ] = {}  # permissions of the current run that may predate a restriction
+        self.awaits_snapshot = False  # the current relay was stale, and parts of its replies were not applied
 
     def begin_run(self) -> None:
-        """Begin another run of answers: what they tell is in order among themselves."""
+        """Start a new run: a sequence of replies that are in order."""
         self.run += 1
         self.deferred_by_server.clear()
         self.awaits_snapshot = False
 
     def count_serving(self) -> int:
-        """Return how many known hosts serve."""
+        """Return the number of known hosts that serve."""
         return sum(status is ServerStatus.READY for status in self.status_by_server.values())
 
     def accept(self, answer: RelayAnswer) -> AcceptedUpdate:
-        """Take on what an answer may tell."""
+        """Apply the valid part of a reply, and return the update for the core."""
         self._forget_restrictions(answer.requested_s)
         self._drop_deferred(answer.endpoints)
         if self.status_by_server and answer.age_s > MAX_STALENESS_S:
@@ -99,24 +102,24 @@
             return AcceptedUpdate(ListKind.DELTA, self._accept_restrictions(answer), requires_snapshot=True)
         as_of_s = answer.requested_s - answer.age_s - CLOCK_RATE_SLACK_S
         if answer.is_snapshot:
-            self.begin_run()  # a relay that restarted meanwhile sends a snapshot unasked
+            self.begin_run()  # a relay that restarted sends an unrequested snapshot
             self._restrict_absent(answer)
             return AcceptedUpdate(ListKind.FULL, self._accept_entries(answer.read_s, as_of_s, answer.endpoints))
         endpoints = self._release_deferred(as_of_s) + answer.endpoints
         return AcceptedUpdate(ListKind.DELTA, self._accept_entries(answer.read_s, as_of_s, endpoints))
 
     def _accept_entries(self, now_s: float, as_of_s: float, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """Return the entries, with permissions that came too early left as the host is known."""
+        """Apply the entries and return them; deferred permissions keep the known status of their host."""
         accepted: list[Endpoint] = []
         restrictions = self.restriction_by_server
         for endpoint in endpoints:
             server, status = endpoint.listed.server, endpoint.listed.status
-            if status is ServerStatus.READY and server not in restrictions:  # nearly all of a snapshot
+            if status is ServerStatus.READY and server not in restrictions:  # the common case in a snapshot
                 self.status_by_server[server] = status
                 accepted.append(endpoint)
                 continue
             known = self.status_by_server.get(server)
-            if self._is_too_early(server, as_of_s) and _is_less_restrictive(status, known):
+            if self._may_predate_restriction(server, as_of_s) and _is_less_restrictive(status, known):
                 self.deferred_by_server[server] = endpoint
                 if known is not None:
                     listed = replace(endpoint.listed, status=known)
@@ -130,15 +133,15 @@
             accepted.append(endpoint)
         return accepted
 
-    def _is_too_early(self, server: int, as_of_s: float) -> bool:
-        """Whether an answer as of then may not know of the host's restriction."""
+    def _may_predate_restriction(self, server: int, as_of_s: float) -> bool:
+        """Whether a reply that shows the state at `as_of_s` may be older than the host's restriction."""
         restriction = self.restriction_by_server.get(server)
         if restriction is None:
             return False
         return restriction.read_s > as_of_s and restriction.run != self.run
 
     def _accept_restrictions(self, answer: RelayAnswer) -> list[Endpoint]:
-        """Return the entries that restrict a known host further."""
+        """Apply and return the entries that restrict a known host further."""
         accepted: list[Endpoint] = []
         for endpoint in answer.endpoints:
             server, status = endpoint.listed.server, endpoint.listed.status
@@ -172,7 +175,7 @@
             del self.restriction_by_server[server]
 
     def _drop_deferred(self, endpoints: list[Endpoint]) -> None:
-        """Drop deferred permissions that newer entries replace, however old those are."""
+        """Drop deferred permissions that newer entries replace, whatever age the reply reports."""
         for endpoint in endpoints if self.deferred_by_server else ():
             self.deferred_by_server.pop(endpoint.listed.server, None)
 
@@ -188,14 +191,14 @@
 
 
 def _is_less_restrictive(status: ServerStatus, than: ServerStatus | None) -> bool:
-    """Compare with a known status; None: not known, as a host that is gone."""
+    """Whether a status permits more than another; None is an unknown host, which ranks like GONE."""
     return RANK_BY_STATUS[status] > (0 if than is None else RANK_BY_STATUS[than])
 
 
 def restrict_to_known(status_by_server: dict[int, ServerStatus], endpoints: list[Endpoint]) -> list[Endpoint]:
-    """Return, of discovery's own list of all hosts, those that are known, where half of them still serve there.
+    """Reduce discovery's list of all hosts to the known hosts if at least half of those that serve still serve.
 
-    Guards against a fleet that holds the complete list because its relays were lost.
+    Prevents every gateway of the fleet from holding the complete list after all relays have failed.
     """
     known = [endpoint for endpoint in endpoints if endpoint.listed.server in status_by_server]
     still_serving = sum(endpoint.listed.status is ServerStatus.READY for endpoint in known)
--- a/cloverkeel/discovery/manual_ejections.py
+++ b/cloverkeel/discovery/manual_ejections.py
@@ -1,16 +1,16 @@
-"""Hosts that staff have ejected by hand: an overlay on the endpoint list of any source. Pure: no clock.
+"""Hosts that an operator has ejected: an overlay on the endpoint list of any source. Pure: no clock.
 
-The list's entries go in, and come out as the core is to have them: an ejected host that serves is passed on as
-draining, with all else that the list tells of it, its restarts too. (Outlier ejection, which the balancer decides by
-itself, is another thing.) The admin address calls an ejection `suspend` and its end `restore`.
+The overlay changes an ejected host that serves to draining and passes on its other fields, including a later start
+time. Outlier ejection, which the balancer decides, is separate. The admin commands for ejection and reinstatement are
+`suspend` and `restore`.
 
 Invariants:
-- an ejection only restricts: what the list has as draining or gone never becomes more through it;
+- an ejection only restricts: a host that the list drains or removes never gets a less restrictive status;
 - an ejected host is never forgotten, and one call reinstates it, however often it was ejected;
-- no reinstated host is presented as older than its reinstatement, unless the list has told a start of it that is
-  later than the ejection: discovery tells a restart late, and it may have happened at any moment in between;
-- what is kept is bounded: names that were listed once by MAX_FORMERLY_LISTED (ejected and listed ones beyond that),
-  ejections by MAX_EJECTIONS.
+- a reinstated host is passed on with a start time no earlier than its reinstatement, unless the list has reported a
+  start after the ejection: discovery reports a restart late, and the host may have restarted at any time in between;
+- memory is bounded: MAX_FORMERLY_LISTED names that left the list (listed and ejected names are kept in addition),
+  MAX_EJECTIONS ejections.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_FORMERLY_LISTED: Final = 4_096  # names that left the list, and are still known
-MAX_EJECTIONS: Final = 1_024  # at one time
+MAX_FORMERLY_LISTED: Final = 4_096  # names that left the list and are remembered
+MAX_EJECTIONS: Final = 1_024  # at the same time
 
 
 class ManualEjections:
-    """Who is ejected by hand, and the last entry of the list for each host. Times in µs."""
+    """The manual ejections, and the latest list entry of each host. Times are in µs."""
 
     def __init__(self) -> None:
         self.listed: dict[str, Endpoint] = {}
-        self.formerly_listed: OrderedDict[str, None] = OrderedDict()  # the longest ago first
+        self.formerly_listed: OrderedDict[str, None] = OrderedDict()  # in the order in which they left the list
         self.ejected_us_by_name: dict[str, int] = {}
-        self.reinstated_us_by_name: dict[str, int] = {}  # no later start is listed yet
+        self.reinstated_us_by_name: dict[str, int] = {}  # lower bound of the start time passed on
 
-    # From the list
+    # Input from the endpoint list
 
     def apply(self, kind: ListKind, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Note what the list tells, and return what the core is to be told in its place."""
+        """Store the entries of a list and return them with the ejections applied."""
         endpoints = list(endpoints)
         if kind is ListKind.ERROR:
             return endpoints
@@ -69,7 +69,7 @@
             self.reinstated_us_by_name.pop(forgotten, None)
 
     def _overlay(self, endpoint: Endpoint) -> Endpoint:
-        """Return an entry of the list as the core is to have it."""
+        """Return an entry with its ejection or reinstatement applied."""
         listed = endpoint.listed
         status = listed.status
         if endpoint.name in self.ejected_us_by_name and status is ServerStatus.READY:
@@ -79,35 +79,35 @@
             return endpoint
         return Endpoint(endpoint.name, endpoint.address, replace(listed, status=status, started_us=started_us))
 
-    # From staff
+    # Input from the operator
 
     def was_listed(self, name: str) -> bool:
-        """Whether this host was ever listed, as far as is remembered."""
+        """Whether this host is listed, ejected, or remembered as formerly listed."""
         return name in self.listed or name in self.formerly_listed or name in self.ejected_us_by_name
 
     def can_eject(self, name: str) -> bool:
-        """Whether this host may be ejected, or is already."""
+        """Whether this host is ejected, or the limit of ejections permits it."""
         return name in self.ejected_us_by_name or len(self.ejected_us_by_name) < MAX_EJECTIONS
 
     def eject(self, now_us: int, name: str) -> list[Endpoint]:
-        """Eject a host from now on; returns what the core is to be told."""
+        """Eject a host from now on; return the changed entries."""
         self.ejected_us_by_name.setdefault(name, now_us)
-        return self._current(name)
+        return self._current_entries(name)
 
     def reinstate(self, now_us: int, name: str) -> list[Endpoint]:
-        """End an ejection; returns what the core is to be told."""
+        """End an ejection; return the changed entries."""
         ejected_us = self.ejected_us_by_name.pop(name, None)
         if ejected_us is None:
             return []
         endpoint = self.listed.get(name)
         if endpoint is None or endpoint.listed.started_us <= ejected_us:
             self.reinstated_us_by_name[name] = now_us
-        return self._current(name)
+        return self._current_entries(name)
 
     def synchronize(
         self, ejected_us_by_name: Mapping[str, int], reinstated_us_by_name: Mapping[str, int]
     ) -> list[Endpoint]:
-        """Take on the ejections as another process of this gateway left them; returns what the core is to be told."""
+        """Adopt the ejections that another process of this gateway stored; return the changed entries."""
         before, after = self.ejected_us_by_name.keys(), ejected_us_by_name.keys()
         changed = before ^ after
         changed |= {
@@ -118,8 +118,8 @@
             name: max(self.reinstated_us_by_name.get(name, 0), reinstated_us_by_name.get(name, 0))
             for name in {*self.reinstated_us_by_name, *reinstated_us_by_name}
         }
-        return [endpoint for name in sorted(changed) for endpoint in self._current(name)]
+        return [endpoint for name in sorted(changed) for endpoint in self._current_entries(name)]
 
-    def _current(self, name: str) -> list[Endpoint]:
+    def _current_entries(self, name: str) -> list[Endpoint]:
         endpoint = self.listed.get(name)
         return [self._overlay(endpoint)] if endpoint is not None else []
--- a/cloverkeel/discovery/polling_client.py
+++ b/cloverkeel/discovery/polling_client.py
@@ -1,15 +1,15 @@
-"""Ask discovery for the list of instances, one call at a time; poll_schedule.py says what is asked.
-
-A long answer is read incrementally: the event loop serves others between its steps. Invariants:
-- one call is out at a time: until an answer is read to its end, nothing else is asked;
-- nobody is notified of anything in an answer before all of it was read and found usable, and then of all in one step;
-- nobody is notified of an answer once its call was replaced: by another call, a move to another address, or the end;
-  its reading is cancelled;
-- a catch-up after a stall waits for what is being read, which is read without suspending then: nothing is sent
-  before;
-- bounded: MAX_REPLY_BYTES, compressed or not; MAX_INCREMENTAL_READ_S after an answer has arrived, the rest of it is
-  read in one piece. That is no part of the time in which the answer has to come, and changes none of the sums in
-  poll_schedule.py by more.
+"""Poll discovery for the endpoint list, one call at a time; poll_schedule.py selects the requests.
+
+A long reply is parsed incrementally, so that the event loop runs other tasks in between. Invariants:
+- one call is in flight at a time: the next is sent after the reply was parsed completely;
+- the core receives a reply only after all of it was parsed and found valid, and then in one step;
+- the core does not receive the reply to a call that was replaced by another call, a new address or close(); its
+  parsing is cancelled;
+- a catch-up after a stall waits for a reply that is being parsed, which then continues without suspending: no request
+  is sent to a host before that;
+- memory and time are bounded: MAX_REPLY_BYTES before and after decompression; MAX_INCREMENTAL_READ_S after a reply
+  has arrived, the rest is parsed without suspending. This time is not part of the timeouts in poll_schedule.py and
+  lengthens each of their sums by at most MAX_INCREMENTAL_READ_S.
 """
 
 from __future__ import annotations
@@ -37,19 +37,19 @@
     PollSchedule,
 )
 
-MAX_ATOMIC_READ_BYTES: Final = 64 << 10  # an answer of no more is read in one piece; 200 hosts are some 33 KB
-READ_SLICE_S: Final = 0.00025  # of reading a longer one, before the loop serves others
-CATCH_UP_TIMEOUT_S: Final = 0.5  # for an answer that has begun to arrive
+MAX_ATOMIC_READ_BYTES: Final = 64 << 10  # larger replies are parsed incrementally; 200 hosts take about 33 KB
+READ_SLICE_S: Final = 0.00025  # of parsing, before the event loop runs other tasks
+CATCH_UP_TIMEOUT_S: Final = 0.5  # for a reply that has partly arrived
 MAX_CATCH_UP_ROUNDS: Final = 100
-IMMEDIATE_CATCH_UP_ROUNDS: Final = 20  # without a delay in between
+IMMEDIATE_CATCH_UP_ROUNDS: Final = 20  # the first rounds have no delay in between
 CATCH_UP_INTERVAL_S: Final = CATCH_UP_TIMEOUT_S / MAX_CATCH_UP_ROUNDS
-MIN_STALL_FOR_REFRESH_US: Final = 2_000_000  # after a longer stall, a watch's news may have gone by
+MIN_STALL_FOR_REFRESH_US: Final = 2_000_000  # after a shorter stall, the watch has missed no change
 
 
 class PollingClient(ABC):
-    """Poll for the list; a subclass says what is asked, and what is made of an answer.
+    """Polls for the list; a subclass may change the requests and defines how replies are handled.
 
-    One task at a time polls, over one connection: what it hands on is always newer than what it did before.
+    One task at a time polls over one connection, so each list that it passes on is newer than the last.
     """
 
     max_atomic_read_bytes: int = MAX_ATOMIC_READ_BYTES
@@ -57,63 +57,63 @@
     max_incremental_read_s: float = MAX_INCREMENTAL_READ_S
 
     def __init__(self, address: Address, pushed: bool) -> None:
-        """`pushed`: nobody asks for changes; they are watched for from the start, whatever fails."""
+        """`pushed`: the core does not request lists; this client watches from the start and retries failures."""
         self.pushed = pushed
         self.address = address
         self.schedule = PollSchedule()
         self.is_closed = False
         self.poll_task: asyncio.Task[None] | None = None
-        self.is_watching = False  # polling goes on after an answer
+        self.is_watching = False  # polling continues after a reply
         self.retry_timer: asyncio.TimerHandle | None = None
         self.catch_up_task: asyncio.Task[None] | None = None
         self.connection: DiscoveryConnection | None = None
         self.handled_replies = 0
-        self.is_reading = False  # a reply that has arrived is being read
+        self.is_reading = False  # a reply has arrived and is being parsed
 
-    # What a subclass may say otherwise
+    # Hooks for subclasses
 
     def server_address(self) -> Address:
-        """Return who is asked on the next connection."""
+        """Return the address for the next connection."""
         return self.address
 
     def request_target(self, request: PollRequest) -> bytes:
-        """Return the target of a call, in full."""
+        """Return the complete request target of a call."""
         return request.target
 
     def extra_headers(self) -> bytes:
-        """Return further header lines of a call, each with its line end."""
+        """Return additional header lines of a call, each ending in CRLF."""
         return b""
 
     def decode_content(self, reply: Reply) -> HintedIncremental[bytes]:
-        """Undo the content coding of a 200's body."""
+        """Decode the content coding of a reply with status 200."""
         yield from ()
         return reply.body
 
     @abstractmethod
     def handle_body(self, body: bytes) -> HintedIncremental[bool]:
-        """Read an answer, notify of it, and tell `schedule`; returns whether it had any entry.
+        """Parse a reply, update `schedule` and notify the core; return whether the reply had any entry.
 
-        Whatever this raises is a failed call. It may be closed at any step, and has notified of nothing then.
+        An exception counts as a failed call. The generator may be closed at any step; the core is not notified then.
         """
 
     @abstractmethod
     def on_call_failed(self) -> None:
-        """React to a failed call; nothing polls now, and this may begin to."""
+        """Handle a failed call. Polling has stopped; this method may restart it."""
 
-    # Reading an answer
+    # Handling a reply
 
     def decode_body(self, body: bytes) -> HintedIncremental[Any]:
-        """Decode the JSON of an answer."""
+        """Decode the JSON body of a reply."""
         if len(body) > self.max_atomic_read_bytes:
             return (yield from decode_json(body))
         return json.loads(body)
 
     def handle_body_at_once(self, body: bytes) -> bool:
-        """Handle an answer without suspending."""
+        """Handle a reply without suspending."""
         return run_to_completion(self.handle_body(body))
 
     async def handle_reply(self, reply: Reply) -> bool:
-        """Handle an answer; between the steps of a long one the loop serves others."""
+        """Handle a reply; the event loop runs other tasks between the steps of a long one."""
         deadline_s = time.monotonic() + self.max_incremental_read_s
         self.is_reading = True
         try:
@@ -144,32 +144,32 @@
     # When to poll
 
     def watch(self, on: bool) -> None:
-        """Begin to watch, or stop; a watch that is on goes on as it is."""
+        """Start or stop watching; has no effect if the watch is already in that state."""
         if on and not self.is_watching:
             self.restart(watches=True)
         elif not on and self.is_watching:
             self.stop()
 
     def move(self, address: Address) -> None:
-        """Ask at another address from now on; nothing that the old one may still answer is heard."""
+        """Poll another address from now on; replies from the old one are ignored."""
         self.address = address
         self.schedule.reset()
         self.restart(watches=True)
 
     def fetch(self) -> None:
-        """Ask for a snapshot; a watch goes on from it."""
+        """Request a snapshot; an active watch continues from its version."""
         self.schedule.require_snapshot()
         self.restart(self.is_watching)
 
     def restart(self, watches: bool) -> None:
-        """Poll anew, on a new connection, in the place of whatever polls now."""
+        """Cancel the current polling task, if any, and poll on a new connection."""
         self.stop()
         if not self.is_closed:
             self.is_watching = watches
             self.poll_task = asyncio.get_running_loop().create_task(self._poll())
 
     def stop(self) -> None:
-        """Stop polling, and drop the connection."""
+        """Stop polling and close the connection."""
         self.is_watching = False
         if self.poll_task is not None:
             self.poll_task.cancel()
@@ -182,7 +182,7 @@
         self.connection = None
 
     def close(self) -> None:
-        """Stop for good."""
+        """Stop permanently."""
         self.is_closed = True
         self.stop()
         if self.catch_up_task is not None:
@@ -193,15 +193,15 @@
 
     @property
     def is_catching_up(self) -> bool:
-        """Whether a catch-up is under way."""
+        """Whether a catch-up is in progress."""
         return self.catch_up_task is not None and not self.catch_up_task.done()
 
     def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
-        """Handle what has arrived meanwhile; then, where news may have gone by, what a call answers now."""
+        """Handle replies that arrived during a stall, poll anew if a change may be missed, then call `done`."""
         if self.is_closed:
             done()
             return
-        # The replies that had been handled when the stall was noticed, and not when the task gets its turn.
+        # Counts the replies handled when the stall was detected, not when the task first runs.
         catching_up = self._catch_up(stall_us, self.handled_replies, done)
         self.catch_up_task = asyncio.get_running_loop().create_task(catching_up)
 
@@ -221,26 +221,26 @@
         rounds = 0
         while self._has_unread(connection) and rounds < MAX_CATCH_UP_ROUNDS:
             rounds += 1
-            # The loop reads in between; where only part of an answer has arrived, there is no hurry.
+            # The loop reads the socket in between; later rounds wait, as the reply is partly in transit.
             await asyncio.sleep(0 if rounds < IMMEDIATE_CATCH_UP_ROUNDS else CATCH_UP_INTERVAL_S)
 
     async def _refresh(self) -> None:
-        """Poll anew, and wait until that was answered or replaced."""
+        """Restart polling and wait until the call is answered or replaced."""
         self.restart(watches=True)
         handled, task = self.handled_replies, self.poll_task
         while self.handled_replies == handled and self.poll_task is task:
             await asyncio.sleep(CATCH_UP_INTERVAL_S)
 
     def _has_unread(self, connection: DiscoveryConnection | None) -> bool:
-        """Whether a reply, or a part of one, has arrived on this connection that was not handled yet."""
+        """Whether a reply, or part of one, has arrived on this connection and is not handled yet."""
         if connection is None or self.connection is not connection:
             return False
         return self.is_reading or connection.has_unread
 
-    # The task that polls
+    # The polling task
 
     async def _poll(self) -> None:
-        """Poll until a call fails; the balancer or a timer has it begin again."""
+        """Poll until a call fails; the balancer or a timer starts polling again."""
         this_task = asyncio.current_task()
         try:
             while self.poll_task is this_task:
@@ -248,7 +248,7 @@
                 if not self.is_watching:
                     break
         except Exception as error:
-            # Whatever it is: a call that ended without a word would never be made again.
+            # Catches every exception: without a failure notification, nothing would start polling again.
             if self.poll_task is this_task:
                 self._on_failure(error)
         else:
@@ -259,7 +259,7 @@
     def _on_failure(self, error: Exception) -> None:
         log(f"discovery: {str(error) or type(error).__name__}")
         self.schedule.on_failure()
-        self.poll_task = None  # this one is over; and the balancer may ask again while it hears of this
+        self.poll_task = None  # this task ends; the balancer may restart polling in on_call_failed
         self.stop()
         self.on_call_failed()
         if self.pushed and self.poll_task is None and not self.is_closed:
@@ -279,13 +279,13 @@
         if not reply.keep_alive:
             connection.close()
         has_entries = await self.handle_reply(reply)
-        self.handled_replies += 1  # only now: the core may notice a stall meanwhile, and this reply is of the stall
+        self.handled_replies += 1  # after handling: if the core detects a stall meanwhile, this reply belongs to it
         if request.is_long_poll and not has_entries and loop.time() - sent_s < EMPTY_REPLY_PAUSE_S:
-            # Guards against polling without end where a server answers at once, with nothing.
+            # Limits the poll rate if a server answers long polls immediately without entries.
             await asyncio.sleep(EMPTY_REPLY_PAUSE_S)
 
     async def _connect(self) -> DiscoveryConnection:
-        """Return the open connection, or a new one."""
+        """Return the open connection, or establish a new one."""
         connection = self.connection
         if connection is not None and connection.is_open:
             return connection
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -1,9 +1,9 @@
-"""The gateway's endpoint source behind relays: it polls whom relay_selection.py says. Imported only with [relays].
+"""Endpoint source of a gateway that uses relays, selected by relay_selection.py. Imported only with [relays].
 
-It is always on watch, whoever asks it to be, since relays hold calls for news; and it polls at its own pace alone:
-where the core wishes for a call between two moves, the next move is that call. Nothing that a relay answers after it
-was left is heard: its connection is closed, and its call ended, before another is asked. Relays alone are told that
-answers may come as gzip: what discovery itself is asked is the same with and without relays.
+It always watches, whatever the core requests, because relays hold long polls; and it alone sets the poll rate: a call
+that the core requests between two moves is replaced by the next move. Replies from a relay that was left are ignored:
+its call is cancelled and its connection closed before the next relay is polled. Only requests to relays accept gzip;
+direct requests to discovery are the same with and without relays.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 from cloverkeel.discovery.relay_selection import RelaySelector, RelayStatus
 from cloverkeel.discovery.subset_widening import SubsetWidening
 
-RELAY_MAX_ATOMIC_READ_BYTES: Final = 8 << 10  # some 50 hosts
-RELAY_MAX_INCREMENTAL_READ_S: Final = 0.5  # of a long answer, before the rest is read in one piece
+RELAY_MAX_ATOMIC_READ_BYTES: Final = 8 << 10  # about 50 hosts
+RELAY_MAX_INCREMENTAL_READ_S: Final = 0.5  # then the rest of a reply is parsed without suspending
 FRESHNESS_CHECK_TIMEOUT_S: Final = 0.5
-WIDENING_CHECK_INTERVAL_S: Final = 1.0  # each check is a pass over all hosts
+WIDENING_CHECK_INTERVAL_S: Final = 1.0  # each check iterates over all hosts
 
 
 class RelayEndpointSource(HttpEndpointSource):
-    """An endpoint source that polls relays; `address` is discovery's own, for when all of them are lost."""
+    """Polls relays; `address` is that of discovery, which is polled directly if all relays fail."""
 
     max_atomic_read_bytes = RELAY_MAX_ATOMIC_READ_BYTES
     max_incremental_read_s = RELAY_MAX_INCREMENTAL_READ_S
@@ -58,30 +58,30 @@
         self.selector = RelaySelector(config.name, options.addresses, self._direct_interval_s(options))
         self.known_state = KnownState()
         self.widening = SubsetWidening()
-        self.count_failing_hosts: Callable[[], int] = lambda: 0  # until the core sets its own
+        self.count_failing_hosts: Callable[[], int] = lambda: 0  # replaced by the core
         self.widening_checked_s = 0.0
-        self.requested_s = 0.0  # when the call that is out was made
-        self.is_long_poll = False  # the call that is out
+        self.requested_s = 0.0  # when the current call was made
+        self.is_long_poll = False  # whether the current call is a long poll
         self.freshness_task: asyncio.Task[None] | None = None
         self.moves = 0
 
     def server_address(self) -> Address:
-        """Return the address of the relay that is asked, or of discovery itself."""
+        """Return the address of the current relay, or of discovery for a direct poll."""
         return self.address if self.selector.current is None else self.selector.current.address
 
     def request_target(self, request: PollRequest) -> bytes:
-        """Return the target of a call; a relay is told who asks."""
+        """Return the target of a call; with a relay, it identifies this gateway."""
         self.requested_s, self.is_long_poll = asyncio.get_running_loop().time(), request.is_long_poll
         if self.selector.current is None:
             return request.target
         return identify_gateway(request.target, self.gateway_name, self.services, self.widening.doublings)
 
     def extra_headers(self) -> bytes:
-        """Tell relays alone that answers may be compressed."""
+        """Offer gzip to relays only."""
         return b"" if self.selector.current is None else b"Accept-Encoding: gzip\r\n"
 
     def decode_content(self, reply: Reply) -> HintedIncremental[bytes]:
-        """Decompress a relay's answer. DiscoveryCallError where its coding is another, or it is broken."""
+        """Decompress a relay's reply; raise DiscoveryCallError for another coding or corrupt data."""
         coding = find_header(reply.headers, b"content-encoding")
         if coding is None or self.selector.current is None:
             return reply.body
@@ -92,11 +92,11 @@
         except ValueError as error:
             raise DiscoveryCallError(str(error)) from None
 
-    # Whom to ask
+    # Choosing a relay
 
     def restart(self, watches: bool) -> None:
-        """Poll anew, unless a move is due: that is the next call."""
-        del watches  # it is always on watch
+        """Restart polling, unless a move is scheduled, which makes the next call."""
+        del watches  # this source always watches
         if self.retry_timer is not None:
             return
         if self.selector.current is None:
@@ -105,11 +105,11 @@
             super().restart(watches=True)
 
     def move(self, address: Address) -> None:
-        """Use another address for the next call to discovery itself; one that is out there ends in its time."""
+        """Use another address for the next direct poll of discovery; one in flight is not interrupted."""
         self.address = address
 
     def use(self, options: RelayOptions) -> None:
-        """Use other relays, or services, from the next call on; a relay that is none any more is left at once."""
+        """Use other relays and services from the next call on; leave a relay that is not among them now."""
         self.services = options.services
         now_s = asyncio.get_running_loop().time()
         delay_s = self.selector.replace(
@@ -122,7 +122,7 @@
         return self.gateway_count / options.direct_per_s
 
     def _poll_next(self) -> None:
-        """Choose whom to ask, and begin there with nothing held."""
+        """Choose the next relay or discovery, and poll it for a snapshot."""
         self.retry_timer = None
         relay = self.selector.choose(asyncio.get_running_loop().time())
         self.moves += 1
@@ -132,7 +132,7 @@
         super().restart(watches=True)
 
     def _leave(self, delay_s: float) -> None:
-        """Stop polling the present one, and poll the next after a delay."""
+        """Stop polling the current server and poll the next after a delay."""
         self.stop()
         if not self.is_closed:
             self.retry_timer = asyncio.get_running_loop().call_later(delay_s, self._poll_next)
@@ -149,13 +149,13 @@
     # Freshness of the other relays
 
     def close(self) -> None:
-        """Stop for good."""
+        """Stop permanently."""
         super().close()
         if self.freshness_task is not None:
             self.freshness_task.cancel()
 
     def _check_freshness(self, age_s: float) -> None:
-        """Ask another relay for its list's age, where the present one's is high."""
+        """Request the list age of another relay if the current relay's list is old."""
         if self.freshness_task is None or self.freshness_task.done():
             relay = self.selector.next_freshness_check(age_s)
             if relay is not None:
@@ -172,16 +172,16 @@
             if reply.status == HTTP_OK:
                 age_s = parse_state_age_s(reply.body)
         except (OSError, DiscoveryCallError, ValueError):
-            pass  # its age is not known, which is what a failure says too
+            pass  # reported as an unknown age
         finally:
             if connection is not None:
                 connection.close()
         self.selector.on_freshness(relay, requested_s, age_s)
 
-    # Answers
+    # Handling replies
 
     def handle_body(self, body: bytes) -> HintedIncremental[bool]:
-        """Read an answer, notify of what it may tell, and decide whether to move."""
+        """Parse a reply, pass its valid part to the core, and move to another relay if needed."""
         raw = yield from self.decode_body(body)
         if not isinstance(raw, dict):
             raise NotAListError
@@ -189,7 +189,7 @@
         if is_direct and self.services and isinstance(raw.get("endpoints"), list):
             raw["endpoints"] = yield from _filter_by_service(raw["endpoints"], self.services)
         answer = yield from parse_endpoint_list_incrementally(raw, self.names)
-        yield True  # the core is notified of all of it in one step
+        yield True  # the core applies the complete list in one step
         now_s = asyncio.get_running_loop().time()
         if answer.is_snapshot and not answer.endpoints and raw.get("endpoints"):
             raise NoUsableEntryError
@@ -201,7 +201,7 @@
         return bool(answer.endpoints)
 
     def _notify(self, now_s: float, age_s: float, is_direct: bool, answer: EndpointList) -> None:
-        """Notify the core of what this answer may tell."""
+        """Pass the valid part of this reply to the core."""
         endpoints = answer.endpoints
         if is_direct and answer.is_snapshot and self.known_state.status_by_server:
             endpoints = restrict_to_known(self.known_state.status_by_server, endpoints)
@@ -212,7 +212,7 @@
             self.on_list(update.kind, update.endpoints)
 
     def _after_answer(self, now_s: float, age_s: float) -> None:
-        """Move where that is due; else look for a fresher relay, and after the subset's width."""
+        """Move if needed; else check another relay's freshness if needed, and whether to widen the subset."""
         delay_s = self.selector.on_answer(now_s, self.requested_s, age_s, self.is_long_poll, random.random())
         if delay_s is not None:
             self._leave(delay_s)
@@ -224,7 +224,7 @@
 
 
 def _filter_by_service(entries: list[Any], services: Collection[str]) -> HintedIncremental[list[Any]]:
-    """Return the entries of these services: those asked for when the list came, others may be asked for meanwhile."""
+    """Return the entries of these services, which were configured when the list arrived and may change meanwhile."""
     chosen: list[Any] = []
     for first in range(0, len(entries), ENTRIES_PER_STEP):
         yield None
--- a/cloverkeel/discovery/relay_requests.py
+++ b/cloverkeel/discovery/relay_requests.py
@@ -1,7 +1,7 @@
-"""What a gateway asks of a relay, and what a relay says of its list's age. Pure: no I/O, no clock.
+"""Requests to a relay, and the age that a relay reports for its list. Pure: no I/O, no clock.
 
-This module maps the wire's words: `gateway`, `services` and `wide` name the caller in a target, `hold_ms` is the long
-poll's hold, `age_ms` is the staleness of a relay's list.
+This module maps wire names: `gateway`, `services` and `wide` (subset doublings) identify the caller in a request
+target, `hold_ms` is the hold of a long poll, `age_ms` is the age of a relay's list.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from cloverkeel.discovery.poll_schedule import INSTANCES_PATH, PollRequest, PollSchedule, changes_since
 
 STATE_PATH: Final = b"/relay/state"
-RELAY_HOLD_S: Final = 0.4  # of a long poll at a relay: what a silence is noticed by
-RELAY_GRACE_S: Final = 0.3  # for the answer beyond that
-RELAY_FIRST_REPLY_TIMEOUT_S: Final = 1.0  # on a connection, a snapshot mostly: relays make them in turn
+RELAY_HOLD_S: Final = 0.4  # of a long poll at a relay; determines how soon an unresponsive relay is detected
+RELAY_GRACE_S: Final = 0.3  # for the reply, after the hold
+RELAY_FIRST_REPLY_TIMEOUT_S: Final = 1.0  # mostly a snapshot; a relay builds queued snapshots one after another
 MAX_AGE_MS: Final = 10**12
 
 
 def identify_gateway(target: bytes, gateway: str, services: Sequence[str], doublings: int) -> bytes:
-    """Return a target with this gateway's name, its services and its subset's doublings in it."""
+    """Return the target with this gateway's name, services and subset doublings added to its query."""
     path, _, query = target.partition(b"?")
     quoted_services = ",".join(quote(service, "") for service in services)
     identity = f"?gateway={quote(gateway, '')}&services={quoted_services}&wide={doublings}"
@@ -30,7 +30,7 @@
 
 
 def parse_age_s(raw: dict[str, Any]) -> float:
-    """Return a list's age in seconds; an answer that tells none is discovery's own. FieldError for what is no age."""
+    """Return a list's age in seconds, 0 if absent (discovery's own reply); raise FieldError if it is invalid."""
     age_ms = raw.get("age_ms", 0)
     if not isinstance(age_ms, int) or isinstance(age_ms, bool) or not 0 <= age_ms < MAX_AGE_MS:
         raise FieldError("age_ms", "a whole number of milliseconds", repr(age_ms))
@@ -38,7 +38,7 @@
 
 
 def parse_state_age_s(body: bytes) -> float:
-    """Return the age in seconds of a relay's list, by its state. NoListYetError or ValueError: it tells none."""
+    """Return the age of a relay's list in seconds, from its state; raise NoListYetError or ValueError without one."""
     raw = json.loads(body)
     if not isinstance(raw, dict) or raw.get("version") is None or raw.get("age_ms") is None:
         raise NoListYetError
@@ -46,15 +46,15 @@
 
 
 class RelayPollSchedule(PollSchedule):
-    """What a relay is asked next; discovery itself is asked as without relays."""
+    """Selects the next request to a relay; direct polls of discovery follow the base schedule."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.is_direct = False  # discovery itself is asked
+        self.is_direct = False  # discovery is polled directly
         self.grace_s = RELAY_GRACE_S
 
     def next_request(self, now_s: float) -> PollRequest:
-        """Return what is asked next."""
+        """Return the next request."""
         if self.is_direct:
             return super().next_request(now_s)
         if self.version is None:
--- a/cloverkeel/discovery/subset_widening.py
+++ b/cloverkeel/discovery/subset_widening.py
@@ -1,4 +1,4 @@
-"""How often this gateway's subset of hosts is doubled, as too many of them fail. Pure: times come from outside."""
+"""Double this gateway's subset of hosts while too many of them fail. Pure: the caller passes the time."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from typing import Final
 
 MAX_DOUBLINGS: Final = 3
-WIDENING_FAILING_RATIO: Final = 0.5  # of the hosts that serve: failing, they make the subset wider
-MIN_WIDENING_INTERVAL_S: Final = 3.0  # from one doubling to the next: new hosts must be known and tried
-NARROWING_AFTER_S: Final = 60.0  # without need, to a subset half as large
+WIDENING_FAILING_RATIO: Final = 0.5  # of the serving hosts; the subset is widened if this share fails
+MIN_WIDENING_INTERVAL_S: Final = 3.0  # new hosts must be listed and tried before the next doubling
+NARROWING_AFTER_S: Final = 60.0  # without failures, before the subset is halved
 
 
 class SubsetWidening:
-    """Count the doublings of the subset."""
+    """Tracks the number of doublings of the subset."""
 
     def __init__(self) -> None:
         self.doublings = 0
-        self.needed_s = -inf  # when there was need last
+        self.needed_s = -inf  # when the failing ratio was last reached
         self.changed_s = -inf
 
     def update(self, now_s: float, failing_hosts: int, serving_hosts: int) -> int:
-        """Return the doublings from now on, as `failing_hosts` of `serving_hosts` do not answer this gateway."""
+        """Return the number of doublings to use, given how many of the serving hosts do not answer this gateway."""
         is_needed = failing_hosts > 0 and failing_hosts >= WIDENING_FAILING_RATIO * serving_hosts
         if is_needed:
             self.needed_s = now_s
