--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -44,11 +44,11 @@
         "drain", "drain", quick=True, tests="upstream/connection_pool::no_attempt_starts_after_the_drain_grace"),
     row("gone-module+gone-pools+drain-pools", "a removed server gets no requests",
         "Endpoints.remove, ConnectionPool.remove_host, AttemptSender.find_refusal",
-        tests="discovery/http_client::a_snapshot_drops_what_it_does_not_name"),
+        tests="discovery/http_client::a_snapshot_removes_hosts_that_it_does_not_list"),
     row("list-retry-soon", "a failed poll of the server list is retried soon", "EndpointUpdates.on_error",
-        tests="discovery/poll_schedule::the_times_together_are_within_the_notification_delay"),
+        tests="discovery/poll_schedule::detection_times_fit_within_the_notification_delay"),
     row("list-again", "a failed poll of the server list is retried", "EndpointUpdates.on_error",
-        tests="discovery/http_client::a_failed_call_is_notified_and_made_again_when_the_balancer_says"),
+        tests="discovery/http_client::a_failed_call_is_reported_and_repeated_by_the_balancer"),
     row("cold-budget", "a gateway keeps to its quota of a warming server's budget",
         "SlowStartBudget.has_headroom", COLD, "cold",
         seeds=(1,), tests="balancing/requests::all_proxies_together_keep_to_the_collapse_budget_of_a_warming_server"
@@ -121,5 +121,5 @@
         tests="balancing/circuit_breaker::a_retry_after_a_reset_costs_less_and_is_sent_while_little_is_shed"),
     row("cold-told-users", "a warming server's budget is divided by the number of proxies that know it",
         "SlowStartBudget.budget_us",
-        tests="discovery/list_cost::the_quotas_of_those_who_know_a_warming_server_never_exceed_its_budget"),
+        tests="discovery/list_cost::the_quotas_of_all_gateways_never_exceed_a_warming_servers_budget"),
 )  # fmt: skip
--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -44,17 +44,17 @@
     row("list-before-all", "an endpoint list is handled before queued events", "EventQueue.post_endpoint_list",
         tests="core/stall_detector::a_drain_notification_is_read_before_an_earlier_request"),
     row("list-parts", "requests are served between the batches of a long list", "ListBatches.split",
-        tests="discovery/list_cost::between_the_batches_of_a_long_list_the_loop_has_its_turns"),
+        tests="discovery/list_cost::the_event_loop_runs_between_the_batches_of_a_long_list"),
     row("list-parts-restrict", "restricting entries are applied immediately", "ListBatches.split",
-        tests="discovery/list_cost::between_the_batches_of_a_long_list_the_loop_has_its_turns"),
+        tests="discovery/list_cost::the_event_loop_runs_between_the_batches_of_a_long_list"),
     row("list-parts-known", "a list is batched by known hosts, as when a zone returns", "ListBatches.split",
-        tests="discovery/incremental_reading::a_list_is_short_by_what_the_gateway_knows"),
+        tests="discovery/incremental_reading::a_list_is_split_depending_on_the_number_of_known_hosts"),
     row("gzip-limit", "decompressed data is no longer than the longest list", "decompress_gzip",
-        tests="discovery/incremental_reading::a_step_makes_little_whatever_was_compressed"
-        " discovery/relay_client::a_relay_that_fails_costs_no_news_and_the_list_stands"),
+        tests="discovery/incremental_reading::work_per_decompression_step_is_bounded"
+        " discovery/relay_client::failover_after_any_fault_loses_no_change_and_keeps_the_list"),
     row("gzip-end", "a poll fails if data follows the gzip member", "decompress_gzip",
-        tests="discovery/incremental_reading::what_was_compressed_is_read_and_nothing_else"
-        " discovery/relay_client::a_relay_that_fails_costs_no_news_and_the_list_stands"),
+        tests="discovery/incremental_reading::valid_gzip_is_decompressed_and_other_data_is_rejected"
+        " discovery/relay_client::failover_after_any_fault_loses_no_change_and_keeps_the_list"),
     row("way-out-accepts", "connections that wait to be accepted are served", "Listener.close",
         tests="cli/gateway_process::a_shutdown_finishes_requests_in_flight_and_accepts_new_ones "
               "cli/gateway_process::no_request_is_lost_at_a_restart_under_load"),
--- a/tests/discovery/test_endpoint_parser.py
+++ b/tests/discovery/test_endpoint_parser.py
@@ -10,7 +10,7 @@
 )  # fmt: skip
 
 
-def test_users_of_an_entry_are_taken_where_they_are_a_count() -> None:
+def test_an_invalid_user_count_of_an_entry_is_read_as_zero() -> None:
     names = Names({}, {}, {}, {})
     for told, users in ((3, 3), (0, 0), (-1, 0), (True, 0), ("7", 0), (2.5, 0)):
         assert parse_endpoint(endpoint("s-1", "h:1", users=told, service="s1"), names).listed.users == users
--- a/tests/discovery/test_http_client.py
+++ b/tests/discovery/test_http_client.py
@@ -51,7 +51,7 @@
 
 
 @on_loop
-async def test_a_watch_goes_on_from_the_version_it_has() -> None:
+async def test_a_watch_continues_from_the_held_version() -> None:
     news = [
         list_reply(8, endpoint("s-1", "127.0.0.1:1"), snapshot=False),
         list_reply(8, snapshot=False),
@@ -76,7 +76,7 @@
 
 
 @on_loop
-async def test_a_watch_that_was_stopped_is_ignored() -> None:
+async def test_a_stopped_watch_closes_its_connection_and_reports_nothing() -> None:
     async with (
         peer(silent) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
@@ -90,7 +90,7 @@
 
 
 @on_loop
-async def test_a_snapshot_drops_what_it_does_not_name() -> None:
+async def test_a_snapshot_removes_hosts_that_it_does_not_list() -> None:
     listed = endpoint("s-1", "127.0.0.1:1", zone="b", group=3, since_ms=5, weight=2)
     async with peer(answers(list_reply(12, listed))) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
@@ -124,7 +124,7 @@
     ],
 )
 @on_loop
-async def test_a_failed_call_is_notified_and_made_again_when_the_balancer_says(script: Script) -> None:
+async def test_a_failed_call_is_reported_and_repeated_by_the_balancer(script: Script) -> None:
     async with peer(script) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"]["membershipMode"] = "on_request"  # the module asks, and asks again
@@ -151,7 +151,7 @@
 
 
 @on_loop
-async def test_bad_entries_and_unknown_fields_are_survived() -> None:
+async def test_invalid_entries_are_skipped_and_unknown_fields_are_ignored() -> None:
     async with peer() as host:
         good = endpoint("s-1", host.address, colour="red")
         bad: list[object] = [
@@ -180,7 +180,7 @@
 
 
 @on_loop
-async def test_a_list_known_from_before_that_cannot_be_used_is_as_none() -> None:
+async def test_an_invalid_known_list_is_ignored() -> None:
     async with peer(silent) as registry:
         config = configuration(discovery=registry.address)
         config["known"] = {"index": "new", "endpoints": 3}
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -59,7 +59,7 @@
 
 @settings(max_examples=60)
 @given(st.binary(max_size=2_000), st.integers(1, 200), st.integers(0, 9), st.data())
-def test_what_was_compressed_is_read_and_nothing_else(
+def test_valid_gzip_is_decompressed_and_other_data_is_rejected(
     some: bytes, times: int, level: int, data: st.DataObject
 ) -> None:
     body = some * times
@@ -72,7 +72,7 @@
         refused(packed, len(body) - 1)
 
 
-def test_a_step_makes_little_whatever_was_compressed() -> None:
+def test_work_per_decompression_step_is_bounded() -> None:
     assert refused(gzip.compress(bytes(64 << 20)), 4 << 20) <= (4 << 20) // MAX_BYTES_PER_STEP
     nothing = gzip.compress(b"")[:10] + b"\0\0\0\xff\xff" * 60_000  # blocks of nothing
     assert refused(nothing) >= len(nothing) // MAX_BYTES_PER_STEP > 3
@@ -90,7 +90,7 @@
 
 @settings(max_examples=60)
 @given(ENTRIES, st.sampled_from([(", ", ": "), (",", ":"), (" ,\n", ":")]), st.data())
-def test_entries_are_what_json_says_and_a_cut_text_is_refused(
+def test_incremental_json_equals_json_loads_and_truncated_text_is_rejected(
     items: list[Any], separators: tuple[str, str], data: st.DataObject
 ) -> None:
     body = json.dumps({"endpoints": items * 120, "index": 1}, separators=separators, ensure_ascii=False).encode()
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("by_relay", [False, True], ids=["discovery", "relay"])
 @settings(max_examples=25, deadline=None)
 @given(seed=st.integers(0, 2**32), plan=st.lists(st.sampled_from(["whole", "change", "left"]), max_size=6))
-def test_whatever_the_steps_the_core_knows_what_answers_read_at_once_say(
+def test_incremental_reading_gives_the_same_state_as_reading_at_once(
     by_relay: bool, seed: int, plan: list[str]
 ) -> None:
     """`left`: the list is superseded while it is read."""
@@ -190,7 +190,7 @@
 
 
 @on_loop
-async def test_what_restricts_is_applied_first_and_in_one_piece() -> None:
+async def test_restrictions_are_applied_first_and_at_once() -> None:
     gateway = DetachedGateway(by_relay=True)
     served = {n: ("SERVING", 1.0, 0) for n in range(700)}
     await gateway.discovery.handle_reply(Reply(200, [], listed(1, True, served), True))
@@ -212,7 +212,7 @@
     gateway.program.close()
 
 
-def test_a_list_is_short_by_what_the_gateway_knows() -> None:
+def test_a_list_is_split_depending_on_the_number_of_known_hosts() -> None:
     """Who knows no more than the platform has takes lists of its size as they are; who knows more, a slice."""
     entries = serving(range(MAX_UNSPLIT_ENTRIES))
     assert ListBatches().split(entries, MAX_UNSPLIT_ENTRIES, lambda entry: False) == entries
@@ -258,7 +258,7 @@
 
 
 @on_loop
-async def test_the_loop_has_its_turns_by_time_and_only_for_long_answers() -> None:
+async def test_parsing_suspends_by_elapsed_time_and_only_for_long_replies() -> None:
     worker = Worker(40, PollingClient.read_slice_s * 1.1)
     worker.max_incremental_read_s = 60.0
     assert await worker.work(worker.max_atomic_read_bytes + 1) == [1] * 40
@@ -271,7 +271,7 @@
     worker.catch_up_task.cancel()
 
 
-def test_reading_is_within_the_notification_delay() -> None:
+def test_reading_time_fits_within_the_notification_delay() -> None:
     assert (
         max(SILENT_WATCH_DETECTION_S, SILENT_CONNECTION_DETECTION_S, UNREACHABLE_DETECTION_S) + MAX_INCREMENTAL_READ_S
         < MAX_NOTIFICATION_DELAY_S
@@ -342,7 +342,7 @@
 
 
 @on_loop
-async def test_discovery_itself_is_asked_as_ever() -> None:
+async def test_direct_requests_to_discovery_have_no_extra_headers() -> None:
     async with peer(answers(reply())) as host, peer() as discovery, beside(host, discovery, False) as run:
         discovery.script = ScriptedSource(many(5, host.address, count=3))
         run.gateway.start()
@@ -351,7 +351,7 @@
 
 
 @on_loop
-async def test_of_discovery_that_answers_for_lost_relays_no_gzip_is_asked() -> None:
+async def test_direct_polls_after_the_loss_of_all_relays_do_not_offer_gzip() -> None:
     gateway = DetachedGateway(by_relay=True)
     assert isinstance(gateway.discovery, RelayEndpointSource)
     assert gateway.discovery.extra_headers()
@@ -363,7 +363,7 @@
 
 
 @on_loop
-async def test_a_drain_in_the_next_answer_goes_ahead_of_a_long_list_that_is_pending() -> None:
+async def test_a_drain_in_the_next_reply_overtakes_a_pending_long_list() -> None:
     async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
         drain = reply(200, listed(7, False, {MANY - 1: ("DRAINING", 0.5, 0)}, host.address))
         relay.script = ScriptedSource(many(5, host.address), compressed(many(6, host.address, weight=0.5)), drain)
@@ -383,7 +383,7 @@
 
 @pytest.mark.parametrize("how", ["move", "fetch", "stop", "close", "unfit"])
 @on_loop
-async def test_a_list_that_is_superseded_while_it_is_read_is_never_notified(how: str) -> None:
+async def test_a_list_that_is_superseded_while_being_read_is_never_applied(how: str) -> None:
     async with (
         peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first, False) as run,
     ):  # fmt: skip
@@ -413,7 +413,7 @@
 
 
 @on_loop
-async def test_a_list_of_a_relay_that_is_left_while_it_is_read_is_never_notified() -> None:
+async def test_a_list_of_a_relay_that_is_left_while_reading_it_is_never_applied() -> None:
     async with peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first) as run:
         first.script, other.script = (
             ScriptedSource(compressed(many(8, host.address))),
@@ -434,7 +434,7 @@
 
 
 @on_loop
-async def test_what_is_read_while_the_process_was_stalled_is_notified_before_anything_is_sent() -> None:
+async def test_a_list_being_read_during_a_stall_is_applied_before_requests_are_sent() -> None:
     async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
         order: list[str] = []
 
--- a/tests/discovery/test_known_state.py
+++ b/tests/discovery/test_known_state.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("part", range(4))
-def test_no_relay_undoes_a_restriction_that_is_known(part: int) -> None:
+def test_no_relay_undoes_a_known_restriction(part: int) -> None:
     """Discovery changes twice a second; each relay is behind it as it likes, and tells the least age that is true."""
     for seed in range(part * 250, part * 250 + 250):
         check_random_walk(random.Random(seed))
@@ -72,7 +72,7 @@
         assert len(known_state.restriction_by_server) <= HOSTS and len(known_state.deferred_by_server) <= HOSTS
 
 
-def test_a_deferred_permission_is_replaced_by_a_newer_entry_however_old_that_is() -> None:
+def test_a_newer_entry_replaces_a_deferred_permission_even_from_a_stale_relay() -> None:
     def listed(*statuses: ServerStatus) -> list[Endpoint]:
         return [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, status)) for n, status in enumerate(statuses)]
 
@@ -86,7 +86,7 @@
     assert not accepted and list(known_state.status_by_server) == [1]
 
 
-def test_what_was_restricted_long_ago_is_not_kept() -> None:
+def test_old_restrictions_are_forgotten() -> None:
     known_state = KnownState()
     for n in range(100):
         gone = [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, ServerStatus.GONE))]
@@ -94,7 +94,7 @@
     assert len(known_state.restriction_by_server) <= MAX_STALENESS_S + 2
 
 
-def test_of_discoverys_own_list_only_known_hosts_are_taken_while_they_serve() -> None:
+def test_discoverys_complete_list_is_reduced_to_the_known_hosts_while_they_serve() -> None:
     def listed(*numbers: int) -> list[Endpoint]:
         return [Endpoint(f"s-{n}", ("h", 1), ListedServer(n)) for n in numbers]
 
--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_order_and_sum_are_those_of_the_whole_list_after_any_events(seed: int) -> None:
+def test_incremental_ranking_and_weight_sum_match_the_complete_list(seed: int) -> None:
     stream = Stream(seed, 1_500)
     for event, came in stream.play():
         assert not came.startswith("raised"), (event, came)
@@ -59,7 +59,7 @@
     values = keys = __iter__ = items
 
 
-def test_a_change_goes_through_no_whole_list() -> None:
+def test_a_delta_does_not_iterate_over_the_complete_list() -> None:
     balancer = Balancer(RULES, seed=1)
     hosts = tuple(ListedServer(number) for number in range(500))
     balancer.handle(BEGIN_US, ServerList(ListKind.FULL, hosts))
@@ -78,7 +78,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(1, 60), st.floats(3, 500)), min_size=1, max_size=20))
-def test_the_quotas_of_those_who_know_a_warming_server_never_exceed_its_budget(
+def test_the_quotas_of_all_gateways_never_exceed_a_warming_servers_budget(
     fleet: list[tuple[int, float]],
 ) -> None:
     """Whatever each one's list and reach: by these alone, twenty of 40 that know 60 hosts took ten times it."""
@@ -96,7 +96,7 @@
     assert parts <= RULES.collapse_multiple * RULES.collapse_window_us
 
 
-def test_a_quota_that_grows_brings_no_burst_along() -> None:
+def test_a_growing_quota_does_not_allow_a_burst() -> None:
     """Those that knew the server until now may just have spent theirs."""
     klass = RequestClass(objective_us=80_000, client_timeout_us=4_000_000)
     balancer = Balancer(replace(RULES, classes=(klass,), start_capacity=1.0), seed=1)
@@ -148,7 +148,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.lists(st.sampled_from(("whole", "change", "small", "turn", "turn")), max_size=14))
-def test_in_any_order_what_was_applied_and_what_is_pending_is_the_newest_entry(seed: int, steps: list[str]) -> None:
+def test_applied_and_pending_entries_are_always_the_newest(seed: int, steps: list[str]) -> None:
     rng, slices, applied, truth = random.Random(seed), ListBatches(), Applied(), Applied()
     for step in ["whole", *steps]:
         if step == "turn":
@@ -196,7 +196,7 @@
 
 
 @on_loop
-async def test_between_the_batches_of_a_long_list_the_loop_has_its_turns() -> None:
+async def test_the_event_loop_runs_between_the_batches_of_a_long_list() -> None:
     async with running(configuration("127.0.0.1:9")) as run:
         run.gateway.on_endpoint_list(ListKind.FULL, serving(range(500)))  # nearly all new: applied in one piece
         lists = lists_told(run)
@@ -224,7 +224,7 @@
 
 
 @on_loop
-async def test_a_list_of_the_platforms_size_is_applied_as_it_is() -> None:
+async def test_a_list_up_to_the_unsplit_limit_is_applied_at_once() -> None:
     async with running(configuration("127.0.0.1:9")) as run:
         lists = lists_told(run)
         for listed in (serving(range(MAX_UNSPLIT_ENTRIES)), serving(range(5, MAX_UNSPLIT_ENTRIES + 5), weight=0.5)):
@@ -233,7 +233,7 @@
 
 
 @on_loop
-async def test_after_a_stall_the_whole_list_is_applied_before_anything_is_sent() -> None:
+async def test_after_a_stall_the_complete_list_is_applied_before_requests_are_sent() -> None:
     """Also what waited since before it."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         run.gateway.on_endpoint_list(ListKind.DELTA, serving(range(300)))
@@ -264,7 +264,7 @@
 
 
 @on_loop
-async def test_what_lists_have_brought_is_not_gone_over_again_and_is_freed_when_it_leaves() -> None:
+async def test_frozen_endpoints_are_not_scanned_again_and_are_freed_after_removal() -> None:
     """Through forty lists, each of other hosts: what is frozen is as much as after the first ones."""
     async with peer(answers(reply())) as host, running(configuration(host)) as run:
         freezer = EndpointFreezer(asyncio.get_running_loop().call_soon)
@@ -292,14 +292,14 @@
         self.me = self
 
 
-def test_what_is_garbage_is_not_frozen() -> None:
+def test_garbage_is_collected_before_freezing() -> None:
     with nothing_frozen():
         left = weakref.ref(Knot())
         EndpointFreezer(lambda freeze: freeze()).on_entries_added(ENTRIES_PER_FREEZE)
         assert left() is None and gc.get_freeze_count()
 
 
-def test_lists_that_bring_little_cost_no_pass() -> None:
+def test_small_lists_do_not_trigger_a_freeze_each() -> None:
     due: list[Any] = []
     freezer = EndpointFreezer(due.append)
     for _ in range(ENTRIES_PER_FREEZE - 1):
--- a/tests/discovery/test_manual_ejections.py
+++ b/tests/discovery/test_manual_ejections.py
@@ -21,7 +21,7 @@
     return [(e.name, e.listed.status, e.listed.started_us) for e in entries]
 
 
-def test_an_ejected_host_is_passed_on_as_draining_whatever_the_list_says() -> None:
+def test_an_ejected_host_is_passed_on_as_draining_by_every_kind_of_list() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b")])
     assert summary(ejections.eject(5, "a")) == [("a", DRAINING, 0)]
@@ -31,7 +31,7 @@
     assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=9)])) == [("a", DRAINING, 9)]
 
 
-def test_one_call_reinstates_a_host_that_was_ejected_often() -> None:
+def test_one_call_reinstates_a_host_that_was_ejected_several_times() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a")])
     for at_us in (5, 6, 7):
@@ -41,7 +41,7 @@
     assert ejections.reinstate(10, "a") == []
 
 
-def test_ejected_reinstated_ejected() -> None:
+def test_a_reinstated_host_can_be_ejected_again() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a")])
     ejections.eject(1, "a")
@@ -50,7 +50,7 @@
     assert summary(ejections.reinstate(4, "a")) == [("a", READY, 4)]
 
 
-def test_a_host_reinstated_before_its_restart_is_told_warms_up() -> None:
+def test_a_host_reinstated_before_its_restart_is_reported_warms_up() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
     ejections.eject(1_000, "a")
@@ -60,7 +60,7 @@
     assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=9_500)])) == [("a", READY, 9_500)]
 
 
-def test_a_restart_told_during_the_ejection_is_its_start() -> None:
+def test_a_restart_reported_during_the_ejection_sets_the_start_time() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
     ejections.eject(1_000, "a")
@@ -68,7 +68,7 @@
     assert summary(ejections.reinstate(9_000, "a")) == [("a", READY, 5_000)]
 
 
-def test_a_host_that_the_list_drains_or_drops_stays_so_after_the_ejection() -> None:
+def test_a_host_that_the_list_drains_or_removes_stays_so_after_reinstatement() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b")])
     ejections.eject(1, "a")
@@ -79,7 +79,7 @@
     assert summary(ejections.apply(ListKind.DELTA, [entry("b")])) == [("b", READY, 2)]
 
 
-def test_a_host_is_known_once_it_was_listed() -> None:
+def test_a_host_is_remembered_after_it_left_the_list() -> None:
     ejections = ManualEjections()
     assert not ejections.was_listed("a")
     ejections.apply(ListKind.DISK, [entry("a"), entry("b")])
@@ -87,7 +87,7 @@
     assert ejections.was_listed("a") and ejections.was_listed("b") and not ejections.was_listed("c")
 
 
-def test_what_is_remembered_is_bounded_and_an_ejected_host_is_never_forgotten() -> None:
+def test_memory_is_bounded_and_an_ejected_host_is_never_forgotten() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("first")])
     ejections.eject(1, "first")
@@ -98,7 +98,7 @@
     assert summary(ejections.apply(ListKind.DELTA, [entry("first")])) == [("first", DRAINING, 0)]
 
 
-def test_another_process_has_changed_the_ejections() -> None:
+def test_synchronize_returns_the_entries_that_another_process_changed() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b"), entry("c")])
     ejections.eject(1, "a")
--- a/tests/discovery/test_poll_schedule.py
+++ b/tests/discovery/test_poll_schedule.py
@@ -28,7 +28,7 @@
 from tests.helpers import SAFE, Driver, timers
 
 
-def test_the_times_together_are_within_the_notification_delay() -> None:
+def test_detection_times_fit_within_the_notification_delay() -> None:
     assert (
         max(SILENT_WATCH_DETECTION_S, SILENT_CONNECTION_DETECTION_S, UNREACHABLE_DETECTION_S)
         < MAX_NOTIFICATION_DELAY_S
@@ -39,7 +39,9 @@
 
 
 @given(failures=st.integers(1, 60), must_ask_us=st.integers(1_000, 60_000_000), seed=st.integers(0, 99))
-def test_however_often_calls_failed_the_balancer_asks_again_soon(failures: int, must_ask_us: int, seed: int) -> None:
+def test_the_balancers_retry_delay_is_bounded_after_any_number_of_failures(
+    failures: int, must_ask_us: int, seed: int
+) -> None:
     settings = Settings((SAFE,), list_is_pushed=False, max_poll_interval_us=must_ask_us)
     driver = Driver(settings, servers=0, seed=seed)
     for _ in range(failures):
@@ -49,7 +51,7 @@
 
 
 @given(must_ask_us=st.integers(1_000, 10**9), seed=st.integers(0, 99))
-def test_a_gateway_that_starts_asks_soon_whatever_the_rules_give(must_ask_us: int, seed: int) -> None:
+def test_the_first_poll_after_a_start_is_in_time_for_any_poll_interval(must_ask_us: int, seed: int) -> None:
     driver = Driver(Settings((SAFE,), list_is_pushed=False, max_poll_interval_us=must_ask_us), servers=0, seed=seed)
     (timer,) = timers(driver.handle(ServerList(ListKind.DISK)))
     waited_s = (timer.due_us - driver.now_us) / 1e6
@@ -57,7 +59,7 @@
 
 
 @given(failures=st.integers(1, 2_000), chance=st.floats(0, 1))
-def test_where_lists_are_pushed_a_retry_is_soon_and_spread(failures: int, chance: float) -> None:
+def test_the_retry_delay_of_pushed_lists_is_bounded_and_has_jitter(failures: int, chance: float) -> None:
     schedule = PollSchedule()
     for _ in range(failures):
         schedule.on_failure()
@@ -72,7 +74,9 @@
 
 
 @given(st.lists(STEPS, max_size=60))
-def test_each_call_is_for_what_is_held_and_ends_in_time(steps: list[tuple[str, int, bool]]) -> None:
+def test_each_call_requests_changes_since_the_held_version_within_a_bounded_time(
+    steps: list[tuple[str, int, bool]],
+) -> None:
     """A whole list is always taken, and changes only up to a version that is not below the one held."""
     schedule, now_s, held = PollSchedule(), 100.0, None
     for what, index, whole in steps:
@@ -104,7 +108,7 @@
                 assert not schedule.next_request(now_s).is_long_poll
 
 
-def test_who_failed_is_given_longer_until_it_answers() -> None:
+def test_the_first_reply_timeout_is_longer_from_a_failure_until_a_reply() -> None:
     schedule = PollSchedule()
     schedule.version = 4
     assert schedule.next_request(0.0).timeout_s == FIRST_REPLY_TIMEOUT_S
@@ -143,7 +147,7 @@
 
 
 @given(gateways=st.integers(1, 60), seed=st.integers(0, 999))
-def test_a_service_with_too_many_callers_comes_to_answer_all_of_them(gateways: int, seed: int) -> None:
+def test_an_overloaded_registry_eventually_answers_every_caller(gateways: int, seed: int) -> None:
     """It works for nobody who has gone, but for the few first calls: then its time is enough for all."""
     within_s = 1.0 + QUEUE_S + 2.0 * CALL_S * gateways + 1.0
     assert len(first_answers(gateways, seed, within_s)) == gateways
--- a/tests/discovery/test_relay_client.py
+++ b/tests/discovery/test_relay_client.py
@@ -76,7 +76,7 @@
 
 
 @on_loop
-async def test_it_names_itself_and_asks_one_relay_alone() -> None:
+async def test_a_gateway_identifies_itself_and_polls_one_relay_only() -> None:
     async with (
         peer() as host,
         peer() as a,
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @on_loop
-async def test_a_relay_that_fails_costs_no_news_and_the_list_stands(fault: str) -> None:
+async def test_failover_after_any_fault_loses_no_change_and_keeps_the_list(fault: str) -> None:
     async with (
         peer() as host,
         peer() as a,
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("state", [b"rubbish", b'{"version":1,"age_ms":59000}', None])
 @on_loop
-async def test_a_relay_that_is_partitioned_is_left_for_one_that_says_it_is_fresh(state: bytes | None) -> None:
+async def test_a_partitioned_relay_is_left_for_one_that_reports_a_fresh_list(state: bytes | None) -> None:
     """The others are looked at meanwhile: one that says rubbish, hardly less old, or nothing is not gone to."""
     entry = endpoint("s-0", "127.0.0.1:1")
 
@@ -176,7 +176,7 @@
 
 
 @on_loop
-async def test_what_a_relay_answers_after_it_was_left_is_ignored() -> None:
+async def test_a_late_reply_of_a_relay_that_was_left_is_ignored() -> None:
     async with (
         peer() as host,
         peer() as a,
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("age_ms", [1_500, 60_000])
 @on_loop
-async def test_a_move_at_the_moment_of_a_drain_does_not_undo_it(age_ms: int) -> None:
+async def test_failover_to_a_relay_with_an_older_list_does_not_undo_a_drain(age_ms: int) -> None:
     """The relay that it moves to has not heard of the drain; what it says counts once its list is as young."""
     async with (
         peer() as host,
@@ -232,7 +232,7 @@
 
 
 @on_loop
-async def test_with_all_dead_it_serves_on_asks_discovery_seldom_and_comes_back() -> None:
+async def test_with_all_relays_failed_discovery_is_polled_rarely_until_a_relay_recovers() -> None:
     def reset(exchange: Exchange) -> None:
         exchange.reset()
 
@@ -255,7 +255,7 @@
 
 
 @on_loop
-async def test_a_gateway_whose_hosts_fail_asks_for_more() -> None:
+async def test_a_gateway_whose_hosts_fail_requests_a_wider_subset() -> None:
     async with (
         peer() as host,
         peer() as a,
--- a/tests/discovery/test_relay_options.py
+++ b/tests/discovery/test_relay_options.py
@@ -30,18 +30,18 @@
         ({"addresses": ["h:1"], "x": 0}, "relays: x: unknown; expected one of addresses, services, direct_per_s"),
     ],
 )
-def test_options_that_cannot_be_used_name_file_and_key(table: dict[str, Any], said: str) -> None:
+def test_errors_in_options_name_file_and_key(table: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse_options({"relays": table}, "o.toml")
     assert str(error.value).startswith("o.toml: " + said)
 
 
-def test_the_file_that_is_shipped_can_be_used() -> None:
+def test_the_shipped_options_file_is_valid() -> None:
     relays = load({"CLOVERKEEL_OPTIONS": str(ROOT / "deploy" / "relays-gateway.toml")}).relays
     assert relays == RelayOptions(tuple(("127.0.0.1", port) for port in (7101, 7102, 7103)))
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_relay_modules_are_not_imported_without_relays() -> None:
     code = "import sys, cloverkeel.assembly; print([m for m in sys.modules if '.relay' in m or 'urllib' in m])"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/discovery/test_relay_selection.py
+++ b/tests/discovery/test_relay_selection.py
@@ -30,7 +30,7 @@
 TWELVE = [(f"10.0.0.{n}", 7100) for n in range(12)]
 
 
-def test_each_gateway_has_an_order_of_its_own_that_a_relay_less_leaves() -> None:
+def test_gateways_spread_over_relays_and_removing_one_keeps_the_order() -> None:
     firsts = Counter(rank_relays(f"g{n}", TWELVE)[0] for n in range(4_600))
     assert len(firsts) == 12 and max(firsts.values()) < 1.25 * 4_600 / 12 and min(firsts.values()) > 0.75 * 4_600 / 12
     for n in range(50):
@@ -43,7 +43,7 @@
     assert len(seconds) == 11  # who loses one spreads over all others
 
 
-def test_the_times_together() -> None:
+def test_failover_times_fit_within_their_limits() -> None:
     assert (
         RELAY_HOLD_S + RELAY_GRACE_S + MAX_FIRST_FAILOVER_DELAY_S < 1.0
     )  # what a silent relay costs, but for an answer
@@ -59,7 +59,7 @@
 
 @settings(max_examples=300)
 @given(st.integers(1, 5), st.floats(0.01, 500), st.lists(STEPS, max_size=80))
-def test_no_order_of_answers_and_failures_makes_it_ask_more(
+def test_rates_of_moves_and_direct_polls_are_bounded_for_any_sequence(
     count: int, every_s: float, steps: list[tuple[str, float, float]]
 ) -> None:
     relays, now_s = RelaySelector("g", TWELVE[:count], every_s), 100.0
@@ -100,7 +100,7 @@
 
 
 @given(st.lists(st.tuples(st.sets(st.integers(0, 11), min_size=1), st.booleans(), st.floats(0, 1)), max_size=20))
-def test_whoever_is_replaced_the_present_relay_is_one_of_those_named_or_is_left(
+def test_the_current_relay_is_left_unless_it_is_among_the_replacements(
     turns: list[tuple[set[int], bool, float]],
 ) -> None:
     relays, now_s, chosen_s = RelaySelector("g", TWELVE, 10.0), 100.0, 100.0
@@ -122,7 +122,7 @@
         assert relays.current is None or relays.current in relays.ranked
 
 
-def test_new_relays_are_asked_before_discovery_itself() -> None:
+def test_new_relays_are_polled_before_discovery() -> None:
     relays = RelaySelector("g", TWELVE[:1], 10.0)
     relays.choose(0.0)
     now_s = relays.on_failure(0.0, False, 0.5)
@@ -131,7 +131,7 @@
     assert relays.direct_due_s is None and relays.choose(1_000.0) is relays.ranked[0]
 
 
-def test_the_first_call_to_discovery_is_spread_over_the_fleet() -> None:
+def test_first_direct_polls_of_a_fleet_are_spread_over_time() -> None:
     """10 a second of 1,000 gateways: all have asked after 100 s, and no ten seconds saw half as many again."""
     first = []
     for n in range(1_000):
@@ -143,7 +143,7 @@
     assert max(Counter(int(due_s / 10) for due_s in first).values()) <= 150
 
 
-def test_it_goes_back_to_its_first_choice_and_holds_to_it() -> None:
+def test_a_gateway_returns_to_its_first_choice_and_stays_there() -> None:
     relays = RelaySelector("g", TWELVE[:3], 100.0)
     first = relays.choose(0.0)
     now_s = relays.on_failure(0.0, False, 0.5)
@@ -154,7 +154,7 @@
     assert relays.on_answer(now_s, now_s, 0.5, True, 0.5) is None
 
 
-def test_once_a_relay_answers_discovery_is_not_asked() -> None:
+def test_discovery_is_not_polled_once_a_relay_answers() -> None:
     relays = RelaySelector("g", TWELVE[:1], 1.0)
     relays.choose(0.0)
     relays.on_failure(0.0, False, 0.5)
@@ -162,7 +162,7 @@
     assert relays.choose(9.0) is relays.ranked[0]
 
 
-def test_in_a_small_fleet_discovery_does_not_keep_it_from_its_relays() -> None:
+def test_a_small_fleet_alternates_between_direct_polls_and_relays() -> None:
     """Where discovery may be asked again at once, each second turn is a relay's all the same."""
     relays, now_s = RelaySelector("g", TWELVE[:2], 0.01), 0.0
     asked: list[bool] = []
@@ -190,7 +190,7 @@
     return after_s
 
 
-def test_where_all_are_stale_it_stays_at_the_freshest() -> None:
+def test_with_all_relays_stale_a_gateway_stays_at_the_freshest() -> None:
     relays, now_s, moves, there = RelaySelector("g", TWELVE[:4], 100.0), 0.0, 0, 0
     relays.choose(0.0)
     while now_s < 300.0:
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize("dead", [0, 1, 2, 3, 6])
-def test_a_stale_relay_is_left_in_time_for_a_healthy_one_also_where_all_cool_down(dead: int) -> None:
+def test_a_stale_relay_is_left_in_time_for_a_fresh_one_that_cools_down(dead: int) -> None:
     """All failed a moment ago, and the last is back when the first is cut off. A drain counts as told after 6 s."""
     relays = RelaySelector("g", TWELVE[: dead + 2], 100.0)
     first, *others = relays.ranked
@@ -230,7 +230,7 @@
     assert relays.current is others[-1] and now_s - cut_s < MAX_NOTIFICATION_DELAY_S
 
 
-def test_a_relay_that_recovers_is_found_however_long_all_were_stale() -> None:
+def test_a_recovered_relay_is_found_after_a_long_time_with_all_stale() -> None:
     relays, now_s = RelaySelector("g", TWELVE[:3], 100.0), 0.0
     relays.choose(0.0)
     while now_s < 600.0:
--- a/tests/discovery/test_subset_widening.py
+++ b/tests/discovery/test_subset_widening.py
@@ -11,7 +11,7 @@
 )
 
 
-def test_a_subset_that_fails_grows_and_comes_back() -> None:
+def test_a_failing_subset_is_widened_and_later_narrowed() -> None:
     width, now_s, reached = SubsetWidening(), 100.0, []
     for _ in range(40):
         now_s += MIN_WIDENING_INTERVAL_S / 4
