--- a/benchmarks/guards/mutants/discovery.py
+++ b/benchmarks/guards/mutants/discovery.py
@@ -1,4 +1,4 @@
-"""Mutants of discovery: each takes out one guard."""
+"""Mutants of discovery: each disables one guard."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 @entry("watch-silent")
 def _() -> None:
-    """A watch that says nothing is waited for as if it had something to say."""
-    from cloverkeel.discovery import poll_schedule as watch
+    """A silent watch is not abandoned in time."""
+    from cloverkeel.discovery import poll_schedule
 
-    swap(watch, "LONG_POLL_GRACE_S", 6.0)
+    swap(poll_schedule, "LONG_POLL_GRACE_S", 6.0)
 
 
 @entry("first-silent")
 def _() -> None:
-    """So is a connection that has never answered."""
-    from cloverkeel.discovery import poll_schedule as watch
+    """A connection that is silent before its first reply is not abandoned in time."""
+    from cloverkeel.discovery import poll_schedule
 
-    swap(watch, "FIRST_REPLY_TIMEOUT_S", 6.0)
+    swap(poll_schedule, "FIRST_REPLY_TIMEOUT_S", 6.0)
 
 
 @entry("failed-longer")
 def _() -> None:
-    """A call after a failure is given up as soon as any."""
+    """The timeout of the first reply is not longer after a failure."""
     from cloverkeel.discovery.poll_schedule import PollSchedule
 
     cut(
@@ -37,7 +37,7 @@
 
 @entry("leaving-odd")
 def _() -> None:
-    """An entry that cannot be used is skipped, whatever it says."""
+    """An invalid entry is skipped even if it removes its host."""
     from cloverkeel.discovery import endpoint_parser
 
     swap(endpoint_parser, "parse_departed_endpoint", lambda raw: None)
@@ -45,7 +45,7 @@
 
 @entry("one-call")
 def _() -> None:
-    """A call that was replaced goes on beside the new one."""
+    """A replaced call continues alongside the new one."""
     from cloverkeel.discovery.http_client import HttpEndpointSource
 
     cut(HttpEndpointSource, "restart", ("self.stop()", "pass"))
@@ -53,7 +53,7 @@
 
 @entry("version-back")
 def _() -> None:
-    """Changes of another life of the service are taken for news."""
+    """A delta of a restarted registry is applied to the list held."""
     from cloverkeel.discovery.poll_schedule import PollSchedule
 
     cut(PollSchedule, "on_reply", ("or version >= self.version", "or True"))
@@ -61,7 +61,7 @@
 
 @entry("list-rests")
 def _() -> None:
-    """A service that answers at once with nothing is asked again at once."""
+    """A long poll that is answered immediately without entries is repeated without a pause."""
     from cloverkeel.discovery import polling_client
 
     swap(polling_client, "EMPTY_REPLY_PAUSE_S", 0.0)
@@ -69,7 +69,7 @@
 
 @entry("list-moves")
 def _() -> None:
-    """Discovery is asked where it was at the start."""
+    """A reload does not change the address of discovery."""
     from cloverkeel.discovery.http_client import HttpEndpointSource
 
     swap(HttpEndpointSource, "move", lambda self, address: None)
@@ -77,14 +77,14 @@
 
 @entry("lost-tells-nothing")
 def _() -> None:
-    """A session that is lost empties the list."""
+    """The loss of the session empties the list."""
     from cloverkeel.discovery.source_merge import ConnectionState
     from cloverkeel.discovery.merged_source import MergedEndpointSource
 
-    old = MergedEndpointSource.on_session_state
+    original = MergedEndpointSource.on_session_state
 
     def on_session_state(self: Any, state: ConnectionState) -> None:
-        old(self, state)
+        original(self, state)
         if state is ConnectionState.LOST:
             self.on_nodes([])
 
@@ -93,7 +93,7 @@
 
 @entry("state-kept")
 def _() -> None:
-    """A start without the service begins with the list that the configuration names."""
+    """The saved list is not loaded; a start without the service uses the list in the configuration."""
     from cloverkeel.discovery import snapshot_file
 
     swap(snapshot_file, "load_snapshot", lambda path: None)
@@ -101,7 +101,7 @@
 
 @entry("agent-checks")
 def _() -> None:
-    """An agent keeps the node of a box that does not answer."""
+    """An agent keeps the node of a backend that fails its health check."""
     from cloverkeel.discovery.registration import Registration
 
     cut(Registration, "on_health_check", ("self.is_healthy = False", "pass"))
@@ -109,7 +109,7 @@
 
 @entry("ban")
 def _() -> None:
-    """A host that was taken out by hand is passed on as the list has it."""
+    """An ejected host is passed on with its listed status."""
     from cloverkeel.discovery.manual_ejections import ManualEjections
 
     cut(ManualEjections, "_overlay", ("status = ServerStatus.DRAINING", "pass"))
@@ -117,7 +117,7 @@
 
 @entry("ban-cold")
 def _() -> None:
-    """A host that is put back is as old as the list has it."""
+    """A reinstated host keeps its listed start time."""
     from cloverkeel.discovery.manual_ejections import ManualEjections
 
     cut(ManualEjections, "reinstate", ("self.reinstated_us_by_name[name] = now_us", "pass"))
@@ -125,7 +125,7 @@
 
 @entry("relay-move-anew")
 def _() -> None:
-    """A gateway that moves asks the next relay for changes after what another told."""
+    """After a move, a gateway requests changes since a version of the previous relay."""
     from cloverkeel.discovery.relay_client import RelayEndpointSource
 
     cut(RelayEndpointSource, "_poll_next", ("self.schedule.reset()", "pass"))
@@ -133,7 +133,7 @@
 
 @entry("relay-replaced")
 def _() -> None:
-    """Who is asked now is asked on, though the options name it no more."""
+    """The current relay stays in use after the options no longer name it."""
     from cloverkeel.discovery.relay_selection import RelaySelector
 
     cut(
@@ -148,15 +148,15 @@
 
 @entry("relay-names")
 def _() -> None:
-    """A gateway behind relays does not say who it is."""
-    from cloverkeel.discovery import relay_client as relayed
+    """A gateway does not identify itself to relays."""
+    from cloverkeel.discovery import relay_client
 
-    swap(relayed, "identify_gateway", lambda target, gateway, services, doublings: target)
+    swap(relay_client, "identify_gateway", lambda target, gateway, services, doublings: target)
 
 
 @entry("relay-old-permits")
 def _() -> None:
-    """Whatever a relay permits is believed, though it may not have heard of a drain that is known."""
+    """A permission applies even if the relay's list may be older than a known restriction."""
     from cloverkeel.discovery.known_state import KnownState
 
     cut(
@@ -168,7 +168,7 @@
 
 @entry("relay-looks")
 def _() -> None:
-    """The others are not asked how old their lists are."""
+    """The other relays are not asked for the age of their lists."""
     from cloverkeel.discovery.relay_selection import RelaySelector
 
     swap(RelaySelector, "next_freshness_check", lambda self, age_s: None)
@@ -176,7 +176,7 @@
 
 @entry("relay-stale-permits")
 def _() -> None:
-    """What a stale relay says is taken as any other's."""
+    """Replies of a stale relay are applied like those of a fresh one."""
     from cloverkeel.discovery.known_state import KnownState
 
     cut(KnownState, "accept", ("if self.status_by_server and answer.age_s > MAX_STALENESS_S:", "if False:"))
@@ -184,7 +184,7 @@
 
 @entry("relay-wide")
 def _() -> None:
-    """A subset whose hosts fail stays as it is."""
+    """A subset whose hosts fail is not widened."""
     from cloverkeel.discovery.subset_widening import SubsetWidening
 
     swap(SubsetWidening, "update", lambda self, now_s, failing_hosts, serving_hosts: 0)
@@ -192,7 +192,7 @@
 
 @entry("list-steps")
 def _() -> None:
-    """A long list is read with no turns of the loop in between."""
+    """A long list is read without suspending."""
     from cloverkeel.discovery.polling_client import PollingClient
 
     cut(PollingClient, "_run_cooperatively", ("await asyncio.sleep(0)", "pass"))
@@ -200,7 +200,7 @@
 
 @entry("list-steps-bounded")
 def _() -> None:
-    """Reading a long list takes as long as the loop's other work makes it."""
+    """Incremental reading has no time limit; other tasks of the loop can prolong it."""
     from cloverkeel.discovery.polling_client import PollingClient
 
     cut(PollingClient, "_run_cooperatively", ("now_s < deadline_s and ", ""))
@@ -208,7 +208,7 @@
 
 @entry("list-steps-superseded")
 def _() -> None:
-    """A list that is being read is told, whatever has come in its place."""
+    """A list that is being read is applied although its call was replaced."""
     from cloverkeel.discovery.polling_client import PollingClient
 
     cut(PollingClient, "stop", ("self.poll_task.cancel()", "pass"))
@@ -216,7 +216,7 @@
 
 @entry("list-steps-unread")
 def _() -> None:
-    """A process that stood still does not wait for the list that it is reading."""
+    """After a stall, the process does not wait for a list that is being read."""
     from cloverkeel.discovery.polling_client import PollingClient
 
     cut(PollingClient, "_has_unread", ("self.is_reading or connection.has_unread", "connection.has_unread"))
@@ -224,7 +224,7 @@
 
 @entry("list-steps-hurry")
 def _() -> None:
-    """A list is read by steps also while nothing is sent before it is told."""
+    """Reading suspends even while requests wait for the list after a stall."""
     from cloverkeel.discovery.polling_client import PollingClient
 
     cut(PollingClient, "_run_cooperatively", (" and not self.is_catching_up", ""))
@@ -232,7 +232,7 @@
 
 @entry("gzip-relays")
 def _() -> None:
-    """Discovery itself is asked for gzip where its answers are not read so."""
+    """Direct polls of discovery offer gzip, which is not decoded there."""
     from cloverkeel.discovery.relay_client import RelayEndpointSource
 
     cut(RelayEndpointSource, "extra_headers", ('b"" if self.selector.current is None else ', ""))
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -25,7 +25,7 @@
     silent,
     until,
 )
-from tests.discovery.test_relay_client import holding, relay_list
+from tests.discovery.test_relay_client import relay_script, relay_list
 
 
 def replace(folder: Path, **changes: Any) -> None:
@@ -135,7 +135,7 @@
         return f"[relays]\naddresses = {json.dumps([r.address for r in relays])}\nservices = ['{services}']\n"
 
     async with peer() as host, peer() as first, peer() as second, peer(silent) as discovery:
-        first.script = second.script = holding(relay_list(3, endpoint("s-9", host.address, service="s1")))
+        first.script = second.script = relay_script(relay_list(3, endpoint("s-9", host.address, service="s1")))
         file.write_text(says(first))
         config = configuration(host, discovery=discovery.address)
         async with program(tmp_path, config, CLOVERKEEL_OPTIONS=str(file)) as (process, port):
--- a/tests/discovery/conftest.py
+++ b/tests/discovery/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of discovery."""
+"""Fixtures for the discovery tests."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 @pytest.fixture
 def service() -> Iterator[Service]:
-    made = Service()
+    created = Service()
     try:
-        yield made
+        yield created
     finally:
-        made.close()
+        created.close()
--- a/tests/discovery/test_http_client.py
+++ b/tests/discovery/test_http_client.py
@@ -1,4 +1,4 @@
-"""The list of hosts: known from before, called for, watched, and its failures."""
+"""The HTTP endpoint source: known list, snapshots, watches and failures."""
 
 from __future__ import annotations
 
@@ -30,47 +30,47 @@
 )
 
 
-def lists(run: Running) -> list[ServerList]:
-    """What the balancer is notified of the list from now on."""
+def record_lists(run: Running) -> list[ServerList]:
+    """Record the list events that the balancer receives from now on."""
     notified: list[ServerList] = []
 
-    def listen(event: object) -> None:
+    def on_event(event: object) -> None:
         if isinstance(event, ServerList):
             notified.append(event)
 
-    overhear(run, listen)
+    overhear(run, on_event)
     return notified
 
 
-def asked(registry: Peer) -> list[str]:
+def requested_targets(registry: Peer) -> list[str]:
     return [exchange.message.first.split(" ")[1] for exchange in registry.seen]
 
 
-def watcher(run: Running) -> None:
+def start_watch(run: Running) -> None:
     run.gateway.dispatcher.carry_out(WatchList())
 
 
 @on_loop
 async def test_a_watch_continues_from_the_held_version() -> None:
-    news = [
+    replies = [
         list_reply(8, endpoint("s-1", "127.0.0.1:1"), snapshot=False),
         list_reply(8, snapshot=False),
         list_reply(9, endpoint("s-0", "127.0.0.1:1", status="DELETED"), snapshot=False),
     ]
 
     def script(exchange: Exchange) -> None:
-        if news:
-            exchange.answer(news.pop(0))
+        if replies:
+            exchange.answer(replies.pop(0))
 
     async with (
         peer(script) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
-        watcher(run)
-        watcher(run)  # while it is on, another changes nothing
+        start_watch(run)
+        start_watch(run)  # has no effect on an active watch
         await until(lambda: len(registry.seen) == 4)
-        holds = [(7, 0), (8, 1000), (8, 1000), (9, 1000)]  # the first call on a connection waits for nothing
-        assert asked(registry) == [f"/registry/instances?from={n}&hold_ms={ms}" for n, ms in holds]
+        holds = [(7, 0), (8, 1000), (8, 1000), (9, 1000)]  # the first call on a connection is not a long poll
+        assert requested_targets(registry) == [f"/registry/instances?from={n}&hold_ms={ms}" for n, ms in holds]
         assert registry.opened == 1
         assert set(run.pool.hosts) == {host_id(1)} == set(run.module.endpoints.by_server)
 
@@ -81,9 +81,9 @@
         peer(silent) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
-        watcher(run)
+        start_watch(run)
         await until(lambda: registry.seen)
-        notified = lists(run)
+        notified = record_lists(run)
         run.gateway.dispatcher.carry_out(WatchList(False))
         await until(lambda: registry.ended == 1)
         assert not notified and run.discovery.poll_task is None
@@ -95,11 +95,11 @@
     async with peer(answers(list_reply(12, listed))) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request", "contract": {"mustAskInUs": 10**12}}
-        async with running(config) as run:  # no call but the test's
-            notified = lists(run)
+        async with running(config) as run:  # no poll except the one that this test starts
+            notified = record_lists(run)
             run.gateway.dispatcher.carry_out(FetchList())
             await until(lambda: notified)
-            assert asked(registry) == ["/registry/instances"]
+            assert requested_targets(registry) == ["/registry/instances"]
             (event,) = notified
             assert event.kind is ListKind.FULL
             (entry,) = event.servers
@@ -107,14 +107,14 @@
             assert set(run.pool.hosts) == {host_id(1)}
 
 
-def reset(exchange: Exchange) -> None:
+def reset_connection(exchange: Exchange) -> None:
     exchange.reset()
 
 
 @pytest.mark.parametrize(
     "script",
     [
-        reset,
+        reset_connection,
         answers(reply(503)),
         answers(reply(200, b"not JSON")),
         answers(reply(200, b"[]")),
@@ -127,12 +127,12 @@
 async def test_a_failed_call_is_reported_and_repeated_by_the_balancer(script: Script) -> None:
     async with peer(script) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
-        config["settings"]["membershipMode"] = "on_request"  # the module asks, and asks again
+        config["settings"]["membershipMode"] = "on_request"  # the balancer requests the polls and the retries
         async with running(config) as run:
-            notified = lists(run)
+            notified = record_lists(run)
             await until(lambda: len(notified) >= 2)
             assert {event.kind for event in notified} == {ListKind.ERROR}
-            assert set(run.pool.hosts) == {host_id(0)}  # the old list stands
+            assert set(run.pool.hosts) == {host_id(0)}  # the old list stays in use
             registry.script = answers(list_reply(9, endpoint("s-3", "127.0.0.1:1")))
             await until(lambda: host_id(3) in run.pool.hosts)
             registry.script = silent
@@ -141,7 +141,7 @@
 @on_loop
 async def test_a_pushed_list_is_watched_from_the_start_and_again_after_a_failure() -> None:
     async with (
-        peer(reset) as registry,
+        peer(reset_connection) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         await until(lambda: len(registry.seen) >= 2)
@@ -161,7 +161,7 @@
             endpoint("", host.address),
             endpoint("s-2", "nowhere"),
             endpoint("s-2", "127.0.0.1:99999"),
-            endpoint("s-2", host.address, status="NAPPING"),
+            endpoint("s-2", host.address, status="STOPPED"),
             endpoint("s-2", host.address, weight="heavy"),
             endpoint("s-2", host.address, weight=-1),
             endpoint("s-2", host.address, since_ms="long ago"),
@@ -186,6 +186,6 @@
         config["known"] = {"index": "new", "endpoints": 3}
         async with running(config) as run:
             await until(lambda: registry.seen)
-            assert asked(registry) == ["/registry/instances"]
+            assert requested_targets(registry) == ["/registry/instances"]
             assert not run.pool.hosts
     await asyncio.sleep(0)
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -1,4 +1,4 @@
-"""A long list is read in steps, and may come as gzip: what is notified is the same, and the loop serves others."""
+"""Incremental reading of long lists, with and without gzip: same result as at once, without blocking the loop."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from cloverkeel.discovery.relay_client import RelayEndpointSource
 from cloverkeel.discovery.relay_requests import RELAY_HOLD_S, RELAY_GRACE_S
 from cloverkeel.discovery.relay_selection import MAX_FIRST_FAILOVER_DELAY_S
-from cloverkeel.discovery.relay_client import RELAY_MAX_INCREMENTAL_READ_S as RELAYS_READ_S
+from cloverkeel.discovery.relay_client import RELAY_MAX_INCREMENTAL_READ_S
 from cloverkeel.discovery.poll_schedule import (
     SILENT_CONNECTION_DETECTION_S,
     MAX_INCREMENTAL_READ_S,
@@ -43,13 +43,13 @@
     Exchange, Peer, Running, answers, configuration, endpoint, host_id, hosts_list, on_loop, overhear, peer, reply,
     request, until,
 )  # fmt: skip
-from tests.discovery.test_list_cost import serving
+from tests.discovery.test_list_cost import make_endpoints
 
-# gzip, by steps
+# Incremental gzip
 
 
-def refused(body: bytes, limit: int = 1 << 20) -> int:
-    """After how many steps."""
+def count_steps_until_rejected(body: bytes, limit: int = 1 << 20) -> int:
+    """Assert that decompression fails, and return the number of steps before the failure."""
     steps, count = decompress_gzip(body, limit), 0
     with pytest.raises(ValueError):
         for _ in steps:
@@ -60,25 +60,25 @@
 @settings(max_examples=60)
 @given(st.binary(max_size=2_000), st.integers(1, 200), st.integers(0, 9), st.data())
 def test_valid_gzip_is_decompressed_and_other_data_is_rejected(
-    some: bytes, times: int, level: int, data: st.DataObject
+    chunk: bytes, times: int, level: int, data: st.DataObject
 ) -> None:
-    body = some * times
-    packed = gzip.compress(body, level)
-    assert run_to_completion(decompress_gzip(packed, len(body))) == body
-    refused(packed[: data.draw(st.integers(0, len(packed) - 1))])
-    refused(packed + data.draw(st.binary(min_size=1, max_size=9)))
-    refused(zlib.compress(body))
+    body = chunk * times
+    compressed_body = gzip.compress(body, level)
+    assert run_to_completion(decompress_gzip(compressed_body, len(body))) == body
+    count_steps_until_rejected(compressed_body[: data.draw(st.integers(0, len(compressed_body) - 1))])
+    count_steps_until_rejected(compressed_body + data.draw(st.binary(min_size=1, max_size=9)))
+    count_steps_until_rejected(zlib.compress(body))
     if body:
-        refused(packed, len(body) - 1)
+        count_steps_until_rejected(compressed_body, len(body) - 1)
 
 
 def test_work_per_decompression_step_is_bounded() -> None:
-    assert refused(gzip.compress(bytes(64 << 20)), 4 << 20) <= (4 << 20) // MAX_BYTES_PER_STEP
-    nothing = gzip.compress(b"")[:10] + b"\0\0\0\xff\xff" * 60_000  # blocks of nothing
-    assert refused(nothing) >= len(nothing) // MAX_BYTES_PER_STEP > 3
+    assert count_steps_until_rejected(gzip.compress(bytes(64 << 20)), 4 << 20) <= (4 << 20) // MAX_BYTES_PER_STEP
+    empty_blocks = gzip.compress(b"")[:10] + b"\0\0\0\xff\xff" * 60_000  # empty deflate blocks
+    assert count_steps_until_rejected(empty_blocks) >= len(empty_blocks) // MAX_BYTES_PER_STEP > 3
 
 
-# JSON, by steps
+# Incremental JSON
 
 
 ENTRIES: st.SearchStrategy[list[Any]] = st.lists(
@@ -99,26 +99,28 @@
         run_to_completion(decode_json(body[: data.draw(st.integers(0, len(body) - 1))]))
 
 
-# What is notified in the end
+# Lists passed to the core
 
 
-def compressed(reply_: bytes) -> bytes:
-    head, _, body = reply_.partition(b"\r\n\r\n")
+def gzip_reply(plain_reply: bytes) -> bytes:
+    head, _, body = plain_reply.partition(b"\r\n\r\n")
     made = gzip.compress(body)
     return reply(200, made, *(["Content-Encoding: gzip"] if head else []))
 
 
-def listed(index: int, whole: bool, hosts: dict[int, tuple[str, float, int]], address: str = "127.0.0.1:9") -> bytes:
-    """Hosts by number: status, weight, start."""
+def encode_list(
+    index: int, is_snapshot: bool, hosts: dict[int, tuple[str, float, int]], address: str = "127.0.0.1:9"
+) -> bytes:
+    """Return an encoded list; `hosts` maps numbers to (status, weight, start time in ms)."""
     items = [
         endpoint(f"s-{n}", address, status=status, weight=weight, since_ms=since)
         for n, (status, weight, since) in hosts.items()
     ]
-    return json.dumps(hosts_list(index, *items, snapshot=whole)).encode()
+    return json.dumps(hosts_list(index, *items, snapshot=is_snapshot)).encode()
 
 
 class DetachedGateway:
-    """A gateway whose client is handed its answers."""
+    """A gateway without network; tests pass replies to its discovery client directly."""
 
     def __init__(self, by_relay: bool) -> None:
         options = Options(relays=RelayOptions((("127.0.0.1", 9),))) if by_relay else None
@@ -128,7 +130,8 @@
         self.discovery: HttpEndpointSource = self.program.discovery
         if isinstance(self.discovery, RelayEndpointSource):
             self.discovery.selector.choose(0.0)
-            self.discovery.requested_s = asyncio.get_running_loop().time() + 60.0  # what it permits is newer than all
+            # In the future, so that all permissions are newer than any restriction
+            self.discovery.requested_s = asyncio.get_running_loop().time() + 60.0
         self.notified: list[tuple[ListKind, list[Any]]] = []
         on_list = self.discovery.on_list
 
@@ -145,55 +148,57 @@
         return {n: (servers[n].entry, hosts[n].started_us, hosts[n].draining_since_us is None) for n in hosts}
 
 
-def some_answer(rng: random.Random, index: int, whole: bool) -> bytes:
+def random_list(rng: random.Random, index: int, is_snapshot: bool) -> bytes:
     statuses = ("SERVING",) * 8 + ("DRAINING", "DELETED")
-    numbers = rng.sample(range(900), rng.choice((3, 60, 600)) if not whole else rng.choice((150, 700)))
+    numbers = rng.sample(range(900), rng.choice((3, 60, 600)) if not is_snapshot else rng.choice((150, 700)))
     hosts = {n: (rng.choice(statuses), rng.choice((0.5, 1.0)), rng.choice((0, 0, 0, 5))) for n in numbers}
-    return listed(index, whole, hosts)
+    return encode_list(index, is_snapshot, hosts)
 
 
 @pytest.mark.parametrize("by_relay", [False, True], ids=["discovery", "relay"])
 @settings(max_examples=25, deadline=None)
-@given(seed=st.integers(0, 2**32), plan=st.lists(st.sampled_from(["whole", "change", "left"]), max_size=6))
+@given(seed=st.integers(0, 2**32), plan=st.lists(st.sampled_from(["snapshot", "delta", "superseded"]), max_size=6))
 def test_incremental_reading_gives_the_same_state_as_reading_at_once(
     by_relay: bool, seed: int, plan: list[str]
 ) -> None:
-    """`left`: the list is superseded while it is read."""
-
-    async def play() -> None:
-        rng, at_once, by_steps = random.Random(seed), DetachedGateway(by_relay), DetachedGateway(by_relay)
-        for index, what in enumerate(["whole", *plan]):
-            body, before = some_answer(rng, index, what != "change"), len(by_steps.notified)
-            steps = by_steps.discovery.handle_body(body)
-            last = rng.randrange(20) if what == "left" else 10**9
+    """`superseded`: parsing is cancelled at a random step."""
+
+    async def run_plan() -> None:
+        rng, reference, incremental = random.Random(seed), DetachedGateway(by_relay), DetachedGateway(by_relay)
+        for index, action in enumerate(["snapshot", *plan]):
+            body, before = random_list(rng, index, action != "delta"), len(incremental.notified)
+            steps = incremental.discovery.handle_body(body)
+            last = rng.randrange(20) if action == "superseded" else 10**9
             for step, _ in enumerate(steps):
-                assert len(by_steps.notified) == before  # nothing until all was read
+                assert len(incremental.notified) == before  # nothing before the reply was parsed completely
                 if step == last:
                     break
                 if rng.random() < 0.2:
-                    await asyncio.sleep(0)  # a part of what waits of an earlier list
+                    await asyncio.sleep(0)  # may apply a batch of an earlier list
             steps.close()
-            if len(by_steps.notified) > before:
-                at_once.discovery.handle_body_at_once(body)
-                at_once.gateway.on_endpoint_list(ListKind.DELTA, [])
-            assert by_steps.discovery.schedule.version == at_once.discovery.schedule.version
-        while by_steps.gateway.endpoint_updates.batches.pending or at_once.gateway.endpoint_updates.batches.pending:
+            if len(incremental.notified) > before:
+                reference.discovery.handle_body_at_once(body)
+                reference.gateway.on_endpoint_list(ListKind.DELTA, [])
+            assert incremental.discovery.schedule.version == reference.discovery.schedule.version
+        while (
+            incremental.gateway.endpoint_updates.batches.pending or reference.gateway.endpoint_updates.batches.pending
+        ):
             await asyncio.sleep(0)
-        assert by_steps.state() == at_once.state()
-        assert [(kind, [e.listed for e in entries]) for kind, entries in by_steps.notified] == [
-            (kind, [e.listed for e in entries]) for kind, entries in at_once.notified
+        assert incremental.state() == reference.state()
+        assert [(kind, [e.listed for e in entries]) for kind, entries in incremental.notified] == [
+            (kind, [e.listed for e in entries]) for kind, entries in reference.notified
         ]
-        for gateway in (at_once, by_steps):
+        for gateway in (reference, incremental):
             gateway.program.close()
 
-    asyncio.run(play())
+    asyncio.run(run_plan())
 
 
 @on_loop
 async def test_restrictions_are_applied_first_and_at_once() -> None:
     gateway = DetachedGateway(by_relay=True)
-    served = {n: ("SERVING", 1.0, 0) for n in range(700)}
-    await gateway.discovery.handle_reply(Reply(200, [], listed(1, True, served), True))
+    original = {n: ("SERVING", 1.0, 0) for n in range(700)}
+    await gateway.discovery.handle_reply(Reply(200, [], encode_list(1, True, original), True))
     lists: list[ServerList] = []
     run = Running(gateway.gateway, gateway.program.server, gateway.program.pool, gateway.discovery, 0)
     overhear(run, lambda event: lists.append(event) if isinstance(event, ServerList) else None)
@@ -201,7 +206,7 @@
     gateway.discovery.requested_s += 1.0
     changed = {n: ("SERVING", 0.5, 0) for n in range(50, 690)}
     changed |= {n: ("DRAINING", 0.5, 0) for n in range(100, 400)} | {n: ("SERVING", 0.5, 7) for n in range(400, 650)}
-    await gateway.discovery.handle_reply(Reply(200, [], listed(2, True, changed), True))
+    await gateway.discovery.handle_reply(Reply(200, [], encode_list(2, True, changed), True))
     first = {entry.server: entry for entry in lists[0].servers}
     assert first.keys() == {host_id(n) for n in (*range(50), *range(100, 650), *range(690, 700))}
     assert first[host_id(5)].status is ServerStatus.GONE and first[host_id(649)].started_us == 7_000
@@ -213,32 +218,32 @@
 
 
 def test_a_list_is_split_depending_on_the_number_of_known_hosts() -> None:
-    """Who knows no more than the platform has takes lists of its size as they are; who knows more, a slice."""
-    entries = serving(range(MAX_UNSPLIT_ENTRIES))
+    """With up to MAX_UNSPLIT_ENTRIES known hosts, a list of that size is applied at once; with more, in batches."""
+    entries = make_endpoints(range(MAX_UNSPLIT_ENTRIES))
     assert ListBatches().split(entries, MAX_UNSPLIT_ENTRIES, lambda entry: False) == entries
     assert ListBatches().split(entries[:BATCH_ENTRIES], 700, lambda entry: False) == entries[:BATCH_ENTRIES]
-    slices = ListBatches()
+    batches = ListBatches()
     assert (
-        not slices.split(entries, MAX_UNSPLIT_ENTRIES + 1, lambda entry: False)
-        and len(slices.pending) == MAX_UNSPLIT_ENTRIES
+        not batches.split(entries, MAX_UNSPLIT_ENTRIES + 1, lambda entry: False)
+        and len(batches.pending) == MAX_UNSPLIT_ENTRIES
     )
 
 
-# Turns of the loop
+# Suspension of the reader
 
 
-class Worker(PollingClient):
-    """Whose answers take so many steps of so long."""
+class SlowClient(PollingClient):
+    """A client whose replies take a given number of parsing steps of a given duration."""
 
     def __init__(self, steps: int, step_s: float) -> None:
         super().__init__(("127.0.0.1", 9), pushed=True)
         self.steps, self.step_s = steps, step_s
-        self.turns: list[int] = []  # how many steps each had
+        self.turns: list[int] = []  # number of parsing steps in each turn of the event loop
 
     def handle_body(self, body: bytes) -> HintedIncremental[bool]:
         for _ in range(self.steps):
-            until_s = time.monotonic() + self.step_s
-            while time.monotonic() < until_s:
+            end_s = time.monotonic() + self.step_s
+            while time.monotonic() < end_s:
                 pass
             self.turns[-1] += 1
             yield None
@@ -247,7 +252,7 @@
     def on_call_failed(self) -> None:
         pass
 
-    async def work(self, size: int) -> list[int]:
+    async def handle(self, size: int) -> list[int]:
         self.turns = [0]
         handling = asyncio.create_task(self.handle_reply(Reply(200, [], bytes(size), True)))
         while not handling.done():
@@ -259,16 +264,17 @@
 
 @on_loop
 async def test_parsing_suspends_by_elapsed_time_and_only_for_long_replies() -> None:
-    worker = Worker(40, PollingClient.read_slice_s * 1.1)
-    worker.max_incremental_read_s = 60.0
-    assert await worker.work(worker.max_atomic_read_bytes + 1) == [1] * 40
-    assert await worker.work(worker.max_atomic_read_bytes) == [40]
-    worker.max_incremental_read_s = 10 * worker.step_s
-    turns = await worker.work(worker.max_atomic_read_bytes + 1)
-    assert len(turns) <= 11 and turns[-1] >= 30  # its time is over: the rest in one piece
-    worker.max_incremental_read_s, worker.catch_up_task = 60.0, asyncio.create_task(asyncio.sleep(60))
-    assert await worker.work(worker.max_atomic_read_bytes + 1) == [40]  # nothing is sent before it is notified
-    worker.catch_up_task.cancel()
+    client = SlowClient(40, PollingClient.read_slice_s * 1.1)
+    client.max_incremental_read_s = 60.0
+    assert await client.handle(client.max_atomic_read_bytes + 1) == [1] * 40
+    assert await client.handle(client.max_atomic_read_bytes) == [40]
+    client.max_incremental_read_s = 10 * client.step_s
+    turns = await client.handle(client.max_atomic_read_bytes + 1)
+    assert len(turns) <= 11 and turns[-1] >= 30  # after the time limit, the rest is read without suspending
+    client.max_incremental_read_s, client.catch_up_task = 60.0, asyncio.create_task(asyncio.sleep(60))
+    # In a catch-up, reading does not suspend, because requests wait for this list
+    assert await client.handle(client.max_atomic_read_bytes + 1) == [40]
+    client.catch_up_task.cancel()
 
 
 def test_reading_time_fits_within_the_notification_delay() -> None:
@@ -276,20 +282,25 @@
         max(SILENT_WATCH_DETECTION_S, SILENT_CONNECTION_DETECTION_S, UNREACHABLE_DETECTION_S) + MAX_INCREMENTAL_READ_S
         < MAX_NOTIFICATION_DELAY_S
     )
-    assert RELAY_HOLD_S + RELAY_GRACE_S + MAX_FIRST_FAILOVER_DELAY_S + 1.0 + RELAYS_READ_S < MAX_NOTIFICATION_DELAY_S
+    assert (
+        RELAY_HOLD_S + RELAY_GRACE_S + MAX_FIRST_FAILOVER_DELAY_S + 1.0 + RELAY_MAX_INCREMENTAL_READ_S
+        < MAX_NOTIFICATION_DELAY_S
+    )
 
 
 # On loopback
 
-MANY = 4_000  # hosts of a list that takes a hundred turns and more to read
+LONG_LIST_HOSTS = 4_000  # hosts in a list that takes over 100 turns of the event loop to read
 
 
-def many(index: int, address: str, status: str = "SERVING", weight: float = 1.0, count: int = MANY) -> bytes:
-    return reply(200, listed(index, True, {n: (status, weight, 0) for n in range(count)}, address))
+def long_list(
+    index: int, address: str, status: str = "SERVING", weight: float = 1.0, count: int = LONG_LIST_HOSTS
+) -> bytes:
+    return reply(200, encode_list(index, True, {n: (status, weight, 0) for n in range(count)}, address))
 
 
 class ScriptedSource:
-    """A scripted relay or discovery: these answers in order, then nothing new."""
+    """A scripted relay or discovery: sends the given replies in order, then empty deltas."""
 
     def __init__(self, *answers_: bytes) -> None:
         self.answers = list(answers_)
@@ -300,12 +311,12 @@
             return
         await asyncio.sleep(RELAY_HOLD_S / 2)
         index = exchange.message.first.partition("from=")[2].split("&")[0]
-        exchange.answer(reply(200, listed(int(index or 0), False, {})))
+        exchange.answer(reply(200, encode_list(int(index or 0), False, {})))
 
 
 @asynccontextmanager
-async def beside(host: Peer, source: Peer, by_relay: bool = True) -> AsyncIterator[Running]:
-    """The gateway, serving, behind this relay or this discovery."""
+async def serving_gateway(host: Peer, source: Peer, by_relay: bool = True) -> AsyncIterator[Running]:
+    """Run a serving gateway that polls this relay or this discovery."""
     options = Options(relays=RelayOptions((("127.0.0.1", int(source.address.split(":")[1])),)))
     program = assemble(parse(configuration(host, discovery=source.address)), options if by_relay else None)
     await program.server.start()
@@ -318,8 +329,8 @@
         program.close()
 
 
-async def reading(run: Running) -> None:
-    """Until a long answer is being read, and some of it was."""
+async def wait_until_reading(run: Running) -> None:
+    """Wait until a long reply is partly read."""
     while not run.discovery.is_reading:
         await asyncio.sleep(0)
     await asyncio.sleep(0)
@@ -328,23 +339,23 @@
 
 @on_loop
 async def test_requests_are_served_while_a_long_gzip_list_is_read() -> None:
-    async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
-        relay.script = ScriptedSource(compressed(many(5, host.address)))
+    async with peer(answers(reply())) as host, peer() as relay, serving_gateway(host, relay) as run:
+        relay.script = ScriptedSource(gzip_reply(long_list(5, host.address)))
         client = await run.connect()
         run.gateway.start()
-        served = 0
-        while host_id(MANY - 1) not in run.pool.hosts:
+        responses = 0
+        while host_id(LONG_LIST_HOSTS - 1) not in run.pool.hosts:
             assert (await client.ask(request())).status == 200
-            served += run.discovery.is_reading
-        assert served > 3 and run.pool.host_count() == MANY
+            responses += run.discovery.is_reading
+        assert responses > 3 and run.pool.host_count() == LONG_LIST_HOSTS
         assert relay.seen[0].message.headers["accept-encoding"] == "gzip"
         client.close()
 
 
 @on_loop
 async def test_direct_requests_to_discovery_have_no_extra_headers() -> None:
-    async with peer(answers(reply())) as host, peer() as discovery, beside(host, discovery, False) as run:
-        discovery.script = ScriptedSource(many(5, host.address, count=3))
+    async with peer(answers(reply())) as host, peer() as discovery, serving_gateway(host, discovery, False) as run:
+        discovery.script = ScriptedSource(long_list(5, host.address, count=3))
         run.gateway.start()
         await until(lambda: len(discovery.seen) >= 3)
         assert all(exchange.message.headers.keys() == {"host"} for exchange in discovery.seen)
@@ -357,77 +368,80 @@
     assert gateway.discovery.extra_headers()
     gateway.discovery.selector.current = None
     assert not gateway.discovery.extra_headers()
-    odd = Reply(200, [(b"content-encoding", b"x")], b"as it is", True)
-    assert run_to_completion(gateway.discovery.decode_content(odd)) == b"as it is"
+    coded_reply = Reply(200, [(b"content-encoding", b"x")], b"as it is", True)
+    assert run_to_completion(gateway.discovery.decode_content(coded_reply)) == b"as it is"
     gateway.program.close()
 
 
 @on_loop
 async def test_a_drain_in_the_next_reply_overtakes_a_pending_long_list() -> None:
-    async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
-        drain = reply(200, listed(7, False, {MANY - 1: ("DRAINING", 0.5, 0)}, host.address))
-        relay.script = ScriptedSource(many(5, host.address), compressed(many(6, host.address, weight=0.5)), drain)
-        waiting: list[int] = []
+    async with peer(answers(reply())) as host, peer() as relay, serving_gateway(host, relay) as run:
+        drain = reply(200, encode_list(7, False, {LONG_LIST_HOSTS - 1: ("DRAINING", 0.5, 0)}, host.address))
+        relay.script = ScriptedSource(
+            long_list(5, host.address), gzip_reply(long_list(6, host.address, weight=0.5)), drain
+        )
+        pending_counts: list[int] = []
 
         def on_event(event: object) -> None:
             if isinstance(event, ServerList) and any(e.status is ServerStatus.DRAINING for e in event.servers):
-                waiting.append(len(run.gateway.endpoint_updates.batches.pending))
+                pending_counts.append(len(run.gateway.endpoint_updates.batches.pending))
 
         overhear(run, on_event)
         run.gateway.start()
-        await until(lambda: waiting and not run.gateway.endpoint_updates.batches.pending)
-        assert waiting[0] > 0
-        assert run.pool.hosts[host_id(MANY - 1)].draining_since_us is not None
+        await until(lambda: pending_counts and not run.gateway.endpoint_updates.batches.pending)
+        assert pending_counts[0] > 0
+        assert run.pool.hosts[host_id(LONG_LIST_HOSTS - 1)].draining_since_us is not None
         assert run.module.endpoints.by_server[host_id(0)].entry.weight == 0.5
 
 
-@pytest.mark.parametrize("how", ["move", "fetch", "stop", "close", "unfit"])
+@pytest.mark.parametrize("cause", ["move", "fetch", "stop", "close", "invalid"])
 @on_loop
-async def test_a_list_that_is_superseded_while_being_read_is_never_applied(how: str) -> None:
+async def test_a_list_that_is_superseded_while_being_read_is_never_applied(cause: str) -> None:
     async with (
-        peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first, False) as run,
+        peer(answers(reply())) as host, peer() as first, peer() as other, serving_gateway(host, first, False) as run,
     ):  # fmt: skip
-        long, short = many(8, host.address), many(9, host.address, count=2)
-        if how == "unfit":
+        long, short = long_list(8, host.address), long_list(9, host.address, count=2)
+        if cause == "invalid":
             long = reply(200, long.partition(b"\r\n\r\n")[2][:-1])
         first.script, other.script = ScriptedSource(long, short), ScriptedSource(short)
         counts: set[int] = set()
         overhear(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
-        await reading(run)
-        if how == "move":
+        await wait_until_reading(run)
+        if cause == "move":
             run.discovery.move(("127.0.0.1", int(other.address.split(":")[1])))
-        elif how != "unfit":
-            getattr(run.discovery, how)()
-        if how in ("stop", "close"):
-            for _ in range(2 * MANY // ENTRIES_PER_STEP):  # more turns than the rest of it would take
+        elif cause != "invalid":
+            getattr(run.discovery, cause)()
+        if cause in ("stop", "close"):
+            for _ in range(2 * LONG_LIST_HOSTS // ENTRIES_PER_STEP):  # more turns than the rest of the reply needs
                 await asyncio.sleep(0)
-            assert run.pool.host_count() == 1 and run.discovery.schedule.version == 7  # as at the start
+            assert run.pool.host_count() == 1 and run.discovery.schedule.version == 7  # the initial list
         else:
             await until(lambda: run.discovery.schedule.version == 9)
             assert run.pool.host_count() == 2
-        if how in ("move", "fetch"):
-            asked = (other.seen if how == "move" else first.seen[1:])[0]
-            assert "from=" not in asked.message.first
+        if cause in ("move", "fetch"):
+            next_request = (other.seen if cause == "move" else first.seen[1:])[0]
+            assert "from=" not in next_request.message.first
         assert not run.discovery.is_reading and max(counts) <= 2
 
 
 @on_loop
 async def test_a_list_of_a_relay_that_is_left_while_reading_it_is_never_applied() -> None:
-    async with peer(answers(reply())) as host, peer() as first, peer() as other, beside(host, first) as run:
+    async with peer(answers(reply())) as host, peer() as first, peer() as other, serving_gateway(host, first) as run:
         first.script, other.script = (
-            ScriptedSource(compressed(many(8, host.address))),
-            ScriptedSource(many(9, host.address, count=2)),
+            ScriptedSource(gzip_reply(long_list(8, host.address))),
+            ScriptedSource(long_list(9, host.address, count=2)),
         )
         counts: set[int] = set()
         overhear(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
-        await reading(run)
+        await wait_until_reading(run)
         assert isinstance(run.discovery, RelayEndpointSource)
-        asked_s = run.discovery.requested_s
+        requested_s = run.discovery.requested_s
         run.discovery.use(RelayOptions((("127.0.0.1", int(other.address.split(":")[1])),)))
         while run.discovery.is_reading:
-            assert run.discovery.requested_s == asked_s  # another is asked after that
+            # The next relay is polled only after reading has ended
+            assert run.discovery.requested_s == requested_s
             await asyncio.sleep(0)
         await until(lambda: run.discovery.schedule.version == 9)
         assert max(counts) <= 2 and "from=" not in other.seen[0].message.first
@@ -435,7 +449,7 @@
 
 @on_loop
 async def test_a_list_being_read_during_a_stall_is_applied_before_requests_are_sent() -> None:
-    async with peer(answers(reply())) as host, peer() as relay, beside(host, relay) as run:
+    async with peer(answers(reply())) as host, peer() as relay, serving_gateway(host, relay) as run:
         order: list[str] = []
 
         def on_event(event: object) -> None:
@@ -445,10 +459,10 @@
                 order.append("request")
 
         overhear(run, on_event)
-        relay.script = ScriptedSource(compressed(many(5, host.address)))
+        relay.script = ScriptedSource(gzip_reply(long_list(5, host.address)))
         run.gateway.start()
         client = await run.connect()
-        await reading(run)
+        await wait_until_reading(run)
         run.gateway.check_stall(run.gateway.stall_detector.last_check_us + 1_000_000)
         client.send(request())
         assert (await client.answer()).status == 200
--- a/tests/discovery/test_known_state.py
+++ b/tests/discovery/test_known_state.py
@@ -1,4 +1,4 @@
-"""What a gateway behind relays knows of each host, whatever relays answer."""
+"""Host states of a gateway behind relays, for arbitrary sequences of relay replies."""
 
 from __future__ import annotations
 
@@ -20,53 +20,54 @@
 HOSTS = 3
 
 
-EVENT_S = 0.5
+CHANGE_INTERVAL_S = 0.5
 
 
 @pytest.mark.parametrize("part", range(4))
 def test_no_relay_undoes_a_known_restriction(part: int) -> None:
-    """Discovery changes twice a second; each relay is behind it as it likes, and tells the least age that is true."""
+    """Discovery changes twice a second; relays lag by a random delay and report the lowest age that is correct."""
     for seed in range(part * 250, part * 250 + 250):
         check_random_walk(random.Random(seed))
 
 
-def check_random_walk(chance: random.Random) -> None:
-    history = [(chance.randrange(HOSTS), chance.choice(list(ServerStatus))) for _ in range(120)]
-    known_state, now_s, run, of = KnownState(), 2.0, -1, 0
-    shown: dict[int, ServerStatus] = {}
+def check_random_walk(rng: random.Random) -> None:
+    history = [(rng.randrange(HOSTS), rng.choice(list(ServerStatus))) for _ in range(120)]
+    known_state, now_s, run_relay, version = KnownState(), 2.0, -1, 0  # version: index in `history`
+    relay_state: dict[int, ServerStatus] = {}
     core: dict[int, ServerStatus] = {}
-    ended = dict.fromkeys(range(HOSTS), -1)  # the latest state in which a restriction of it was read
+    restricted_at = dict.fromkeys(range(HOSTS), -1)  # the latest version in which a restriction of a host was read
     relay = 0
     while now_s < 55.0:
-        relay = chance.randrange(3) if chance.random() < 0.3 else relay
-        asked_s = now_s
-        now_s += chance.choice((0.02, 0.4, 0.7))
-        whole = relay != run or chance.random() < 0.05  # or it began anew
-        lag = chance.choice((0, 0, 1, 2, 3, 4, 12, 30))
-        of = max(0 if whole else of, int(asked_s / EVENT_S) - lag)  # in order within a run
-        run, age_s = relay, max(0.0, asked_s - (of + 1) * EVENT_S)
-        new = {9: ServerStatus.READY} | dict(history[:of])
-        new = {n: status for n, status in new.items() if status is not ServerStatus.GONE}
-        said = {n: status for n, status in new.items() if whole or shown.get(n) is not status}
-        said |= {} if whole else {n: ServerStatus.GONE for n in shown if n not in new}
-        shown = new
-        entries = [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, status)) for n, status in said.items()]
-        update = known_state.accept(RelayAnswer(now_s, asked_s, age_s, whole, entries))
-        kind, passed, asks = update.kind, update.endpoints, update.requires_snapshot
-        run = -1 if asks else run  # the next is whole
-        before, named = core, {entry.listed.server: entry.listed.status for entry in passed}
-        core = {**({} if kind is ListKind.FULL else before), **named}
+        relay = rng.randrange(3) if rng.random() < 0.3 else relay
+        requested_s = now_s
+        now_s += rng.choice((0.02, 0.4, 0.7))
+        is_snapshot = relay != run_relay or rng.random() < 0.05  # also after a restart of the relay
+        lag = rng.choice((0, 0, 1, 2, 3, 4, 12, 30))
+        # Versions do not decrease within a run
+        version = max(0 if is_snapshot else version, int(requested_s / CHANGE_INTERVAL_S) - lag)
+        run_relay, age_s = relay, max(0.0, requested_s - (version + 1) * CHANGE_INTERVAL_S)
+        state = {9: ServerStatus.READY} | dict(history[:version])
+        state = {n: status for n, status in state.items() if status is not ServerStatus.GONE}
+        sent = {n: status for n, status in state.items() if is_snapshot or relay_state.get(n) is not status}
+        sent |= {} if is_snapshot else {n: ServerStatus.GONE for n in relay_state if n not in state}
+        relay_state = state
+        entries = [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, status)) for n, status in sent.items()]
+        update = known_state.accept(RelayAnswer(now_s, requested_s, age_s, is_snapshot, entries))
+        kind, passed, requires_snapshot = update.kind, update.endpoints, update.requires_snapshot
+        run_relay = -1 if requires_snapshot else run_relay  # the next reply is a snapshot
+        before, updated = core, {entry.listed.server: entry.listed.status for entry in passed}
+        core = {**({} if kind is ListKind.FULL else before), **updated}
         core = {n: status for n, status in core.items() if status is not ServerStatus.GONE}
         assert core == known_state.status_by_server
         for n in range(HOSTS):
             if core.get(n) is ServerStatus.READY and before.get(n) is not ServerStatus.READY:
-                assert of >= ended[n]
-            restricts = n in named and said.get(n) in (ServerStatus.DRAINING, ServerStatus.GONE)
-            if restricts or (n in before and n not in core):
-                ended[n] = max(ended[n], of)
-        if age_s <= MAX_STALENESS_S and not asks:  # what waits has cause to
+                assert version >= restricted_at[n]
+            is_restricted = n in updated and sent.get(n) in (ServerStatus.DRAINING, ServerStatus.GONE)
+            if is_restricted or (n in before and n not in core):
+                restricted_at[n] = max(restricted_at[n], version)
+        if age_s <= MAX_STALENESS_S and not requires_snapshot:  # each deferred permission contradicts a restriction
             assert all(
-                known_state.restriction_by_server[n].read_s > asked_s - age_s - CLOCK_RATE_SLACK_S
+                known_state.restriction_by_server[n].read_s > requested_s - age_s - CLOCK_RATE_SLACK_S
                 for n in known_state.deferred_by_server
             )
         assert len(known_state.restriction_by_server) <= HOSTS and len(known_state.deferred_by_server) <= HOSTS
@@ -98,6 +99,6 @@
     def listed(*numbers: int) -> list[Endpoint]:
         return [Endpoint(f"s-{n}", ("h", 1), ListedServer(n)) for n in numbers]
 
-    held = dict.fromkeys(range(4), ServerStatus.READY)
-    assert [entry.listed.server for entry in restrict_to_known(held, listed(0, 1, 8, 9))] == [0, 1]
-    assert [entry.listed.server for entry in restrict_to_known(held, listed(0, 8, 9))] == [0, 8, 9]
+    status_by_server = dict.fromkeys(range(4), ServerStatus.READY)
+    assert [entry.listed.server for entry in restrict_to_known(status_by_server, listed(0, 1, 8, 9))] == [0, 1]
+    assert [entry.listed.server for entry in restrict_to_known(status_by_server, listed(0, 8, 9))] == [0, 8, 9]
--- a/tests/discovery/test_manual_ejections.py
+++ b/tests/discovery/test_manual_ejections.py
@@ -1,4 +1,4 @@
-"""Hosts ejected by hand: the overlay on the list."""
+"""Manual ejections as an overlay on the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cloverkeel.discovery.manual_ejections import MAX_FORMERLY_LISTED, ManualEjections
 
 READY, DRAINING, GONE = ServerStatus.READY, ServerStatus.DRAINING, ServerStatus.GONE
-STRENGTH = {READY: 2, DRAINING: 1, GONE: 0}
+RANK_BY_STATUS = {READY: 2, DRAINING: 1, GONE: 0}
 
 
 def entry(name: str, status: ServerStatus = READY, started_us: int = 0) -> Endpoint:
@@ -55,7 +55,7 @@
     ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
     ejections.eject(1_000, "a")
     assert summary(ejections.reinstate(9_000, "a")) == [("a", READY, 9_000)]
-    # The list tells a start within the ejection, late: the host warms up as before.
+    # The list reports, late, a start during the ejection: the host keeps the later start and warms up.
     assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=5_000)])) == [("a", READY, 9_000)]
     assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=9_500)])) == [("a", READY, 9_500)]
 
@@ -121,30 +121,30 @@
 
 @given(STEPS)
 def test_an_ejection_only_restricts_and_ends_with_one_call(steps: list[tuple[object, ...]]) -> None:
-    """Against a plain model: the last entry of each host, and the ejections."""
+    """Compare with a simple model: the last entry of each host, and the ejections."""
     ejections = ManualEjections()
-    out: dict[str, int] = {}
+    ejected_us_by_name: dict[str, int] = {}
     listed: dict[str, Endpoint] = {}
     for at_us, step in enumerate(steps, 100):
         if step[0] == "list":
-            kind, raw = step[1], step[2]
-            given_ = [entry(n, s, t) for n, s, t in raw if kind is ListKind.DELTA or s is not GONE]  # type: ignore
-            passed = ejections.apply(kind, given_)  # type: ignore[arg-type]
+            kind, raw_entries = step[1], step[2]
+            entries = [entry(n, s, t) for n, s, t in raw_entries if kind is ListKind.DELTA or s is not GONE]  # type: ignore
+            passed = ejections.apply(kind, entries)  # type: ignore[arg-type]
             if kind is ListKind.FULL:
                 listed = {}
-            for was, now in zip(given_, passed, strict=True):
-                listed[was.name] = was
-                assert STRENGTH[now.listed.status] <= STRENGTH[was.listed.status]
-                assert now.listed.started_us >= was.listed.started_us
+            for original, result in zip(entries, passed, strict=True):
+                listed[original.name] = original
+                assert RANK_BY_STATUS[result.listed.status] <= RANK_BY_STATUS[original.listed.status]
+                assert result.listed.started_us >= original.listed.started_us
         elif step[0] == "eject":
             passed = ejections.eject(at_us, str(step[1]))
-            out.setdefault(str(step[1]), at_us)
+            ejected_us_by_name.setdefault(str(step[1]), at_us)
         else:
             passed = ejections.reinstate(at_us, str(step[1]))
-            out.pop(str(step[1]), None)
-        for now in passed:
-            if now.name in out:
-                assert now.listed.status is not READY
+            ejected_us_by_name.pop(str(step[1]), None)
+        for result in passed:
+            if result.name in ejected_us_by_name:
+                assert result.listed.status is not READY
             else:
-                assert now.listed.status is listed[now.name].listed.status
-        assert ejections.ejected_us_by_name == out
+                assert result.listed.status is listed[result.name].listed.status
+        assert ejections.ejected_us_by_name == ejected_us_by_name
--- a/tests/discovery/test_relay_client.py
+++ b/tests/discovery/test_relay_client.py
@@ -1,4 +1,4 @@
-"""A gateway behind scripted relays, on loopback."""
+"""A gateway with scripted relays, on loopback."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from cloverkeel.discovery.relay_requests import RELAY_HOLD_S
 from cloverkeel.discovery.poll_schedule import (
     LONG_POLL_HOLD_S,
-    LONG_POLL_GRACE_S as LONG_LATE_S,
+    LONG_POLL_GRACE_S,
 )
 from tests.sockets import (
     Exchange, Peer, Running, Script, answers, configuration, endpoint, host_id, hosts_list, list_reply, on_loop, peer,
@@ -33,8 +33,8 @@
     return reply(200, json.dumps(hosts_list(index, *endpoints, snapshot=snapshot) | {"age_ms": age_ms}).encode())
 
 
-def holding(whole: bytes) -> Script:
-    """A relay with one list, without news."""
+def relay_script(snapshot_reply: bytes) -> Script:
+    """Return the script of a relay that serves one snapshot and then empty deltas."""
 
     async def script(exchange: Exchange) -> None:
         if "/relay/state" in exchange.message.first:
@@ -43,16 +43,16 @@
             await asyncio.sleep(RELAY_HOLD_S / 2)
             exchange.answer(relay_list(5, snapshot=False))
         else:
-            exchange.answer(whole)
+            exchange.answer(snapshot_reply)
 
     return script
 
 
 @asynccontextmanager
-async def behind(
+async def gateway_with_relays(
     host: Peer, relays: list[Peer], discovery: str = "127.0.0.1:9", **options: Any
 ) -> AsyncIterator[tuple[Running, list[Peer]]]:
-    """The gateway behind relays, and these in its order."""
+    """Run a gateway with these relays; yields it and the relays in the order in which it prefers them."""
     config = parse(configuration(host, discovery=discovery))
     addresses = tuple(("127.0.0.1", int(relay.address.split(":")[1])) for relay in relays)
     program = assemble(config, Options(relays=RelayOptions(addresses, **options)))
@@ -67,7 +67,7 @@
         program.close()
 
 
-def drained(run: Running, number: int = 0) -> bool:
+def is_draining(run: Running, number: int = 0) -> bool:
     return run.pool.hosts[host_id(number)].draining_since_us is not None
 
 
@@ -82,34 +82,34 @@
         peer() as a,
         peer() as b,
         peer() as discovery,
-        behind(host, [a, b], discovery.address, services=("s1", "s 2")) as (run, (first, second)),
+        gateway_with_relays(host, [a, b], discovery.address, services=("s1", "s 2")) as (run, (first, second)),
     ):
-        first.script = holding(relay_list(5, endpoint("s-1", host.address, service="s1", users=12)))
+        first.script = relay_script(relay_list(5, endpoint("s-1", host.address, service="s1", users=12)))
         run.gateway.start()
         await until(lambda: len(first.seen) >= 3)
-        named = "/registry/instances?gateway=n0&services=s1,s%202&wide=0"
-        assert targets(first)[:3] == [named] + [named + "&from=5&hold_ms=400"] * 2
+        expected = "/registry/instances?gateway=n0&services=s1,s%202&wide=0"
+        assert targets(first)[:3] == [expected] + [expected + "&from=5&hold_ms=400"] * 2
         assert set(run.pool.hosts) == {host_id(1)} and first.opened == 1
         assert not second.opened and not discovery.opened
         assert run.module.endpoints.by_server[host_id(1)].entry.users == 12
 
 
-def coded(body: bytes, coding: str = "gzip") -> Script:
+def reply_with_coding(body: bytes, coding: str = "gzip") -> Script:
     return answers(reply(200, body, f"Content-Encoding: {coding}"))
 
 
 DRAIN = json.dumps(hosts_list(6, endpoint("s-0", "127.0.0.1:9", status="DRAINING"), snapshot=False)).encode()
 FAULTS: dict[str, Script] = {
-    "gzip cut short": coded(gzip.compress(DRAIN)[:-9]),
-    "more than gzip": coded(gzip.compress(DRAIN) + b"x"),
-    "no gzip": coded(DRAIN),
-    "another coding": coded(DRAIN, "br"),
-    "too long once read": coded(gzip.compress(DRAIN + b" " * MAX_REPLY_BYTES, 1)),
+    "truncated gzip": reply_with_coding(gzip.compress(DRAIN)[:-9]),
+    "trailing data": reply_with_coding(gzip.compress(DRAIN) + b"x"),
+    "not gzip": reply_with_coding(DRAIN),
+    "another coding": reply_with_coding(DRAIN, "br"),
+    "too long when decompressed": reply_with_coding(gzip.compress(DRAIN + b" " * MAX_REPLY_BYTES, 1)),
     "reset": lambda exchange: exchange.reset(),
-    "refuses": answers(reply(503)),
-    "rubbish": answers(reply(200, b"not JSON")),
-    "odd age": answers(relay_list(6, age_ms="old")),
-    "no entry that can be used": answers(relay_list(6, {"name": "", "status": "SERVING"})),
+    "status 503": answers(reply(503)),
+    "invalid JSON": answers(reply(200, b"not JSON")),
+    "invalid age": answers(relay_list(6, age_ms="old")),
+    "no valid entry": answers(relay_list(6, {"name": "", "status": "SERVING"})),
     "silent": silent,
     "stale": lambda exchange: exchange.answer(relay_list(6, age_ms=60_000, snapshot=False)),
 }
@@ -122,41 +122,43 @@
         peer() as host,
         peer() as a,
         peer() as b,
-        behind(host, [a, b]) as (run, (first, second)),
+        gateway_with_relays(host, [a, b]) as (run, (first, second)),
     ):
-        since: list[float] = []
+        fault_times_s: list[float] = []
 
         def script(exchange: Exchange) -> None:
-            if "from=" not in exchange.message.first and not since:
+            if "from=" not in exchange.message.first and not fault_times_s:
                 exchange.answer(relay_list(5, endpoint("s-0", host.address)))
             else:
-                since.append(time.monotonic())
+                fault_times_s.append(time.monotonic())
                 FAULTS[fault](exchange)
 
         first.script = script
-        second.script = holding(relay_list(900, endpoint("s-0", host.address, status="DRAINING")))
+        second.script = relay_script(relay_list(900, endpoint("s-0", host.address, status="DRAINING")))
         run.gateway.start()
-        await until(lambda: since)
-        assert not drained(run)
-        await until(lambda: drained(run))
-        assert time.monotonic() - since[0] < LONG_POLL_HOLD_S + LONG_LATE_S  # when a watch of discovery is given up
+        await until(lambda: fault_times_s)
+        assert not is_draining(run)
+        await until(lambda: is_draining(run))
+        # Faster than a silent watch of discovery is abandoned
+        assert time.monotonic() - fault_times_s[0] < LONG_POLL_HOLD_S + LONG_POLL_GRACE_S
         assert "from=" not in next(target for target in targets(second) if target != "/relay/state")
-        left = len(first.seen)
+        seen_before = len(first.seen)
         await until(lambda: len(second.seen) >= 3)
-        assert len(first.seen) == left and first.ended == first.opened  # it rests, and its connection is closed
+        # The failed relay cools down, and its connection is closed
+        assert len(first.seen) == seen_before and first.ended == first.opened
 
 
-@pytest.mark.parametrize("state", [b"rubbish", b'{"version":1,"age_ms":59000}', None])
+@pytest.mark.parametrize("state", [b"invalid", b'{"version":1,"age_ms":59000}', None])
 @on_loop
 async def test_a_partitioned_relay_is_left_for_one_that_reports_a_fresh_list(state: bytes | None) -> None:
-    """The others are looked at meanwhile: one that says rubbish, hardly less old, or nothing is not gone to."""
+    """Freshness checks reject a relay whose state is invalid, hardly fresher or not sent."""
     entry = endpoint("s-0", "127.0.0.1:1")
 
-    def says(age_ms: int, answer: bytes | None) -> Script:
+    def script_with_age(age_ms: int, state_reply: bytes | None) -> Script:
         async def script(exchange: Exchange) -> None:
             if exchange.message.first.startswith("GET /relay/state "):
-                if answer is not None:
-                    exchange.answer(reply(200, answer))
+                if state_reply is not None:
+                    exchange.answer(reply(200, state_reply))
                 return
             is_held = "from=" in exchange.message.first
             await asyncio.sleep(RELAY_HOLD_S / 10 if is_held else 0)
@@ -164,10 +166,16 @@
 
         return script
 
-    async with peer() as host, peer() as a, peer() as b, peer() as c, behind(host, [a, b, c]) as (run, ordered):
-        ordered[0].script = says(60_000, None)
-        ordered[1].script = says(59_900, state)
-        ordered[2].script = says(300, b'{"version":7,"age_ms":300}')
+    async with (
+        peer() as host,
+        peer() as a,
+        peer() as b,
+        peer() as c,
+        gateway_with_relays(host, [a, b, c]) as (run, ordered),
+    ):
+        ordered[0].script = script_with_age(60_000, None)
+        ordered[1].script = script_with_age(59_900, state)
+        ordered[2].script = script_with_age(300, b'{"version":7,"age_ms":300}')
         run.gateway.start()
         await until(lambda: run.discovery.selector.current is run.discovery.selector.ranked[2])  # type: ignore[attr-defined]
         await until(lambda: any("from=" in target for target in targets(ordered[2])))
@@ -181,35 +189,35 @@
         peer() as host,
         peer() as a,
         peer() as b,
-        behind(host, [a, b]) as (run, (first, second)),
+        gateway_with_relays(host, [a, b]) as (run, (first, second)),
     ):
-        paced: list[bool] = []
+        had_no_poll_task: list[bool] = []
 
-        async def late(exchange: Exchange) -> None:
-            await until(lambda: run.discovery.retry_timer)  # it is between the two
+        async def reply_late(exchange: Exchange) -> None:
+            await until(lambda: run.discovery.retry_timer)  # between two relays
             run.gateway.dispatcher.carry_out(WatchList())
-            paced.append(run.discovery.poll_task is None)
-            with suppress(RuntimeError):  # closed already
+            had_no_poll_task.append(run.discovery.poll_task is None)
+            with suppress(RuntimeError):  # the connection is already closed
                 exchange.answer(relay_list(9, endpoint("s-9", host.address)))
 
-        first.script = late
-        second.script = holding(relay_list(5, endpoint("s-0", host.address)))
+        first.script = reply_late
+        second.script = relay_script(relay_list(5, endpoint("s-0", host.address)))
         run.gateway.start()
         await until(lambda: len(second.seen) >= 4)
-        await until(lambda: first.ended)  # its handler polls too, and may see the end of the connection later
-        assert first.ended == 1 and paced == [True]
+        await until(lambda: first.ended)  # its handler may detect the end of the connection later
+        assert first.ended == 1 and had_no_poll_task == [True]
         assert set(run.pool.hosts) == {host_id(0)}
 
 
 @pytest.mark.parametrize("age_ms", [1_500, 60_000])
 @on_loop
 async def test_failover_to_a_relay_with_an_older_list_does_not_undo_a_drain(age_ms: int) -> None:
-    """The relay that it moves to has not heard of the drain; what it says counts once its list is as young."""
+    """The next relay's list does not include the drain; its permission applies once its list is fresh enough."""
     async with (
         peer() as host,
         peer() as a,
         peer() as b,
-        behind(host, [a, b]) as (run, (first, second)),
+        gateway_with_relays(host, [a, b]) as (run, (first, second)),
     ):
 
         def drain_then_reset(exchange: Exchange) -> None:
@@ -220,14 +228,14 @@
                 exchange.answer(relay_list(5, leaving, endpoint("s-1", host.address)))
 
         first.script = drain_then_reset
-        old = [endpoint(f"s-{n}", host.address) for n in (0, 1)]
-        second.script = holding(relay_list(5, *old, age_ms=age_ms))
+        older_entries = [endpoint(f"s-{n}", host.address) for n in (0, 1)]
+        second.script = relay_script(relay_list(5, *older_entries, age_ms=age_ms))
         run.gateway.start()
-        await until(lambda: len(second.seen) >= 2)  # its list has been heard
-        assert drained(run) and not drained(run, 1)
+        await until(lambda: len(second.seen) >= 2)  # its list has been read
+        assert is_draining(run) and not is_draining(run, 1)
         assert isinstance(run.discovery, RelayEndpointSource)
-        second.script = holding(relay_list(6, *old, age_ms=0))
-        await until(lambda: not drained(run))
+        second.script = relay_script(relay_list(6, *older_entries, age_ms=0))
+        await until(lambda: not is_draining(run))
         assert run.discovery.moves == 2
 
 
@@ -239,19 +247,22 @@
     async with peer() as host, peer(reset) as a, peer(reset) as b, peer() as discovery:
         listed = [endpoint(f"s-{n}", host.address, service=s) for n, s in ((1, "s1"), (2, "s2"))]
         discovery.script = answers(list_reply(70, *listed))
-        async with behind(host, [a, b], discovery.address, services=("s1",), direct_per_s=1) as (run, order):
-            began_s = time.monotonic()
+        async with gateway_with_relays(host, [a, b], discovery.address, services=("s1",), direct_per_s=1) as (
+            run,
+            ordered,
+        ):
+            start_s = time.monotonic()
             run.gateway.start()
-            await until(lambda: all(len(relay.seen) >= 2 for relay in order))
+            await until(lambda: all(len(relay.seen) >= 2 for relay in ordered))
             assert len(run.pool.hosts) == 1
             await until(lambda: len(discovery.seen) >= 2)
-            assert len(discovery.seen) <= 1 + (time.monotonic() - began_s)
+            assert len(discovery.seen) <= 1 + (time.monotonic() - start_s)
             assert targets(discovery)[0] == "/registry/instances" and set(run.pool.hosts) == {host_id(1)}
-            order[1].script = holding(relay_list(5, endpoint("s-3", host.address)))
+            ordered[1].script = relay_script(relay_list(5, endpoint("s-3", host.address)))
             await until(lambda: set(run.pool.hosts) == {host_id(3)})
-            asked = len(discovery.seen)
-            await until(lambda: len(order[1].seen) >= 8)
-            assert len(discovery.seen) == asked
+            polls_before = len(discovery.seen)
+            await until(lambda: len(ordered[1].seen) >= 8)
+            assert len(discovery.seen) == polls_before
 
 
 @on_loop
@@ -259,9 +270,9 @@
     async with (
         peer() as host,
         peer() as a,
-        behind(host, [a]) as (run, (relay,)),
+        gateway_with_relays(host, [a]) as (run, (relay,)),
     ):
-        relay.script = holding(relay_list(5, endpoint("s-0", host.address), endpoint("s-1", host.address)))
+        relay.script = relay_script(relay_list(5, endpoint("s-0", host.address), endpoint("s-1", host.address)))
         assert isinstance(run.discovery, RelayEndpointSource)
         run.discovery.count_failing_hosts = lambda: 1
         run.gateway.start()
--- a/tests/discovery/test_relay_options.py
+++ b/tests/discovery/test_relay_options.py
@@ -1,4 +1,4 @@
-"""The options of a gateway behind relays."""
+"""The options of a gateway that uses relays."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    "table, said",
+    "relays_table, message",
     [
         ({}, "relays: addresses: expected a list of 1 to 64 different host:port, found None"),
         ({"addresses": []}, "relays: addresses: expected a list of 1 to 64"),
@@ -30,10 +30,10 @@
         ({"addresses": ["h:1"], "x": 0}, "relays: x: unknown; expected one of addresses, services, direct_per_s"),
     ],
 )
-def test_errors_in_options_name_file_and_key(table: dict[str, Any], said: str) -> None:
+def test_errors_in_options_name_file_and_key(relays_table: dict[str, Any], message: str) -> None:
     with pytest.raises(ConfigError) as error:
-        parse_options({"relays": table}, "o.toml")
-    assert str(error.value).startswith("o.toml: " + said)
+        parse_options({"relays": relays_table}, "o.toml")
+    assert str(error.value).startswith("o.toml: " + message)
 
 
 def test_the_shipped_options_file_is_valid() -> None:
@@ -43,5 +43,5 @@
 
 def test_relay_modules_are_not_imported_without_relays() -> None:
     code = "import sys, cloverkeel.assembly; print([m for m in sys.modules if '.relay' in m or 'urllib' in m])"
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
--- a/tests/discovery/test_relay_requests.py
+++ b/tests/discovery/test_relay_requests.py
@@ -1,4 +1,4 @@
-"""What a relay says of its list's age."""
+"""Parsing of the age that a relay reports for its list."""
 
 from __future__ import annotations
 
