--- a/cloverkeel/discovery/connection.py
+++ b/cloverkeel/discovery/connection.py
@@ -11,7 +11,7 @@
 from cloverkeel.discovery.errors import ConnectionEndedError, DiscoveryCallError
 from cloverkeel.protocols.http1 import ReplyError, ReplyReader
 
-MAX_REPLY_BYTES: Final = 16 * 1024 * 1024  # applies to the body before and after decompression
+MAX_REPLY_BYTES: Final = 16 * 1024 * 1024  # of a body, before and after decompression
 
 HTTP_OK: Final = 200
 
@@ -23,7 +23,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """Sends a request and waits for its reply; a reply that cannot be parsed closes the connection."""
+    """Send requests and wait for their replies; a reply that cannot be parsed closes the connection."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
--- a/cloverkeel/discovery/ejection_filter.py
+++ b/cloverkeel/discovery/ejection_filter.py
@@ -24,7 +24,7 @@
 
 
 class EjectionFilter:
-    """Wraps an endpoint source (`EndpointSource` in core/ports.py, `MovableSource` in core/reload.py)."""
+    """A wrapper of an endpoint source (`EndpointSource` in core/ports.py, `MovableSource` in core/reload.py)."""
 
     def __init__(self, source: MovableSource) -> None:
         self.source = source
--- a/cloverkeel/discovery/http_client.py
+++ b/cloverkeel/discovery/http_client.py
@@ -16,7 +16,7 @@
 
 
 class HttpEndpointSource(PollingClient):
-    """Passes snapshots, deltas and failures to `on_list` (`EndpointSource` in core/ports.py)."""
+    """Pass snapshots, deltas and failures to `on_list` (`EndpointSource` in core/ports.py)."""
 
     def __init__(self, address: Address, names: Names, pushed: bool) -> None:
         super().__init__(address, pushed)
--- a/cloverkeel/discovery/known_state.py
+++ b/cloverkeel/discovery/known_state.py
@@ -36,7 +36,7 @@
 MAX_STALENESS_S: Final = 3.0  # a healthy relay's list is at worst little over 1 s old; a drain must apply within 6 s
 CLOCK_RATE_SLACK_S: Final = 0.05  # error from different clock rates over the longest age
 RESTRICTION_RETENTION_S: Final = MAX_STALENESS_S + CLOCK_RATE_SLACK_S
-NO_RUN: Final = 0  # for a restriction read in two runs: either may have read an earlier one
+NO_RUN: Final = 0  # a restriction was read in two runs, and either may refer to an earlier restriction
 RANK_BY_STATUS: Final = {ServerStatus.READY: 2, ServerStatus.DRAINING: 1, ServerStatus.GONE: 0}
 
 
@@ -72,12 +72,10 @@
     """The status of each known host, the recent restrictions and the deferred permissions."""
 
     def __init__(self) -> None:
-        self.status_by_server: dict[int, ServerStatus] = {}  # without removed hosts
+        self.status_by_server: dict[int, ServerStatus] = {}  # removed hosts are left out
         self.run = NO_RUN  # counts runs, from 1
         self.restriction_by_server: dict[int, Restriction] = {}  # oldest first
-        self.deferred_by_server: dict[
-            int, Endpoint
-        ] = {}  # permissions of the current run that may predate a restriction
+        self.deferred_by_server: dict[int, Endpoint] = {}  # permissions that may predate a restriction
         self.awaits_snapshot = False  # the current relay was stale, and parts of its replies were not applied
 
     def begin_run(self) -> None:
--- a/cloverkeel/discovery/manual_ejections.py
+++ b/cloverkeel/discovery/manual_ejections.py
@@ -90,12 +90,12 @@
         return name in self.ejected_us_by_name or len(self.ejected_us_by_name) < MAX_EJECTIONS
 
     def eject(self, now_us: int, name: str) -> list[Endpoint]:
-        """Eject a host from now on; return the changed entries."""
+        """Eject a host from now on; return the entries to pass to the core."""
         self.ejected_us_by_name.setdefault(name, now_us)
         return self._current_entries(name)
 
     def reinstate(self, now_us: int, name: str) -> list[Endpoint]:
-        """End an ejection; return the changed entries."""
+        """End an ejection; return the entries to pass to the core."""
         ejected_us = self.ejected_us_by_name.pop(name, None)
         if ejected_us is None:
             return []
@@ -107,7 +107,7 @@
     def synchronize(
         self, ejected_us_by_name: Mapping[str, int], reinstated_us_by_name: Mapping[str, int]
     ) -> list[Endpoint]:
-        """Adopt the ejections that another process of this gateway stored; return the changed entries."""
+        """Adopt the ejections that another process of this gateway stored; return the entries to pass to the core."""
         before, after = self.ejected_us_by_name.keys(), ejected_us_by_name.keys()
         changed = before ^ after
         changed |= {
--- a/cloverkeel/discovery/poll_schedule.py
+++ b/cloverkeel/discovery/poll_schedule.py
@@ -13,7 +13,7 @@
   arrives. An overloaded registry rejects some callers and queues the others; a caller that repeatedly gives up just
   before its turn would never get a reply.
 - A long reply that has arrived is parsed incrementally for at most MAX_INCREMENTAL_READ_S, then the rest without
-  suspending; this time is not part of the sums above.
+  suspending; this is in addition to the times above.
 Where the balancer starts the retry (lists are not pushed), its own delay is also at most MAX_RETRY_DELAY_S.
 """
 
@@ -24,7 +24,7 @@
 
 MAX_NOTIFICATION_DELAY_S: Final = 6.0
 LONG_POLL_HOLD_S: Final = 1.0  # renewal is cheap for discovery and shows that the watch is alive
-LONG_POLL_GRACE_S: Final = 1.0  # for the reply, after the hold
+LONG_POLL_GRACE_S: Final = 1.0  # how long the reply may take after the hold
 CONNECT_TIMEOUT_S: Final = 0.5
 FIRST_REPLY_TIMEOUT_S: Final = 2.5  # on a new connection; discovery processes calls one after another
 FIRST_REPLY_TIMEOUT_AFTER_FAILURE_S: Final = 3.2  # the last call was rejected, timed out or was interrupted
@@ -38,7 +38,7 @@
     FIRST_REPLY_TIMEOUT_S + MAX_RETRY_DELAY_S + CONNECT_TIMEOUT_S + FIRST_REPLY_TIMEOUT_S
 )
 UNREACHABLE_DETECTION_S: Final = CONNECT_TIMEOUT_S + MAX_RETRY_DELAY_S + CONNECT_TIMEOUT_S + FIRST_REPLY_TIMEOUT_S
-EMPTY_REPLY_PAUSE_S: Final = 0.05  # before the next call, after a long poll that returned no entries sooner
+EMPTY_REPLY_PAUSE_S: Final = 0.05  # pause after a long poll that ended sooner than this without entries
 INITIAL_RETRY_DELAY_S: Final = 0.05  # where lists are pushed: an agent's calls cost discovery nothing
 MAX_BACKOFF_EXPONENT: Final = 8
 
@@ -60,10 +60,10 @@
 
 
 class PollSchedule:
-    """Tracks the version held and selects the next request. Times are in seconds of a monotonic clock."""
+    """The version held and the choice of the next request. Times are in seconds of a monotonic clock."""
 
     def __init__(self) -> None:
-        self.version: int | None = None  # of the list held; None: the next call requests a snapshot
+        self.version: int | None = None  # held version; None: the next call requests a snapshot
         self.failures = 0  # failed calls since the last reply
         self.replied_s: float | None = None  # time of the last reply on this connection; None before the first
 
--- a/cloverkeel/discovery/polling_client.py
+++ b/cloverkeel/discovery/polling_client.py
@@ -38,16 +38,16 @@
 )
 
 MAX_ATOMIC_READ_BYTES: Final = 64 << 10  # larger replies are parsed incrementally; 200 hosts take about 33 KB
-READ_SLICE_S: Final = 0.00025  # of parsing, before the event loop runs other tasks
-CATCH_UP_TIMEOUT_S: Final = 0.5  # for a reply that has partly arrived
+READ_SLICE_S: Final = 0.00025  # parsing time between two turns of the event loop
+CATCH_UP_TIMEOUT_S: Final = 0.5  # time to wait for the rest of a reply that has partly arrived
 MAX_CATCH_UP_ROUNDS: Final = 100
 IMMEDIATE_CATCH_UP_ROUNDS: Final = 20  # the first rounds have no delay in between
 CATCH_UP_INTERVAL_S: Final = CATCH_UP_TIMEOUT_S / MAX_CATCH_UP_ROUNDS
-MIN_STALL_FOR_REFRESH_US: Final = 2_000_000  # after a shorter stall, the watch has missed no change
+MIN_STALL_FOR_REFRESH_US: Final = 2_000_000  # after a longer stall, the watch may have missed a change
 
 
 class PollingClient(ABC):
-    """Polls for the list; a subclass may change the requests and defines how replies are handled.
+    """Poll for the list; a subclass may change the requests and defines how replies are handled.
 
     One task at a time polls over one connection, so each list that it passes on is newer than the last.
     """
@@ -197,7 +197,7 @@
         return self.catch_up_task is not None and not self.catch_up_task.done()
 
     def catch_up(self, stall_us: int, done: Callable[[], None]) -> None:
-        """Handle replies that arrived during a stall, poll anew if a change may be missed, then call `done`."""
+        """Handle replies that arrived during a stall, poll again if a change may be missed, then call `done`."""
         if self.is_closed:
             done()
             return
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -38,13 +38,13 @@
 from cloverkeel.discovery.subset_widening import SubsetWidening
 
 RELAY_MAX_ATOMIC_READ_BYTES: Final = 8 << 10  # about 50 hosts
-RELAY_MAX_INCREMENTAL_READ_S: Final = 0.5  # then the rest of a reply is parsed without suspending
+RELAY_MAX_INCREMENTAL_READ_S: Final = 0.5  # after this time, the rest of a reply is parsed without suspending
 FRESHNESS_CHECK_TIMEOUT_S: Final = 0.5
 WIDENING_CHECK_INTERVAL_S: Final = 1.0  # each check iterates over all hosts
 
 
 class RelayEndpointSource(HttpEndpointSource):
-    """Polls relays; `address` is that of discovery, which is polled directly if all relays fail."""
+    """Poll relays; `address` is that of discovery, which is polled directly if all relays fail."""
 
     max_atomic_read_bytes = RELAY_MAX_ATOMIC_READ_BYTES
     max_incremental_read_s = RELAY_MAX_INCREMENTAL_READ_S
--- a/cloverkeel/discovery/relay_requests.py
+++ b/cloverkeel/discovery/relay_requests.py
@@ -15,8 +15,8 @@
 from cloverkeel.discovery.poll_schedule import INSTANCES_PATH, PollRequest, PollSchedule, changes_since
 
 STATE_PATH: Final = b"/relay/state"
-RELAY_HOLD_S: Final = 0.4  # of a long poll at a relay; determines how soon an unresponsive relay is detected
-RELAY_GRACE_S: Final = 0.3  # for the reply, after the hold
+RELAY_HOLD_S: Final = 0.4  # hold of a long poll; short, so that an unresponsive relay is detected soon
+RELAY_GRACE_S: Final = 0.3  # how long the reply may take after the hold
 RELAY_FIRST_REPLY_TIMEOUT_S: Final = 1.0  # mostly a snapshot; a relay builds queued snapshots one after another
 MAX_AGE_MS: Final = 10**12
 
@@ -46,7 +46,7 @@
 
 
 class RelayPollSchedule(PollSchedule):
-    """Selects the next request to a relay; direct polls of discovery follow the base schedule."""
+    """Select the next request to a relay; direct polls of discovery follow the base schedule."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/cloverkeel/discovery/relay_selection.py
+++ b/cloverkeel/discovery/relay_selection.py
@@ -69,7 +69,7 @@
 
 
 class RelaySelector:
-    """Selects the relay to poll. Times are in seconds of a monotonic clock; each `jitter` is random, 0 to 1."""
+    """Select the relay to poll. Times are in seconds of a monotonic clock; each `jitter` is random, 0 to 1."""
 
     def __init__(self, gateway: str, addresses: Sequence[Address], direct_interval_s: float) -> None:
         """`direct_interval_s`: the minimum time between two direct polls of discovery by this gateway."""
--- a/cloverkeel/discovery/subset_widening.py
+++ b/cloverkeel/discovery/subset_widening.py
@@ -8,11 +8,11 @@
 MAX_DOUBLINGS: Final = 3
 WIDENING_FAILING_RATIO: Final = 0.5  # of the serving hosts; the subset is widened if this share fails
 MIN_WIDENING_INTERVAL_S: Final = 3.0  # new hosts must be listed and tried before the next doubling
-NARROWING_AFTER_S: Final = 60.0  # without failures, before the subset is halved
+NARROWING_AFTER_S: Final = 60.0  # time without too many failures before the subset is halved
 
 
 class SubsetWidening:
-    """Tracks the number of doublings of the subset."""
+    """The number of times that the subset is doubled."""
 
     def __init__(self) -> None:
         self.doublings = 0
--- a/tests/discovery/test_known_state.py
+++ b/tests/discovery/test_known_state.py
@@ -90,8 +90,8 @@
 def test_old_restrictions_are_forgotten() -> None:
     known_state = KnownState()
     for n in range(100):
-        gone = [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, ServerStatus.GONE))]
-        known_state.accept(RelayAnswer(float(n), float(n), 0.1, False, gone))
+        removed = [Endpoint(f"s-{n}", ("h", 1), ListedServer(n, ServerStatus.GONE))]
+        known_state.accept(RelayAnswer(float(n), float(n), 0.1, False, removed))
     assert len(known_state.restriction_by_server) <= MAX_STALENESS_S + 2
 
 
--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -205,15 +205,15 @@
         # Nearly all hosts are new: applied at once
         run.gateway.on_endpoint_list(ListKind.FULL, make_endpoints(range(500)))
         lists = record_lists(run)
-        gone = {*range(20), *range(491, 499), *run.module.endpoints.by_server} - {*range(20, 491), 499}
+        removed_servers = {*range(20), *range(491, 499), *run.module.endpoints.by_server} - {*range(20, 491), 499}
         restarted, draining = make_endpoint(490, started_us=START_US), make_endpoint(499, ServerStatus.DRAINING)
         listed = [*make_endpoints(range(20, 490), weight=0.5), *make_endpoints(range(500, 600)), restarted, draining]
         run.gateway.on_endpoint_list(ListKind.FULL, listed)
         first = lists.pop()
         assert not lists and first.kind is ListKind.DELTA  # only restrictions and restarts are applied at once
-        assert {entry.server for entry in first.servers if entry.status is ServerStatus.GONE} == gone
-        assert first.servers[len(gone) :] == (restarted.listed, draining.listed)
-        assert not any(run.pool.has_host(number) for number in gone)
+        assert {entry.server for entry in first.servers if entry.status is ServerStatus.GONE} == removed_servers
+        assert first.servers[len(removed_servers) :] == (restarted.listed, draining.listed)
+        assert not any(run.pool.has_host(number) for number in removed_servers)
         last = next(reversed(run.gateway.endpoint_updates.batches.pending.values()))
         run.gateway.on_endpoint_list(ListKind.DELTA, [make_endpoint(last.listed.server, ServerStatus.GONE)])
         assert lists.pop().servers[0].status is ServerStatus.GONE and not lists  # overtakes the pending entries
