--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -186,9 +186,8 @@
     lists: list[ServerList] = []
 
     def on_event(event: object) -> None:
-        if (
-            isinstance(event, ServerList) and event.kind is not ListKind.ERROR
-        ):  # nothing listens on discovery's address
+        # Errors are expected, as nothing listens on discovery's address
+        if isinstance(event, ServerList) and event.kind is not ListKind.ERROR:
             lists.append(event)
 
     overhear(run, on_event)
