--- a/tests/discovery/test_manual_ejections.py
+++ b/tests/discovery/test_manual_ejections.py
@@ -1,4 +1,4 @@
-"""Hosts ejected by hand: the overlay on the list."""
+"""Manual ejections as an overlay on the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from cloverkeel.discovery.manual_ejections import MAX_FORMERLY_LISTED, ManualEjections
 
 READY, DRAINING, GONE = ServerStatus.READY, ServerStatus.DRAINING, ServerStatus.GONE
-STRENGTH = {READY: 2, DRAINING: 1, GONE: 0}
+RANK_BY_STATUS = {READY: 2, DRAINING: 1, GONE: 0}
 
 
 def entry(name: str, status: ServerStatus = READY, started_us: int = 0) -> Endpoint:
@@ -21,7 +21,7 @@
     return [(e.name, e.listed.status, e.listed.started_us) for e in entries]
 
 
-def test_an_ejected_host_is_passed_on_as_draining_whatever_the_list_says() -> None:
+def test_an_ejected_host_is_passed_on_as_draining_by_every_kind_of_list() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b")])
     assert summary(ejections.eject(5, "a")) == [("a", DRAINING, 0)]
@@ -31,7 +31,7 @@
     assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=9)])) == [("a", DRAINING, 9)]
 
 
-def test_one_call_reinstates_a_host_that_was_ejected_often() -> None:
+def test_one_call_reinstates_a_host_that_was_ejected_several_times() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a")])
     for at_us in (5, 6, 7):
@@ -41,7 +41,7 @@
     assert ejections.reinstate(10, "a") == []
 
 
-def test_ejected_reinstated_ejected() -> None:
+def test_a_reinstated_host_can_be_ejected_again() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a")])
     ejections.eject(1, "a")
@@ -50,17 +50,17 @@
     assert summary(ejections.reinstate(4, "a")) == [("a", READY, 4)]
 
 
-def test_a_host_reinstated_before_its_restart_is_told_warms_up() -> None:
+def test_a_host_reinstated_before_its_restart_is_reported_warms_up() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
     ejections.eject(1_000, "a")
     assert summary(ejections.reinstate(9_000, "a")) == [("a", READY, 9_000)]
-    # The list tells a start within the ejection, late: the host warms up as before.
+    # The list reports, late, a start during the ejection: the host keeps the later start and warms up.
     assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=5_000)])) == [("a", READY, 9_000)]
     assert summary(ejections.apply(ListKind.DELTA, [entry("a", started_us=9_500)])) == [("a", READY, 9_500)]
 
 
-def test_a_restart_told_during_the_ejection_is_its_start() -> None:
+def test_a_restart_reported_during_the_ejection_sets_the_start_time() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a", started_us=100)])
     ejections.eject(1_000, "a")
@@ -68,7 +68,7 @@
     assert summary(ejections.reinstate(9_000, "a")) == [("a", READY, 5_000)]
 
 
-def test_a_host_that_the_list_drains_or_drops_stays_so_after_the_ejection() -> None:
+def test_a_host_that_the_list_drains_or_removes_stays_so_after_reinstatement() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b")])
     ejections.eject(1, "a")
@@ -79,7 +79,7 @@
     assert summary(ejections.apply(ListKind.DELTA, [entry("b")])) == [("b", READY, 2)]
 
 
-def test_a_host_is_known_once_it_was_listed() -> None:
+def test_a_host_is_remembered_after_it_left_the_list() -> None:
     ejections = ManualEjections()
     assert not ejections.was_listed("a")
     ejections.apply(ListKind.DISK, [entry("a"), entry("b")])
@@ -87,7 +87,7 @@
     assert ejections.was_listed("a") and ejections.was_listed("b") and not ejections.was_listed("c")
 
 
-def test_what_is_remembered_is_bounded_and_an_ejected_host_is_never_forgotten() -> None:
+def test_memory_is_bounded_and_an_ejected_host_is_never_forgotten() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("first")])
     ejections.eject(1, "first")
@@ -98,7 +98,7 @@
     assert summary(ejections.apply(ListKind.DELTA, [entry("first")])) == [("first", DRAINING, 0)]
 
 
-def test_another_process_has_changed_the_ejections() -> None:
+def test_synchronize_returns_the_entries_that_another_process_changed() -> None:
     ejections = ManualEjections()
     ejections.apply(ListKind.FULL, [entry("a"), entry("b"), entry("c")])
     ejections.eject(1, "a")
@@ -121,30 +121,30 @@
 
 @given(STEPS)
 def test_an_ejection_only_restricts_and_ends_with_one_call(steps: list[tuple[object, ...]]) -> None:
-    """Against a plain model: the last entry of each host, and the ejections."""
+    """Compare with a simple model: the last entry of each host, and the ejections."""
     ejections = ManualEjections()
-    out: dict[str, int] = {}
+    ejected_us_by_name: dict[str, int] = {}
     listed: dict[str, Endpoint] = {}
     for at_us, step in enumerate(steps, 100):
         if step[0] == "list":
-            kind, raw = step[1], step[2]
-            given_ = [entry(n, s, t) for n, s, t in raw if kind is ListKind.DELTA or s is not GONE]  # type: ignore
-            passed = ejections.apply(kind, given_)  # type: ignore[arg-type]
+            kind, raw_entries = step[1], step[2]
+            entries = [entry(n, s, t) for n, s, t in raw_entries if kind is ListKind.DELTA or s is not GONE]  # type: ignore
+            passed = ejections.apply(kind, entries)  # type: ignore[arg-type]
             if kind is ListKind.FULL:
                 listed = {}
-            for was, now in zip(given_, passed, strict=True):
-                listed[was.name] = was
-                assert STRENGTH[now.listed.status] <= STRENGTH[was.listed.status]
-                assert now.listed.started_us >= was.listed.started_us
+            for original, result in zip(entries, passed, strict=True):
+                listed[original.name] = original
+                assert RANK_BY_STATUS[result.listed.status] <= RANK_BY_STATUS[original.listed.status]
+                assert result.listed.started_us >= original.listed.started_us
         elif step[0] == "eject":
             passed = ejections.eject(at_us, str(step[1]))
-            out.setdefault(str(step[1]), at_us)
+            ejected_us_by_name.setdefault(str(step[1]), at_us)
         else:
             passed = ejections.reinstate(at_us, str(step[1]))
-            out.pop(str(step[1]), None)
-        for now in passed:
-            if now.name in out:
-                assert now.listed.status is not READY
+            ejected_us_by_name.pop(str(step[1]), None)
+        for result in passed:
+            if result.name in ejected_us_by_name:
+                assert result.listed.status is not READY
             else:
-                assert now.listed.status is listed[now.name].listed.status
-        assert ejections.ejected_us_by_name == out
+                assert result.listed.status is listed[result.name].listed.status
+        assert ejections.ejected_us_by_name == ejected_us_by_name
