--- a/cloverkeel/control_plane/__init__.py
+++ b/cloverkeel/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's relay: polls discovery as one client, and sends each gateway its subset."""
+"""The control plane's relay: polls the registry as a single client and serves each gateway its subset."""
--- a/cloverkeel/control_plane/deltas.py
+++ b/cloverkeel/control_plane/deltas.py
@@ -1,15 +1,16 @@
-"""Responses for the gateways of the roster: each one's subset, and its changes since an earlier response. Pure.
+"""Responses for gateways in the roster: a snapshot of a gateway's subset, or a delta since a response. Pure.
 
 Invariants:
-- what a gateway holds after a response is its subset of the hosts that are in the table now, and of hosts that it
-  had, those that drain (as DRAINING, until they are gone or it no longer shares their ring). So it is whichever
-  responses were lost: a delta is made from the very response that `from` names, and from no other;
-- a response says what restricts first: DELETED, DRAINING, then what serves; of each host only its newest state.
-
-Bounds: of each gateway in the roster the last two client snapshots (the one that it may hold, and the one that it
-is sent). Bytes, measured with the plan's shape (38,000 hosts, gateways before 27 services each, two snapshots): 583
-a host and some 240 more once it is sent, 52 KB a gateway. So 31 MB for the plan's hosts and 20 MB for a twelfth of
-its gateways; 240 MB for all of them at one relay.
+- after a response, a gateway holds its subset of the hosts that are in the table, plus the hosts sent to it earlier
+  that are now draining (as DRAINING, until they are deleted or the gateway no longer shares their ring). This holds
+  whichever responses were lost: a delta is computed from the response that `from` names and from no other;
+- a response lists the most restrictive entries first: DELETED, DRAINING, then SERVING; each host appears once, in
+  its newest state.
+
+Bounds: two client snapshots per gateway in the roster (the snapshot that the gateway may hold, and the snapshot being
+sent to it). Memory with the capacity plan's fleet (38,000 hosts, 27 services per gateway, two snapshots): 583 bytes
+per host, about 240 more once its entry has been encoded, and 52 KB per gateway. That is 31 MB for the hosts and 20 MB
+for a twelfth of the gateways; 240 MB for all gateways at one relay.
 """
 
 from __future__ import annotations
@@ -28,11 +29,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SubsetWindow:
-    """What a gateway has of one ring.
+    """The part of one ring that a gateway was sent.
 
-    changed_at: number of the ring's last change that it has.
-    max_users: of a host of its own window.
-    own_hosts: so many of `hosts` are its own window, which come first; the others are there as it has widened.
+    changed_at: HashRing.changed_at of the ring when the window was computed.
+    max_users: HashRing.max_users() of the ring at that time.
+    own_hosts: number of leading `hosts` that form the gateway's own window; the remaining hosts were added by
+        widening.
     """
 
     changed_at: int
@@ -41,7 +43,7 @@
     hosts: tuple[Host, ...]
 
     def entry(self, position: int) -> bytes:
-        """Return the entry of the host at this position, as the gateway is sent it."""
+        """Encode the entry of the host at this position, as sent to the gateway."""
         return self.hosts[position].subset_entry(self.max_users, position < self.own_hosts)
 
 
@@ -51,7 +53,10 @@
 
 @dataclass(slots=True)
 class ClientSnapshot:
-    """What a gateway holds after one response. `draining_by_name`: hosts that it had when they served."""
+    """The state of a gateway after one response.
+
+    draining_by_name: hosts that were sent to the gateway while serving, and are draining now.
+    """
 
     change_number: int
     subscription: Subscription
@@ -61,14 +66,14 @@
 
 @dataclass(slots=True)
 class SubsetChanges:
-    """What differs between two states of a gateway's subset."""
+    """The difference between two states of a gateway's subset."""
 
-    windows_by_service: WindowsByService  # as they are after it
+    windows_by_service: WindowsByService  # the later state
     removed_by_name: dict[str, Host] = field(default_factory=dict)
     added_entry_by_name: dict[str, bytes] = field(default_factory=dict)
 
     def replace_windows(self, service: str, before: WindowByZone, after: WindowByZone) -> None:
-        """Put a service's windows in the place of those before."""
+        """Replace a service's windows, and record the hosts that were added, changed or removed."""
         if after:
             self.windows_by_service[service] = after
         else:
@@ -95,33 +100,36 @@
 
 @dataclass(slots=True)
 class DepartedHosts:
-    """Hosts that are no longer in a gateway's windows. Entries are with the hosts' names, to be sorted by them."""
+    """Hosts that are no longer in a gateway's windows. Entries are paired with the host's name for sorting."""
 
-    draining_by_name: dict[str, Host]  # that it keeps
-    draining_entries: list[tuple[str, bytes]] = field(default_factory=list)  # of those that did not drain before
+    draining_by_name: dict[str, Host]  # hosts that the gateway keeps as DRAINING
+    draining_entries: list[tuple[str, bytes]] = field(default_factory=list)  # new or changed since the base snapshot
     deleted_entries: list[tuple[str, bytes]] = field(default_factory=list)
 
 
 class SubsetResponses:
-    """Makes these responses, and keeps what the gateways hold after them."""
+    """Builds the responses for gateways in the roster, and keeps the client snapshots that deltas are based on."""
 
     def __init__(self, table: EndpointTable, indexes: ResponseIndexes, counters: CacheCounters) -> None:
         self.table, self.indexes, self.counters = table, indexes, counters
-        self.snapshots_by_gateway: dict[str, dict[int, ClientSnapshot]] = {}  # and by index
+        self.snapshots_by_gateway: dict[str, dict[int, ClientSnapshot]] = {}  # then by response index
 
     def is_known(self, gateway: str, index: int) -> bool:
-        """Return whether this is a response to this gateway that it may hold."""
+        """Return whether the index is that of a kept client snapshot of this gateway."""
         return index in self.snapshots_by_gateway.get(gateway, {})
 
     def is_up_to_date(self, subscription: Subscription, index: int) -> bool:
-        """Return whether there is surely nothing new after this response; costs next to nothing."""
+        """Return whether nothing has changed since this response, without comparing subsets.
+
+        False means that there may be changes.
+        """
         snapshot = self.snapshots_by_gateway.get(subscription.gateway, {}).get(index)
         if snapshot is None or snapshot.change_number != self.table.change_number:
             return False
         return snapshot.subscription == subscription
 
     def snapshot(self, subscription: Subscription) -> ListResponse:
-        """Return all hosts of a gateway's subset."""
+        """Return a response with all hosts of a gateway's subset."""
         services = self.table.rings_by_service if subscription.services is None else subscription.services
         windows_by_service: WindowsByService = {}
         for service in sorted(services):
@@ -142,7 +150,7 @@
         return ListResponse(self._keep(snapshot, kept), True, entries)
 
     def delta(self, subscription: Subscription, index: int) -> ListResponse | None:
-        """Return the changes of a gateway's subset since a response that is known; None: there are none."""
+        """Return the changes of a gateway's subset since a known response, or None if there are none."""
         base = self.snapshots_by_gateway[subscription.gateway][index]
         is_same = base.subscription == subscription
         if is_same and base.change_number == self.table.change_number:
@@ -160,7 +168,7 @@
         return ListResponse(self._keep(snapshot, {index: base}), False, entries)
 
     def forget_unknown_gateways(self) -> Incremental[None]:
-        """Forget what gateways hold that the roster no longer has."""
+        """Discard the client snapshots of gateways that are no longer in the roster."""
         known = self.table.roster.placement_by_gateway
         forgotten = [name for name in self.snapshots_by_gateway if name not in known]
         for count, name in enumerate(forgotten, 1):
@@ -169,13 +177,16 @@
                 yield
 
     def _keep(self, snapshot: ClientSnapshot, kept: dict[int, ClientSnapshot]) -> int:
-        """Keep what a gateway is sent now beside what it may hold, and return the index of the response."""
+        """Store the client snapshot of a new response beside those in `kept`, and return the response's index."""
         index = self.indexes.next()
         self.snapshots_by_gateway[snapshot.subscription.gateway] = kept | {index: snapshot}
         return index
 
     def _windows_of(self, service: str, subscription: Subscription, before: WindowByZone) -> WindowByZone:
-        """Return what a gateway has of a service; `before`: made for an equal subscription."""
+        """Return a gateway's windows on a service's rings, by zone.
+
+        before: earlier windows for an equal subscription; those of unchanged rings are reused.
+        """
         rings = self.table.rings_of(service)
         windows: WindowByZone = {}
         for share in rings.shares_by_region[subscription.region] if rings is not None else ():
@@ -192,7 +203,7 @@
     def _services_to_compare(
         self, base: ClientSnapshot, subscription: Subscription, is_same: bool
     ) -> Collection[str]:
-        """Return the services in which the subset may be another than in the base."""
+        """Return the services in which the subset may differ from the base."""
         if is_same and base.change_number >= self.table.change_by_service_floor:
             return self.table.services_changed_since(base.change_number, subscription.services)
         services = self.table.rings_by_service.keys() if subscription.services is None else subscription.services
@@ -214,9 +225,9 @@
     def _departed_hosts(
         self, base: ClientSnapshot, services: frozenset[str], changes: SubsetChanges
     ) -> DepartedHosts:
-        """Decide of the hosts that left the windows of these services, or had left before, which ones it keeps.
+        """Classify the hosts that left the windows of these services, now or before, as draining or deleted.
 
-        Those that drain in a ring that it still has; the others are deleted.
+        A host is kept as draining if it drains in a ring that the gateway still shares; otherwise it is deleted.
         """
         departed = DepartedHosts({})
         candidates = dict(changes.removed_by_name)
@@ -236,7 +247,7 @@
 
 
 def _in_order_of_restriction(departed: DepartedHosts, changes: SubsetChanges) -> tuple[bytes, ...]:
-    """Return the entries of a delta, what restricts first."""
+    """Return the entries of a delta, the most restrictive first."""
     deleted, draining, added = departed.deleted_entries, departed.draining_entries, changes.added_entry_by_name
     ordered = (*sorted(deleted), *sorted(draining), *sorted(added.items()))
     return tuple(entry for _, entry in ordered)
--- a/cloverkeel/control_plane/endpoint_cache.py
+++ b/cloverkeel/control_plane/endpoint_cache.py
@@ -1,12 +1,12 @@
-"""Discovery's endpoint list as a relay has it cached: lists in, responses for its subscribers out. Pure.
+"""A relay's cache of the registry's endpoint list: applies lists, and builds responses to subscribers. Pure.
 
 Invariants:
-- nothing is answered before a snapshot has come (NotReadyError): a relay that is new tells nobody that nobody
-  serves;
-- a list that cannot be used leaves what is cached as it is, and is counted;
-- another roster counts for all subscribers from one moment on; each one's next response is by it.
+- before the first snapshot was applied, every request raises NotReadyError: a relay that has just started must not
+  report that no host serves;
+- an unusable list leaves the cache unchanged, and is counted;
+- a new roster takes effect for all subscribers at once; each subscriber's next response follows it.
 
-What is kept, and its bounds: endpoint_table.py, deltas.py and full_list.py.
+The state and its bounds are described in endpoint_table.py, deltas.py and full_list.py.
 """
 
 from __future__ import annotations
@@ -27,24 +27,30 @@
 from cloverkeel.control_plane.subscriptions import subscription_of
 from cloverkeel.control_plane.subsetting import DEFAULT_SIZES, SubsetSizes
 
-MIN_USABLE_RATIO: Final = 0.5  # of a snapshot's entries, or all of the list is unusable
+MIN_USABLE_RATIO: Final = 0.5  # below this ratio of usable entries a whole snapshot is unusable
 
 
 @dataclass(slots=True, frozen=True)
 class ParsedEntries:
-    """Entries of a list: by name the host, None where it is gone (the last of a name wins); and how many were
-    skipped."""
+    """The parsed entries of a list.
+
+    host_by_name: None for a deleted host; the last entry of a name counts.
+    skipped: number of unusable entries, and of hosts beyond MAX_HOSTS.
+    """
 
     host_by_name: dict[str, Host | None]
     skipped: int
 
 
 class EndpointCache:
-    """Apply discovery's lists to it, and ask it for the response to a subscriber."""
+    """The endpoint table of a relay, and the responses to its subscribers."""
 
     def __init__(self, roster: FleetRoster, first_index: int, sizes: SubsetSizes = DEFAULT_SIZES) -> None:
-        """`first_index`: of its first response; greater than any of an earlier process at the same address (a
-        clock)."""
+        """Create an empty cache, which is not ready.
+
+        first_index: index of the first response; greater than any index of an earlier process at the same address,
+            so it is taken from a clock.
+        """
         self.is_ready = False
         self.counters = CacheCounters()
         self.indexes = ResponseIndexes(first_index)
@@ -54,15 +60,15 @@
 
     @property
     def roster(self) -> FleetRoster:
-        """The roster that is in force."""
+        """The current roster."""
         return self.table.roster
 
-    # Lists of discovery
+    # Lists from the registry
 
     def apply_list(self, is_snapshot: bool, items: object) -> frozenset[SubscriptionKey]:
-        """Apply a list's `endpoints` as discovery gave them, all (`is_snapshot`) or changes.
+        """Apply the `endpoints` of a list from the registry: a snapshot, or changes.
 
-        Returns the keys of the subscribers that may have something new; none for a list that cannot be used.
+        Returns the keys of the subscribers whose responses may change; empty for an unusable list.
         """
         if not isinstance(items, list):
             self.counters.unusable_lists += 1
@@ -86,11 +92,11 @@
 
     @staticmethod
     def has_few_usable(entries: int, skipped: int) -> bool:
-        """Return whether so few entries of a snapshot can be used that all of it is unusable."""
+        """Return whether a snapshot has too few usable entries to be applied."""
         return entries - skipped < MIN_USABLE_RATIO * entries
 
     def parse_entries(self, items: list[object], is_snapshot: bool) -> ParsedEntries:
-        """Parse entries of a list. Of changes, hosts beyond MAX_HOSTS are skipped."""
+        """Parse entries of a list. In a list of changes, new hosts beyond MAX_HOSTS are skipped."""
         known = self.table.host_by_name
         parsed: dict[str, Host | None] = {}
         skipped, vacancies = 0, MAX_HOSTS - len(known)
@@ -114,34 +120,35 @@
     # The roster
 
     def replace_roster(self, roster: FleetRoster) -> None:
-        """Use another roster. All subscribers that wait are to be looked at again."""
+        """Replace the roster in one go. The caller then checks every waiting subscriber for changes."""
         self.switch_roster(roster, run_to_completion(self.prepare_roster(roster)))
         run_to_completion(self.finish_roster_switch())
 
     def prepare_roster(self, roster: FleetRoster) -> Incremental[GroupsByService]:
-        """Work out what `switch_roster` is to be called with when this ends, as EndpointTable.prepare_roster."""
+        """Compute the groups for `switch_roster`, as EndpointTable.prepare_roster does."""
         return self.table.prepare_roster(roster)
 
     def switch_roster(self, roster: FleetRoster, groups: GroupsByService) -> None:
-        """Use another roster from now on."""
+        """Make this the current roster; `groups` is the result of `prepare_roster`."""
         self.table.switch_roster(roster, groups)
 
     def finish_roster_switch(self) -> Incremental[None]:
-        """Do what is left after `switch_roster`; it changes no response."""
+        """Reassign pending rings and discard state of removed gateways; changes no response."""
         yield from self.table.assign_pending_rings()
         yield from self.subsets.forget_unknown_gateways()
 
     # Responses
 
     def subscription_keys(self, subscriber: Subscriber) -> tuple[SubscriptionKey, ...]:
-        """Return a subscriber's keys: `apply_list` returns one of them whenever it may have something new."""
+        """Return a subscriber's keys; `apply_list` returns at least one of them if its response may change."""
         subscription = subscription_of(subscriber, self.roster)
         return (ALL_HOSTS_KEY,) if subscription is None else subscription.keys
 
     def respond(self, subscriber: Subscriber, known_index: int | None) -> ListResponse | None:
-        """Return the response to a subscriber; None: it has all of it, and may wait.
+        """Return the response to a subscriber, or None if it is up to date.
 
-        known_index: of the response that it has; None: it has none. Raises NotReadyError where there is no list yet.
+        known_index: index of the response that the subscriber holds; None if it holds none.
+        Raises NotReadyError before the first snapshot was applied.
         """
         if not self.is_ready:
             raise NotReadyError
@@ -156,13 +163,16 @@
         return self.subsets.delta(subscription, known_index)
 
     def is_known(self, subscriber: Subscriber, index: int) -> bool:
-        """Return whether this is a response after which the changes can be sent."""
+        """Return whether a delta since this response can be computed."""
         if subscriber.gateway in self.roster.placement_by_gateway:
             return self.subsets.is_known(subscriber.gateway, index)
         return self.full_list.is_known(index)
 
     def is_up_to_date(self, subscriber: Subscriber, index: int) -> bool:
-        """Return whether there is surely nothing new after this response; costs next to nothing."""
+        """Return whether nothing has changed since this response, without comparing subsets.
+
+        False means that there may be changes.
+        """
         subscription = subscription_of(subscriber, self.roster)
         if subscription is None:
             return self.full_list.is_up_to_date(index)
--- a/cloverkeel/control_plane/endpoint_table.py
+++ b/cloverkeel/control_plane/endpoint_table.py
@@ -1,12 +1,12 @@
-"""The hosts that a relay knows, the rings of each service, and the log of their changes. Pure.
+"""The hosts that a relay has cached, the hash rings of each service, and the change log. Pure.
 
 Invariants:
-- another roster counts for all subscribers from one moment on (`switch_roster`). What it takes to know who shares
-  which ring is worked out before, incrementally, and each service's rings are assigned by it before anybody reads
-  them;
-- the change number grows with each change of a host or of the roster, and never goes back.
+- a new roster takes effect for all subscribers at once (`switch_roster`). The gateway groups that share rings are
+  computed before that, incrementally, and a service's rings are reassigned before their next use;
+- the change number increases with each batch of host changes and each new roster, and never decreases.
 
-Bounds: hosts MAX_HOSTS; the last MAX_LOGGED_CHANGES changes; MAX_CHANGED_SERVICES services by their last change.
+Bounds: MAX_HOSTS hosts, MAX_LOGGED_CHANGES changes in the log, MAX_CHANGED_SERVICES services with the number of their
+last change.
 """
 
 from __future__ import annotations
@@ -23,37 +23,38 @@
 from cloverkeel.core.incremental import Incremental
 from cloverkeel.control_plane.subsetting import HashRing, ServiceRings, SubsetSizes
 
-MAX_HOSTS: Final = 131_072  # 3.4 times the plan's
-MAX_LOGGED_CHANGES: Final = 8_192  # more than a zone of the plan has hosts. Who is further behind gets a snapshot
-MAX_CHANGED_SERVICES: Final = 16_384  # also such as are gone; 11 times the plan's
-SERVICES_PER_STEP: Final = 16  # some 1 ms
+MAX_HOSTS: Final = 131_072  # 3.4 times the hosts of the capacity plan
+# More than the hosts of a zone in the capacity plan. Subscribers that are further behind get a snapshot.
+MAX_LOGGED_CHANGES: Final = 8_192
+MAX_CHANGED_SERVICES: Final = 16_384  # including deleted services; 11 times the services of the capacity plan
+SERVICES_PER_STEP: Final = 16  # about 1 ms per step
 
-# What a subscriber is found by when something changes: (service, region) for a gateway that routes to named services,
-# (None, region) for one that routes to all, ALL_HOSTS_KEY for who gets the full list.
+# Key under which subscribers are notified of changes: (service, region) for a gateway that routes to named services,
+# (None, region) for a gateway that routes to all services, ALL_HOSTS_KEY for subscribers of the full list.
 SubscriptionKey = tuple[str | None, str | None]
 ALL_HOSTS_KEY: Final[SubscriptionKey] = (None, None)
 
-HostChange = tuple[str, Host | None]  # a host's name, and the host; None: it is gone
+HostChange = tuple[str, Host | None]  # a host's name and new state; None if the host was deleted
 
 
 @dataclass(slots=True)
 class RingChanges:
-    """Of one service, while changes are applied: hosts that leave its rings and hosts that join them, by zone."""
+    """The changes to the rings of one service while a list is applied: hosts that leave and join them, by zone."""
 
     removed_by_zone: dict[str, list[Host]] = field(default_factory=dict)
     added_by_zone: dict[str, list[Host]] = field(default_factory=dict)
-    known_hosts_by_zone: Counter[str] = field(default_factory=Counter)  # more or fewer
+    known_hosts_by_zone: Counter[str] = field(default_factory=Counter)  # change in number
     zones: set[str] = field(default_factory=set)
 
     def remove(self, host: Host) -> None:
-        """Note that a host is no longer as it was."""
+        """Record that the previous state of a host no longer applies."""
         self.known_hosts_by_zone[host.zone] -= 1
         self.zones.add(host.zone)
         if host.is_serving:
             self.removed_by_zone.setdefault(host.zone, []).append(host)
 
     def add(self, host: Host) -> None:
-        """Note that a host is as this says now."""
+        """Record the new state of a host."""
         self.known_hosts_by_zone[host.zone] += 1
         self.zones.add(host.zone)
         if host.is_serving:
@@ -66,20 +67,20 @@
     __slots__ = ("entries", "floor")
 
     def __init__(self) -> None:
-        self.entries: deque[tuple[int, Host]] = deque()  # number of the change, the host as it was published last
-        self.floor = 0  # changes after this are all in the log
+        self.entries: deque[tuple[int, Host]] = deque()  # change number; new state, or last state if deleted
+        self.floor = 0  # the log holds every change after this change number
 
     def append(self, change_number: int, host: Host) -> None:
-        """Log a change; `truncate` is to follow."""
+        """Log a change. The caller calls `truncate` afterwards."""
         self.entries.append((change_number, host))
 
     def truncate(self) -> None:
-        """Forget the oldest changes beyond the bound."""
+        """Drop the oldest changes beyond MAX_LOGGED_CHANGES."""
         while len(self.entries) > MAX_LOGGED_CHANGES:
             self.floor = self.entries.popleft()[0]
 
     def newest_since(self, change_number: int) -> dict[str, Host]:
-        """Return by name each host that was changed since, as it was published last."""
+        """Return by name the hosts that changed after this change number, each as logged last."""
         newest: dict[str, Host] = {}
         for number, host in reversed(self.entries):
             if number <= change_number:
@@ -89,20 +90,20 @@
 
 
 class EndpointTable:
-    """The hosts as discovery has them, and for each service the rings that its gateways share."""
+    """The hosts as listed by the registry, and for each service the rings that its gateways share."""
 
     def __init__(self, roster: FleetRoster, sizes: SubsetSizes, counters: CacheCounters) -> None:
         self.roster, self.sizes, self.counters = roster, sizes, counters
         self.host_by_name: dict[str, Host] = {}
-        self.rings_by_service: dict[str, ServiceRings] = {}  # to be read by `rings_of` alone
-        self.pending_groups: GroupsByService = {}  # of services whose rings are not yet assigned by the roster
+        self.rings_by_service: dict[str, ServiceRings] = {}  # read through `rings_of` only
+        self.pending_groups: GroupsByService = {}  # services whose rings still follow the previous roster
         self.change_number = 0
         self.change_log = ChangeLog()
-        self.change_by_service: OrderedDict[str, int] = OrderedDict()  # number of its last change, in their order
-        self.change_by_service_floor = 0  # services changed since this are all in `change_by_service`
+        self.change_by_service: OrderedDict[str, int] = OrderedDict()  # last change number of a service, ascending
+        self.change_by_service_floor = 0  # `change_by_service` has every service changed after this change number
 
     def rings_of(self, service: str) -> ServiceRings | None:
-        """Return a service's rings as they are by the roster that is in force."""
+        """Return a service's rings as shared under the current roster, or None if the service has no hosts."""
         rings = self.rings_by_service.get(service)
         if rings is not None and service in self.pending_groups:
             rings.regroup(self.pending_groups.pop(service), self.roster)
@@ -111,7 +112,7 @@
     # Changes of hosts
 
     def apply_changes(self, changes: Iterable[HostChange]) -> frozenset[SubscriptionKey]:
-        """Apply changes of hosts, and return the keys of the subscribers that they may matter to."""
+        """Apply changes of hosts, and return the keys of the subscribers whose responses may change."""
         self.change_number += 1
         changes_by_service = self._replace_hosts(changes)
         self.change_log.truncate()
@@ -127,7 +128,7 @@
         return frozenset(keys)
 
     def _replace_hosts(self, changes: Iterable[HostChange]) -> Mapping[str, RingChanges]:
-        """Change and log the hosts, and return what that means for the rings of each service."""
+        """Replace the hosts and log the changes; return the resulting ring changes of each service."""
         changes_by_service: defaultdict[str, RingChanges] = defaultdict(RingChanges)
         for name, host in changes:
             previous = self.host_by_name.pop(name, None)
@@ -143,23 +144,23 @@
         return changes_by_service
 
     def _update_rings(self, service: str, changes: RingChanges) -> set[str]:
-        """Change a service's rings, and return the regions whose gateways it may matter to."""
+        """Update a service's rings, and return the regions whose gateways may be affected."""
         rings = self.rings_of(service)
         if rings is None:
             rings = self.rings_by_service[service] = ServiceRings(service, self.roster, self.sizes)
         zones_before = _zones_by_region(rings)
         for zone in changes.zones:
             self._update_ring(rings, zone, changes)
-        is_shared_by_others = rings.assign_rings(self.roster)
-        if is_shared_by_others:
+        has_spillover_changed = rings.assign_rings(self.roster)
+        if has_spillover_changed:
             for ring in rings.ring_by_zone.values():
                 ring.changed_at = self.change_number
         if not rings.ring_by_zone:
-            del self.rings_by_service[service]  # it is not in `pending_groups`: it has just been read
+            del self.rings_by_service[service]  # not in `pending_groups`: `rings_of` above removed it
         return {
             region
             for region, zones in _zones_by_region(rings).items()
-            if is_shared_by_others or (zones_before.get(region, set()) | zones) & changes.zones
+            if has_spillover_changed or (zones_before.get(region, set()) | zones) & changes.zones
         }
 
     def _update_ring(self, rings: ServiceRings, zone: str, changes: RingChanges) -> None:
@@ -173,9 +174,10 @@
             del rings.ring_by_zone[zone]
 
     def services_changed_since(self, change_number: int, services: frozenset[str] | None) -> list[str]:
-        """Return those of these services (None: of all) that were changed since.
+        """Return the services out of `services` (None for all) that changed after `change_number`.
 
-        Costs what is fewer, the services or the changes. `change_number` is at least `change_by_service_floor`.
+        Iterates over the services or over the changes, whichever is expected to be fewer. `change_number` must be at
+        least `change_by_service_floor`.
         """
         if services is not None and len(services) < len(self.change_by_service):
             return [name for name in services if self.change_by_service.get(name, 0) > change_number]
@@ -184,13 +186,13 @@
         )
         return [name for name in latest if services is None or name in services]
 
-    # Another roster
+    # Roster replacement
 
     def prepare_roster(self, roster: FleetRoster) -> Incremental[GroupsByService]:
-        """Work out what `switch_roster` is to be called with when this ends.
+        """Compute the gateway groups for `switch_roster`.
 
-        Hosts may change between its steps, the roster may not. Costs what the other roster changes: the services of
-        gateways that are new, gone or elsewhere.
+        Hosts may change between the steps, the current roster may not. The cost is proportional to the difference
+        between the rosters: only services of added, removed or moved gateways are grouped.
         """
         changed = yield from self.roster.changed_services(roster)
         groups: GroupsByService = {}
@@ -203,7 +205,7 @@
         return groups
 
     def switch_roster(self, roster: FleetRoster, groups: GroupsByService) -> None:
-        """Use another roster from now on; `groups`: what `prepare_roster` has made of it."""
+        """Make this the current roster; `groups` is the result of `prepare_roster`."""
         self.roster = roster
         self.change_number += 1
         for service, groups_by_region in groups.items():
@@ -211,7 +213,7 @@
                 self.pending_groups[service] = groups_by_region
 
     def assign_pending_rings(self) -> Incremental[None]:
-        """Assign the rings that nobody has read since the roster was switched. It changes no response."""
+        """Reassign the rings that were not used since the roster switch; changes no response."""
         for count, name in enumerate(list(self.pending_groups), 1):
             self.rings_of(name)
             if not count % SERVICES_PER_STEP:
--- a/cloverkeel/control_plane/entry_codec.py
+++ b/cloverkeel/control_plane/entry_codec.py
@@ -1,7 +1,7 @@
-"""Hosts in the forms of the wire: parse an entry of discovery's list, and encode it for gateways. Pure.
+"""Wire format of hosts: parses an entry of the registry's list, and encodes it for gateways. Pure.
 
-The codec's names: an entry's `status` is Host.is_serving, its `users` what a HashRing says (subsetting.py); all its
-other fields go through as they came.
+Mapping: an entry's `status` is Host.is_serving, its `users` is HashRing.max_users() (subsetting.py); all other fields
+are passed through unchanged.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from cloverkeel.control_plane.errors import EntryError
 from cloverkeel.core.config import parse_address, stable_id
 
-MAX_ENTRY_BYTES: Final = 4_096  # of one entry; those of the plan have some 180
-MAX_NAME_CHARS: Final = 255  # of a name, service or zone
+MAX_ENTRY_BYTES: Final = 4_096  # entries of the capacity plan have about 180 bytes
+MAX_NAME_CHARS: Final = 255  # limit for a host's name, service and zone
 MAX_WEIGHT: Final = 1e9
 HASH_BYTES: Final = 8
 HASH_BITS: Final = 8 * HASH_BYTES
-WIDENED_USERS_FACTOR: Final = 64  # as many times the users of a host that a gateway has only by widening
+WIDENED_USERS_FACTOR: Final = 64  # multiplies `users` of a host that a gateway has only by widening
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 STATUSES: Final = (SERVING, DRAINING, DELETED)
-# What parse_entry raises for an entry that cannot be used.
+# Exceptions that parse_entry raises for an unusable entry.
 UNUSABLE_ENTRY_ERRORS: Final = (KeyError, TypeError, ValueError, OverflowError, AttributeError, RecursionError)
 
 encode_json: Final = json.JSONEncoder(sort_keys=True, separators=(",", ":"), allow_nan=False).encode
 
 
 class Host:
-    """One host as discovery has it. Immutable: who compares two by identity sees whether anything is other."""
+    """One host as listed by the registry. Immutable, so a comparison by identity shows whether anything changed."""
 
     __slots__ = (
         "_encoded_users", "_own_entry", "_widened_entry", "fields", "is_serving", "name", "ring_position", "service",
@@ -36,15 +36,17 @@
     )  # fmt: skip
 
     def __init__(self, name: str, service: str, zone: str, is_serving: bool, fields: bytes) -> None:
-        """`fields`: its entry as a JSON object, without `status` and `users`, and without braces."""
+        """Create a host; `fields` is its entry as JSON without braces, `status` and `users`."""
         self.name, self.service, self.zone, self.is_serving, self.fields = name, service, zone, is_serving, fields
         self.ring_position = (stable_id(f"{service}\0{zone}\0{name}", HASH_BYTES), name)
         self._encoded_users, self._own_entry, self._widened_entry = -1, b"", b""
 
     def subset_entry(self, users: int, is_own: bool) -> bytes:
-        """Return its entry in a gateway's subset, encoded once for as long as `users` is the same (it is the ring's).
+        """Return the host's entry in a gateway's subset; cached while `users` stays the same.
 
-        is_own: for a gateway that has it in its own window; else with WIDENED_USERS_FACTOR times as many users.
+        users: HashRing.max_users() of the host's ring.
+        is_own: True if the host is in the gateway's own window, False if it was added by widening; the entry then has
+            WIDENED_USERS_FACTOR times as many users.
         """
         if users != self._encoded_users:
             self._encoded_users, self._own_entry, self._widened_entry = users, b"", b""
@@ -60,20 +62,19 @@
         )  # fmt: skip
 
     def plain_entry(self) -> bytes:
-        """Return its entry as discovery says it."""
+        """Return the host's entry as listed by the registry, without `users`."""
         return b'{"status":"%s",%s}' % (b"SERVING" if self.is_serving else b"DRAINING", self.fields)
 
     def deleted_entry(self) -> bytes:
-        """Return the entry by which a gateway learns that it no longer has this host."""
+        """Return the entry that removes the host from a gateway's list."""
         return b'{"status":"DELETED",%s}' % self.fields
 
 
 def parse_entry(raw: Any, host_by_name: Mapping[str, Host]) -> tuple[str, Host | None]:
-    """Parse an entry: the host's name, and the host (the one of `host_by_name`, if it is as that), None: it is
-    deleted.
+    """Parse an entry into the host's name and the host, or None for a deleted host.
 
-    Raises one of UNUSABLE_ENTRY_ERRORS where it cannot be used, by a gateway no more than here (but for what is
-    longer than the bounds above).
+    Returns the object of `host_by_name` if the host is unchanged. Raises one of UNUSABLE_ENTRY_ERRORS for an unusable
+    entry; the checks are those of gateways, except for the length limits above.
     """
     name, status, weight = raw["name"], raw["status"], float(raw.get("weight", 1.0))
     service, zone = raw.get("service"), str(raw.get("zone", ""))
@@ -96,12 +97,16 @@
     if len(fields) > MAX_ENTRY_BYTES:
         raise EntryError("entry", f"at most {MAX_ENTRY_BYTES} bytes")
     is_serving, known = status == SERVING, host_by_name.get(name)
-    if known is not None and known.fields == fields and known.is_serving == is_serving:  # with service and zone
+    # `fields` contains the service and the zone too.
+    if known is not None and known.fields == fields and known.is_serving == is_serving:
         return name, known
     return name, Host(name, service, zone, is_serving, fields)
 
 
 def departing_host_name(raw: object) -> str | None:
-    """Return the name of a host that leaves, of an entry that cannot be used otherwise: that much of it counts."""
+    """Return the host's name of an otherwise unusable entry that drains or deletes a host, else None.
+
+    Such an entry still removes the host.
+    """
     name, status = (raw.get("name"), raw.get("status")) if isinstance(raw, dict) else (None, None)
     return name if isinstance(name, str) and status in (DRAINING, DELETED) else None
--- a/cloverkeel/control_plane/fleet_roster.py
+++ b/cloverkeel/control_plane/fleet_roster.py
@@ -1,8 +1,9 @@
-"""The gateways of a fleet, as all its relays know them from one file: where each is, and which services it routes to.
+"""The gateways of a fleet: the zone of each gateway, and the services that it routes to. Pure.
 
-Pure. Invariants: a roster never changes (another file makes another one), the same text makes the same ranks and
-digest at every relay, and its size is bounded by the constants of roster_parser.py. A rank among N gateways is one
-of 0 to N: N for a name that is not in the list and hashes behind all that are.
+All relays of a fleet read the same roster file. Invariants: a roster is immutable (a changed file makes a new one),
+the same text gives the same ranks and digest at every relay, and the size is bounded by the constants of
+roster_parser.py. Ranks among N gateways are 0 to N; N is the rank of a gateway that is not in the roster and whose
+hash is greater than the hashes of all N.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from cloverkeel.core.incremental import Incremental, run_to_completion
 from cloverkeel.core.config import stable_id
 
-ALL_REGIONS: Final = ""  # the key of the group of all gateways, whatever their region
-GATEWAYS_PER_STEP: Final = 512  # some 2 ms each on a busy machine
+ALL_REGIONS: Final = ""  # key of the group of all gateways, of any region
+GATEWAYS_PER_STEP: Final = 512  # about 2 ms per step on a busy machine
 HASH_BYTES: Final = 8
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayPlacement:
-    """Where one gateway is. `services` None: it routes to all of them."""
+    """The location of one gateway, and the services that it routes to; None for all services."""
 
     zone: str
     region: str
@@ -32,18 +33,18 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayGroup:
-    """The gateways that share the hosts of one service in a zone, in the order of their hashes."""
+    """A group of gateways that share rings of one service; `hashes` are sorted."""
 
     service: str
     hashes: Sequence[int]
 
     @property
     def size(self) -> int:
-        """Number of gateways."""
+        """Number of gateways in the group."""
         return len(self.hashes)
 
     def rank(self, gateway: str) -> int:
-        """Return the rank of a gateway among them, 0 to `size`; also of one that is none of them."""
+        """Return the rank of a gateway by its hash, 0 to `size`; the gateway need not be in the group."""
         return bisect_left(self.hashes, gateway_hash(self.service, gateway))
 
 
@@ -52,7 +53,7 @@
 
 
 def gateway_hash(service: str, gateway: str) -> int:
-    """Return the hash by which a service's gateways are ordered."""
+    """Return the hash that determines the order of gateways within a service's groups."""
     return stable_id(f"{service}\0{gateway}", HASH_BYTES)
 
 
@@ -60,14 +61,16 @@
 class FleetRoster:
     """The regions and gateways of a fleet.
 
-    digest: 16 hexadecimal digits, the same for all rosters that say the same.
+    digest: 16 hexadecimal digits; rosters with equal content have equal digests.
+    gateways_by_service: the gateways that list the service explicitly.
+    gateways_of_all_services: the gateways that list no services.
     """
 
     zones_by_region: Mapping[str, tuple[str, ...]]
     placement_by_gateway: Mapping[str, GatewayPlacement]
     digest: str
     region_by_zone: Mapping[str, str] = field(default_factory=dict)
-    gateways_by_service: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # those that name it
+    gateways_by_service: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
     gateways_of_all_services: tuple[str, ...] = ()
 
     def gateways_of(self, service: str) -> Iterable[str]:
@@ -76,16 +79,19 @@
         yield from self.gateways_by_service.get(service, ())
 
     def groups(self, service: str) -> GroupsByRegion:
-        """Return what `group_incrementally` makes."""
+        """Group a service's gateways by region in one go; see `group_incrementally`."""
         return run_to_completion(self.group_incrementally(service))
 
     def group_incrementally(self, service: str) -> Incremental[GroupsByRegion]:
-        """Group a service's gateways by region; ALL_REGIONS for all. Costs a hash for each of them: to be kept."""
+        """Group a service's gateways by region, and all of them under ALL_REGIONS.
+
+        Computes a hash per gateway, so callers should keep the result.
+        """
         hashes_by_region: dict[str, list[int]] = {region: [] for region in (ALL_REGIONS, *self.zones_by_region)}
         for count, gateway in enumerate(self.gateways_of(service), 1):
-            number = gateway_hash(service, gateway)
-            hashes_by_region[ALL_REGIONS].append(number)
-            hashes_by_region[self.placement_by_gateway[gateway].region].append(number)
+            hash_value = gateway_hash(service, gateway)
+            hashes_by_region[ALL_REGIONS].append(hash_value)
+            hashes_by_region[self.placement_by_gateway[gateway].region].append(hash_value)
             if not count % GATEWAYS_PER_STEP:
                 yield
         return {
@@ -93,9 +99,9 @@
         }
 
     def changed_services(self, other: FleetRoster) -> Incremental[frozenset[str] | None]:
-        """Find the services that have other gateways in the other roster, or the same ones elsewhere.
+        """Find the services whose set of gateways, or the zone of one of them, differs in the other roster.
 
-        None: it may be any service.
+        Returns None if any service may differ.
         """
         changed: set[str] = set()
         names = self.placement_by_gateway.keys() | other.placement_by_gateway.keys()
--- a/cloverkeel/control_plane/full_list.py
+++ b/cloverkeel/control_plane/full_list.py
@@ -1,7 +1,7 @@
-"""Responses for subscribers that the roster does not have: the full list as discovery has it, and its changes. Pure.
+"""Responses for subscribers that are not in the roster: the registry's full list, or its changes. Pure.
 
-They have no state of their own here: the list is encoded once for all of them, and changes are read from the change
-log. An index stands for the list at one change number, whoever was sent it.
+No state is kept per subscriber: the list is encoded once for all of them, and changes are read from the change log.
+An index identifies the list at one change number, regardless of the subscriber.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 from cloverkeel.control_plane.messages import ListResponse
 from cloverkeel.control_plane.response_indexes import ResponseIndexes
 
-SORT_BUCKETS: Final = 64  # of the full list, by hash: each put in order in some 1 ms
+SORT_BUCKETS: Final = 64  # hash ranges of the full list; sorting one takes about 1 ms
 HOSTS_PER_STEP: Final = 2_048
 _ring_position: Final = attrgetter("ring_position")
 
 
 class FullListResponses:
-    """Makes these responses. Bounded: MAX_LOGGED_CHANGES indexes are known."""
+    """Builds the responses with the full list and its changes. Keeps at most MAX_LOGGED_CHANGES indexes."""
 
     def __init__(self, table: EndpointTable, indexes: ResponseIndexes, counters: CacheCounters) -> None:
         self.table, self.indexes, self.counters = table, indexes, counters
-        self.change_by_index: OrderedDict[int, int] = OrderedDict()  # number of the last change that it has
-        self.entries: tuple[bytes, ...] = ()  # encoded, for all who ask meanwhile
-        self.entries_change = -1  # number of the last change that `entries` have
+        self.change_by_index: OrderedDict[int, int] = OrderedDict()  # response index -> change number of its list
+        self.entries: tuple[bytes, ...] = ()  # encoded entries, shared by all responses
+        self.entries_change = -1  # change number of `entries`; -1 if not yet encoded
 
     def is_known(self, index: int) -> bool:
-        """Return whether the changes after this response can be sent."""
+        """Return whether the change log still has all changes since this response."""
         return self.change_by_index.get(index, -1) >= self.table.change_log.floor
 
     def is_up_to_date(self, index: int) -> bool:
-        """Return whether there is no change after this response."""
+        """Return whether this response is the newest state of the list."""
         return self.change_by_index.get(index) == self.table.change_number
 
     def snapshot_incrementally(self) -> Incremental[ListResponse]:
-        """Make a snapshot of the list as it is when this begins. It is made once for all who ask while it is so."""
+        """Build a snapshot of the list as of the first step. Reuses the entries if the list has not changed."""
         change_number, hosts = self.table.change_number, list(self.table.host_by_name.values())
         if self.entries_change == change_number:
             entries = self.entries
@@ -51,19 +51,19 @@
         return ListResponse(self._index_of(change_number), True, entries)
 
     def changes_since(self, index: int) -> ListResponse | None:
-        """Return the changes after this response, which is known; None: there are none."""
+        """Return the changes since a known response, or None if there are none."""
         change_number = self.change_by_index[index]
         if change_number == self.table.change_number:
             return None
         entries = self._entries_since(change_number)
-        if not entries:  # the roster is another, the list is not
+        if not entries:  # only the roster changed
             self.change_by_index[index] = self.table.change_number
             return None
         self.counters.deltas += 1
         return ListResponse(self._index_of(self.table.change_number), False, entries)
 
     def _index_of(self, change_number: int) -> int:
-        """Return the index of the list at this change: one for all, but for a change that is no longer the last."""
+        """Return the newest index if it has this change number, else a new index."""
         last = next(reversed(self.change_by_index), -1)
         if last < 0 or self.change_by_index[last] != change_number:
             last = self.indexes.next()
@@ -73,7 +73,7 @@
         return last
 
     def _entries_since(self, change_number: int) -> tuple[bytes, ...]:
-        """Encode the newest state of each host that was changed since, what restricts first."""
+        """Encode the newest state of each host changed after this change number, the most restrictive first."""
         deleted: list[bytes] = []
         draining: list[bytes] = []
         serving: list[bytes] = []
@@ -89,7 +89,7 @@
 
 
 def _encode_sorted(hosts: list[Host]) -> Incremental[tuple[bytes, ...]]:
-    """Encode all hosts: those that drain first, then in the order of their hashes."""
+    """Encode all hosts: draining hosts first, then serving hosts, both in the order of their ring positions."""
     buckets: list[list[Host]] = [[] for _ in range(2 * SORT_BUCKETS)]
     for count, host in enumerate(hosts, 1):
         buckets[host.is_serving * SORT_BUCKETS + (host.ring_position[0] * SORT_BUCKETS >> HASH_BITS)].append(host)
--- a/cloverkeel/control_plane/messages.py
+++ b/cloverkeel/control_plane/messages.py
@@ -1,6 +1,6 @@
-"""What a gateway asks of a relay, and what it is answered. Pure.
+"""A subscriber's request to a relay, and the response. Pure.
 
-On the wire (docs/relay-design.md), where `services` and `wide` stand for Subscriber.services and .widenings:
+Wire format (docs/relay-design.md); `services` and `wide` are Subscriber.services and .widenings:
 
     GET /registry/instances?gateway=NAME&services=a,b&wide=0[&from=INDEX&hold_ms=1000]
 """
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 from typing import Final
 
-MAX_WIDENINGS: Final = 3  # a subset is doubled at most so often: 8 times as many hosts
+MAX_WIDENINGS: Final = 3  # each doubles the subset, so at most 8 times as many hosts
 
 
 @dataclass(slots=True, frozen=True)
 class Subscriber:
-    """Who polls a relay, and for what.
+    """A client that polls a relay, and the hosts that it asks for.
 
-    gateway: its name; "" for one that does not name itself, and gets the full list.
-    services: those that it routes to; none: what the roster has for it, else all of them.
-    widenings: how often its subset is to be doubled, 0 to MAX_WIDENINGS.
+    gateway: its name; "" for an unnamed client, which gets the full list.
+    services: the services that it routes to; if empty, the services listed in the roster, or all if none are listed.
+    widenings: how many times its subset is doubled, 0 to MAX_WIDENINGS.
     """
 
     gateway: str = ""
@@ -29,10 +29,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ListResponse:
-    """An endpoint list in discovery's published form: a snapshot, or the changes since an earlier response.
+    """An endpoint list in the registry's format: a snapshot, or the changes since an earlier response.
 
-    index: of this response; `from` names it in the next request.
-    entries: each one JSON object, encoded.
+    index: index of this response; the next request passes it as `from`.
+    entries: encoded JSON objects, one per host.
     """
 
     index: int
@@ -41,19 +41,22 @@
 
     @property
     def entries_bytes(self) -> int:
-        """Size of the entries with their separators."""
+        """Size of the entries with separators, in bytes."""
         return sum(map(len, self.entries)) + len(self.entries)
 
     @property
     def head(self) -> bytes:
-        """The body up to its first entry."""
+        """The part of the body before the first entry."""
         return b'{"index":%d,"snapshot":%s,"endpoints":[' % (self.index, b"true" if self.is_snapshot else b"false")
 
     def body(self, age_ms: int) -> bytes:
-        """Return the whole body; `age_ms` as for `encode_tail`."""
+        """Return the whole body; see `encode_tail` for `age_ms`."""
         return self.head + b",".join(self.entries) + encode_tail(age_ms)
 
 
 def encode_tail(age_ms: int) -> bytes:
-    """Return the body behind its last entry. `age_ms`: since discovery was last known to have just this list."""
+    """Return the part of the body after the last entry.
+
+    age_ms: time since the registry was last known to have exactly this list.
+    """
     return b'],"age_ms":%d}' % age_ms
--- a/cloverkeel/control_plane/rate_limiter.py
+++ b/cloverkeel/control_plane/rate_limiter.py
@@ -1,7 +1,7 @@
-"""A token bucket for snapshots: how many of them a relay sends a second. Pure: its caller has the clock.
+"""Token bucket that limits the snapshots per second of a relay. Pure: the caller passes the time.
 
-Invariant: the snapshots that were sent by any moment are at most `burst` and `rate_per_s` for each second since the
-start; a large one counts as several.
+Invariant: the number of snapshots sent is at most `burst` plus `rate_per_s` times the seconds since the start, where
+a large snapshot counts as several.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-TOKEN_BYTES: Final = 256 << 10  # a snapshot costs one token, and one more for each so many bytes
+TOKEN_BYTES: Final = 256 << 10  # a snapshot costs one token plus one per TOKEN_BYTES
 
 
 @dataclass(slots=True)
 class SnapshotRateLimiter:
-    """A token bucket. Times are in seconds, of a monotonic clock."""
+    """A token bucket. Times are in seconds of a monotonic clock."""
 
     rate_per_s: float
-    burst: float  # at once, after a quiet time
+    burst: float  # tokens available after an idle period
     tokens: float = field(init=False)
     refilled_at_s: float = 0.0
 
@@ -25,11 +25,14 @@
         self.tokens = self.burst
 
     def delay_s(self, now_s: float) -> float:
-        """Return the time until a snapshot may be sent; 0.0: now."""
+        """Return the time in seconds until a snapshot may be sent; 0.0 if it may be sent now."""
         self.tokens = min(self.burst, self.tokens + (now_s - self.refilled_at_s) * self.rate_per_s)
         self.refilled_at_s = now_s
         return max(0.0, (1.0 - self.tokens) / self.rate_per_s)
 
     def consume(self, size_bytes: int) -> None:
-        """Take the tokens of a snapshot of this size, which was sent. A large one is paid for by those after it."""
+        """Take the tokens for a sent snapshot.
+
+        After a large snapshot the number of tokens is negative, which delays the next snapshots.
+        """
         self.tokens -= 1.0 + size_bytes // TOKEN_BYTES
--- a/cloverkeel/control_plane/response_indexes.py
+++ b/cloverkeel/control_plane/response_indexes.py
@@ -1,10 +1,10 @@
-"""The indexes of a relay process's responses. Pure."""
+"""Response indexes of a relay process. Pure."""
 
 from __future__ import annotations
 
 
 class ResponseIndexes:
-    """Counts up from an index greater than any of an earlier process at the same address."""
+    """A counter that starts above all indexes of earlier processes at the same address."""
 
     __slots__ = ("last",)
 
@@ -12,6 +12,6 @@
         self.last = first - 1
 
     def next(self) -> int:
-        """Return the index of one more response."""
+        """Return a new index."""
         self.last += 1
         return self.last
--- a/cloverkeel/control_plane/roster_parser.py
+++ b/cloverkeel/control_plane/roster_parser.py
@@ -1,4 +1,4 @@
-"""Parse a roster file: JSON text in, a FleetRoster or a RosterError out. Pure: it reads no file.
+"""Parses the JSON text of a roster file into a FleetRoster, or raises RosterError. Pure: reads no file.
 
 {"regions": {REGION: [ZONE, ...]}, "gateways": {NAME: {"zone": ZONE[, "services": [SERVICE, ...]]}}}
 """
@@ -14,19 +14,19 @@
 from cloverkeel.control_plane.fleet_roster import HASH_BYTES, FleetRoster, GatewayPlacement
 from cloverkeel.core.config import stable_id
 
-MAX_GATEWAYS: Final = 16_384  # 3.5 times the plan's; a relay keeps two client snapshots of each (deltas.py)
+MAX_GATEWAYS: Final = 16_384  # 3.5 times the capacity plan; a relay keeps two client snapshots of each (deltas.py)
 MAX_REGIONS: Final = 64
-MAX_ZONES: Final = 1_024  # in all: 170 times the plan's
-MAX_SERVICES: Final = 4_096  # named for one gateway; one that routes to more says so by naming none
-MAX_NAMED_SERVICES: Final = 1 << 21  # of all gateways: 17 times the plan's; 8 bytes each, and the names
-MAX_NAME_CHARS: Final = 255  # of a gateway, service, zone or region
-MAX_ENTRIES_BY_KEY: Final = {"regions": MAX_REGIONS, "gateways": MAX_GATEWAYS}  # the keys of the file
+MAX_ZONES: Final = 1_024  # total over all regions; 170 times the capacity plan
+MAX_SERVICES: Final = 4_096  # per gateway; a gateway that routes to more lists none, which means all services
+MAX_NAMED_SERVICES: Final = 1 << 21  # total over all gateways; 17 times the capacity plan; 8 bytes each plus names
+MAX_NAME_CHARS: Final = 255  # limit for names of gateways, services, zones and regions
+MAX_ENTRIES_BY_KEY: Final = {"regions": MAX_REGIONS, "gateways": MAX_GATEWAYS}  # the top-level keys
 GATEWAY_KEYS: Final = ("zone", "services")
-UNNAMED_SERVICE: Final = ""  # the one service of entries that name none
+UNNAMED_SERVICE: Final = ""  # the service of registry entries without a `service` field
 
 
 def parse_roster(text: str | bytes, file: str) -> FleetRoster:
-    """Parse a roster. `file` is its name, for errors. Raises RosterError for what is no JSON, or cannot be."""
+    """Parse a roster; raise RosterError if it is not JSON or not valid. `file` is its name in error messages."""
     raw = _check_keys(_read_json(text, file), file)
     regions = _parse_regions(raw["regions"], file)
     gateways = _parse_gateways(raw["gateways"], regions.region_by_zone, file)
@@ -102,7 +102,7 @@
     placement_by_gateway: dict[str, GatewayPlacement] = field(default_factory=dict)
     gateways_by_service: dict[str, list[str]] = field(default_factory=dict)
     gateways_of_all_services: list[str] = field(default_factory=list)
-    named_services: int = 0  # of all gateways together
+    named_services: int = 0  # total over all gateways
 
 
 def _parse_gateways(raw: dict[str, Any], region_by_zone: Mapping[str, str], file: str) -> _Gateways:
@@ -127,7 +127,7 @@
 
 
 def _parse_zone(fields: Any, region_by_zone: Mapping[str, str], file: str, key: str) -> str:
-    """Check the keys of a gateway, and return its zone."""
+    """Validate the keys of a gateway, and return its zone."""
     if not isinstance(fields, dict):
         raise RosterError(file, key, 'an object with "zone"', fields)
     for name in fields:
@@ -151,8 +151,10 @@
 
 
 def _digest(raw: Any) -> str:
-    """Hash json.dumps with sorted keys and no spaces; a gateway at a time, as other threads stand while it
-    encodes."""
+    """Hash the roster as JSON with sorted keys and no spaces.
+
+    Encodes one gateway at a time, as the encoder blocks other threads during a call.
+    """
     encode = json.JSONEncoder(sort_keys=True, separators=(",", ":")).encode
     gateways = ",".join(f"{encode(name)}:{encode(fields)}" for name, fields in sorted(raw["gateways"].items()))
     canonical = '{"gateways":{' + gateways + '},"regions":' + encode(raw["regions"]) + "}"
--- a/cloverkeel/control_plane/snapshot_queue.py
+++ b/cloverkeel/control_plane/snapshot_queue.py
@@ -1,8 +1,8 @@
-"""Snapshots, in turn: rate limited, queued for a bounded time, rejected beyond that.
+"""Queue of snapshot requests: rate limited, held for a bounded time, and rejected beyond the queue's capacity.
 
 Invariants:
-- snapshots a second, snapshots that wait and bytes that clients have not read are bounded;
-- the full list is encoded once for all who ask for it while it is as it is, and is as old as it is.
+- snapshots per second, queued snapshots and bytes not yet read by clients are bounded;
+- the full list is encoded once for all clients until it changes, and its reported age is that of the encoded state.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 from cloverkeel.control_plane.requests import PollRequest
 from cloverkeel.control_plane.response_sender import ResponseSender, abort_on_failure, log_failed_response
 
-# A snapshot waits so long at the most: a gateway gives up after 1 s (FIRST_ANSWER_S in discovery/relay_selection.py).
+# Maximum time in the queue; gateways give up after 1 s (RELAY_FIRST_REPLY_TIMEOUT_S in discovery/relay_requests.py).
 SNAPSHOT_TIMEOUT_S: Final = 0.8
 
 
 @dataclass(slots=True)
 class EncodedList:
-    """The full list as it was at one change, encoded for all who are sent it."""
+    """The full list at one change number, encoded once for all clients."""
 
-    change_number: int  # of the endpoint table
-    as_of_us: int | None  # DiscoverySource.confirmed_us, as the list was last known to be just this
+    change_number: int  # EndpointTable.change_number
+    as_of_us: int | None  # DiscoverySource.confirmed_us when the registry was last known to have exactly this list
     entries_bytes: int
     body: IncrementalBody
 
 
 @dataclass(slots=True)
 class QueuedSnapshot:
-    """A request for a snapshot that waits for its turn. `encoded_list`: that was made for it."""
+    """A queued request for a snapshot; `encoded_list` is set if the request waited for that list to be encoded."""
 
     deadline_s: float
     connection: ClientConnection
@@ -48,7 +48,7 @@
 
 
 class SnapshotQueue:
-    """Sends snapshots as the rate limiter allows."""
+    """Sends queued snapshots at the rate that the rate limiter allows."""
 
     def __init__(
         self, cache: EndpointCache, sender: ResponseSender, limits: Limits, counters: ServerCounters
@@ -58,14 +58,15 @@
         self.rate_limiter = SnapshotRateLimiter(limits.snapshots_per_s, limits.snapshots_per_s)
         self.queue: deque[QueuedSnapshot] = deque()
         self.serve_timer: asyncio.TimerHandle | None = None
-        # By whether it is gzip: the full list, while it is as it is, and who waits until that is encoded.
+        # Keyed by whether the body is gzipped: the current full list, and the requests that wait for its encoding.
         self.encoded_lists: dict[bool, EncodedList] = {}
         self.waiting_for_list: dict[bool, list[QueuedSnapshot]] = {False: [], True: []}
 
     def enqueue(self, connection: ClientConnection, request: PollRequest) -> None:
-        """Queue a request for a snapshot, or reject it where too many wait.
+        """Queue a request for a snapshot, or reject it if the queue is full.
 
-        A burst of snapshots goes at once, and as many wait as go out within SNAPSHOT_TIMEOUT_S.
+        The capacity is the burst that the rate limiter allows at once, plus the snapshots that it allows within
+        SNAPSHOT_TIMEOUT_S.
         """
         waiting = len(self.queue) + sum(map(len, self.waiting_for_list.values()))
         capacity = self.limits.snapshots_per_s * SNAPSHOT_TIMEOUT_S + max(0.0, self.rate_limiter.tokens)
@@ -76,14 +77,14 @@
             self._reject(connection)
 
     def discard_outdated_lists(self) -> None:
-        """Forget the encoded lists that are no longer as the list is."""
+        """Discard encoded lists that no longer match the endpoint table."""
         change_number = self.cache.table.change_number
         self.encoded_lists = {
             gzip: encoded for gzip, encoded in self.encoded_lists.items() if encoded.change_number == change_number
         }
 
     def close(self) -> None:
-        """Send no more."""
+        """Stop sending snapshots."""
         if self.serve_timer is not None:
             self.serve_timer.cancel()
 
@@ -97,7 +98,7 @@
             self.serve_timer = self.loop.call_later(delay_s, self._serve)
 
     def _serve(self) -> None:
-        """Serve those whose turn it is, for a slice at the most."""
+        """Serve queued requests for at most SLICE_S."""
         self.serve_timer = None
         slice_end_s = self.loop.time() + SLICE_S
         while self.queue and self.loop.time() < slice_end_s:
@@ -127,12 +128,12 @@
             self._send_full_list(queued)
             return
         response = self.cache.respond(subscriber, None)
-        assert response is not None  # who has nothing lacks the snapshot
+        assert response is not None  # without a known index, the response is always a snapshot
         self.counters.snapshots += 1
         self.rate_limiter.consume(self.sender.send(queued.connection, response))
 
     def _send_full_list(self, queued: QueuedSnapshot) -> None:
-        """Send the full list, once it is encoded; it is encoded for all who come meanwhile."""
+        """Send the full list, or wait for its encoding together with other requests that arrive meanwhile."""
         connection, change_number = queued.connection, self.cache.table.change_number
         encoded = queued.encoded_list or self.encoded_lists.get(connection.accepts_gzip)
         is_outdated = encoded is not None and encoded.change_number != change_number
@@ -156,7 +157,7 @@
             yield from body.encode(response)
             encoded = EncodedList(change_number, as_of_us, response.entries_bytes, body)
             self.encoded_lists[gzip] = encoded
-        except Exception as error:  # whatever it is, nobody waits for ever
+        except Exception as error:  # on any error, close the waiting connections
             log_failed_response(error)
             for queued in self.waiting_for_list[gzip]:
                 queued.connection.abort()
--- a/cloverkeel/control_plane/subscriptions.py
+++ b/cloverkeel/control_plane/subscriptions.py
@@ -1,4 +1,4 @@
-"""What a subscriber is to be sent, by the roster. Pure."""
+"""The part of the endpoint list that a subscriber is sent according to the roster. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscription:
-    """Of one gateway that is in the roster. `services` None: all of them."""
+    """The subscription of a gateway in the roster; `services` is None for all services."""
 
     gateway: str
     region: str
@@ -20,19 +20,19 @@
     roster: FleetRoster
 
     def has_service(self, service: str) -> bool:
-        """Return whether it is to have the hosts of this service."""
+        """Return whether the subscription includes this service."""
         return self.services is None or service in self.services
 
     @property
     def keys(self) -> tuple[SubscriptionKey, ...]:
-        """The keys by which it is found when something changes."""
+        """The keys under which the gateway is notified of changes."""
         if self.services is None:
             return ((None, self.region),)
         return tuple((service, self.region) for service in self.services)
 
 
 def subscription_of(subscriber: Subscriber, roster: FleetRoster) -> Subscription | None:
-    """Return a subscriber's subscription; None: the roster does not have it, and it gets the full list."""
+    """Return a subscriber's subscription, or None if it is not in the roster and so gets the full list."""
     placement = roster.placement_by_gateway.get(subscriber.gateway)
     if placement is None:
         return None
--- a/cloverkeel/control_plane/subsetting.py
+++ b/cloverkeel/control_plane/subsetting.py
@@ -1,23 +1,23 @@
-"""Which hosts a gateway has: windows on hash rings of a service's hosts (docs/relay-design.md). Pure.
-
-A deterministic subsetting like that of the SRE book (chapter 20, "Load balancing in the datacenter"): a ring has
-the hosts of one service in one zone that serve, in the order of a hash. N gateways that share it stand on the same
-ring, evenly: number i begins at floor((i + 1/2) H / N) and has the next k of its H hosts.
-
-Invariants, for each ring and each group of N gateways on it:
-- how many gateways have a host differs by at most one between any two hosts, and is never none; where none has
-  widened, it is at most max_users(H, (N,), min_hosts);
-- the window of a gateway that has widened begins with its own, that of no widening, and what is beyond that is sent
-  with WIDENED_USERS_FACTOR times as many users. So whoever widens, the shares 1 / `users` of a host add up to
-  1 + 8 / WIDENED_USERS_FACTOR at the most: of its own, to 1; of the others there are at most 8 times as many as
-  `users`, as a window is doubled three times;
-- one host more or less brings at most 2 hosts into a window and takes at most 2 out of it;
-- the ring is the same for the same hosts, in whatever order they came.
-ServiceRings says who shares which ring. Where fewer than SubsetSizes.min_serving hosts of a region's own rings
-serve, its gateways share those of the other regions too. A zone that no region has, or whose region has no gateway
-before the service, is shared by all gateways before it: no host is left without one.
-
-Cost of a change: bisect and one move inside a list of pointers; the rest of a ring is left as it is.
+"""Selects each gateway's hosts: windows on hash rings of a service's hosts (docs/relay-design.md). Pure.
+
+Deterministic subsetting like that of the SRE book (chapter 20, "Load balancing in the datacenter"): a ring holds the
+serving hosts of one service in one zone, in the order of a hash. The N gateways that share a ring are placed on it
+evenly: the window of the gateway with rank i begins at floor((i + 1/2) H / N) and has the next k of the H hosts.
+
+Invariants, for each ring and each group of N gateways that share it:
+- the number of gateways that use a host differs by at most one between any two hosts and is never 0; while no gateway
+  has widened, it is at most max_users(H, (N,), min_hosts);
+- the window of a widened gateway begins with its own window (without widening), and the hosts beyond that are sent
+  with WIDENED_USERS_FACTOR times as many users. So whichever gateways widen, the shares 1 / `users` of a host add up
+  to at most 1 + 8 / WIDENED_USERS_FACTOR: to at most 1 over the gateways whose own window has the host, and there are
+  at most 8 times `users` other gateways, as a window is doubled at most three times;
+- adding or removing a host adds at most 2 hosts to a window and removes at most 2 from it;
+- the ring depends only on the set of hosts, not on the order in which they were added.
+ServiceRings assigns rings to groups of gateways. If fewer than SubsetSizes.min_serving hosts serve in a region's own
+rings, its gateways also share the rings of the other regions (spillover). A zone that belongs to no region, or whose
+region has no gateway that routes to the service, is shared by all gateways that do, so every host has a gateway.
+
+Cost of a change: a bisection and one move inside a list of pointers; the rest of the ring is not touched.
 """
 
 from __future__ import annotations
@@ -31,18 +31,18 @@
 from cloverkeel.control_plane.entry_codec import Host
 from cloverkeel.control_plane.fleet_roster import ALL_REGIONS, FleetRoster, GatewayGroup, GroupsByRegion
 
-MAX_IN_PLACE_CHANGES: Final = 16  # of one ring at once that are made one by one; with more it is sorted anew
-USERS_PRECISION_BITS: Final = 4  # of what is sent as `users`
+MAX_IN_PLACE_CHANGES: Final = 16  # more changes to one ring at once re-sort the whole ring
+USERS_PRECISION_BITS: Final = 4  # significant bits of `users`
 
 _ring_position: Final = attrgetter("ring_position")
 
 
 @dataclass(slots=True, frozen=True)
 class SubsetSizes:
-    """How large subsets are. All relays of a fleet have these; a small model has smaller ones.
+    """The sizes of subsets. All relays of a fleet use the same sizes; small models in tests use smaller ones.
 
-    min_hosts: hosts in a window, and gateways at a host, where there are so many: a few may fail at once.
-    min_serving: hosts that serve in a gateway's region, before it has those of the others too.
+    min_hosts: hosts per window, and gateways per host, if that many exist; allows a few to fail at the same time.
+    min_serving: with fewer serving hosts in its region, a gateway also gets the hosts of other regions.
     """
 
     min_hosts: int = 8
@@ -53,24 +53,26 @@
 
 
 def window_size(hosts: int, gateways: int, min_hosts: int) -> int:
-    """Return how many hosts a window has, of `hosts` on the ring that `gateways` (1 or more) share.
+    """Return the number of hosts in a window.
 
+    hosts: number of hosts on the ring.
+    gateways: number of gateways that share the ring, 1 or more.
     min_hosts: SubsetSizes.min_hosts, doubled for each widening.
     """
     return min(hosts, max(min_hosts, -(-min_hosts * hosts // gateways)))
 
 
 def window_start(hosts: int, gateways: int, rank: int) -> int:
-    """Return where the window of the gateway of this rank begins, of `hosts` (1 or more)."""
+    """Return the position at which the window of the gateway with this rank begins; `hosts` is 1 or more."""
     return (2 * rank + 1) * hosts // (2 * gateways) % hosts
 
 
 def max_users(hosts: int, group_sizes: Iterable[int], min_hosts: int) -> int:
-    """Return how many gateways have a host at the most, where groups of these sizes share its ring.
+    """Return the maximum number of gateways that use a host if groups of these sizes share its ring.
 
-    One more than the windows make, for one that the roster lacks, and rounded up to four binary digits (by an
-    eighth at the most): so that a ring does not send its hosts anew at each change. Where hosts >= gateways it is
-    the same for all of them.
+    Adds one gateway per group for a gateway missing from the roster, and rounds up to 4 significant bits (by at most
+    an eighth), so that not every change re-sends all hosts of the ring. With hosts >= gateways the result does not
+    depend on the number of hosts.
     """
     users = 0
     for size in group_sizes:
@@ -83,7 +85,10 @@
 
 
 class HashRing:
-    """The hosts of a service in a zone that serve, in order. `known_hosts` counts those that don't serve too."""
+    """The serving hosts of a service in a zone, sorted by ring position.
+
+    known_hosts: number of hosts in the zone, including draining hosts.
+    """
 
     __slots__ = ("_all_hosts", "_max_users", "changed_at", "group_sizes", "hosts", "known_hosts", "min_hosts", "zone")
 
@@ -91,13 +96,13 @@
         self.zone, self.min_hosts = zone, min_hosts
         self.hosts: list[Host] = []
         self.known_hosts = 0
-        self.changed_at = 0  # the number of the last change that windows here may have to do with
-        self.group_sizes: tuple[int, ...] = ()  # of those that share it
-        self._max_users = 0  # 0: to be computed
-        self._all_hosts: tuple[Host, ...] | None = None  # shared by all whose window is the ring
+        self.changed_at = 0  # change number of the last change that may affect a window
+        self.group_sizes: tuple[int, ...] = ()  # gateways in each group that shares the ring
+        self._max_users = 0  # 0 if not computed
+        self._all_hosts: tuple[Host, ...] | None = None  # shared by all windows that cover the whole ring
 
     def replace_hosts(self, removed: Sequence[Host], added: Sequence[Host]) -> None:
-        """Take out some of its hosts (they are there), and put in others."""
+        """Remove hosts, which must be on the ring, and add others."""
         self._all_hosts = None
         if len(removed) + len(added) > MAX_IN_PLACE_CHANGES:
             leaving = set(removed)
@@ -111,22 +116,22 @@
             self.hosts.insert(bisect_left(self.hosts, host.ring_position, key=_ring_position), host)
 
     def set_group_sizes(self, sizes: tuple[int, ...]) -> None:
-        """Say how many gateways share it, group by group."""
+        """Set the number of gateways in each group that shares the ring."""
         self.group_sizes = sizes
         self._max_users = 0
 
     def max_users(self) -> int:
-        """Return how many gateways have one of its hosts in their own windows, at the most."""
+        """Return the maximum number of gateways whose own window has the same host."""
         if not self._max_users:
             self._max_users = max_users(len(self.hosts), self.group_sizes, self.min_hosts)
         return self._max_users
 
     def own_window_size(self, group: GatewayGroup) -> int:
-        """Return how many hosts the window of a gateway has that has not widened."""
+        """Return the number of hosts in a gateway's window without widening."""
         return window_size(len(self.hosts), max(group.size, 1), self.min_hosts)
 
     def window(self, group: GatewayGroup, gateway: str, widenings: int) -> tuple[Host, ...]:
-        """Return a gateway's hosts of this ring, those of its own window first."""
+        """Return a gateway's hosts on this ring; its own window comes first."""
         hosts = self.hosts
         count, gateways = len(hosts), max(group.size, 1)
         if self.own_window_size(group) >= count:
@@ -140,14 +145,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RingShare:
-    """A ring, and the group of gateways as one of which a gateway shares it."""
+    """A ring, and the group of gateways that determines a gateway's rank on it."""
 
     ring: HashRing
     group: GatewayGroup
 
 
 class ServiceRings:
-    """The rings of one service, and who shares which."""
+    """The rings of one service, and the groups of gateways that share each ring."""
 
     __slots__ = ("groups", "ring_by_zone", "shares_by_region", "sizes", "spillover_regions")
 
@@ -155,18 +160,18 @@
         self.sizes = sizes
         self.groups: GroupsByRegion = roster.groups(service)
         self.ring_by_zone: dict[str, HashRing] = {}
-        self.shares_by_region: dict[str, tuple[RingShare, ...]] = {}  # of the gateways of a region
-        self.spillover_regions: frozenset[str] = frozenset()  # whose gateways have other regions' hosts too
+        self.shares_by_region: dict[str, tuple[RingShare, ...]] = {}  # the rings for gateways of a region
+        self.spillover_regions: frozenset[str] = frozenset()  # regions whose gateways also get other regions' hosts
 
     def regroup(self, groups: GroupsByRegion, roster: FleetRoster) -> None:
-        """Share the rings by another roster."""
+        """Reassign the rings for a new roster; `groups` are those of this service."""
         self.groups = groups
         self.assign_rings(roster)
 
     def assign_rings(self, roster: FleetRoster) -> bool:
-        """Work out who shares the rings, after any change of them.
+        """Assign the rings to groups of gateways; called after any change of the rings or the roster.
 
-        Returns whether other regions than before share them.
+        Returns whether the set of spillover regions changed.
         """
         owner_by_zone = {zone: self._owner_of_zone(zone, roster) for zone in self.ring_by_zone}
         rings = [self.ring_by_zone[zone] for zone in sorted(self.ring_by_zone)]
@@ -186,15 +191,15 @@
         return before != self.spillover_regions
 
     def _owner_of_zone(self, zone: str, roster: FleetRoster) -> str:
-        """Return the region whose gateways share a zone's ring; ALL_REGIONS where it has none of them."""
+        """Return the region whose gateways share a zone's ring; ALL_REGIONS if it has no gateways or is unknown."""
         region = roster.region_by_zone.get(zone, ALL_REGIONS)
         return region if self.groups[region].size else ALL_REGIONS
 
     def _shares_of(
         self, region: str, rings: Iterable[HashRing], owner_by_zone: dict[str, str]
     ) -> tuple[RingShare, ...]:
-        everyone = self.groups[ALL_REGIONS]
-        regional = self.groups[region] if self.groups[region].size else everyone
+        all_gateways = self.groups[ALL_REGIONS]
+        regional = self.groups[region] if self.groups[region].size else all_gateways
         return tuple(
-            RingShare(ring, everyone if owner_by_zone[ring.zone] == ALL_REGIONS else regional) for ring in rings
+            RingShare(ring, all_gateways if owner_by_zone[ring.zone] == ALL_REGIONS else regional) for ring in rings
         )
