--- a/tests/control_plane/cache_helpers.py
+++ b/tests/control_plane/cache_helpers.py
@@ -19,33 +19,33 @@
 HOSTS = [entry(f"h{n:02}", "st"[n % 2], "abc"[n % 3]) for n in range(60)]
 
 
-G0, G2, ONLY, NOBODY = Subscriber("g0"), Subscriber("g2"), Subscriber("only"), Subscriber()
+G0, G2, SINGLE_SERVICE, UNNAMED = Subscriber("g0"), Subscriber("g2"), Subscriber("only"), Subscriber()
 
 
-def cache_of(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
+def make_cache(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
     made = EndpointCache(parse_roster(json.dumps(ROSTER), "roster.json"), first_index)
     made.apply_list(True, hosts)
     return made
 
 
-def ask(cache: EndpointCache, subscriber: Subscriber, since: int | None = None) -> ListResponse:
+def respond(cache: EndpointCache, subscriber: Subscriber, since: int | None = None) -> ListResponse:
     answer = cache.respond(subscriber, since)
     assert answer is not None
     return answer
 
 
-def raws(answer: ListResponse) -> list[Entry]:
+def entries_of(answer: ListResponse) -> list[Entry]:
     entries: list[Entry] = json.loads(answer.body(0))["endpoints"]
     return entries
 
 
-def states(answer: ListResponse) -> dict[str, str]:
-    return {raw["name"]: raw["status"] for raw in raws(answer)}
+def status_by_name(answer: ListResponse) -> dict[str, str]:
+    return {raw["name"]: raw["status"] for raw in entries_of(answer)}
 
 
-def drained(raw: Entry) -> Entry:
+def draining(raw: Entry) -> Entry:
     return raw | {"status": "DRAINING"}
 
 
-def gone(raw: Entry) -> Entry:
+def deleted(raw: Entry) -> Entry:
     return raw | {"status": "DELETED"}
--- a/tests/control_plane/subset_helpers.py
+++ b/tests/control_plane/subset_helpers.py
@@ -11,7 +11,7 @@
 from cloverkeel.control_plane.roster_parser import parse_roster
 
 
-def made_fleet(hosts: int, gateways: int, service: str = "s", **more: Any) -> dict[str, Any]:
+def make_fleet(hosts: int, gateways: int, service: str = "s", **more: Any) -> dict[str, Any]:
     """A roster and the entries of a service, evenly over two zones of one region and one zone of another."""
     zones = ["r0-a", "r0-b", "r1-a"]
     return {
@@ -23,7 +23,7 @@
     } | more
 
 
-def cache_of(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
+def make_cache(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
     cache = EndpointCache(parse_roster(json.dumps(roster), "roster.json"), 1)
     cache.apply_list(True, entries)
     return cache
--- a/tests/control_plane/test_endpoint_cache.py
+++ b/tests/control_plane/test_endpoint_cache.py
@@ -19,108 +19,117 @@
     G0,
     G2,
     HOSTS,
-    NOBODY,
-    ONLY,
     ROSTER,
-    ask,
-    cache_of,
-    drained,
-    gone,
-    raws,
-    states,
+    SINGLE_SERVICE,
+    UNNAMED,
+    deleted,
+    draining,
+    entries_of,
+    make_cache,
+    respond,
+    status_by_name,
 )
 
 
 def statuses(answer: ListResponse) -> list[str]:
-    return [raw["status"] for raw in raws(answer)]
+    return [raw["status"] for raw in entries_of(answer)]
 
 
 def test_cache_without_snapshot_is_not_ready_and_applies_no_changes() -> None:
     cache = EndpointCache(parse_roster(json.dumps(ROSTER), "f"), 1)
     for items in (HOSTS[:3], "rubbish"):
         assert not cache.apply_list(False, items) and not cache.is_ready
-    for subscriber in (G0, NOBODY):
+    for subscriber in (G0, UNNAMED):
         with pytest.raises(NotReadyError):
             cache.respond(subscriber, None)
     assert cache.apply_list(True, []) == frozenset() and cache.is_ready  # discovery has nobody, and says so
-    assert ask(cache, G0) == ListResponse(1, True, ())
+    assert respond(cache, G0) == ListResponse(1, True, ())
 
 
 def test_drain_and_deletion_reach_the_gateways_that_have_the_host() -> None:
-    cache = cache_of()
-    had = {name: ask(cache, Subscriber(name)) for name in ROSTER["gateways"]}
-    name = raws(had["g0"])[0]["name"]
+    cache = make_cache()
+    had = {name: respond(cache, Subscriber(name)) for name in ROSTER["gateways"]}
+    name = entries_of(had["g0"])[0]["name"]
     raw = next(each for each in HOSTS if each["name"] == name)
-    cache.apply_list(False, [drained(raw)])
-    its = {gateway for gateway, answer in had.items() if name in states(answer)}
+    cache.apply_list(False, [draining(raw)])
+    its = {gateway for gateway, answer in had.items() if name in status_by_name(answer)}
     drains = {gateway: cache.respond(Subscriber(gateway), answer.index) for gateway, answer in had.items()}
-    sent = {gateway for gateway, answer in drains.items() if answer is not None and name in states(answer)}
+    sent = {gateway for gateway, answer in drains.items() if answer is not None and name in status_by_name(answer)}
     assert sent == its and "g0" in its
-    assert all(raws(answer)[0] == drained(raw) for answer in drains.values() if answer and name in states(answer))
-    assert name not in states(ask(cache, G0))  # a snapshot has it no longer
+    assert all(
+        entries_of(answer)[0] == draining(raw)
+        for answer in drains.values()
+        if answer and name in status_by_name(answer)
+    )
+    assert name not in status_by_name(respond(cache, G0))  # a snapshot has it no longer
     after = drains["g0"]
     assert after is not None and cache.respond(G0, after.index) is None
-    cache.apply_list(False, [gone(raw)])
-    assert states(ask(cache, G0, after.index)) == {name: "DELETED"}
+    cache.apply_list(False, [deleted(raw)])
+    assert status_by_name(respond(cache, G0, after.index)) == {name: "DELETED"}
 
 
 def test_deletions_and_drains_precede_serving_hosts() -> None:
-    cache = cache_of()
+    cache = make_cache()
     wide = Subscriber("only", (), 1)  # it has them all
-    index, everyone = ask(cache, wide).index, ask(cache, NOBODY).index
+    index, everyone = respond(cache, wide).index, respond(cache, UNNAMED).index
     its = [each for each in HOSTS if each["service"] == "s" and each["zone"] == "a"]
     serving = [its[0] | {"weight": 2.0}, entry("aa", "s", "a")]
-    cache.apply_list(False, [*serving, drained(its[1]), gone(its[2]), drained(its[3])])
-    assert statuses(ask(cache, NOBODY, everyone)) == ["DELETED", *["DRAINING"] * 2, *["SERVING"] * 2]
-    sent = ask(cache, wide, index)  # its own window has moved on too: some serve with another share
+    cache.apply_list(False, [*serving, draining(its[1]), deleted(its[2]), draining(its[3])])
+    assert statuses(respond(cache, UNNAMED, everyone)) == ["DELETED", *["DRAINING"] * 2, *["SERVING"] * 2]
+    sent = respond(cache, wide, index)  # its own window has moved on too: some serve with another share
     assert statuses(sent)[:3] == ["DELETED", *["DRAINING"] * 2] and set(statuses(sent)[3:]) == {"SERVING"}
-    assert {each["name"] for each in serving} <= {raw["name"] for raw in raws(sent)[3:]}
-    assert [raw["status"] for raw in raws(ask(cache, NOBODY))][:3] == ["DRAINING", "DRAINING", "SERVING"]
+    assert {each["name"] for each in serving} <= {raw["name"] for raw in entries_of(sent)[3:]}
+    assert [raw["status"] for raw in entries_of(respond(cache, UNNAMED))][:3] == ["DRAINING", "DRAINING", "SERVING"]
 
 
 def test_unknown_index_is_answered_with_a_snapshot() -> None:
-    cache, other = cache_of(first_index=100), cache_of(first_index=500)
-    first, foreign, twin = ask(cache, G0), ask(other, G0), ask(cache, Subscriber("g3"))
-    for index in (foreign.index, twin.index, ask(cache, NOBODY).index, 0, -1):
-        assert ask(cache, G0, index).is_snapshot
-    assert ask(cache, NOBODY, first.index).is_snapshot and ask(cache, Subscriber("unknown"), first.index).is_snapshot
+    cache, other = make_cache(first_index=100), make_cache(first_index=500)
+    first, foreign, twin = respond(cache, G0), respond(other, G0), respond(cache, Subscriber("g3"))
+    for index in (foreign.index, twin.index, respond(cache, UNNAMED).index, 0, -1):
+        assert respond(cache, G0, index).is_snapshot
+    assert (
+        respond(cache, UNNAMED, first.index).is_snapshot
+        and respond(cache, Subscriber("unknown"), first.index).is_snapshot
+    )
     assert cache.counters.unknown_indexes == 7 and other.counters.unknown_indexes == 0
 
 
 def test_two_client_snapshots_are_kept_of_each_gateway() -> None:
-    cache = cache_of()
-    index = ask(cache, G0).index
+    cache = make_cache()
+    index = respond(cache, G0).index
     for number in range(50):
         cache.apply_list(False, [HOSTS[0] | {"weight": 1.0 + number}])
-        assert not ask(cache, G0, index).is_snapshot  # the answers to it are lost, one after another
+        assert not respond(cache, G0, index).is_snapshot  # the answers to it are lost, one after another
         assert len(cache.subsets.snapshots_by_gateway["g0"]) == 2
-    assert len(raws(ask(cache, G0, index))) == 1  # the newest state, no backlog
+    assert len(entries_of(respond(cache, G0, index))) == 1  # the newest state, no backlog
     for _ in range(5):
-        ask(cache, G0)
-    assert len(cache.subsets.snapshots_by_gateway["g0"]) == 2 and ask(cache, G0, index).is_snapshot
+        respond(cache, G0)
+    assert len(cache.subsets.snapshots_by_gateway["g0"]) == 2 and respond(cache, G0, index).is_snapshot
 
 
 def test_subscriber_without_placement_gets_the_full_list() -> None:
-    cache = cache_of()
-    first = ask(cache, NOBODY)
-    assert first.is_snapshot and sorted(raws(first), key=lambda raw: raw["name"]) == HOSTS
-    again = ask(cache, Subscriber("unknown", ("s",)))
+    cache = make_cache()
+    first = respond(cache, UNNAMED)
+    assert first.is_snapshot and sorted(entries_of(first), key=lambda raw: raw["name"]) == HOSTS
+    again = respond(cache, Subscriber("unknown", ("s",)))
     assert again.index == first.index and again.entries is first.entries  # made once for all
-    assert cache.respond(NOBODY, first.index) is None
-    cache.apply_list(False, [drained(HOSTS[0]), gone(HOSTS[1])])
+    assert cache.respond(UNNAMED, first.index) is None
+    cache.apply_list(False, [draining(HOSTS[0]), deleted(HOSTS[1])])
     cache.apply_list(False, [HOSTS[0] | {"users": 9}])
-    assert raws(ask(cache, NOBODY, first.index)) == [gone(HOSTS[1]), HOSTS[0]]
+    assert entries_of(respond(cache, UNNAMED, first.index)) == [deleted(HOSTS[1]), HOSTS[0]]
     many = [entry(f"n{n}", "s", "a") for n in range(MAX_LOGGED_CHANGES + 1)]
     cache.apply_list(False, many)
-    assert ask(cache, NOBODY, first.index).is_snapshot and len(cache.table.change_log.entries) == MAX_LOGGED_CHANGES
+    assert (
+        respond(cache, UNNAMED, first.index).is_snapshot and len(cache.table.change_log.entries) == MAX_LOGGED_CHANGES
+    )
 
 
 def test_entries_are_encoded_once_for_all_subscribers() -> None:
     """Once for those whose own it is, and once for those who have widened."""
-    cache = cache_of()
+    cache = make_cache()
     subscribers = [Subscriber(name, ("s",), wide) for name in ("only", "g0") for wide in (1, 2)]
     forms: dict[str, set[int]] = {}
-    answers = [ask(cache, subscriber) for subscriber in subscribers + subscribers]
+    answers = [respond(cache, subscriber) for subscriber in subscribers + subscribers]
     for answer in answers:
         for each in answer.entries:
             forms.setdefault(json.loads(each)["name"], set()).add(id(each))
@@ -129,7 +138,7 @@
 
 
 def test_unusable_lists_are_counted_and_change_nothing() -> None:
-    cache = cache_of()
+    cache = make_cache()
     held, number = dict(cache.table.host_by_name), cache.table.change_number
     for rubbish in (None, "x", {"name": "h"}, 7):
         assert cache.apply_list(True, rubbish) == frozenset()
@@ -143,28 +152,30 @@
     assert cache.apply_list(False, bad) == frozenset()
     assert cache.table.host_by_name == held and cache.table.change_number == number
     assert cache.counters.unusable_lists == 5 and cache.counters.skipped_entries == len(bad) + 4
-    cache.apply_list(False, [drained(HOSTS[0]) | {"address": None}])  # that it leaves is heard
+    cache.apply_list(False, [draining(HOSTS[0]) | {"address": None}])  # that it leaves is heard
     assert HOSTS[0]["name"] not in cache.table.host_by_name
 
 
 def test_last_entry_of_a_duplicate_name_counts() -> None:
-    cache = cache_of([HOSTS[0] | {"address": "10.0.0.9:1"}, HOSTS[1], HOSTS[0]])
-    assert {raw["name"]: raw for raw in raws(ask(cache, NOBODY))} == {raw["name"]: raw for raw in HOSTS[:2]}
-    index = ask(cache, NOBODY).index
-    cache.apply_list(False, [gone(HOSTS[1]), HOSTS[1] | {"weight": 3.0}])
-    assert raws(ask(cache, NOBODY, index)) == [HOSTS[1] | {"weight": 3.0}]
+    cache = make_cache([HOSTS[0] | {"address": "10.0.0.9:1"}, HOSTS[1], HOSTS[0]])
+    assert {raw["name"]: raw for raw in entries_of(respond(cache, UNNAMED))} == {
+        raw["name"]: raw for raw in HOSTS[:2]
+    }
+    index = respond(cache, UNNAMED).index
+    cache.apply_list(False, [deleted(HOSTS[1]), HOSTS[1] | {"weight": 3.0}])
+    assert entries_of(respond(cache, UNNAMED, index)) == [HOSTS[1] | {"weight": 3.0}]
 
 
 def test_unchanged_list_changes_nothing() -> None:
     """Discovery that begins anew, at whatever version, is a snapshot."""
-    cache = cache_of()
-    index = ask(cache, G0).index
+    cache = make_cache()
+    index = respond(cache, G0).index
     assert cache.apply_list(True, [dict(reversed(each.items())) for each in reversed(HOSTS)]) == frozenset()
     assert cache.respond(G0, index) is None
 
 
 def test_hosts_beyond_the_bound_are_skipped() -> None:
-    cache = cache_of(HOSTS[:1])
+    cache = make_cache(HOSTS[:1])
     cache.table.host_by_name |= dict.fromkeys(
         map(str, range(MAX_HOSTS - 2)), cache.table.host_by_name["h00"]
     )  # as if there were so many
@@ -173,52 +184,57 @@
 
 
 def test_change_returns_the_subscription_keys_it_matters_to() -> None:
-    cache = cache_of()
-    assert cache.subscription_keys(G0) == ((None, "r0"),) and cache.subscription_keys(ONLY) == (("s", "r0"),)
-    assert cache.subscription_keys(NOBODY) == (ALL_HOSTS_KEY,)
+    cache = make_cache()
+    assert cache.subscription_keys(G0) == ((None, "r0"),) and cache.subscription_keys(SINGLE_SERVICE) == (
+        ("s", "r0"),
+    )
+    assert cache.subscription_keys(UNNAMED) == (ALL_HOSTS_KEY,)
     assert set(cache.subscription_keys(Subscriber("g2", ("s", "t")))) == {("s", "r1"), ("t", "r1")}
-    assert cache.apply_list(False, [drained(HOSTS[0])]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
-    assert cache.apply_list(False, [gone(HOSTS[0])]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
+    assert cache.apply_list(False, [draining(HOSTS[0])]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
+    assert cache.apply_list(False, [deleted(HOSTS[0])]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
     its = [each for each in HOSTS if each["zone"] == "c" and each["service"] == "s"]
-    spilt = cache.apply_list(False, [gone(each) for each in its[2:]])  # r1 has two left, and r0's with them
+    spilt = cache.apply_list(False, [deleted(each) for each in its[2:]])  # r1 has two left, and r0's with them
     assert spilt == {("s", "r1"), (None, "r1"), ("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
 
 
 def test_deletion_of_the_last_host_of_a_zone_returns_the_keys_that_had_it() -> None:
-    cache = cache_of([entry(f"h{n}", "s", "abbccc"[n % 6]) for n in range(18)])
-    cache.apply_list(False, [gone(entry("h0", "s", "a")), gone(entry("h6", "s", "a"))])
-    assert cache.apply_list(False, [gone(entry("h12", "s", "a"))]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
+    cache = make_cache([entry(f"h{n}", "s", "abbccc"[n % 6]) for n in range(18)])
+    cache.apply_list(False, [deleted(entry("h0", "s", "a")), deleted(entry("h6", "s", "a"))])
+    assert cache.apply_list(False, [deleted(entry("h12", "s", "a"))]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
 
 
 def test_other_services_are_added_and_the_former_deleted() -> None:
-    cache = cache_of()
-    first = ask(cache, Subscriber("g0", ("s",)))
-    second = ask(cache, Subscriber("g0", ("t",)), first.index)
-    sent = {raw["service"]: raw["status"] for raw in raws(second)}
+    cache = make_cache()
+    first = respond(cache, Subscriber("g0", ("s",)))
+    second = respond(cache, Subscriber("g0", ("t",)), first.index)
+    sent = {raw["service"]: raw["status"] for raw in entries_of(second)}
     assert not second.is_snapshot and sent == {"s": "DELETED", "t": "SERVING"}
-    assert len(raws(second)) == 2 * len(raws(first)) and cache.respond(Subscriber("g0", ("t",)), second.index) is None
+    assert (
+        len(entries_of(second)) == 2 * len(entries_of(first))
+        and cache.respond(Subscriber("g0", ("t",)), second.index) is None
+    )
 
 
 def test_service_beyond_the_remembered_changes_is_compared_all_the_same() -> None:
-    cache = cache_of()
-    first = ask(cache, G0)
-    name = raws(first)[0]["name"]
-    cache.apply_list(False, [drained(next(each for each in HOSTS if each["name"] == name))])
+    cache = make_cache()
+    first = respond(cache, G0)
+    name = entries_of(first)[0]["name"]
+    cache.apply_list(False, [draining(next(each for each in HOSTS if each["name"] == name))])
     cache.table.change_by_service.update(
         {f"other{n}": cache.table.change_number for n in range(MAX_CHANGED_SERVICES)}
     )  # as if so many had changed since
-    cache.apply_list(False, [gone(entry("none", "u", "a")), entry("new", "u", "a")])
+    cache.apply_list(False, [deleted(entry("none", "u", "a")), entry("new", "u", "a")])
     assert (
         len(cache.table.change_by_service) == MAX_CHANGED_SERVICES
-        and states(ask(cache, G0, first.index))[name] == "DRAINING"
+        and status_by_name(respond(cache, G0, first.index))[name] == "DRAINING"
     )
 
 
 @given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=40))
 def test_subscriber_without_a_returned_key_has_nothing_new(changes: list[tuple[int, str]]) -> None:
-    cache = cache_of()
-    subscribers = [G0, G2, ONLY, Subscriber("g5", ("t",)), NOBODY]
-    index = {subscriber: ask(cache, subscriber).index for subscriber in subscribers}
+    cache = make_cache()
+    subscribers = [G0, G2, SINGLE_SERVICE, Subscriber("g5", ("t",)), UNNAMED]
+    index = {subscriber: respond(cache, subscriber).index for subscriber in subscribers}
     for number, status in changes:
         touched = cache.apply_list(False, [HOSTS[number] | {"status": status}])
         for subscriber in subscribers:
--- a/tests/control_plane/test_fleet_roster.py
+++ b/tests/control_plane/test_fleet_roster.py
@@ -12,9 +12,9 @@
 from cloverkeel.control_plane.messages import Subscriber
 from cloverkeel.control_plane.roster_parser import parse_roster
 from cloverkeel.core.config import stable_id
-from tests.control_plane.subset_helpers import cache_of, made_fleet, subset_of
+from tests.control_plane.subset_helpers import make_cache, make_fleet, subset_of
 
-GOOD = made_fleet(0, 4)["roster"]
+GOOD = make_fleet(0, 4)["roster"]
 
 
 def of_g(post: str) -> str:
@@ -61,8 +61,8 @@
 
 
 def test_another_roster_counts_from_the_next_response_on() -> None:
-    made = made_fleet(30, 6)
-    cache, subscriber = cache_of(made["roster"], made["entries"]), Subscriber("g0")
+    made = make_fleet(30, 6)
+    cache, subscriber = make_cache(made["roster"], made["entries"]), Subscriber("g0")
     first = cache.respond(subscriber, None)
     assert first is not None and cache.respond(subscriber, first.index) is None
     gateways = {"g0": {"zone": "r1-a"}, "g1": {"zone": "r0-a"}}
--- a/tests/control_plane/test_roster_switch.py
+++ b/tests/control_plane/test_roster_switch.py
@@ -12,7 +12,18 @@
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.messages import Subscriber
 from cloverkeel.control_plane.roster_parser import parse_roster
-from tests.control_plane.cache_helpers import G0, G2, HOSTS, NOBODY, ONLY, ROSTER, ask, cache_of, raws, states
+from tests.control_plane.cache_helpers import (
+    G0,
+    G2,
+    HOSTS,
+    ROSTER,
+    SINGLE_SERVICE,
+    UNNAMED,
+    entries_of,
+    make_cache,
+    respond,
+    status_by_name,
+)
 
 SMALL: list[dict[str, Any]] = [
     ROSTER,
@@ -43,9 +54,9 @@
 @example([("roster", 3), ("step", 3), ("ask", 1), ("roster", 3), ("roster", 0)])  # the same roster twice
 def test_roster_prepared_incrementally_counts_for_all_from_one_moment(doing: list[tuple[str, int]]) -> None:
     """Whatever is heard and asked between the steps: as with one that is taken at once where the steps switch."""
-    caches = [cache_of(HOSTS[:30]) for _ in range(2)]
+    caches = [make_cache(HOSTS[:30]) for _ in range(2)]
     stepped, at_once = caches
-    subscribers = [G0, G2, ONLY, Subscriber("g5", ("t",), 1), Subscriber("g15"), NOBODY]
+    subscribers = [G0, G2, SINGLE_SERVICE, Subscriber("g5", ("t",), 1), Subscriber("g15"), UNNAMED]
     held: dict[Subscriber, int] = {}
     steps: Iterator[None] = iter(())
     coming = ROSTER
@@ -77,12 +88,12 @@
     fresh = EndpointCache(stepped.roster, 1)
     fresh.apply_list(True, [json.loads(host.plain_entry()) for host in stepped.table.host_by_name.values()])
     for subscriber in subscribers:
-        assert states(ask(fresh, subscriber)) == states(ask(stepped, subscriber))
+        assert status_by_name(respond(fresh, subscriber)) == status_by_name(respond(stepped, subscriber))
 
 
 @given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=30))
 def test_full_list_made_incrementally_is_as_it_was_at_its_begin(changes: list[tuple[int, str]]) -> None:
-    cache = cache_of(HOSTS[:40])
+    cache = make_cache(HOSTS[:40])
     steps, made = cache.full_list.snapshot_incrementally(), None
     next(steps)
     for number, status in changes:
@@ -93,9 +104,11 @@
             next(steps)
         except StopIteration as stop:
             made = stop.value
-    assert sorted(raws(made), key=lambda raw: raw["name"]) == HOSTS[:40]
-    after = cache.respond(NOBODY, made.index)
-    sent = {raw["name"]: raw for raw in raws(made)} | {raw["name"]: raw for raw in (raws(after) if after else ())}
+    assert sorted(entries_of(made), key=lambda raw: raw["name"]) == HOSTS[:40]
+    after = cache.respond(UNNAMED, made.index)
+    sent = {raw["name"]: raw for raw in entries_of(made)} | {
+        raw["name"]: raw for raw in (entries_of(after) if after else ())
+    }
     left = {name: raw for name, raw in sent.items() if raw["status"] != "DELETED"}
-    assert left == {raw["name"]: raw for raw in raws(ask(cache, NOBODY))}
+    assert left == {raw["name"]: raw for raw in entries_of(respond(cache, UNNAMED))}
     assert after is None or after.index > made.index
--- a/tests/control_plane/test_subsetting.py
+++ b/tests/control_plane/test_subsetting.py
@@ -19,7 +19,7 @@
 from cloverkeel.control_plane.fleet_roster import GatewayGroup, gateway_hash
 from cloverkeel.control_plane.messages import MAX_WIDENINGS, Subscriber
 from cloverkeel.control_plane.subsetting import DEFAULT_SIZES, HashRing, window_size
-from tests.control_plane.subset_helpers import cache_of, made_fleet, subset_of
+from tests.control_plane.subset_helpers import make_cache, make_fleet, subset_of
 
 MIN_HOSTS = DEFAULT_SIZES.min_hosts
 
@@ -66,7 +66,7 @@
 @given(COUNTS, st.lists(st.integers(0, MAX_WIDENINGS), min_size=1, max_size=150))
 def test_shares_of_a_host_stay_within_its_budget_whoever_widens(hosts: int, wides: list[int]) -> None:
     """A cold host's budget is split by `users`: of all gateways that have it, each by what it was sent."""
-    cache = cache_of({"regions": {"r": ["z"]}, "gateways": {f"g{n}": {"zone": "z"} for n in range(len(wides))}},
+    cache = make_cache({"regions": {"r": ["z"]}, "gateways": {f"g{n}": {"zone": "z"} for n in range(len(wides))}},
                [entry(f"h{n}", "s", "z") for n in range(hosts)])  # fmt: skip
     shares: Counter[str] = Counter()
     for number, wide in enumerate(wides):
@@ -78,7 +78,7 @@
 
 
 def test_widening_sends_only_new_hosts_and_narrowing_only_deletions() -> None:
-    cache = cache_of(**made_fleet(300, 40))
+    cache = make_cache(**make_fleet(300, 40))
     own = cache.respond(Subscriber("g0"), None)
     assert own is not None
     names = {json.loads(each)["name"] for each in own.entries}
@@ -112,8 +112,8 @@
 
 
 def test_losing_a_zone_leaves_the_windows_in_the_others_unchanged() -> None:
-    made = made_fleet(300, 40)
-    cache, subscriber = cache_of(made["roster"], made["entries"]), Subscriber("g0")
+    made = make_fleet(300, 40)
+    cache, subscriber = make_cache(made["roster"], made["entries"]), Subscriber("g0")
     before = subset_of(cache, subscriber)
     cache.apply_list(False, [each | {"status": "DELETED"} for each in made["entries"] if each["zone"] == "r0-a"])
     after = subset_of(cache, subscriber)
@@ -124,7 +124,7 @@
 
 
 def test_widening_doubles_the_subset_and_only_adds_hosts() -> None:
-    cache = cache_of(**made_fleet(300, 40))
+    cache = make_cache(**make_fleet(300, 40))
     subsets = [subset_of(cache, Subscriber("g0", (), wide)) for wide in range(MAX_WIDENINGS + 2)]
     assert [len(each) for each in subsets] == [
         2 * window_size(100, 27, MIN_HOSTS << wide) for wide in (0, 1, 2, 3, 3)
@@ -133,8 +133,8 @@
 
 
 def test_fewer_than_three_serving_hosts_in_a_region_bring_in_the_other() -> None:
-    made = made_fleet(9, 9)
-    cache = cache_of(made["roster"], made["entries"])
+    made = make_fleet(9, 9)
+    cache = make_cache(made["roster"], made["entries"])
     assert {each["zone"] for each in subset_of(cache, Subscriber("g0")).values()} == {"r0-a", "r0-b"}
     its = [each for each in made["entries"] if each["zone"] != "r1-a"]
     cache.apply_list(False, [each | {"status": "DRAINING"} for each in its[:3]])
@@ -148,9 +148,9 @@
 
 def test_no_host_is_left_without_a_gateway() -> None:
     """Where nobody of its region is before its service, or its zone is in no region, all before it have it."""
-    made = made_fleet(90, 0)
+    made = make_fleet(90, 0)
     made["roster"]["gateways"] = {f"g{n}": {"zone": "r0-a", "services": ["s"]} for n in range(30)}
-    cache = cache_of(made["roster"], [*made["entries"], *(entry(f"far{n}", "s", "no-zone") for n in range(40))])
+    cache = make_cache(made["roster"], [*made["entries"], *(entry(f"far{n}", "s", "no-zone") for n in range(40))])
     have = Counter(name for n in range(30) for name in subset_of(cache, Subscriber(f"g{n}")))
     assert len(have) == 130 and min(have.values()) >= MIN_HOSTS
 
@@ -160,7 +160,7 @@
     bare = [entry(f"bare{n}", "", "r0-a") for n in range(3)]
     for each in bare:
         del each["service"]
-    cache = cache_of(made_fleet(0, 60)["roster"], [*entries, *bare])
+    cache = make_cache(make_fleet(0, 60)["roster"], [*entries, *bare])
     subset = subset_of(cache, Subscriber("g0"))
     assert Counter(each.get("service") for each in subset.values()) == {"one": 1, "many": 9_000 * 8 // 40, None: 3}
     assert subset_of(cache, Subscriber("g0", ("one",))).keys() == {"alone"}
@@ -171,11 +171,11 @@
 def test_two_relays_give_the_same_subset_whatever_changes_they_applied(
     hosts: int, gateways: int, wide: int, rng: Any
 ) -> None:
-    made = made_fleet(hosts, gateways + 3)
+    made = make_fleet(hosts, gateways + 3)
     listed = {each["name"]: each for each in made["entries"]}
     for name in rng.sample(sorted(listed), hosts // 4):
         listed[name] = listed[name] | {"status": "DRAINING"}
-    first, second = cache_of(made["roster"], list(listed.values())), cache_of(made["roster"], [])
+    first, second = make_cache(made["roster"], list(listed.values())), make_cache(made["roster"], [])
     deltas = [*listed.values(), *(entry(f"gone{n}", "s", "r0-a") for n in range(5)), *made["entries"][:7]]
     rng.shuffle(deltas)
     for each in deltas:
@@ -190,7 +190,7 @@
 
 def test_the_plans_shape_at_a_tenth_gives_all_hosts_gateways_and_all_gateways_hosts() -> None:
     small = fleet(460, 3_800)
-    cache = cache_of(small.roster(), [each.entry() for each in small.hosts])
+    cache = make_cache(small.roster(), [each.entry() for each in small.hosts])
     subsets = {each.name: subset_of(cache, Subscriber(each.name)) for each in small.gateways}
     have = Counter(name for subset in subsets.values() for name in subset)
     assert have.keys() == {each.name for each in small.hosts} and min(have.values()) >= 3
