--- a/benchmarks/guards/mutants/control_plane.py
+++ b/benchmarks/guards/mutants/control_plane.py
@@ -1,4 +1,4 @@
-"""Mutants of the control plane's relay: each takes out one guard."""
+"""Mutants of the control plane's relay: each removes one guard."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @entry("relay-even-places")
 def _() -> None:
-    """A gateway's window begins at a hash of its own, not evenly spaced by its rank."""
+    """A gateway's window begins at a hash of its name instead of the evenly spaced position of its rank."""
     from cloverkeel.control_plane.subsetting import HashRing
 
     cut(
@@ -19,7 +19,7 @@
 
 @entry("relay-own-share")
 def _() -> None:
-    """Who has widened takes a full share of each cold host that it has by that."""
+    """A widened gateway uses a full share of each cold host that was added by widening."""
     from cloverkeel.control_plane.entry_codec import Host
 
     cut(Host, "subset_entry", ("users * WIDENED_USERS_FACTOR", "users"))
@@ -27,7 +27,7 @@
 
 @entry("relay-drains")
 def _() -> None:
-    """A host that drains is told as gone."""
+    """A draining host is sent as deleted."""
     from cloverkeel.control_plane.deltas import SubsetResponses
 
     cut(SubsetResponses, "_departed_hosts", ("if now is None or now.is_serving or", "if True or"))
@@ -35,7 +35,7 @@
 
 @entry("relay-index")
 def _() -> None:
-    """Changes are told from the gateway's last answer, whichever `from` names."""
+    """Deltas are computed from the last response to the gateway, whichever response `from` names."""
     from cloverkeel.control_plane.endpoint_cache import EndpointCache
 
     last = "self.subsets.delta(subscription, max(self.subsets.snapshots_by_gateway[subscription.gateway]))"
@@ -48,7 +48,7 @@
 
 @entry("relay-restricts-first")
 def _() -> None:
-    """What serves is said before what restricts."""
+    """Serving hosts are sent before draining and deleted hosts."""
     from cloverkeel.control_plane import deltas
 
     ordered = "(*sorted(deleted), *sorted(draining), *sorted(added.items()))"
@@ -58,7 +58,7 @@
 
 @entry("relay-not-ready")
 def _() -> None:
-    """A relay that has no list says that nobody serves."""
+    """A relay without a list responds with an empty snapshot."""
     from cloverkeel.control_plane.endpoint_cache import EndpointCache
 
     cut(EndpointCache, "respond", ("raise NotReadyError", "pass"))
@@ -66,7 +66,7 @@
 
 @entry("relay-spill")
 def _() -> None:
-    """A region's gateways have its own hosts only, however few."""
+    """A region's gateways get only hosts of their own region, however few there are."""
     from cloverkeel.control_plane.subsetting import ServiceRings
 
     cut(ServiceRings, "assign_rings", ("< self.sizes.min_serving:", "< 0:"))
@@ -74,7 +74,7 @@
 
 @entry("relay-rubbish")
 def _() -> None:
-    """A whole list that is mostly rubbish is taken."""
+    """A snapshot with mostly unusable entries is applied."""
     from cloverkeel.control_plane.endpoint_cache import EndpointCache
 
     cut(EndpointCache, "apply_list", ("self.has_few_usable(len(items), parsed.skipped) or ", ""))
@@ -82,7 +82,7 @@
 
 @entry("relay-metered")
 def _() -> None:
-    """A relay serves all wholes at once."""
+    """A relay queues every request for a snapshot, however many are waiting."""
     from cloverkeel.control_plane.snapshot_queue import SnapshotQueue
 
     cut(SnapshotQueue, "enqueue", ("if waiting < capacity", "if True or waiting < capacity"))
@@ -90,7 +90,7 @@
 
 @entry("relay-age")
 def _() -> None:
-    """A relay's list counts as of the moment in which its answer was read."""
+    """The age of a relay's list counts from when the registry's response was read, not from when it was requested."""
     from cloverkeel.control_plane.discovery_source import DiscoverySource
 
     cut(DiscoverySource, "_apply", ("= listed.index, self.request_sent_us", "= listed.index, now_us()"))
@@ -98,7 +98,7 @@
 
 @entry("relay-gzip-asked")
 def _() -> None:
-    """Whoever says Accept-Encoding gets gzip, whatever weight it gives."""
+    """A response is gzipped if Accept-Encoding names gzip, even with a weight of 0."""
     from cloverkeel.control_plane import connection
 
     swap(connection, "accepts_gzip", lambda value: b"gzip" in value)
@@ -106,7 +106,7 @@
 
 @entry("relay-roster-shaped")
 def _() -> None:
-    """After another roster a service stays as it was until its hosts change."""
+    """After a roster switch a service's rings keep the old assignment until its hosts change."""
     from cloverkeel.control_plane.endpoint_table import EndpointTable
 
     cut(EndpointTable, "rings_of", ("service in self.pending_groups", "False"))
@@ -114,7 +114,7 @@
 
 @entry("relay-roster-found")
 def _() -> None:
-    """A caller that asks as before is found as before, whatever the roster says now."""
+    """After a roster switch, a connection with the same subscriber keeps its old subscription keys."""
     from cloverkeel.control_plane.long_poll import LongPolls
 
     cut(LongPolls, "_set_subscriber", (" and connection.keys_roster is self.cache.roster", ""))
@@ -122,7 +122,7 @@
 
 @entry("relay-list-moment")
 def _() -> None:
-    """A whole list made by steps counts as of their end."""
+    """A full list that was encoded incrementally gets the index of the change number at the end of the encoding."""
     from cloverkeel.control_plane.full_list import FullListResponses
 
     current = ("self._index_of(change_number)", "self._index_of(self.table.change_number)")
@@ -131,7 +131,7 @@
 
 @entry("relay-list-age")
 def _() -> None:
-    """The age of a whole list counts from what is known as it is written, though the list went on."""
+    """The age of a full list counts from the latest confirmation, even if the list has changed since its encoding."""
     from cloverkeel.control_plane.snapshot_queue import SnapshotQueue
 
     cut(SnapshotQueue, "_send_full_list", ("if not is_outdated:", "if True:"))
@@ -139,7 +139,7 @@
 
 @entry("relay-slices")
 def _() -> None:
-    """All who are behind are answered in one go."""
+    """All overdue requests are answered in a single slice."""
     from cloverkeel.control_plane.long_poll import LongPolls
 
     cut(LongPolls, "_answer_overdue", ("self.loop.time() >= slice_end_s", "False"))
--- a/tests/control_plane/cache_helpers.py
+++ b/tests/control_plane/cache_helpers.py
@@ -1,4 +1,4 @@
-"""An endpoint cache with hosts, and what it answers."""
+"""An endpoint cache filled with hosts, and helpers that decode its responses."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 
 
 def make_cache(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
-    made = EndpointCache(parse_roster(json.dumps(ROSTER), "roster.json"), first_index)
-    made.apply_list(True, hosts)
-    return made
+    cache = EndpointCache(parse_roster(json.dumps(ROSTER), "roster.json"), first_index)
+    cache.apply_list(True, hosts)
+    return cache
 
 
-def respond(cache: EndpointCache, subscriber: Subscriber, since: int | None = None) -> ListResponse:
-    answer = cache.respond(subscriber, since)
-    assert answer is not None
-    return answer
+def respond(cache: EndpointCache, subscriber: Subscriber, known_index: int | None = None) -> ListResponse:
+    response = cache.respond(subscriber, known_index)
+    assert response is not None
+    return response
 
 
-def entries_of(answer: ListResponse) -> list[Entry]:
-    entries: list[Entry] = json.loads(answer.body(0))["endpoints"]
+def entries_of(response: ListResponse) -> list[Entry]:
+    entries: list[Entry] = json.loads(response.body(0))["endpoints"]
     return entries
 
 
-def status_by_name(answer: ListResponse) -> dict[str, str]:
-    return {raw["name"]: raw["status"] for raw in entries_of(answer)}
+def status_by_name(response: ListResponse) -> dict[str, str]:
+    return {item["name"]: item["status"] for item in entries_of(response)}
 
 
-def draining(raw: Entry) -> Entry:
-    return raw | {"status": "DRAINING"}
+def draining(item: Entry) -> Entry:
+    return item | {"status": "DRAINING"}
 
 
-def deleted(raw: Entry) -> Entry:
-    return raw | {"status": "DELETED"}
+def deleted(item: Entry) -> Entry:
+    return item | {"status": "DELETED"}
--- a/tests/control_plane/subset_helpers.py
+++ b/tests/control_plane/subset_helpers.py
@@ -1,4 +1,4 @@
-"""A fleet of hosts and gateways, and its subsets."""
+"""Builds a fleet of hosts and gateways, and reads its subsets."""
 
 from __future__ import annotations
 
@@ -11,8 +11,11 @@
 from cloverkeel.control_plane.roster_parser import parse_roster
 
 
-def make_fleet(hosts: int, gateways: int, service: str = "s", **more: Any) -> dict[str, Any]:
-    """A roster and the entries of a service, evenly over two zones of one region and one zone of another."""
+def make_fleet(hosts: int, gateways: int, service: str = "s", **extra: Any) -> dict[str, Any]:
+    """Build a roster and the entries of a service.
+
+    Gateways and hosts are spread evenly over two zones of one region and one zone of another.
+    """
     zones = ["r0-a", "r0-b", "r1-a"]
     return {
         "roster": {
@@ -20,7 +23,7 @@
             "gateways": {f"g{n}": {"zone": zones[n % 3]} for n in range(gateways)},
         },
         "entries": [entry(f"h{n}", service, zones[n % 3]) for n in range(hosts)],
-    } | more
+    } | extra
 
 
 def make_cache(roster: dict[str, Any], entries: list[dict[str, Any]]) -> EndpointCache:
@@ -30,7 +33,7 @@
 
 
 def subset_of(cache: EndpointCache, subscriber: Subscriber) -> dict[str, dict[str, Any]]:
-    answer = cache.respond(subscriber, None)
-    assert answer is not None and answer.is_snapshot
-    entries: list[dict[str, Any]] = json.loads(answer.body(0))["endpoints"]
-    return {each["name"]: each for each in entries}
+    response = cache.respond(subscriber, None)
+    assert response is not None and response.is_snapshot
+    entries: list[dict[str, Any]] = json.loads(response.body(0))["endpoints"]
+    return {item["name"]: item for item in entries}
--- a/tests/control_plane/test_incremental_json.py
+++ b/tests/control_plane/test_incremental_json.py
@@ -1,4 +1,4 @@
-"""A long body decoded step by step (core/incremental_json.py)."""
+"""Incremental decoding of long JSON bodies (core/incremental_json.py)."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from cloverkeel.core.incremental_json import decode_json
 from tests.control_plane.relay_harness import count_steps
 
-TEXTS = st.recursive(
+VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=9),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=3), inner, max_size=3),
+    lambda children: st.lists(children, max_size=3) | st.dictionaries(st.text(max_size=3), children, max_size=3),
     max_leaves=6,
 )
 
 
 @settings(max_examples=40)
-@given(st.dictionaries(st.sampled_from(["index", "snapshot", "endpoints", "x"]), TEXTS), st.sampled_from([None, 1]))
-def test_long_body_is_decoded_as_any_json(raw: dict[str, Any], indent: int | None) -> None:
+@given(st.dictionaries(st.sampled_from(["index", "snapshot", "endpoints", "x"]), VALUES), st.sampled_from([None, 1]))
+def test_incremental_decoding_equals_json_loads(raw: dict[str, Any], indent: int | None) -> None:
     assert count_steps(decode_json(json.dumps(raw, indent=indent).encode()))[1] == raw
 
 
@@ -40,6 +40,6 @@
         b"{1:2}",
     ],
 )
-def test_long_body_that_is_cut_or_no_object_is_unusable(body: bytes) -> None:
+def test_truncated_or_non_object_body_raises_value_error(body: bytes) -> None:
     with pytest.raises(ValueError):
         count_steps(decode_json(body))
--- a/tests/control_plane/test_incremental_update.py
+++ b/tests/control_plane/test_incremental_update.py
@@ -1,4 +1,4 @@
-"""A long list applied step by step."""
+"""Incremental application of a long list."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @settings(max_examples=40)
 @given(st.lists(st.tuples(st.booleans(), st.lists(HOST, max_size=120)), max_size=6))
-def test_list_applied_incrementally_equals_one_applied_at_once(lists: list[tuple[bool, list[Any]]]) -> None:
+def test_incremental_application_equals_application_at_once(lists: list[tuple[bool, list[Any]]]) -> None:
     applied_at_once, applied_incrementally = (EndpointCache(parse_roster(ROSTER, "roster"), 1) for _ in range(2))
     for is_snapshot, hosts in [(True, []), *lists]:
         items = [
@@ -34,5 +34,7 @@
             name: (host.fields, host.is_serving) for name, host in applied_incrementally.table.host_by_name.items()
         } == {name: (host.fields, host.is_serving) for name, host in applied_at_once.table.host_by_name.items()}
         for subscriber in (Subscriber("g0"), Subscriber("g1"), Subscriber("g2"), Subscriber()):
-            sent = [cache.respond(subscriber, None) for cache in (applied_at_once, applied_incrementally)]
-            assert sent[0] is not None and sent[1] is not None and sent[0].entries == sent[1].entries
+            snapshots = [cache.respond(subscriber, None) for cache in (applied_at_once, applied_incrementally)]
+            assert (
+                snapshots[0] is not None and snapshots[1] is not None and snapshots[0].entries == snapshots[1].entries
+            )
