--- a/tests/control_plane/cache_helpers.py
+++ b/tests/control_plane/cache_helpers.py
@@ -1,4 +1,4 @@
-"""An endpoint cache with hosts, and what it answers."""
+"""An endpoint cache filled with hosts, and helpers that decode its responses."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 HOSTS = [entry(f"h{n:02}", "st"[n % 2], "abc"[n % 3]) for n in range(60)]
 
 
-G0, G2, ONLY, NOBODY = Subscriber("g0"), Subscriber("g2"), Subscriber("only"), Subscriber()
+G0, G2, SINGLE_SERVICE, UNNAMED = Subscriber("g0"), Subscriber("g2"), Subscriber("only"), Subscriber()
 
 
-def cache_of(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
-    made = EndpointCache(parse_roster(json.dumps(ROSTER), "roster.json"), first_index)
-    made.apply_list(True, hosts)
-    return made
+def make_cache(hosts: list[Entry] = HOSTS, first_index: int = 1) -> EndpointCache:
+    cache = EndpointCache(parse_roster(json.dumps(ROSTER), "roster.json"), first_index)
+    cache.apply_list(True, hosts)
+    return cache
 
 
-def ask(cache: EndpointCache, subscriber: Subscriber, since: int | None = None) -> ListResponse:
-    answer = cache.respond(subscriber, since)
-    assert answer is not None
-    return answer
+def respond(cache: EndpointCache, subscriber: Subscriber, known_index: int | None = None) -> ListResponse:
+    response = cache.respond(subscriber, known_index)
+    assert response is not None
+    return response
 
 
-def raws(answer: ListResponse) -> list[Entry]:
-    entries: list[Entry] = json.loads(answer.body(0))["endpoints"]
+def entries_of(response: ListResponse) -> list[Entry]:
+    entries: list[Entry] = json.loads(response.body(0))["endpoints"]
     return entries
 
 
-def states(answer: ListResponse) -> dict[str, str]:
-    return {raw["name"]: raw["status"] for raw in raws(answer)}
+def status_by_name(response: ListResponse) -> dict[str, str]:
+    return {item["name"]: item["status"] for item in entries_of(response)}
 
 
-def drained(raw: Entry) -> Entry:
-    return raw | {"status": "DRAINING"}
+def draining(item: Entry) -> Entry:
+    return item | {"status": "DRAINING"}
 
 
-def gone(raw: Entry) -> Entry:
-    return raw | {"status": "DELETED"}
+def deleted(item: Entry) -> Entry:
+    return item | {"status": "DELETED"}
