--- a/benchmarks/guards/mutants/control_plane.py
+++ b/benchmarks/guards/mutants/control_plane.py
@@ -93,7 +93,7 @@
     """A relay's list counts as of the moment in which its answer was read."""
     from cloverkeel.control_plane.discovery_source import DiscoverySource
 
-    cut(DiscoverySource, "_apply", ("= listed.index, self.request_sent_us", "= listed.index, now_us()"))
+    cut(DiscoverySource, "_apply", ("= received.index, self.request_sent_us", "= received.index, now_us()"))
 
 
 @entry("relay-gzip-asked")
--- a/cloverkeel/control_plane/command.py
+++ b/cloverkeel/control_plane/command.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel relay FILE`: start, signals, exit of a relay; `relay show ADDRESS`: what it says."""
+"""`python -m cloverkeel relay FILE` runs a relay; `relay show ADDRESS` prints the state of a running one."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 USAGE: Final = """python -m cloverkeel relay FILE          run a control-plane relay; FILE is TOML (deploy/relay.toml)
 python -m cloverkeel relay show ADDRESS  what a relay says of itself, as JSON; ADDRESS is host:port"""
-SHOW_TIMEOUT_S: Final = 2.0  # for a relay to answer
+SHOW_TIMEOUT_S: Final = 2.0
 MAX_SHOW_BYTES: Final = 1_000_000
-OTHER_OPEN_FILES: Final = 32  # beside those of connections
-SHUTDOWN_TIMEOUT_S: Final = 1.0  # for responses on their way at the end
+OTHER_OPEN_FILES: Final = 32  # open files other than connections
+SHUTDOWN_TIMEOUT_S: Final = 1.0  # for responses that are being sent at shutdown
 SHUTDOWN_CHECK_INTERVAL_S: Final = 0.01
 EXIT_OK, EXIT_FAILURE, EXIT_USAGE = 0, 1, 2
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Carry out the command; returns its exit code, EXIT_USAGE for a mistake in the arguments or the file."""
+    """Run the command; returns its exit code, EXIT_USAGE for an error in the arguments or the file."""
     match list(arguments):
         case ["-h"] | ["--help"]:
             print(USAGE)
@@ -62,13 +62,13 @@
 
 
 def _exit_early(_signum: int, _frame: FrameType | None) -> None:
-    """Handle a signal before there is anything to finish."""
+    """Exit at once: handles a signal that arrives before the relay serves requests."""
     os._exit(EXIT_OK)
 
 
 def run(path: str) -> int:
-    """Run the relay whose file is at `path` until a signal to stop; returns the exit code."""
-    early_reloads: list[int] = []  # SIGHUP before the loop runs
+    """Run the relay configured by the file at `path` until SIGTERM or SIGINT; returns the exit code."""
+    early_reloads: list[int] = []  # SIGHUPs received before the event loop runs
     signal.signal(signal.SIGHUP, lambda signum, _: early_reloads.append(signum))
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, _exit_early)
@@ -90,7 +90,7 @@
 
 
 async def _serve(config: RelayConfig, roster: FleetRoster, early_reloads: Sequence[int]) -> int:
-    """Serve until a signal to stop; returns the exit code."""
+    """Serve until SIGTERM or SIGINT; returns the exit code."""
     import asyncio
     import gc
 
@@ -104,7 +104,7 @@
     stop = asyncio.Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
-    # A later process of this relay begins beyond all that this one has named.
+    # Indexes start at the current time, so that a later process of this relay starts above all indexes of this one.
     server = RelayServer(config, EndpointCache(roster, now_us()))
     reloader = RosterReloader(config.roster, server)
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
@@ -120,14 +120,14 @@
         reloader.request_reload()
     gc.collect()
     gc.freeze()
-    gc.disable()  # from here on at the server's scans
+    gc.disable()  # from now on the server's scans collect
     await stop.wait()
     await _shut_down(server)
     return EXIT_OK
 
 
 def _check_open_files(config: RelayConfig) -> None:
-    """Log where the limit of open files does not allow as many connections as the file does."""
+    """Log a warning if the process's limit of open files is too low for `limits.connections`."""
     import resource
 
     from cloverkeel.core.log import log
@@ -140,7 +140,7 @@
 
 
 async def _shut_down(server: RelayServer) -> None:
-    """Stop serving, and wait for responses on their way."""
+    """Stop serving; wait up to SHUTDOWN_TIMEOUT_S for responses that are being sent."""
     import asyncio
 
     server.close()
--- a/cloverkeel/control_plane/config.py
+++ b/cloverkeel/control_plane/config.py
@@ -1,6 +1,7 @@
-"""The relay's own file: TOML, named on the command line. A mistake names file, key and what was expected.
+"""Load a relay's configuration: a TOML file named on the command line.
 
-The one place that maps the keys of `limits` to the names that the code has for them (LIMIT_BY_KEY).
+Errors name the file, the key and the expected value. Only this module maps the keys of the table `limits` to the
+fields of Limits (LIMIT_BY_KEY).
 """
 
 from __future__ import annotations
@@ -14,27 +15,29 @@
 from cloverkeel.control_plane.roster_parser import parse_roster
 from cloverkeel.core.config import Address, ConfigError, parse_address
 
-MAX_FILE_BYTES: Final = 64 << 10  # a dozen keys
-MAX_ROSTER_BYTES: Final = 64 << 20  # the plan's 4,600 gateways before 27 services each are some 2 MB
+MAX_FILE_BYTES: Final = 64 << 10  # a file has about a dozen keys
+MAX_ROSTER_BYTES: Final = 64 << 20  # a roster of 4,600 gateways with 27 services each is about 2 MB
 KEYS: Final = ("name", "listen", "discovery", "roster", "limits")
-MAX_NAME_CHARS: Final = 64  # it stands in each line of `relay show`
+MAX_NAME_CHARS: Final = 64  # short enough for the output of `relay show`
 MEBIBYTE: Final = 1 << 20
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What connections may cost this process."""
-
-    max_connections: int = (
-        1_024  # twelve relays before 4,600 gateways: 384 each, 767 with half of them dead, and moves
-    )
-    snapshots_per_s: int = 200  # 7 in 10 of 4,600 gateways start within 2 s: 269 each, none of which waits for 0.8 s
-    max_age_ms: int = (
-        6_000  # of the list, to be ready: what a change may take to reach gateways (MAX_NOTIFICATION_DELAY_S)
-    )
-    idle_timeout_s: int = 30  # between a response and the next request: a gateway polls again at once
-    write_timeout_s: int = 5  # for a response to be read: twice what a gateway waits for one
-    max_unsent_mib: int = 64  # of responses not yet read by their connections, together; snapshots wait beyond
+    """Limits on the resources that connections may use."""
+
+    # 4,600 gateways on twelve relays are 384 connections each, or 767 with half of the relays down. The rest is for
+    # gateways that move from one relay to another.
+    max_connections: int = 1_024
+    # If 70 % of 4,600 gateways start within 2 s, each relay sends 269 snapshots, and no gateway has to wait for
+    # as long as 0.8 s.
+    snapshots_per_s: int = 200
+    # Age of the list at which the relay is no longer ready: the time in which a change has to reach the gateways
+    # (MAX_NOTIFICATION_DELAY_S).
+    max_age_ms: int = 6_000
+    idle_timeout_s: int = 30  # from a response to the next request; a gateway polls again immediately
+    write_timeout_s: int = 5  # for the client to read a response: twice a gateway's timeout for a response
+    max_unsent_mib: int = 64  # total of all connections' unread responses; above it, snapshots are queued
 
     @property
     def max_unsent_bytes(self) -> int:
@@ -44,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Limit:
-    """One of the limits: its name in Limits, and the range that a file may give."""
+    """The name of a limit's field in Limits, and the range of values allowed in a file."""
 
     name: str
     minimum: int
@@ -63,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayConfig:
-    """A relay's configuration. `roster`: the path of a file that all relays of a fleet have alike."""
+    """A relay's configuration. `roster`: the path of a file that is identical on all relays of a fleet."""
 
     path: str
     name: str
@@ -74,7 +77,7 @@
 
 
 def load(path: str) -> RelayConfig:
-    """Read a relay's file. Raises ConfigError for one that cannot be used."""
+    """Read a relay's file. Raises ConfigError if it is invalid."""
     import tomllib
 
     try:
@@ -96,7 +99,7 @@
 
 
 def parse(raw: dict[str, Any], path: str) -> RelayConfig:
-    """Parse what a relay's file says. Raises ConfigError with the file, the key and what was expected."""
+    """Parse a relay's file. Raises ConfigError, which names the file, the key and the expected value."""
     for key in raw:
         if key not in KEYS:
             raise UnknownKeyError(path, key, KEYS)
@@ -111,7 +114,7 @@
         name=name,
         listen=_parse_address(raw, "listen", path),
         discovery=_parse_address(raw, "discovery", path),
-        # As written it is seen from the file that names it.
+        # A relative path is relative to the folder of the relay's file.
         roster=os.path.join(os.path.dirname(os.path.abspath(path)), roster),
         limits=_parse_limits(raw.get("limits", {}), path),
     )
@@ -140,7 +143,7 @@
 
 
 def load_roster(path: str) -> FleetRoster:
-    """Read a roster file. Raises ConfigError for one that cannot be used."""
+    """Read a roster file. Raises ConfigError if it is invalid."""
     text = _read_file(path, MAX_ROSTER_BYTES)
     try:
         return parse_roster(text, path)
--- a/cloverkeel/control_plane/connection.py
+++ b/cloverkeel/control_plane/connection.py
@@ -1,9 +1,9 @@
 """One HTTP/1.1 connection to a relay: parse its requests, one at a time, and write the responses.
 
 Invariants:
-- one request a connection is open; the bytes of a request are bounded, and so is the time of a client that does not
-  go on (`deadline_s`, which RelayServer checks);
-- what has been written and not been read by the client is known: it is counted where it is large.
+- at most one request is open on a connection. The size of a request is limited, and so is the time that the client
+  may take for its next step (`deadline_s`, which RelayServer checks);
+- the bytes of large responses that the client has not read yet are counted (`unsent_bytes`).
 """
 
 from __future__ import annotations
@@ -30,12 +30,11 @@
 from cloverkeel.control_plane.messages import Subscriber
 from cloverkeel.control_plane.requests import PollRequest
 
-MAX_REQUEST_BYTES: Final = 64 << 10  # a gateway may name 256 services of 128 letters
-MAX_SINGLE_STEP_BYTES: Final = (
-    256 << 10
-)  # a response of more is encoded incrementally, and counted while it is unread
+MAX_REQUEST_BYTES: Final = 64 << 10  # a gateway may name 256 services of 128 characters
+# A larger response is encoded incrementally, and counted in `unsent_bytes` while it is unread.
+MAX_SINGLE_STEP_BYTES: Final = 256 << 10
 MAX_REASON_CHARS: Final = 200
-RETRY_AFTER_S: Final = 1  # with 503
+RETRY_AFTER_S: Final = 1  # sent with status 503
 HEAD: Final = b"HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n%s\r\n"
 CLOSE_HEADER: Final = b"Connection: close\r\n"
 RETRY_AFTER_HEADER: Final = b"Retry-After: %d\r\n" % RETRY_AFTER_S
@@ -47,30 +46,30 @@
 
 
 class ConnectionHandler(Protocol):
-    """Who handles what happens to a connection."""
+    """Handles the events of connections."""
 
     loop: asyncio.AbstractEventLoop
     limits: Limits
     counters: ServerCounters
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """Handle a connection that is new."""
+        """Handle a new connection."""
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Handle a connection that has ended."""
+        """Handle the end of a connection."""
 
     def on_request(self, connection: ClientConnection, target: bytes) -> None:
-        """Handle a request, whose response is to be written."""
+        """Handle a request; the handler has to respond to it, at once or later."""
 
     def on_response_unread(self, size_bytes: int) -> None:
-        """Handle a large response that the client has not read at once."""
+        """Handle a large response that the client did not read immediately."""
 
     def on_response_read(self, connection: ClientConnection) -> None:
-        """Handle that the client has read all that was written."""
+        """Handle a client that has read everything that was written."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection, and what its request waits for."""
+    """A client's connection and the state of its open request."""
 
     __slots__ = (
         "_has_body", "_is_gzip_offered", "_parser", "_target", "_transport",
@@ -85,49 +84,49 @@
         self._parser: Any = httptools.HttpRequestParser(self)
         self._target = b""
         self._has_body = False
-        self._is_gzip_offered = False  # by the request that is coming
-        self.request_bytes = 0  # of it
-        self.accepts_gzip = False  # by the request that is open
+        self._is_gzip_offered = False  # by the request that is being received
+        self.request_bytes = 0  # received of the next request
+        self.accepts_gzip = False  # of the open request
         self.is_request_open = False
-        self.is_kept_alive = True  # the connection goes on after the response
-        self.pending_request: PollRequest | None = None  # that waits for a change, or for its turn
-        self.hold_timer: asyncio.TimerHandle | None = None  # for the end of its wait
-        self.subscriber: Subscriber | None = None  # by whose keys it is found
-        self.keys_roster: FleetRoster | None = None  # by which they were made
+        self.is_kept_alive = True  # the connection stays open after the response
+        self.pending_request: PollRequest | None = None  # waits for a change, or in a queue
+        self.hold_timer: asyncio.TimerHandle | None = None  # ends the hold of the pending request
+        self.subscriber: Subscriber | None = None  # its subscription_keys index this connection in LongPolls
+        self.keys_roster: FleetRoster | None = None  # the roster that subscription_keys were computed with
         self.subscription_keys: tuple[SubscriptionKey, ...] = ()
-        self.deadline_s = 0.0  # for the client's next step; 0.0: the relay is to act
-        self.is_write_paused = False  # the client does not read what it was sent
-        self.unsent_bytes = 0  # of large responses, until it has read them
+        self.deadline_s = 0.0  # for the client's next step; 0.0 while it waits for the relay
+        self.is_write_paused = False  # the client has not read all that was written
+        self.unsent_bytes = 0  # of large responses that the client has not read
         self.is_closed = False
 
     # asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to read requests."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self._transport.set_write_buffer_limits(0)  # paused until all is read
+        """Start to read requests."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
+        self._transport.set_write_buffer_limits(0)  # pause until the client has read everything
         self.handler.on_connected(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Report the end of the connection to the handler."""
         self.is_closed = True
         self._parser = None
         self.handler.on_disconnected(self)
 
     def pause_writing(self) -> None:
-        """Give the client a deadline for reading what was written."""
+        """Set a deadline for the client to read what was written."""
         self.is_write_paused = True
         self.deadline_s = self.handler.loop.time() + self.handler.limits.write_timeout_s
 
     def resume_writing(self) -> None:
-        """Wait for the next request, as all has been read."""
+        """Wait for the next request: the client has read everything."""
         self.is_write_paused = False
         idle_timeout_s = self.handler.limits.idle_timeout_s
         self.deadline_s = 0.0 if self.is_request_open else self.handler.loop.time() + idle_timeout_s
         self.handler.on_response_read(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come of a request."""
+        """Parse received bytes of a request."""
         if self.is_closed or self._parser is None:
             return
         self.request_bytes += len(data)
@@ -142,20 +141,23 @@
     # httptools' callbacks
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note whether the request accepts gzip."""
+        """Record whether the request accepts gzip."""
         if name.lower() == ACCEPT_ENCODING:
             self._is_gzip_offered = accepts_gzip(value)
 
     def on_body(self, _data: bytes) -> None:
-        """Note that the request has a body."""
+        """Record that the request has a body."""
         self._has_body = True
 
     def on_message_complete(self) -> None:
-        """Hand the request on. A ValueError rejects it, with its text."""
+        """Pass the request to the handler.
+
+        A ValueError raised here rejects the request; its text is sent to the client.
+        """
         if self.is_request_open or self.is_write_paused:
             raise PipelinedRequestError
         target, self._target, self.request_bytes = self._target, b"", 0
@@ -169,20 +171,20 @@
     # Responses
 
     def reject(self, status: bytes, reason: str) -> None:
-        """Respond that what came is no request that can be answered, and end the connection."""
+        """Respond with an error status and its reason, and close the connection."""
         self.is_kept_alive = False
         self.handler.counters.bad_requests += 1
         self.respond(status, json.dumps({"error": reason[:MAX_REASON_CHARS]}).encode())
 
     def respond(self, status: bytes, body: bytes = b"{}", headers: bytes = b"") -> None:
-        """Write the response to the open request, gzipped where that is worth it and accepted."""
+        """Write the response to the open request, with gzip if accepted and at least MIN_GZIP_BYTES long."""
         headers = headers if self.is_kept_alive else headers + CLOSE_HEADER
         if self.accepts_gzip and len(body) >= MIN_GZIP_BYTES:
             body, headers = gzip_body(body), headers + CONTENT_ENCODING_HEADER
         self._write(HEAD % (status, len(body), headers) + body)
 
     def respond_with_body(self, body: IncrementalBody, age_ms: int) -> None:
-        """Write the response to the open request, whose body is encoded but for its tail."""
+        """Write the response to the open request from a body that is encoded except for its tail."""
         headers = b"" if self.is_kept_alive else CLOSE_HEADER
         tail = body.tail(age_ms)
         if body.compressor is not None:
@@ -207,18 +209,18 @@
             self._transport.close()
 
     def end_wait(self) -> None:
-        """End the wait of the open request, if it waits."""
+        """End the wait of the pending request, if there is one."""
         if self.hold_timer is not None:
             self.hold_timer.cancel()
             self.hold_timer = None
         self.pending_request = None
 
     def close(self) -> None:
-        """Close the connection once all is sent."""
+        """Close the connection once everything is sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection without sending what is left."""
         if self._transport is not None:
             self._transport.abort()
--- a/cloverkeel/control_plane/cooperative.py
+++ b/cloverkeel/control_plane/cooperative.py
@@ -7,13 +7,15 @@
 
 from cloverkeel.core.incremental import Incremental, Result
 
-SLICE_S: Final = 0.002  # of work before others get their turn; up to five kinds of it may have one in a row
+# Length of a slice of work before the loop runs other callbacks. Up to five kinds of work may each run a slice
+# directly after one another.
+SLICE_S: Final = 0.002
 
 
 async def run_cooperatively(steps: Incremental[Result]) -> Result:
-    """Run the steps in slices of SLICE_S, and return what they make.
+    """Run the steps in slices of SLICE_S, and return their result.
 
-    Nothing else runs between the last step and what follows this call.
+    The loop runs nothing else between the last step and the code after this call.
     """
     loop = asyncio.get_running_loop()
     slice_end_s = loop.time() + SLICE_S
--- a/cloverkeel/control_plane/counters.py
+++ b/cloverkeel/control_plane/counters.py
@@ -1,6 +1,7 @@
 """Counters of a relay process since its start. Pure.
 
-The one place that maps them to the keys of `/relay/state` and of the last line of the log, which keep their names.
+Only this module maps them to the keys of `/relay/state` and of the log line at exit. Those keys must not change, as
+operators' tools read them.
 """
 
 from __future__ import annotations
@@ -37,16 +38,16 @@
 
 @dataclass(slots=True)
 class CacheCounters:
-    """What an EndpointCache has taken in and answered."""
+    """Counts of the lists that an EndpointCache received and the responses that it made."""
 
     snapshots_applied: int = 0
     unusable_lists: int = 0
-    changes_before_snapshot: int = 0  # lists of changes
+    changes_before_snapshot: int = 0  # lists of changes received before any snapshot
     skipped_entries: int = 0
-    changed_hosts: int = 0  # other, new or gone
-    snapshots: int = 0  # responses with all that the subscriber is to have
-    deltas: int = 0  # responses with changes
-    unknown_indexes: int = 0  # `from` that this relay does not know
+    changed_hosts: int = 0  # changed, added or removed
+    snapshots: int = 0  # responses with the subscriber's whole list
+    deltas: int = 0  # responses with changes only
+    unknown_indexes: int = 0  # requests whose `from` is unknown to this relay
 
     def as_json(self) -> dict[str, int]:
         """Return the counters by their JSON keys."""
@@ -55,7 +56,7 @@
 
 @dataclass(slots=True)
 class ServerCounters:
-    """What a RelayServer has been asked and has answered."""
+    """Counts of the requests, responses and connections of a RelayServer."""
 
     requests: int = 0
     deltas: int = 0
@@ -69,7 +70,7 @@
     closed_slow: int = 0
     closed_idle: int = 0
     notification_rounds: int = 0
-    checked_connections: int = 0  # of those that waited, in all rounds
+    checked_connections: int = 0  # waiting connections checked for changes, in all rounds
 
     def as_json(self) -> dict[str, int]:
         """Return the counters by their JSON keys."""
--- a/cloverkeel/control_plane/errors.py
+++ b/cloverkeel/control_plane/errors.py
@@ -1,4 +1,4 @@
-"""Errors that the control plane raises on its own. Pure."""
+"""Exceptions of the control plane. Pure."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class NotReadyError(Exception):
-    """No snapshot has come from discovery yet, so nothing can be answered."""
+    """Discovery has not sent a snapshot yet, so no request can be answered."""
 
 
 class RequestError(ValueError):
-    """A poll request cannot be read. The text names the key and what was expected, in one line."""
+    """A poll request is malformed. The text, one line, names the key and the expected value."""
 
     def __init__(self, key: str, expected: str, found: str | None = None) -> None:
         super().__init__(f"{key}: expected {expected}" + ("" if found is None else f", found {found}"))
@@ -20,7 +20,7 @@
 
 
 class RosterError(ValueError):
-    """A roster file cannot be used. The text names the file, the key and what was expected there."""
+    """A roster file is invalid. The text names the file, the key and the expected value."""
 
     def __init__(self, file: str, key: str, expected: str, found: object) -> None:
         super().__init__(f"{file}: {key}: expected {expected}, found {str(found)[:80]!r}")
@@ -28,7 +28,7 @@
 
 
 class RosterSyntaxError(RosterError):
-    """A roster file is not JSON at all."""
+    """A roster file is not valid JSON."""
 
     def __init__(self, file: str, reason: Exception) -> None:
         ValueError.__init__(self, f"{file}: expected JSON: {reason}")
@@ -36,7 +36,7 @@
 
 
 class RelayFileError(ConfigError):
-    """A relay's file cannot be used. The text names the file and the problem."""
+    """A relay's file is invalid. The text names the file and the problem."""
 
     def __init__(self, file: str, problem: str) -> None:
         super().__init__(f"{file}: {problem}")
@@ -44,7 +44,7 @@
 
 
 class UnknownKeyError(RelayFileError):
-    """A relay's file has a key that is none. `table`: where it stands; "": at the top."""
+    """A relay's file has an unknown key. `table`: the table that contains it; "" for the top level."""
 
     def __init__(self, file: str, key: str, known: Iterable[str], table: str = "") -> None:
         where = f"{table}: {key}" if table else key
@@ -53,7 +53,7 @@
 
 
 class InvalidValueError(RelayFileError):
-    """A key of a relay's file has a value that it cannot have."""
+    """A key of a relay's file has an invalid value."""
 
     def __init__(self, file: str, key: str, expected: str, found: object) -> None:
         super().__init__(file, f"{key}: expected {expected}, found {found!r}")
@@ -61,7 +61,7 @@
 
 
 class EntryError(ValueError):
-    """An entry of discovery's list cannot be used."""
+    """An entry of discovery's list is invalid."""
 
     def __init__(self, key: str, expected: str) -> None:
         super().__init__(f"{key}: expected {expected}")
@@ -69,21 +69,21 @@
 
 
 class PipelinedRequestError(ValueError):
-    """A request came before the one that is open was answered. The text is sent to the client."""
+    """A request was received while another was open on the connection. The text is sent to the client."""
 
     def __init__(self) -> None:
         super().__init__("one call at a time")
 
 
 class UnsupportedRequestError(ValueError):
-    """A request is none that a relay answers. The text is sent to the client."""
+    """A request is not a plain GET. The text is sent to the client."""
 
     def __init__(self) -> None:
         super().__init__("expected a GET without a body or an upgrade")
 
 
 class UnusableListError(ValueError):
-    """A response of discovery cannot be used; what is cached stays as it is."""
+    """A response of discovery is invalid; the cached list stays unchanged."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"response unusable, cached endpoints are kept, reason={reason!r}")
--- a/cloverkeel/control_plane/http_server.py
+++ b/cloverkeel/control_plane/http_server.py
@@ -1,12 +1,13 @@
-"""The relay's HTTP server: its connections, the routes of requests, and what discovery's lists and rosters change.
+"""The relay's HTTP server: connections, routes, and updates from discovery's lists and rosters.
 
 Invariants:
-- a relay that has no snapshot answers 503, never an empty list;
-- connections are bounded, and so is the time of a client that does not go on;
-- the garbage collector does not stop the loop: what is new at a scan is looked through if it is little, and set
-  aside. Requests leave no cycles (a test has it); all that 400 gateways hold would take 190 ms;
-- what is long is done incrementally, requests are answered between the steps: responses of more than
-  MAX_SINGLE_STEP_BYTES, one after another; the full list; another roster, which counts from one moment.
+- a relay without a snapshot answers 503, never an empty list;
+- the number of connections is limited, and so is the time that a client may take for its next step;
+- the garbage collector does not block the loop. A scan collects the objects created since the last scan only if they
+  are few, and then freezes them. Requests leave no reference cycles, which a test checks. A full collection with the
+  objects of 400 gateways would take 190 ms;
+- long work is done incrementally, and requests are answered between the steps: responses of more than
+  MAX_SINGLE_STEP_BYTES, one after another; the full list; a new roster, which takes effect in a single step.
 """
 
 from __future__ import annotations
@@ -42,21 +43,21 @@
 
 READY_PATH: Final = b"/health/ready"
 STATE_PATH: Final = b"/relay/state"
-ACCEPT_BACKLOG: Final = 1_024  # connections that come at once: all clients of a relay
-SCAN_INTERVAL_S: Final = 0.5  # between two scans for clients that do not go on
-MAX_COLLECTED_OBJECTS: Final = 2_000  # made since the last scan and still there, to be searched for cycles: 4 ms
-ENTRIES_FREED_PER_STEP: Final = 512  # of a list that was applied
+ACCEPT_BACKLOG: Final = 1_024  # all clients of a relay may connect at the same time
+SCAN_INTERVAL_S: Final = 0.5  # between checks for clients past their deadline
+MAX_COLLECTED_OBJECTS: Final = 2_000  # new objects up to which a scan runs the garbage collector: 4 ms
+ENTRIES_FREED_PER_STEP: Final = 512
 
 
 def free_incrementally(items: list[Any]) -> Incremental[None]:
-    """Empty a list that was applied: 38,000 entries at once are 19 ms."""
+    """Free the entries of an applied list in steps; freeing 38,000 entries at once takes 19 ms."""
     while items:
         del items[-ENTRIES_FREED_PER_STEP:]
         yield
 
 
 class RelayServer:
-    """A relay: its connections, and what it knows of discovery."""
+    """A relay: its connections, and the endpoints that it has from discovery."""
 
     def __init__(self, config: RelayConfig, cache: EndpointCache) -> None:
         self.config, self.limits, self.cache = config, config.limits, cache
@@ -71,7 +72,7 @@
         self.scan_timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Listen, and begin to poll discovery. Raises OSError where it cannot listen."""
+        """Listen, and start to poll discovery. Raises OSError if it cannot listen."""
         host, port = self.config.listen
         self.listener = await self.loop.create_server(
             lambda: ClientConnection(self), host, port, backlog=ACCEPT_BACKLOG
@@ -81,12 +82,12 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port that the relay listens on."""
         assert self.listener is not None
         return int(self.listener.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Take no more requests; who waits is answered that nothing is new, and that the connection ends."""
+        """Stop accepting; held polls get an empty response that closes their connection."""
         self.source.close()
         if self.listener is not None:
             self.listener.close()
@@ -99,12 +100,12 @@
             connection.is_kept_alive = False
             request = connection.pending_request
             if request is not None and connection not in self.long_polls.overdue:
-                self.long_polls.send_nothing_new(connection, request)
+                self.long_polls.send_empty_response(connection, request)
             else:
                 connection.close()
 
     def abort_connections(self) -> None:
-        """End all connections that are left, and log the counters."""
+        """Abort the remaining connections, and log the counters."""
         for connection in list(self.connections):
             connection.abort()
         log(f"relay ends; {json.dumps(self.counters.as_json())}")
@@ -112,7 +113,7 @@
     # Connections
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """Accept a connection, or close it where there are too many."""
+        """Accept a connection, or abort it if there are too many."""
         if len(self.connections) >= self.limits.max_connections:
             self.counters.rejected_connections += 1
             connection.abort()
@@ -121,7 +122,7 @@
         connection.deadline_s = self.loop.time() + self.limits.idle_timeout_s
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         connection.end_wait()
         self.long_polls.on_disconnected(connection)
         self.connections.discard(connection)
@@ -132,13 +133,13 @@
         self.sender.unsent_bytes += size_bytes
 
     def on_response_read(self, connection: ClientConnection) -> None:
-        """Count a connection's responses no longer."""
+        """Subtract a connection's responses from the unsent bytes."""
         self.sender.unsent_bytes -= connection.unsent_bytes
         connection.unsent_bytes = 0
 
     def _scan(self) -> None:
-        """End the connections of those who do not go on; look for cycles."""
-        if len(gc.get_objects(0)) < MAX_COLLECTED_OBJECTS:  # gc.get_count is less by those freed, old ones too
+        """Abort connections whose deadline has passed; collect garbage."""
+        if len(gc.get_objects(0)) < MAX_COLLECTED_OBJECTS:  # gc.get_count also subtracts freed old objects
             gc.collect(0)
         gc.freeze()
         now_s = self.loop.time()
@@ -154,7 +155,7 @@
     # Requests
 
     def on_request(self, connection: ClientConnection, target: bytes) -> None:
-        """Answer a request, or have it wait."""
+        """Answer a request, or let it wait."""
         self.counters.requests += 1
         with abort_on_failure(connection):
             self._route(connection, target)
@@ -184,10 +185,10 @@
         else:
             self.long_polls.on_poll(connection, request)
 
-    # Lists of discovery, and rosters
+    # Lists from discovery, and rosters
 
     def apply_list(self, is_snapshot: bool, items: list[Any]) -> bool:
-        """Apply a list of discovery; returns whether it could be used."""
+        """Apply a list from discovery; returns whether it was valid."""
         unusable_before = self.cache.counters.unusable_lists
         keys = self.cache.apply_list(is_snapshot, items)
         if self.cache.counters.unusable_lists != unusable_before:
@@ -196,9 +197,9 @@
         return True
 
     def apply_list_incrementally(self, is_snapshot: bool, items: list[Any]) -> Incremental[bool]:
-        """Apply a long list of discovery; returns whether it could be used."""
+        """Apply a long list from discovery; returns whether it was valid."""
         keys = yield from apply_list_incrementally(self.cache, is_snapshot, items)
-        # No step between this and the end: what is sent counts as of when discovery was asked.
+        # No step from here to the end: responses sent before `confirmed_us` is updated would carry the old age.
         self.sender.run_in_background(free_incrementally(items))
         if keys is None:
             return False
@@ -206,23 +207,23 @@
         return True
 
     async def replace_roster(self, roster: FleetRoster) -> None:
-        """Use another roster; one at a time."""
+        """Switch to another roster. Calls must not overlap."""
         groups = await run_cooperatively(self.cache.prepare_roster(roster))
         self.cache.switch_roster(roster, groups)
         self.long_polls.on_roster_replaced()
         await run_cooperatively(self.cache.finish_roster_switch())
 
-    # State, for staff
+    # State, for operators
 
     @property
     def is_ready(self) -> bool:
-        """Whether it has a list, and one that is not too old."""
+        """Whether the relay has a list that is not older than `max_age_ms`."""
         return self.cache.is_ready and self.source.age_ms(now_us()) <= self.limits.max_age_ms
 
     def state(self) -> dict[str, Any]:
-        """Return what `python -m cloverkeel relay show` prints, of this process since its start.
+        """Return the state that `python -m cloverkeel relay show` prints; counts are since the process started.
 
-        The one place that maps the code's names to the keys of `/relay/state`, but for counters.py.
+        The keys of `/relay/state` are defined here and in counters.py.
         """
         source, table = self.source, self.cache.table
         return {
--- a/cloverkeel/control_plane/long_poll.py
+++ b/cloverkeel/control_plane/long_poll.py
@@ -1,11 +1,12 @@
-"""Long polls: hold requests until something changes for them, and find those that a change may matter to.
+"""Long polls: hold requests until their subscriber's list changes, and find the requests that a change may affect.
 
 Invariants:
-- a change is worked out once it has come for BATCH_INTERVAL_S, for those connections alone whom it can touch, in
-  slices of SLICE_S;
-- who polls and is not up to date is answered in turn, in slices: all may do so at once, after another roster;
-- a response without entries says that there was nothing new as it was written, not as it was asked for;
-- changes never wait for snapshots: who is up to date is not delayed by a wave of starts.
+- changes are collected for BATCH_INTERVAL_S, and then evaluated in slices of SLICE_S, only for the connections that
+  they can affect;
+- requests of subscribers that are not up to date are answered one after another, in slices: after a new roster all
+  subscribers may send one at the same time;
+- a response without entries means that there was no change when it was written, not when the request arrived;
+- changes never wait for snapshots, so a wave of gateway starts does not delay subscribers that are up to date.
 """
 
 from __future__ import annotations
@@ -24,53 +25,55 @@
 from cloverkeel.control_plane.response_sender import ResponseSender, abort_on_failure
 from cloverkeel.control_plane.snapshot_queue import SnapshotQueue
 
-BATCH_INTERVAL_S: Final = 0.02  # changes that come within it are sent as one: a zone lost is one round
+BATCH_INTERVAL_S: Final = 0.02  # changes within it are sent together: the loss of a zone takes one notification round
 
 
 class LongPolls:
-    """Answers the requests of those that have a list already."""
+    """Answers the polls of subscribers that already have a list."""
 
     def __init__(
         self, cache: EndpointCache, sender: ResponseSender, snapshots: SnapshotQueue, counters: ServerCounters
     ) -> None:
         self.cache, self.sender, self.snapshots, self.counters = cache, sender, snapshots, counters
         self.loop = sender.loop
-        # Those that wait, or did, by what they are found by; as an ordered set.
+        # Connections that wait or have waited, as ordered sets by subscription key.
         self.connections_by_key: dict[SubscriptionKey, dict[ClientConnection, None]] = {}
-        self.changed_keys: set[SubscriptionKey] = set()  # since the last round of notifications
+        self.changed_keys: set[SubscriptionKey] = set()  # since the last notification round
         self.notify_task: asyncio.Task[None] | None = None
         self.longest_round_us = 0
-        self.overdue: dict[ClientConnection, PollRequest] = {}  # to be answered now, in turn; may have changes
+        self.overdue: dict[
+            ClientConnection, PollRequest
+        ] = {}  # requests to answer now, in order; there may be changes for them
         self.overdue_handle: asyncio.Handle | None = None
 
     def on_poll(self, connection: ClientConnection, request: PollRequest) -> None:
-        """Handle a request of one that has a list."""
+        """Handle a poll of a subscriber that has a list."""
         assert request.known_index is not None
         if self.cache.is_up_to_date(request.subscriber, request.known_index):
-            self._on_nothing_new(connection, request)
+            self._on_up_to_date(connection, request)
         else:
             self._answer_later(connection, request)
 
     def on_disconnected(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         self._set_subscriber(connection, None)
 
-    def _on_nothing_new(self, connection: ClientConnection, request: PollRequest) -> None:
+    def _on_up_to_date(self, connection: ClientConnection, request: PollRequest) -> None:
         if request.hold_ms and connection.hold_timer is None:
             self._hold(connection, request)
-        else:  # or it has been held
-            self.send_nothing_new(connection, request)
+        else:  # not a long poll, or its hold has ended
+            self.send_empty_response(connection, request)
 
-    def send_nothing_new(self, connection: ClientConnection, request: PollRequest) -> None:
-        """Send a response without entries: the client goes on from the response that it has."""
+    def send_empty_response(self, connection: ClientConnection, request: PollRequest) -> None:
+        """Send a response without entries and with the index that the client already has."""
         assert request.known_index is not None
         self.counters.empty_responses += 1
         self.sender.send(connection, ListResponse(request.known_index, False, ()))
 
     def _send_changes(self, connection: ClientConnection, request: PollRequest) -> bool:
-        """Send what is new since the response that the client has; returns whether there was anything."""
+        """Send the changes since the client's index, or queue a snapshot; returns False if nothing changed."""
         assert request.known_index is not None
-        if not self.cache.is_known(request.subscriber, request.known_index):  # of another relay, or of too long ago
+        if not self.cache.is_known(request.subscriber, request.known_index):  # from another relay, or too old
             self.cache.counters.unknown_indexes += 1
             connection.end_wait()
             self.snapshots.enqueue(connection, request)
@@ -83,7 +86,7 @@
         self.sender.send(connection, response)
         return True
 
-    # Requests that are to be answered now
+    # Requests to answer now
 
     def _answer_later(self, connection: ClientConnection, request: PollRequest) -> None:
         connection.pending_request, self.overdue[connection] = request, request
@@ -91,22 +94,22 @@
             self.overdue_handle = self.loop.call_soon(self._answer_overdue)
 
     def _answer_overdue(self) -> None:
-        """Answer them for a slice at the most."""
+        """Answer overdue requests for at most one slice."""
         self.overdue_handle = None
         slice_end_s = self.loop.time() + SLICE_S
         while self.overdue:
             connection = next(iter(self.overdue))
             request = self.overdue.pop(connection)
-            if connection.pending_request is request:  # it was not answered meanwhile, and has not gone
+            if connection.pending_request is request:  # neither answered nor disconnected meanwhile
                 with abort_on_failure(connection):
                     if not self._send_changes(connection, request):
-                        self._on_nothing_new(connection, request)
+                        self._on_up_to_date(connection, request)
             if self.loop.time() >= slice_end_s:
                 break
         if self.overdue:
             self.overdue_handle = self.loop.call_soon(self._answer_overdue)
 
-    # Requests that are held
+    # Held requests
 
     def _hold(self, connection: ClientConnection, request: PollRequest) -> None:
         connection.pending_request = request
@@ -116,18 +119,18 @@
         )
 
     def on_hold_expired(self, connection: ClientConnection, request: PollRequest) -> None:
-        """Answer a request that was held for its time; what came a moment ago is sent all the same."""
+        """Answer a request at the end of its hold, with any changes that still wait for the next round."""
         assert request.known_index is not None
         if self.cache.is_up_to_date(request.subscriber, request.known_index):
             with abort_on_failure(connection):
-                self.send_nothing_new(connection, request)
+                self.send_empty_response(connection, request)
         else:
             self._answer_later(connection, request)
 
     def _set_subscriber(self, connection: ClientConnection, subscriber: Subscriber | None) -> None:
-        """Have a connection found by a subscriber's keys.
+        """Index a connection by a subscriber's keys; None removes it.
 
-        They are kept from request to request: who waits mostly asks the same again, by the same roster.
+        The keys are kept between requests, since most connections poll again for the same subscriber and roster.
         """
         if connection.subscriber == subscriber and connection.keys_roster is self.cache.roster:
             return
@@ -144,26 +147,26 @@
     # Changes
 
     def on_roster_replaced(self) -> None:
-        """Handle another roster: all who wait are found by the old one until they are looked at."""
+        """Handle a new roster: check all indexed connections, whose keys are those of the old roster."""
         self.on_changes(self.connections_by_key)
 
     def on_changes(self, keys: Iterable[SubscriptionKey]) -> None:
-        """Handle changes: notify those who wait and are found by these keys."""
+        """Handle changes: notify the waiting connections that are indexed by these keys."""
         self.snapshots.discard_outdated_lists()
         self.changed_keys.update(keys)
         if self.changed_keys and self.notify_task is None:
             self.notify_task = self.loop.create_task(self._notify())
 
     async def _notify(self) -> None:
-        """Notify those who wait, once for all that comes within a batch; again for what came meanwhile."""
+        """Run a notification round for each batch of changes, until there are no more changes."""
         try:
             while self.changed_keys:
-                begun_s = self.loop.time()
+                round_start_s = self.loop.time()
                 await asyncio.sleep(BATCH_INTERVAL_S)
                 keys, self.changed_keys = self.changed_keys, set()
                 self.counters.notification_rounds += 1
                 await self._notify_waiting(keys)
-                self.longest_round_us = max(self.longest_round_us, int((self.loop.time() - begun_s) * 1e6))
+                self.longest_round_us = max(self.longest_round_us, int((self.loop.time() - round_start_s) * 1e6))
         finally:
             self.notify_task = None
 
@@ -177,15 +180,15 @@
                 await asyncio.sleep(0)
                 slice_end_s = self.loop.time() + SLICE_S
             request = connection.pending_request
-            if request is None:  # it has gone, or was answered meanwhile
+            if request is None:  # disconnected or answered meanwhile
                 continue
             self.counters.checked_connections += 1
             with abort_on_failure(connection):
-                self._set_subscriber(connection, request.subscriber)  # the roster may be another
+                self._set_subscriber(connection, request.subscriber)  # the roster may have changed
                 self._send_changes(connection, request)
 
     def close(self) -> None:
-        """Notify and answer nobody any more."""
+        """Stop notifying, and stop answering overdue requests."""
         if self.overdue_handle is not None:
             self.overdue_handle.cancel()
         if self.notify_task is not None:
--- a/cloverkeel/control_plane/reload.py
+++ b/cloverkeel/control_plane/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP at a relay: the roster is read again while requests go on. One that cannot be used leaves all as it is."""
+"""Reload a relay's roster on SIGHUP while it serves requests. An invalid roster changes nothing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RosterReloader:
-    """Reads the roster once for each request, or once for several that come together, and hands it to the server."""
+    """Reads the roster for each reload request and passes it to the server; requests that coincide are merged."""
 
     def __init__(self, path: str, server: RelayServer) -> None:
         self._server = server
@@ -21,11 +21,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether every request so far was carried out."""
+        """Whether all requested reloads have finished."""
         return self._reloader.is_idle
 
     def request_reload(self) -> None:
-        """Read the file again, now or once the reading that is going on has ended. To be called on the loop."""
+        """Reload the file now, or after the reload that is running. Call it on the event loop's thread."""
         self._reloader.request_reload()
 
     async def _apply(self, roster: FleetRoster) -> None:
--- a/cloverkeel/control_plane/requests.py
+++ b/cloverkeel/control_plane/requests.py
@@ -1,10 +1,10 @@
 """Parse the target of a request to a relay. Pure.
 
-Invariant: what cannot be read is rejected by name, never guessed, as a request that is misread would be answered
-with a wrong subset.
+Invariant: an invalid value is rejected with an error that names its key, and never replaced by a default, as a
+misread request would be answered with a wrong subset.
 
-The codec of the query: `from` is PollRequest.known_index, `wide` Subscriber.widenings; the others have the same
-names.
+Keys of the query: `from` is PollRequest.known_index and `wide` is Subscriber.widenings; the other keys have the names
+of their fields.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from cloverkeel.control_plane.messages import MAX_WIDENINGS, Subscriber
 
 LIST_PATH: Final = b"/registry/instances"
-MAX_HOLD_MS: Final = 60_000  # for changes: as discovery allows
-MAX_NAME_BYTES: Final = 256  # of a gateway's or a service's name
-MAX_SERVICES: Final = 2_000  # a gateway with more asks for all: the plan has 1,400
+MAX_HOLD_MS: Final = 60_000  # the maximum of discovery as well
+MAX_NAME_BYTES: Final = 256  # of the name of a gateway or service
+MAX_SERVICES: Final = 2_000  # a gateway with more services requests all of them; 1,400 are planned for
 MAX_INTEGER: Final = 1 << 62
 MAX_INTEGER_DIGITS: Final = 19
-MAX_QUOTED_BYTES: Final = 20  # of a value that an error quotes
+MAX_QUOTED_BYTES: Final = 20  # of an invalid value, in an error text
 
 
 @dataclass(slots=True, frozen=True)
 class PollRequest:
     """One request for the endpoint list.
 
-    known_index: of the response that the subscriber has; None: it has none.
-    hold_ms: how long the response may be held back while there is no change (long poll).
+    known_index: index of the last response that the subscriber received; None if it has none.
+    hold_ms: how long the relay may hold the request while there is no change (long poll); 0 to answer at once.
     """
 
     subscriber: Subscriber
@@ -40,9 +40,9 @@
 
 
 def parse_poll_request(query: bytes) -> PollRequest:
-    """Parse the query of a request for the list. Keys that are not known are ignored, as discovery does.
+    """Parse the query of a poll request. Unknown keys are ignored, as discovery does.
 
-    Raises RequestError for what cannot be read.
+    Raises RequestError for an invalid value.
     """
     values: dict[bytes, Any] = {}
     for part in query.split(b"&") if query else ():
--- a/cloverkeel/control_plane/response_sender.py
+++ b/cloverkeel/control_plane/response_sender.py
@@ -1,9 +1,9 @@
-"""Send endpoint lists: short ones at once, long ones encoded incrementally, one after another.
+"""Send endpoint lists: short ones immediately, long ones encoded incrementally, one after another.
 
 Invariants:
-- `age_ms` is read from the clock as a response is written, so a process that woke says how old what it has is; it
-  counts from what was known as the response was made, where that was incremental and the list went on;
-- a response that could not be made ends its connection, and no other.
+- `age_ms` is computed when a response is written, so it includes a stall of the process. It counts from the list's
+  confirmation time when the response was made, even if the list is updated while the response is encoded;
+- a response that cannot be made aborts its own connection and no other.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 
 def log_failed_response(error: Exception) -> None:
-    """Log a fault of the relay's own."""
+    """Log a defect of the relay itself."""
     log(f"relay: DEFECT, response failed, error={error!r}")
 
 
 @contextmanager
 def abort_on_failure(connection: ClientConnection) -> Iterator[None]:
-    """Abort a connection whose response cannot be made, so that neither it nor others wait for ever."""
+    """Abort a connection whose response raises an exception, so that neither it nor others wait forever."""
     try:
         yield
     except Exception as error:
@@ -39,16 +39,16 @@
 
 
 class ResponseSender:
-    """Sends lists, and runs what is done incrementally, in turn."""
+    """Sends lists, and runs incremental work in the background, one item after another."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, source: DiscoverySource) -> None:
         self.loop, self.source = loop, source
-        self.unsent_bytes = 0  # of large responses that clients have not read
-        self.background_work: deque[Incremental[None]] = deque()  # at most one response a connection
+        self.unsent_bytes = 0  # total of large responses that clients have not read
+        self.background_work: deque[Incremental[None]] = deque()  # holds at most one response per connection
         self.background_task: asyncio.Task[None] | None = None
 
     def age_ms(self, as_of_us: int | None) -> int:
-        """Return the age of what discovery was known to have then (DiscoverySource.confirmed_us)."""
+        """Return the time since `as_of_us` (a DiscoverySource.confirmed_us); 0 if it is None."""
         return 0 if as_of_us is None else max(0, now_us() - as_of_us) // 1000
 
     def send(self, connection: ClientConnection, response: ListResponse) -> int:
@@ -72,7 +72,7 @@
             connection.respond_with_body(body, self.age_ms(as_of_us))
 
     def run_in_background(self, work: Incremental[None]) -> None:
-        """Run this after what runs already, in slices."""
+        """Append work to the queue, which runs in slices."""
         self.background_work.append(work)
         if self.background_task is None:
             self.background_task = self.loop.create_task(self._run_background_work())
@@ -85,6 +85,6 @@
             self.background_task = None
 
     def close(self) -> None:
-        """Leave what is not done."""
+        """Cancel unfinished background work."""
         if self.background_task is not None:
             self.background_task.cancel()
