--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -1,4 +1,4 @@
-"""Three real gateways, relays and discoveries, links with faults between them, and what outside parties saw."""
+"""Run real gateways and relays with faulty links between them, and record what hosts and clients observe."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
 from tests.sockets import Client, Exchange, Peer, configuration, endpoint, hosts_list, peer, reply, request
 
 GATEWAYS = 3
-CLIENTS = 4  # of each gateway
-RESPONSE_DELAY_S = 0.05  # of a host: a busy machine's delays are small beside it
-REQUEST_INTERVAL_S = 0.01  # of a client, between two requests
-MAX_REJECTED_RATIO = 0.02  # where the machine was slow for a moment; nobody serving is all of a second's requests
-DIRECT_PER_S = 1  # calls of the whole fleet to discovery itself
-FIRST_INDEX = 1_000  # a discovery that begins anew at 1 does not come to the versions that it had
-STALL_CHECK_INTERVAL_S = 0.05  # between checks whether this process goes on itself
-MIN_STALL_S = 0.2  # that is noted
+CLIENTS = 4  # per gateway
+RESPONSE_DELAY_S = 0.05  # of a host; large compared to the delays of a busy machine
+REQUEST_INTERVAL_S = 0.01  # from a client's response to its next request
+MAX_REJECTED_RATIO = 0.02  # allows for a slow machine; a gateway without hosts rejects all requests of a second
+DIRECT_PER_S = 1  # direct polls of discovery by the whole fleet
+FIRST_INDEX = 1_000  # a discovery that restarts at 1 stays below its earlier versions
+STALL_CHECK_INTERVAL_S = 0.05  # between checks for stalls of the test process
+MIN_STALL_S = 0.2  # shorter ones are not recorded
 
 
 @dataclass
 class RelayFleet:
-    """The parties."""
+    """The processes and links of a fleet, and what was observed of them."""
 
     folder: Path
     network: Network
     hosts: list[Peer]
     discoveries: list[Registry]
-    discovery_by_relay: tuple[int, ...]  # by relay: which of them it asks
-    is_spread: bool  # whom gateways ask first: another relay each, or all relay-0
+    discovery_by_relay: tuple[int, ...]  # by relay: the number of the discovery that it polls
+    is_spread: bool  # gateways poll different relays first; otherwise all poll relay-0 first
     ledger: EventLog = field(default_factory=EventLog)
     views: dict[str, View] = field(default_factory=dict)
     to_relay: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # by gateway, relay
@@ -60,13 +60,15 @@
     gateways: list[Gateway] = field(default_factory=list)
     relays: list[Gateway] = field(default_factory=list)
     begun_us: int = 0
-    requests_seen: list[tuple[int, int, int]] = field(default_factory=list)  # when, by which gateway, at which host
-    responses_in_progress: int = 0  # hosts, just now
+    requests_seen: list[tuple[int, int, int]] = field(default_factory=list)  # time in microseconds, gateway, host
+    responses_in_progress: int = 0  # of all hosts
     client_requests: list[ClientRequest] = field(default_factory=list)
-    starts: dict[int, int] = field(default_factory=dict)  # of hosts that were gone: since when, in milliseconds
+    starts: dict[int, int] = field(
+        default_factory=dict
+    )  # by host that was deleted: time of its restart in milliseconds
     changes: list[EndpointChange] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
-    open_outages: dict[Component, int] = field(default_factory=dict)  # since when
+    open_outages: dict[Component, int] = field(default_factory=dict)  # start in microseconds
     statuses: Counter[int] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)  # by gateway
     notes: list[tuple[int, str]] = field(default_factory=list)
@@ -80,10 +82,13 @@
         self.notes.append((at_us, text))
         return at_us
 
-    # Doing
+    # Actions
 
     def publish_status(self, host: int, status: str, *discoveries: int, weight: float = 1.0) -> int:
-        """A change at these discoveries, all where none is named; returns when. Who was gone has started anew."""
+        """Publish a host's status at these discoveries, or at all if none is given; returns the time in microseconds.
+
+        A host that was deleted has a new start time when it is published again.
+        """
         at_us = now_us()
         if status == "DELETED":
             self.starts[host] = at_us // 1000
@@ -100,7 +105,7 @@
         return Entry(f"s-{host}", "a", "m", 0, self.starts.get(host, 0), service="web")
 
     def first_relay_of(self, gateway: int) -> int:
-        """The relay that it asks first."""
+        """The relay that a gateway polls first."""
         return gateway % len(self.discovery_by_relay) if self.is_spread else 0
 
     def signal(self, relay: int, signum: signal.Signals) -> int:
@@ -115,7 +120,7 @@
             assert await self.relays[relay].ended(10.0)
 
     def write_roster(self, relay: int, lacks: Iterable[str] = ()) -> None:
-        """What it reads at its next start or SIGHUP: a roster without these gateways."""
+        """Write the roster, without the gateways in `lacks`, that a relay reads at its next start or SIGHUP."""
         named = {f"n{n}": {"zone": "a"} for n in range(GATEWAYS) if f"n{n}" not in lacks}
         file = self.folder / f"roster-{relay}.json"
         file.with_suffix(".new").write_text(json.dumps({"regions": {"r": ["a"]}, "gateways": named}))
@@ -137,7 +142,7 @@
         finally:
             client.close()
 
-    # Outages, for the judge
+    # Outages, for the checker
 
     def begin_outage(self, *parts: Component) -> None:
         for part in parts:
@@ -149,7 +154,7 @@
                 self.outages.append(Outage(self.open_outages.pop(part), now_us(), part))
 
     async def watch_for_stalls(self) -> None:
-        """Note the times at which this process was stalled itself: what it saw then, it saw late."""
+        """Record stalls of the test process as outages of all gateways, since it observes events late then."""
         checked_us = now_us()
         while True:
             await asyncio.sleep(STALL_CHECK_INTERVAL_S)
@@ -174,7 +179,7 @@
             [UnaskedExit(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
 
-    # Waiting for what is seen
+    # Waiting for events
 
     async def wait_for(self, condition: Callable[[], Any], what: str) -> None:
         end = time.monotonic() + 20.0
@@ -184,10 +189,11 @@
             await asyncio.sleep(0.005)
 
     async def serve_more_requests(self, count: int = 40) -> None:
-        """Each gateway answers so many further requests."""
+        """Wait until each gateway has answered `count` more requests."""
         before = dict(self.answers)
         await self.wait_for(
-            lambda: all(self.answers[n] >= before.get(n, 0) + count for n in range(GATEWAYS)), "requests go on"
+            lambda: all(self.answers[n] >= before.get(n, 0) + count for n in range(GATEWAYS)),
+            "further requests are answered",
         )
 
     async def wait_until(self, at_us: int) -> None:
@@ -199,41 +205,42 @@
             await asyncio.sleep(0.02)
 
     def gateways_connected_to(self, relay: int) -> set[int]:
-        """The gateways that have a connection to this relay."""
+        """Return the gateways that have a connection to a relay."""
         return {gateway for (gateway, to), link in self.to_relay.items() if to == relay and link.flows}
 
     async def wait_until_all_ask(self, relay: int) -> None:
         await self.wait_for(
-            lambda: self.gateways_connected_to(relay) == set(range(GATEWAYS)), f"all at relay-{relay}"
+            lambda: self.gateways_connected_to(relay) == set(range(GATEWAYS)),
+            f"all gateways connected to relay-{relay}",
         )
 
     async def wait_until_served(self, *hosts: int) -> None:
-        """Each gateway sends to each of these."""
+        """Wait until each gateway has sent a request to each of these hosts."""
         since = len(self.requests_seen)
         wanted = {(gateway, host) for gateway in range(GATEWAYS) for host in hosts}
         await self.wait_for(
             lambda: wanted <= {(g, h) for _, g, h in self.requests_seen[since:]}, f"requests at {hosts}"
         )
 
-    # Judging
+    # Checks
 
     def last_request_us(self, host: int) -> int:
         return max((at_us for at_us, _, to in self.requests_seen if to == host), default=0)
 
     def assert_left_within(self, host: int, since_us: int, within_s: float) -> None:
-        """Nobody sends to a host that drains, later than so long after discovery had it."""
+        """Check that a host got its last request at most `within_s` after its drain or deletion at `since_us`."""
         late_us = self.last_request_us(host) - since_us
         assert late_us <= within_s * 1e6, f"s-{host} saw a request {late_us / 1e6:.3f} s after\n{self.timeline()}"
 
     def direct_polls(self) -> int:
-        """Of gateways at discovery itself."""
+        """Return the number of direct polls of discovery by gateways."""
         return sum(call.gateway.startswith("n") for call in self.ledger.events_of(DiscoveryPoll))
 
     def faults(self) -> list[str]:
         return [fault for process in self.gateways + self.relays for fault in process.faults()]
 
     def assert_healthy(self) -> None:
-        """Requests were served, and no process has a defect on its log."""
+        """Check that requests were served, and that no process logged a defect."""
         assert set(self.statuses) <= {200, 503}, f"{self.statuses}\n{self.timeline()}"
         assert self.statuses[503] <= MAX_REJECTED_RATIO * len(
             self.client_requests
@@ -257,7 +264,7 @@
 
 
 def order_of(gateway: str, links: list[TcpLink]) -> list[TcpLink]:
-    """As discovery/relay_selection.py has it, so that a test knows which relay its gateways ask first."""
+    """Sort links in a gateway's order of preference, which discovery/relay_selection.py defines."""
     return sorted(links, key=lambda link: stable_id(f"{gateway} {link.address[0]}:{link.address[1]}", 8))
 
 
@@ -265,9 +272,9 @@
 async def running_relay_fleet(
     folder: Path, hosts: int = 4, discovery_by_relay: tuple[int, ...] = (0, 0), is_spread: bool = False
 ) -> AsyncIterator[RelayFleet]:
-    """All run and are ready, and each gateway has clients that send one request after another.
+    """Run a fleet that is ready, whose gateways have clients that send one request after another.
 
-    `discovery_by_relay`: for each relay the number of the discovery that it asks.
+    `discovery_by_relay`: by relay, the number of the discovery that it polls.
     """
     fleet: RelayFleet | None = None
 
@@ -324,7 +331,7 @@
                     await asyncio.sleep(0.02)
             await fleet.wait_for(
                 lambda: all(fleet.gateways_connected_to(fleet.first_relay_of(n)) >= {n} for n in range(GATEWAYS)),
-                "all ask first",
+                "each gateway is connected to its first relay",
             )
             fleet.begun_us = now_us()
             tasks.append(asyncio.create_task(fleet.watch_for_stalls()))
@@ -348,7 +355,7 @@
 
 @asynccontextmanager
 async def relay_fleet(folder: Path, discovery_by_relay: tuple[int, ...] = (0, 0)) -> AsyncIterator[RelayFleet]:
-    """All gateways ask relay-0 first; at the end all is as it should be."""
+    """Run a fleet whose gateways all poll relay-0 first; checks at the end that it is healthy."""
     async with running_relay_fleet(folder, discovery_by_relay=discovery_by_relay) as fleet:
         yield fleet
         await fleet.serve_more_requests()
--- a/tests/control_plane/relay_harness.py
+++ b/tests/control_plane/relay_harness.py
@@ -1,4 +1,4 @@
-"""A relay in this process, between a discovery (a stand-in, or scripted) and scripted clients."""
+"""A relay in the test process, with a discovery (a stand-in or scripted) and scripted clients."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class RelayHarness:
-    """A relay, and the discovery that it asks."""
+    """A relay and the discovery that it polls."""
 
     registry: Registry
     server: RelayServer
@@ -88,7 +88,7 @@
 
 @asynccontextmanager
 async def relay_with_registry(limits: Limits | None = None, ready: bool = True) -> AsyncIterator[RelayHarness]:
-    """A relay that has heard of four hosts of each of two services."""
+    """Run a relay whose discovery lists four hosts of each of two services; if `ready`, wait for its list."""
     registry = Registry(EventLog())
     for service in "st":
         for number in range(4):
@@ -113,7 +113,7 @@
 
 @asynccontextmanager
 async def scripted_discovery() -> AsyncIterator[tuple[list[bytes], Peer]]:
-    """A discovery that answers what stands last in the list."""
+    """Run a discovery that answers every request with the last item of the yielded list."""
     answers: list[bytes] = []
     async with peer(lambda exchange: exchange.answer(answers[-1])) as discovery:
         yield answers, discovery
@@ -127,7 +127,7 @@
 
 
 def count_steps(steps: Generator[None, None, Any]) -> tuple[int, Any]:
-    """How many steps there were, and what they came to."""
+    """Run all steps; returns their number and the result."""
     count = 0
     while True:
         try:
@@ -138,7 +138,7 @@
 
 
 async def run_turn_by_turn(steps: Generator[None, None, Any]) -> Any:
-    """As cooperative.run_cooperatively, but others get their turn after each step."""
+    """Run steps as cooperative.run_cooperatively does, but yield to the loop after each step."""
     while True:
         try:
             next(steps)
--- a/tests/control_plane/test_command.py
+++ b/tests/control_plane/test_command.py
@@ -1,4 +1,4 @@
-"""The relay's file, and its command as a process."""
+"""The relay's configuration file, and the relay command as a process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 FILE = 'name = "relay-1"\nlisten = "127.0.0.1:1"\ndiscovery = "127.0.0.1:2"\nroster = "roster.json"\n'
 
 
-def test_file_gives_addresses_and_limits(tmp_path: Path) -> None:
+def test_file_sets_addresses_and_limits(tmp_path: Path) -> None:
     file = tmp_path / "relay.toml"
     file.write_text(FILE + "[limits]\nwholes_per_s = 7\n")
     config = load(str(file))
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ('name = "relay-1"', 'name = ""', "name: expected 1 to 64 letters, found ''"),
         ('listen = "127.0.0.1:1"', 'listen = "here"', "listen: expected host:port, found 'here'"),
@@ -47,16 +47,16 @@
         ("name =", "=", "not TOML"),
     ],
 )
-def test_error_names_file_key_and_what_was_expected(tmp_path: Path, old: str, new: str, said: str) -> None:
+def test_error_names_file_key_and_what_was_expected(tmp_path: Path, old: str, new: str, message: str) -> None:
     file = tmp_path / "relay.toml"
     file.write_text(FILE.replace(old, new))
     with pytest.raises(ConfigError) as raised:
         load(str(file))
-    assert str(raised.value).startswith(f"{file}: ") and said in str(raised.value)
+    assert str(raised.value).startswith(f"{file}: ") and message in str(raised.value)
 
 
 @on_loop
-async def test_command_runs_shows_and_ends(tmp_path: Path) -> None:
+async def test_relay_process_starts_shows_its_state_and_exits(tmp_path: Path) -> None:
     registry = Registry(EventLog())
     registry.put(entry(0))
     view = await registry.open("relay", lambda name: ("127.0.0.1", 9000), allow_all)
@@ -86,7 +86,7 @@
             await asyncio.sleep(0.02)
         state = json.loads(shown.stdout)
         assert (state["name"], state["hosts"], state["roster"] in line) == ("relay-1", 1, True)
-        assert state["version"] >= before_us, "beyond all that an earlier process has named"
+        assert state["version"] >= before_us, "above all indexes of an earlier process"
         roster.write_bytes(ROSTER.replace(b"g2", b"g3"))
         process.send_signal(signal.SIGHUP)
         assert "gateways=3" in (await process.stderr.readline()).decode()
--- a/tests/control_plane/test_connection.py
+++ b/tests/control_plane/test_connection.py
@@ -1,4 +1,4 @@
-"""Connections: gzip, bad requests, bounds."""
+"""Connections: gzip, bad requests, limits."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
         short = await harness.get("/registry/instances?gateway=g0&services=none", client, *headers)
         assert len(short.body) < MIN_GZIP_BYTES and "content-encoding" not in short.headers and json.loads(short.body)
         again = await harness.get("/registry/instances?gateway=g2", client)
-        assert "content-encoding" not in again.headers, "what an earlier call took is not asked of this one"
+        assert "content-encoding" not in again.headers, "Accept-Encoding of an earlier request does not apply"
 
 
 @on_loop
-async def test_connections_are_bounded_and_idle_ones_closed() -> None:
+async def test_connections_are_limited_and_idle_ones_closed() -> None:
     async with relay_with_registry(Limits(max_connections=2, idle_timeout_s=2)) as harness:
         first, second, third = [await harness.client() for _ in range(3)]
-        assert await third.reader.read() == b"", "beyond the bound"
+        assert await third.reader.read() == b"", "above the limit of connections"
         assert (await harness.get("/health/ready", first)).status == 200
         assert await second.reader.read() == b"" and await first.reader.read() == b""
         assert harness.server.counters.closed_idle == 2
--- a/tests/control_plane/test_discovery_source.py
+++ b/tests/control_plane/test_discovery_source.py
@@ -1,4 +1,4 @@
-"""What a relay makes of discovery's responses, and how old what it has is."""
+"""How a relay applies discovery's responses, and the age of its list."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 )
 from tests.sockets import list_reply, on_loop, reply, until
 
-MAX_SLICE_S = 0.005  # that callers wait while a long list is applied
+MAX_SLICE_S = 0.005  # for which requests may wait while a long list is applied
 
 
-MIN_REQUESTS_BETWEEN_STEPS = 40  # of some 190 steps for 3,000 hosts, and three turns of the loop for a call
+MIN_REQUESTS_BETWEEN_STEPS = 40  # 3,000 hosts take about 190 steps, a request three iterations of the loop
 
 
 @pytest.mark.parametrize(
-    "rubbish",
+    "invalid_reply",
     [
         reply(200, b'{"index":'),
         reply(200, b"[]"),
@@ -36,31 +36,31 @@
         reply(200, b"[" * 100_000),
         reply(500),
     ],
-    ids=["cut short", "no object", "no entries", "no host", "deep", "a failure"],
+    ids=["truncated", "not an object", "entries not a list", "entries not hosts", "deeply nested", "status 500"],
 )
 @on_loop
-async def test_unusable_response_of_discovery_keeps_the_list_and_its_age_grows(rubbish: bytes) -> None:
+async def test_invalid_response_of_discovery_keeps_the_list_and_its_age_grows(invalid_reply: bytes) -> None:
     async with scripted_discovery() as (answers, discovery):
         answers.append(snapshot_reply(5, "s-0", "s-1"))
         async with running_relay(discovery.address, Limits(max_age_ms=1_000)) as server:
             harness = RelayHarness(Registry(EventLog()), server)
             await harness.has(2)
-            answers.append(rubbish)
+            answers.append(invalid_reply)
             await until(lambda: not server.is_ready)
             listed = await harness.listed("gateway=g0")
             assert set(status_by_name(listed)) == {"s-0", "s-1"} and listed["age_ms"] > 1_000
             state = await harness.state()
-            if state["discovery_rubbish"]:  # what it should have sent is not known: all is asked for
+            if state["discovery_rubbish"]:  # changes may have been lost: a snapshot is requested
                 assert "from=" not in discovery.seen[-1].message.first
             assert state["ready"] is False and (state["discovery_rubbish"] or state["discovery_failures"])
-            answers.append(snapshot_reply(1, "s-1", "s-2"))  # it begins anew
+            answers.append(snapshot_reply(1, "s-1", "s-2"))  # discovery restarts with a lower index
             await until(lambda: server.is_ready)
             sent = await harness.listed(f"gateway=g0&from={listed['index']}")
             assert status_by_name(sent) == {"s-0": "DELETED", "s-2": "SERVING"}
 
 
 @on_loop
-async def test_changes_where_a_snapshot_was_requested_are_unusable() -> None:
+async def test_changes_instead_of_a_requested_snapshot_are_rejected() -> None:
     async with scripted_discovery() as (answers, discovery):
         answers.append(list_reply(5, snapshot=False))
         async with running_relay(discovery.address) as server:
@@ -73,11 +73,11 @@
 
 
 @on_loop
-async def test_response_that_waited_during_a_stall_is_as_old_as_it_is() -> None:
+async def test_age_of_a_response_includes_the_stall_that_delayed_it() -> None:
     async with relay_with_registry() as harness:
         source = harness.server.source
         await until(lambda: source.age_ms(now_us()) < 1_500)
-        # As after a stop of 5 s: the call that is out was made before it, and so was the last look at the clock.
+        # As after a stall of 5 s: the open request was sent before it, and the last clock check was before it too.
         source.request_sent_us = source.last_clock_check_us = now_us() - 5_000_000
         source.handle_body_at_once(b'{"index": 1, "snapshot": false, "endpoints": []}')
         assert source.age_ms(now_us()) >= 5_000
@@ -104,7 +104,7 @@
 
 
 @on_loop
-async def test_long_list_that_is_not_applied_to_its_end_is_requested_again() -> None:
+async def test_long_list_that_is_applied_in_part_is_requested_again() -> None:
     async with scripted_discovery() as (answers, discovery):
         answers.append(snapshot_reply(5, "s-0"))
         async with running_relay(discovery.address) as server:
@@ -114,7 +114,9 @@
             answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
             while not 1 < len(server.cache.table.host_by_name) < 3_000:
                 assert server.source.discovery_index == 5
-                await asyncio.sleep(0)  # a look at each turn of the loop: none between two steps is missed
+                await asyncio.sleep(
+                    0
+                )  # checks at each iteration of the loop, so that no state between two steps is missed
             assert server.source.discovery_index == 5
             server.source.restart(watches=True)
             asked = len(discovery.seen)
--- a/tests/control_plane/test_http_server.py
+++ b/tests/control_plane/test_http_server.py
@@ -1,4 +1,4 @@
-"""What a relay answers to whom."""
+"""Responses of a relay by request path, subscriber and state of the list."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @on_loop
 async def test_requests_leave_no_reference_cycles() -> None:
-    """The collector looks only through what is new, and never again (RelayServer._scan)."""
+    """Guards against a leak: RelayServer._scan collects new objects once and then freezes them."""
 
     def connections() -> int:
         return sum(isinstance(each, ClientConnection) for each in gc.get_objects())
--- a/tests/control_plane/test_long_poll.py
+++ b/tests/control_plane/test_long_poll.py
@@ -1,4 +1,4 @@
-"""Long polls: what ends them, for whom, and that they are answered in slices."""
+"""Long polls: which changes end them, for which subscribers, and that they are answered in slices."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @on_loop
-async def test_long_poll_ends_with_a_change_and_only_for_subscribers_of_it() -> None:
+async def test_long_poll_ends_with_a_change_only_for_its_subscribers() -> None:
     async with relay_with_registry() as harness:
         mine, other = await harness.client(), await harness.client()
         first, second = await harness.listed("gateway=g0", mine), await harness.listed("gateway=g1", other)
@@ -39,7 +39,7 @@
 
 
 @on_loop
-async def test_long_poll_without_a_change_ends_with_a_response_to_go_on_from() -> None:
+async def test_long_poll_without_a_change_ends_with_an_empty_response_and_a_valid_index() -> None:
     async with relay_with_registry() as harness:
         first = await harness.listed("gateway=g0")
         for hold_ms in (0, 30):
@@ -59,7 +59,7 @@
         poll = asyncio.create_task(harness.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
         await until(lambda: any(connection.pending_request for connection in harness.server.connections))
         passed = harness.server.counters.notification_rounds
-        for number in range(3):  # three answers of discovery, one batch
+        for number in range(3):  # three lists from discovery, one batch
             harness.server.apply_list(False, [{
                 "name": f"s-{number}", "address": "127.0.0.1:1", "zone": "a", "service": "s", "status": "DRAINING",
             }])  # fmt: skip
@@ -70,7 +70,7 @@
 
 
 @on_loop
-async def test_long_poll_that_expires_just_after_a_change_has_it() -> None:
+async def test_long_poll_that_expires_just_after_a_change_returns_it() -> None:
     async with relay_with_registry() as harness:
         client = await harness.client()
         held = await harness.listed("gateway=g0", client)
@@ -83,7 +83,9 @@
         harness.server.apply_list(
             False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}]
         )
-        harness.server.long_polls.on_hold_expired(connection, connection.pending_request)  # before the batch is over
+        harness.server.long_polls.on_hold_expired(
+            connection, connection.pending_request
+        )  # before the batch interval ends
         assert status_by_name(await poll) == {"s-0": "DELETED"}
 
 
@@ -108,7 +110,7 @@
         harness.server.apply_list(
             False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}]
         )
-        monkeypatch.setattr(long_poll, "SLICE_S", 0.0)  # one each
+        monkeypatch.setattr(long_poll, "SLICE_S", 0.0)  # one request per slice
         monkeypatch.setattr(harness.server.cache, "respond", noted)
         tick()
         queries = [f"gateway=g{n}" * (n < 3) + f"&from={each['index']}" for n, each in enumerate(held)]
--- a/tests/control_plane/test_reload.py
+++ b/tests/control_plane/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP at a relay: the roster is read again."""
+"""Reload of a relay's roster (SIGHUP)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @on_loop
-async def test_roster_is_reloaded_and_a_bad_one_changes_nothing(
+async def test_roster_is_reloaded_and_an_invalid_one_changes_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "roster.json"
@@ -48,9 +48,9 @@
         reloader, original = RosterReloader(str(file), server), cache.prepare_roster
         clients = [await harness.client() for _ in range(2)]
         held = [await harness.listed(f"gateway=g{n}", client) for n, client in enumerate(clients)]
-        forever = "&hold_ms=60000"  # longer than this test may take
+        long_hold = "&hold_ms=60000"  # longer than this test may take
         polls = [
-            asyncio.create_task(harness.listed(f"gateway=g{n}&from={held[n]['index']}{forever}", clients[n]))
+            asyncio.create_task(harness.listed(f"gateway=g{n}&from={held[n]['index']}{long_hold}", clients[n]))
             for n in range(2)
         ]
         await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
@@ -66,7 +66,7 @@
                 )
                 file.write_bytes(ROSTER.replace(b'["s"]', b'["t"]'))
                 reloader.request_reload()
-                for gateway in ("g0", "g1"):  # by the old one, though most of the other is worked out
+                for gateway in ("g0", "g1"):  # answered with the old roster, though the new one is partly prepared
                     answer = cache.respond(Subscriber(gateway), None)
                     assert answer is not None
                     others[0] |= {json.loads(each)["name"]: gateway for each in answer.entries}
@@ -81,12 +81,14 @@
         assert cache.roster.digest == last.digest
         for n, poll in enumerate(polls):
             sent = await poll
-            while set(status_by_name(sent)) != {"t-1", "t-2", "t-3"}:  # however its answers were cut by the two
+            while set(status_by_name(sent)) != {"t-1", "t-2", "t-3"}:  # the two rosters may take several responses
                 sent = await harness.listed(f"gateway=g{n}", clients[n])
-            polls[n] = asyncio.create_task(harness.listed(f"gateway=g{n}&from={sent['index']}{forever}", clients[n]))
+            polls[n] = asyncio.create_task(
+                harness.listed(f"gateway=g{n}&from={sent['index']}{long_hold}", clients[n])
+            )
         await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
         await until(lambda: server.long_polls.notify_task is None)
         harness.change(("t-1", "DRAINING"))
         assert [status_by_name(await poll) for poll in polls] == [
             {"t-1": "DRAINING"}
-        ] * 2, "found by what it is now before"
+        ] * 2, "each poll is indexed by the new roster's keys"
--- a/tests/control_plane/test_roster_switch.py
+++ b/tests/control_plane/test_roster_switch.py
@@ -1,4 +1,4 @@
-"""Another roster, prepared incrementally, and the full list made so."""
+"""Incremental preparation of a new roster and of the full list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from cloverkeel.control_plane.roster_parser import parse_roster
 from tests.control_plane.cache_helpers import G0, G2, HOSTS, NOBODY, ONLY, ROSTER, ask, cache_of, raws, states
 
-SMALL: list[dict[str, Any]] = [
+ROSTERS: list[dict[str, Any]] = [
     ROSTER,
     ROSTER | {"gateways": ROSTER["gateways"] | {"g0": {"zone": "c"}}},
     ROSTER | {"gateways": ROSTER["gateways"] | {"only": {"zone": "a", "services": ["t"]}}},
@@ -22,7 +22,7 @@
 ]
 
 
-DOING = st.one_of(
+ACTIONS = st.one_of(
     st.tuples(st.just("roster"), st.integers(0, 3)),
     st.tuples(st.just("step"), st.integers(1, 4)),
     st.tuples(st.just("ask"), st.integers(0, 5)),
@@ -31,7 +31,7 @@
 
 
 def switch_incrementally(cache: EndpointCache, raw: dict[str, Any]) -> Generator[None, None, None]:
-    """As the relay does it."""
+    """Switch to another roster in the steps of RelayServer.replace_roster."""
     roster = parse_roster(json.dumps(raw), "f")
     cache.switch_roster(roster, (yield from cache.prepare_roster(roster)))
     yield
@@ -39,29 +39,29 @@
 
 
 @settings(max_examples=200)
-@given(st.lists(DOING, max_size=40))
+@given(st.lists(ACTIONS, max_size=40))
 @example([("roster", 3), ("step", 3), ("ask", 1), ("roster", 3), ("roster", 0)])  # the same roster twice
-def test_roster_prepared_incrementally_counts_for_all_from_one_moment(doing: list[tuple[str, int]]) -> None:
-    """Whatever is heard and asked between the steps: as with one that is taken at once where the steps switch."""
+def test_incremental_roster_switch_takes_effect_in_one_step(actions: list[tuple[str, int]]) -> None:
+    """Compares with a cache that replaces its roster in one call, with changes and requests between the steps."""
     caches = [cache_of(HOSTS[:30]) for _ in range(2)]
     stepped, at_once = caches
     subscribers = [G0, G2, ONLY, Subscriber("g5", ("t",), 1), Subscriber("g15"), NOBODY]
     held: dict[Subscriber, int] = {}
     steps: Iterator[None] = iter(())
-    coming = ROSTER
+    next_roster = ROSTER
 
     def advance() -> bool:
-        """Take one step; where it switches the roster, the other one switches too. Returns whether there was one."""
+        """Run one step, and replace the other cache's roster if it switches; returns False if no step is left."""
         before = stepped.roster
         is_over = next(steps, "over") == "over"
         if stepped.roster is not before:
-            at_once.replace_roster(parse_roster(json.dumps(coming), "f"))
+            at_once.replace_roster(parse_roster(json.dumps(next_roster), "f"))
         return not is_over
 
-    for what, number in [*doing, ("step", 99), *(("ask", n) for n in range(6))]:
-        if what == "roster" and not advance():  # one at a time
-            coming = SMALL[number]
-            steps = switch_incrementally(stepped, coming)
+    for what, number in [*actions, ("step", 99), *(("ask", n) for n in range(6))]:
+        if what == "roster" and not advance():  # one switch at a time
+            next_roster = ROSTERS[number]
+            steps = switch_incrementally(stepped, next_roster)
         elif what == "step":
             for _ in range(number):
                 advance()
@@ -81,7 +81,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=30))
-def test_full_list_made_incrementally_is_as_it_was_at_its_begin(changes: list[tuple[int, str]]) -> None:
+def test_incremental_full_list_shows_the_state_at_its_start(changes: list[tuple[int, str]]) -> None:
     cache = cache_of(HOSTS[:40])
     steps, made = cache.full_list.snapshot_incrementally(), None
     next(steps)
--- a/tests/golden/control_plane.py
+++ b/tests/golden/control_plane.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.control_plane asks, answers and prints."""
+"""Samples of the requests, responses and output of cloverkeel.control_plane."""
 
 from __future__ import annotations
 
@@ -44,17 +44,17 @@
 })  # fmt: skip
 LIST: Final = "/registry/instances"
 
-FULL_CALL: Final = PollRequest(Subscriber("g/0", ("a", "b,c", "ö"), 2), 41, 400)
+FULL_REQUEST: Final = PollRequest(Subscriber("g/0", ("a", "b,c", "ö"), 2), 41, 400)
 QUERIES: Final = {
     "nothing": (b"", PollRequest(Subscriber(), None)),
-    "all_keys": (b"gateway=g%2F0&services=a,b%2Cc,%C3%B6&wide=2&from=41&hold_ms=400", FULL_CALL),
+    "all_keys": (b"gateway=g%2F0&services=a,b%2Cc,%C3%B6&wide=2&from=41&hold_ms=400", FULL_REQUEST),
     "longest_hold": (
         b"gateway=g0&services=&wide=0&from=1&hold_ms=99999999",
         PollRequest(Subscriber("g0"), 1, 60_000),
     ),
     "unknown_key": (b"gateway=g0&later=1", PollRequest(Subscriber("g0"), None)),
 }
-ODD_QUERIES: Final = (b"wide=4", b"from=x", b"gateway=%FF", b"gateway=" + b"g" * 257, b"services=" + b"," * 2_000)
+INVALID_QUERIES: Final = (b"wide=4", b"from=x", b"gateway=%FF", b"gateway=" + b"g" * 257, b"services=" + b"," * 2_000)
 
 
 def _entry(number: int, service: str, **changes: object) -> dict[str, Any]:
@@ -79,7 +79,7 @@
 
 
 class _RecordingTransport(asyncio.Transport):
-    """Keep what is written to a connection."""
+    """Records the bytes written to a connection."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -102,7 +102,7 @@
 
 
 class _Relay:
-    """A relay without sockets, whose clock stands still."""
+    """A relay without sockets, with a fixed clock."""
 
     def __init__(self, is_ready: bool) -> None:
         config = RelayConfig("here", "relay-1", ("127.0.0.1", 0), ("127.0.0.1", 9), "roster", Limits())
@@ -111,13 +111,13 @@
             self.apply_list(True, ENTRIES)
 
     def apply_list(self, is_snapshot: bool, entries: Sequence[dict[str, Any]]) -> None:
-        """Take a list in as if discovery had just given it."""
+        """Apply a list as if discovery had just sent it."""
         assert self.server.apply_list(is_snapshot, list(entries))
         self.server.source.discovery_index = SOURCE_INDEX
         self.server.source.confirmed_us = CONFIRMED_US
 
     async def ask(self, target: str, *headers: str, method: str = "GET") -> bytes:
-        """Return the whole HTTP answer to one call on a connection of its own."""
+        """Return the snapshot HTTP response to a request on a new connection."""
         transport = _RecordingTransport()
         connection = ClientConnection(self.server)
         connection.connection_made(transport)
@@ -147,65 +147,65 @@
         return asyncio.run(run())
 
 
-def _answered(target: str, *headers: str, is_ready: bool = True, method: str = "GET") -> Callable[[], bytes]:
+def _requested(target: str, *headers: str, is_ready: bool = True, method: str = "GET") -> Callable[[], bytes]:
     return lambda: _with_relay(lambda relay: relay.ask(target, *headers, method=method), is_ready)
 
 
-def _changed(query: str) -> Callable[[], bytes]:
-    """Return what is told of a change, to who holds the answer before it."""
+def _delta_response(query: str) -> Callable[[], bytes]:
+    """Return a function that requests the changes since an earlier response."""
 
     async def use(relay: _Relay) -> bytes:
-        whole = _body(await relay.ask(f"{LIST}?{query}"))
+        snapshot = _body(await relay.ask(f"{LIST}?{query}"))
         relay.apply_list(False, CHANGES)
-        return await relay.ask(f"{LIST}?{query}&from={json.loads(whole)['index']}&hold_ms=0")
+        return await relay.ask(f"{LIST}?{query}&from={json.loads(snapshot)['index']}&hold_ms=0")
 
     return lambda: _with_relay(use)
 
 
-def _unchanged(query: str) -> Callable[[], bytes]:
-    """Return what is told where nothing is new."""
+def _empty_response(query: str) -> Callable[[], bytes]:
+    """Return a function that polls when nothing has changed since the previous response."""
 
     async def use(relay: _Relay) -> bytes:
-        whole = _body(await relay.ask(f"{LIST}?{query}"))
-        return await relay.ask(f"{LIST}?{query}&from={json.loads(whole)['index']}&hold_ms=0")
+        snapshot = _body(await relay.ask(f"{LIST}?{query}"))
+        return await relay.ask(f"{LIST}?{query}&from={json.loads(snapshot)['index']}&hold_ms=0")
 
     return lambda: _with_relay(use)
 
 
-def _body(answer: bytes) -> bytes:
-    return answer.partition(b"\r\n\r\n")[2]
+def _body(response: bytes) -> bytes:
+    return response.partition(b"\r\n\r\n")[2]
 
 
-def _read_list(reply: bytes) -> object:
-    """Read an answer as a gateway does: its version, whether it is whole, and of each host what is read first."""
-    answer = parse_endpoint_list(json.loads(_body(reply)), NAMES)
-    hosts = [(entry.name, entry.listed.status.name, entry.listed.users) for entry in answer.endpoints]
-    return answer.version, answer.is_snapshot, hosts
+def _parse_as_gateway(response: bytes) -> object:
+    """Parse a response as a gateway does; returns its version, whether it is a snapshot, and its hosts."""
+    response = parse_endpoint_list(json.loads(_body(response)), NAMES)
+    hosts = [(entry.name, entry.listed.status.name, entry.listed.users) for entry in response.endpoints]
+    return response.version, response.is_snapshot, hosts
 
 
-def _list_answer(write: Callable[[], bytes]) -> Sample:
-    """Compare with what a plain reading of the JSON gives."""
-    return Sample(write, lambda data: _read_list(data) == _plainly_read(data), expected=True)
+def _list_sample(write: Callable[[], bytes]) -> Sample:
+    """Return a sample that compares a gateway's parser with a plain JSON parser."""
+    return Sample(write, lambda data: _parse_as_gateway(data) == _parse_plain_json(data), expected=True)
 
 
-def _plainly_read(answer: bytes) -> object:
-    raw = json.loads(_body(answer))
+def _parse_plain_json(response: bytes) -> object:
+    raw = json.loads(_body(response))
     statuses = {"SERVING": "READY", "DRAINING": "DRAINING", "DELETED": "GONE"}
     hosts = [(each["name"], statuses[each["status"]], each.get("users", 0)) for each in raw["endpoints"]]
     return raw["index"], raw["snapshot"], hosts
 
 
-def _unpacked(answer: bytes) -> bytes:
-    """Return an answer without gzip: another build of zlib may pack it in other bytes, and to another length."""
-    head, _, body = answer.partition(b"\r\n\r\n")
+def _decompressed_response(response: bytes) -> bytes:
+    """Return a response with a decompressed body, since the compressed bytes differ between builds of zlib."""
+    head, _, body = response.partition(b"\r\n\r\n")
     assert b"Content-Length: %d\r\n" % len(body) in head
     plain = gzip.decompress(body)
     return head.replace(b"Content-Length: %d" % len(body), b"Content-Length: packed") + b"\r\n\r\n" + plain
 
 
-def _read_packed(answer: bytes) -> bytes:
-    """Unpack a body as a gateway does."""
-    steps = decompress_gzip(_body(answer), BODY_LIMIT)
+def _decompress_body(response: bytes) -> bytes:
+    """Decompress a response's body as a gateway does."""
+    steps = decompress_gzip(_body(response), BODY_LIMIT)
     while True:
         try:
             next(steps)
@@ -213,29 +213,31 @@
             return cast(bytes, stop.value)
 
 
-def _packed_answer(*headers: str) -> Sample:
-    plain = _body(_answered(f"{LIST}?gateway=g0")())
-    return Sample(_answered(f"{LIST}?gateway=g0", *headers), _read_packed, plain, canonical=_unpacked)
+def _gzip_sample(*headers: str) -> Sample:
+    plain = _body(_requested(f"{LIST}?gateway=g0")())
+    return Sample(
+        _requested(f"{LIST}?gateway=g0", *headers), _decompress_body, plain, canonical=_decompressed_response
+    )
 
 
 def _long_body() -> bytes:
-    """Return an answer that is encoded by steps."""
-    answer = ListResponse(7, True, tuple(b'{"name":"%d"}' % number for number in range(600)))
+    """Return a body that is encoded incrementally."""
+    response = ListResponse(7, True, tuple(b'{"name":"%d"}' % number for number in range(600)))
     body = IncrementalBody(gzip=False)
-    for _ in body.encode(answer):
+    for _ in body.encode(response):
         pass
     return b"".join(body.chunks) + body.tail(250)
 
 
-def _refusals() -> bytes:
-    """Return why each query is refused."""
+def _rejections() -> bytes:
+    """Return the error text for each invalid query."""
     reasons = []
-    for query in ODD_QUERIES:
+    for query in INVALID_QUERIES:
         try:
             parse_poll_request(query)
         except RequestError as error:
             reasons.append(str(error))
-    assert len(reasons) == len(ODD_QUERIES)
+    assert len(reasons) == len(INVALID_QUERIES)
     return "\n".join(reasons).encode()
 
 
@@ -244,7 +246,7 @@
 
 
 def _source_targets() -> bytes:
-    """Return what a relay asks of discovery: the whole list, on a new connection, and for news."""
+    """Return a relay's requests to discovery: for a snapshot, for changes, and the first poll on a new connection."""
     schedule = DiscoveryPollSchedule()
     targets = [schedule.next_request(0.0).target]
     schedule.on_reply(0.0, SOURCE_INDEX, is_snapshot=True)
@@ -255,8 +257,8 @@
 
 
 def _show() -> bytes:
-    """Return the call of `relay show`, and what it prints."""
-    state = _body(_answered("/relay/state")())
+    """Return the request and the output of `relay show`."""
+    state = _body(_requested("/relay/state")())
     connection = mock.Mock()
     connection.getresponse.return_value = SimpleNamespace(read=lambda limit: state)
     output = io.StringIO()
@@ -269,30 +271,30 @@
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
     "relay_calls": {
         **{name: _query(query, request) for name, (query, request) in QUERIES.items()},
-        "refusals": Sample(_refusals),
+        "refusals": Sample(_rejections),
         "to_discovery": Sample(_source_targets),
     },
     "relay_answers": {
-        "whole_of_one_service": _list_answer(_answered(f"{LIST}?gateway=g0")),
-        "whole_of_one_service_widened": _list_answer(_answered(f"{LIST}?gateway=g0&wide=3")),
-        "whole_of_named_services": _list_answer(_answered(f"{LIST}?gateway=g2&services=t,s")),
-        "whole_of_all_services": _list_answer(_answered(f"{LIST}?gateway=g2")),
-        "whole_to_a_stranger": _list_answer(_answered(LIST)),
-        "changes": _list_answer(_changed("gateway=g0")),
-        "changes_of_all_services": _list_answer(_changed("gateway=g2")),
-        "changes_to_a_stranger": _list_answer(_changed("gateway=nobody")),
-        "nothing_new": _list_answer(_unchanged("gateway=g0")),
-        "unknown_index": _list_answer(_answered(f"{LIST}?gateway=g0&from=5&hold_ms=0")),
-        "packed": _packed_answer("Accept-Encoding: gzip"),
-        "last_of_a_connection": _list_answer(_answered(f"{LIST}?gateway=g0", "Connection: close")),
-        "not_ready": Sample(_answered(LIST, is_ready=False)),
-        "odd_query": Sample(_answered(f"{LIST}?wide=9")),
-        "odd_method": Sample(_answered(LIST, method="POST")),
-        "odd_path": Sample(_answered("/else")),
-        "ready": Sample(_answered("/health/ready")),
-        "ready_without_list": Sample(_answered("/health/ready", is_ready=False)),
-        "state": Sample(_answered("/relay/state")),
-        "state_without_list": Sample(_answered("/relay/state", is_ready=False)),
+        "whole_of_one_service": _list_sample(_requested(f"{LIST}?gateway=g0")),
+        "whole_of_one_service_widened": _list_sample(_requested(f"{LIST}?gateway=g0&wide=3")),
+        "whole_of_named_services": _list_sample(_requested(f"{LIST}?gateway=g2&services=t,s")),
+        "whole_of_all_services": _list_sample(_requested(f"{LIST}?gateway=g2")),
+        "whole_to_a_stranger": _list_sample(_requested(LIST)),
+        "changes": _list_sample(_delta_response("gateway=g0")),
+        "changes_of_all_services": _list_sample(_delta_response("gateway=g2")),
+        "changes_to_a_stranger": _list_sample(_delta_response("gateway=nobody")),
+        "nothing_new": _list_sample(_empty_response("gateway=g0")),
+        "unknown_index": _list_sample(_requested(f"{LIST}?gateway=g0&from=5&hold_ms=0")),
+        "packed": _gzip_sample("Accept-Encoding: gzip"),
+        "last_of_a_connection": _list_sample(_requested(f"{LIST}?gateway=g0", "Connection: close")),
+        "not_ready": Sample(_requested(LIST, is_ready=False)),
+        "odd_query": Sample(_requested(f"{LIST}?wide=9")),
+        "odd_method": Sample(_requested(LIST, method="POST")),
+        "odd_path": Sample(_requested("/else")),
+        "ready": Sample(_requested("/health/ready")),
+        "ready_without_list": Sample(_requested("/health/ready", is_ready=False)),
+        "state": Sample(_requested("/relay/state")),
+        "state_without_list": Sample(_requested("/relay/state", is_ready=False)),
         "long_body": Sample(_long_body),
     },
     "relay_commands": {"show": Sample(_show)},
