--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -63,9 +63,7 @@
     requests_seen: list[tuple[int, int, int]] = field(default_factory=list)  # time in microseconds, gateway, host
     responses_in_progress: int = 0  # of all hosts
     client_requests: list[ClientRequest] = field(default_factory=list)
-    starts: dict[int, int] = field(
-        default_factory=dict
-    )  # by host that was deleted: time of its restart in milliseconds
+    starts: dict[int, int] = field(default_factory=dict)  # in milliseconds, by host that was deleted
     changes: list[EndpointChange] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     open_outages: dict[Component, int] = field(default_factory=dict)  # start in microseconds
@@ -130,12 +128,12 @@
         client = Client(*await asyncio.open_connection("127.0.0.1", self.gateways[gateway].port))
         try:
             while True:
-                call = f"{gateway:02x}{len(self.client_requests):014x}"
-                asked = ClientRequest(now_us(), gateway)
-                self.client_requests.append(asked)
-                answer = await client.ask(request("search", x_call_id=call))
-                asked.answered_us, asked.status = now_us(), answer.status
-                asked.is_own = answer.status != 200 or answer.body == call.encode()
+                call_id = f"{gateway:02x}{len(self.client_requests):014x}"
+                client_request = ClientRequest(now_us(), gateway)
+                self.client_requests.append(client_request)
+                answer = await client.ask(request("search", x_call_id=call_id))
+                client_request.answered_us, client_request.status = now_us(), answer.status
+                client_request.is_own = answer.status != 200 or answer.body == call_id.encode()
                 self.statuses[answer.status] += 1
                 self.answers[gateway] += 1
                 await asyncio.sleep(REQUEST_INTERVAL_S)
@@ -173,8 +171,8 @@
             sorted(self.changes, key=lambda change: change.at_us),
             [BackendArrival(*seen) for seen in self.requests_seen], self.client_requests, self.outages + open_outages,
             [
-                DirectPoll(call.at_us, int(call.gateway[1:]))
-                for call in self.ledger.events_of(DiscoveryPoll) if call.gateway[0] == "n"
+                DirectPoll(poll.at_us, int(poll.gateway[1:]))
+                for poll in self.ledger.events_of(DiscoveryPoll) if poll.gateway[0] == "n"
             ],
             [UnaskedExit(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
@@ -234,7 +232,7 @@
 
     def direct_polls(self) -> int:
         """Return the number of direct polls of discovery by gateways."""
-        return sum(call.gateway.startswith("n") for call in self.ledger.events_of(DiscoveryPoll))
+        return sum(poll.gateway.startswith("n") for poll in self.ledger.events_of(DiscoveryPoll))
 
     def faults(self) -> list[str]:
         return [fault for process in self.gateways + self.relays for fault in process.faults()]
@@ -281,13 +279,13 @@
     def script(host: int) -> Callable[[Exchange], Any]:
         async def answer(exchange: Exchange) -> None:
             assert fleet is not None
-            call = exchange.message.headers["x-call-id"]
-            fleet.requests_seen.append((now_us(), int(call[:2], 16), host))
+            call_id = exchange.message.headers["x-call-id"]
+            fleet.requests_seen.append((now_us(), int(call_id[:2], 16), host))
             fleet.responses_in_progress += 1
             await asyncio.sleep(RESPONSE_DELAY_S)
             fleet.responses_in_progress -= 1
             if not exchange.writer.transport.is_closing():
-                exchange.answer(reply(body=call.encode()))
+                exchange.answer(reply(body=call_id.encode()))
 
         return answer
 
--- a/tests/control_plane/test_command.py
+++ b/tests/control_plane/test_command.py
@@ -61,8 +61,8 @@
     registry.put(entry(0))
     view = await registry.open("relay", lambda name: ("127.0.0.1", 9000), allow_all)
     assert view.address is not None
-    held = reserve()
-    here = f"127.0.0.1:{held.getsockname()[1]}"
+    reserved = reserve()
+    here = f"127.0.0.1:{reserved.getsockname()[1]}"
     file, roster = tmp_path / "relay.toml", tmp_path / "roster.json"
     text = FILE.replace("127.0.0.1:1", here).replace("127.0.0.1:2", f"127.0.0.1:{view.address[1]}")
     file.write_text(text + "[limits]\nconnections = 100\n")
@@ -93,11 +93,11 @@
         process.send_signal(signal.SIGTERM)
         rest = await process.stderr.read()
         assert await process.wait() == 0 and b"relay ends" in rest and b"Traceback" not in rest
-        gone = await asyncio.to_thread(command, "show", here)
-        assert gone.returncode == 1 and here in gone.stderr
+        after_exit = await asyncio.to_thread(command, "show", here)
+        assert after_exit.returncode == 1 and here in after_exit.stderr
     finally:
         if process.returncode is None:
             process.kill()
             await process.wait()
         registry.close()
-        held.close()
+        reserved.close()
--- a/tests/control_plane/test_connection.py
+++ b/tests/control_plane/test_connection.py
@@ -84,8 +84,8 @@
     async with relay_with_registry() as harness:
         client = await harness.client()
         held = await harness.listed("gateway=g0", client)
-        call = f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\nHost: r\r\n\r\n".encode()
-        client.send(call + call)
+        poll = f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\nHost: r\r\n\r\n".encode()
+        client.send(poll + poll)
         assert (await client.answer()).status == 400
         await until(lambda: not harness.server.long_polls.connections_by_key and not harness.server.connections)
 
@@ -97,10 +97,10 @@
     async with relay_with_registry() as harness:
         clients = [await harness.client() for _ in range(2)]
         held = [await harness.listed(f"gateway=g{n}&services=s", client) for n, client in enumerate(clients)]
-        calls = [f"/registry/instances?gateway=g{n}&services=s&from={held[n]['index']}{HOLD}" for n in range(2)]
-        clients[0].send(f"GET {calls[0]} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+        targets = [f"/registry/instances?gateway=g{n}&services=s&from={held[n]['index']}{HOLD}" for n in range(2)]
+        clients[0].send(f"GET {targets[0]} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
         await until(lambda: any(connection.pending_request for connection in harness.server.connections))
-        poll = asyncio.create_task(harness.get(calls[1], clients[1]))
+        poll = asyncio.create_task(harness.get(targets[1], clients[1]))
         await until(
             lambda: sum(connection.pending_request is not None for connection in harness.server.connections) == 2
         )
--- a/tests/control_plane/test_discovery_source.py
+++ b/tests/control_plane/test_discovery_source.py
@@ -77,7 +77,7 @@
     async with relay_with_registry() as harness:
         source = harness.server.source
         await until(lambda: source.age_ms(now_us()) < 1_500)
-        # As after a stall of 5 s: the open request was sent before it, and the last clock check was before it too.
+        # As after a stall of 5 s that began after the open request was sent and after the last clock check.
         source.request_sent_us = source.last_clock_check_us = now_us() - 5_000_000
         source.handle_body_at_once(b'{"index": 1, "snapshot": false, "endpoints": []}')
         assert source.age_ms(now_us()) >= 5_000
@@ -95,11 +95,11 @@
             assert server.source.read_slice_s <= MAX_SLICE_S
             server.source.read_slice_s = 0.0  # each step ends its slice, however fast the machine is
             answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
-            calls = 0
+            requests_between_steps = 0
             while server.source.discovery_index != 6:
                 await harness.get("/health/ready", client)
-                calls += bool(server.source.is_reading)
-            assert calls > MIN_REQUESTS_BETWEEN_STEPS
+                requests_between_steps += bool(server.source.is_reading)
+            assert requests_between_steps > MIN_REQUESTS_BETWEEN_STEPS
             assert len(server.cache.table.host_by_name) == 3_000 and server.is_ready
 
 
@@ -114,12 +114,10 @@
             answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
             while not 1 < len(server.cache.table.host_by_name) < 3_000:
                 assert server.source.discovery_index == 5
-                await asyncio.sleep(
-                    0
-                )  # checks at each iteration of the loop, so that no state between two steps is missed
+                await asyncio.sleep(0)  # checks at each iteration of the loop, so that no step is missed
             assert server.source.discovery_index == 5
             server.source.restart(watches=True)
-            asked = len(discovery.seen)
+            requests_before = len(discovery.seen)
             await until(lambda: server.source.discovery_index == 6)
-            assert "from=" not in discovery.seen[asked].message.first
+            assert "from=" not in discovery.seen[requests_before].message.first
             assert len(server.cache.table.host_by_name) == 3_000
--- a/tests/control_plane/test_long_poll.py
+++ b/tests/control_plane/test_long_poll.py
@@ -83,9 +83,8 @@
         harness.server.apply_list(
             False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}]
         )
-        harness.server.long_polls.on_hold_expired(
-            connection, connection.pending_request
-        )  # before the batch interval ends
+        # Before the batch interval ends.
+        harness.server.long_polls.on_hold_expired(connection, connection.pending_request)
         assert status_by_name(await poll) == {"s-0": "DELETED"}
 
 
--- a/tests/control_plane/test_reload.py
+++ b/tests/control_plane/test_reload.py
@@ -54,13 +54,13 @@
             for n in range(2)
         ]
         await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
-        others: list[dict[str, str]] = []
+        observed: list[dict[str, str]] = []  # gateway by host name, once the change was applied
 
         def prepare(roster: FleetRoster) -> Generator[None, None, GroupsByService]:
             steps = original(roster)
             next(steps)
-            if not others:
-                others.append({})
+            if not observed:
+                observed.append({})
                 server.apply_list(
                     False, [{"name": "t-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "t"}]
                 )
@@ -69,14 +69,14 @@
                 for gateway in ("g0", "g1"):  # answered with the old roster, though the new one is partly prepared
                     answer = cache.respond(Subscriber(gateway), None)
                     assert answer is not None
-                    others[0] |= {json.loads(each)["name"]: gateway for each in answer.entries}
+                    observed[0] |= {json.loads(each)["name"]: gateway for each in answer.entries}
             return (yield from steps)
 
         monkeypatch.setattr(cache, "prepare_roster", prepare)
         file.write_bytes(ROSTER.replace(b'["t"]', b'["s"]'))
         reloader.request_reload()
-        await until(lambda: others and reloader.is_idle)
-        assert others[0] == {f"s-{n}": "g0" for n in range(4)} | {f"t-{n}": "g1" for n in range(1, 4)}
+        await until(lambda: observed and reloader.is_idle)
+        assert observed[0] == {f"s-{n}": "g0" for n in range(4)} | {f"t-{n}": "g1" for n in range(1, 4)}
         last = parse_roster(file.read_bytes(), "roster")
         assert cache.roster.digest == last.digest
         for n, poll in enumerate(polls):
--- a/tests/golden/control_plane.py
+++ b/tests/golden/control_plane.py
@@ -117,7 +117,7 @@
         self.server.source.confirmed_us = CONFIRMED_US
 
     async def ask(self, target: str, *headers: str, method: str = "GET") -> bytes:
-        """Return the snapshot HTTP response to a request on a new connection."""
+        """Return the whole HTTP response to a request on a new connection."""
         transport = _RecordingTransport()
         connection = ClientConnection(self.server)
         connection.connection_made(transport)
@@ -178,9 +178,9 @@
 
 def _parse_as_gateway(response: bytes) -> object:
     """Parse a response as a gateway does; returns its version, whether it is a snapshot, and its hosts."""
-    response = parse_endpoint_list(json.loads(_body(response)), NAMES)
-    hosts = [(entry.name, entry.listed.status.name, entry.listed.users) for entry in response.endpoints]
-    return response.version, response.is_snapshot, hosts
+    parsed = parse_endpoint_list(json.loads(_body(response)), NAMES)
+    hosts = [(entry.name, entry.listed.status.name, entry.listed.users) for entry in parsed.endpoints]
+    return parsed.version, parsed.is_snapshot, hosts
 
 
 def _list_sample(write: Callable[[], bytes]) -> Sample:
