--- a/tests/control_plane/test_connection.py
+++ b/tests/control_plane/test_connection.py
@@ -1,4 +1,4 @@
-"""Connections: gzip, bad requests, bounds."""
+"""Connections: gzip, bad requests, limits."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
         short = await harness.get("/registry/instances?gateway=g0&services=none", client, *headers)
         assert len(short.body) < MIN_GZIP_BYTES and "content-encoding" not in short.headers and json.loads(short.body)
         again = await harness.get("/registry/instances?gateway=g2", client)
-        assert "content-encoding" not in again.headers, "what an earlier call took is not asked of this one"
+        assert "content-encoding" not in again.headers, "Accept-Encoding of an earlier request does not apply"
 
 
 @on_loop
-async def test_connections_are_bounded_and_idle_ones_closed() -> None:
+async def test_connections_are_limited_and_idle_ones_closed() -> None:
     async with relay_with_registry(Limits(max_connections=2, idle_timeout_s=2)) as harness:
         first, second, third = [await harness.client() for _ in range(3)]
-        assert await third.reader.read() == b"", "beyond the bound"
+        assert await third.reader.read() == b"", "above the limit of connections"
         assert (await harness.get("/health/ready", first)).status == 200
         assert await second.reader.read() == b"" and await first.reader.read() == b""
         assert harness.server.counters.closed_idle == 2
@@ -84,8 +84,8 @@
     async with relay_with_registry() as harness:
         client = await harness.client()
         held = await harness.listed("gateway=g0", client)
-        call = f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\nHost: r\r\n\r\n".encode()
-        client.send(call + call)
+        poll = f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\nHost: r\r\n\r\n".encode()
+        client.send(poll + poll)
         assert (await client.answer()).status == 400
         await until(lambda: not harness.server.long_polls.connections_by_key and not harness.server.connections)
 
@@ -97,10 +97,10 @@
     async with relay_with_registry() as harness:
         clients = [await harness.client() for _ in range(2)]
         held = [await harness.listed(f"gateway=g{n}&services=s", client) for n, client in enumerate(clients)]
-        calls = [f"/registry/instances?gateway=g{n}&services=s&from={held[n]['index']}{HOLD}" for n in range(2)]
-        clients[0].send(f"GET {calls[0]} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+        targets = [f"/registry/instances?gateway=g{n}&services=s&from={held[n]['index']}{HOLD}" for n in range(2)]
+        clients[0].send(f"GET {targets[0]} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
         await until(lambda: any(connection.pending_request for connection in harness.server.connections))
-        poll = asyncio.create_task(harness.get(calls[1], clients[1]))
+        poll = asyncio.create_task(harness.get(targets[1], clients[1]))
         await until(
             lambda: sum(connection.pending_request is not None for connection in harness.server.connections) == 2
         )
