--- a/cloverkeel/admin/__init__.py
+++ b/cloverkeel/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin address: operators' commands, and replacing the process. Imported only where there is such an address."""
+"""The admin address: operators' commands and process replacement. Imported only if an admin address is configured."""
--- a/cloverkeel/admin/command_handler.py
+++ b/cloverkeel/admin/command_handler.py
@@ -1,6 +1,6 @@
-"""Carry out operators' commands.
+"""Execution of operators' commands.
 
-What a command changes is in force, and kept for a successor, when it is answered.
+A change takes effect, and is stored for a successor process, before its command is answered.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.log import log
 
-# A command of another package: ACK or not, and the words; None where the line is none of its commands.
+# Handles the command lines of another package. Returns (True for ACK, text), or None if the line is not its command.
 ExtensionHandler = Callable[[bytes], tuple[bool, str] | None]
 
 
 class CommandHandler:
-    """Answer each line with a line. `extensions` are asked first, in this order."""
+    """Executor of command lines. `extensions` get each line first, in this order, before the built-in commands."""
 
     def __init__(self, coordinator: ProcessCoordinator, extensions: Sequence[ExtensionHandler] = ()) -> None:
         self.coordinator = coordinator
         self.extensions = extensions
 
     def handle_line(self, line: bytes) -> bytes:
-        """Carry out the command of a line; return the line of the answer."""
+        """Execute the command in `line` and return the answer line."""
         for handle_extension in self.extensions:
             answer = handle_extension(line)
             if answer is not None:
@@ -39,7 +39,7 @@
         return encode_answer(self.handle(request))
 
     def handle(self, request: AdminRequest) -> AdminAnswer:
-        """Carry out one command."""
+        """Execute one command."""
         match request.command:
             case Command.STATUS:
                 return self._report_status()
@@ -86,11 +86,11 @@
         self.coordinator.update_state(lambda state: state.reinstate(at_us, host_id))
         return AdminAnswer(True, f"{host_id} is back")
 
-    def _set_paused(self, is_paused: bool, words: str) -> AdminAnswer:
+    def _set_paused(self, is_paused: bool, text: str) -> AdminAnswer:
         if self.coordinator.is_shutting_down:
             return AdminAnswer(False, "this process is ending")
         self.coordinator.update_state(lambda state: state.with_paused(is_paused))
-        return AdminAnswer(True, words)
+        return AdminAnswer(True, text)
 
 
 def _answer_unknown_host(host_id: str) -> AdminAnswer:
--- a/cloverkeel/admin/commands.py
+++ b/cloverkeel/admin/commands.py
@@ -1,11 +1,11 @@
-"""The codec of operators' commands: a line of bytes in, a command out, and the line of its answer. Pure.
+"""Codec of operators' commands: parses command lines and encodes answer lines. No I/O.
 
-One line to a connection, one line back, which begins with ACK or NAK and goes on with a few words for a person. Two
-words of the line differ from the code's: SUSPEND is Command.EJECT, RESTORE is Command.REINSTATE.
+Each connection carries one command line and one answer line: ACK or NAK, then a short human-readable text. Two
+keywords differ from the names in the code: SUSPEND is Command.EJECT, RESTORE is Command.REINSTATE.
 
 Invariants:
-- whatever the bytes are, there is a command or a CommandError, never another error;
-- an answer is one line, whatever the command held.
+- any input bytes give a command or a CommandError, never another exception;
+- an answer is always one line, whatever the command contained.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 from cloverkeel.admin.errors import CommandError
 
-MAX_LINE_BYTES: Final = 512  # before the end of the line: a word and an id, with some to spare
+MAX_LINE_BYTES: Final = 512  # without the line ending; fits a keyword and an id of MAX_ID_BYTES with room to spare
 MAX_ID_BYTES: Final = 256
 
 
 class Command(Enum):
-    """Name what is asked for; the values are the words of the line."""
+    """Commands; the values are their keywords on the line."""
 
-    STATUS = b"STATUS"  # does this process accept clients?
-    EJECT = b"SUSPEND"  # take a host out of use
-    REINSTATE = b"RESTORE"  # bring it back
+    STATUS = b"STATUS"  # report whether this process accepts clients
+    EJECT = b"SUSPEND"  # stop sending requests to a host
+    REINSTATE = b"RESTORE"  # undo the ejection of a host
     PAUSE = b"PAUSE"  # drain the gateway
     RESUME = b"RESUME"  # accept clients again
 
     @property
     def word(self) -> str:
-        """The word as text."""
+        """The keyword as text."""
         return self.value.decode()
 
 
@@ -46,22 +46,22 @@
 
 @dataclass(slots=True, frozen=True)
 class AdminRequest:
-    """One command, and the host that it is about where it is about one."""
+    """One parsed command."""
 
     command: Command
-    host_id: str = ""
+    host_id: str = ""  # "" for commands without a host
 
 
 @dataclass(slots=True, frozen=True)
 class AdminAnswer:
-    """The answer to one command: ACK or NAK, and words for a person."""
+    """The answer to one command."""
 
-    is_ack: bool
-    text: str
+    is_ack: bool  # False is sent as NAK
+    text: str  # human-readable
 
 
 def parse_request(line: bytes) -> AdminRequest:
-    """Return the command of one line, with or without its end; raise CommandError where there is none."""
+    """Parse one line, with or without its line ending; raise CommandError if it is not a valid command."""
     if len(line.rstrip(b"\r\n")) > MAX_LINE_BYTES:
         raise CommandError(LINE_TOO_LONG)
     text = line.strip(b"\r\n")
@@ -95,7 +95,7 @@
 
 
 def encode_answer(answer: AdminAnswer) -> bytes:
-    """Return the line of an answer."""
+    """Return the answer line; non-printable characters are replaced by `?`."""
     text = "".join(character if character.isprintable() else "?" for character in answer.text)
     status = "ACK" if answer.is_ack else "NAK"
     return f"{status} {text}".rstrip().encode() + b"\n"
--- a/cloverkeel/admin/endpoint.py
+++ b/cloverkeel/admin/endpoint.py
@@ -1,4 +1,4 @@
-"""The admin address of one gateway: its listener, what handles its commands, and the process's coordinator."""
+"""The admin address of one gateway: listener, command handler and process coordinator."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AdminEndpoint:
-    """Put the parts of the admin address together. `extensions` handle commands of other packages."""
+    """Composition of the admin address's parts. `extensions` handle commands of other packages."""
 
     def __init__(
         self,
@@ -29,15 +29,15 @@
         self._listener = AdminListener(self._handler.handle_line)
 
     async def start(self, address: Address) -> None:
-        """Take over what the process before has left, then listen; raise OSError where that cannot be."""
+        """Take over the state of the previous process, then listen; raise OSError if listening fails."""
         self._coordinator.start()
         await self._listener.start(address)
 
     def begin_shutdown(self) -> DrainSchedule | None:
-        """Return the schedule of the drain where a successor serves; None where there is none."""
+        """Announce the shutdown; return the drain schedule if a successor serves clients, else None."""
         return self._coordinator.begin_shutdown()
 
     def close(self) -> None:
-        """Listen no more, and leave the processes of this gateway."""
+        """Stop listening and unregister this process from the gateway's processes."""
         self._listener.close()
         self._coordinator.close()
--- a/cloverkeel/admin/errors.py
+++ b/cloverkeel/admin/errors.py
@@ -4,16 +4,17 @@
 
 
 class CommandError(ValueError):
-    """Report a line that is no command; the message is what its sender is answered."""
+    """An invalid command line. The message is sent to the operator as the NAK text."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message)
 
 
 class StateError(ValueError):
-    """Report a state file that cannot be used.
+    """An invalid state file.
 
-    `file` is "" until it is known, `key` where the error is about the whole text. The message names all but the file.
+    `file`: path, "" until it is known. `key`: JSON key, "" if the error concerns the whole text. The message does not
+    include the file.
     """
 
     def __init__(self, *, expected: str, key: str = "", found: str = "") -> None:
--- a/cloverkeel/admin/listener.py
+++ b/cloverkeel/admin/listener.py
@@ -1,6 +1,6 @@
-"""The admin address: one line to a connection, one line back.
+"""The listener of the admin address: one command line and one answer line per connection.
 
-Bounds: MAX_CONNECTIONS at once, of which the oldest gives its place to the next; SILENCE_TIMEOUT_S to send a line.
+Limits: at most MAX_CONNECTIONS are open, a further one replaces the oldest; a line must arrive within LINE_TIMEOUT_S.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from cloverkeel.admin.commands import LINE_TOO_LONG, MAX_LINE_BYTES, AdminAnswer, encode_answer
 from cloverkeel.core.config import Address
 
-MAX_CONNECTIONS: Final = 16  # descriptors that are kept for operators
-SILENCE_TIMEOUT_S: Final = 4.0
+MAX_CONNECTIONS: Final = 16  # bounds the file descriptors used for operators
+LINE_TIMEOUT_S: Final = 4.0  # from accepting a connection to its complete line
 
 
 class AdminConnection:
-    """One connection of an operator. A protocol in asyncio's sense, by its methods."""
+    """One operator's connection. Implements the methods of asyncio.Protocol without inheriting from it."""
 
     def __init__(self, listener: AdminListener) -> None:
         self.listener = listener
@@ -26,13 +26,13 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for a line, for so long."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.timer = asyncio.get_running_loop().call_later(SILENCE_TIMEOUT_S, transport.close)
+        """Register the connection and start the timeout for its line."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
+        self.timer = asyncio.get_running_loop().call_later(LINE_TIMEOUT_S, transport.close)
         self.listener.on_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Answer once the line is complete, or too long."""
+        """Answer once the line is complete or exceeds the maximum length."""
         if self.transport is None or self.transport.is_closing():
             return
         self.received += data
@@ -43,39 +43,39 @@
             self.send_and_close(encode_answer(AdminAnswer(False, LINE_TOO_LONG)))
 
     def eof_received(self) -> None:
-        """Answer a line whose end is the end of what the operator sends."""
+        """Answer a line that ends with the end of the stream instead of a line ending."""
         if self.transport is None or self.transport.is_closing():
             return
         self.send_and_close(self.listener.handle_line(self.received) if self.received else b"")
 
     def send_and_close(self, line: bytes) -> None:
-        """Send the answer, and end the connection once it is sent."""
+        """Send the answer and close the connection after it is flushed."""
         assert self.transport is not None
         self.transport.write(line)
         self.transport.close()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Cancel the timeout and unregister the connection."""
         if self.timer is not None:
             self.timer.cancel()
         self.listener.connections.pop(self, None)
 
 
 class AdminListener:
-    """The socket of the admin address. `handle_line` returns the line of the answer."""
+    """The listening socket of the admin address. `handle_line` maps a command line to its answer line."""
 
     def __init__(self, handle_line: Callable[[bytes], bytes]) -> None:
         self.handle_line = handle_line
-        self.connections: dict[AdminConnection, None] = {}  # the oldest first
+        self.connections: dict[AdminConnection, None] = {}  # in order of arrival, oldest first
         self.server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen; raise OSError where that cannot be."""
+        """Start listening; raise OSError on failure."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: cast(asyncio.Protocol, AdminConnection(self)), *address)
 
     def on_connection(self, connection: AdminConnection) -> None:
-        """Keep a new connection; drop the oldest where there are too many."""
+        """Register a new connection; abort the oldest if there are more than MAX_CONNECTIONS."""
         self.connections[connection] = None
         if len(self.connections) <= MAX_CONNECTIONS:
             return
@@ -85,7 +85,7 @@
             oldest.transport.abort()
 
     def close(self) -> None:
-        """Listen no more, and drop all connections."""
+        """Stop listening and abort all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
--- a/cloverkeel/admin/process_coordinator.py
+++ b/cloverkeel/admin/process_coordinator.py
@@ -1,7 +1,7 @@
-"""Keep this process in step with other processes of the same gateway, such as its successor in an upgrade.
+"""Coordination of this process with other processes of the same gateway, such as its successor in an upgrade.
 
-A change of the state is in force here, and kept for a successor, when `update_state` returns; another process finds
-it within POLL_INTERVAL_S.
+When `update_state` returns, a state change has taken effect in this process and is stored for a successor; other
+running processes apply it within POLL_INTERVAL_S.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from cloverkeel.discovery.ejection_filter import EjectionFilter
 from cloverkeel.frontends.http1.server import Server
 
-NEXT_TO_NO_SHARE: Final = 1_000_000  # processes to share budgets with
-POLL_INTERVAL_S: Final = 0.05  # of what other processes have changed: a small part of any drain's grace
+NEGLIGIBLE_SHARE_DIVISOR: Final = 1_000_000  # leaves a process practically no slow-start budget
+POLL_INTERVAL_S: Final = 0.05  # between reads of the shared folder; short compared with the grace period of any drain
 
 
 class ProcessCoordinator:
-    """Own the gateway's state as this process knows it, and its shares of what the processes have together."""
+    """This process's copy of the gateway's state, and its share of the descriptors and slow-start budgets."""
 
     def __init__(self, folder: Path, server: Server, ejection_filter: EjectionFilter) -> None:
         self.folder = SharedFolder(folder)
@@ -34,16 +34,16 @@
         self.others = OtherProcesses()
         self.is_serving = False
         self.is_shutting_down = False
-        self._budget_shares = 1  # that slow-start budgets are divided into
+        self._budget_divisor = 1  # slow-start budgets are divided by this number
         self._poll_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Take over what the process before has left; to be called before the first endpoint list is read."""
+        """Take over the state of the previous process. Must be called before the first endpoint list is read."""
         self._apply_state(self.folder.open())
         self._poll()
 
     def close(self) -> None:
-        """Leave the processes of this gateway."""
+        """Stop polling and unregister this process."""
         if self._poll_timer is not None:
             self._poll_timer.cancel()
         self.folder.close()
@@ -53,16 +53,17 @@
         self._apply_state(self.folder.state_file.update(change, self.state))
 
     def announce_serving(self) -> None:
-        """Show the other processes that this one accepts clients, once it does.
+        """Announce to the other processes that this one accepts clients, as soon as it does.
 
-        Guards a process that is told to end at our first ACK to STATUS: it must find that it has a successor.
+        Also called before the first ACK to STATUS: an operator may terminate the old process right after that ACK,
+        and the old process must then see that it has a successor.
         """
         if not self.is_serving and self.server.accepts_clients:
             self.is_serving = True
             self.folder.process_files.announce(ProcessStage.SERVING)
 
     def begin_shutdown(self) -> DrainSchedule | None:
-        """Leave the budgets to a successor; return the schedule of the drain where one serves."""
+        """Release the slow-start budgets to a successor; return the drain schedule if one serves, else None."""
         self.is_shutting_down = True
         self.folder.process_files.announce(ProcessStage.DRAINING)
         others = self.folder.process_files.find_others()
@@ -70,7 +71,7 @@
         return handover_schedule(self.server.max_client_timeout_s) if others.has_successor else None
 
     def _apply_state(self, state: GatewayState) -> None:
-        """Put the state as this or another process has left it in force."""
+        """Apply a state that this or another process has stored."""
         self.ejection_filter.synchronize(state.ejected_at_us, state.reinstated_at_us)
         if state.is_paused != self.state.is_paused and not self.is_shutting_down:
             if state.is_paused:
@@ -80,7 +81,7 @@
         self.state = state
 
     def _poll(self) -> None:
-        """Find out what the other processes have changed, and whether there are others."""
+        """Apply state changes of other processes and update the shares if the number of processes changed."""
         self._poll_timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._poll)
         state = self.folder.state_file.read_if_changed()
         if state is not None and state != self.state:
@@ -93,18 +94,18 @@
         self.others = others
 
     def _share_descriptors(self, processes: int) -> None:
-        log(f"admin: processes of this gateway changed, descriptors and budgets are shared, processes={processes}")
+        log(f"admin: process count changed, dividing descriptors and budgets again, processes={processes}")
         self.server.set_process_count(processes)
 
     def _share_budgets(self, others: OtherProcesses) -> None:
-        """Divide what the gateway may send to warming hosts among its processes that accept clients.
+        """Divide the slow-start budgets for warming hosts among the processes that accept clients.
 
-        One that was told to end, and has a successor, leaves its share to it; one that starts has none yet.
+        A draining process with a successor gives up its share; a starting process has no share yet.
         """
-        shares = 1 + others.serving_count
+        divisor = 1 + others.serving_count
         if self.is_shutting_down and others.has_successor:
-            shares = NEXT_TO_NO_SHARE
-        if shares == self._budget_shares:
+            divisor = NEGLIGIBLE_SHARE_DIVISOR
+        if divisor == self._budget_divisor:
             return
-        self._budget_shares = shares
-        self.server.gateway.set_process_count(shares)
+        self._budget_divisor = divisor
+        self.server.gateway.set_process_count(divisor)
--- a/cloverkeel/admin/process_files.py
+++ b/cloverkeel/admin/process_files.py
@@ -1,8 +1,13 @@
-"""A file for each process of one gateway, in a folder that they share: who is alive, and at which stage.
+"""Process files in the shared folder of one gateway: which processes are running, and at which stage.
 
-START.PID.begins    held locked by a process while it lives, by its start in ns; the kernel frees the lock at its
-START.PID.serves    end, however that comes. The second name once it accepts clients, the third when it was told
-START.PID.ends      to end
+Each process keeps one file, renamed at each stage:
+
+    START.PID.begins    starting
+    START.PID.serves    accepts clients
+    START.PID.ends      was told to terminate, draining
+
+START is the start time in ns of Unix time. A process holds a lock on its file while it runs; the kernel releases the
+lock when the process ends, also after a crash or SIGKILL.
 """
 
 from __future__ import annotations
@@ -17,11 +22,11 @@
 from pathlib import Path
 from typing import Final
 
-MAX_FILES_READ: Final = 64  # files of processes, the latest first
+MAX_FILES_READ: Final = 64  # files of the processes that started last
 
 
 class ProcessStage(Enum):
-    """Name the stage of a process; the values are the endings of its file."""
+    """Stages of a process; the values are the suffixes of its file name."""
 
     STARTING = "begins"
     SERVING = "serves"
@@ -30,32 +35,32 @@
 
 @dataclass(slots=True, frozen=True)
 class OtherProcesses:
-    """Further processes of this gateway that are alive."""
+    """Summary of the other running processes of this gateway."""
 
     count: int = 0
     serving_count: int = 0
-    has_successor: bool = False  # one that started later and accepts clients
+    has_successor: bool = False  # a process that started later accepts clients
 
 
 class ProcessFiles:
-    """The file of this process, and what the files of the others say."""
+    """Registry of running processes: writes the file of this process and reads those of others."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.fd = -1
         self._path: Path | None = None
-        self._key = ""  # START.PID
+        self._key = ""  # START.PID, "" until registered; keys sort by start time
 
     def register(self) -> None:
-        """Show that this process is alive; raise OSError where that cannot be."""
+        """Create and lock the file of this process; raise OSError on failure."""
         self._key = f"{time.time_ns():020d}.{os.getpid()}"
         temporary = self.folder / f"{self._key}.new"
         self.fd = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         fcntl.flock(self.fd, fcntl.LOCK_EX)
-        self._path = temporary.rename(self._path_at(ProcessStage.STARTING))  # locked before anyone can find it
+        self._path = temporary.rename(self._path_at(ProcessStage.STARTING))  # visible to others only once locked
 
     def announce(self, stage: ProcessStage) -> None:
-        """Show the others that this process has come to a stage."""
+        """Rename the file of this process to announce its stage. Errors are ignored."""
         if self._path is None:
             return
         with contextlib.suppress(OSError):
@@ -65,7 +70,7 @@
         return self.folder / f"{self._key}.{stage.value}"
 
     def close(self) -> None:
-        """Show that this process is no more."""
+        """Remove the file of this process and release its lock."""
         if self._path is not None:
             with contextlib.suppress(OSError):
                 self._path.unlink()
@@ -75,7 +80,7 @@
         self.fd = -1
 
     def find_others(self) -> OtherProcesses:
-        """Return how many other processes are alive; files of those that have ended are removed."""
+        """Return a summary of the other running processes; remove the files of processes that have ended."""
         count = 0
         serving_count = 0
         has_successor = False
@@ -89,22 +94,22 @@
         return OtherProcesses(count, serving_count, has_successor)
 
     def _read_names(self) -> Iterator[tuple[str, ProcessStage]]:
-        """Yield key and stage of each process that has a file, the latest first."""
+        """Yield key and stage of each process file, the latest started first."""
         try:
             names = sorted(os.listdir(self.folder), reverse=True)[:MAX_FILES_READ]
         except OSError:
             return
         for name in names:
-            key, _, ending = name.rpartition(".")
+            key, _, suffix = name.rpartition(".")
             try:
-                stage = ProcessStage(ending)
+                stage = ProcessStage(suffix)
             except ValueError:
                 continue
             yield key, stage
 
 
 def _is_alive(path: Path) -> bool:
-    """Tell whether a process holds its file; the file of one that has ended is removed."""
+    """Return whether a running process holds the lock of this file; remove the file if none does."""
     try:
         fd = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except OSError:
--- a/cloverkeel/admin/shared_folder.py
+++ b/cloverkeel/admin/shared_folder.py
@@ -1,4 +1,4 @@
-"""The folder that the processes of one gateway share: the state file, and a file for each process."""
+"""The folder that the processes of one gateway share: state file and process files."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from cloverkeel.core.config import Config
 from cloverkeel.core.log import log
 
-MAX_NAME_CHARACTERS: Final = 64  # of the gateway's name in the folder's
+MAX_NAME_CHARACTERS: Final = 64  # part of the gateway's name used in the folder's name
 
 
 def shared_folder_path(config: Config) -> Path:
-    """Return the folder of this gateway: others may have the same $TMPDIR."""
+    """Return the folder of this gateway, unique per name and port because gateways may share a $TMPDIR."""
     name = "".join(character if character.isalnum() or character in "-_" else "_" for character in config.name)
     temporary_folder = os.environ.get("TMPDIR") or tempfile.gettempdir()
     return Path(temporary_folder) / f"cloverkeel-{name[:MAX_NAME_CHARACTERS]}-{config.listen[1]}"
 
 
 class SharedFolder:
-    """What one process keeps in the folder, and reads there."""
+    """One process's access to the shared folder."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -33,9 +33,9 @@
         self.process_files = ProcessFiles(path)
 
     def open(self) -> GatewayState:
-        """Show that this process is alive; return the state that the one before it has left.
+        """Register this process and return the state that the previous process stored.
 
-        Where the folder cannot be used that is one line on the log, and commands count for this process alone.
+        If the folder is unusable, log one line and return an empty state; commands then affect this process only.
         """
         try:
             self._make_folder()
@@ -54,6 +54,6 @@
             raise PermissionError(errno.EPERM, "belongs to another user")
 
     def close(self) -> None:
-        """Show that this process is no more."""
+        """Unregister this process and release the lock files."""
         self.process_files.close()
         self.state_file.close()
--- a/cloverkeel/admin/state.py
+++ b/cloverkeel/admin/state.py
@@ -1,13 +1,13 @@
-"""What outlives a process of this gateway, as JSON and back, and what a command changes in it. Pure.
+"""Operator state that persists across processes of a gateway: changes by commands, and the JSON codec. No I/O.
 
     {"v": 1, "paused": false, "out": {"s-5be2a07c": 1796153000000000}, "back": {...}, "once": ["s-1", ...]}
 
-Times are µs of Unix time. The keys are those of files that an older version wrote; this module maps them to the
-code's names. A text that cannot be used raises StateError, which names what was expected.
+Times are µs of Unix time. The JSON keys are kept for compatibility with files of older versions; this module maps
+them to the names in the code. An invalid text raises StateError with the expected value.
 
 Invariants:
-- at most MAX_EJECTIONS ejections are read, at most as many reinstatements are kept, and MAX_KNOWN_IDS ids;
-- of reinstatements the oldest go first.
+- at most MAX_EJECTIONS ejections, MAX_EJECTIONS reinstatements and MAX_KNOWN_IDS known ids are read;
+- at most MAX_EJECTIONS reinstatements are kept, the oldest are discarded first.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayState:
-    """What operators have asked of one gateway, whichever of its processes runs."""
+    """State of one gateway set by operators' commands, common to all its processes."""
 
     is_paused: bool = False
     ejected_at_us: dict[str, int] = field(default_factory=dict)  # by host id
-    reinstated_at_us: dict[str, int] = field(default_factory=dict)  # by host id, the oldest first
-    known_ids: tuple[str, ...] = ()  # hosts that were listed once
+    reinstated_at_us: dict[str, int] = field(default_factory=dict)  # by host id, oldest reinstatement first
+    known_ids: tuple[str, ...] = ()  # ids of hosts that were ever listed
 
     def eject(self, now_us: int, host_id: str) -> GatewayState:
-        """Return the state with this host ejected; one that is ejected already stays so since then."""
+        """Return the state with this host ejected; a host that is already ejected keeps its ejection time."""
         return replace(self, ejected_at_us={host_id: now_us} | self.ejected_at_us)
 
     def reinstate(self, now_us: int, host_id: str) -> GatewayState:
-        """Return the state with this host back, however often it was ejected."""
+        """Return the state with this host reinstated; one reinstatement undoes any number of ejections."""
         if host_id not in self.ejected_at_us:
             return self
         reinstated_at_us = _without(self.reinstated_at_us, host_id) | {host_id: now_us}
@@ -49,7 +49,7 @@
         )
 
     def with_paused(self, is_paused: bool) -> GatewayState:
-        """Return the state with the gateway paused or not."""
+        """Return the state with the gateway paused or resumed."""
         return replace(self, is_paused=is_paused)
 
 
@@ -58,7 +58,7 @@
 
 
 def encode_state(state: GatewayState) -> str:
-    """Return the text of a state."""
+    """Return the state as JSON text."""
     raw = {
         "v": VERSION,
         "paused": state.is_paused,
@@ -70,7 +70,7 @@
 
 
 def decode_state(text: str) -> GatewayState:
-    """Return the state of a text; raise StateError where there is none."""
+    """Parse the JSON text of a state; raise StateError if it is invalid."""
     raw = _decode_object(text)
     if raw.get("v") != VERSION:
         raise StateError(expected=str(VERSION), key="v", found=repr(raw.get("v")))
--- a/cloverkeel/admin/state_file.py
+++ b/cloverkeel/admin/state_file.py
@@ -1,9 +1,9 @@
-"""The state file, which the processes of one gateway read and change together.
+"""The state file, which all processes of one gateway read and update.
 
-    state.json          changed under the lock, written as a whole and renamed
-    lock
+    state.json          updated under the lock: written to a temporary file, then renamed
+    lock                lock file, empty
 
-What cannot be read is one line on the log and the state of a fresh start; what cannot be written is one line too.
+An unreadable state file is logged in one line and treated as missing; a failed write is logged in one line.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 from cloverkeel.admin.state import MAX_STATE_CHARACTERS, GatewayState, decode_state, encode_state
 from cloverkeel.core.log import log
 
-LOCK_RETRIES: Final = 100  # while another process changes the file
-LOCK_RETRY_INTERVAL_S: Final = 0.002  # the lock is held for one write of a few KiB
+LOCK_RETRIES: Final = 100  # non-blocking attempts while another process holds the lock
+LOCK_RETRY_INTERVAL_S: Final = 0.002  # a holder needs the lock for one write of a few KiB
 
 
 @dataclass(slots=True, frozen=True)
 class FileVersion:
-    """What tells one version of a file from another."""
+    """Identity of one version of a file."""
 
     inode: int = 0
     modified_ns: int = 0
 
     @classmethod
     def of(cls, status: os.stat_result) -> FileVersion:
-        """Return the version that a file's status shows."""
+        """Return the version of a file with this status."""
         return cls(status.st_ino, status.st_mtime_ns)
 
 
 class StateFile:
-    """The file, its lock, and the version of it that this process has read or written last."""
+    """The state file, its lock, and the version that this process last read or wrote."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -49,17 +49,17 @@
         self._last_version = FileVersion()
 
     def open_lock(self) -> None:
-        """Make the file of the lock; raise OSError where that cannot be."""
+        """Create and open the lock file; raise OSError on failure."""
         self.lock_fd = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
     def close(self) -> None:
-        """Release the file of the lock."""
+        """Close the lock file."""
         if self.lock_fd >= 0:
             os.close(self.lock_fd)
         self.lock_fd = -1
 
     def read(self) -> GatewayState | None:
-        """Return the state; None where there is none that can be used."""
+        """Return the stored state, or None if it is missing or unusable."""
         try:
             with self.path.open(encoding="utf-8") as file:
                 version = FileVersion.of(os.fstat(file.fileno()))
@@ -76,10 +76,10 @@
         return None
 
     def _log_unreadable(self, error: Exception) -> None:
-        log(f"admin: state unreadable, as if there were none, file={self.path} error={error}")
+        log(f"admin: state file unreadable, treated as missing, file={self.path} error={error}")
 
     def read_if_changed(self) -> GatewayState | None:
-        """Return the state where another process has written it since it was read or written here."""
+        """Return the state if another process has written it since this process last read or wrote it, else None."""
         try:
             version = FileVersion.of(os.stat(self.path))
         except OSError:
@@ -89,9 +89,9 @@
         return self.read()
 
     def update(self, change: Callable[[GatewayState], GatewayState], fallback: GatewayState) -> GatewayState:
-        """Change the state that is there, under the lock; return what it is now.
+        """Apply `change` to the stored state under the lock; return the new state.
 
-        `fallback`: the state that is changed where there is none, or where the change cannot be kept.
+        `fallback`: state to change if none is stored, or if the change cannot be stored.
         """
         try:
             with self._locked():
@@ -113,7 +113,7 @@
 
     @contextlib.contextmanager
     def _locked(self) -> Iterator[None]:
-        """Hold the lock; raise OSError where there is none, or another process does not release it."""
+        """Hold the lock; raise OSError if there is no lock file or another process does not release the lock."""
         if self.lock_fd < 0:
             raise OSError(errno.ENOENT, "no lock")
         self._acquire_lock()
--- a/cloverkeel/cli/__init__.py
+++ b/cloverkeel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: which command runs, and the gateway's process."""
+"""The command line: command dispatch and the gateway process."""
--- a/cloverkeel/cli/command_line.py
+++ b/cloverkeel/cli/command_line.py
@@ -1,13 +1,13 @@
-"""Which command runs.
+"""Command dispatch.
 
-python -m cloverkeel            the gateway: LB_CONFIG names its configuration
-python -m cloverkeel register   beside a backend: keeps its ephemeral node
-python -m cloverkeel duties ... who holds which lease; `duties --help` tells more
-python -m cloverkeel peers ...  what the gateways know of one another and of hosts; `peers --help` tells more
-python -m cloverkeel relay FILE the control plane's relay: sends gateways their subsets of the endpoint list
-python -m cloverkeel try ...    real gateways among stand-ins; `try --help` tells more
+python -m cloverkeel            run the gateway; LB_CONFIG is the path of its configuration
+python -m cloverkeel register   run beside a backend and maintain its ephemeral registry node
+python -m cloverkeel duties ... show leases and move them between gateways; see `duties --help`
+python -m cloverkeel peers ...  show gossip members and host observations; see `peers --help`
+python -m cloverkeel relay FILE run the control plane's relay, which sends gateways their subsets of the endpoint list
+python -m cloverkeel try ...    run real gateways against emulated services; see `try --help`
 
-A command is imported only when it runs: the gateway's signals must find their handlers before it reads anything.
+Commands are imported only when they run, so that the gateway installs its signal handlers before it reads anything.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-EXIT_USAGE: Final = 2  # the command or its configuration cannot be used
+EXIT_USAGE: Final = 2  # unknown command, invalid configuration or missing dependency
 
 Command = Callable[[Sequence[str]], int]
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the command that the arguments name, the gateway where there are none; return the exit code."""
+    """Run the command named by the first argument, or the gateway without arguments; return the exit code."""
     if not arguments:
         return _run_gateway()
     command = COMMAND_BY_NAME.get(arguments[0])
@@ -40,7 +40,7 @@
 
 
 def _run_emulator(arguments: Sequence[str]) -> int:
-    # Imported here alone: what carries traffic knows nothing of stand-ins.
+    # Imported only here: modules that serve traffic must not depend on the emulator.
     try:
         from standins.playing.command import main as run_emulator
     except ModuleNotFoundError as error:
--- a/cloverkeel/cli/gateway_process.py
+++ b/cloverkeel/cli/gateway_process.py
@@ -1,7 +1,7 @@
-"""The gateway's process: signals, configuration, exit code.
+"""The gateway process: signals, configuration, exit code.
 
-Everything else is imported late: a signal during the start must find its handler, and the compiled modules must be
-chosen before any of them is imported as a source.
+All other modules are imported late: a signal during startup must find its handler installed, and the compiled modules
+must be chosen before any of them is imported from source.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
     from cloverkeel.core.options import Options
 
 EXIT_OK: Final = 0
-EXIT_USAGE: Final = 2  # the configuration cannot be used
+EXIT_USAGE: Final = 2  # invalid configuration
 TERMINATION_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
 
 
 def run() -> int:
-    """Run the gateway until it is told to end; return the exit code."""
+    """Run the gateway until it is terminated by a signal; return the exit code."""
     early_reloads = install_early_handlers()
     from cloverkeel.core.config import ConfigError
 
@@ -32,16 +32,17 @@
         return EXIT_USAGE
     from cloverkeel.compiled import loader
 
-    build = loader.load("cloverkeel")  # before any of these modules is imported as a source
+    build = loader.load("cloverkeel")  # before any of these modules is imported from source
     from cloverkeel.cli.serving import run_until_terminated
 
     return run_until_terminated(config, options, build, early_reloads)
 
 
 def install_early_handlers() -> list[int]:
-    """Handle signals before the event loop runs; return the list that SIGHUPs until then are added to.
+    """Handle signals before the event loop runs; return the list to which SIGHUPs until then are appended.
 
-    A SIGHUP may come after the file has been read. SIGTERM and SIGINT end the process at once: nothing is held yet.
+    A SIGHUP that arrives after the configuration was read needs a reload later, so it is recorded. SIGTERM and SIGINT
+    end the process immediately: there is no request to finish yet.
     """
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda signum, _: early_reloads.append(signum))
@@ -51,12 +52,12 @@
 
 
 def exit_early(_signum: int, _frame: object) -> None:
-    """End the process at once, with success."""
+    """End the process immediately with exit code 0."""
     os._exit(EXIT_OK)
 
 
 def load_files() -> tuple[Config, Options]:
-    """Read LB_CONFIG and CLOVERKEEL_OPTIONS; raise ConfigError where one cannot be used."""
+    """Read LB_CONFIG and CLOVERKEEL_OPTIONS; raise ConfigError if either is invalid."""
     from cloverkeel.core import config, options
 
     return config.load(), options.load()
--- a/cloverkeel/cli/serving.py
+++ b/cloverkeel/cli/serving.py
@@ -1,4 +1,4 @@
-"""The gateway's life on its event loop: start, serve, drain, end.
+"""The gateway on its event loop: startup, serving, drain, shutdown.
 
 Imported once the compiled modules have been chosen (cloverkeel/cli/gateway_process.py).
 """
@@ -20,7 +20,7 @@
 from cloverkeel.core.options import Options
 from cloverkeel.core.reload import ConfigReloader
 
-# Imported where it runs alone: most installations have no admin address.
+# Imported at runtime only if an admin address is configured; most installations have none.
 if TYPE_CHECKING:
     from cloverkeel.admin.endpoint import AdminEndpoint
 
@@ -29,16 +29,16 @@
 
 
 class CannotListenError(Exception):
-    """Report an address that cannot be listened on."""
+    """Failure to listen on an address."""
 
     def __init__(self, address: Address, reason: str | None) -> None:
         super().__init__(f"cannot listen on {address[0]}:{address[1]}: {reason}")
 
 
 def run_until_terminated(config: Config, options: Options, build: str, early_reloads: Sequence[int]) -> int:
-    """Run the gateway on a loop of its own; return the exit code.
+    """Run the gateway on a new event loop; return the exit code.
 
-    `build`: which build of the modules outside the decisions runs. `early_reloads`: SIGHUPs that came before.
+    `build`: which build of the modules outside `cloverkeel.balancing` runs. `early_reloads`: SIGHUPs received before.
     """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(serve(config, options, build, early_reloads))
@@ -79,7 +79,7 @@
 
 
 def _handle_reloads(program: Program, options: Options) -> Callable[[], None]:
-    """Read the files again at each SIGHUP; return what asks for it."""
+    """Reload the configuration files at each SIGHUP; return the function that requests a reload."""
     loop = asyncio.get_running_loop()
     reloader = ConfigReloader(program.discovery, program.relay_client, options)
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
@@ -109,21 +109,21 @@
 
 
 def _log_build(build: str) -> None:
-    """Log which build of the decisions runs, and of the other modules where that is another one."""
+    """Log which build of `cloverkeel.balancing` runs, and why the other modules run from source if only they do."""
     log(f"gateway: started, decisions={BUILD}")
     if BUILD == "compiled" != build:
         log(f"gateway: other modules are not compiled, build={build}")
 
 
 async def _shut_down(program: Program, admin: AdminEndpoint | None) -> None:
-    """Drain, then release what is held."""
+    """Drain, then close the admin address and the gateway."""
     program.begin_shutdown()
     schedule = admin.begin_shutdown() if admin is not None else None
     try:
         async with asyncio.timeout(draining.MAX_SHUTDOWN_S):
             await program.server.shut_down(schedule)
     except TimeoutError:
-        log(f"shutdown: time is over, unanswered={len(program.gateway.requests.by_key)}")
+        log(f"shutdown: deadline exceeded, unanswered={len(program.gateway.requests.by_key)}")
     log(f"shutdown: complete, connections={program.pool.counts}")
     if admin is not None:
         admin.close()
--- a/cloverkeel/compiled/__init__.py
+++ b/cloverkeel/compiled/__init__.py
@@ -1,1 +1,1 @@
-"""The build of the hot modules with mypyc, and the choice between it and the plain sources at the start."""
+"""The mypyc build of the hot modules, and the choice between it and the plain sources at startup."""
--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -1,11 +1,12 @@
-"""Compile the hot modules with mypyc, for cloverkeel/compiled/loader.py to use.
+"""Compile the hot modules with mypyc; cloverkeel/compiled/loader.py loads the result.
 
 Needs mypy, setuptools and a C compiler.
 
     python -m cloverkeel.compiled.build [--folder DIR] [--check]
 
-Exit code 0: compiled. 1: it could not be; one line says why, and what was there before is gone or still whole.
-A build that is cut off leaves no stamp, and without one nothing of it is used.
+Exit code 0: a usable compiled build exists. 1: compilation failed, or --check found none; one line gives the reason.
+A previous build is then either removed or still complete. An interrupted build leaves no stamp, and a build without a
+stamp is not used.
 """
 
 from __future__ import annotations
@@ -90,68 +91,70 @@
     "cloverkeel.upstream.host",
     "cloverkeel.upstream.outcomes",
 )
-SETUP = """
+SETUP_TEMPLATE = """
 from mypyc.build import mypycify
 from setuptools import setup
 setup(name="compiled", packages=[], ext_modules=mypycify({arguments!r}, opt_level="2"))
 """
-# Where `build` compiles there are no libraries but mypy's own: what the modules import is known by name alone.
-OPTIONS = ("--config-file=", "--ignore-missing-imports")
+# deploy/build.sh compiles in an environment with only mypy and its dependencies: mypy cannot resolve other libraries.
+MYPY_OPTIONS = ("--config-file=", "--ignore-missing-imports")
 COMPILE_TIMEOUT_S = 300.0
-MAX_REASON_LENGTH = 300  # characters of a reason
+MAX_REASON_LENGTH = 300  # characters of a printed reason
 
 
 class CompileError(Exception):
-    """Raise where it could not be compiled; the message says why, in one line."""
+    """Compilation failed; the message is a one-line reason."""
 
 
 def source_of(module: str) -> str:
-    """Return the path of a module's source below the root."""
+    """Return the path of a module's source, relative to the project root."""
     return module.replace(".", "/") + ".py"
 
 
-def run(folder: Path, modules: Sequence[str]) -> None:
-    """Run mypyc and the C compiler in a process of their own: their failure is one line here."""
+def run_mypyc(folder: Path, modules: Sequence[str]) -> None:
+    """Run mypyc and the C compiler in a subprocess; raise CompileError with the last output line on failure."""
     setup = folder / "setup.py"
-    setup.write_text(SETUP.format(arguments=[*OPTIONS, *map(source_of, modules)]))
+    setup.write_text(SETUP_TEMPLATE.format(arguments=[*MYPY_OPTIONS, *map(source_of, modules)]))
     command = [
         sys.executable, str(setup), "-q", "build_ext", "--build-lib", str(folder / "lib"),
         "--build-temp", str(folder / "temp"), "-j", str(min(4, os.cpu_count() or 1)),
     ]  # fmt: skip
-    environment = os.environ | {loader.PLAIN: "1", "MYPYPATH": ""}
+    environment = os.environ | {loader.PLAIN_VARIABLE: "1", "MYPYPATH": ""}
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             command, cwd=folder / "tree", env=environment, capture_output=True, text=True, timeout=COMPILE_TIMEOUT_S
         )
     except subprocess.TimeoutExpired:
         raise CompileError(f"not done in {COMPILE_TIMEOUT_S:.0f} s") from None
-    if done.returncode:
-        lines = [line for line in (done.stdout + done.stderr).splitlines() if line.strip()]
-        raise CompileError(lines[-1] if lines else f"exit code {done.returncode}")
+    if completed.returncode:
+        lines = [line for line in (completed.stdout + completed.stderr).splitlines() if line.strip()]
+        raise CompileError(lines[-1] if lines else f"exit code {completed.returncode}")
 
 
-def find_libraries(library: Path) -> dict[str, Path]:
-    """Return module names and their libraries below a folder."""
-    paths = sorted(library.rglob("*" + loader.SUFFIX))
+def find_libraries(folder: Path) -> dict[str, Path]:
+    """Return the compiled libraries by module name; paths are relative to `folder`."""
+    paths = sorted(folder.rglob("*" + loader.LIBRARY_SUFFIX))
     return {
-        str(path.relative_to(library)).removesuffix(loader.SUFFIX).replace(os.sep, "."): path.relative_to(library)
+        str(path.relative_to(folder)).removesuffix(loader.LIBRARY_SUFFIX).replace(os.sep, "."): path.relative_to(
+            folder
+        )
         for path in paths
     }
 
 
 def compile_all(folder: Path, modules: Sequence[str] = MODULES) -> None:
-    """Compile into a folder: what was there goes first, the stamp comes last."""
+    """Compile into `folder`: remove its previous content, move the libraries there, then write the stamp."""
     sources = {source_of(module): loader.digest(str(ROOT / source_of(module))) for module in modules}
     folder.parent.mkdir(parents=True, exist_ok=True)
     packages = sorted({module.partition(".")[0] for module in modules})
     files = [file for package in packages for file in (ROOT / package).rglob("*.py")]
-    with tempfile.TemporaryDirectory(prefix=".compiling-", dir=folder.parent) as made:
-        work = Path(made)
+    with tempfile.TemporaryDirectory(prefix=".compiling-", dir=folder.parent) as name:
+        work = Path(name)
         for file in files:
             copy = work / "tree" / file.relative_to(ROOT)
             copy.parent.mkdir(parents=True, exist_ok=True)
             shutil.copyfile(file, copy)
-        run(work, modules)
+        run_mypyc(work, modules)
         libraries = find_libraries(work / "lib")
         missing = set(modules) - set(libraries)
         if missing:
@@ -159,25 +162,25 @@
         shutil.rmtree(folder, ignore_errors=True)
         (work / "lib").rename(folder)
     sizes = {name: (str(path), (folder / path).stat().st_size) for name, path in libraries.items()}
-    stamp = {"suffix": loader.SUFFIX, "sources": sources, "modules": sizes}
-    part = folder / (loader.STAMP + ".part")
-    part.write_text(json.dumps(stamp, indent=1) + "\n")
-    part.replace(folder / loader.STAMP)
+    stamp = {"suffix": loader.LIBRARY_SUFFIX, "sources": sources, "modules": sizes}
+    temporary = folder / (loader.STAMP_NAME + ".part")
+    temporary.write_text(json.dumps(stamp, indent=1) + "\n")
+    temporary.replace(folder / loader.STAMP_NAME)
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Compile, or check what was compiled; return the exit code."""
+    """Compile unless the existing build is usable, or only check it; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--folder", type=Path, default=Path(loader.FOLDER))
+    parser.add_argument("--folder", type=Path, default=Path(loader.COMPILED_FOLDER))
     parser.add_argument("--check", action="store_true", help="only tell whether there is a compiled build to be used")
     options = parser.parse_args(arguments)
     try:
-        lacking = set(MODULES) - set(loader.read_stamp(str(options.folder)))
-        if lacking:
-            raise loader.UnusableError(f"{', '.join(sorted(lacking))} not compiled")
+        missing = set(MODULES) - set(loader.read_stamp(str(options.folder)))
+        if missing:
+            raise loader.UnusableBuildError(f"{', '.join(sorted(missing))} not compiled")
         print("cloverkeel: compiled already, from these sources")
         return 0
-    except loader.UnusableError as error:
+    except loader.UnusableBuildError as error:
         if options.check:
             print(f"cloverkeel: {error}")
             return 1
--- a/setup.py
+++ b/setup.py
@@ -1,4 +1,4 @@
-"""Wheels: with the decisions compiled where that can be done, plain where not. All else is in pyproject.toml."""
+"""Wheel builds: with compiled modules if compilation succeeds, else plain. Other settings are in pyproject.toml."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 os.environ["CLOVERKEEL_PLAIN"] = "1"
-from cloverkeel.compiled import build as compiling
+from cloverkeel.compiled import build as compiled_build
 
 
 @cache
-def compiled() -> Path | None:
-    """Where the compiled modules lie, or None; says which in one line."""
+def compile_once() -> Path | None:
+    """Compile; return the folder of the compiled modules, or None on failure. Print the outcome in one line."""
     folder = Path(tempfile.mkdtemp(prefix="cloverkeel-")) / "_compiled"
     atexit.register(shutil.rmtree, folder.parent, ignore_errors=True)
     try:
-        compiling.compile_all(folder)
-    except (compiling.CompileError, OSError) as error:
+        compiled_build.compile_all(folder)
+    except (compiled_build.CompileError, OSError) as error:
         print(f"cloverkeel: a plain wheel, not compiled: {str(error)[:300]}", file=sys.stderr)
         return None
     print("cloverkeel: a wheel with compiled decisions", file=sys.stderr)
     return folder
 
 
-class Build(build_py):
+class BuildWithCompiledModules(build_py):
     def run(self) -> None:
         super().run()
-        folder = compiled()
+        folder = compile_once()
         if folder is not None:
             target = Path(self.build_lib) / "cloverkeel" / "_compiled"
             shutil.rmtree(target, ignore_errors=True)
             shutil.copytree(folder, target)
 
 
-class Wheel(bdist_wheel):
+class PlatformWheel(bdist_wheel):
     def finalize_options(self) -> None:
         super().finalize_options()
-        self.root_is_pure = compiled() is None  # a compiled one is for this Python and platform alone
+        self.root_is_pure = compile_once() is None  # a compiled wheel fits only this Python and platform
 
 
-setup(cmdclass={"build_py": Build, "bdist_wheel": Wheel})
+setup(cmdclass={"build_py": BuildWithCompiledModules, "bdist_wheel": PlatformWheel})
--- a/tests/compiled/test_build.py
+++ b/tests/compiled/test_build.py
@@ -34,15 +34,15 @@
     folder.mkdir(exist_ok=True)
     (folder / "x.so").write_bytes(library)
     stamp = {
-        "suffix": loader.SUFFIX, "sources": {SOURCE: loader.digest(str(ROOT / SOURCE))},
+        "suffix": loader.LIBRARY_SUFFIX, "sources": {SOURCE: loader.digest(str(ROOT / SOURCE))},
         "modules": {"cloverkeel.balancing.nothing": ["x.so", len(library)]},
     }  # fmt: skip
-    (folder / loader.STAMP).write_text(json.dumps(stamp | changed))
+    (folder / loader.STAMP_NAME).write_text(json.dumps(stamp | changed))
     return folder
 
 
 def why(folder: Path) -> str:
-    with pytest.raises(loader.UnusableError) as raised:
+    with pytest.raises(loader.UnusableBuildError) as raised:
         loader.read_stamp(str(folder))
     return str(raised.value)
 
@@ -72,7 +72,7 @@
     lambda value: json.dumps(value).encode()))  # fmt: skip
 def test_a_stamp_of_any_content_never_ends_a_start(tmp_path_factory: pytest.TempPathFactory, content: bytes) -> None:
     folder = tmp_path_factory.mktemp("stamp")
-    (folder / loader.STAMP).write_bytes(content)
+    (folder / loader.STAMP_NAME).write_bytes(content)
     assert loader.install(str(folder), {}).startswith("plain: ")
 
 
@@ -85,7 +85,7 @@
 def test_a_module_that_cannot_be_loaded_leaves_all_modules_to_their_sources(tmp_path: Path) -> None:
     (tmp_path / "x.so").write_bytes(b"no library at all")
     files = {"cloverkeel.nothing": str(tmp_path / "x.so"), "cloverkeel.balancing.other": "kept"}
-    finder, before = loader.Finder(files), dict(sys.modules)
+    finder, before = loader.CompiledFinder(files), dict(sys.modules)
     sys.meta_path.insert(0, finder)
     try:
         assert loader.load("cloverkeel").startswith("plain: ")
@@ -110,8 +110,8 @@
 def test_a_process_that_loads_the_program_first_mixes_no_sources_with_what_is_compiled(plain: str) -> None:
     """It crashed: the first modules were sources, and those after the decisions compiled."""
     done = subprocess.run(
-        [sys.executable, "-c", LOAD_FIRST], cwd=ROOT, env=os.environ | {loader.PLAIN: plain}, capture_output=True,
-        text=True, check=True,
+        [sys.executable, "-c", LOAD_FIRST], cwd=ROOT, env=os.environ | {loader.PLAIN_VARIABLE: plain},
+        capture_output=True, text=True, check=True,
     )  # fmt: skip
     assert len(done.stdout.split(",")) == 1
     assert plain == "0" or done.stdout.strip() == "[True]"
@@ -119,20 +119,23 @@
 
 def test_the_variable_makes_the_sources_run(tmp_path: Path) -> None:
     finders = list(sys.meta_path)
-    assert loader.install(str(stamped(tmp_path)), {loader.PLAIN: "1"}) == f"plain: {loader.PLAIN} is set"
+    assert (
+        loader.install(str(stamped(tmp_path)), {loader.PLAIN_VARIABLE: "1"})
+        == f"plain: {loader.PLAIN_VARIABLE} is set"
+    )
     assert sys.meta_path == finders
     code = "import cloverkeel.balancing.balancer as b; print(cloverkeel.balancing.BUILD, b.__file__)"
     command = [sys.executable, "-c", code]
     done = subprocess.run(
-        [*command[:2], "import cloverkeel.balancing; " + command[2]], cwd=ROOT, env=os.environ | {loader.PLAIN: "1"},
-        capture_output=True, text=True, check=True,
+        [*command[:2], "import cloverkeel.balancing; " + command[2]], cwd=ROOT,
+        env=os.environ | {loader.PLAIN_VARIABLE: "1"}, capture_output=True, text=True, check=True,
     )  # fmt: skip
     assert done.stdout.startswith("plain: ") and done.stdout.strip().endswith("balancer.py")
 
 
 def test_what_is_compiled_needs_no_library_but_mypys_own() -> None:
     """`build` compiles in an environment that has none of the gateway's."""
-    command = [sys.executable, "-m", "mypy", "--no-site-packages", "--cache-dir", os.devnull, *compiling.OPTIONS]
+    command = [sys.executable, "-m", "mypy", "--no-site-packages", "--cache-dir", os.devnull, *compiling.MYPY_OPTIONS]
     done = subprocess.run(
         [*command, *map(compiling.source_of, compiling.MODULES)], cwd=ROOT, capture_output=True, text=True,
         check=False,
@@ -144,7 +147,7 @@
     folder = tmp_path / "made"
     done = subprocess.run(
         [sys.executable, "-m", "cloverkeel.compiled.build", "--folder", str(folder)], cwd=ROOT,
-        env=os.environ | {"CC": "false", loader.PLAIN: "1"}, capture_output=True, text=True, check=False,
+        env=os.environ | {"CC": "false", loader.PLAIN_VARIABLE: "1"}, capture_output=True, text=True, check=False,
     )  # fmt: skip
     assert done.returncode == 1 and not folder.exists() and not list(tmp_path.iterdir())
     assert done.stderr.count("\n") == 1 and "not compiled, the plain sources run" in done.stderr
@@ -153,14 +156,14 @@
 def test_a_build_cut_off_before_its_stamp_is_not_used(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def cut_off(work: Path, modules: object) -> None:
         for module in compiling.MODULES:
-            file = work / "lib" / (module.replace(".", "/") + loader.SUFFIX)
+            file = work / "lib" / (module.replace(".", "/") + loader.LIBRARY_SUFFIX)
             file.parent.mkdir(parents=True, exist_ok=True)
             file.write_bytes(b"")
 
     def killed(self: Path, text: str) -> int:
         raise KeyboardInterrupt
 
-    monkeypatch.setattr(compiling, "run", cut_off)
+    monkeypatch.setattr(compiling, "run_mypyc", cut_off)
     folder = stamped(tmp_path / "made")  # from an earlier build
     monkeypatch.setattr(Path, "write_text", killed)
     with pytest.raises(KeyboardInterrupt):
@@ -250,8 +253,8 @@
 
 def test_compiled_and_plain_decisions_are_the_same() -> None:
     try:
-        loader.read_stamp(loader.FOLDER)
-    except loader.UnusableError as error:
+        loader.read_stamp(loader.COMPILED_FOLDER)
+    except loader.UnusableBuildError as error:
         pytest.skip(f"no compiled build: {error}")
     assert compare(range(1000, 1008), 1500, workers=2) == []
 
@@ -276,7 +279,7 @@
     """Numbers past 62 bits leaked: 130 bytes for each server and request, 13 MiB in 36,000 requests."""
     for plain in ("1", "0"):
         done = subprocess.run(
-            [sys.executable, "-c", LIFE], cwd=ROOT, env=os.environ | {loader.PLAIN: plain}, capture_output=True,
-            text=True, check=True,
+            [sys.executable, "-c", LIFE], cwd=ROOT, env=os.environ | {loader.PLAIN_VARIABLE: plain},
+            capture_output=True, text=True, check=True,
         )  # fmt: skip
         assert int(done.stdout) < 2 << 20
