--- a/benchmarks/guards/mutants/admin.py
+++ b/benchmarks/guards/mutants/admin.py
@@ -1,4 +1,4 @@
-"""Mutants of the admin address: each takes out one guard."""
+"""Mutants of the admin address: each removes one guard."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 @entry("ban-outlives")
 def _() -> None:
-    """A process begins without what the one before it has left."""
+    """A process starts without the state that its predecessor stored."""
     from cloverkeel.admin.shared_folder import SharedFolder
 
-    old = SharedFolder.open
+    original_open = SharedFolder.open
 
-    def open_(self: Any) -> Any:
+    def open_without_state(self: Any) -> Any:
         from cloverkeel.admin.state import GatewayState
 
-        old(self)
+        original_open(self)
         return GatewayState()
 
-    swap(SharedFolder, "open", open_)
+    swap(SharedFolder, "open", open_without_state)
 
 
 @entry("ban-heard")
 def _() -> None:
-    """A change that the other process was asked for is not applied."""
+    """A state change made by another process is not applied."""
     from cloverkeel.admin.state_file import StateFile
 
     swap(StateFile, "read_if_changed", lambda self: None)
@@ -33,7 +33,7 @@
 
 @entry("two-writers")
 def _() -> None:
-    """A change is made to what this process knows, whatever the other one wrote."""
+    """A change is applied to this process's copy of the state, ignoring what another process stored."""
     from cloverkeel.admin.state_file import StateFile
 
     cut(StateFile, "update", ("change(self.read() or fallback)", "change(fallback)"))
@@ -41,7 +41,7 @@
 
 @entry("successor-ready")
 def _() -> None:
-    """A process with a successor reports that the gateway is not ready."""
+    """A draining process with a successor reports that the gateway is not ready."""
     from cloverkeel.admin.process_coordinator import ProcessCoordinator
 
     swap(ProcessCoordinator, "begin_shutdown", lambda self: None)
--- a/benchmarks/guards/mutants/program.py
+++ b/benchmarks/guards/mutants/program.py
@@ -1,4 +1,4 @@
-"""Mutants of the start: each takes out one guard."""
+"""Mutants of the startup and reload of the gateway process: each removes one guard."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @entry("sighup")
 def _() -> None:
-    """SIGHUP ends the program."""
+    """SIGHUP ends the process."""
     from cloverkeel.cli import serving
 
     cut(
@@ -19,7 +19,7 @@
 
 @entry("early-signals")
 def _() -> None:
-    """A signal during the start ends the program."""
+    """A signal during startup has its default effect and kills the process."""
     from cloverkeel.cli import gateway_process
 
     cut(
--- a/benchmarks/guards/table/admin.py
+++ b/benchmarks/guards/table/admin.py
@@ -1,4 +1,4 @@
-"""The mutants of the admin address: what each guard holds, and the plays and tests that must find it gone."""
+"""Mutants of the admin address: what each guard ensures, and the plays and tests that detect its removal."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 ROWS = (
     row("ban-outlives", "an ejection outlives the process", "SharedFolder.open",
         tests="admin/operations::ejections_outlive_the_process_and_are_applied_by_both"),
-    row("ban-heard", "an ejection asked of one process is applied by the other", "StateFile.read_if_changed",
+    row("ban-heard", "an ejection requested from one process is applied by the other", "StateFile.read_if_changed",
         tests="admin/operations::ejections_outlive_the_process_and_are_applied_by_both"),
-    row("two-writers", "two processes lose no ejection", "StateFile.update",
-        tests="admin/shared_folder::two_writers_lose_nothing"),
-    row("successor-ready", "an upgrade does not report 'not ready'", "ProcessCoordinator.begin_shutdown",
+    row("two-writers", "concurrent updates by two processes lose no ejection", "StateFile.update",
+        tests="admin/shared_folder::two_writers_lose_no_changes"),
+    row("successor-ready", "the gateway stays ready during an upgrade", "ProcessCoordinator.begin_shutdown",
         tests="admin/operations::a_process_with_a_successor_reports_the_gateway_ready"),
 )  # fmt: skip
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -1,4 +1,4 @@
-"""Admin lines: whatever the bytes, a command or an error."""
+"""Command lines and answer lines of the admin address: any input bytes give a command or a CommandError."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         (b"S" * (MAX_LINE_BYTES + 1), "longer"),
     ],
 )
-def test_a_line_that_is_no_command_is_an_error_with_a_reason(line: bytes, reason: str) -> None:
+def test_an_invalid_line_is_an_error_with_a_reason(line: bytes, reason: str) -> None:
     with pytest.raises(CommandError, match=reason):
         parse_request(line)
 
--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -1,4 +1,4 @@
-"""Operators at work on real processes: ejected hosts, a drained gateway, a process replaced under load."""
+"""Operators' commands to real processes: ejected hosts, a paused gateway, a process replaced under load."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
 
 
 async def call(port: int, line: bytes) -> str:
-    """Return the answer to an admin line; "" where nobody answers."""
+    """Return the answer to a command line, or "" if nothing listens on the port."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
         return ""
     writer.write(line + b"\n")
-    said = (await reader.read()).decode()
+    answer = (await reader.read()).decode()
     writer.close()
-    return said
+    return answer
 
 
 @dataclass
@@ -63,52 +63,52 @@
             await asyncio.sleep(0.01)
 
     async def wait_for_log(self) -> bytes:
-        """Wait for the process's end; return its log."""
+        """Wait until the process has ended; return its log."""
         return (await self.process.communicate())[1]
 
 
 @dataclass
 class Gateway:
-    """One gateway, whose processes follow one another at one address."""
+    """One gateway: successive processes on the same listening address."""
 
     folder: Path
     config: dict[str, Any]
     port: int = field(default_factory=free_port)
     processes: list[Process] = field(default_factory=list)
 
-    async def begin(self) -> Process:
+    async def launch(self) -> Process:
         admin_port = free_port()
         file = self.folder / f"config-{admin_port}.json"
         listen = f"127.0.0.1:{self.port}"
         file.write_text(json.dumps(self.config | {"listen": listen, "ops": f"127.0.0.1:{admin_port}"}))
-        made = Process(await start({"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}), admin_port)
-        self.processes.append(made)
-        return made
+        process = Process(await start({"LB_CONFIG": str(file), "TMPDIR": str(self.folder)}), admin_port)
+        self.processes.append(process)
+        return process
 
     async def start(self) -> Process:
-        made = await self.begin()
-        await made.wait_until_serving()
-        return made
+        process = await self.launch()
+        await process.wait_until_serving()
+        return process
 
     def process_files(self, stage: ProcessStage) -> list[Path]:
-        """Return the files of processes that are alive, or have not been found dead yet."""
+        """Return the process files of running processes, and of ended ones that no process has removed yet."""
         return list(self.folder.glob(f"cloverkeel-*/*.{stage.value}"))
 
 
 @asynccontextmanager
 async def gateway(folder: Path, config: dict[str, Any]) -> AsyncIterator[Gateway]:
-    made = Gateway(folder, config)
+    processes = Gateway(folder, config)
     try:
-        yield made
+        yield processes
     finally:
-        for process in made.processes:
+        for process in processes.processes:
             if process.process.returncode is None:
                 process.process.kill()
                 await process.process.wait()
 
 
 @on_loop
-async def test_an_ejected_host_gets_nothing_and_one_reinstatement_brings_it_back(tmp_path: Path) -> None:
+async def test_an_ejected_host_gets_no_requests_until_one_reinstatement(tmp_path: Path) -> None:
     async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as processes:
         process = await processes.start()
         assert (await process.call(b"SUSPEND s-9")).startswith("NAK s-9 was never listed")
@@ -118,7 +118,7 @@
             assert await ask(processes.port, request()) == 200
         assert not a.seen and len(b.seen) == 40
         assert (await process.call(b"SUSPEND s-1")).startswith("ACK")
-        assert await ask(processes.port, request()) == 503  # all are ejected: rejected at once
+        assert await ask(processes.port, request()) == 503  # every host is ejected: rejected immediately
         assert "2 out by hand" in await process.call(b"STATUS")
         assert (await process.call(b"RESTORE s-0")).startswith("ACK")
         assert await ask(processes.port, request()) == 200
@@ -126,7 +126,7 @@
 
 
 @on_loop
-async def test_requests_at_an_ejected_host_are_finished(tmp_path: Path) -> None:
+async def test_requests_in_flight_at_an_ejected_host_are_finished(tmp_path: Path) -> None:
     async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
         process = await processes.start()
         client = await connect(processes.port)
@@ -139,7 +139,7 @@
 
 
 @on_loop
-async def test_bad_clients_of_the_admin_address_delay_nobody(tmp_path: Path) -> None:
+async def test_misbehaving_admin_clients_do_not_delay_commands(tmp_path: Path) -> None:
     async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
         process = await processes.start()
         silent_clients = [await asyncio.open_connection("127.0.0.1", process.admin_port) for _ in range(60)]
@@ -147,11 +147,11 @@
             writer.write(b"STA")
         loop = asyncio.get_running_loop()
         before_s = loop.time()
-        said = await asyncio.gather(
+        answers = await asyncio.gather(
             *(process.call(line) for line in (b"STATUS", b"", b"status", b"x" * 5000, b"\xff"))
         )
         assert loop.time() - before_s < 1
-        assert [line[:3] for line in said] == ["ACK", "NAK", "NAK", "NAK", "NAK"]
+        assert [answer[:3] for answer in answers] == ["ACK", "NAK", "NAK", "NAK", "NAK"]
         for _, writer in silent_clients:
             writer.close()
 
@@ -169,7 +169,9 @@
         assert (await process.call(b"PAUSE")).startswith("ACK")
         assert await ask(processes.port, READY) == 503
         assert (await process.call(b"STATUS")).startswith("NAK paused")
-        fresh.send(request("transfer", b"still"))  # who sends clients here has not noticed yet
+        fresh.send(
+            request("transfer", b"still")
+        )  # a load balancer in front still sends clients until it sees the failing readiness check
         await until(lambda: len(host.seen) == 2)
         for exchange in host.seen:
             exchange.answer(reply(200, exchange.message.body))
@@ -197,7 +199,7 @@
         assert (await old.call(b"SUSPEND s-0")).startswith("ACK")
         new = await processes.start()
         assert "1 out by hand" in await new.call(b"STATUS")
-        assert (await old.call(b"SUSPEND s-1")).startswith("ACK")  # asked of one, applied by the other
+        assert (await old.call(b"SUSPEND s-1")).startswith("ACK")  # sent to the old process, applied by the new one
         await asyncio.sleep(0.2)
         assert "2 out by hand" in await new.call(b"STATUS")
         assert (await new.call(b"RESTORE s-0")).startswith("ACK")
@@ -216,44 +218,44 @@
 
 @on_loop
 async def test_requests_are_served_through_three_upgrades(tmp_path: Path) -> None:
-    """Short connections and kept ones under load."""
+    """Half of the clients under load keep their connections, the others open one per request."""
 
     async def answer_slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
         exchange.answer(reply(200, exchange.message.body))
 
     def is_served(answer: Message) -> bool:
-        # The balancer may reject some on a machine that is busy; the shutdown must not.
+        # On a busy machine the balancer may reject some requests; the shutdown must not fail any.
         assert answer.status == 200 or (answer.status, answer.body) == (503, b""), answer
         return answer.status == 200
 
     async with peer(answer_slowly) as host, gateway(tmp_path, configuration(host)) as processes:
         old = await processes.start()
-        is_over = False
-        load = Load(processes.port, lambda: is_over, is_served)
+        is_load_finished = False
+        load = Load(processes.port, lambda: is_load_finished, is_served)
         load.start()
         for _ in range(3):
             new = await processes.start()
             served_before = load.served
             old.process.send_signal(signal.SIGTERM)
-            assert await ask(processes.port, READY) == 200  # the gateway is ready, whichever process is asked
+            assert await ask(processes.port, READY) == 200  # both processes report the gateway as ready
             assert await old.process.wait() == 0
             await until(lambda before=served_before: load.served > before + 50)  # type: ignore[misc]
             old = new
-        is_over = True
+        is_load_finished = True
         await load.wait()
         assert load.lost == 0
 
 
 @on_loop
 async def test_a_process_with_a_successor_reports_the_gateway_ready(tmp_path: Path) -> None:
-    """The old process is asked for readiness during its drain, on a connection of before.
+    """During its drain the old process gets a readiness check, on a connection opened before the successor started.
 
-    The request ahead of the question keeps that connection from its end for as long as the old process lives.
+    A request in flight ahead of the check keeps that connection open.
     """
     async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
         old = await processes.start()
-        client = await connect(processes.port)  # there is no other process yet
+        client = await connect(processes.port)  # the successor has not started yet
         client.send(request("transfer", b"held"))
         await until(lambda: host.seen)
         await processes.start()
@@ -269,17 +271,17 @@
 
 
 @on_loop
-async def test_a_successor_that_dies_before_it_serves_leaves_the_old_one_serving(tmp_path: Path) -> None:
+async def test_a_successor_that_dies_before_it_serves_leaves_the_old_process_serving(tmp_path: Path) -> None:
     async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
         old = await processes.start()
-        new = await processes.begin()
+        new = await processes.launch()
         await until(lambda: processes.process_files(ProcessStage.STARTING))
         new.process.kill()
         await new.process.wait()
         await until(
             lambda: not processes.process_files(ProcessStage.STARTING)
             and len(processes.process_files(ProcessStage.SERVING)) == 1
-        )  # the old one has polled
+        )  # the old process has polled
         assert (await old.call(b"STATUS")).startswith("ACK")
         assert await ask(processes.port, request()) == 200
         old.process.send_signal(signal.SIGTERM)
@@ -288,7 +290,7 @@
 
 @asynccontextmanager
 async def coordinated(folder: Path) -> AsyncIterator[tuple[ProcessCoordinator, Balancer, SharedFolder]]:
-    """Yield a gateway's coordinator, its balancer, and the folder as another process of the same gateway has it."""
+    """Yield a gateway's coordinator, its balancer, and the shared folder as another process has opened it."""
     async with peer() as host:
         config = parse(configuration(host) | {"name": "shared", "ops": "127.0.0.1:1"})
         program = assemble(config)
@@ -309,17 +311,17 @@
 
 
 @on_loop
-async def test_limits_of_a_gateway_are_shared_among_its_processes(tmp_path: Path) -> None:
+async def test_limits_of_a_gateway_are_divided_among_its_processes(tmp_path: Path) -> None:
     async with coordinated(tmp_path) as (coordinator, balancer, other):
         server = coordinator.server
         total_us, max_sockets = balancer.slow_start.budget_us(), server.config.sockets
         await until(lambda: server.admission.max_descriptors == max_sockets // 2)
-        assert balancer.slow_start.budget_us() == total_us  # it does not accept clients yet
+        assert balancer.slow_start.budget_us() == total_us  # the other process does not accept clients yet
         other.process_files.announce(ProcessStage.SERVING)
         await until(lambda: balancer.slow_start.budget_us() == total_us / 2)
         other.process_files.announce(ProcessStage.DRAINING)
         await until(lambda: balancer.slow_start.budget_us() == total_us)
-        assert server.admission.max_descriptors == max_sockets // 2  # what it holds it has until its end
+        assert server.admission.max_descriptors == max_sockets // 2  # a process keeps its descriptors until it ends
         other.close()
         await until(lambda: server.admission.max_descriptors == max_sockets)
 
--- a/tests/admin/test_shared_folder.py
+++ b/tests/admin/test_shared_folder.py
@@ -1,4 +1,4 @@
-"""What the processes of one gateway share: the state, two writers of it, and who is alive."""
+"""The folder shared by the processes of one gateway: state codec, concurrent writers, detection of processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @given(st.booleans(), TIMES, TIMES, st.lists(st.text(max_size=20), max_size=8))
-def test_a_state_that_is_written_is_read(
+def test_an_encoded_state_is_decoded(
     is_paused: bool, ejected: dict[str, int], reinstated: dict[str, int], known: list[str]
 ) -> None:
     state = GatewayState(is_paused, ejected, reinstated, tuple(known))
@@ -32,12 +32,12 @@
 
 
 @given(st.text())
-def test_a_text_that_is_no_state_is_an_error(text: str) -> None:
+def test_an_arbitrary_text_is_an_error(text: str) -> None:
     with pytest.raises(StateError):
         decode_state(text)
 
 
-GOOD = json.loads(encode_state(GatewayState(ejected_at_us={"a": 1})))
+VALID_STATE = json.loads(encode_state(GatewayState(ejected_at_us={"a": 1})))
 
 
 @pytest.mark.parametrize(
@@ -52,54 +52,54 @@
         ({"once": [1]}, "once: expected"),
     ],
 )
-def test_a_state_that_cannot_be_used_names_what_was_expected(change: dict[str, object], reason: str) -> None:
+def test_the_error_of_an_invalid_state_names_the_expected_value(change: dict[str, object], reason: str) -> None:
     with pytest.raises(StateError, match=reason):
-        decode_state(json.dumps(GOOD | change))
+        decode_state(json.dumps(VALID_STATE | change))
 
 
-def test_an_error_of_the_state_carries_key_and_expected() -> None:
+def test_a_state_error_has_key_and_expected_value() -> None:
     with pytest.raises(StateError) as caught:
-        decode_state(json.dumps(GOOD | {"v": 2}))
+        decode_state(json.dumps(VALID_STATE | {"v": 2}))
     assert str(caught.value) == "v: expected 1, found 2"
     assert (caught.value.key, caught.value.expected) == ("v", "1")
 
 
 @given(st.integers(0, len(encode_state(GatewayState(ejected_at_us={"a": 1}))) - 1))
-def test_a_text_that_was_cut_off_is_not_used(size: int) -> None:
+def test_a_truncated_state_is_an_error(size: int) -> None:
     with pytest.raises(StateError):
         decode_state(encode_state(GatewayState(ejected_at_us={"a": 1}))[:size])
 
 
-def test_two_writers_lose_nothing(tmp_path: Path) -> None:
-    one, two = SharedFolder(tmp_path / "s"), SharedFolder(tmp_path / "s")
-    one.open()
-    two.open()
+def test_two_writers_lose_no_changes(tmp_path: Path) -> None:
+    first, second = SharedFolder(tmp_path / "s"), SharedFolder(tmp_path / "s")
+    first.open()
+    second.open()
     for number in range(50):
-        writer, name = (one, two)[number % 2], f"s-{number}"
+        writer, name = (first, second)[number % 2], f"s-{number}"
         writer.state_file.update(lambda state, name=name: state.eject(1, name), GatewayState())  # type: ignore[misc]
-    assert set(one.state_file.read().ejected_at_us) == {f"s-{number}" for number in range(50)}  # type: ignore[union-attr]
-    one.close()
-    two.close()
-
-
-def test_the_other_ones_change_is_seen_once_and_the_own_never(tmp_path: Path) -> None:
-    one, two = SharedFolder(tmp_path), SharedFolder(tmp_path)
-    one.open()
-    two.open()
-    one.state_file.update(lambda state: state.eject(1, "a"), GatewayState())
-    assert one.state_file.read_if_changed() is None
-    seen = two.state_file.read_if_changed()
-    assert seen is not None and seen.ejected_at_us == {"a": 1}
-    assert two.state_file.read_if_changed() is None
-    one.close()
-    two.close()
-
-
-@pytest.mark.parametrize("left", [b"", b"{", b"\xff\xfe", b'{"v": 9}', b"[1]"])
-def test_a_corrupt_state_file_is_as_none_and_is_written_anew(
-    tmp_path: Path, left: bytes, capsys: pytest.CaptureFixture[str]
+    assert set(first.state_file.read().ejected_at_us) == {f"s-{number}" for number in range(50)}  # type: ignore[union-attr]
+    first.close()
+    second.close()
+
+
+def test_a_change_is_read_once_by_another_process_and_never_by_its_writer(tmp_path: Path) -> None:
+    first, second = SharedFolder(tmp_path), SharedFolder(tmp_path)
+    first.open()
+    second.open()
+    first.state_file.update(lambda state: state.eject(1, "a"), GatewayState())
+    assert first.state_file.read_if_changed() is None
+    state = second.state_file.read_if_changed()
+    assert state is not None and state.ejected_at_us == {"a": 1}
+    assert second.state_file.read_if_changed() is None
+    first.close()
+    second.close()
+
+
+@pytest.mark.parametrize("content", [b"", b"{", b"\xff\xfe", b'{"v": 9}', b"[1]"])
+def test_a_corrupt_state_file_is_treated_as_missing_and_replaced(
+    tmp_path: Path, content: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (tmp_path / "state.json").write_bytes(left)
+    (tmp_path / "state.json").write_bytes(content)
     files = SharedFolder(tmp_path)
     assert files.open() == GatewayState()
     assert str(tmp_path / "state.json") in capsys.readouterr().err
@@ -108,7 +108,7 @@
     files.close()
 
 
-def test_a_folder_that_cannot_be_made_is_one_line_and_commands_still_count(
+def test_an_unusable_folder_is_logged_in_one_line_and_changes_still_apply(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "file").write_text("")
@@ -121,7 +121,7 @@
     files.close()
 
 
-def test_live_processes_are_found_and_ended_ones_are_not(tmp_path: Path) -> None:
+def test_running_processes_are_found_and_ended_ones_are_not(tmp_path: Path) -> None:
     old, new = SharedFolder(tmp_path), SharedFolder(tmp_path)
     old.open()
     assert old.process_files.find_others().count == 0
@@ -138,7 +138,7 @@
     killed, files = SharedFolder(tmp_path), SharedFolder(tmp_path)
     killed.open()
     killed.process_files.announce(ProcessStage.SERVING)
-    os.close(killed.process_files.fd)  # what the kernel does
+    os.close(killed.process_files.fd)  # as the kernel does when a process is killed
     files.open()
     assert files.process_files.find_others().count == 0
     assert [name for name in os.listdir(tmp_path) if name.endswith(".serves")] == []
--- a/tests/cli/load.py
+++ b/tests/cli/load.py
@@ -1,4 +1,4 @@
-"""Clients that send requests one after another while processes of a gateway come and go."""
+"""Clients that send requests in sequence while processes of a gateway start and end."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass
 class Load:
-    """So many clients at one port, half of which keep their connections, until `is_over`.
+    """CLIENTS concurrent clients of one port, until `is_over` returns true; half of them keep their connections.
 
-    A connection that ends between requests may have crossed one: that is sent once more, on a new one.
-    `is_served` checks an answer, and tells whether it counts as served.
+    The gateway may close a kept connection just as a request is sent: such a request is retried once on a new one.
+    `is_served` asserts that an answer is valid and returns whether it counts as served.
     """
 
     port: int
@@ -28,7 +28,7 @@
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start all clients."""
         clients = (self._run_client(number, number % 2 == 0) for number in range(CLIENTS))
         self._tasks = [asyncio.create_task(client) for client in clients]
 
@@ -51,7 +51,7 @@
             client.close()
 
     async def _send(self, client: Client | None, data: bytes) -> tuple[Client | None, Message | None]:
-        """Return the connection that is open afterwards, and the answer; None where the request is lost."""
+        """Return the open connection and the answer; (None, None) if the request is lost."""
         if client is not None:
             try:
                 return client, await client.ask(data)
--- a/tests/cli/process.py
+++ b/tests/cli/process.py
@@ -1,4 +1,4 @@
-"""The real program as a process of its own, for tests of it: start, readiness, and a client's connection."""
+"""Helpers for tests that run the gateway as a separate process: start, readiness, client connections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def start(environment: dict[str, str], stderr: int = asyncio.subprocess.PIPE) -> asyncio.subprocess.Process:
-    """Start the program."""
+    """Start the gateway process."""
     return await asyncio.create_subprocess_exec(
         *sockets.PROGRAM,
         cwd=ROOT,
@@ -30,7 +30,7 @@
 
 
 def free_port() -> int:
-    """Return a port of the loopback address that nothing listens on."""
+    """Return an unused port of the loopback address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -42,7 +42,7 @@
 async def program(
     folder: Path, config: dict[str, Any], stderr: int = asyncio.subprocess.PIPE, **environment: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """Yield the program, once it is ready, and its port."""
+    """Yield the gateway process, once it is ready, and its port."""
     port = free_port()
     file = folder / "config.json"
     file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
@@ -59,12 +59,12 @@
 
 
 async def connect(port: int) -> Client:
-    """Return a client's connection to this port."""
+    """Open a client connection to this port."""
     return Client(*await asyncio.open_connection("127.0.0.1", port))
 
 
 async def ask(port: int, data: bytes) -> int:
-    """Return the status of the answer to one request; 0 where nobody accepts the connection."""
+    """Send one request on a new connection; return the HTTP status, or 0 if the connection fails."""
     try:
         client = await connect(port)
         status = (await client.ask(data)).status
--- a/tests/cli/test_gateway_process.py
+++ b/tests/cli/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process: start, configuration, signals, exit."""
+"""The gateway as a process: startup, configuration, signals, exit."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @on_loop
-async def test_it_serves_and_ends_with_0(tmp_path: Path) -> None:
+async def test_the_gateway_serves_and_exits_with_0(tmp_path: Path) -> None:
     async with peer() as host, program(tmp_path, configuration(host)) as (process, port):
         assert await ask(port, request("transfer", b"x")) == 200
         process.send_signal(signal.SIGTERM)
@@ -44,14 +44,14 @@
         busy.send(request("transfer", b"held"))
         await until(lambda: host.seen)
         process.send_signal(signal.SIGTERM)
-        while (status := await ask(port, READY)) == 200:  # until the signal has come
+        while (status := await ask(port, READY)) == 200:  # until the signal is handled
             await asyncio.sleep(0.01)
         assert status == 503
-        process.send_signal(signal.SIGTERM)  # a second one changes nothing
+        process.send_signal(signal.SIGTERM)  # a second signal changes nothing
         late = await connect(port)
         late.send(request("transfer", b"late"))
         await until(lambda: len(host.seen) == 2)
-        assert await idle.reader.read() == b""  # idle ones are closed, and answers end their connections
+        assert await idle.reader.read() == b""  # idle connections are closed; others close after their response
         for exchange in host.seen:
             exchange.answer(reply(200, exchange.message.body))
         for client, body in ((busy, b"held"), (late, b"late")):
@@ -86,20 +86,20 @@
         client = await connect(port)
         client.send(request("transfer", budget_ms=8_000))
         await until(lambda: host.seen)
-        begun_s = time.monotonic()
+        began_s = time.monotonic()
         process.send_signal(signal.SIGTERM)
-        # It may have run: no promise, but an answer, and before the kill that may come 3.7 s after the signal.
+        # The request may have run, so the response is an error; it must precede a kill 3.7 s after the signal.
         assert (await client.answer()).status == 502
         _, errors = await process.communicate()
         assert process.returncode == 0 and b"unanswered" not in errors
-        assert time.monotonic() - begun_s < 3.7
+        assert time.monotonic() - began_s < 3.7
         client.close()
 
 
 @on_loop
-async def test_a_signal_during_the_start_ends_it_with_0(tmp_path: Path) -> None:
+async def test_a_termination_signal_during_startup_exits_with_0(tmp_path: Path) -> None:
     pipe = tmp_path / "config.json"
-    os.mkfifo(pipe)  # the program waits here for its configuration
+    os.mkfifo(pipe)  # the process blocks while it reads its configuration
     process = await start({"LB_CONFIG": str(pipe)})
     end = await asyncio.get_running_loop().run_in_executor(None, os.open, pipe, os.O_WRONLY)
     process.send_signal(signal.SIGTERM)
@@ -107,7 +107,7 @@
     os.close(end)
 
 
-BAD: list[tuple[str | None, str]] = [
+INVALID_CONFIGURATIONS: list[tuple[str | None, str]] = [
     (None, "No such file"),
     ("", "not JSON"),
     ("[]", "not an object"),
@@ -123,10 +123,10 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "why"), BAD)
+@pytest.mark.parametrize(("text", "reason"), INVALID_CONFIGURATIONS)
 @on_loop
-async def test_a_configuration_that_cannot_be_used_is_one_line_and_2(
-    tmp_path: Path, text: str | None, why: str
+async def test_an_invalid_configuration_prints_one_line_and_exits_with_2(
+    tmp_path: Path, text: str | None, reason: str
 ) -> None:
     file = tmp_path / "config.json"
     if text is not None:
@@ -134,18 +134,18 @@
     process = await start({"LB_CONFIG": str(file)})
     output, errors = await process.communicate()
     assert process.returncode == 2 and not output
-    assert errors.count(b"\n") == 1 and why in errors.decode()
+    assert errors.count(b"\n") == 1 and reason in errors.decode()
 
 
 @on_loop
-async def test_no_configuration_is_one_line_and_2() -> None:
+async def test_a_missing_configuration_prints_one_line_and_exits_with_2() -> None:
     process = await start({"LB_CONFIG": ""})
     _, errors = await process.communicate()
     assert process.returncode == 2 and errors == b"cloverkeel: LB_CONFIG is not set\n"
 
 
 @on_loop
-async def test_an_address_in_use_is_one_line(tmp_path: Path) -> None:
+async def test_an_address_in_use_prints_one_line_and_exits_with_1(tmp_path: Path) -> None:
     async with peer() as host:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(host) | {"listen": host.address}))
@@ -157,7 +157,7 @@
 
 @on_loop
 async def test_no_request_is_lost_at_a_restart_under_load(tmp_path: Path) -> None:
-    """Clients keep sending, and connect anew, for as long as the front lets them after the signal."""
+    """Clients keep sending and reconnecting for 0.4 s after the signal."""
 
     async def answer_slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP with the real program: discovery moves, and nothing else is disturbed."""
+"""SIGHUP to the gateway process: discovery switches to the new address, and requests are not disturbed."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 def replace(folder: Path, **changes: Any) -> None:
-    """As the platform does it: the new file takes the old one's place at once."""
+    """Replace the configuration file atomically, as the platform does."""
     file, new = folder / "config.json", folder / "new.json"
     new.write_text(json.dumps(json.loads(file.read_text()) | changes))
     os.replace(new, file)
 
 
 def lists_once(*endpoints: dict[str, object]) -> Any:
-    """Answer the call for the whole list; a watch hears nothing."""
+    """Answer requests for the whole list; leave a watch unanswered."""
 
     def script(exchange: Exchange) -> None:
         if "from=" not in exchange.message.first:
@@ -45,12 +45,12 @@
     return script
 
 
-def asked(registry: Peer) -> list[str]:
+def requested_targets(registry: Peer) -> list[str]:
     return [exchange.message.first.split(" ")[1] for exchange in registry.seen]
 
 
 @on_loop
-async def test_discovery_moves_at_once_while_requests_go_on(tmp_path: Path) -> None:
+async def test_a_reload_switches_discovery_immediately_while_requests_continue(tmp_path: Path) -> None:
     async with (
         peer(silent) as old_host,
         peer() as new_host,
@@ -65,25 +65,25 @@
         replace(tmp_path, discovery=new.address)
         process.send_signal(signal.SIGHUP)
         await until(lambda: len(new.seen) == 2)
-        # The whole list, then a watch from its version, on one connection; the old one is let go.
-        assert asked(new) == ["/registry/instances", "/registry/instances?from=3&hold_ms=1000"]
+        # The whole list, then a watch from its version, on one connection; the old connection is closed.
+        assert requested_targets(new) == ["/registry/instances", "/registry/instances?from=3&hold_ms=1000"]
         await until(lambda: old.ended == old.opened)
         old_host.seen[0].answer(reply(200, b"held"))
         assert (await client.answer()).body == b"held"
         assert (await client.ask(request("transfer"))).status == 200
         assert len(new_host.seen) == 1 and len(old_host.seen) == 1
-        # And back, with a second signal while the first is looked at.
+        # Switch back, with a second signal while the first reload is running.
         replace(tmp_path, discovery=old.address)
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGHUP)
         await until(lambda: len(old.seen) == 2)
-        assert asked(old)[-1] == "/registry/instances"
+        assert requested_targets(old)[-1] == "/registry/instances"
         client.close()
 
 
 @on_loop
-async def test_a_poll_under_way_is_cancelled_and_no_host_is_dropped(tmp_path: Path) -> None:
-    """SIGHUP comes while a call is under way; it is called off, and calls at the new address fail."""
+async def test_a_reload_cancels_a_poll_in_progress_and_keeps_known_hosts(tmp_path: Path) -> None:
+    """SIGHUP arrives during a poll: the poll is cancelled, and polls of the new address fail."""
     async with (
         peer() as host,
         peer(silent) as old,
@@ -93,15 +93,15 @@
         await until(lambda: old.seen)
         replace(tmp_path, discovery=new.address)
         process.send_signal(signal.SIGHUP)
-        await until(lambda: len(new.seen) >= 2)  # a failed call is made again
+        await until(lambda: len(new.seen) >= 2)  # a failed poll is retried
         await until(lambda: old.ended)
-        assert await ask(port, request("transfer")) == 200  # the list that was known stands
+        assert await ask(port, request("transfer")) == 200  # the known endpoint list stays in use
         new.script = silent
 
 
 @pytest.mark.parametrize("text", ["", "{}", '{"discovery":"127.0.0.1:1"}', None])
 @on_loop
-async def test_a_file_that_cannot_be_used_changes_nothing(tmp_path: Path, text: str | None) -> None:
+async def test_an_invalid_file_changes_nothing(tmp_path: Path, text: str | None) -> None:
     async with (
         peer() as host,
         peer(silent) as registry,
@@ -115,28 +115,28 @@
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         line = await process.stderr.readline()
-        assert b"decisions=" in line  # which build runs
+        assert b"decisions=" in line  # startup line that names the build
         line = await process.stderr.readline()
         assert b"all stays as it is" in line
         assert await ask(port, request("transfer")) == 200
         assert registry.ended == 0
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
-        said = [line for line in errors.splitlines() if b"tally" not in line]
-        assert process.returncode == 0 and len(said) == 1  # the line of the end
+        lines = [line for line in errors.splitlines() if b"tally" not in line]
+        assert process.returncode == 0 and len(lines) == 1  # the shutdown line
 
 
 @on_loop
-async def test_other_relays_and_services_are_polled_while_requests_go_on(tmp_path: Path) -> None:
-    """A file that cannot be used leaves all as it is; one that can has its relays asked, and the list stands."""
+async def test_a_reload_switches_relays_and_services_while_requests_continue(tmp_path: Path) -> None:
+    """An invalid file changes nothing; a valid one switches polling to its relays, and the endpoint list is kept."""
     file = tmp_path / "options.toml"
 
-    def says(*relays: Peer, services: str = "s1") -> str:
+    def options_text(*relays: Peer, services: str = "s1") -> str:
         return f"[relays]\naddresses = {json.dumps([r.address for r in relays])}\nservices = ['{services}']\n"
 
     async with peer() as host, peer() as first, peer() as second, peer(silent) as discovery:
         first.script = second.script = holding(relay_list(3, endpoint("s-9", host.address, service="s1")))
-        file.write_text(says(first))
+        file.write_text(options_text(first))
         config = configuration(host, discovery=discovery.address)
         async with program(tmp_path, config, CLOVERKEEL_OPTIONS=str(file)) as (process, port):
             await until(lambda: len(first.seen) >= 2)
@@ -146,19 +146,19 @@
             while b"all stays as it is" not in (line := await process.stderr.readline()):
                 assert line
             assert first.opened == 1 and first.ended == 0
-            file.write_text(says(second, services="s2"))
+            file.write_text(options_text(second, services="s2"))
             process.send_signal(signal.SIGHUP)
             await until(lambda: first.ended and len(second.seen) >= 2)
-            assert all("services=s2" in target and "from=" not in target for target in asked(second)[:1])
+            assert all("services=s2" in target and "from=" not in target for target in requested_targets(second)[:1])
             assert await ask(port, request("search")) == 200
             before = first.opened
-            process.send_signal(signal.SIGHUP)  # as before: nothing is asked anew
+            process.send_signal(signal.SIGHUP)  # unchanged file: polling continues on the same connection
             await until(lambda: len(second.seen) >= 4)
             assert second.opened == 1 and first.opened == before and not discovery.opened
 
 
 @on_loop
-async def test_a_reload_during_shutdown_is_carried_out(tmp_path: Path) -> None:
+async def test_a_reload_during_shutdown_is_executed(tmp_path: Path) -> None:
     async with (
         peer(silent) as host,
         peer(silent) as old,
@@ -179,9 +179,9 @@
 
 
 @on_loop
-async def test_a_signal_while_the_file_is_first_read_is_kept(tmp_path: Path) -> None:
+async def test_a_sighup_during_the_first_read_of_the_file_is_not_lost(tmp_path: Path) -> None:
     pipe = tmp_path / "config.json"
-    os.mkfifo(pipe)  # the program waits here for its configuration
+    os.mkfifo(pipe)  # the process blocks while it reads its configuration
     async with peer() as host, peer(silent) as old, peer(silent) as new:
         process = await start({"LB_CONFIG": str(pipe)})
         loop = asyncio.get_running_loop()
--- a/tests/golden/admin.py
+++ b/tests/golden/admin.py
@@ -1,4 +1,4 @@
-"""Samples of what cloverkeel.admin answers to admin lines and leaves on disk for a later process."""
+"""Samples of the answers and the stored files of cloverkeel.admin."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class _RecordingTransport(asyncio.Transport):
-    """Keep what is written to a connection."""
+    """Transport that records the written bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -75,8 +75,8 @@
         return self.is_closed
 
 
-class _TakesClients:
-    """Say in place of a server without a socket whether it takes clients."""
+class _AcceptsClients:
+    """Replace `Server.accepts_clients` by a settable value, since the server has no socket here."""
 
     def __init__(self) -> None:
         self.value = False
@@ -90,13 +90,13 @@
 
 @contextmanager
 def _folder() -> Iterator[Path]:
-    """Make a folder for temporary files, named by TMPDIR."""
+    """Make a temporary folder and set TMPDIR to it."""
     with tempfile.TemporaryDirectory() as name, mock.patch.dict("os.environ", {"TMPDIR": name}):
         yield Path(name)
 
 
-def _dialogue(is_ending: bool) -> bytes:
-    """Return each line and its answer, as a connection gives it."""
+def _dialogue(is_shutting_down: bool) -> bytes:
+    """Return each command line and its answer as sent on a connection."""
 
     async def run() -> bytes:
         raw = configuration("127.0.0.1:9") | {"ops": "127.0.0.1:0"}
@@ -104,15 +104,15 @@
         program = assemble(config)
         assert isinstance(program.discovery, EjectionFilter)
         program.discovery.load_known(raw["known"])
-        takes_clients = _TakesClients()
-        with mock.patch.object(Server, "accepts_clients", takes_clients):
+        accepts_clients = _AcceptsClients()
+        with mock.patch.object(Server, "accepts_clients", accepts_clients):
             coordinator = ProcessCoordinator(shared_folder_path(config), program.server, program.discovery)
-            handler = CommandHandler(coordinator, [_extra])
+            handler = CommandHandler(coordinator, [_handle_extension])
             coordinator.start()
             try:
                 exchanged = [_exchange(handler, b"STATUS")]
-                takes_clients.value = True
-                coordinator.is_shutting_down = is_ending
+                accepts_clients.value = True
+                coordinator.is_shutting_down = is_shutting_down
                 exchanged += [_exchange(handler, line) for line in DIALOGUE]
             finally:
                 coordinator.close()
@@ -124,8 +124,8 @@
         return asyncio.run(run())
 
 
-def _extra(line: bytes) -> tuple[bool, str] | None:
-    """Answer as another package does, in words that are no line."""
+def _handle_extension(line: bytes) -> tuple[bool, str] | None:
+    """Handle a command of another package, with an answer text that does not fit on one line."""
     return (True, "one\nline\x00") if line == b"PART twelve" else None
 
 
@@ -139,7 +139,7 @@
     return b"> %s\n< %s" % (line.replace(b"\xff", b"\\xff"), transport.written)
 
 
-def _opened(use: Callable[[SharedFolder], bytes]) -> bytes:
+def _with_open_folder(use: Callable[[SharedFolder], bytes]) -> bytes:
     with tempfile.TemporaryDirectory() as name:
         folder = SharedFolder(Path(name))
         with mock.patch("time.time_ns", return_value=NOW_US * 1_000), mock.patch("os.getpid", return_value=4_711):
@@ -150,17 +150,17 @@
             folder.close()
 
 
-def _written(state: GatewayState) -> bytes:
-    """Return the state file as a change leaves it."""
+def _state_file_bytes(state: GatewayState) -> bytes:
+    """Return the content of the state file after an update."""
 
     def use(folder: SharedFolder) -> bytes:
         folder.state_file.update(lambda _: state, GatewayState())
         return folder.state_file.path.read_bytes()
 
-    return _opened(use)
+    return _with_open_folder(use)
 
 
-def _read_file(data: bytes) -> GatewayState | None:
+def _read_state_file(data: bytes) -> GatewayState | None:
     with tempfile.TemporaryDirectory() as name:
         folder = SharedFolder(Path(name))
         folder.state_file.path.write_bytes(data)
@@ -179,7 +179,7 @@
         stages.append(_names(folder))
         return "\n".join(stages).encode()
 
-    return _opened(use)
+    return _with_open_folder(use)
 
 
 def _names(folder: SharedFolder) -> str:
@@ -193,7 +193,7 @@
 
 
 def _state_file(state: GatewayState) -> Sample:
-    return Sample(lambda: _written(state), _read_file, state)
+    return Sample(lambda: _state_file_bytes(state), _read_state_file, state)
 
 
 def _line(line: bytes, request: AdminRequest) -> Sample:
@@ -201,7 +201,7 @@
 
 
 def _changed_state() -> bytes:
-    """Return the text of the state after calls for two hosts, one of them put back."""
+    """Return the text of the state after two hosts were ejected and one of them reinstated."""
     state = GatewayState().eject(5, "a").eject(6, "b").eject(7, "a").reinstate(8, "a").reinstate(9, "c")
     return encode_state(state.with_paused(True)).encode()
 
@@ -220,8 +220,8 @@
     },
     "ops_lines": {name: _line(line, request) for name, (line, request) in REQUESTS.items()},
     "ops_answers": {
-        "dialogue": Sample(lambda: _dialogue(is_ending=False)),
-        "dialogue_of_one_that_ends": Sample(lambda: _dialogue(is_ending=True)),
+        "dialogue": Sample(lambda: _dialogue(is_shutting_down=False)),
+        "dialogue_of_one_that_ends": Sample(lambda: _dialogue(is_shutting_down=True)),
         "yes": Sample(lambda: encode_answer(AdminAnswer(True, "fine"))),
         "no_without_words": Sample(lambda: encode_answer(AdminAnswer(False, ""))),
     },
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -1,4 +1,4 @@
-"""Run the commands that ask gateways, against scripted answers in place of connections."""
+"""Run commands that query gateways, with scripted answers instead of connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ScriptedGateways:
-    """Stand in for the call of a line at an admin address; keep the lines that were sent."""
+    """Replacement for calls to admin addresses; records the sent lines."""
 
     def __init__(self, answers_by_line: AnswersByLine) -> None:
         self.answers_by_line = {line: iter(answers) for line, answers in answers_by_line.items()}
@@ -29,7 +29,7 @@
 
 @contextlib.contextmanager
 def replaced(targets: Sequence[str], replacement: object) -> Iterator[None]:
-    """Replace every name, given in full, by one object."""
+    """Replace each target (full dotted name) by `replacement`."""
     with contextlib.ExitStack() as stack:
         for target in targets:
             stack.enter_context(mock.patch(target, replacement))
