--- a/benchmarks/guards/table/discovery.py
+++ b/benchmarks/guards/table/discovery.py
@@ -6,7 +6,7 @@
 
 ROWS = (
     row("ban", "an ejected host gets no new requests", "ManualEjections._overlay", "staff", "drain", seeds=(1,),
-        tests="admin/operations::an_ejected_host_gets_nothing_and_one_reinstatement_brings_it_back "
+        tests="admin/operations::an_ejected_host_gets_no_requests_until_one_reinstatement "
               "discovery/manual_ejections::an_ejection_only_restricts_and_ends_with_one_call"),
     row("ban-cold", "a reinstated host warms up", "ManualEjections.reinstate",
         tests="discovery/manual_ejections::a_host_reinstated_before_its_restart_is_reported_warms_up"),
@@ -28,7 +28,7 @@
     row("list-rests", "immediate empty replies do not cause a poll loop", "PollingClient._poll_once",
         tests="core/crossings::immediate_empty_replies_to_a_watch_do_not_cause_a_poll_loop"),
     row("list-moves", "a reload changes the registry's address", "PollingClient.move",
-        tests="cli/reload::discovery_moves_at_once_while_requests_go_on"),
+        tests="cli/reload::a_reload_switches_discovery_immediately_while_requests_continue"),
     row("lost-tells-nothing", "the loss of the session does not change the list", "SourceMerge.on_connection_state",
         tests="discovery/zookeeper_source::the_list_is_kept_after_the_gateways_own_session_expired"),
     row("state-kept", "a removed backend stays removed through a restart", "snapshot_file.load_snapshot",
