--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -169,9 +169,8 @@
         assert (await process.call(b"PAUSE")).startswith("ACK")
         assert await ask(processes.port, READY) == 503
         assert (await process.call(b"STATUS")).startswith("NAK paused")
-        fresh.send(
-            request("transfer", b"still")
-        )  # a load balancer in front still sends clients until it sees the failing readiness check
+        # A load balancer in front still sends clients until it sees the failing readiness check.
+        fresh.send(request("transfer", b"still"))
         await until(lambda: len(host.seen) == 2)
         for exchange in host.seen:
             exchange.answer(reply(200, exchange.message.body))
