--- a/benchmarks/differential.py
+++ b/benchmarks/differential.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 import cloverkeel.balancing
-from cloverkeel.compiled.loader import PLAIN
+from cloverkeel.compiled.loader import PLAIN_VARIABLE
 
 from benchmarks.checkout_differential import CheckoutError, compare_checkouts, open_checkout
 from benchmarks.streams import Stream, digest
@@ -60,7 +60,7 @@
 def start(seeds: Sequence[int], events: int, side: Side, whole: bool = False) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "benchmarks.differential", "--events", str(events), "--child"]
     command += ["--seeds", f"{seeds[0]}-{seeds[-1]}"] + ["--whole"] * whole
-    environment = os.environ | {PLAIN: "1" if side.plain else "0"}
+    environment = os.environ | {PLAIN_VARIABLE: "1" if side.plain else "0"}
     return subprocess.Popen(command, cwd=ROOT, env=environment, stdout=subprocess.PIPE, text=True)
 
 
--- a/benchmarks/guards/table/discovery.py
+++ b/benchmarks/guards/table/discovery.py
@@ -28,7 +28,7 @@
     row("list-rests", "who answers at once with nothing is not asked without end", "PollingClient._poll_once",
         tests="core/crossings::immediate_empty_replies_to_a_watch_do_not_cause_a_poll_loop"),
     row("list-moves", "a registry that moves is followed", "PollingClient.move",
-        tests="cli/reload::discovery_moves_at_once_while_requests_go_on"),
+        tests="cli/reload::a_reload_switches_discovery_immediately_while_requests_continue"),
     row("lost-tells-nothing", "a session that is lost tells nothing", "SourceMerge.on_connection_state",
         tests="discovery/zookeeper_source::the_gateways_own_session_expires_and_the_list_stands_until_it_is_read_again"),
     row("state-kept", "a box told gone stays gone through a restart", "snapshot_file.load_snapshot",
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from cloverkeel.compiled.loader import PLAIN
+from cloverkeel.compiled.loader import PLAIN_VARIABLE
 from standins.parties.fleet import Fleet, Gateway
 from standins.event_log import EventLog, ResourceUsage
 from standins.parties.mesh import free_udp, own_host
@@ -173,7 +173,7 @@
         pinned = ("taskset", "-c", str(cores[-1 - number])) if len(cores) > 4 else ()
         gateway = Gateway(name, 0, folder, lambda: {}, ledger, command=(*pinned, *command))
         if name == "plain":
-            gateway.environment = {PLAIN: "1"}
+            gateway.environment = {PLAIN_VARIABLE: "1"}
         if name == "ephemeral":
             gateway.environment = {"CLOVERKEEL_OPTIONS": str(folder / "o.toml")}
         peers: dict[str, Any] = {}
