--- a/benchmarks/guards/table/discovery.py
+++ b/benchmarks/guards/table/discovery.py
@@ -6,7 +6,7 @@
 
 ROWS = (
     row("ban", "nothing new to a host out by hand", "ManualEjections._overlay", "staff", "drain", seeds=(1,),
-        tests="admin/operations::an_ejected_host_gets_nothing_and_one_reinstatement_brings_it_back "
+        tests="admin/operations::an_ejected_host_gets_no_requests_until_one_reinstatement "
               "discovery/manual_ejections::an_ejection_only_restricts_and_ends_with_one_call"),
     row("ban-cold", "a host that is put back is cold", "ManualEjections.reinstate",
         tests="discovery/manual_ejections::a_host_reinstated_before_its_restart_is_told_warms_up"),
