--- a/tests/golden/test_coverage.py
+++ b/tests/golden/test_coverage.py
@@ -20,8 +20,8 @@
 }
 FULL_SAMPLES: dict[str, Any] = {
     "box": discovery.FULL_MEMBER,
-    "relay poll request": control_plane.FULL_CALL,
-    "relay subscriber": control_plane.FULL_CALL.subscriber,
+    "relay poll request": control_plane.FULL_REQUEST,
+    "relay subscriber": control_plane.FULL_REQUEST.subscriber,
     "simulator load report": simulator.LOAD,
     "simulator request class": simulator.SETTINGS.classes[1],
     "simulator settings": simulator.SETTINGS,
