--- a/benchmarks/capacity/run_world.py
+++ b/benchmarks/capacity/run_world.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity.run_sizes import Size, racks, start_s, subset_hosts
 from cloverkeel.core.options import MAX_SERVICES
 from standins.parties.fleet import Gateway
-from standins.parties.network import Address, reserve
+from standins.parties.network import Address, reserve_port
 from standins.site import BoxKind, Rules, configuration, settings
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 
     def __init__(self, number: int, region: str, folder: Path, discovery: Address) -> None:
         self.name, self.region = f"relay-{number}", region
-        self.held = reserve()
+        self.held = reserve_port()
         self.address: Address = ("127.0.0.1", self.held.getsockname()[1])
         self.file, self.log = folder / f"{self.name}.toml", (folder / f"{self.name}.log").open("ab")
         self.file.write_text(
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -39,8 +39,8 @@
 from cloverkeel.leases.process import ProcessId
 from cloverkeel.leases.slow_start_quotas import SlowStartBudgets
 from standins.event_log import now_us
-from standins.parties.network import Conditions
-from standins.parties.zookeeper.threaded import Threaded
+from standins.parties.network import LinkConditions
+from standins.parties.zookeeper.threaded import ThreadedEnsemble
 from tests.fleet.ground import Ground, ground
 
 LEASE_MS = 600
@@ -92,14 +92,14 @@
     elif kind == "lossy":
         fleet.note("lossy")
         fleet.mesh.trouble(
-            Conditions(
-                jitter_us=dice.randrange(100_000), loss=dice.choice((0.05, 0.3)), double=0.2, late=0.1,
-                late_us=dice.randrange(5_000_000), short=0.02, spoilt=0.02,
+            LinkConditions(
+                jitter_us=dice.randrange(100_000), loss=dice.choice((0.05, 0.3)), duplicate=0.2, delayed=0.1,
+                extra_delay_us=dice.randrange(5_000_000), truncated=0.02, corrupted=0.02,
             )
         )  # fmt: skip
         await asyncio.sleep(dice.uniform(0.3, 2.0))
         if dice.random() < 0.5:
-            fleet.mesh.trouble(Conditions())
+            fleet.mesh.trouble(LinkConditions())
     elif kind in SERVICE:
         await service_fault(fleet, dice, kind)
     else:
@@ -120,16 +120,16 @@
             if kind == "expire":
                 ensemble.expire(session)
             elif kind == "sever":
-                ensemble.sever(session, dice.choice(("reset", "in", "out", "both")))
+                ensemble.disrupt_session(session, dice.choice(("reset", "in", "out", "both")))
             else:
-                ensemble.sessions[session].lose_reply = True
+                ensemble.sessions[session].lose_next_reply = True
 
     if kind == "no-leader":
         await run(None, keeper.call, lambda: ensemble.lose_leader(dice.uniform(0.2, 2.0)))
     elif kind == "service-down":
         await run(None, keeper.call, ensemble.stop)
         await asyncio.sleep(dice.uniform(0.2, 2.0))
-        await run(None, keeper.call, ensemble.come_back)
+        await run(None, keeper.call, ensemble.restart)
     else:
         if kind == "expire":
             fleet.expiries.append(now_us())
@@ -143,7 +143,7 @@
     dice = random.Random(f"duties/{seed}")
     count, played = dice.randint(5, 9), Played(seed)
     voters = dice.choice((3, 5))
-    keeper = Threaded(servers=3, timeouts_ms=(200, 40_000)) if store == "ephemeral" else None
+    keeper = ThreadedEnsemble(servers=3, timeouts_ms=(200, 40_000)) if store == "ephemeral" else None
     kinds = KINDS + SERVICE if keeper is not None else KINDS
     async with ground(
         folder, count=count, voters=voters, lease_ms=LEASE_MS, begin=False, keeper=keeper, colds=3
@@ -161,7 +161,7 @@
             played.faults.append(kind)
             await one_fault(fleet, dice, kind)
             await asyncio.sleep(dice.choice((0.0, 0.1, dice.uniform(0, 1.0))))
-        fleet.mesh.trouble(Conditions())
+        fleet.mesh.trouble(LinkConditions())
         fleet.heal()
         await fleet.ready(*range(count))
         try:
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -46,7 +46,7 @@
     def register(self, box: Box, lag_s: float | None) -> None:
         assert box.address is not None
         session = self.keeper.open_session(40_000, 0)
-        session.heard_s = float("inf")
+        session.last_heard_s = float("inf")
         data = {
             "v": 1, "name": box.name, "address": f"{box.address[0]}:{box.address[1]}", "zone": ROOMS[box.room],
             "type": self.kind.name, "group": box.shelf.group, "status": "SERVING", "since_ms": 0,
--- a/benchmarks/keeper_clients.py
+++ b/benchmarks/keeper_clients.py
@@ -134,9 +134,9 @@
 
 def measure(kind: str, boxes: int, changes: int) -> dict[str, Any]:
     from standins.parties.zookeeper.jute import Create, Delete
-    from standins.parties.zookeeper.threaded import Threaded
+    from standins.parties.zookeeper.threaded import ThreadedEnsemble
 
-    keeper = Threaded(1)
+    keeper = ThreadedEnsemble(1)
     ensemble = keeper.ensemble
 
     def put(request: Any) -> None:
--- a/benchmarks/keeper_size.py
+++ b/benchmarks/keeper_size.py
@@ -92,7 +92,7 @@
             data = encode_backend(Backend(f"s-{number}", ("127.0.0.1", 9_000 + number), zone="kita-room", since_ms=1))
             request = Create(f"{FOLDER}/s-{number}", data, flags=Mode.EPHEMERAL)
             self.keeper.commit(self.keeper.tree.prepare(request, session.id))
-            session.heard_s = float("inf")  # nobody speaks for it; it ends when it is told to
+            session.last_heard_s = float("inf")  # nobody speaks for it; it ends when it is told to
             self.registered.append(session)
 
     def expire(self) -> None:
@@ -119,7 +119,7 @@
     async def sample(self) -> None:
         while True:
             counts = self.keeper.counts
-            self.samples.append((time.monotonic(), counts.requests, counts.connects))
+            self.samples.append((time.monotonic(), counts.requests, counts.connections_opened))
             await asyncio.sleep(SAMPLE_S)
 
     def read(self, pipe: int) -> None:
@@ -172,7 +172,7 @@
     for path in (FOLDER.rpartition("/")[0], FOLDER):
         keeper.commit(keeper.tree.prepare(Create(path), 0))
     stage = Stage(keeper, options.boxes, options.sessions)
-    keeper.on_told = stage.on_told
+    keeper.on_delivery = stage.on_told
     stage.register()
     sampler = asyncio.create_task(stage.sample())
     workers = []
@@ -211,9 +211,9 @@
             keeper.end_session(session)
         stage.registered = []
         begun = time.monotonic()
-        await keeper.come_back()
+        await keeper.restart()
         await stage.until_all(f"the service returns after {options.away_s:g} s", 0, begun)
-        sent = [session.told for session in keeper.sessions.values()]
+        sent = [session.notification_count for session in keeper.sessions.values()]
         print(f"notifications to a session: {statistics.median(sent):.0f} (median), {max(sent)} at most")
     finally:
         sampler.cancel()
--- a/benchmarks/keeper_waves.py
+++ b/benchmarks/keeper_waves.py
@@ -67,7 +67,7 @@
     asked = [a.id for a in world.ledger.events_of(RequestSent) if down_us < a.at_us < back_us]
     served = {a.id for a in world.ledger.events_of(ResponseReceived) if a.status == 200}
     came = sorted(at for k in world.network.links if isinstance(k, TcpLink) and k.far.startswith("keeper")
-                  for at in k.came)  # fmt: skip
+                  for at in k.connection_times_us)  # fmt: skip
     by_second = Counter((at - down_us) // 1_000_000 for at in came if down_us < at < back_us)
     herd = Counter((at - back_us) // 1_000_000 for at in came if back_us <= at < back_us + 5_000_000)
     share = sum(id_ in served for id_ in asked) / max(1, len(asked))
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -281,7 +281,7 @@
             case "discovery":
                 await self.discovery(event)
             case "anew":
-                self.fleet.discoveries[event.who[0]].step_back(1_000_000)
+                self.fleet.discoveries[event.who[0]].roll_back_index(1_000_000)
             case "roster":
                 await self.roster(event)
             case "host":
@@ -322,12 +322,12 @@
         discovery = self.fleet.discoveries[number]
         self.fleet.begin_outage(("discovery", number))
         if event.how == "rubbish":
-            discovery.faults.garble = True
+            discovery.faults.has_garbled_lists = True
         else:
-            await discovery.set_down(event.how)
+            await discovery.set_outage_mode(event.how)
         await asyncio.sleep(event.for_ms / 1000)
-        discovery.faults.garble = False
-        await discovery.set_down("")
+        discovery.faults.has_garbled_lists = False
+        await discovery.set_outage_mode("")
         self.fleet.end_outage(("discovery", number))
 
     async def roster(self, event: Event) -> None:
--- a/standins/parties/box.py
+++ b/standins/parties/box.py
@@ -446,7 +446,7 @@
         if self.run is not None or (self.job is not None and not self.job.run.ended_us):
             return
         flow = self.flow
-        at_us = flow.sent_at(offset) if flow is not None else now_us()
+        at_us = flow.find_send_time_us(offset) if flow is not None else now_us()
         gateway = flow.link.near if flow is not None else ""
         self.run = BackendAttempt(at_us, self.box.name, self.box.incarnation, self.box.shelf.group, gateway=gateway)
 
--- a/standins/parties/fleet.py
+++ b/standins/parties/fleet.py
@@ -18,7 +18,7 @@
 from typing import IO, Any
 
 from standins.event_log import EventLog, ProcessEvent, ResourceUsage, now_us
-from standins.parties.network import Address, reserve
+from standins.parties.network import Address, reserve_port
 
 ROOT = Path(__file__).parent.parent.parent
 POLL_S = 0.02
@@ -55,7 +55,7 @@
     sockets: int = 0  # descriptors that its process may have; 0: as many as this one
     has_ops: bool = False  # it has a second address, for staff; each process one of its own
     held_ops: socket.socket | None = None
-    held: socket.socket = field(default_factory=reserve)  # its port, through restarts
+    held: socket.socket = field(default_factory=reserve_port)  # its port, through restarts
     process: subprocess.Popen[bytes] | None = None
     asked: bool = False  # a signal that ends it was sent
     exits: list[int] = field(default_factory=list)
@@ -99,7 +99,7 @@
     def launch(self) -> subprocess.Popen[bytes]:
         environment = os.environ | {"LB_CONFIG": str(self.file)} | self.environment
         if self.has_ops:
-            before, self.held_ops = self.held_ops, reserve()
+            before, self.held_ops = self.held_ops, reserve_port()
             if before is not None:
                 before.close()
             folder = self.folder / f"{self.name}.tmp"
--- a/standins/parties/mesh.py
+++ b/standins/parties/mesh.py
@@ -20,7 +20,7 @@
 
 from standins.checker.leases import ObservedAct
 from standins.event_log import now_us
-from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
+from standins.parties.network import BACK, FORWARD, Address, LinkConditions, Network, UdpLink
 
 HEAD = struct.Struct(">BBBBHIQ")
 REPORT, ACT, OLDER = 11, 12, 15
@@ -61,7 +61,7 @@
     async def open(self) -> None:
         for one, other in combinations(range(self.count), 2):
             target = self.listens[other]
-            link = self.network.udp(f"n{one}", f"n{other}", lambda target=target: target, self.listens[one])  # type: ignore[misc]
+            link = self.network.add_udp_link(f"n{one}", f"n{other}", lambda target=target: target, self.listens[one])  # type: ignore[misc]
             await link.open(self.host)
             self.links[one, other] = link
         if self.watched:
@@ -96,7 +96,7 @@
         for link in self.links.values():
             link.heal()
 
-    def trouble(self, conditions: Conditions) -> None:
+    def trouble(self, conditions: LinkConditions) -> None:
         """The same for every direction of every link."""
         for link in self.links.values():
             link.conditions = (replace(conditions), replace(conditions))
--- a/standins/parties/registry.py
+++ b/standins/parties/registry.py
@@ -1,8 +1,9 @@
-"""The registry of boxes: a list and a watch over HTTP/1.1, seconds late, and faults that are switched as it runs.
+"""Emulates the discovery registry: lists and watches over HTTP/1.1, delayed changes, and switchable faults.
 
-Each gateway has a listener of its own, since the address of a box may differ from one gateway to the next. Where many
-share one (`Bodies`), each answer is encoded once for all who ask the same, counted, and no account is kept of who was
-told what: whoever shares a listener judges by what the gateways got.
+Each gateway has a listener of its own, because the address of a backend may differ between gateways. Where many
+callers share one listener (it has a `ResponseCache`), each response is encoded once for all callers with the same
+request. The requests are counted, but no delivery is written to the event log: such a run is judged by what the
+gateways received.
 """
 
 from __future__ import annotations
@@ -19,335 +20,360 @@
 from standins.event_log import DiscoveryPoll, EndpointChanged, EventLog, NotificationDelivered, now_us
 from standins.parties.network import Address
 
-HISTORY = 512  # changes kept for watches; who asks from before them gets the whole list
-MOST_HOLD_MS = 60_000
-BODIES = 64  # encoded answers kept at once; whoever is further behind has its own made
+MAX_HISTORY_CHANGES = 512  # a watch from before the oldest kept change gets the whole list
+MAX_HOLD_MS = 60_000
+MAX_CACHED_BODIES = 64  # a caller that is further behind gets a response encoded for it alone
 
 
 @dataclass(slots=True)
 class RegistryFaults:
-    down: str = ""  # "", "503", "reset" or "silent"
-    garble: bool = False  # lists that can't be read
+    """Faults that are switched on while the registry runs."""
+
+    outage_mode: str = ""  # "" (up), "503", "reset" or "silent"
+    has_garbled_lists: bool = False  # responses with a list cannot be parsed
     lag_s: tuple[float, float] = (0.7, 3.0)
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """One box, as registered."""
+    """A registered backend."""
 
     name: str
-    room: str
+    zone: str
     kind: str
     group: int
     since_ms: int
     status: str = "SERVING"
-    service: str | None = None  # None: the field is left out
+    service: str | None = None  # None: the record has no such field
     weight: float = 1.0
 
 
 @dataclass(slots=True)
-class Counts:
-    """What went over a shared listener."""
+class ListenerCounts:
+    """Traffic of a shared listener."""
 
-    calls: int = 0
-    wholes: int = 0
-    came: int = 0  # bytes
-    sent: int = 0
+    requests: int = 0
+    full_lists: int = 0
+    received_bytes: int = 0
+    sent_bytes: int = 0
 
 
-class Bodies:
-    """Answers encoded once for all views that share the addresses: the whole list, and changes since a version."""
+class ResponseCache:
+    """Encodes each response once for all listeners with the same addresses: full lists and changes since an index."""
 
     def __init__(self, registry: Registry, address_of: Callable[[str], Address | None]) -> None:
         self.registry, self.address_of = registry, address_of
-        self.index = 0  # that `made` is for
-        self.made: dict[int | None, bytes] = {}  # by the version that is asked from; None: the whole list
-        self.texts: dict[str, tuple[int, bytes]] = {}  # of listed entries: the version of their last change, encoded
+        self.index = 0  # index of the registry for which `bodies` was encoded
+        self.bodies: dict[int | None, bytes] = {}  # by the index in the request; None: full list
+        self.encoded_entries: dict[str, tuple[int, bytes]] = {}  # by name: index of the last change, encoded record
 
-    def body(self, since: int | None) -> bytes:
-        """The answer to who has this version; None: has none."""
+    def get_body(self, since: int | None) -> bytes:
+        """Return the response body for a caller that has the list of index `since`; None: it has no list."""
         registry = self.registry
         if self.index != registry.index:
             self.index = registry.index
-            self.made.clear()
-        body = self.made.get(since)
+            self.bodies.clear()
+        body = self.bodies.get(since)
         if body is None:
-            whole, forms = registry.forms_since(since)
-            texts = [self.text(form) if whole else self.encode(form) for form in forms]
-            head = b'{"index": %d, "snapshot": %s, "endpoints": [' % (self.index, b"true" if whole else b"false")
-            body = head + b", ".join(text for text in texts if text) + b"]}"
-            if len(self.made) < BODIES:
-                self.made[since] = body
+            is_full_list, records = registry.records_since(since)
+            encoded = [
+                self.encode_listed_entry(record) if is_full_list else self.encode_entry(record) for record in records
+            ]
+            head = b'{"index": %d, "snapshot": %s, "endpoints": [' % (
+                self.index,
+                b"true" if is_full_list else b"false",
+            )
+            body = head + b", ".join(text for text in encoded if text) + b"]}"
+            if len(self.bodies) < MAX_CACHED_BODIES:
+                self.bodies[since] = body
         return body
 
-    def text(self, form: dict[str, Any]) -> bytes:
-        """Of a listed entry: encoded again only once it has changed."""
-        changed = self.registry.changed.get(form["name"], 0)
-        known = self.texts.get(form["name"])
-        if known is None or known[0] != changed:
-            known = self.texts[form["name"]] = (changed, self.encode(form))
+    def encode_listed_entry(self, record: dict[str, Any]) -> bytes:
+        """Return the encoded record of a listed entry, which is encoded anew only after a change."""
+        changed_version = self.registry.changed_versions.get(record["name"], 0)
+        known = self.encoded_entries.get(record["name"])
+        if known is None or known[0] != changed_version:
+            known = self.encoded_entries[record["name"]] = (changed_version, self.encode_entry(record))
         return known[1]
 
-    def encode(self, form: dict[str, Any]) -> bytes:
-        """b"" for one that cannot be reached from here."""
-        address = self.address_of(form["name"])
+    def encode_entry(self, record: dict[str, Any]) -> bytes:
+        """Return the encoded record, or b"" for a backend that cannot be reached from this listener."""
+        address = self.address_of(record["name"])
         if address is None:
             return b""
-        return json.dumps({"address": f"{address[0]}:{address[1]}"} | form).encode()
+        return json.dumps({"address": f"{address[0]}:{address[1]}"} | record).encode()
 
 
 @dataclass(slots=True, eq=False)
-class View:
-    """What one gateway is told, and where; with `bodies`, what many are told alike."""
+class RegistryListener:
+    """Listener of one gateway; with `response_cache`, of many callers that get the same responses."""
 
     gateway: str
-    address_of: Callable[[str], Address | None]  # of a box, as this gateway reaches it
-    may_pass: Callable[[], Awaitable[None]]  # waits while the network is cut
-    told: dict[str, str] = field(default_factory=dict)
+    address_of: Callable[[str], Address | None]  # maps a backend name to the address at which this gateway reaches it
+    wait_for_network: Callable[[], Awaitable[None]]  # returns once the network is not cut
+    delivered_statuses: dict[str, str] = field(default_factory=dict)
     servers: list[asyncio.Server] = field(default_factory=list)
-    calls: set[asyncio.Task[Any]] = field(default_factory=set)
+    connection_tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     address: Address | None = None
-    bodies: Bodies | None = None
-    counts: Counts = field(default_factory=Counts)
+    response_cache: ResponseCache | None = None
+    counts: ListenerCounts = field(default_factory=ListenerCounts)
 
 
 class Registry:
-    """`history`: how many changes are kept for watches."""
+    """Keeps the entries and the last `history` changes, and serves lists and watches of them."""
 
-    def __init__(self, ledger: EventLog, seed: int = 0, history: int = HISTORY) -> None:
-        self.ledger, self.dice = ledger, random.Random(f"{seed}/registry")
+    def __init__(self, event_log: EventLog, seed: int = 0, history: int = MAX_HISTORY_CHANGES) -> None:
+        self.event_log, self.rng = event_log, random.Random(f"{seed}/registry")
         self.faults = RegistryFaults()
         self.index = 1
         self.entries: dict[str, Entry] = {}
         self.history: deque[tuple[int, str, dict[str, Any] | None]] = deque(maxlen=history)
-        self.changed: dict[str, int] = {}  # listed entries that have changed: the version of their last change
-        self.waiting: set[asyncio.Future[None]] = set()  # watches
-        self.views: dict[str, View] = {}
+        self.changed_versions: dict[str, int] = {}  # by name: index of the last change of a listed entry
+        self.waiting_watches: set[asyncio.Future[None]] = set()
+        self.listeners: dict[str, RegistryListener] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
-    # What it knows
+    # Entries
 
-    def put(self, entry: Entry) -> None:
-        """Register at once: for the start of a play."""
+    def add_entry(self, entry: Entry) -> None:
+        """Register a backend without a change that watches would receive; used before the start of a run."""
         self.entries[entry.name] = entry
-        self.ledger.add(EndpointChanged(now_us(), entry.name, entry.status))
+        self.event_log.add(EndpointChanged(now_us(), entry.name, entry.status))
 
-    def announce(self, entry: Entry, status: str, lag_s: float | None = None) -> None:
-        """A change that this registry learns of after its lag."""
-        wait_s = self.dice.uniform(*self.faults.lag_s) if lag_s is None else lag_s
-        task = asyncio.get_running_loop().create_task(self.learn(entry, status, wait_s))
+    def schedule_change(self, entry: Entry, status: str, lag_s: float | None = None) -> None:
+        """Apply a change after `lag_s`, by default a random lag within the bounds in `faults`."""
+        wait_s = self.rng.uniform(*self.faults.lag_s) if lag_s is None else lag_s
+        task = asyncio.get_running_loop().create_task(self.apply_change_after(entry, status, wait_s))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def learn(self, entry: Entry, status: str, wait_s: float) -> None:
+    async def apply_change_after(self, entry: Entry, status: str, wait_s: float) -> None:
+        """Apply a change after `wait_s`, unless another entry has taken the name in the meantime."""
         await asyncio.sleep(wait_s)
         if status != "SERVING" and self.entries.get(entry.name) is not entry:
-            return  # another has been registered under its name meanwhile
-        self.change([(entry, status)])
+            return  # another backend has registered with this name in the meantime
+        self.apply_changes([(entry, status)])
 
-    def change(self, changes: Iterable[tuple[Entry, str]]) -> int:
-        """Learn of these now, all at once; returns when, in µs of the ledger's clock."""
+    def apply_changes(self, changes: Iterable[tuple[Entry, str]]) -> int:
+        """Apply changes at once and wake the watches; return the time on the event log's clock, in µs."""
         for entry, status in changes:
             self.index += 1
             entry.status = status
             if status == "DELETED":
                 self.entries.pop(entry.name, None)
-                self.changed.pop(entry.name, None)
+                self.changed_versions.pop(entry.name, None)
             else:
                 self.entries[entry.name] = entry
-                self.changed[entry.name] = self.index
-            self.history.append((self.index, entry.name, self.form(entry)))
-            self.ledger.add(EndpointChanged(now_us(), entry.name, status))
+                self.changed_versions[entry.name] = self.index
+            self.history.append((self.index, entry.name, self.to_record(entry)))
+            self.event_log.add(EndpointChanged(now_us(), entry.name, status))
         at_us = now_us()
-        self.wake()
+        self.wake_watches()
         return at_us
 
-    def wake(self) -> None:
-        """Whoever waits for news looks again."""
-        waiting, self.waiting = self.waiting, set()
-        for woken in waiting:
-            _end_wait(woken)
+    def wake_watches(self) -> None:
+        """Make each waiting watch check the index again."""
+        waiting, self.waiting_watches = self.waiting_watches, set()
+        for waiter in waiting:
+            _finish_wait(waiter)
 
-    def form(self, entry: Entry) -> dict[str, Any]:
+    def to_record(self, entry: Entry) -> dict[str, Any]:
+        """Return the entry as the protocol's JSON object, without the address."""
         return {
-            "name": entry.name, "zone": entry.room, "type": entry.kind, "group": entry.group,
+            "name": entry.name, "zone": entry.zone, "type": entry.kind, "group": entry.group,
             "status": entry.status, "weight": entry.weight, "since_ms": entry.since_ms,
         } | ({} if entry.service is None else {"service": entry.service})  # fmt: skip
 
-    def is_whole(self, since: int | None) -> bool:
-        """Whether who asks from this version is told the whole list."""
-        known = self.history[0][0] if self.history else self.index + 1
-        return since is None or since > self.index or (since < self.index and since + 1 < known)
+    def needs_full_list(self, since: int | None) -> bool:
+        """Return whether a request with the index `since` gets the full list instead of changes."""
+        oldest_index = self.history[0][0] if self.history else self.index + 1
+        return since is None or since > self.index or (since < self.index and since + 1 < oldest_index)
 
-    def forms_since(self, since: int | None) -> tuple[bool, list[dict[str, Any]]]:
-        """Whether it is the whole list; its entries, or the newest of each that has changed since."""
-        if since is None or self.is_whole(since):
-            return True, [self.form(entry) for entry in self.entries.values()]
+    def records_since(self, since: int | None) -> tuple[bool, list[dict[str, Any]]]:
+        """Return whether it is the full list, and the records: all of them, or the newest of each changed backend."""
+        if since is None or self.needs_full_list(since):
+            return True, [self.to_record(entry) for entry in self.entries.values()]
         newest: dict[str, dict[str, Any] | None] = {}
-        for at, name, form in reversed(self.history):
-            if at <= since:
+        for index, name, record in reversed(self.history):
+            if index <= since:
                 break
-            newest.setdefault(name, form)
-        return False, [form for form in reversed(newest.values()) if form]
+            newest.setdefault(name, record)
+        return False, [record for record in reversed(newest.values()) if record]
 
-    def step_back(self, by: int) -> None:
-        """Lose the last versions' numbers: a registry restored from a copy."""
-        self.index = max(1, self.index - by)
+    def roll_back_index(self, count: int) -> None:
+        """Decrease the index and forget the history, as a registry does that is restored from a backup."""
+        self.index = max(1, self.index - count)
         self.history.clear()
 
-    # Listening
-
-    async def open(self, gateway: str, address_of: Callable[[str], Address | None],
-                   may_pass: Callable[[], Awaitable[None]], bodies: Bodies | None = None) -> View:  # fmt: skip
-        view = View(gateway, address_of, may_pass, bodies=bodies)
-        self.views[gateway] = view
-        await self.listen(view)
-        return view
-
-    async def listen(self, view: View) -> None:
-        server = await asyncio.start_server(lambda r, w: self.serve(view, server, r, w), "127.0.0.1", 0)
-        view.servers.append(server)
-        view.address = server.sockets[0].getsockname()
-
-    async def move(self, view: View, close_after_s: float = 1.5) -> None:
-        """Listen elsewhere; the old listener takes nothing new and ends what is open after a while."""
-        old = list(view.servers)
-        await self.listen(view)
-        for server in old:
+    # Listeners
+
+    async def open_listener(
+        self, gateway: str, address_of: Callable[[str], Address | None],
+        wait_for_network: Callable[[], Awaitable[None]], response_cache: ResponseCache | None = None,
+    ) -> RegistryListener:  # fmt: skip
+        """Start a listener for a gateway, or for a group of callers if it has a response cache."""
+        listener = RegistryListener(gateway, address_of, wait_for_network, response_cache=response_cache)
+        self.listeners[gateway] = listener
+        await self.start_server(listener)
+        return listener
+
+    async def start_server(self, listener: RegistryListener) -> None:
+        """Listen on a new port."""
+        server = await asyncio.start_server(
+            lambda r, w: self.serve_connection(listener, server, r, w), "127.0.0.1", 0
+        )
+        listener.servers.append(server)
+        listener.address = server.sockets[0].getsockname()
+
+    async def move_listener(self, listener: RegistryListener, close_after_s: float = 1.5) -> None:
+        """Listen on a new port; stop the old server at once and end its connections after `close_after_s`."""
+        old_servers = list(listener.servers)
+        await self.start_server(listener)
+        for server in old_servers:
             server.close()
-            view.servers.remove(server)
+            listener.servers.remove(server)
 
-        def end() -> None:
-            for task in list(view.calls):
-                if task.get_name() in {str(id(server)) for server in old}:
+        def cancel_old_connections() -> None:
+            for task in list(listener.connection_tasks):
+                if task.get_name() in {str(id(server)) for server in old_servers}:
                     task.cancel()
 
-        asyncio.get_running_loop().call_later(close_after_s, end)
+        asyncio.get_running_loop().call_later(close_after_s, cancel_old_connections)
 
-    async def serve(
-        self, view: View, server: asyncio.Server, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def serve_connection(
+        self,
+        listener: RegistryListener,
+        server: asyncio.Server,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> None:
+        """Respond to the requests of one connection until it closes."""
         task = asyncio.current_task()
         assert task is not None
         task.set_name(str(id(server)))
-        view.calls.add(task)
+        listener.connection_tasks.add(task)
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                view.counts.calls += 1
-                view.counts.came += len(head)
-                if view.bodies is not None:
-                    await self.answer(view, head, writer)
+                listener.counts.requests += 1
+                listener.counts.received_bytes += len(head)
+                if listener.response_cache is not None:
+                    await self.respond(listener, head, writer)
                     continue
-                listening = DiscoveryPoll(now_us(), view.gateway)
-                self.ledger.add(listening)
+                poll = DiscoveryPoll(now_us(), listener.gateway)
+                self.event_log.add(poll)
                 try:
-                    await self.answer(view, head, writer)
+                    await self.respond(listener, head, writer)
                 finally:
-                    listening.until_us = now_us()
+                    poll.until_us = now_us()
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            view.calls.discard(task)
+            listener.connection_tasks.discard(task)
             writer.transport.abort()
 
-    async def answer(self, view: View, head: str, writer: asyncio.StreamWriter) -> None:
+    async def respond(self, listener: RegistryListener, head: str, writer: asyncio.StreamWriter) -> None:
+        """Send the response to one request, with the faults that are on."""
         method, _, rest = head.partition(" ")
         url = urlsplit(rest.partition(" ")[0])
         if method != "GET" or url.path != "/registry/instances":
-            await self.write(view, writer, 404, b"{}")
+            await self.write_response(listener, writer, 404, b"{}")
             return
         query = parse_qs(url.query)
         body: dict[str, Any]
         try:
             since = int(query["from"][0]) if "from" in query else None
-            hold_s = min(int(query.get("hold_ms", ["0"])[0]), MOST_HOLD_MS) / 1000
+            hold_s = min(int(query.get("hold_ms", ["0"])[0]), MAX_HOLD_MS) / 1000
         except ValueError:
-            await self.write(view, writer, 400, b"{}")
+            await self.write_response(listener, writer, 400, b"{}")
             return
         if since is not None and since <= self.index:
-            await self.wait_for_news(since, hold_s)
-        match self.faults.down:
+            await self.wait_for_change(since, hold_s)
+        match self.faults.outage_mode:
             case "503":
-                await self.write(view, writer, 503, b"{}")
+                await self.write_response(listener, writer, 503, b"{}")
                 return
             case "reset":
                 writer.transport.abort()
                 return
             case "silent":
-                while self.faults.down == "silent":
+                while self.faults.outage_mode == "silent":
                     await asyncio.sleep(0.05)
             case _:
                 pass
-        if view.bodies is not None:
-            view.counts.wholes += self.is_whole(since)
-            text = view.bodies.body(since)
-            await view.may_pass()
-            await self.write(view, writer, 200, text)
+        if listener.response_cache is not None:
+            listener.counts.full_lists += self.needs_full_list(since)
+            text = listener.response_cache.get_body(since)
+            await listener.wait_for_network()
+            await self.write_response(listener, writer, 200, text)
             return
-        whole, forms = self.forms_since(since)
+        is_full_list, records = self.records_since(since)
         entries = []
-        for form in forms:
-            address = view.address_of(form["name"])
+        for record in records:
+            address = listener.address_of(record["name"])
             if address is not None:
-                entries.append({"address": f"{address[0]}:{address[1]}"} | form)
-        body = {"index": self.index, "snapshot": whole, "endpoints": entries}
+                entries.append({"address": f"{address[0]}:{address[1]}"} | record)
+        body = {"index": self.index, "snapshot": is_full_list, "endpoints": entries}
         text = json.dumps(body).encode()
-        if self.faults.garble:
-            await self.write(view, writer, 200, text[: len(text) // 2].replace(b'"', b"\x00"))
+        if self.faults.has_garbled_lists:
+            await self.write_response(listener, writer, 200, text[: len(text) // 2].replace(b'"', b"\x00"))
             return
-        await view.may_pass()
-        await self.write(view, writer, 200, text)
-        self.note(view, whole, entries)
+        await listener.wait_for_network()
+        await self.write_response(listener, writer, 200, text)
+        self.record_delivery(listener, is_full_list, entries)
 
-    async def wait_for_news(self, since: int, hold_s: float) -> None:
+    async def wait_for_change(self, since: int, hold_s: float) -> None:
+        """Wait until the index changes, an outage begins or `hold_s` has passed."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + hold_s
-        while self.index == since and not self.faults.down and (left_s := until_s - loop.time()) > 0:
-            woken: asyncio.Future[None] = loop.create_future()
-            self.waiting.add(woken)
-            timer = loop.call_later(left_s, _end_wait, woken)
+        end_s = loop.time() + hold_s
+        while self.index == since and not self.faults.outage_mode and (remaining_s := end_s - loop.time()) > 0:
+            waiter: asyncio.Future[None] = loop.create_future()
+            self.waiting_watches.add(waiter)
+            timer = loop.call_later(remaining_s, _finish_wait, waiter)
             try:
-                await woken
+                await waiter
             finally:
                 timer.cancel()
-                self.waiting.discard(woken)
+                self.waiting_watches.discard(waiter)
 
-    async def write(self, view: View, writer: asyncio.StreamWriter, status: int, body: bytes) -> None:
+    async def write_response(
+        self, listener: RegistryListener, writer: asyncio.StreamWriter, status: int, body: bytes
+    ) -> None:
         head = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, len(body))
-        view.counts.sent += len(head) + len(body)
+        listener.counts.sent_bytes += len(head) + len(body)
         writer.writelines((head, body))
         await writer.drain()
 
-    def note(self, view: View, whole: bool, entries: list[dict[str, Any]]) -> None:
-        """Written to the gateway, so it counts as told."""
+    def record_delivery(self, listener: RegistryListener, is_full_list: bool, entries: list[dict[str, Any]]) -> None:
+        """Write to the event log what the gateway was sent. A response counts as delivered once it is written."""
         at_us = now_us()
         statuses = {entry["name"]: entry["status"] for entry in entries}
-        if whole:
-            for name in view.told.keys() - statuses.keys():
+        if is_full_list:
+            for name in listener.delivered_statuses.keys() - statuses.keys():
                 statuses[name] = "DELETED"
         for name, status in statuses.items():
-            self.ledger.add(NotificationDelivered(at_us, view.gateway, name, status))
+            self.event_log.add(NotificationDelivered(at_us, listener.gateway, name, status))
             if status == "DELETED":
-                view.told.pop(name, None)
+                listener.delivered_statuses.pop(name, None)
             else:
-                view.told[name] = status
+                listener.delivered_statuses[name] = status
 
-    async def set_down(self, how: str) -> None:
-        """Go down in this way, or come back with "". Watches end when it goes down."""
-        self.faults.down = how
-        self.wake()
+    async def set_outage_mode(self, mode: str) -> None:
+        """Begin an outage of this kind, which ends the waiting watches, or end it with an empty mode."""
+        self.faults.outage_mode = mode
+        self.wake_watches()
 
     def close(self) -> None:
+        """Close all listeners and connections and cancel pending changes."""
         for task in self.tasks:
             task.cancel()
-        for view in self.views.values():
-            for server in view.servers:
+        for listener in self.listeners.values():
+            for server in listener.servers:
                 server.close()
-            for call in list(view.calls):
-                call.cancel()
+            for task in list(listener.connection_tasks):
+                task.cancel()
 
 
-def _end_wait(woken: asyncio.Future[None]) -> None:
-    if not woken.done():
-        woken.set_result(None)
+def _finish_wait(waiter: asyncio.Future[None]) -> None:
+    if not waiter.done():
+        waiter.set_result(None)
--- a/standins/parties/zookeeper/ensemble.py
+++ b/standins/parties/zookeeper/ensemble.py
@@ -17,11 +17,11 @@
 from dataclasses import dataclass, field, replace
 from typing import cast
 
-from standins.parties.network import Address, reserve
+from standins.parties.network import Address, reserve_port
 from standins.parties.zookeeper.jute import (
     AddWatch,
     Auth,
-    Bare,
+    EmptyRequest,
     Code,
     ConnectRequest,
     ConnectResponse,
@@ -30,7 +30,7 @@
     EventType,
     JuteError,
     Multi,
-    OnPath,
+    PathRequest,
     Op,
     Perm,
     Read,
@@ -57,12 +57,12 @@
     is_valid,
     is_write,
 )
-from standins.parties.zookeeper.watches import Kind, Watches
+from standins.parties.zookeeper.watches import WatchKind, Watches
 
-LOG_LIMIT = 200_000  # changes: an ensemble that is given more refuses them
-PIPELINE = 1_000  # requests of one connection that wait; more are not read
+MAX_LOG_CHANGES = 200_000  # changes: an ensemble that is given more refuses them
+MAX_QUEUED_REQUESTS = 1_000  # requests of one connection that wait; more are not read
 VERSION = "3.8.0-standin, built on 2022-02-25 08:49 UTC"
-WORDS = frozenset((b"ruok", b"srvr", b"envi", b"stat", b"mntr", b"isro"))
+FOUR_LETTER_WORDS = frozenset((b"ruok", b"srvr", b"envi", b"stat", b"mntr", b"isro"))
 NO_SESSION = ConnectResponse(0, 0, b"\x00" * 16)
 
 
@@ -71,19 +71,19 @@
     id: int
     password: bytes
     timeout_ms: int
-    heard_s: float
+    last_heard_s: float
     connection: KeeperConnection | None = None
     closed: bool = False
-    hold_s: float = 0.0  # its notifications are told so much later
-    lose_reply: bool = False  # of its next write: the connection ends instead, and the write has been done
-    told: int = 0  # notifications
-    cut: str = ""  # "in": nothing that its client says arrives, on any connection; "out"; "both"
+    notification_delay_s: float = 0.0  # its notifications are told so much later
+    lose_next_reply: bool = False  # of its next write: the connection ends instead, and the write has been done
+    notification_count: int = 0  # notifications
+    silenced: str = ""  # "in": nothing that its client says arrives, on any connection; "out"; "both"
 
 
 @dataclass(slots=True)
-class Counts:
-    connects: int = 0
-    refused: int = 0
+class EnsembleCounts:
+    connections_opened: int = 0
+    connections_refused: int = 0
     requests: int = 0
     notifications: int = 0
     expired: int = 0
@@ -96,20 +96,22 @@
         self, servers: int = 3, seed: int = 0, clock: Callable[[], float] = time.monotonic,
         timeouts_ms: tuple[int, int] = (200, 40_000),
     ) -> None:  # fmt: skip
-        self.dice = random.Random(f"{seed}/keeper")
+        self.rng = random.Random(f"{seed}/keeper")
         self.clock, self.timeouts_ms = clock, timeouts_ms
-        self.epoch, self.counter = 1, 0
+        self.epoch, self.change_count = 1, 0
         self.tree = Tree()  # the leader's
         self.log: list[Change] = []
         self.sessions: dict[int, Session] = {}
         self.has_leader = True
         self.read_only = False  # servers serve reads while there is no leader
         self.servers = [KeeperServer(self, number) for number in range(servers)]
-        self.counts = Counts()
+        self.counts = EnsembleCounts()
         # Called as something is written to a client: its connection, the kind, the path, and what it is told.
-        self.on_told: Callable[[KeeperConnection, Op | EventType, str, list[str] | bytes | None], None] | None = None
+        self.on_delivery: Callable[[KeeperConnection, Op | EventType, str, list[str] | bytes | None], None] | None = (
+            None
+        )
         # A node's data as this client is to have it: an address may differ from one client to the next.
-        self.view: Callable[[KeeperConnection, str, bytes], bytes] = lambda connection, path, data: data
+        self.data_for_client: Callable[[KeeperConnection, str, bytes], bytes] = lambda connection, path, data: data
         self.ticker: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -130,7 +132,7 @@
             task.cancel()
         for server in self.servers:
             server.stop()
-            server.held.close()
+            server.reserved_socket.close()
 
     # Sessions
 
@@ -141,26 +143,26 @@
             return
         now_s = self.clock()
         for session in list(self.sessions.values()):
-            if now_s - session.heard_s > session.timeout_ms / 1000:
+            if now_s - session.last_heard_s > session.timeout_ms / 1000:
                 self.expire(session.id)
 
     def open_session(self, timeout_ms: int, server: int) -> Session:
-        least, most = self.timeouts_ms
-        id_ = (server + 1) << 56 | self.dice.getrandbits(48) << 4
-        made = Session(id_, self.dice.randbytes(16), min(max(timeout_ms, least), most), self.clock())
-        self.sessions[id_] = made
+        min_ms, max_ms = self.timeouts_ms
+        session_id = (server + 1) << 56 | self.rng.getrandbits(48) << 4
+        session = Session(session_id, self.rng.randbytes(16), min(max(timeout_ms, min_ms), max_ms), self.clock())
+        self.sessions[session_id] = session
         self.commit(())
-        return made
+        return session
 
-    def expire(self, session: int) -> None:
+    def expire(self, session_id: int) -> None:
         """End a session as its timeout does: its ephemeral nodes go, and its connection is closed."""
-        found = self.sessions.get(session)
-        if found is None:
+        session = self.sessions.get(session_id)
+        if session is None:
             return
         self.counts.expired += 1
-        self.end_session(found, expired=True)
-        if found.connection is not None:
-            found.connection.close()
+        self.end_session(session, expired=True)
+        if session.connection is not None:
+            session.connection.close()
 
     def end_session(self, session: Session, expired: bool = False) -> Change:
         session.closed = True
@@ -170,32 +172,32 @@
     # Changes
 
     def commit(self, steps: tuple[Step, ...], closed: SessionClosed | None = None) -> Change:
-        if len(self.log) >= LOG_LIMIT:
+        if len(self.log) >= MAX_LOG_CHANGES:
             raise KeeperError(Code.SYSTEM_ERROR)
-        self.counter += 1
-        change = Change(self.epoch << 32 | self.counter, int(time.time() * 1000), steps, closed)
+        self.change_count += 1
+        change = Change(self.epoch << 32 | self.change_count, int(time.time() * 1000), steps, closed)
         self.tree.apply(change)
         self.log.append(change)
         for server in self.servers:
-            server.hear_of(change)
+            server.on_commit(change)
         return change
 
     # Faults
 
-    def lose_leader(self, for_s: float | None = None) -> None:
+    def lose_leader(self, duration_s: float | None = None) -> None:
         """No service until one is elected, after so long or when `elect` is called."""
         self.has_leader = False
         for server in self.servers:
             server.drop_connections()
-        if for_s is not None:
-            asyncio.get_running_loop().call_later(for_s, self.elect)
+        if duration_s is not None:
+            asyncio.get_running_loop().call_later(duration_s, self.elect_leader)
 
-    def elect(self) -> None:
+    def elect_leader(self) -> None:
         """A new epoch begins; sessions have their whole timeout again."""
         self.has_leader = True
-        self.epoch, self.counter = self.epoch + 1, 0
+        self.epoch, self.change_count = self.epoch + 1, 0
         for session in self.sessions.values():
-            session.heard_s = self.clock()
+            session.last_heard_s = self.clock()
         for server in self.servers:
             server.drop_connections()  # those that were served read-only
 
@@ -217,40 +219,40 @@
         server.catch_up()
         await server.start()
         if not self.has_leader and 2 * sum(s.server is not None for s in self.servers) > len(self.servers):
-            self.elect()
+            self.elect_leader()
 
-    async def come_back(self, lost: int = 0) -> None:
+    async def restart(self, lost_changes: int = 0) -> None:
         """Start again, having lost the last changes: zxids go back, sessions that were opened since are unknown."""
-        if lost:
-            kept = self.log[:-lost]
+        if lost_changes:
+            kept = self.log[:-lost_changes]
             self.log, self.tree = [], Tree()
             for server in self.servers:
                 server.tree, server.applied = Tree(), 0
             for change in kept:
                 self.tree.apply(change)
             self.log = kept
-            self.counter = kept[-1].zxid & 0xFFFFFFFF if kept else 0
+            self.change_count = kept[-1].zxid & 0xFFFFFFFF if kept else 0
             self.epoch = kept[-1].zxid >> 32 if kept else 1
         for session in self.sessions.values():
-            session.heard_s = self.clock()
+            session.last_heard_s = self.clock()
         self.has_leader = True
         for server in self.servers:
             server.watches = Watches()
             server.catch_up()
             await server.start()
 
-    def sever(self, session: int, how: str = "reset") -> None:
+    def disrupt_session(self, session_id: int, mode: str = "reset") -> None:
         """End a session's connection ("reset"), or silence its client one way or both: "in", "out", "both".
 
         Silence holds for its later connections too, until it is mended with "".
         """
-        found = self.sessions.get(session)
-        if found is None:
+        session = self.sessions.get(session_id)
+        if session is None:
             return
-        if how != "reset":
-            found.cut = how
-        elif found.connection is not None:
-            found.connection.close()
+        if mode != "reset":
+            session.silenced = mode
+        elif session.connection is not None:
+            session.connection.close()
 
 
 class KeeperServer:
@@ -261,10 +263,10 @@
         self.watches = Watches()
         self.lag_s = 0.0
         self.server: asyncio.Server | None = None
-        self.held = reserve()  # its port, also while it is down
-        self.address: Address = self.held.getsockname()
+        self.reserved_socket = reserve_port()  # its port, also while it is down
+        self.address: Address = self.reserved_socket.getsockname()
         self.connections: set[KeeperConnection] = set()
-        self.waiting: list[tuple[int, asyncio.Future[None]]] = []  # for the replica to reach a zxid
+        self.zxid_waiters: list[tuple[int, asyncio.Future[None]]] = []  # for the replica to reach a zxid
 
     async def start(self) -> None:
         if self.server is None:
@@ -284,10 +286,10 @@
             connection.close()
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         return self.ensemble.has_leader or self.ensemble.read_only
 
-    def tell(self, word: bytes) -> bytes:
+    def four_letter_response(self, word: bytes) -> bytes:
         """What a four-letter word is answered with, which any server does, whether or not it serves."""
         ensemble, tree = self.ensemble, self.tree
         if word == b"ruok":
@@ -296,7 +298,7 @@
             return b"rw" if ensemble.has_leader else b"ro"
         if word == b"envi":
             return f"Environment:\nzookeeper.version={VERSION}\nhost.name=localhost\n".encode()
-        if not self.serves:
+        if not self.is_serving:
             return b"This ZooKeeper instance is not currently serving requests\n"
         mode = "leader" if self.number == 0 else "follower"
         if not ensemble.has_leader:
@@ -322,7 +324,7 @@
 
     # The replica
 
-    def hear_of(self, change: Change) -> None:
+    def on_commit(self, change: Change) -> None:
         if self.lag_s:
             asyncio.get_running_loop().call_later(self.lag_s, self.catch_up, change.zxid)
         else:
@@ -336,18 +338,18 @@
             self.applied += 1
             for watcher, event in self.watches.trigger(self.tree.apply(change)):
                 cast(KeeperConnection, watcher).notify(event)
-        still = []
-        for wanted, future in self.waiting:
-            if self.tree.zxid < wanted:
-                still.append((wanted, future))
+        remaining = []
+        for awaited_zxid, future in self.zxid_waiters:
+            if self.tree.zxid < awaited_zxid:
+                remaining.append((awaited_zxid, future))
             elif not future.done():
                 future.set_result(None)
-        self.waiting = still
+        self.zxid_waiters = remaining
 
-    async def reach(self, zxid: int) -> None:
+    async def wait_for_zxid(self, zxid: int) -> None:
         if self.tree.zxid < zxid:
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self.waiting.append((zxid, future))
+            self.zxid_waiters.append((zxid, future))
             await future
 
 
@@ -361,18 +363,18 @@
     ids: list[tuple[str, str]] = field(default_factory=list)
     queue: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
     worker: asyncio.Task[None] | None = None
-    first: bytes = b""
+    first_bytes: bytes = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
-        self.server.ensemble.counts.connects += 1
-        self.worker = asyncio.get_running_loop().create_task(self.work())
+        self.server.ensemble.counts.connections_opened += 1
+        self.worker = asyncio.get_running_loop().create_task(self.process_requests())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         self.server.connections.discard(self)
-        self.server.watches.forget(self)
+        self.server.watches.remove_watcher(self)
         if self.worker is not None:
             self.worker.cancel()
         if self.session is not None and self.session.connection is self:
@@ -383,15 +385,15 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self.session is not None and self.session.cut in ("in", "both"):
+        if self.session is not None and self.session.silenced in ("in", "both"):
             return
-        if self.session is None and len(self.first) < 4:
-            self.first += data
-            if len(self.first) < 4:
+        if self.session is None and len(self.first_bytes) < 4:
+            self.first_bytes += data
+            if len(self.first_bytes) < 4:
                 return
-            data = self.first
-            if data[:4] in WORDS:
-                self.say_word(data[:4])
+            data = self.first_bytes
+            if data[:4] in FOUR_LETTER_WORDS:
+                self.answer_four_letter_word(data[:4])
                 return
         try:
             for message in self.deframer.feed(data):
@@ -399,7 +401,7 @@
         except JuteError:
             self.close()
             return
-        if self.queue.qsize() > PIPELINE and self.transport is not None:
+        if self.queue.qsize() > MAX_QUEUED_REQUESTS and self.transport is not None:
             self.transport.pause_reading()
 
     @property
@@ -408,38 +410,38 @@
         session = f"{self.session.id:#x}" if self.session is not None else "none"
         return f"/{peer[0]}:{peer[1]}[1](queued={self.queue.qsize()},sid={session})" if peer else "/gone"
 
-    def say_word(self, word: bytes) -> None:
+    def answer_four_letter_word(self, word: bytes) -> None:
         assert self.transport is not None
-        self.transport.write(self.server.tell(word))
+        self.transport.write(self.server.four_letter_response(word))
         self.transport.close()
 
     def send(self, payload: bytes) -> None:
-        mute = self.session is not None and self.session.cut in ("out", "both")
-        if self.transport is not None and not mute and not self.transport.is_closing():
+        is_silenced = self.session is not None and self.session.silenced in ("out", "both")
+        if self.transport is not None and not is_silenced and not self.transport.is_closing():
             self.transport.write(frame(payload))
 
     def notify(self, event: Event) -> None:
         session = self.session
         if session is None:
             return
-        session.told += 1
-        if self.server.ensemble.on_told is not None:
-            self.server.ensemble.on_told(self, event[0], event[1], None)
+        session.notification_count += 1
+        if self.server.ensemble.on_delivery is not None:
+            self.server.ensemble.on_delivery(self, event[0], event[1], None)
         self.server.ensemble.counts.notifications += 1
         data = WatcherEvent(event[0], event[1]).encode()
-        if session.hold_s:
-            asyncio.get_running_loop().call_later(session.hold_s, self.send, data)
+        if session.notification_delay_s:
+            asyncio.get_running_loop().call_later(session.notification_delay_s, self.send, data)
         else:
             self.send(data)
 
     # Requests, in order
 
-    async def work(self) -> None:
+    async def process_requests(self) -> None:
         try:
             self.connect(ConnectRequest.decode(await self.queue.get()))
             while self.transport is not None:
                 message = await self.queue.get()
-                if self.queue.qsize() <= PIPELINE // 2 and self.transport is not None:
+                if self.queue.qsize() <= MAX_QUEUED_REQUESTS // 2 and self.transport is not None:
                     self.transport.resume_reading()
                 await self.handle(message)
         except JuteError:
@@ -447,36 +449,36 @@
 
     def connect(self, request: ConnectRequest) -> None:
         ensemble, server = self.server.ensemble, self.server
-        if not server.serves:
+        if not server.is_serving:
             self.close()
             return
         if request.last_zxid > server.tree.zxid:
-            ensemble.counts.refused += 1
+            ensemble.counts.connections_refused += 1
             self.close()  # it has seen more than this server: another one will do
             return
         if not ensemble.has_leader:
             if not request.read_only:
-                ensemble.counts.refused += 1
+                ensemble.counts.connections_refused += 1
                 self.close()
                 return
             self.read_only = True
         if request.session:
             session = ensemble.sessions.get(request.session)
             if session is None or session.password != request.password:
-                ensemble.counts.refused += 1
+                ensemble.counts.connections_refused += 1
                 self.send(NO_SESSION.encode())
                 if self.transport is not None:
                     self.transport.close()
                 return
-            if session.cut in ("in", "both"):
+            if session.silenced in ("in", "both"):
                 return  # it says so, and nobody hears it
         elif self.read_only:
-            least, most = ensemble.timeouts_ms
-            timeout_ms = min(max(request.timeout_ms, least), most)
-            session = Session(ensemble.dice.getrandbits(48), ensemble.dice.randbytes(16), timeout_ms, 0.0)
+            min_ms, max_ms = ensemble.timeouts_ms
+            timeout_ms = min(max(request.timeout_ms, min_ms), max_ms)
+            session = Session(ensemble.rng.getrandbits(48), ensemble.rng.randbytes(16), timeout_ms, 0.0)
         else:
             session = ensemble.open_session(request.timeout_ms, server.number)
-        session.heard_s = ensemble.clock()
+        session.last_heard_s = ensemble.clock()
         self.session, session.connection = session, self
         read_only = None if request.read_only is None else self.read_only
         self.send(ConnectResponse(session.timeout_ms, session.id, session.password, read_only).encode())
@@ -494,7 +496,7 @@
             self.reply(xid, Code.SESSION_MOVED)
             self.close()
             return
-        session.heard_s = ensemble.clock()
+        session.last_heard_s = ensemble.clock()
         if isinstance(request, int):
             self.reply(xid, Code.UNIMPLEMENTED)
             return
@@ -508,7 +510,7 @@
                 if isinstance(request, SetWatches):
                     self.reply(xid, Code.OK)
         except KeeperError as error:
-            self.reply(xid, error.code, multi_failed(request, error) if isinstance(request, Multi) else b"")
+            self.reply(xid, error.code, encode_multi_failure(request, error) if isinstance(request, Multi) else b"")
             if error.code is Code.AUTH_FAILED and self.transport is not None:
                 self.transport.close()
 
@@ -520,9 +522,9 @@
         ensemble = self.server.ensemble
         if self.read_only:
             raise KeeperError(Code.NOT_READ_ONLY)
-        if isinstance(request, Bare):  # the session is closed
+        if isinstance(request, EmptyRequest):  # the session is closed
             change = ensemble.end_session(session)
-            await self.server.reach(change.zxid)
+            await self.server.wait_for_zxid(change.zxid)
             self.reply(xid, Code.OK)
             if self.transport is not None:
                 self.transport.close()
@@ -530,61 +532,61 @@
         assert isinstance(request, Multi | SetAcl | Create | SetData) or request.op in (Op.DELETE, Op.CHECK)
         steps = ensemble.tree.prepare(request, session.id, self.ids)  # type: ignore[arg-type]
         change = ensemble.commit(steps)
-        if session.lose_reply:
-            session.lose_reply = False
+        if session.lose_next_reply:
+            session.lose_next_reply = False
             self.close()
             return
-        await self.server.reach(change.zxid)
+        await self.server.wait_for_zxid(change.zxid)
         if isinstance(request, Multi):
-            to = Writer()
-            for one, step in zip(request.ops, steps, strict=True):
-                to.int32(one.op).boolean(False).int32(Code.OK)
-                to.raw(self.done(one, step))
-            self.reply(xid, Code.OK, to.int32(-1).boolean(True).int32(-1).data)
+            writer = Writer()
+            for operation, step in zip(request.ops, steps, strict=True):
+                writer.int32(operation.op).boolean(False).int32(Code.OK)
+                writer.raw(self.encode_result(operation, step))
+            self.reply(xid, Code.OK, writer.int32(-1).boolean(True).int32(-1).data)
         else:
-            self.reply(xid, Code.OK, self.done(request, steps[0]))
+            self.reply(xid, Code.OK, self.encode_result(request, steps[0]))
 
-    def done(self, request: Request, step: Step) -> bytes:
+    def encode_result(self, request: Request, step: Step) -> bytes:
         """What a write is answered with, as this server has it."""
-        to, tree = Writer(), self.server.tree
+        writer, tree = Writer(), self.server.tree
         if isinstance(step, Created):
-            to.text(step.path)
+            writer.text(step.path)
             if request.op in (Op.CREATE2, Op.CREATE_CONTAINER) and step.path in tree.nodes:
-                tree.node(step.path).full_stat().write(to)
+                tree.node(step.path).full_stat().write(writer)
         elif isinstance(request, SetData | SetAcl) and request.path in tree.nodes:
-            tree.node(request.path).full_stat().write(to)
-        return to.data
+            tree.node(request.path).full_stat().write(writer)
+        return writer.data
 
     async def read(self, request: Request) -> bytes:
-        tree, watches, to = self.server.tree, self.server.watches, Writer()
+        tree, watches, writer = self.server.tree, self.server.watches, Writer()
         match request:
-            case Bare():
+            case EmptyRequest():
                 pass  # a ping: that it was heard is all
             case Auth():
                 self.authenticate(request)
             case Read(path=path):
                 self.check_path(path)
-                self.read_node(request, to)
-            case OnPath(path=path, op=Op.SYNC):
+                self.read_node(request, writer)
+            case PathRequest(path=path, op=Op.SYNC):
                 self.check_path(path)
-                await self.server.reach(self.server.ensemble.tree.zxid)
-                to.text(path)
-            case OnPath(path=path, op=Op.GET_EPHEMERALS):
+                await self.server.wait_for_zxid(self.server.ensemble.tree.zxid)
+                writer.text(path)
+            case PathRequest(path=path, op=Op.GET_EPHEMERALS):
                 assert self.session is not None
                 owned = tree.ephemerals.get(self.session.id, set())
-                to.vector(sorted(p for p in owned if p.startswith(path)), to.text)
-            case OnPath(path=path, op=Op.GET_ALL_CHILDREN_NUMBER):
+                writer.vector(sorted(p for p in owned if p.startswith(path)), writer.text)
+            case PathRequest(path=path, op=Op.GET_ALL_CHILDREN_NUMBER):
                 tree.node(path)
                 prefix = path.rstrip("/") + "/"
-                to.int32(sum(p.startswith(prefix) and p != "/" for p in tree.nodes))
-            case OnPath(path=path):  # GET_ACL
+                writer.int32(sum(p.startswith(prefix) and p != "/" for p in tree.nodes))
+            case PathRequest(path=path):  # GET_ACL
                 node = tree.node(path)
-                to.vector(list(node.acl), lambda acl: acl.write(to))
-                node.full_stat().write(to)
+                writer.vector(list(node.acl), lambda acl: acl.write(writer))
+                node.full_stat().write(writer)
             case AddWatch(path=path, mode=mode) if mode in (0, 1):
                 self.check_path(path)
-                watches.add(self, Kind.RECURSIVE if mode else Kind.PERSISTENT, path)
-                to.int32(Code.OK)
+                watches.add(self, WatchKind.RECURSIVE if mode else WatchKind.PERSISTENT, path)
+                writer.int32(Code.OK)
             case RemoveWatches():
                 self.remove_watches(request)
             case SetWatches():
@@ -592,64 +594,64 @@
                     self.notify(event)
             case _:
                 raise KeeperError(Code.BAD_ARGUMENTS)
-        return to.data
+        return writer.data
 
     def check_path(self, path: str) -> None:
         if not is_valid(path):
             raise KeeperError(Code.BAD_ARGUMENTS)
 
-    def read_node(self, request: Read, to: Writer) -> None:
+    def read_node(self, request: Read, writer: Writer) -> None:
         tree, watches = self.server.tree, self.server.watches
         if request.op is Op.EXISTS:
             if request.watch:
-                watches.add(self, Kind.DATA, request.path)  # of a node that is not yet there, too
-            tree.node(request.path).full_stat().write(to)
+                watches.add(self, WatchKind.DATA, request.path)  # of a node that is not yet there, too
+            tree.node(request.path).full_stat().write(writer)
             return
-        on_told = self.server.ensemble.on_told
-        if request.path not in tree.nodes and on_told is not None:
-            on_told(self, request.op, request.path, None)
+        on_delivery = self.server.ensemble.on_delivery
+        if request.path not in tree.nodes and on_delivery is not None:
+            on_delivery(self, request.op, request.path, None)
         node = tree.node(request.path)
         if not allows(node.acl, Perm.READ, self.ids):
             raise KeeperError(Code.NO_AUTH)
         if request.watch:
-            watches.add(self, Kind.DATA if request.op is Op.GET_DATA else Kind.CHILD, request.path)
+            watches.add(self, WatchKind.DATA if request.op is Op.GET_DATA else WatchKind.CHILD, request.path)
         stat = node.full_stat()
         if request.op is Op.GET_DATA:
-            data = node.data and self.server.ensemble.view(self, request.path, node.data)
+            data = node.data and self.server.ensemble.data_for_client(self, request.path, node.data)
             stat = replace(stat, data_length=len(data or b""))
-            to.buffer(data)
+            writer.buffer(data)
         else:
-            to.vector(sorted(node.children), to.text)
-        if on_told is not None:
+            writer.vector(sorted(node.children), writer.text)
+        if on_delivery is not None:
             found = (node.data or b"") if request.op is Op.GET_DATA else sorted(node.children)
-            on_told(self, request.op, request.path, found)
+            on_delivery(self, request.op, request.path, found)
         if request.op is not Op.GET_CHILDREN:
-            stat.write(to)
+            stat.write(writer)
 
     def remove_watches(self, request: RemoveWatches) -> None:
-        kinds = {1: (Kind.CHILD,), 2: (Kind.DATA,), 3: tuple(Kind)}.get(request.type)
+        kinds = {1: (WatchKind.CHILD,), 2: (WatchKind.DATA,), 3: tuple(WatchKind)}.get(request.type)
         if kinds is None:
             raise KeeperError(Code.BAD_ARGUMENTS)
         watches = self.server.watches
-        if not watches.has(self, kinds, request.path):
+        if not watches.has_watch(self, kinds, request.path):
             raise KeeperError(Code.NO_WATCHER)
         if request.op is Op.REMOVE_WATCHES:
             for kind in kinds:
                 watches.remove(self, kind, request.path)
 
     def authenticate(self, request: Auth) -> None:
-        user, mark, _ = request.auth.decode("utf-8", "replace").partition(":")
-        if request.scheme != "digest" or not mark:
+        user, separator, _ = request.auth.decode("utf-8", "replace").partition(":")
+        if request.scheme != "digest" or not separator:
             raise KeeperError(Code.AUTH_FAILED)
         digest = base64.b64encode(hashlib.sha1(request.auth).digest()).decode()
         self.ids.append(("digest", f"{user}:{digest}"))
 
 
-def multi_failed(request: Multi, error: KeeperError) -> bytes:
+def encode_multi_failure(request: Multi, error: KeeperError) -> bytes:
     """Every operation fails: the one that did by its code, those before it and after it for its sake."""
-    to = Writer()
-    for at in range(len(request.ops)):
-        before = Code.OK if at < error.at else Code.RUNTIME_INCONSISTENCY
-        code = error.code if at == error.at else before
-        to.int32(Op.ERROR).boolean(False).int32(code).int32(code)
-    return to.int32(-1).boolean(True).int32(-1).data
+    writer = Writer()
+    for index in range(len(request.ops)):
+        before = Code.OK if index < error.op_index else Code.RUNTIME_INCONSISTENCY
+        code = error.code if index == error.op_index else before
+        writer.int32(Op.ERROR).boolean(False).int32(code).int32(code)
+    return writer.int32(-1).boolean(True).int32(-1).data
--- a/standins/parties/zookeeper/jute.py
+++ b/standins/parties/zookeeper/jute.py
@@ -15,7 +15,7 @@
 from enum import IntEnum
 from typing import TypeVar
 
-MAX_PACKET = 0xFFFFF  # jute.maxbuffer: a longer message ends its connection
+MAX_PACKET_BYTES = 0xFFFFF  # jute.maxbuffer: a longer message ends its connection
 WATCH_XID, PING_XID, AUTH_XID, SET_WATCHES_XID = -1, -2, -4, -8
 SEQUENCE_DIGITS = 10
 
@@ -129,36 +129,36 @@
     """Reads values one after the other from one message."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.position = data, 0
 
     @property
-    def left(self) -> int:
-        return len(self.data) - self.at
+    def remaining_bytes(self) -> int:
+        return len(self.data) - self.position
 
-    def take(self, size: int) -> bytes:
-        if size < 0 or size > self.left:
-            raise JuteError(f"{size} bytes expected, {self.left} left")
-        piece = self.data[self.at : self.at + size]
-        self.at += size
-        return piece
+    def read_bytes(self, size: int) -> bytes:
+        if size < 0 or size > self.remaining_bytes:
+            raise JuteError(f"{size} bytes expected, {self.remaining_bytes} left")
+        data = self.data[self.position : self.position + size]
+        self.position += size
+        return data
 
     def int32(self) -> int:
-        found: int = _INT.unpack(self.take(4))[0]
-        return found
+        value: int = _INT.unpack(self.read_bytes(4))[0]
+        return value
 
     def int64(self) -> int:
-        found: int = _LONG.unpack(self.take(8))[0]
-        return found
+        value: int = _LONG.unpack(self.read_bytes(8))[0]
+        return value
 
     def boolean(self) -> bool:
-        byte = self.take(1)[0]
+        byte = self.read_bytes(1)[0]
         if byte > 1:
             raise JuteError(f"{byte} is no boolean")
         return byte == 1
 
     def buffer(self) -> bytes | None:
         size = self.int32()
-        return None if size == -1 else self.take(size)
+        return None if size == -1 else self.read_bytes(size)
 
     def text(self) -> str:
         data = self.buffer()
@@ -169,13 +169,13 @@
 
     def vector(self, item: Callable[[], T]) -> list[T]:
         count = self.int32()
-        if count > self.left:  # no item is shorter than a byte
-            raise JuteError(f"{count} items in {self.left} bytes")
+        if count > self.remaining_bytes:  # no item is shorter than a byte
+            raise JuteError(f"{count} items in {self.remaining_bytes} bytes")
         return [item() for _ in range(max(count, 0))]
 
-    def end(self) -> None:
-        if self.left:
-            raise JuteError(f"{self.left} bytes more than the record")
+    def expect_end(self) -> None:
+        if self.remaining_bytes:
+            raise JuteError(f"{self.remaining_bytes} bytes more than the record")
 
 
 class Writer:
@@ -229,22 +229,22 @@
     """Cuts a stream into messages; JuteError for a length that no message has."""
 
     def __init__(self) -> None:
-        self.held = b""
+        self.buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        self.held += data
-        found: list[bytes] = []
-        at = 0
-        while len(self.held) - at >= 4:
-            (size,) = _INT.unpack_from(self.held, at)
-            if not 0 <= size <= MAX_PACKET:
+        self.buffer += data
+        messages: list[bytes] = []
+        offset = 0
+        while len(self.buffer) - offset >= 4:
+            (size,) = _INT.unpack_from(self.buffer, offset)
+            if not 0 <= size <= MAX_PACKET_BYTES:
                 raise JuteError(f"a message of {size} bytes")
-            if len(self.held) - at < 4 + size:
+            if len(self.buffer) - offset < 4 + size:
                 break
-            found.append(self.held[at + 4 : at + 4 + size])
-            at += 4 + size
-        self.held = self.held[at:]
-        return found
+            messages.append(self.buffer[offset + 4 : offset + 4 + size])
+            offset += 4 + size
+        self.buffer = self.buffer[offset:]
+        return messages
 
 
 # Records
@@ -256,12 +256,12 @@
     scheme: str
     id: str
 
-    def write(self, to: Writer) -> None:
-        to.int32(self.perms).text(self.scheme).text(self.id)
+    def write(self, writer: Writer) -> None:
+        writer.int32(self.perms).text(self.scheme).text(self.id)
 
     @classmethod
-    def read(cls, of: Reader) -> Acl:
-        return cls(of.int32(), of.text(), of.text())
+    def read(cls, reader: Reader) -> Acl:
+        return cls(reader.int32(), reader.text(), reader.text())
 
 
 OPEN_ACL = (Acl(Perm.ALL, "world", "anyone"),)
@@ -283,12 +283,12 @@
     num_children: int = 0
     pzxid: int = 0
 
-    def write(self, to: Writer) -> None:
-        to.raw(_STAT.pack(*astuple(self)))
+    def write(self, writer: Writer) -> None:
+        writer.raw(_STAT.pack(*astuple(self)))
 
     @classmethod
-    def read(cls, of: Reader) -> Stat:
-        return cls(*_STAT.unpack(of.take(_STAT.size)))
+    def read(cls, reader: Reader) -> Stat:
+        return cls(*_STAT.unpack(reader.read_bytes(_STAT.size)))
 
 
 @dataclass(slots=True, frozen=True)
@@ -301,17 +301,17 @@
     read_only: bool | None = False  # None: a client that knows nothing of it
 
     def encode(self) -> bytes:
-        to = Writer().int32(self.protocol).int64(self.last_zxid).int32(self.timeout_ms).int64(self.session)
-        to.buffer(self.password)
-        return (to if self.read_only is None else to.boolean(self.read_only)).data
+        writer = Writer().int32(self.protocol).int64(self.last_zxid).int32(self.timeout_ms).int64(self.session)
+        writer.buffer(self.password)
+        return (writer if self.read_only is None else writer.boolean(self.read_only)).data
 
     @classmethod
     def decode(cls, data: bytes) -> ConnectRequest:
-        of = Reader(data)
-        first = (of.int32(), of.int64(), of.int32(), of.int64(), of.buffer() or b"")
-        read_only = of.boolean() if of.left else None
-        of.end()
-        return cls(*first, read_only)
+        reader = Reader(data)
+        head = (reader.int32(), reader.int64(), reader.int32(), reader.int64(), reader.buffer() or b"")
+        read_only = reader.boolean() if reader.remaining_bytes else None
+        reader.expect_end()
+        return cls(*head, read_only)
 
 
 @dataclass(slots=True, frozen=True)
@@ -323,15 +323,20 @@
     protocol: int = 0
 
     def encode(self) -> bytes:
-        to = Writer().int32(self.protocol).int32(self.timeout_ms).int64(self.session).buffer(self.password)
-        return (to if self.read_only is None else to.boolean(self.read_only)).data
+        writer = Writer().int32(self.protocol).int32(self.timeout_ms).int64(self.session).buffer(self.password)
+        return (writer if self.read_only is None else writer.boolean(self.read_only)).data
 
     @classmethod
     def decode(cls, data: bytes) -> ConnectResponse:
-        of = Reader(data)
-        protocol, timeout_ms, session, password = of.int32(), of.int32(), of.int64(), of.buffer() or b""
-        read_only = of.boolean() if of.left else None
-        of.end()
+        reader = Reader(data)
+        protocol, timeout_ms, session, password = (
+            reader.int32(),
+            reader.int32(),
+            reader.int64(),
+            reader.buffer() or b"",
+        )
+        read_only = reader.boolean() if reader.remaining_bytes else None
+        reader.expect_end()
         return cls(timeout_ms, session, password, read_only, protocol)
 
 
@@ -345,8 +350,8 @@
         return Writer().int32(self.xid).int64(self.zxid).int32(self.err).data + body
 
     @classmethod
-    def read(cls, of: Reader) -> ReplyHeader:
-        return cls(of.int32(), of.int64(), of.int32())
+    def read(cls, reader: Reader) -> ReplyHeader:
+        return cls(reader.int32(), reader.int64(), reader.int32())
 
 
 @dataclass(slots=True, frozen=True)
@@ -368,14 +373,14 @@
     flags: int = Mode.PERSISTENT
     op: Op = Op.CREATE
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path).buffer(self.data)
-        to.vector(list(self.acl), lambda acl: acl.write(to)).int32(self.flags)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path).buffer(self.data)
+        writer.vector(list(self.acl), lambda acl: acl.write(writer)).int32(self.flags)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> Create:
-        path, data = of.text(), of.buffer()
-        return cls(path, data, tuple(of.vector(lambda: Acl.read(of))), of.int32(), op)
+    def read(cls, reader: Reader, op: Op) -> Create:
+        path, data = reader.text(), reader.buffer()
+        return cls(path, data, tuple(reader.vector(lambda: Acl.read(reader))), reader.int32(), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -384,12 +389,12 @@
     version: int = -1
     op: Op = Op.DELETE
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path).int32(self.version)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path).int32(self.version)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> Delete:
-        return cls(of.text(), of.int32(), op)
+    def read(cls, reader: Reader, op: Op) -> Delete:
+        return cls(reader.text(), reader.int32(), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -406,12 +411,12 @@
     version: int = -1
     op: Op = Op.SET_DATA
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path).buffer(self.data).int32(self.version)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path).buffer(self.data).int32(self.version)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> SetData:
-        return cls(of.text(), of.buffer(), of.int32(), op)
+    def read(cls, reader: Reader, op: Op) -> SetData:
+        return cls(reader.text(), reader.buffer(), reader.int32(), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -421,12 +426,12 @@
     version: int = -1
     op: Op = Op.SET_ACL
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path).vector(list(self.acl), lambda acl: acl.write(to)).int32(self.version)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path).vector(list(self.acl), lambda acl: acl.write(writer)).int32(self.version)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> SetAcl:
-        return cls(of.text(), tuple(of.vector(lambda: Acl.read(of))), of.int32(), op)
+    def read(cls, reader: Reader, op: Op) -> SetAcl:
+        return cls(reader.text(), tuple(reader.vector(lambda: Acl.read(reader))), reader.int32(), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -437,27 +442,27 @@
     watch: bool = False
     op: Op = Op.GET_DATA
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path).boolean(self.watch)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path).boolean(self.watch)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> Read:
-        return cls(of.text(), of.boolean(), op)
+    def read(cls, reader: Reader, op: Op) -> Read:
+        return cls(reader.text(), reader.boolean(), op)
 
 
 @dataclass(slots=True, frozen=True)
-class OnPath:
+class PathRequest:
     """SYNC, GET_ACL, GET_EPHEMERALS or GET_ALL_CHILDREN_NUMBER."""
 
     path: str
     op: Op = Op.SYNC
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> OnPath:
-        return cls(of.text(), op)
+    def read(cls, reader: Reader, op: Op) -> PathRequest:
+        return cls(reader.text(), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -466,12 +471,12 @@
     mode: int  # 0 persistent, 1 persistent and recursive
     op: Op = Op.ADD_WATCH
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path).int32(self.mode)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path).int32(self.mode)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> AddWatch:
-        return cls(of.text(), of.int32(), op)
+    def read(cls, reader: Reader, op: Op) -> AddWatch:
+        return cls(reader.text(), reader.int32(), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -482,12 +487,12 @@
     type: int  # 1 children, 2 data, 3 any
     op: Op = Op.REMOVE_WATCHES
 
-    def write(self, to: Writer) -> None:
-        to.text(self.path).int32(self.type)
+    def write(self, writer: Writer) -> None:
+        writer.text(self.path).int32(self.type)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> RemoveWatches:
-        return cls(of.text(), of.int32(), op)
+    def read(cls, reader: Reader, op: Op) -> RemoveWatches:
+        return cls(reader.text(), reader.int32(), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -502,19 +507,19 @@
     recursive: list[str] = field(default_factory=list)
     op: Op = Op.SET_WATCHES2
 
-    def write(self, to: Writer) -> None:
-        to.int64(self.zxid)
+    def write(self, writer: Writer) -> None:
+        writer.int64(self.zxid)
         lists = (self.data, self.exist, self.child, self.persistent, self.recursive)
         for paths in lists if self.op is Op.SET_WATCHES2 else lists[:3]:
-            to.vector(paths, to.text)
+            writer.vector(paths, writer.text)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> SetWatches:
-        zxid = of.int64()
-        data, exist, child = (of.vector(of.text) for _ in range(3))
+    def read(cls, reader: Reader, op: Op) -> SetWatches:
+        zxid = reader.int64()
+        data, exist, child = (reader.vector(reader.text) for _ in range(3))
         if op is Op.SET_WATCHES:
             return cls(zxid, data, exist, child, op=op)
-        return cls(zxid, data, exist, child, of.vector(of.text), of.vector(of.text), op)
+        return cls(zxid, data, exist, child, reader.vector(reader.text), reader.vector(reader.text), op)
 
 
 @dataclass(slots=True, frozen=True)
@@ -524,26 +529,26 @@
     type: int = 0
     op: Op = Op.AUTH
 
-    def write(self, to: Writer) -> None:
-        to.int32(self.type).text(self.scheme).buffer(self.auth)
+    def write(self, writer: Writer) -> None:
+        writer.int32(self.type).text(self.scheme).buffer(self.auth)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> Auth:
-        type_ = of.int32()
-        return cls(of.text(), of.buffer() or b"", type_, op)
+    def read(cls, reader: Reader, op: Op) -> Auth:
+        type_ = reader.int32()
+        return cls(reader.text(), reader.buffer() or b"", type_, op)
 
 
 @dataclass(slots=True, frozen=True)
-class Bare:
+class EmptyRequest:
     """PING or CLOSE_SESSION: no body."""
 
     op: Op
 
-    def write(self, to: Writer) -> None:
+    def write(self, writer: Writer) -> None:
         pass
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> Bare:
+    def read(cls, reader: Reader, op: Op) -> EmptyRequest:
         return cls(op)
 
 
@@ -557,28 +562,28 @@
     ops: tuple[Write, ...]
     op: Op = Op.MULTI
 
-    def write(self, to: Writer) -> None:
-        for one in self.ops:
-            to.int32(one.op).boolean(False).int32(-1)
-            one.write(to)
-        to.int32(-1).boolean(True).int32(-1)
+    def write(self, writer: Writer) -> None:
+        for operation in self.ops:
+            writer.int32(operation.op).boolean(False).int32(-1)
+            operation.write(writer)
+        writer.int32(-1).boolean(True).int32(-1)
 
     @classmethod
-    def read(cls, of: Reader, op: Op) -> Multi:
+    def read(cls, reader: Reader, op: Op) -> Multi:
         ops: list[Write] = []
         while True:
-            type_, done, _ = of.int32(), of.boolean(), of.int32()
+            type_, done, _ = reader.int32(), reader.boolean(), reader.int32()
             if done:
                 return cls(tuple(ops), op)
-            kind = MULTI_RECORDS.get(type_)
-            if kind is None:
+            record_type = MULTI_RECORDS.get(type_)
+            if record_type is None:
                 raise JuteError(f"{type_} is no operation of a multi")
-            ops.append(kind.read(of, Op(type_)))
+            ops.append(record_type.read(reader, Op(type_)))
 
 
 Request = (
-    Create | Delete | Check | SetData | SetAcl | Read | OnPath | AddWatch | RemoveWatches | SetWatches | Auth | Bare
-    | Multi
+    Create | Delete | Check | SetData | SetAcl | Read | PathRequest | AddWatch | RemoveWatches | SetWatches | Auth
+    | EmptyRequest | Multi
 )  # fmt: skip
 MULTI_RECORDS: dict[int, type[Create] | type[Delete] | type[Check] | type[SetData]] = {
     Op.CREATE: Create, Op.CREATE2: Create, Op.CREATE_CONTAINER: Create, Op.DELETE: Delete, Op.SET_DATA: SetData,
@@ -587,26 +592,26 @@
 RECORDS: dict[int, type[Request]] = {
     Op.CREATE: Create, Op.CREATE2: Create, Op.CREATE_CONTAINER: Create, Op.DELETE: Delete, Op.SET_DATA: SetData,
     Op.SET_ACL: SetAcl, Op.EXISTS: Read, Op.GET_DATA: Read, Op.GET_CHILDREN: Read, Op.GET_CHILDREN2: Read,
-    Op.SYNC: OnPath, Op.GET_ACL: OnPath, Op.GET_EPHEMERALS: OnPath, Op.GET_ALL_CHILDREN_NUMBER: OnPath,
-    Op.ADD_WATCH: AddWatch, Op.CHECK_WATCHES: RemoveWatches, Op.REMOVE_WATCHES: RemoveWatches,
-    Op.SET_WATCHES: SetWatches, Op.SET_WATCHES2: SetWatches, Op.AUTH: Auth, Op.PING: Bare, Op.CLOSE_SESSION: Bare,
-    Op.MULTI: Multi, Op.CHECK: Check,
+    Op.SYNC: PathRequest, Op.GET_ACL: PathRequest, Op.GET_EPHEMERALS: PathRequest,
+    Op.GET_ALL_CHILDREN_NUMBER: PathRequest, Op.ADD_WATCH: AddWatch, Op.CHECK_WATCHES: RemoveWatches,
+    Op.REMOVE_WATCHES: RemoveWatches, Op.SET_WATCHES: SetWatches, Op.SET_WATCHES2: SetWatches, Op.AUTH: Auth,
+    Op.PING: EmptyRequest, Op.CLOSE_SESSION: EmptyRequest, Op.MULTI: Multi, Op.CHECK: Check,
 }  # fmt: skip
 
 
 def decode_request(data: bytes) -> tuple[int, Request | int]:
     """xid and request; the bare type where it is none that is known. JuteError for bytes that are no request."""
-    of = Reader(data)
-    xid, type_ = of.int32(), of.int32()
-    kind = RECORDS.get(type_)
-    if kind is None:
+    reader = Reader(data)
+    xid, type_ = reader.int32(), reader.int32()
+    record_type = RECORDS.get(type_)
+    if record_type is None:
         return xid, type_
-    request = kind.read(of, Op(type_))
-    of.end()
+    request = record_type.read(reader, Op(type_))
+    reader.expect_end()
     return xid, request
 
 
 def encode_request(xid: int, request: Request) -> bytes:
-    to = Writer().int32(xid).int32(request.op)
-    request.write(to)
-    return to.data
+    writer = Writer().int32(xid).int32(request.op)
+    request.write(writer)
+    return writer.data
--- a/standins/parties/zookeeper/threaded.py
+++ b/standins/parties/zookeeper/threaded.py
@@ -9,10 +9,10 @@
 
 from standins.parties.zookeeper.ensemble import Ensemble
 
-CALL_S = 20.0
+CALL_TIMEOUT_S = 20.0
 
 
-class Threaded:
+class ThreadedEnsemble:
     """`call` runs a function, or a coroutine function, on the ensemble's loop and waits for it."""
 
     def __init__(self, servers: int = 3, seed: int = 0, timeouts_ms: tuple[int, int] = (200, 40_000)) -> None:
@@ -22,15 +22,15 @@
         self.ensemble = self.call(lambda: Ensemble(servers, seed, timeouts_ms=timeouts_ms))
         self.call(self.ensemble.start)
 
-    def call(self, what: Callable[[], Any]) -> Any:
-        async def run() -> Any:
-            found = what()
-            return await found if asyncio.iscoroutine(found) else found
+    def call(self, function: Callable[[], Any]) -> Any:
+        async def call_function() -> Any:
+            result = function()
+            return await result if asyncio.iscoroutine(result) else result
 
-        return asyncio.run_coroutine_threadsafe(run(), self.loop).result(CALL_S)
+        return asyncio.run_coroutine_threadsafe(call_function(), self.loop).result(CALL_TIMEOUT_S)
 
     def close(self) -> None:
         self.call(self.ensemble.close)
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self.thread.join(CALL_S)
+        self.thread.join(CALL_TIMEOUT_S)
         self.loop.close()
--- a/standins/parties/zookeeper/tree.py
+++ b/standins/parties/zookeeper/tree.py
@@ -33,15 +33,15 @@
 
 Event = tuple[EventType, str]
 # Characters that no path may have: controls, surrogates and private use, specials.
-BARRED = re.compile("[\x00-\x1f\x7f-\x9f\ud800-\uf8ff\ufff0-\uffff]")
+FORBIDDEN_CHARACTERS = re.compile("[\x00-\x1f\x7f-\x9f\ud800-\uf8ff\ufff0-\uffff]")
 
 
 class KeeperError(Exception):
     """A request that is answered with a code; in a multi, at which operation."""
 
-    def __init__(self, code: Code, at: int = 0) -> None:
+    def __init__(self, code: Code, op_index: int = 0) -> None:
         super().__init__(code.name)
-        self.code, self.at = code, at
+        self.code, self.op_index = code, op_index
 
 
 @dataclass(slots=True)
@@ -124,13 +124,13 @@
     if not path.startswith("/") or path.endswith("/"):
         return False
     parts = path[1:].split("/")
-    return all(part not in ("", ".", "..") for part in parts) and not BARRED.search(path)
+    return all(part not in ("", ".", "..") for part in parts) and not FORBIDDEN_CHARACTERS.search(path)
 
 
-def allows(acl: Iterable[Acl], perm: Perm, ids: Iterable[tuple[str, str]]) -> bool:
+def allows(acl: Iterable[Acl], permission: Perm, ids: Iterable[tuple[str, str]]) -> bool:
     """Whether an ACL grants this to somebody who is known by these (scheme, id) pairs."""
     known = {("world", "anyone"), *ids}
-    return any(entry.perms & perm and (entry.scheme, entry.id) in known for entry in acl)
+    return any(entry.perms & permission and (entry.scheme, entry.id) in known for entry in acl)
 
 
 class Tree:
@@ -155,13 +155,13 @@
         """The steps that a request comes to on this tree, which is left as it is; KeeperError where it fails."""
         known = tuple(ids)
         if not isinstance(request, Multi):
-            return (_Draft(self, session, known).step(request),)
+            return (_Draft(self, session, known).prepare_step(request),)
         draft, steps = _Draft(self, session, known), list[Step]()
-        for at, one in enumerate(request.ops):
+        for index, operation in enumerate(request.ops):
             try:
-                steps.append(draft.step(one))
+                steps.append(draft.prepare_step(operation))
             except KeeperError as error:
-                raise KeeperError(error.code, at) from None
+                raise KeeperError(error.code, index) from None
         return tuple(steps)
 
     # Applying
@@ -186,7 +186,7 @@
                 self.nodes[path] = Node(data, acl, replace(stat, ephemeral_owner=owner))
                 if owner:
                     self.ephemerals[owner].add(path)
-                self.touch_parent(path, change).add(name_of(path))
+                self.update_parent(path, change).add(name_of(path))
                 return [(EventType.CREATED, path), (EventType.CHILDREN_CHANGED, parent_of(path))]
             case Deleted(path):
                 node = self.nodes.pop(path)
@@ -195,7 +195,7 @@
                     self.ephemerals[owner].discard(path)
                     if not self.ephemerals[owner]:
                         del self.ephemerals[owner]
-                self.touch_parent(path, change).discard(name_of(path))
+                self.update_parent(path, change).discard(name_of(path))
                 return [(EventType.DELETED, path), (EventType.CHILDREN_CHANGED, parent_of(path))]
             case DataSet(path, data):
                 node = self.nodes[path]
@@ -209,7 +209,7 @@
             case Checked():
                 return []
 
-    def touch_parent(self, path: str, change: Change) -> set[str]:
+    def update_parent(self, path: str, change: Change) -> set[str]:
         parent = self.nodes[parent_of(path)]
         parent.stat = replace(parent.stat, cversion=parent.stat.cversion + 1, pzxid=change.zxid)
         return parent.children
@@ -221,9 +221,9 @@
     def __init__(self, tree: Tree, session: int, ids: tuple[tuple[str, str], ...]) -> None:
         self.tree, self.session, self.ids = tree, session, ids
         self.changed: dict[str, Node | None] = {}  # None: deleted
-        self.count: dict[str, int] = {}  # of children, where that may have changed
+        self.child_counts: dict[str, int] = {}  # of children, where that may have changed
 
-    def get(self, path: str) -> Node:
+    def get_node(self, path: str) -> Node:
         if path in self.changed:
             node = self.changed[path]
             if node is None:
@@ -231,64 +231,64 @@
             return node
         return self.tree.node(path)
 
-    def own(self, path: str) -> Node:
+    def copy_for_change(self, path: str) -> Node:
         """A copy that may be changed, but for its children: they are counted, not copied."""
-        node = self.get(path)
+        node = self.get_node(path)
         if path not in self.changed:
-            self.count[path] = len(node.children)
+            self.child_counts[path] = len(node.children)
             node = self.changed[path] = Node(node.data, node.acl, node.stat)
         return node
 
-    def has(self, path: str) -> bool:
+    def has_node(self, path: str) -> bool:
         return self.changed[path] is not None if path in self.changed else path in self.tree.nodes
 
-    def need(self, node: Node, perm: Perm) -> None:
-        if not allows(node.acl, perm, self.ids):
+    def require_permission(self, node: Node, permission: Perm) -> None:
+        if not allows(node.acl, permission, self.ids):
             raise KeeperError(Code.NO_AUTH)
 
-    def step(self, request: Write | SetAcl) -> Step:
+    def prepare_step(self, request: Write | SetAcl) -> Step:
         if not is_valid(request.path) and not (isinstance(request, Create) and request.path.endswith("/")):
             raise KeeperError(Code.BAD_ARGUMENTS)
         match request:
             case Create():
                 return self.create(request)
             case Check():
-                node = self.get(request.path)
-                self.need(node, Perm.READ)
-                self.version(node, request.version)
+                node = self.get_node(request.path)
+                self.require_permission(node, Perm.READ)
+                self.check_version(node, request.version)
                 return Checked(request.path)
             case Delete():
                 return self.delete(request)
             case SetData():
-                node = self.own(request.path)
-                self.need(node, Perm.WRITE)
-                self.version(node, request.version)
+                node = self.copy_for_change(request.path)
+                self.require_permission(node, Perm.WRITE)
+                self.check_version(node, request.version)
                 node.data, node.stat = request.data, replace(node.stat, version=node.stat.version + 1)
                 return DataSet(request.path, request.data)
             case SetAcl():
-                node = self.own(request.path)
-                self.need(node, Perm.ADMIN)
+                node = self.copy_for_change(request.path)
+                self.require_permission(node, Perm.ADMIN)
                 if request.version not in (-1, node.stat.aversion):
                     raise KeeperError(Code.BAD_VERSION)
-                return AclSet(request.path, self.fixed(request.acl))
+                return AclSet(request.path, self.resolve_acl(request.acl))
 
-    def version(self, node: Node, wanted: int) -> None:
-        if wanted not in (-1, node.stat.version):
+    def check_version(self, node: Node, expected: int) -> None:
+        if expected not in (-1, node.stat.version):
             raise KeeperError(Code.BAD_VERSION)
 
-    def fixed(self, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
+    def resolve_acl(self, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
         """An ACL with `auth` put into the ids that the session has; none at all is invalid."""
-        found: list[Acl] = []
+        resolved: list[Acl] = []
         for entry in acl:
             if entry.scheme == "auth":
-                found += [Acl(entry.perms, scheme, id_) for scheme, id_ in self.ids]
+                resolved += [Acl(entry.perms, scheme, id_) for scheme, id_ in self.ids]
             elif entry.scheme in ("world", "digest", "ip"):
-                found.append(entry)
+                resolved.append(entry)
             else:
                 raise KeeperError(Code.INVALID_ACL)
-        if not found:
+        if not resolved:
             raise KeeperError(Code.INVALID_ACL)
-        return tuple(dict.fromkeys(found))  # each once
+        return tuple(dict.fromkeys(resolved))  # each once
 
     def create(self, request: Create) -> Created:
         try:
@@ -298,35 +298,35 @@
         parent_path = parent_of(request.path)
         if not is_valid(parent_path):
             raise KeeperError(Code.BAD_ARGUMENTS)
-        parent = self.own(parent_path)
+        parent = self.copy_for_change(parent_path)
         path = request.path
         if mode.is_sequential:
             path += f"{parent.stat.cversion:0{SEQUENCE_DIGITS}d}"
         if path == "/" or not is_valid(path):
             raise KeeperError(Code.NODE_EXISTS if path == "/" else Code.BAD_ARGUMENTS)
-        self.need(parent, Perm.CREATE)
-        if self.has(path):
+        self.require_permission(parent, Perm.CREATE)
+        if self.has_node(path):
             raise KeeperError(Code.NODE_EXISTS)
         if parent.stat.ephemeral_owner:
             raise KeeperError(Code.NO_CHILDREN_FOR_EPHEMERALS)
-        acl = self.fixed(request.acl)
+        acl = self.resolve_acl(request.acl)
         owner = self.session if mode.is_ephemeral else 0
-        self.count[parent_path] += 1
+        self.child_counts[parent_path] += 1
         parent.stat = replace(parent.stat, cversion=parent.stat.cversion + 1)
-        self.count[path] = 0
+        self.child_counts[path] = 0
         self.changed[path] = Node(request.data, acl, Stat(ephemeral_owner=owner))
         return Created(path, request.data, acl, owner)
 
     def delete(self, request: Delete) -> Deleted:
         if request.path == "/":
             raise KeeperError(Code.BAD_ARGUMENTS)
-        node = self.get(request.path)
-        parent = self.own(parent_of(request.path))
-        self.need(parent, Perm.DELETE)
-        self.version(node, request.version)
-        if self.count.get(request.path, len(node.children)):
+        node = self.get_node(request.path)
+        parent = self.copy_for_change(parent_of(request.path))
+        self.require_permission(parent, Perm.DELETE)
+        self.check_version(node, request.version)
+        if self.child_counts.get(request.path, len(node.children)):
             raise KeeperError(Code.NOT_EMPTY)
-        self.count[parent_of(request.path)] -= 1
+        self.child_counts[parent_of(request.path)] -= 1
         parent.stat = replace(parent.stat, cversion=parent.stat.cversion + 1)
         self.changed[request.path] = None
         return Deleted(request.path)
--- a/standins/parties/zookeeper/watches.py
+++ b/standins/parties/zookeeper/watches.py
@@ -16,36 +16,36 @@
 Watcher = Hashable
 
 
-class Kind(Enum):
+class WatchKind(Enum):
     DATA = "data"  # of a node that is there, or of one that is not yet
     CHILD = "child"
     PERSISTENT = "persistent"
     RECURSIVE = "recursive"
 
 
-ONE_SHOT = (Kind.DATA, Kind.CHILD)
+ONE_SHOT_KINDS = (WatchKind.DATA, WatchKind.CHILD)
 # Which kinds an event on the path itself meets. A recursive watch hears of nodes, never of their lists of children.
-MET = {
-    EventType.CREATED: (Kind.DATA, Kind.PERSISTENT, Kind.RECURSIVE),
-    EventType.DELETED: (Kind.DATA, Kind.CHILD, Kind.PERSISTENT, Kind.RECURSIVE),
-    EventType.DATA_CHANGED: (Kind.DATA, Kind.PERSISTENT, Kind.RECURSIVE),
-    EventType.CHILDREN_CHANGED: (Kind.CHILD, Kind.PERSISTENT),
+KINDS_BY_EVENT_TYPE = {
+    EventType.CREATED: (WatchKind.DATA, WatchKind.PERSISTENT, WatchKind.RECURSIVE),
+    EventType.DELETED: (WatchKind.DATA, WatchKind.CHILD, WatchKind.PERSISTENT, WatchKind.RECURSIVE),
+    EventType.DATA_CHANGED: (WatchKind.DATA, WatchKind.PERSISTENT, WatchKind.RECURSIVE),
+    EventType.CHILDREN_CHANGED: (WatchKind.CHILD, WatchKind.PERSISTENT),
 }
 
 
 class Watches:
     def __init__(self) -> None:
-        self.by_path: dict[Kind, dict[str, set[Watcher]]] = {kind: defaultdict(set) for kind in Kind}
-        self.by_watcher: dict[Watcher, set[tuple[Kind, str]]] = defaultdict(set)
+        self.by_path: dict[WatchKind, dict[str, set[Watcher]]] = {kind: defaultdict(set) for kind in WatchKind}
+        self.by_watcher: dict[Watcher, set[tuple[WatchKind, str]]] = defaultdict(set)
 
     def __len__(self) -> int:
         return sum(len(paths) for paths in self.by_watcher.values())
 
-    def add(self, watcher: Watcher, kind: Kind, path: str) -> None:
+    def add(self, watcher: Watcher, kind: WatchKind, path: str) -> None:
         self.by_path[kind][path].add(watcher)
         self.by_watcher[watcher].add((kind, path))
 
-    def remove(self, watcher: Watcher, kind: Kind, path: str) -> bool:
+    def remove(self, watcher: Watcher, kind: WatchKind, path: str) -> bool:
         if (kind, path) not in self.by_watcher.get(watcher, ()):
             return False
         self.by_watcher[watcher].discard((kind, path))
@@ -57,63 +57,63 @@
             del self.by_path[kind][path]
         return True
 
-    def has(self, watcher: Watcher, kinds: Iterable[Kind], path: str) -> bool:
+    def has_watch(self, watcher: Watcher, kinds: Iterable[WatchKind], path: str) -> bool:
         return any((kind, path) in self.by_watcher.get(watcher, ()) for kind in kinds)
 
-    def forget(self, watcher: Watcher) -> None:
+    def remove_watcher(self, watcher: Watcher) -> None:
         for kind, path in list(self.by_watcher.get(watcher, ())):
             self.remove(watcher, kind, path)
 
     def trigger(self, events: Iterable[Event]) -> list[tuple[Watcher, Event]]:
         """Who hears of which event, in the order of the events; one-shot watches that were met are gone."""
-        told: list[tuple[Watcher, Event]] = []
+        notifications: list[tuple[Watcher, Event]] = []
         for event in events:
             type_, path = event
-            hearers: dict[Watcher, None] = {}
-            for kind in MET[type_]:
-                for at in ancestors(path) if kind is Kind.RECURSIVE else (path,):
-                    for watcher in sorted(self.by_path[kind].get(at, ()), key=id):
-                        hearers[watcher] = None
-                        if kind in ONE_SHOT:
+            watchers: dict[Watcher, None] = {}
+            for kind in KINDS_BY_EVENT_TYPE[type_]:
+                for watched_path in ancestors(path) if kind is WatchKind.RECURSIVE else (path,):
+                    for watcher in sorted(self.by_path[kind].get(watched_path, ()), key=id):
+                        watchers[watcher] = None
+                        if kind in ONE_SHOT_KINDS:
                             self.remove(watcher, kind, path)
-            told += [(watcher, event) for watcher in hearers]
-        return told
+            notifications += [(watcher, event) for watcher in watchers]
+        return notifications
 
-    def restore(self, watcher: Watcher, wanted: SetWatches, tree: Tree) -> list[Event]:
+    def restore(self, watcher: Watcher, request: SetWatches, tree: Tree) -> list[Event]:
         """Set anew what a client watched before it reconnected; returns what it has missed meanwhile."""
         missed: list[Event] = []
-        for path in wanted.data:
+        for path in request.data:
             node = tree.nodes.get(path)
             if node is None:
                 missed.append((EventType.DELETED, path))
-            elif node.stat.mzxid > wanted.zxid:
+            elif node.stat.mzxid > request.zxid:
                 missed.append((EventType.DATA_CHANGED, path))
             else:
-                self.add(watcher, Kind.DATA, path)
-        for path in wanted.exist:
+                self.add(watcher, WatchKind.DATA, path)
+        for path in request.exist:
             if path in tree.nodes:
                 missed.append((EventType.CREATED, path))
             else:
-                self.add(watcher, Kind.DATA, path)
-        for path in wanted.child:
+                self.add(watcher, WatchKind.DATA, path)
+        for path in request.child:
             node = tree.nodes.get(path)
             if node is None:
                 missed.append((EventType.DELETED, path))
-            elif node.stat.pzxid > wanted.zxid:
+            elif node.stat.pzxid > request.zxid:
                 missed.append((EventType.CHILDREN_CHANGED, path))
             else:
-                self.add(watcher, Kind.CHILD, path)
-        for path in wanted.persistent:
-            self.add(watcher, Kind.PERSISTENT, path)
-        for path in wanted.recursive:
-            self.add(watcher, Kind.RECURSIVE, path)
+                self.add(watcher, WatchKind.CHILD, path)
+        for path in request.persistent:
+            self.add(watcher, WatchKind.PERSISTENT, path)
+        for path in request.recursive:
+            self.add(watcher, WatchKind.RECURSIVE, path)
         return missed
 
 
 def ancestors(path: str) -> list[str]:
     """The path itself and all above it."""
-    found = [path]
+    paths = [path]
     while path != "/":
         path = parent_of(path)
-        found.append(path)
-    return found
+        paths.append(path)
+    return paths
--- a/standins/playing/keeper_play.py
+++ b/standins/playing/keeper_play.py
@@ -61,7 +61,7 @@
         super().__init__(scenario, seed, seconds, folder)
         self.folder = folder
         self.keeper = Ensemble(3, seed, timeouts_ms=(200, 40_000))
-        self.keeper.on_told, self.keeper.view = self.on_told, self.as_seen
+        self.keeper.on_delivery, self.keeper.data_for_client = self.on_told, self.as_seen
         self.agents: dict[str, Agent] = {}
         self.logs: list[IO[bytes]] = []
         self.told: dict[str, set[str]] = {gateway.name: set() for gateway in self.gateways}
@@ -75,7 +75,7 @@
         for gateway in self.gateways:
             links = []
             for number, server in enumerate(self.keeper.servers):
-                link: TcpLink = self.network.tcp(gateway.name, f"keeper-{number}", _address_of(server))
+                link: TcpLink = self.network.add_tcp_link(gateway.name, f"keeper-{number}", _address_of(server))
                 link.open()
                 links.append(link)
             self.hosts[gateway.name] = ",".join(f"{k.address[0]}:{k.address[1]}" for k in links)
@@ -259,7 +259,7 @@
     async def do_keeper_down(self, for_s: float, lost: int = 0) -> None:
         self.keeper.stop()
         await asyncio.sleep(for_s)
-        await self.keeper.come_back(lost)
+        await self.keeper.restart(lost)
 
     def close(self) -> None:
         super().close()
--- a/standins/playing/play.py
+++ b/standins/playing/play.py
@@ -15,8 +15,8 @@
 from standins.parties.fleet import PROGRAM, Fleet, Gateway
 from standins.event_log import BackendStopped, EventLog, FaultInjected, ManualEjection, SchedulingDelay, now_us
 from standins.parties.mesh import Mesh
-from standins.parties.network import Address, Conditions, Network, TcpLink
-from standins.parties.registry import Entry, Registry, View
+from standins.parties.network import Address, LinkConditions, Network, TcpLink
+from standins.parties.registry import Entry, Registry, RegistryListener
 from standins.playing.scenario import Scenario
 from standins.playing.scenario import Trouble as Planned
 from standins.site import CLASSES, MEAN_WORK_US, ROOMS, BoxKind, Rules, configuration, settings, terms
@@ -60,7 +60,7 @@
         self.boxes: dict[str, Box] = {}
         self.entries: dict[str, Entry] = {}
         self.links: dict[tuple[str, str], TcpLink] = {}  # gateway, box
-        self.views: dict[str, View] = {}
+        self.views: dict[str, RegistryListener] = {}
         self.busy: set[str] = set()  # boxes that some trouble has
         self.tasks: set[asyncio.Task[Any]] = set()
         self.on_progress: Callable[[str], None] = lambda text: None
@@ -110,8 +110,8 @@
     async def build_registry(self) -> None:
         for gateway in self.gateways:
             name = gateway.name
-            self.views[name] = await self.registry.open(name, self.address_for(name), self.gate(name))
-            link = self.network.tcp(name, REGISTRY, lambda name=name: self.views[name].address)  # type: ignore[misc]
+            self.views[name] = await self.registry.open_listener(name, self.address_for(name), self.gate(name))
+            link = self.network.add_tcp_link(name, REGISTRY, lambda name=name: self.views[name].address)  # type: ignore[misc]
             link.open()
             self.links[name, REGISTRY] = link
 
@@ -124,7 +124,9 @@
         )  # fmt: skip
         self.boxes[name] = box
         for gateway in self.gateways:
-            link = self.network.tcp(gateway.name, name, lambda: box.address if box.server is not None else None)
+            link = self.network.add_tcp_link(
+                gateway.name, name, lambda: box.address if box.server is not None else None
+            )
             self.links[gateway.name, name] = link
         await box.start(cold, port)
         self.register(box, lag_s)
@@ -135,9 +137,9 @@
         entry = Entry(box.name, ROOMS[box.room], self.kind.name, box.shelf.group, since_ms)
         self.entries[box.name] = entry
         if lag_s is None:
-            self.registry.put(entry)
+            self.registry.add_entry(entry)
         else:
-            self.registry.announce(entry, "SERVING", lag_s)
+            self.registry.schedule_change(entry, "SERVING", lag_s)
 
     def on_listening(self, name: str, up: bool) -> None:
         for (_, box), link in self.links.items():
@@ -154,7 +156,7 @@
     def gate(self, gateway: str) -> Callable[[], Coroutine[Any, Any, None]]:
         async def wait() -> None:
             link = self.links[gateway, REGISTRY]
-            while any(conditions.cut for conditions in link.conditions):
+            while any(conditions.is_cut for conditions in link.conditions):
                 await asyncio.sleep(0.02)
 
         return wait
@@ -168,7 +170,7 @@
             for entry in self.registry.entries.values():
                 address = self.address_for(name)(entry.name)
                 if address is not None:
-                    known.append({"address": f"{address[0]}:{address[1]}"} | self.registry.form(entry))
+                    known.append({"address": f"{address[0]}:{address[1]}"} | self.registry.to_record(entry))
             told = settings(len(self.gateways), number, gateway.room, self.kind, self.rules, self.classes)
             made = configuration(
                 name, f"127.0.0.1:{gateway.port}", f"{discovery[0]}:{discovery[1]}",
@@ -292,7 +294,7 @@
         chosen = self.choose(boxes)
         for box in chosen:
             box.crash()
-            self.registry.announce(self.entries[box.name], "DELETED")
+            self.registry.schedule_change(self.entries[box.name], "DELETED")
         await asyncio.sleep(for_s)
         for box in chosen:
             await self.come_back(box, renamed)
@@ -311,7 +313,7 @@
         for box in chosen:
             self.cut_off(box)
             # Nobody tells the registry; it finds out.
-            self.registry.announce(self.entries[box.name], "DELETED", self.dice.uniform(4.0, 8.0) * self.scale)
+            self.registry.schedule_change(self.entries[box.name], "DELETED", self.dice.uniform(4.0, 8.0) * self.scale)
         await asyncio.sleep(for_s)
         for box in chosen:
             self.reset_links(box)
@@ -361,14 +363,14 @@
     async def leave(self, box: Box) -> None:
         """As a planned end goes: the registry hears of it, the box finishes what it has, then it is gone."""
         box.leaving = True
-        self.registry.announce(self.entries[box.name], "DRAINING", self.dice.uniform(0.1, 0.5))
+        self.registry.schedule_change(self.entries[box.name], "DRAINING", self.dice.uniform(0.1, 0.5))
         await asyncio.sleep(DRAINS_S)
         box.faults.drain = True
         end = asyncio.get_running_loop().time() + 2.0
         while box.jobs and asyncio.get_running_loop().time() < end:
             await asyncio.sleep(0.02)
         box.crash("drained")
-        self.registry.announce(self.entries[box.name], "DELETED")
+        self.registry.schedule_change(self.entries[box.name], "DELETED")
 
     async def do_drain(self, for_s: float, boxes: int = 1) -> None:
         chosen = self.choose(boxes)
@@ -400,13 +402,13 @@
             address = box.address
             assert address is not None
             box.crash()
-            self.registry.announce(self.entries[box.name], "DELETED")
+            self.registry.schedule_change(self.entries[box.name], "DELETED")
             heir = f"{box.name}h"
             lag_s = self.dice.uniform(0.2, 1.0)
             await self.add_box(heir, box.room, cold=True, lag_s=lag_s, port=address[1])
             for gateway in self.gateways:
                 # The links too: what a gateway knew as the one's address is the other's from now on.
-                self.links[gateway.name, heir].take_place_of(self.links[gateway.name, box.name])
+                self.links[gateway.name, heir].swap_address_with(self.links[gateway.name, box.name])
             await asyncio.sleep(for_s)
 
     # Troubles of gateways
@@ -443,10 +445,10 @@
     async def tell_drain(self, box: Box, wait_s: float) -> None:
         """The list says that a box drains; the box goes on."""
         await asyncio.sleep(wait_s)
-        self.registry.announce(self.entries[box.name], "DRAINING", 0.0)
+        self.registry.schedule_change(self.entries[box.name], "DRAINING", 0.0)
 
     def tell_drain_over(self, box: Box) -> None:
-        self.registry.announce(self.entries[box.name], "SERVING", 0.0)
+        self.registry.schedule_change(self.entries[box.name], "SERVING", 0.0)
         self.busy.discard(box.name)
 
     async def do_early(self, signal: str = "HUP") -> None:
@@ -508,24 +510,24 @@
     # Troubles of the registry
 
     async def do_registry_down(self, for_s: float, how: str = "503") -> None:
-        await self.registry.set_down(how)
+        await self.registry.set_outage_mode(how)
         await asyncio.sleep(for_s)
-        await self.registry.set_down("")
+        await self.registry.set_outage_mode("")
 
     async def do_registry_garbled(self, for_s: float) -> None:
-        self.registry.faults.garble = True
+        self.registry.faults.has_garbled_lists = True
         await asyncio.sleep(for_s)
-        self.registry.faults.garble = False
+        self.registry.faults.has_garbled_lists = False
 
     async def do_registry_back(self, by: int = 3) -> None:
-        self.registry.step_back(by)
+        self.registry.roll_back_index(by)
 
     async def do_registry_moves(self) -> None:
         for gateway in self.gateways:
             view = self.views[gateway.name]
             old = self.links[gateway.name, REGISTRY]
-            await self.registry.move(view)
-            link = self.network.tcp(gateway.name, REGISTRY, lambda view=view: view.address)  # type: ignore[misc]
+            await self.registry.move_listener(view)
+            link = self.network.add_tcp_link(gateway.name, REGISTRY, lambda view=view: view.address)  # type: ignore[misc]
             link.open()
             self.links[gateway.name, REGISTRY] = link
             gateway.write_configuration()
@@ -540,20 +542,20 @@
         first, second = self.expand(one), self.expand(other)
         self.network.partition(first, second, one_way)
         await asyncio.sleep(for_s)
-        for link in self.network.between(first, second):
+        for link in self.network.links_between(first, second):
             link.heal(reset)
 
     async def do_slow_network(
         self, one: list[str], other: list[str], for_s: float, delay_ms: float = 5.0, jitter_ms: float = 5.0,
         loss: float = 0.0,
     ) -> None:  # fmt: skip
-        links = self.network.between(self.expand(one), self.expand(other))
+        links = self.network.links_between(self.expand(one), self.expand(other))
         for link in links:
             for conditions in link.conditions:
                 conditions.delay_us, conditions.jitter_us = int(delay_ms * 1000), int(jitter_ms * 1000)
                 conditions.loss = loss
         await asyncio.sleep(for_s)
-        usual = Conditions()
+        usual = LinkConditions()
         for link in links:
             for conditions in link.conditions:
                 conditions.delay_us, conditions.jitter_us = usual.delay_us, usual.jitter_us
--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -28,7 +28,7 @@
 from standins.parties import fleet as processes
 from standins.parties.fleet import Gateway
 from standins.parties.network import Address, Network, TcpLink
-from standins.parties.registry import Entry, Registry, View
+from standins.parties.registry import Entry, Registry, RegistryListener
 from tests import sockets
 from tests.sockets import Client, Exchange, Peer, configuration, endpoint, hosts_list, peer, reply, request
 
@@ -54,7 +54,7 @@
     discovery_by_relay: tuple[int, ...]  # by relay: the number of the discovery that it polls
     is_spread: bool  # gateways poll different relays first; otherwise all poll relay-0 first
     ledger: EventLog = field(default_factory=EventLog)
-    views: dict[str, View] = field(default_factory=dict)
+    views: dict[str, RegistryListener] = field(default_factory=dict)
     to_relay: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # by gateway, relay
     to_discovery: list[TcpLink] = field(default_factory=list)  # by relay
     gateways: list[Gateway] = field(default_factory=list)
@@ -94,7 +94,7 @@
             discovery, name = self.discoveries[number], f"s-{host}"
             entry = discovery.entries.get(name) or self.entry(host)
             entry.weight = weight
-            discovery.change([(entry, status)])
+            discovery.apply_changes([(entry, status)])
             self.changes.append(EndpointChange(now_us(), number, host, status))
             self.note(f"{name} {status}, weight {weight:g}, at discovery-{number}")
         return at_us
@@ -307,11 +307,13 @@
         for discovery in discoveries:
             discovery.index = FIRST_INDEX
             for n in range(hosts):
-                discovery.put(fleet.entry(n))
+                discovery.add_entry(fleet.entry(n))
         for n, discovery_number in enumerate(discovery_by_relay):
-            fleet.views[f"relay-{n}"] = await discoveries[discovery_number].open(f"relay-{n}", address_of, allow_all)
+            fleet.views[f"relay-{n}"] = await discoveries[discovery_number].open_listener(
+                f"relay-{n}", address_of, allow_all
+            )
         for n in range(GATEWAYS):
-            fleet.views[f"n{n}"] = await fleet.discovery.open(f"n{n}", address_of, allow_all)
+            fleet.views[f"n{n}"] = await fleet.discovery.open_listener(f"n{n}", address_of, allow_all)
         for n in range(len(discovery_by_relay)):
             fleet.write_roster(n)
             fleet.relays.append(_relay(fleet, n))
@@ -362,7 +364,9 @@
 
 def _relay(fleet: RelayFleet, number: int) -> Gateway:
     name = f"relay-{number}"
-    link = fleet.network.tcp(name, f"discovery-{fleet.discovery_by_relay[number]}", lambda: fleet.views[name].address)
+    link = fleet.network.add_tcp_link(
+        name, f"discovery-{fleet.discovery_by_relay[number]}", lambda: fleet.views[name].address
+    )
     link.open()
     fleet.to_discovery.append(link)
     file = fleet.folder / f"{name}.toml"
@@ -376,7 +380,7 @@
 
 def _gateway(fleet: RelayFleet, number: int) -> Gateway:
     name, relays = f"n{number}", len(fleet.discovery_by_relay)
-    links = [fleet.network.tcp(name, f"relay-{n}", lambda: None) for n in range(relays)]
+    links = [fleet.network.add_tcp_link(name, f"relay-{n}", lambda: None) for n in range(relays)]
     for link in links:
         link.open()
     for place, link in enumerate(order_of(name, links)):
--- a/tests/control_plane/relay_harness.py
+++ b/tests/control_plane/relay_harness.py
@@ -54,7 +54,7 @@
         return found
 
     def change(self, *changes: tuple[str, str]) -> None:
-        self.registry.change([(self.registry.entries[name], status) for name, status in changes])
+        self.registry.apply_changes([(self.registry.entries[name], status) for name, status in changes])
 
     async def has(self, count: int) -> None:
         server = self.server
@@ -92,10 +92,12 @@
     registry = Registry(EventLog())
     for service in "st":
         for number in range(4):
-            registry.put(entry(number, service))
-    view = await registry.open("relay", lambda name: ("127.0.0.1", 9000 + ord(name[0]) + int(name[2:])), allow_all)
+            registry.add_entry(entry(number, service))
+    view = await registry.open_listener(
+        "relay", lambda name: ("127.0.0.1", 9000 + ord(name[0]) + int(name[2:])), allow_all
+    )
     if not ready:
-        await registry.set_down("503")
+        await registry.set_outage_mode("503")
     assert view.address is not None
     try:
         async with running_relay(f"{view.address[0]}:{view.address[1]}", limits) as server:
--- a/tests/control_plane/test_command.py
+++ b/tests/control_plane/test_command.py
@@ -15,7 +15,7 @@
 from cloverkeel.core.clock import now_us
 from cloverkeel.core.config import ConfigError
 from standins.event_log import EventLog
-from standins.parties.network import reserve
+from standins.parties.network import reserve_port
 from standins.parties.registry import Registry
 from tests import sockets
 from tests.control_plane.relay_harness import ROSTER, allow_all, entry
@@ -58,10 +58,10 @@
 @on_loop
 async def test_relay_process_starts_shows_its_state_and_exits(tmp_path: Path) -> None:
     registry = Registry(EventLog())
-    registry.put(entry(0))
-    view = await registry.open("relay", lambda name: ("127.0.0.1", 9000), allow_all)
+    registry.add_entry(entry(0))
+    view = await registry.open_listener("relay", lambda name: ("127.0.0.1", 9000), allow_all)
     assert view.address is not None
-    reserved = reserve()
+    reserved = reserve_port()
     here = f"127.0.0.1:{reserved.getsockname()[1]}"
     file, roster = tmp_path / "relay.toml", tmp_path / "roster.json"
     text = FILE.replace("127.0.0.1:1", here).replace("127.0.0.1:2", f"127.0.0.1:{view.address[1]}")
--- a/tests/control_plane/test_http_server.py
+++ b/tests/control_plane/test_http_server.py
@@ -17,7 +17,7 @@
             assert (answer.status, answer.headers["retry-after"]) == (503, "1")
         assert (await harness.get("/health/ready")).status == 503
         assert (await harness.state())["version"] is None
-        await harness.registry.set_down("")
+        await harness.registry.set_outage_mode("")
         await harness.has(8)
         assert len((await harness.listed("gateway=g0"))["endpoints"]) == 4
         assert (await harness.get("/health/ready")).status == 200
--- a/tests/control_plane/test_relay_fleet.py
+++ b/tests/control_plane/test_relay_fleet.py
@@ -72,7 +72,7 @@
 async def test_relays_without_a_list_are_not_ready_and_gateways_keep_their_hosts(tmp_path: Path) -> None:
     async with relay_fleet(tmp_path) as fleet:
         fleet.note("discovery is down")
-        await fleet.discovery.set_down("503")
+        await fleet.discovery.set_outage_mode("503")
         await fleet.kill(0, 1)
         for relay in fleet.relays:
             relay.start()
@@ -82,7 +82,7 @@
         for relay in fleet.relays:
             assert not await processes.is_ready(relay.address)
         at_us = fleet.publish_status(0, "DRAINING")
-        await fleet.discovery.set_down("")
+        await fleet.discovery.set_outage_mode("")
         for n in range(RELAYS):
             await fleet.wait_until_ready(n)
         await fleet.wait_until(at_us + int(STALE_S * 1e6))
@@ -123,7 +123,7 @@
         await fleet.serve_more_requests()
         at_us = fleet.note("discovery restarts without s-0")
         del fleet.discovery.entries["s-0"]
-        fleet.discovery.step_back(1_000_000)
+        fleet.discovery.roll_back_index(1_000_000)
         assert fleet.discovery.index == 1
         await fleet.wait_until(at_us + int(LOST_S * 1e6))
         fleet.assert_left_within(0, at_us, LOST_S)
--- a/tests/discovery/coordination.py
+++ b/tests/discovery/coordination.py
@@ -11,7 +11,7 @@
 
 from standins.parties.zookeeper.ensemble import Session
 from standins.parties.zookeeper.jute import Create, Mode
-from standins.parties.zookeeper.threaded import Threaded
+from standins.parties.zookeeper.threaded import ThreadedEnsemble
 
 FOLDER = "/cloverkeel/boxes"
 
@@ -20,7 +20,7 @@
     """A stand-in ensemble; the node of each registered backend belongs to its own session."""
 
     def __init__(self) -> None:
-        self.stand_in = Threaded(servers=2, timeouts_ms=(200, 40_000))
+        self.stand_in = ThreadedEnsemble(servers=2, timeouts_ms=(200, 40_000))
         self.ensemble = self.stand_in.ensemble
         self.session_by_backend: dict[str, Session] = {}
         self.commit_request(Create("/cloverkeel"))
--- a/tests/discovery/test_zookeeper_source.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -129,16 +129,16 @@
     async with running_gateway(service, session_ms=20_000) as program:
         await until_listed(program, "s-0", "s-1")
         for session in service.gateway_sessions():
-            session.cut = "in"
+            session.silenced = "in"
         started_s = time.monotonic()
         service.expire("s-0")
         await until_listed(program, "s-1")
         assert time.monotonic() - started_s < 0.8
         for session in service.gateway_sessions():
-            service.call(partial(service.ensemble.sever, session.id, ""))
+            service.call(partial(service.ensemble.disrupt_session, session.id, ""))
         service.register("s-0", "127.0.0.1:9001")  # must reappear with the next list
         for session in service.gateway_sessions():
-            service.call(partial(service.ensemble.sever, session.id))
+            service.call(partial(service.ensemble.disrupt_session, session.id))
         await until_listed(program, "s-0", "s-1")
     service.close()
 
@@ -191,7 +191,7 @@
         await asyncio.sleep(0.1)
         assert sorted(listed_servers(program)) == ["s-1", "s-2"]
         # lost=0 restores the whole log: s-0 has expired and stays removed.
-        service.call(lambda: service.ensemble.come_back(lost=0))
+        service.call(lambda: service.ensemble.restart(lost_changes=0))
         service.register("s-3", "127.0.0.1:9004")
         await until_listed(program, "s-1", "s-2", "s-3")
     service.close()
@@ -220,7 +220,7 @@
     known = [{"name": "s-0", "address": "127.0.0.1:9001", "zone": "a", "type": "m", "status": "SERVING"}]
     async with running_gateway(service, make_config(known)) as program:
         assert sorted(listed_servers(program)) == ["s-0"] and program.gateway.can_serve
-        service.call(service.ensemble.come_back)
+        service.call(service.ensemble.restart)
         service.register("s-1", "127.0.0.1:9002")
         await until_listed(program, "s-1")  # the complete list from the service, without s-0
     service.close()
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -23,7 +23,7 @@
 from standins.checker.leases import ObservedAct, LeaseViolation, leadership_gaps, check_leases
 from standins.parties.mesh import Mesh, duty_number, host_number
 from standins.parties.network import Network
-from standins.parties.zookeeper.threaded import Threaded
+from standins.parties.zookeeper.threaded import ThreadedEnsemble
 from tests import sockets
 from tests.sockets import Peer, configuration, endpoint, hosts_list, peer
 
@@ -47,7 +47,7 @@
     ledger: EventLog = field(default_factory=EventLog)
     gateways: list[Gateway] = field(default_factory=list)
     notes: list[tuple[int, str]] = field(default_factory=list)
-    keeper: Threaded | None = None  # the coordination service, where it decides who holds
+    keeper: ThreadedEnsemble | None = None  # the coordination service, where it decides who holds
     warm: list[Peer] = field(default_factory=list)  # further hosts, which are warm: s-1 and so on
     colds: int = 1  # cold hosts: s-0, and c-1 and so on at its address
     blanks: list[int] = field(default_factory=list)  # moments at which no gateway's process lived
@@ -230,7 +230,7 @@
 @asynccontextmanager
 async def ground(
     folder: Path, count: int = 3, voters: int = 3, lease_ms: int = 600, begin: bool = True,
-    keeper: Threaded | None = None, warm: Sequence[Peer] = (), colds: int = 1,
+    keeper: ThreadedEnsemble | None = None, warm: Sequence[Peer] = (), colds: int = 1,
 ) -> AsyncIterator[Ground]:  # fmt: skip
     """Gateways that run and are ready; all ended after. `begin`: they are started."""
     async with peer() as host:
--- a/tests/fleet/shared.py
+++ b/tests/fleet/shared.py
@@ -169,7 +169,7 @@
         for number in range(count):
             for n, host in enumerate(opened):
                 at, _, port = host.address.rpartition(":")
-                link = network.tcp(f"n{number}", f"s-{n}", lambda at=at, port=port: (at, int(port)))  # type: ignore[misc]
+                link = network.add_tcp_link(f"n{number}", f"s-{n}", lambda at=at, port=port: (at, int(port)))  # type: ignore[misc]
                 link.open()
                 made.links[number, n] = link
             gateway = made.add(number)
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -17,7 +17,7 @@
 from cloverkeel.core.config import stable_id
 from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
 from standins.parties.fleet import ROOT
-from standins.parties.network import Conditions
+from standins.parties.network import LinkConditions
 from tests import sockets
 from tests.fleet.shared import Shared, shared
 from tests.sockets import on_loop, rested
@@ -147,9 +147,10 @@
 async def test_datagrams_late_by_seconds_cause_no_suspicion_of_a_recovered_host(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
         await fleet.wait(
-            lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "datagrams were sent over all links"
+            lambda: all(link.received_count > 3 for link in fleet.mesh.links.values()),
+            "datagrams were sent over all links",
         )
-        fleet.mesh.trouble(Conditions(late=1.0, late_us=4_000_000))
+        fleet.mesh.trouble(LinkConditions(delayed=1.0, extra_delay_us=4_000_000))
         fleet.fail(0)
         await fleet.until(
             OTHER_GATEWAYS,
@@ -157,9 +158,9 @@
             "the other gateways sent requests to the failing host",
         )
         fleet.mend(0)
-        fleet.mesh.trouble(Conditions())
+        fleet.mesh.trouble(LinkConditions())
         marks = fleet.marks()
-        received = {pair: link.came for pair, link in fleet.mesh.links.items()}
+        received = {pair: link.received_count for pair, link in fleet.mesh.links.items()}
         await asyncio.sleep(3.5)  # the reports sent during the fault are still in transit
         late_marks = fleet.marks()
         async with loaded(fleet, [LAST_GATEWAY]):
@@ -174,7 +175,8 @@
 async def test_resumed_gateway_treats_queued_reports_as_old(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
         await fleet.wait(
-            lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "datagrams were sent over all links"
+            lambda: all(link.received_count > 3 for link in fleet.mesh.links.values()),
+            "datagrams were sent over all links",
         )
         fleet.stop(LAST_GATEWAY)
         fleet.fail(0)
@@ -195,7 +197,15 @@
 async def test_reports_spread_despite_lost_repeated_truncated_and_corrupt_datagrams(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
         fleet.mesh.trouble(
-            Conditions(jitter_us=20_000, loss=0.3, double=0.3, late=0.1, late_us=1_000_000, short=0.1, spoilt=0.1)
+            LinkConditions(
+                jitter_us=20_000,
+                loss=0.3,
+                duplicate=0.3,
+                delayed=0.1,
+                extra_delay_us=1_000_000,
+                truncated=0.1,
+                corrupted=0.1,
+            )
         )
         await fail_host_for_others(fleet)
         while not (await fleet.shown(LAST_GATEWAY, "PEERS"))["dropped"].get("unreadable"):  # probes are corrupted too
@@ -251,7 +261,7 @@
     """One gateway spends at most what all gateways together may save, though most tokens moved to it."""
     async with shared(tmp_path, count=4) as fleet:
         if doubled:
-            fleet.mesh.trouble(Conditions(double=1.0, jitter_us=5_000))
+            fleet.mesh.trouble(LinkConditions(duplicate=1.0, jitter_us=5_000))
         spent = await max_overdraft(fleet, 2 * MAX_SAVED_TOKENS)
         assert spent <= fleet.count * MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
         fleet.check()
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -13,7 +13,7 @@
 import pytest
 
 from standins.event_log import now_us
-from standins.parties.network import Conditions
+from standins.parties.network import LinkConditions
 from tests.fleet.ground import Ground, ground
 from tests.sockets import on_loop
 
@@ -200,9 +200,9 @@
     async with ground(tmp_path, count=5, voters=5) as fleet:
         await fleet.holder()
         fleet.mesh.trouble(
-            Conditions(
-                delay_us=1_000, jitter_us=30_000, loss=0.3, double=0.2, late=0.1, late_us=1_500_000, short=0.02,
-                spoilt=0.02,
+            LinkConditions(
+                delay_us=1_000, jitter_us=30_000, loss=0.3, duplicate=0.2, delayed=0.1, extra_delay_us=1_500_000,
+                truncated=0.02, corrupted=0.02,
             )
         )  # fmt: skip
         rng = random.Random(5)
@@ -217,7 +217,7 @@
                 f"a gateway other than n{number} holds",
             )  # fmt: skip
             fleet.wake(number)
-        fleet.mesh.trouble(Conditions())
+        fleet.mesh.trouble(LinkConditions())
         await fleet.holder(after_us=now_us())
         fleet.check()
 
--- a/tests/fleet/test_leases_zookeeper.py
+++ b/tests/fleet/test_leases_zookeeper.py
@@ -13,7 +13,7 @@
 from standins.checker.leases import ObservedAct
 from standins.event_log import now_us
 from standins.parties.zookeeper.ensemble import Session
-from standins.parties.zookeeper.threaded import Threaded
+from standins.parties.zookeeper.threaded import ThreadedEnsemble
 from tests.fleet.ground import Ground, ground
 from tests.sockets import on_loop
 
@@ -21,9 +21,9 @@
 
 
 @asynccontextmanager
-async def zookeeper_fleet(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, Threaded]]:
+async def zookeeper_fleet(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, ThreadedEnsemble]]:
     """Run gateways and the service that stores their leases."""
-    keeper = Threaded(servers=3, timeouts_ms=(200, 40_000))
+    keeper = ThreadedEnsemble(servers=3, timeouts_ms=(200, 40_000))
     try:
         async with ground(folder, count=count, lease_ms=LEASE_MS, keeper=keeper) as fleet:
             yield fleet, keeper
@@ -31,12 +31,12 @@
         keeper.close()
 
 
-async def call(keeper: Threaded, function: Callable[[], Any]) -> Any:
+async def call(keeper: ThreadedEnsemble, function: Callable[[], Any]) -> Any:
     """Call a function on the service's thread."""
     return await asyncio.get_running_loop().run_in_executor(None, keeper.call, function)
 
 
-def owner(fleet: Ground, keeper: Threaded) -> Session:
+def owner(fleet: Ground, keeper: ThreadedEnsemble) -> Session:
     """Return the session that owns the lease's node."""
     node = keeper.ensemble.tree.nodes[f"/cloverkeel/duties/{fleet.duty:015x}"]
     found: Session = keeper.ensemble.sessions[node.stat.ephemeral_owner]
@@ -64,7 +64,8 @@
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
         session = await call(keeper, lambda: owner(fleet, keeper))
-        await call(keeper, lambda: keeper.ensemble.sever(session.id, "out"))  # the service's responses are lost
+        # The service's responses are lost.
+        await call(keeper, lambda: keeper.ensemble.disrupt_session(session.id, "out"))
         after = await fleet.holder(but=held.gateway)
         assert after.fencing_token > held.fencing_token
         await fleet.goes_on(after, fleet.lease_s)
@@ -77,7 +78,7 @@
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
         held = await fleet.holder()
         session = await call(keeper, lambda: owner(fleet, keeper))
-        await call(keeper, lambda: keeper.ensemble.sever(session.id, direction))
+        await call(keeper, lambda: keeper.ensemble.disrupt_session(session.id, direction))
         # The next holder has another session and a newer token; it may be the same gateway after it reconnected.
         after = await fleet.wait(
             lambda: (
@@ -97,7 +98,7 @@
         held = await fleet.holder()
         for _ in range(3):
             session = await call(keeper, lambda: owner(fleet, keeper))
-            await call(keeper, lambda session=session: keeper.ensemble.sever(session.id))  # type: ignore[misc]
+            await call(keeper, lambda session=session: keeper.ensemble.disrupt_session(session.id))  # type: ignore[misc]
             await fleet.goes_on(held, fleet.lease_s / 2)
         fleet.check()
 
@@ -110,7 +111,7 @@
 
         def lose_responses() -> None:
             for session in keeper.ensemble.sessions.values():
-                session.lose_reply = True
+                session.lose_next_reply = True
 
         await fleet.kill(held.gateway)
         end_us = now_us() + 3 * LEASE_MS * 1000
@@ -134,7 +135,7 @@
         await call(keeper, keeper.ensemble.stop)
         await fleet.wait(lambda: now_us() - fleet.acts[-1].at_us > LEASE_MS * 1000, "the holder stops", 10.0)
         await fleet.nobody(fleet.lease_s)
-        await call(keeper, lambda: keeper.ensemble.come_back(lost=changes - 4))
+        await call(keeper, lambda: keeper.ensemble.restart(lost_changes=changes - 4))
         after = await fleet.holder(after_us=now_us(), within_s=25.0)
         assert after.gateway < fleet.count and held.fencing_token > 0
 
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -26,8 +26,8 @@
 from cloverkeel.balancing.events import ListKind, ListedServer, ServerStatus
 from cloverkeel.core.ports import Endpoint as HostEntry
 from standins.event_log import EventLog, NotificationDelivered
-from standins.parties.halves import Change, Halves
-from standins.parties.registry import Bodies, Entry, Registry, View
+from standins.parties.partitioned_registry import HostChange, PartitionedRegistry
+from standins.parties.registry import ResponseCache, Entry, Registry, RegistryListener
 
 from tests.sockets import Client, on_loop, until
 
@@ -156,53 +156,54 @@
 # Discovery in halves
 
 
-def halves(count: int = 3) -> Halves:
-    made = Halves({"r0": Registry(EventLog()), "r1": Registry(EventLog())})
+def halves(count: int = 3) -> PartitionedRegistry:
+    made = PartitionedRegistry({"r0": Registry(EventLog()), "r1": Registry(EventLog())})
     for n in range(count):
-        made.put(Entry(f"s-{n}", "a", "m", 0, 0))
+        made.add_entry(Entry(f"s-{n}", "a", "m", 0, 0))
     return made
 
 
-def listed(made: Halves, half: str) -> dict[str, tuple[str, float]]:
+def listed(made: PartitionedRegistry, half: str) -> dict[str, tuple[str, float]]:
     return {name: (e.status, e.weight) for name, e in made.halves[half].registry.entries.items()}
 
 
 @on_loop
 async def test_halves_take_changes_apart_while_cut_and_are_alike_after() -> None:
     made = halves()
-    made.change([Change("s-0", "DRAINING", 1.0, 0)])
+    made.apply_changes([HostChange("s-0", "DRAINING", 1.0, 0)])
     assert listed(made, "r0") == listed(made, "r1") and listed(made, "r0")["s-0"] == ("DRAINING", 1.0)
-    made.cut()
+    made.partition()
     with pytest.raises(ValueError, match="half: expected one of r0, r1"):
-        made.change([Change("s-1", "DRAINING", 1.0, 0)])
+        made.apply_changes([HostChange("s-1", "DRAINING", 1.0, 0)])
     versions = {name: half.registry.index for name, half in made.halves.items()}
-    made.change([Change("s-1", "DELETED", 1.0, 0)], "r0")
-    made.change([Change("s-2", "SERVING", 2.0, 0)], "r1")
+    made.apply_changes([HostChange("s-1", "DELETED", 1.0, 0)], "r0")
+    made.apply_changes([HostChange("s-2", "SERVING", 2.0, 0)], "r1")
     assert "s-1" not in listed(made, "r0") and listed(made, "r0")["s-2"][1] == 1.0
     assert listed(made, "r1")["s-1"] == ("SERVING", 1.0) and listed(made, "r1")["s-2"][1] == 2.0
-    made.join()
+    made.merge()
     assert listed(made, "r0") == listed(made, "r1") == {"s-0": ("DRAINING", 1.0), "s-2": ("SERVING", 2.0)}
     # Each told its own callers what the other had, as changes that came after all that they knew.
     for name, half in made.halves.items():
-        whole, forms = half.registry.forms_since(versions[name])
+        whole, forms = half.registry.records_since(versions[name])
         assert not whole and {form["name"] for form in forms} == {"s-1", "s-2"}
 
 
 @on_loop
 async def test_of_what_both_changed_the_later_start_counts_then_what_restricts_then_the_newest() -> None:
     for first, second, counts in (
-        (Change("s-0", "DRAINING", 1.0, 0), Change("s-0", "SERVING", 2.0, 0), "first"),  # a drain outlasts news
-        (Change("s-0", "SERVING", 2.0, 0), Change("s-0", "DRAINING", 1.0, 0), "second"),
-        (Change("s-0", "SERVING", 1.0, 9), Change("s-0", "DRAINING", 1.0, 0), "first"),  # it began anew since
-        (Change("s-0", "SERVING", 2.0, 0), Change("s-0", "SERVING", 3.0, 0), "second"),
-        (Change("s-0", "DELETED", 1.0, 0), Change("s-0", "SERVING", 1.0, 0), "first"),
+        # A drain wins over a newer change of the weight.
+        (HostChange("s-0", "DRAINING", 1.0, 0), HostChange("s-0", "SERVING", 2.0, 0), "first"),
+        (HostChange("s-0", "SERVING", 2.0, 0), HostChange("s-0", "DRAINING", 1.0, 0), "second"),
+        (HostChange("s-0", "SERVING", 1.0, 9), HostChange("s-0", "DRAINING", 1.0, 0), "first"),  # it began anew since
+        (HostChange("s-0", "SERVING", 2.0, 0), HostChange("s-0", "SERVING", 3.0, 0), "second"),
+        (HostChange("s-0", "DELETED", 1.0, 0), HostChange("s-0", "SERVING", 1.0, 0), "first"),
     ):
         made = halves(1)
-        made.cut()
-        made.change([first], "r0")
+        made.partition()
+        made.apply_changes([first], "r0")
         await asyncio.sleep(0.001)
-        made.change([second], "r1")
-        made.join()
+        made.apply_changes([second], "r1")
+        made.merge()
         wanted = first if counts == "first" else second
         end = {} if wanted.status == "DELETED" else {"s-0": (wanted.status, wanted.weight)}
         assert listed(made, "r0") == listed(made, "r1") == end
@@ -246,10 +247,10 @@
 
 
 @asynccontextmanager
-async def shared(history: int = 512) -> AsyncIterator[tuple[Registry, View, Bodies]]:
+async def shared(history: int = 512) -> AsyncIterator[tuple[Registry, RegistryListener, ResponseCache]]:
     registry = Registry(EventLog(), history=history)
     for n in range(3):
-        registry.put(Entry(f"s-{n}", "a", "m", 0, 0, service="pay" if n else None))
+        registry.add_entry(Entry(f"s-{n}", "a", "m", 0, 0, service="pay" if n else None))
 
     async def may_pass() -> None:
         pass
@@ -257,15 +258,15 @@
     def address_of(name: str) -> tuple[str, int] | None:
         return None if name == "s-2" else ("127.0.0.1", 9_000)
 
-    bodies = Bodies(registry, address_of)
-    view = await registry.open("many", address_of, may_pass, bodies)
+    bodies = ResponseCache(registry, address_of)
+    view = await registry.open_listener("many", address_of, may_pass, bodies)
     try:
         yield registry, view, bodies
     finally:
         registry.close()
 
 
-async def ask(view: View, query: str = "") -> dict[str, Any]:
+async def ask(view: RegistryListener, query: str = "") -> dict[str, Any]:
     assert view.address is not None
     client = Client(*await asyncio.open_connection(*view.address))
     said = await client.ask(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
@@ -281,25 +282,25 @@
         assert first == second and first["snapshot"] is True
         assert [e["name"] for e in first["endpoints"]] == ["s-0", "s-1"]  # the third cannot be reached from here
         assert "service" not in first["endpoints"][0] and first["endpoints"][1]["service"] == "pay"
-        assert bodies.body(None) is bodies.body(None)
-        assert (view.counts.calls, view.counts.wholes) == (2, 2) and view.counts.sent > 400
-        assert not list(registry.ledger.events_of(NotificationDelivered)) and not view.told
+        assert bodies.get_body(None) is bodies.get_body(None)
+        assert (view.counts.requests, view.counts.full_lists) == (2, 2) and view.counts.sent_bytes > 400
+        assert not list(registry.event_log.events_of(NotificationDelivered)) and not view.delivered_statuses
 
 
 @on_loop
 async def test_all_watches_are_woken_by_a_change_and_told_the_newest_of_each() -> None:
     async with shared() as (registry, view, bodies):
         watches = [asyncio.create_task(ask(view, "?from=1&hold_ms=20000")) for _ in range(20)]
-        await until(lambda: len(registry.waiting) == 20)
+        await until(lambda: len(registry.waiting_watches) == 20)
         one = registry.entries["s-1"]
         one.weight = 2.0
-        registry.change([(one, "DRAINING"), (registry.entries["s-0"], "DELETED"), (one, "SERVING")])
+        registry.apply_changes([(one, "DRAINING"), (registry.entries["s-0"], "DELETED"), (one, "SERVING")])
         told = await asyncio.gather(*watches)
         assert all(t == told[0] for t in told) and (told[0]["index"], told[0]["snapshot"]) == (4, False)
         assert {e["name"]: (e["status"], e["weight"]) for e in told[0]["endpoints"]} == {
             "s-0": ("DELETED", 1.0), "s-1": ("SERVING", 2.0),
         }  # fmt: skip
-        assert not registry.waiting
+        assert not registry.waiting_watches
         whole = await ask(view)
         assert [(e["name"], e["weight"]) for e in whole["endpoints"]] == [("s-1", 2.0)]
 
@@ -309,7 +310,7 @@
     async with shared(history=2) as (registry, view, _):
         one = registry.entries["s-1"]
         for status in ("DRAINING", "SERVING", "DRAINING"):
-            registry.change([(one, status)])
+            registry.apply_changes([(one, status)])
         assert (await ask(view, "?from=1"))["snapshot"] is True
         near = await ask(view, "?from=2")
         assert near["snapshot"] is False and [e["status"] for e in near["endpoints"]] == ["DRAINING"]
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -8,7 +8,7 @@
 
 from standins.checker.leases import LeadershipGap, ObservedAct, check_leases, leadership_gaps
 from standins.parties.mesh import Mesh, duty_number, free_udp, own_host
-from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
+from standins.parties.network import BACK, FORWARD, Address, LinkConditions, Network, UdpLink
 from tests.sockets import on_loop, until
 
 
@@ -33,7 +33,7 @@
     near, far = free_udp(host), free_udp(host)
     (one, first), (other, second) = await end(near), await end(far)
     network = Network(1)
-    link = network.udp("n0", "n1", lambda: far, near)
+    link = network.add_udp_link("n0", "n1", lambda: far, near)
     await link.open(host)
 
     def say(direction: int, data: bytes) -> None:
@@ -65,14 +65,14 @@
         link.cut((FORWARD,))
         say(FORWARD, b"lost")
         say(BACK, b"heard")
-        await until(lambda: one.came and link.lost)
+        await until(lambda: one.came and link.lost_count)
         assert not other.came
         link.heal()
-        link.conditions = (Conditions(double=1.0), Conditions(loss=1.0))
+        link.conditions = (LinkConditions(duplicate=1.0), LinkConditions(loss=1.0))
         say(FORWARD, b"twice")
         say(BACK, b"lost")
-        await until(lambda: len(other.came) == 2 and link.lost == 2)
-        link.conditions = (Conditions(short=1.0), Conditions(spoilt=1.0))
+        await until(lambda: len(other.came) == 2 and link.lost_count == 2)
+        link.conditions = (LinkConditions(truncated=1.0), LinkConditions(corrupted=1.0))
         say(FORWARD, b"a long one")
         say(BACK, b"\0" * 64)
         await until(lambda: len(other.came) == 3 and len(one.came) == 2)
@@ -84,10 +84,10 @@
 @on_loop
 async def test_what_is_late_comes_after_what_was_said_later() -> None:
     async def check(link: UdpLink, one: End, other: End, say: Callable[[int, bytes], None]) -> None:
-        link.conditions = (Conditions(late=1.0, late_us=50_000), Conditions())
+        link.conditions = (LinkConditions(delayed=1.0, extra_delay_us=50_000), LinkConditions())
         say(FORWARD, b"late")
-        await until(lambda: link.came == 1)
-        link.conditions = (Conditions(), Conditions())
+        await until(lambda: link.received_count == 1)
+        link.conditions = (LinkConditions(), LinkConditions())
         say(FORWARD, b"later")
         await until(lambda: len(other.came) == 2)
         assert [data for data, _ in other.came] == [b"later", b"late"]
@@ -108,8 +108,8 @@
             assert peers[3] == "{}:{}".format(*mesh.watcher.address)
         assert mesh.peers(0)[1] == mesh.peers(1)[0]  # one link, one address, for both
         mesh.cut([0], [1, 2], one_way=True)
-        assert [link.conditions[FORWARD].cut for link in mesh.links.values()] == [True, True, False]
-        assert not any(link.conditions[BACK].cut for link in mesh.links.values())
+        assert [link.conditions[FORWARD].is_cut for link in mesh.links.values()] == [True, True, False]
+        assert not any(link.conditions[BACK].is_cut for link in mesh.links.values())
     finally:
         mesh.close()
         network.close()
--- a/tests/test_standin_network.py
+++ b/tests/test_standin_network.py
@@ -12,7 +12,7 @@
 import pytest
 
 from standins.event_log import now_us
-from standins.parties.network import BACK, FORWARD, Flow, Network, TcpLink, UdpLink, reserve
+from standins.parties.network import BACK, FORWARD, Flow, Network, TcpLink, UdpLink, reserve_port
 
 from tests.sockets import on_loop, until
 
@@ -33,7 +33,7 @@
             pass
 
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
-    link = network.tcp("a", "b", lambda: server.sockets[0].getsockname())
+    link = network.add_tcp_link("a", "b", lambda: server.sockets[0].getsockname())
     link.open()
     try:
         yield link, seen
@@ -105,10 +105,10 @@
         writer.write(b"1")
         assert await reader.read(1) == b"1"
         network.partition(["b"], ["a"], one_way=True)  # nothing that b says arrives
-        assert [c.cut for c in link.conditions] == [False, True]
+        assert [c.is_cut for c in link.conditions] == [False, True]
         writer.write(b"2")
         flow = next(iter(link.flows))
-        await until(lambda: flow.waiting[BACK])  # it went there and came back as far as the cut
+        await until(lambda: flow.in_transit[BACK])  # it went there and came back as far as the cut
         assert await is_silent(reader)
         seen[0].write(b"x")
         network.heal()
@@ -138,7 +138,7 @@
         reader, writer = await asyncio.open_connection(*link.address)
         writer.write(b"1")
         await reader.read(1)
-        next(iter(link.flows)).cut_at = 3
+        next(iter(link.flows)).reset_after_bytes = 3
         writer.write(b"abcdef")
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)) as ended:
             await reader.readexactly(6)
@@ -171,7 +171,7 @@
             assert target is not None
             flows.append(flow)
             flow.target_port = target[1]
-            mine = reserve(("127.0.0.1", port))
+            mine = reserve_port(("127.0.0.1", port))
             port = mine.getsockname()[1]
             mine.setblocking(False)
             await loop.sock_connect(mine, target)
@@ -183,7 +183,7 @@
 
 
 def test_a_port_is_held_for_who_reserved_it() -> None:
-    with reserve() as held:
+    with reserve_port() as held:
         address = held.getsockname()
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
             other.bind(address)  # as somebody does who knows nothing of it
@@ -208,7 +208,14 @@
         await reader.readexactly(3)
         flow = network.flow_of(seen[0].transport)
         assert flow is not None
-        assert before <= flow.sent_at(4) < before + 60_000 <= middle <= flow.sent_at(5) < middle + 60_000
+        assert (
+            before
+            <= flow.find_send_time_us(4)
+            < before + 60_000
+            <= middle
+            <= flow.find_send_time_us(5)
+            < middle + 60_000
+        )
 
 
 @on_loop
@@ -222,7 +229,7 @@
         held = 0
         for _ in range(20):
             await asyncio.sleep(0.01)
-            held = max([held, *(flow.held[FORWARD] for flow in link.flows)])
+            held = max([held, *(flow.buffered_bytes[FORWARD] for flow in link.flows)])
         assert 256 * 1024 < held < 1 << 20
 
 
@@ -252,7 +259,7 @@
     network = Network(1)
     target, address = await collector(answers=True)
     caller, _ = await collector(answers=False)
-    link = network.udp("a", "b", lambda: address)
+    link = network.add_udp_link("a", "b", lambda: address)
     assert isinstance(link, UdpLink)
     await link.open()
 
@@ -261,16 +268,16 @@
 
     send(b"1")
     await until(lambda: caller.got == [b"re:1"])
-    link.conditions[FORWARD].double = 1.0
+    link.conditions[FORWARD].duplicate = 1.0
     send(b"2")
     await until(lambda: target.got == [b"1", b"2", b"2"] and len(caller.got) == 3)
-    link.conditions[FORWARD].double, link.conditions[FORWARD].loss = 0.0, 1.0
+    link.conditions[FORWARD].duplicate, link.conditions[FORWARD].loss = 0.0, 1.0
     send(b"3")
-    await until(lambda: link.lost == 1)
+    await until(lambda: link.lost_count == 1)
     link.conditions[FORWARD].loss = 0.0
     network.partition(["b"], ["a"], one_way=True)
     send(b"4")
-    await until(lambda: link.lost == 2 and target.got[-1] == b"4")
+    await until(lambda: link.lost_count == 2 and target.got[-1] == b"4")
     assert caller.got == [b"re:1", b"re:2", b"re:2"]
     network.close()
     caller.transport.close()
@@ -284,7 +291,7 @@
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         dead = probe.getsockname()
-    link = network.tcp("a", "b", lambda: dead)
+    link = network.add_tcp_link("a", "b", lambda: dead)
     link.open()
     reader, _ = await asyncio.open_connection(*link.address)
     with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
--- a/tests/test_standin_registry.py
+++ b/tests/test_standin_registry.py
@@ -13,7 +13,7 @@
 
 from standins.event_log import DiscoveryPoll, EventLog, NotificationDelivered
 from standins.parties.network import Address
-from standins.parties.registry import Entry, Registry, View
+from standins.parties.registry import Entry, Registry, RegistryListener
 
 from tests.sockets import Client, Message, on_loop, until
 
@@ -21,7 +21,7 @@
 @dataclass
 class Desk:
     registry: Registry
-    view: View
+    view: RegistryListener
     held: asyncio.Event
 
     async def client(self, address: Address | None = None) -> Client:
@@ -38,7 +38,7 @@
         return found
 
     def told(self) -> list[tuple[str, str]]:
-        return [(told.backend, told.status) for told in self.registry.ledger.events_of(NotificationDelivered)]
+        return [(told.backend, told.status) for told in self.registry.event_log.events_of(NotificationDelivered)]
 
 
 def entry(name: str) -> Entry:
@@ -54,8 +54,8 @@
         await passes.wait()
 
     for name in ("s-0", "s-1"):
-        registry.put(entry(name))
-    view = await registry.open("n0", lambda box: ("127.0.0.1", 9000 + int(box[2:])), may_pass)
+        registry.add_entry(entry(name))
+    view = await registry.open_listener("n0", lambda box: ("127.0.0.1", 9000 + int(box[2:])), may_pass)
     try:
         yield Desk(registry, view, passes)
     finally:
@@ -78,13 +78,13 @@
 async def test_a_watch_waits_for_news_and_tells_only_these() -> None:
     async with desk() as one:
         watch = asyncio.create_task(one.listed("?from=1&hold_ms=20000"))
-        await until(lambda: list(one.registry.ledger.events_of(DiscoveryPoll)))
+        await until(lambda: list(one.registry.event_log.events_of(DiscoveryPoll)))
         assert not watch.done()
-        one.registry.announce(one.registry.entries["s-1"], "DRAINING", lag_s=0.02)
+        one.registry.schedule_change(one.registry.entries["s-1"], "DRAINING", lag_s=0.02)
         listed = await watch
         assert listed["snapshot"] is False and listed["index"] == 2
         assert [(e["name"], e["status"]) for e in listed["endpoints"]] == [("s-1", "DRAINING")]
-        one.registry.announce(one.registry.entries["s-1"], "DELETED", lag_s=0.0)
+        one.registry.schedule_change(one.registry.entries["s-1"], "DELETED", lag_s=0.0)
         gone = await one.listed("?from=2&hold_ms=20000")
         assert [(e["name"], e["status"]) for e in gone["endpoints"]] == [("s-1", "DELETED")]
         assert one.told() == [("s-1", "DRAINING"), ("s-1", "DELETED")]
@@ -102,7 +102,7 @@
 async def test_what_a_whole_list_no_longer_names_is_told_gone() -> None:
     async with desk() as one:
         await one.listed()
-        one.registry.announce(one.registry.entries["s-0"], "DELETED", lag_s=0.0)
+        one.registry.schedule_change(one.registry.entries["s-0"], "DELETED", lag_s=0.0)
         await until(lambda: one.registry.index == 2)
         await one.listed()
         assert one.told()[-2:] == [("s-1", "SERVING"), ("s-0", "DELETED")] or ("s-0", "DELETED") in one.told()
@@ -112,9 +112,9 @@
 async def test_one_that_registers_again_is_not_deleted_by_its_earlier_self() -> None:
     async with desk() as one:
         first = one.registry.entries["s-0"]
-        one.registry.announce(entry("s-0"), "SERVING", lag_s=0.0)
+        one.registry.schedule_change(entry("s-0"), "SERVING", lag_s=0.0)
         await until(lambda: one.registry.index == 2)
-        one.registry.announce(first, "DELETED", lag_s=0.0)
+        one.registry.schedule_change(first, "DELETED", lag_s=0.0)
         await until(lambda: not one.registry.tasks)
         assert [e["name"] for e in (await one.listed())["endpoints"]] == ["s-0", "s-1"]
         assert (await one.listed("?from=2&hold_ms=10"))["endpoints"] == []
@@ -124,9 +124,9 @@
 async def test_an_index_that_goes_back_gives_the_whole_list() -> None:
     async with desk() as one:
         for status in ("DRAINING", "SERVING"):
-            one.registry.announce(one.registry.entries["s-0"], status, lag_s=0.0)
+            one.registry.schedule_change(one.registry.entries["s-0"], status, lag_s=0.0)
             await until(lambda status=status: one.registry.entries["s-0"].status == status)  # type: ignore[misc]
-        one.registry.step_back(2)
+        one.registry.roll_back_index(2)
         listed = await one.listed("?from=3&hold_ms=20000")
         assert listed["snapshot"] is True and listed["index"] == 1
 
@@ -137,8 +137,8 @@
     async with desk() as one:
         client = await one.client()
         watch = asyncio.create_task(one.ask("?from=1&hold_ms=60000", client))
-        await until(lambda: list(one.registry.ledger.events_of(DiscoveryPoll)))
-        await one.registry.set_down(how)
+        await until(lambda: list(one.registry.event_log.events_of(DiscoveryPoll)))
+        await one.registry.set_outage_mode(how)
         if how == "503":
             assert (await watch).status == 503
         elif how == "reset":
@@ -147,16 +147,16 @@
         else:
             done, _ = await asyncio.wait((watch,), timeout=0.1)
             assert not done
-            await one.registry.set_down("")
+            await one.registry.set_outage_mode("")
             assert (await watch).status == 200
-        await one.registry.set_down("")
+        await one.registry.set_outage_mode("")
         assert (await one.ask()).status == 200
 
 
 @on_loop
 async def test_a_garbled_list_tells_nothing() -> None:
     async with desk() as one:
-        one.registry.faults.garble = True
+        one.registry.faults.has_garbled_lists = True
         body = (await one.ask()).body
         with pytest.raises(ValueError):
             json.loads(body)
@@ -168,7 +168,7 @@
     async with desk() as one:
         client, old = await one.client(), one.view.address
         await one.ask(client=client)
-        await one.registry.move(one.view, close_after_s=0.05)
+        await one.registry.move_listener(one.view, close_after_s=0.05)
         assert one.view.address != old
         assert (await one.ask()).status == 200
         with pytest.raises(ConnectionRefusedError):
@@ -181,7 +181,7 @@
     async with desk() as one:
         one.held.clear()
         call = asyncio.create_task(one.listed())
-        await until(lambda: list(one.registry.ledger.events_of(DiscoveryPoll)))
+        await until(lambda: list(one.registry.event_log.events_of(DiscoveryPoll)))
         done, _ = await asyncio.wait((call,), timeout=0.05)
         assert not done and not one.told()
         one.held.set()
@@ -200,6 +200,6 @@
 async def test_each_call_is_an_interval_of_listening() -> None:
     async with desk() as one:
         await one.listed("?from=1&hold_ms=40")
-        (call,) = one.registry.ledger.events_of(DiscoveryPoll)
+        (call,) = one.registry.event_log.events_of(DiscoveryPoll)
         await until(lambda: call.until_us)
         assert call.until_us - call.at_us >= 38_000 and call.gateway == "n0"
--- a/tests/test_zookeeper_kazoo.py
+++ b/tests/test_zookeeper_kazoo.py
@@ -31,7 +31,7 @@
 from kazoo.recipe.watchers import ChildrenWatch, DataWatch
 from kazoo.security import ACL, OPEN_ACL_UNSAFE, Id, make_digest_acl
 
-from standins.parties.zookeeper.threaded import Threaded
+from standins.parties.zookeeper.threaded import ThreadedEnsemble
 
 PATIENCE_S = 15.0
 
@@ -40,7 +40,7 @@
     """One ensemble, and clients that are stopped at the end."""
 
     def __init__(self) -> None:
-        self.keeper = Threaded()
+        self.keeper = ThreadedEnsemble()
         self.clients: list[Any] = []
         self.seen: list[Any] = []
 
@@ -314,7 +314,7 @@
     zk.create("/a")
     zk.get("/a", watch=desk.watch)
     session = desk.session(zk)
-    desk.keeper.call(lambda: desk.keeper.ensemble.sever(session.id))
+    desk.keeper.call(lambda: desk.keeper.ensemble.disrupt_session(session.id))
     assert desk.events()[0][0] == EventType.NONE
     zk.retry(zk.get, "/a", watch=desk.watch)
     zk.set("/a", b"1")
@@ -420,7 +420,7 @@
     session = desk.session(zk)
     states = list[str]()
     zk.add_listener(states.append)
-    desk.keeper.call(lambda: desk.keeper.ensemble.sever(session.id))
+    desk.keeper.call(lambda: desk.keeper.ensemble.disrupt_session(session.id))
     until(lambda: "CONNECTED" in states)
     assert zk.client_id[0] == session.id and zk.exists("/e").ephemeralOwner == session.id
     assert states[:2] == ["SUSPENDED", "CONNECTED"]
@@ -443,7 +443,7 @@
     mine = desk.client(timeout=0.4)
     mine.create("/e", ephemeral=True)
     session = desk.session(mine)
-    desk.keeper.call(lambda: desk.keeper.ensemble.sever(session.id, "in"))
+    desk.keeper.call(lambda: desk.keeper.ensemble.disrupt_session(session.id, "in"))
     until(lambda: session.closed)
     until(lambda: not zk.exists("/e"))
 
@@ -472,7 +472,7 @@
 @point
 def a_write_whose_answer_is_lost_has_been_done(desk: Desk, zk: Any) -> None:
     session = desk.session(zk)
-    session.lose_reply = True
+    session.lose_next_reply = True
     with pytest.raises(ConnectionLoss):
         zk.create("/a", b"1")
     assert zk.retry(zk.get, "/a")[0] == b"1"
@@ -534,7 +534,7 @@
     zk.create("/a")
     desk.keeper.call(desk.keeper.ensemble.stop)
     until(lambda: "SUSPENDED" in states)
-    desk.keeper.call(desk.keeper.ensemble.come_back)
+    desk.keeper.call(desk.keeper.ensemble.restart)
     until(lambda: states[-1] == "CONNECTED")
     assert zk.exists("/a")
 
@@ -545,7 +545,7 @@
     zk.create("/a")
     late.get("/a", watch=lambda event: seen.append("late"))
     zk.get("/a", watch=lambda event: seen.append("prompt"))
-    desk.session(late).hold_s = 0.15
+    desk.session(late).notification_delay_s = 0.15
     zk.set("/a", b"1")
     until(lambda: len(seen) == 2)
     assert seen == ["prompt", "late"]
--- a/tests/test_zookeeper_protocol.py
+++ b/tests/test_zookeeper_protocol.py
@@ -17,7 +17,7 @@
     RECORDS,
     AddWatch,
     Auth,
-    Bare,
+    EmptyRequest,
     Check,
     Code,
     ConnectRequest,
@@ -29,7 +29,7 @@
     JuteError,
     Mode,
     Multi,
-    OnPath,
+    PathRequest,
     Op,
     Read,
     Reader,
@@ -46,7 +46,7 @@
     frame,
 )
 from standins.parties.zookeeper.tree import Change, KeeperError, SessionClosed, Tree, is_valid
-from standins.parties.zookeeper.watches import Kind, Watches
+from standins.parties.zookeeper.watches import WatchKind, Watches
 
 from tests.sockets import on_loop
 
@@ -118,11 +118,11 @@
     st.builds(SetData, PATHS, st.binary(max_size=20), st.integers(-1, 9)),
     st.builds(Read, PATHS, st.booleans(),
               st.sampled_from([Op.EXISTS, Op.GET_DATA, Op.GET_CHILDREN, Op.GET_CHILDREN2])),
-    st.builds(OnPath, PATHS, st.sampled_from([Op.SYNC, Op.GET_ACL, Op.GET_EPHEMERALS])),
+    st.builds(PathRequest, PATHS, st.sampled_from([Op.SYNC, Op.GET_ACL, Op.GET_EPHEMERALS])),
     st.builds(AddWatch, PATHS, st.integers(0, 1)), st.builds(RemoveWatches, PATHS, st.integers(1, 3)),
     st.builds(SetWatches, st.integers(0, 99), *[st.lists(PATHS, max_size=3)] * 5),
     st.builds(Auth, st.just("digest"), st.binary(max_size=9)),
-    st.builds(Bare, st.sampled_from([Op.PING, Op.CLOSE_SESSION])),
+    st.builds(EmptyRequest, st.sampled_from([Op.PING, Op.CLOSE_SESSION])),
     st.builds(Multi, st.lists(st.builds(Check, PATHS, st.integers(-1, 9)), max_size=3).map(tuple)),
 )  # fmt: skip
 
@@ -253,14 +253,14 @@
 
 def test_one_event_is_heard_once_however_many_watches_meet_it() -> None:
     watches = Watches()
-    for kind in (Kind.DATA, Kind.CHILD, Kind.PERSISTENT, Kind.RECURSIVE):
+    for kind in (WatchKind.DATA, WatchKind.CHILD, WatchKind.PERSISTENT, WatchKind.RECURSIVE):
         watches.add("one", kind, "/a")
-    watches.add("two", Kind.RECURSIVE, "/")
+    watches.add("two", WatchKind.RECURSIVE, "/")
     told = watches.trigger([(EventType.DELETED, "/a"), (EventType.CHILDREN_CHANGED, "/")])
     assert sorted(told) == [("one", (EventType.DELETED, "/a")), ("two", (EventType.DELETED, "/a"))]
     assert len(watches) == 3  # the one-shot ones are gone
-    watches.forget("one")
-    watches.forget("two")
+    watches.remove_watcher("one")
+    watches.remove_watcher("two")
     assert len(watches) == 0 and not any(paths for paths in watches.by_path.values())
 
 
@@ -278,8 +278,8 @@
         (EventType.CHILDREN_CHANGED, "/parent"),
     ]  # fmt: skip
     assert watches.by_watcher["me"] == {
-        (Kind.DATA, "/same"), (Kind.DATA, "/not"), (Kind.CHILD, "/same"), (Kind.PERSISTENT, "/p"),
-        (Kind.RECURSIVE, "/r"),
+        (WatchKind.DATA, "/same"), (WatchKind.DATA, "/not"), (WatchKind.CHILD, "/same"), (WatchKind.PERSISTENT, "/p"),
+        (WatchKind.RECURSIVE, "/r"),
     }  # fmt: skip
 
 
@@ -361,7 +361,7 @@
         await one.ask(Create("/a"))
         await one.ask(Read("/a", True))
         seen = ensemble.tree.zxid
-        ensemble.sever(response.session)
+        ensemble.disrupt_session(response.session)
         other = await hand(ensemble)
         await other.connect()
         await other.ask(SetData("/a", b"1"))
@@ -371,7 +371,7 @@
         assert (await again.ask(SetWatches(seen, ["/a"], ["/b"], [], [], ["/"])))[0] == Code.OK
         assert again.events == [(3, "/a")]
         await other.ask(Create("/b"))
-        await again.ask(Bare(Op.PING))
+        await again.ask(EmptyRequest(Op.PING))
         assert again.events == [(3, "/a"), (1, "/b")]
 
 
@@ -383,7 +383,7 @@
         await other.connect()
         await one.ask(Create("/a"))
         await one.ask(Read("/a", True))
-        ensemble.sessions[response.session].hold_s = 0.05
+        ensemble.sessions[response.session].notification_delay_s = 0.05
         await other.ask(SetData("/a", b"1"))
         ensemble.expire(response.session)
         assert await one.reader.read() == b"" and not one.events
@@ -412,7 +412,7 @@
             await one.ask(Create(name, b"", OPEN_ACL, Mode.EPHEMERAL))
         before = ensemble.tree.zxid
         ensemble.stop()
-        await ensemble.come_back(lost=2)
+        await ensemble.restart(lost_changes=2)
         assert ensemble.tree.zxid == before - 2 and set(ensemble.tree.nodes) == {"/", "/a"}
         again = await hand(ensemble)
         request = ConnectRequest(last_zxid=before, session=response.session, password=response.password)
