--- a/standins/parties/zookeeper/__init__.py
+++ b/standins/parties/zookeeper/__init__.py
@@ -1,5 +1,6 @@
 """A stand-in coordination service that speaks the published ZooKeeper client protocol.
 
-`jute` has the records, without I/O; `tree` the nodes and sessions' ephemerals; `watches` who is to hear of what;
-`ensemble` the servers on loopback, one state among them, and the faults.
+`jute` has the protocol's records, `tree` the nodes and the ephemerals of each session, `watches` the watches of one
+server; these three do no I/O. `ensemble` has the servers on loopback, which share one state, and their faults.
+`threaded` runs an ensemble in a thread, for clients that block.
 """
--- a/standins/parties/zookeeper/ensemble.py
+++ b/standins/parties/zookeeper/ensemble.py
@@ -1,9 +1,9 @@
-"""Servers of one ensemble on loopback: one state, followers that lag, sessions that expire, and faults on command.
+"""Servers of one ensemble on loopback: one state, followers that lag, sessions that expire, and injected faults.
 
-The leader decides each change on its own tree and puts it in the log; each server applies the log to its replica,
-at once or so much later, and its watches fire then. Reads come from the replica. A write is answered once the
-server that took it has applied it, so that a client sees its own writes. Requests of one connection are answered in
-their order.
+The leader decides each change on its own tree and appends it to the log. Each server applies the log to its replica,
+at once or after its lag, and triggers its watches then. Reads are served from the replica. A write is answered once
+the server that received it has applied it, so a client sees its own writes. Requests of one connection are answered
+in order.
 """
 
 from __future__ import annotations
@@ -59,8 +59,8 @@
 )
 from standins.parties.zookeeper.watches import WatchKind, Watches
 
-MAX_LOG_CHANGES = 200_000  # changes: an ensemble that is given more refuses them
-MAX_QUEUED_REQUESTS = 1_000  # requests of one connection that wait; more are not read
+MAX_LOG_CHANGES = 200_000  # the ensemble refuses changes above it
+MAX_QUEUED_REQUESTS = 1_000  # per connection; above it the server stops reading from the connection
 VERSION = "3.8.0-standin, built on 2022-02-25 08:49 UTC"
 FOUR_LETTER_WORDS = frozenset((b"ruok", b"srvr", b"envi", b"stat", b"mntr", b"isro"))
 NO_SESSION = ConnectResponse(0, 0, b"\x00" * 16)
@@ -68,20 +68,25 @@
 
 @dataclass(slots=True, eq=False)
 class Session:
+    """A client's session and the faults that are injected into it."""
+
     id: int
     password: bytes
     timeout_ms: int
     last_heard_s: float
     connection: KeeperConnection | None = None
     closed: bool = False
-    notification_delay_s: float = 0.0  # its notifications are told so much later
-    lose_next_reply: bool = False  # of its next write: the connection ends instead, and the write has been done
-    notification_count: int = 0  # notifications
-    silenced: str = ""  # "in": nothing that its client says arrives, on any connection; "out"; "both"
+    notification_delay_s: float = 0.0  # delay of its notifications
+    lose_next_reply: bool = False  # close the connection instead of answering the next write, which has been applied
+    notification_count: int = 0
+    # Messages dropped on all connections of the session: "in" (of its client), "out" (to its client) or "both".
+    silenced_direction: str = ""
 
 
 @dataclass(slots=True)
 class EnsembleCounts:
+    """Totals since the start."""
+
     connections_opened: int = 0
     connections_refused: int = 0
     requests: int = 0
@@ -90,7 +95,7 @@
 
 
 class Ensemble:
-    """`clock` is in seconds and only moves forward."""
+    """The servers, their common log and their sessions. `clock` is in seconds and only moves forward."""
 
     def __init__(
         self, servers: int = 3, seed: int = 0, clock: Callable[[], float] = time.monotonic,
@@ -99,33 +104,35 @@
         self.rng = random.Random(f"{seed}/keeper")
         self.clock, self.timeouts_ms = clock, timeouts_ms
         self.epoch, self.change_count = 1, 0
-        self.tree = Tree()  # the leader's
+        self.tree = Tree()  # of the leader
         self.log: list[Change] = []
         self.sessions: dict[int, Session] = {}
         self.has_leader = True
-        self.read_only = False  # servers serve reads while there is no leader
+        self.read_only = False  # whether servers serve reads while there is no leader
         self.servers = [KeeperServer(self, number) for number in range(servers)]
         self.counts = EnsembleCounts()
-        # Called as something is written to a client: its connection, the kind, the path, and what it is told.
+        # Called when something is written to a client, with its connection, the type, the path and what was read.
         self.on_delivery: Callable[[KeeperConnection, Op | EventType, str, list[str] | bytes | None], None] | None = (
             None
         )
-        # A node's data as this client is to have it: an address may differ from one client to the next.
+        # Returns a node's data for one client: an address may differ between clients.
         self.data_for_client: Callable[[KeeperConnection, str, bytes], bytes] = lambda connection, path, data: data
         self.ticker: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
+        """Start all servers and the expiry of sessions."""
         for server in self.servers:
             await server.start()
         self.tick()
 
     @property
     def hosts(self) -> str:
-        """As clients are given it: host:port,host:port"""
+        """Return the connection string for clients: host:port,host:port"""
         return ",".join(f"{server.address[0]}:{server.address[1]}" for server in self.servers)
 
     def close(self) -> None:
+        """Stop all servers and release their ports."""
         if self.ticker is not None:
             self.ticker.cancel()
         for task in self.tasks:
@@ -137,7 +144,7 @@
     # Sessions
 
     def tick(self) -> None:
-        """Expire who has not been heard for its timeout."""
+        """Expire each session whose client has sent nothing for its timeout."""
         self.ticker = asyncio.get_running_loop().call_later(0.02, self.tick)
         if not self.has_leader:
             return
@@ -147,6 +154,7 @@
                 self.expire(session.id)
 
     def open_session(self, timeout_ms: int, server: int) -> Session:
+        """Open a session with a timeout within the bounds."""
         min_ms, max_ms = self.timeouts_ms
         session_id = (server + 1) << 56 | self.rng.getrandbits(48) << 4
         session = Session(session_id, self.rng.randbytes(16), min(max(timeout_ms, min_ms), max_ms), self.clock())
@@ -155,7 +163,7 @@
         return session
 
     def expire(self, session_id: int) -> None:
-        """End a session as its timeout does: its ephemeral nodes go, and its connection is closed."""
+        """End a session as its timeout does: delete its ephemeral nodes and close its connection."""
         session = self.sessions.get(session_id)
         if session is None:
             return
@@ -165,6 +173,7 @@
             session.connection.close()
 
     def end_session(self, session: Session, expired: bool = False) -> Change:
+        """Close a session and delete its ephemeral nodes."""
         session.closed = True
         self.sessions.pop(session.id, None)
         return self.commit((), SessionClosed(session.id, expired))
@@ -172,6 +181,7 @@
     # Changes
 
     def commit(self, steps: tuple[Step, ...], closed: SessionClosed | None = None) -> Change:
+        """Append a change to the log, apply it to the leader's tree and pass it to the servers."""
         if len(self.log) >= MAX_LOG_CHANGES:
             raise KeeperError(Code.SYSTEM_ERROR)
         self.change_count += 1
@@ -185,7 +195,7 @@
     # Faults
 
     def lose_leader(self, duration_s: float | None = None) -> None:
-        """No service until one is elected, after so long or when `elect` is called."""
+        """Stop serving until a leader is elected, after `duration_s` or by `elect_leader`."""
         self.has_leader = False
         for server in self.servers:
             server.drop_connections()
@@ -193,28 +203,28 @@
             asyncio.get_running_loop().call_later(duration_s, self.elect_leader)
 
     def elect_leader(self) -> None:
-        """A new epoch begins; sessions have their whole timeout again."""
+        """Begin a new epoch with a leader; each session has its whole timeout again."""
         self.has_leader = True
         self.epoch, self.change_count = self.epoch + 1, 0
         for session in self.sessions.values():
             session.last_heard_s = self.clock()
         for server in self.servers:
-            server.drop_connections()  # those that were served read-only
+            server.drop_connections()  # also those that were served read-only
 
     def stop(self) -> None:
-        """The whole ensemble is gone: connections are reset and new ones refused."""
+        """Stop the whole ensemble: connections are reset and new ones refused."""
         self.has_leader = False
         for server in self.servers:
             server.stop()
 
     def stop_server(self, server: KeeperServer) -> None:
-        """One server goes: without a majority there is no leader."""
+        """Stop one server; without a majority there is no leader."""
         server.stop()
         if self.has_leader and 2 * sum(s.server is not None for s in self.servers) <= len(self.servers):
             self.lose_leader()
 
     async def start_server(self, server: KeeperServer) -> None:
-        """One server comes back, without its watches; with a majority a leader is elected."""
+        """Start one server again, without its watches; with a majority a leader is elected."""
         server.watches = Watches()
         server.catch_up()
         await server.start()
@@ -222,12 +232,12 @@
             self.elect_leader()
 
     async def restart(self, lost_changes: int = 0) -> None:
-        """Start again, having lost the last changes: zxids go back, sessions that were opened since are unknown."""
+        """Start again without the last changes of the log: zxids go back, and their sessions are unknown."""
         if lost_changes:
             kept = self.log[:-lost_changes]
             self.log, self.tree = [], Tree()
             for server in self.servers:
-                server.tree, server.applied = Tree(), 0
+                server.tree, server.applied_count = Tree(), 0
             for change in kept:
                 self.tree.apply(change)
             self.log = kept
@@ -242,33 +252,36 @@
             await server.start()
 
     def disrupt_session(self, session_id: int, mode: str = "reset") -> None:
-        """End a session's connection ("reset"), or silence its client one way or both: "in", "out", "both".
+        """Close a session's connection ("reset") or drop its messages: "in" (from the client), "out" or "both".
 
-        Silence holds for its later connections too, until it is mended with "".
+        Messages are dropped on its later connections too, until the mode "" is set.
         """
         session = self.sessions.get(session_id)
         if session is None:
             return
         if mode != "reset":
-            session.silenced = mode
+            session.silenced_direction = mode
         elif session.connection is not None:
             session.connection.close()
 
 
 class KeeperServer:
+    """One server with its replica, watches and connections."""
+
     def __init__(self, ensemble: Ensemble, number: int) -> None:
         self.ensemble, self.number = ensemble, number
         self.tree = Tree()
-        self.applied = 0  # changes of the log
+        self.applied_count = 0  # number of changes of the log
         self.watches = Watches()
         self.lag_s = 0.0
         self.server: asyncio.Server | None = None
-        self.reserved_socket = reserve_port()  # its port, also while it is down
+        self.reserved_socket = reserve_port()  # holds the port while the server is down
         self.address: Address = self.reserved_socket.getsockname()
         self.connections: set[KeeperConnection] = set()
-        self.zxid_waiters: list[tuple[int, asyncio.Future[None]]] = []  # for the replica to reach a zxid
+        self.zxid_waiters: list[tuple[int, asyncio.Future[None]]] = []  # zxid that the replica must reach, future
 
     async def start(self) -> None:
+        """Listen, unless the server listens already."""
         if self.server is None:
             loop = asyncio.get_running_loop()
             self.server = await loop.create_server(
@@ -276,21 +289,24 @@
             )
 
     def stop(self) -> None:
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
         self.drop_connections()
 
     def drop_connections(self) -> None:
+        """Close all connections."""
         for connection in list(self.connections):
             connection.close()
 
     @property
     def is_serving(self) -> bool:
+        """Return whether the server answers requests."""
         return self.ensemble.has_leader or self.ensemble.read_only
 
     def four_letter_response(self, word: bytes) -> bytes:
-        """What a four-letter word is answered with, which any server does, whether or not it serves."""
+        """Return the response to a four-letter word, which a server gives even while it serves no requests."""
         ensemble, tree = self.ensemble, self.tree
         if word == b"ruok":
             return b"imok"
@@ -325,17 +341,18 @@
     # The replica
 
     def on_commit(self, change: Change) -> None:
+        """Apply the log up to this change, after the lag."""
         if self.lag_s:
             asyncio.get_running_loop().call_later(self.lag_s, self.catch_up, change.zxid)
         else:
             self.catch_up()
 
     def catch_up(self, zxid: int | None = None) -> None:
-        """Apply the log, up to this zxid; whoever watches hears of it before anybody can read it."""
+        """Apply the log up to `zxid`. A watcher is notified of a change before any client can read it."""
         log = self.ensemble.log
-        while self.applied < len(log) and (zxid is None or log[self.applied].zxid <= zxid):
-            change = log[self.applied]
-            self.applied += 1
+        while self.applied_count < len(log) and (zxid is None or log[self.applied_count].zxid <= zxid):
+            change = log[self.applied_count]
+            self.applied_count += 1
             for watcher, event in self.watches.trigger(self.tree.apply(change)):
                 cast(KeeperConnection, watcher).notify(event)
         remaining = []
@@ -347,6 +364,7 @@
         self.zxid_waiters = remaining
 
     async def wait_for_zxid(self, zxid: int) -> None:
+        """Wait until the replica has applied the change."""
         if self.tree.zxid < zxid:
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self.zxid_waiters.append((zxid, future))
@@ -355,6 +373,8 @@
 
 @dataclass(eq=False)
 class KeeperConnection(asyncio.Protocol):
+    """One client connection to a server."""
+
     server: KeeperServer
     transport: asyncio.Transport | None = None
     session: Session | None = None
@@ -381,11 +401,12 @@
             self.session.connection = None
 
     def close(self) -> None:
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self.session is not None and self.session.silenced in ("in", "both"):
+        if self.session is not None and self.session.silenced_direction in ("in", "both"):
             return
         if self.session is None and len(self.first_bytes) < 4:
             self.first_bytes += data
@@ -406,21 +427,25 @@
 
     @property
     def name(self) -> str:
+        """Return the description of the connection for the `stat` response."""
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
         session = f"{self.session.id:#x}" if self.session is not None else "none"
         return f"/{peer[0]}:{peer[1]}[1](queued={self.queue.qsize()},sid={session})" if peer else "/gone"
 
     def answer_four_letter_word(self, word: bytes) -> None:
+        """Answer a four-letter word and close the connection."""
         assert self.transport is not None
         self.transport.write(self.server.four_letter_response(word))
         self.transport.close()
 
     def send(self, payload: bytes) -> None:
-        is_silenced = self.session is not None and self.session.silenced in ("out", "both")
+        """Send a message, unless messages to the client are dropped."""
+        is_silenced = self.session is not None and self.session.silenced_direction in ("out", "both")
         if self.transport is not None and not is_silenced and not self.transport.is_closing():
             self.transport.write(frame(payload))
 
     def notify(self, event: Event) -> None:
+        """Send a watch event, after the session's notification delay."""
         session = self.session
         if session is None:
             return
@@ -434,9 +459,10 @@
         else:
             self.send(data)
 
-    # Requests, in order
+    # Requests, which are handled in order
 
     async def process_requests(self) -> None:
+        """Handle the connect request and then each request of the queue."""
         try:
             self.connect(ConnectRequest.decode(await self.queue.get()))
             while self.transport is not None:
@@ -445,16 +471,17 @@
                     self.transport.resume_reading()
                 await self.handle(message)
         except JuteError:
-            self.close()  # what can't be read gets a close, never a hang
+            self.close()  # a message that cannot be parsed closes the connection
 
     def connect(self, request: ConnectRequest) -> None:
+        """Open or resume a session, or refuse the connection."""
         ensemble, server = self.server.ensemble, self.server
         if not server.is_serving:
             self.close()
             return
         if request.last_zxid > server.tree.zxid:
             ensemble.counts.connections_refused += 1
-            self.close()  # it has seen more than this server: another one will do
+            self.close()  # the client has seen a newer change than this server has; it tries another server
             return
         if not ensemble.has_leader:
             if not request.read_only:
@@ -470,8 +497,8 @@
                 if self.transport is not None:
                     self.transport.close()
                 return
-            if session.silenced in ("in", "both"):
-                return  # it says so, and nobody hears it
+            if session.silenced_direction in ("in", "both"):
+                return  # its messages are dropped, also on this connection
         elif self.read_only:
             min_ms, max_ms = ensemble.timeouts_ms
             timeout_ms = min(max(request.timeout_ms, min_ms), max_ms)
@@ -484,6 +511,7 @@
         self.send(ConnectResponse(session.timeout_ms, session.id, session.password, read_only).encode())
 
     async def handle(self, message: bytes) -> None:
+        """Decode one request and answer it."""
         ensemble, session = self.server.ensemble, self.session
         if session is None:
             return
@@ -515,14 +543,16 @@
                 self.transport.close()
 
     def reply(self, xid: int, code: Code, body: bytes = b"") -> None:
-        err = Code.OK if body and code is not Code.OK else code  # a multi that failed tells so in its body
+        """Send a reply."""
+        err = Code.OK if body and code is not Code.OK else code  # the body of a failed multi has its error codes
         self.send(ReplyHeader(xid, self.server.tree.zxid, err).encode(body))
 
     async def write(self, xid: int, request: Request, session: Session) -> None:
+        """Commit a write and answer it once this server has applied it."""
         ensemble = self.server.ensemble
         if self.read_only:
             raise KeeperError(Code.NOT_READ_ONLY)
-        if isinstance(request, EmptyRequest):  # the session is closed
+        if isinstance(request, EmptyRequest):  # CLOSE_SESSION
             change = ensemble.end_session(session)
             await self.server.wait_for_zxid(change.zxid)
             self.reply(xid, Code.OK)
@@ -547,7 +577,7 @@
             self.reply(xid, Code.OK, self.encode_result(request, steps[0]))
 
     def encode_result(self, request: Request, step: Step) -> bytes:
-        """What a write is answered with, as this server has it."""
+        """Return the body of the reply to a write, from this server's replica."""
         writer, tree = Writer(), self.server.tree
         if isinstance(step, Created):
             writer.text(step.path)
@@ -558,10 +588,11 @@
         return writer.data
 
     async def read(self, request: Request) -> bytes:
+        """Carry out a request that changes no node and return the body of its reply."""
         tree, watches, writer = self.server.tree, self.server.watches, Writer()
         match request:
             case EmptyRequest():
-                pass  # a ping: that it was heard is all
+                pass  # PING: `handle` has noted the time
             case Auth():
                 self.authenticate(request)
             case Read(path=path):
@@ -597,14 +628,16 @@
         return writer.data
 
     def check_path(self, path: str) -> None:
+        """Raise KeeperError for a path that no node may have."""
         if not is_valid(path):
             raise KeeperError(Code.BAD_ARGUMENTS)
 
     def read_node(self, request: Read, writer: Writer) -> None:
+        """Write the stat, the data or the children of a node, and set a watch if the request asks for it."""
         tree, watches = self.server.tree, self.server.watches
         if request.op is Op.EXISTS:
             if request.watch:
-                watches.add(self, WatchKind.DATA, request.path)  # of a node that is not yet there, too
+                watches.add(self, WatchKind.DATA, request.path)  # also of a node that does not exist yet
             tree.node(request.path).full_stat().write(writer)
             return
         on_delivery = self.server.ensemble.on_delivery
@@ -623,12 +656,13 @@
         else:
             writer.vector(sorted(node.children), writer.text)
         if on_delivery is not None:
-            found = (node.data or b"") if request.op is Op.GET_DATA else sorted(node.children)
-            on_delivery(self, request.op, request.path, found)
+            result = (node.data or b"") if request.op is Op.GET_DATA else sorted(node.children)
+            on_delivery(self, request.op, request.path, result)
         if request.op is not Op.GET_CHILDREN:
             stat.write(writer)
 
     def remove_watches(self, request: RemoveWatches) -> None:
+        """Remove watches of this connection, or check that there are any."""
         kinds = {1: (WatchKind.CHILD,), 2: (WatchKind.DATA,), 3: tuple(WatchKind)}.get(request.type)
         if kinds is None:
             raise KeeperError(Code.BAD_ARGUMENTS)
@@ -640,6 +674,7 @@
                 watches.remove(self, kind, request.path)
 
     def authenticate(self, request: Auth) -> None:
+        """Add the digest id of the client to the connection."""
         user, separator, _ = request.auth.decode("utf-8", "replace").partition(":")
         if request.scheme != "digest" or not separator:
             raise KeeperError(Code.AUTH_FAILED)
@@ -648,7 +683,7 @@
 
 
 def encode_multi_failure(request: Multi, error: KeeperError) -> bytes:
-    """Every operation fails: the one that did by its code, those before it and after it for its sake."""
+    """Return the results of a failed multi: OK before the failed operation, its code, RUNTIME_INCONSISTENCY after."""
     writer = Writer()
     for index in range(len(request.ops)):
         before = Code.OK if index < error.op_index else Code.RUNTIME_INCONSISTENCY
--- a/standins/parties/zookeeper/jute.py
+++ b/standins/parties/zookeeper/jute.py
@@ -1,10 +1,10 @@
-"""Records of the ZooKeeper client protocol, to bytes and back. No I/O, no time.
+"""Records of the ZooKeeper client protocol, encoded and decoded. No I/O, no time.
 
 Source: the protocol's published record definitions (zookeeper.jute) and the programmer's guide. Integers are
-big-endian; a string or buffer is its length and its bytes, -1 for none; a vector is its count and its items; a
-message on TCP is its length (four bytes) and its bytes.
+big-endian. A string or buffer is its length and its bytes, with length -1 for null; a vector is its count and its
+items; a message on TCP is its length (four bytes) and its bytes.
 
-What cannot be read raises JuteError, whatever the bytes are; nothing here allocates more than the message holds.
+Bytes that cannot be decoded raise JuteError, whatever they are. Nothing here allocates more than the message holds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from enum import IntEnum
 from typing import TypeVar
 
-MAX_PACKET_BYTES = 0xFFFFF  # jute.maxbuffer: a longer message ends its connection
+MAX_PACKET_BYTES = 0xFFFFF  # jute.maxbuffer: a longer message closes its connection
 WATCH_XID, PING_XID, AUTH_XID, SET_WATCHES_XID = -1, -2, -4, -8
 SEQUENCE_DIGITS = 10
 
@@ -25,7 +25,7 @@
 
 
 class Op(IntEnum):
-    """Types of requests."""
+    """Request types."""
 
     CREATE = 1
     DELETE = 2
@@ -81,6 +81,8 @@
 
 
 class EventType(IntEnum):
+    """Types of watch events."""
+
     CREATED = 1
     DELETED = 2
     DATA_CHANGED = 3
@@ -88,6 +90,8 @@
 
 
 class KeeperState(IntEnum):
+    """States of a client's connection, as watch events carry them."""
+
     DISCONNECTED = 0
     SYNC_CONNECTED = 3
     CONNECTED_READ_ONLY = 5
@@ -95,6 +99,8 @@
 
 
 class Perm(IntEnum):
+    """Permissions of an ACL, as bits."""
+
     READ = 1
     WRITE = 2
     CREATE = 4
@@ -104,7 +110,7 @@
 
 
 class Mode(IntEnum):
-    """Kinds of nodes, as `create` names them."""
+    """Kinds of nodes: the flags of a create request."""
 
     PERSISTENT = 0
     EPHEMERAL = 1
@@ -114,28 +120,32 @@
 
     @property
     def is_ephemeral(self) -> bool:
+        """Return whether the node is deleted with its session."""
         return self in (Mode.EPHEMERAL, Mode.EPHEMERAL_SEQUENTIAL)
 
     @property
     def is_sequential(self) -> bool:
+        """Return whether the node's name gets a sequence number."""
         return self in (Mode.PERSISTENT_SEQUENTIAL, Mode.EPHEMERAL_SEQUENTIAL)
 
 
 class JuteError(ValueError):
-    """Bytes that are no record of the kind that was expected."""
+    """Bytes that are not a record of the expected type."""
 
 
 class Reader:
-    """Reads values one after the other from one message."""
+    """Reads consecutive values from one message."""
 
     def __init__(self, data: bytes) -> None:
         self.data, self.position = data, 0
 
     @property
     def remaining_bytes(self) -> int:
+        """Return the number of bytes not yet read."""
         return len(self.data) - self.position
 
     def read_bytes(self, size: int) -> bytes:
+        """Read a fixed number of bytes."""
         if size < 0 or size > self.remaining_bytes:
             raise JuteError(f"{size} bytes expected, {self.remaining_bytes} left")
         data = self.data[self.position : self.position + size]
@@ -143,24 +153,29 @@
         return data
 
     def int32(self) -> int:
+        """Read an int."""
         value: int = _INT.unpack(self.read_bytes(4))[0]
         return value
 
     def int64(self) -> int:
+        """Read a long."""
         value: int = _LONG.unpack(self.read_bytes(8))[0]
         return value
 
     def boolean(self) -> bool:
+        """Read a boolean."""
         byte = self.read_bytes(1)[0]
         if byte > 1:
             raise JuteError(f"{byte} is no boolean")
         return byte == 1
 
     def buffer(self) -> bytes | None:
+        """Read a buffer; None for null."""
         size = self.int32()
         return None if size == -1 else self.read_bytes(size)
 
     def text(self) -> str:
+        """Read a string; empty for null."""
         data = self.buffer()
         try:
             return (data or b"").decode()
@@ -168,39 +183,46 @@
             raise JuteError("a string is not UTF-8") from None
 
     def vector(self, item: Callable[[], T]) -> list[T]:
+        """Read a vector, each item with `item`."""
         count = self.int32()
-        if count > self.remaining_bytes:  # no item is shorter than a byte
+        if count > self.remaining_bytes:  # an item has at least one byte
             raise JuteError(f"{count} items in {self.remaining_bytes} bytes")
         return [item() for _ in range(max(count, 0))]
 
     def expect_end(self) -> None:
+        """Raise JuteError if bytes follow the record."""
         if self.remaining_bytes:
             raise JuteError(f"{self.remaining_bytes} bytes more than the record")
 
 
 class Writer:
-    """Collects values; `data` is the message so far."""
+    """Collects encoded values; `data` is the message so far."""
 
     def __init__(self) -> None:
         self.parts: list[bytes] = []
 
     @property
     def data(self) -> bytes:
+        """Return the bytes written so far."""
         return b"".join(self.parts)
 
     def int32(self, value: int) -> Writer:
+        """Write an int."""
         self.parts.append(_INT.pack(value))
         return self
 
     def int64(self, value: int) -> Writer:
+        """Write a long."""
         self.parts.append(_LONG.pack(value))
         return self
 
     def boolean(self, value: bool) -> Writer:
+        """Write a boolean."""
         self.parts.append(b"\x01" if value else b"\x00")
         return self
 
     def buffer(self, value: bytes | None) -> Writer:
+        """Write a buffer; None is null."""
         if value is None:
             return self.int32(-1)
         self.int32(len(value))
@@ -208,30 +230,35 @@
         return self
 
     def text(self, value: str) -> Writer:
+        """Write a string."""
         return self.buffer(value.encode())
 
     def vector(self, values: list[T], item: Callable[[T], object]) -> Writer:
+        """Write a vector, each item with `item`."""
         self.int32(len(values))
         for value in values:
             item(value)
         return self
 
     def raw(self, value: bytes) -> Writer:
+        """Write encoded bytes."""
         self.parts.append(value)
         return self
 
 
 def frame(payload: bytes) -> bytes:
+    """Return the message with its length, as it is sent on TCP."""
     return _INT.pack(len(payload)) + payload
 
 
 class Deframer:
-    """Cuts a stream into messages; JuteError for a length that no message has."""
+    """Splits a stream into messages; JuteError for a negative or too large length."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Add received bytes and return the messages that they complete."""
         self.buffer += data
         messages: list[bytes] = []
         offset = 0
@@ -252,6 +279,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Acl:
+    """One entry of an access control list."""
+
     perms: int
     scheme: str
     id: str
@@ -269,7 +298,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stat:
-    """Of a node. zxids of its creation, last change and last change of children; times in Unix milliseconds."""
+    """A node's stat: zxids of its creation, last change and last change of children; times in Unix milliseconds."""
 
     czxid: int = 0
     mzxid: int = 0
@@ -293,12 +322,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectRequest:
+    """The first message of a client, which opens or resumes a session."""
+
     protocol: int = 0
     last_zxid: int = 0
     timeout_ms: int = 10_000
     session: int = 0
     password: bytes = b"\x00" * 16
-    read_only: bool | None = False  # None: a client that knows nothing of it
+    read_only: bool | None = False  # None: from a client older than read-only mode, which leaves out the field
 
     def encode(self) -> bytes:
         writer = Writer().int32(self.protocol).int64(self.last_zxid).int32(self.timeout_ms).int64(self.session)
@@ -316,7 +347,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectResponse:
-    timeout_ms: int  # 0: the session is not to be had
+    """The first message of a server."""
+
+    timeout_ms: int  # 0: the session does not exist or the password is wrong
     session: int
     password: bytes
     read_only: bool | None = False
@@ -342,6 +375,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplyHeader:
+    """The header of a reply."""
+
     xid: int
     zxid: int
     err: int = Code.OK
@@ -356,6 +391,8 @@
 
 @dataclass(slots=True, frozen=True)
 class WatcherEvent:
+    """Notification of a triggered watch."""
+
     type: EventType
     path: str
     state: int = KeeperState.SYNC_CONNECTED
@@ -367,8 +404,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Create:
+    """CREATE, CREATE2 or CREATE_CONTAINER."""
+
     path: str
-    data: bytes | None = b""  # None: null, which is not empty
+    data: bytes | None = b""  # None: null, which differs from empty
     acl: tuple[Acl, ...] = OPEN_ACL
     flags: int = Mode.PERSISTENT
     op: Op = Op.CREATE
@@ -385,6 +424,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Delete:
+    """Deletes a node if it has this version; -1 accepts any."""
+
     path: str
     version: int = -1
     op: Op = Op.DELETE
@@ -399,13 +440,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Check(Delete):
-    """The version must be this one; nothing is done."""
+    """Fails unless the node has this version; changes nothing."""
 
     op: Op = Op.CHECK
 
 
 @dataclass(slots=True, frozen=True)
 class SetData:
+    """Sets a node's data if the node has this version."""
+
     path: str
     data: bytes | None
     version: int = -1
@@ -421,6 +464,8 @@
 
 @dataclass(slots=True, frozen=True)
 class SetAcl:
+    """Sets a node's ACL if the ACL has this version."""
+
     path: str
     acl: tuple[Acl, ...]
     version: int = -1
@@ -436,7 +481,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Read:
-    """EXISTS, GET_DATA, GET_CHILDREN or GET_CHILDREN2; with `watch`, a one-shot watch is left."""
+    """EXISTS, GET_DATA, GET_CHILDREN or GET_CHILDREN2; `watch` sets a one-shot watch."""
 
     path: str
     watch: bool = False
@@ -467,8 +512,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AddWatch:
+    """Sets a persistent watch."""
+
     path: str
-    mode: int  # 0 persistent, 1 persistent and recursive
+    mode: int  # 0: persistent, 1: persistent and recursive
     op: Op = Op.ADD_WATCH
 
     def write(self, writer: Writer) -> None:
@@ -481,10 +528,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RemoveWatches:
-    """CHECK_WATCHES asks whether there are any, REMOVE_WATCHES takes them away."""
+    """CHECK_WATCHES fails if there are none, REMOVE_WATCHES removes them."""
 
     path: str
-    type: int  # 1 children, 2 data, 3 any
+    type: int  # 1: children, 2: data, 3: any
     op: Op = Op.REMOVE_WATCHES
 
     def write(self, writer: Writer) -> None:
@@ -497,7 +544,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetWatches:
-    """What a client had watched before it reconnected, and what it had seen."""
+    """The watches of a client that reconnected, and the last zxid that it has seen."""
 
     zxid: int
     data: list[str] = field(default_factory=list)
@@ -524,6 +571,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Auth:
+    """Adds an identity to the connection."""
+
     scheme: str
     auth: bytes
     type: int = 0
@@ -540,7 +589,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EmptyRequest:
-    """PING or CLOSE_SESSION: no body."""
+    """PING or CLOSE_SESSION, which have no body."""
 
     op: Op
 
@@ -557,7 +606,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Multi:
-    """All of these or none."""
+    """Applies all of its operations or none."""
 
     ops: tuple[Write, ...]
     op: Op = Op.MULTI
@@ -600,7 +649,7 @@
 
 
 def decode_request(data: bytes) -> tuple[int, Request | int]:
-    """xid and request; the bare type where it is none that is known. JuteError for bytes that are no request."""
+    """Return xid and request, or the type alone if it is unknown. JuteError for bytes that are no request."""
     reader = Reader(data)
     xid, type_ = reader.int32(), reader.int32()
     record_type = RECORDS.get(type_)
@@ -612,6 +661,7 @@
 
 
 def encode_request(xid: int, request: Request) -> bytes:
+    """Return the request as a message."""
     writer = Writer().int32(xid).int32(request.op)
     request.write(writer)
     return writer.data
--- a/standins/parties/zookeeper/threaded.py
+++ b/standins/parties/zookeeper/threaded.py
@@ -1,4 +1,4 @@
-"""An ensemble on a loop and a thread of its own, for clients that block."""
+"""An ensemble on an event loop and a thread of its own, for clients that block."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ThreadedEnsemble:
-    """`call` runs a function, or a coroutine function, on the ensemble's loop and waits for it."""
+    """Starts an ensemble in a thread; `call` runs functions on its event loop."""
 
     def __init__(self, servers: int = 3, seed: int = 0, timeouts_ms: tuple[int, int] = (200, 40_000)) -> None:
         self.loop = asyncio.new_event_loop()
@@ -23,6 +23,8 @@
         self.call(self.ensemble.start)
 
     def call(self, function: Callable[[], Any]) -> Any:
+        """Run a function or a coroutine function on the ensemble's loop and wait for its result."""
+
         async def call_function() -> Any:
             result = function()
             return await result if asyncio.iscoroutine(result) else result
@@ -30,6 +32,7 @@
         return asyncio.run_coroutine_threadsafe(call_function(), self.loop).result(CALL_TIMEOUT_S)
 
     def close(self) -> None:
+        """Close the ensemble and end the thread."""
         self.call(self.ensemble.close)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(CALL_TIMEOUT_S)
--- a/standins/parties/zookeeper/tree.py
+++ b/standins/parties/zookeeper/tree.py
@@ -1,8 +1,8 @@
-"""The nodes of the service and what changes them. Pure: times and zxids come from outside, no I/O.
+"""The nodes of the service and the changes to them. Pure: times and zxids are passed in, no I/O.
 
-Invariants: a change is decided once, by `prepare` on the leader's tree, and applied as it was decided by every
-replica, so replicas that have applied the same changes are equal. A multi is one change. Nothing here knows a
-connection or a watch: `apply` returns what happened, and the watches of each server hear of it.
+Invariants: `prepare` decides each change once, on the leader's tree, and every replica applies it as decided, so
+replicas that have applied the same changes are equal. A multi is one change. The tree knows no connections and no
+watches: `apply` returns the events, and each server triggers its watches with them.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 )
 
 Event = tuple[EventType, str]
-# Characters that no path may have: controls, surrogates and private use, specials.
+# Characters that no path may contain: control characters, surrogates, private use and specials.
 FORBIDDEN_CHARACTERS = re.compile("[\x00-\x1f\x7f-\x9f\ud800-\uf8ff\ufff0-\uffff]")
 
 
 class KeeperError(Exception):
-    """A request that is answered with a code; in a multi, at which operation."""
+    """A request that fails with an error code; in a multi, `op_index` is the index of the failed operation."""
 
     def __init__(self, code: Code, op_index: int = 0) -> None:
         super().__init__(code.name)
@@ -46,20 +46,25 @@
 
 @dataclass(slots=True)
 class Node:
-    data: bytes | None  # None: null
+    """A node with its ACL, its stat and the names of its children."""
+
+    data: bytes | None  # None: the protocol's null
     acl: tuple[Acl, ...]
     stat: Stat
     children: set[str] = field(default_factory=set)
 
     def full_stat(self) -> Stat:
+        """Return the stat with the data length and the number of children."""
         return replace(self.stat, data_length=len(self.data or b""), num_children=len(self.children))
 
 
-# What is decided and applied
+# Changes
 
 
 @dataclass(slots=True, frozen=True)
 class Created:
+    """A node to create; `owner` is the session of an ephemeral node, else 0."""
+
     path: str
     data: bytes | None
     acl: tuple[Acl, ...]
@@ -68,30 +73,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Deleted:
+    """A node to delete."""
+
     path: str
 
 
 @dataclass(slots=True, frozen=True)
 class DataSet:
+    """New data of a node."""
+
     path: str
     data: bytes | None
 
 
 @dataclass(slots=True, frozen=True)
 class AclSet:
+    """New ACL of a node."""
+
     path: str
     acl: tuple[Acl, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Checked:
-    """Of a multi: it was so."""
+    """A version check of a multi that succeeded."""
 
     path: str
 
 
 @dataclass(slots=True, frozen=True)
 class SessionClosed:
+    """The end of a session."""
+
     session: int
     expired: bool = False
 
@@ -101,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One change of the whole: its zxid, when, and its steps; a closed session takes its ephemerals along."""
+    """One change of the tree; `closed` is a session that ends, and whose ephemerals are deleted."""
 
     zxid: int
     time_ms: int
@@ -110,15 +123,17 @@
 
 
 def parent_of(path: str) -> str:
+    """Return the path of the parent."""
     return path.rpartition("/")[0] or "/"
 
 
 def name_of(path: str) -> str:
+    """Return the last part of the path."""
     return path.rpartition("/")[2]
 
 
 def is_valid(path: str) -> bool:
-    """Whether a node may have this path."""
+    """Return whether a node may have this path."""
     if path == "/":
         return True
     if not path.startswith("/") or path.endswith("/"):
@@ -128,13 +143,13 @@
 
 
 def allows(acl: Iterable[Acl], permission: Perm, ids: Iterable[tuple[str, str]]) -> bool:
-    """Whether an ACL grants this to somebody who is known by these (scheme, id) pairs."""
+    """Return whether an ACL grants the permission to a client with these (scheme, id) pairs."""
     known = {("world", "anyone"), *ids}
     return any(entry.perms & permission and (entry.scheme, entry.id) in known for entry in acl)
 
 
 class Tree:
-    """All nodes, as of `zxid`."""
+    """All nodes after the change `zxid`."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {"/": Node(b"", OPEN_ACL, Stat())}
@@ -142,17 +157,18 @@
         self.zxid = 0
 
     def node(self, path: str) -> Node:
+        """Return the node; KeeperError if there is none."""
         node = self.nodes.get(path)
         if node is None:
             raise KeeperError(Code.NO_NODE)
         return node
 
-    # Deciding
+    # Preparing changes
 
     def prepare(
         self, request: Write | SetAcl | Multi, session: int, ids: Iterable[tuple[str, str]] = ()
     ) -> tuple[Step, ...]:
-        """The steps that a request comes to on this tree, which is left as it is; KeeperError where it fails."""
+        """Return the steps that the request leads to, without applying them; KeeperError if it fails."""
         known = tuple(ids)
         if not isinstance(request, Multi):
             return (_Draft(self, session, known).prepare_step(request),)
@@ -164,22 +180,23 @@
                 raise KeeperError(error.code, index) from None
         return tuple(steps)
 
-    # Applying
+    # Applying changes
 
     def apply(self, change: Change) -> list[Event]:
-        """Apply what was decided; returns what happened, in order, deletions of a closed session at the end."""
+        """Apply a change and return its events in order; the deletions of a closed session come last."""
         self.zxid = change.zxid
         events: list[Event] = []
         for step in change.steps:
             events += self.apply_step(step, change)
         if change.closed is not None:
-            # Sorted: every replica deletes in the same order.
+            # Sorted, so that every replica deletes in the same order.
             for path in sorted(self.ephemerals.pop(change.closed.session, ()), reverse=True):
                 if path in self.nodes:
                     events += self.apply_step(Deleted(path), change)
         return events
 
     def apply_step(self, step: Step, change: Change) -> list[Event]:
+        """Apply one step and return its events."""
         match step:
             case Created(path, data, acl, owner):
                 stat = Stat(change.zxid, change.zxid, change.time_ms, change.time_ms, pzxid=change.zxid)
@@ -210,20 +227,22 @@
                 return []
 
     def update_parent(self, path: str, change: Change) -> set[str]:
+        """Count a change of the parent's children in its stat and return their names."""
         parent = self.nodes[parent_of(path)]
         parent.stat = replace(parent.stat, cversion=parent.stat.cversion + 1, pzxid=change.zxid)
         return parent.children
 
 
 class _Draft:
-    """The tree as it would be after the steps decided so far: what a multi's later operations see."""
+    """The tree as it would be after the steps prepared so far, which the later operations of a multi see."""
 
     def __init__(self, tree: Tree, session: int, ids: tuple[tuple[str, str], ...]) -> None:
         self.tree, self.session, self.ids = tree, session, ids
         self.changed: dict[str, Node | None] = {}  # None: deleted
-        self.child_counts: dict[str, int] = {}  # of children, where that may have changed
+        self.child_counts: dict[str, int] = {}  # by path, where the number of children may have changed
 
     def get_node(self, path: str) -> Node:
+        """Return the node; KeeperError if there is none."""
         if path in self.changed:
             node = self.changed[path]
             if node is None:
@@ -232,7 +251,7 @@
         return self.tree.node(path)
 
     def copy_for_change(self, path: str) -> Node:
-        """A copy that may be changed, but for its children: they are counted, not copied."""
+        """Return a copy of the node that may be changed. Its children are counted in `child_counts`, not copied."""
         node = self.get_node(path)
         if path not in self.changed:
             self.child_counts[path] = len(node.children)
@@ -240,13 +259,16 @@
         return node
 
     def has_node(self, path: str) -> bool:
+        """Return whether the node exists."""
         return self.changed[path] is not None if path in self.changed else path in self.tree.nodes
 
     def require_permission(self, node: Node, permission: Perm) -> None:
+        """Raise KeeperError unless the session has the permission for this node."""
         if not allows(node.acl, permission, self.ids):
             raise KeeperError(Code.NO_AUTH)
 
     def prepare_step(self, request: Write | SetAcl) -> Step:
+        """Check one request and return its step; KeeperError if it fails."""
         if not is_valid(request.path) and not (isinstance(request, Create) and request.path.endswith("/")):
             raise KeeperError(Code.BAD_ARGUMENTS)
         match request:
@@ -273,11 +295,12 @@
                 return AclSet(request.path, self.resolve_acl(request.acl))
 
     def check_version(self, node: Node, expected: int) -> None:
+        """Raise KeeperError unless the node has the expected version; -1 accepts any."""
         if expected not in (-1, node.stat.version):
             raise KeeperError(Code.BAD_VERSION)
 
     def resolve_acl(self, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
-        """An ACL with `auth` put into the ids that the session has; none at all is invalid."""
+        """Return the ACL with `auth` entries replaced by the session's ids; an empty result is an invalid ACL."""
         resolved: list[Acl] = []
         for entry in acl:
             if entry.scheme == "auth":
@@ -288,9 +311,10 @@
                 raise KeeperError(Code.INVALID_ACL)
         if not resolved:
             raise KeeperError(Code.INVALID_ACL)
-        return tuple(dict.fromkeys(resolved))  # each once
+        return tuple(dict.fromkeys(resolved))  # without duplicates
 
     def create(self, request: Create) -> Created:
+        """Check a creation and return its step."""
         try:
             mode = Mode(request.flags)
         except ValueError:
@@ -318,6 +342,7 @@
         return Created(path, request.data, acl, owner)
 
     def delete(self, request: Delete) -> Deleted:
+        """Check a deletion and return its step."""
         if request.path == "/":
             raise KeeperError(Code.BAD_ARGUMENTS)
         node = self.get_node(request.path)
@@ -333,7 +358,7 @@
 
 
 def is_write(op: Op) -> bool:
-    """Whether the leader decides it."""
+    """Return whether requests of this type change the tree, so that the leader decides them."""
     return op in WRITES
 
 
--- a/standins/parties/zookeeper/watches.py
+++ b/standins/parties/zookeeper/watches.py
@@ -1,7 +1,7 @@
-"""Who is to hear of what, at one server. Pure.
+"""The watches of one server, and which watchers an event notifies. Pure.
 
-Invariants: a one-shot watch is told once; a persistent one until it is removed; one connection hears of one event
-once, however many of its watches it meets. Everything of a connection goes with it.
+Invariants: a one-shot watch triggers once, a persistent one until it is removed. One connection is notified of one
+event once, however many of its watches match. The watches of a connection are removed when it closes.
 """
 
 from __future__ import annotations
@@ -17,14 +17,16 @@
 
 
 class WatchKind(Enum):
-    DATA = "data"  # of a node that is there, or of one that is not yet
+    """Kinds of watches."""
+
+    DATA = "data"  # of a node that exists or may be created
     CHILD = "child"
     PERSISTENT = "persistent"
     RECURSIVE = "recursive"
 
 
 ONE_SHOT_KINDS = (WatchKind.DATA, WatchKind.CHILD)
-# Which kinds an event on the path itself meets. A recursive watch hears of nodes, never of their lists of children.
+# Kinds that an event on the watched path triggers. A recursive watch gets no events for lists of children.
 KINDS_BY_EVENT_TYPE = {
     EventType.CREATED: (WatchKind.DATA, WatchKind.PERSISTENT, WatchKind.RECURSIVE),
     EventType.DELETED: (WatchKind.DATA, WatchKind.CHILD, WatchKind.PERSISTENT, WatchKind.RECURSIVE),
@@ -34,6 +36,8 @@
 
 
 class Watches:
+    """Watches by kind and path, and by watcher."""
+
     def __init__(self) -> None:
         self.by_path: dict[WatchKind, dict[str, set[Watcher]]] = {kind: defaultdict(set) for kind in WatchKind}
         self.by_watcher: dict[Watcher, set[tuple[WatchKind, str]]] = defaultdict(set)
@@ -42,10 +46,12 @@
         return sum(len(paths) for paths in self.by_watcher.values())
 
     def add(self, watcher: Watcher, kind: WatchKind, path: str) -> None:
+        """Set a watch."""
         self.by_path[kind][path].add(watcher)
         self.by_watcher[watcher].add((kind, path))
 
     def remove(self, watcher: Watcher, kind: WatchKind, path: str) -> bool:
+        """Remove a watch; return whether it was set."""
         if (kind, path) not in self.by_watcher.get(watcher, ()):
             return False
         self.by_watcher[watcher].discard((kind, path))
@@ -58,14 +64,16 @@
         return True
 
     def has_watch(self, watcher: Watcher, kinds: Iterable[WatchKind], path: str) -> bool:
+        """Return whether the watcher has a watch of one of these kinds on the path."""
         return any((kind, path) in self.by_watcher.get(watcher, ()) for kind in kinds)
 
     def remove_watcher(self, watcher: Watcher) -> None:
+        """Remove all watches of a watcher."""
         for kind, path in list(self.by_watcher.get(watcher, ())):
             self.remove(watcher, kind, path)
 
     def trigger(self, events: Iterable[Event]) -> list[tuple[Watcher, Event]]:
-        """Who hears of which event, in the order of the events; one-shot watches that were met are gone."""
+        """Return which watcher gets which event, in order, and remove the triggered one-shot watches."""
         notifications: list[tuple[Watcher, Event]] = []
         for event in events:
             type_, path = event
@@ -80,7 +88,7 @@
         return notifications
 
     def restore(self, watcher: Watcher, request: SetWatches, tree: Tree) -> list[Event]:
-        """Set anew what a client watched before it reconnected; returns what it has missed meanwhile."""
+        """Set again the watches of a client that reconnected; return the events that it missed."""
         missed: list[Event] = []
         for path in request.data:
             node = tree.nodes.get(path)
@@ -111,7 +119,7 @@
 
 
 def ancestors(path: str) -> list[str]:
-    """The path itself and all above it."""
+    """Return the path itself and all paths above it."""
     paths = [path]
     while path != "/":
         path = parent_of(path)
--- a/tests/discovery/test_zookeeper_source.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -129,7 +129,7 @@
     async with running_gateway(service, session_ms=20_000) as program:
         await until_listed(program, "s-0", "s-1")
         for session in service.gateway_sessions():
-            session.silenced = "in"
+            session.silenced_direction = "in"
         started_s = time.monotonic()
         service.expire("s-0")
         await until_listed(program, "s-1")
