--- a/tests/test_standin_registry.py
+++ b/tests/test_standin_registry.py
@@ -1,4 +1,4 @@
-"""The stand-in registry: list and watch as the protocol has them, what counts as told, and its faults."""
+"""The emulator's registry: lists and watches according to the protocol, recorded deliveries, and its faults."""
 
 from __future__ import annotations
 
@@ -19,187 +19,195 @@
 
 
 @dataclass
-class Desk:
+class RegistryHarness:
+    """A registry with two backends and the listener of one gateway; `network_open` is cleared while it is cut off."""
+
     registry: Registry
-    view: RegistryListener
-    held: asyncio.Event
+    listener: RegistryListener
+    network_open: asyncio.Event
 
-    async def client(self, address: Address | None = None) -> Client:
-        to = address or self.view.address
-        assert to is not None
-        return Client(*await asyncio.open_connection(*to))
+    async def connect(self, address: Address | None = None) -> Client:
+        listener_address = address or self.listener.address
+        assert listener_address is not None
+        return Client(*await asyncio.open_connection(*listener_address))
 
-    async def ask(self, query: str = "", client: Client | None = None) -> Message:
-        caller = client or await self.client()
-        return await caller.ask(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+    async def request_list(self, query: str = "", client: Client | None = None) -> Message:
+        connection = client or await self.connect()
+        return await connection.ask(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
 
-    async def listed(self, query: str = "") -> dict[str, Any]:
-        found: dict[str, Any] = json.loads((await self.ask(query)).body)
-        return found
+    async def fetch_list(self, query: str = "") -> dict[str, Any]:
+        parsed: dict[str, Any] = json.loads((await self.request_list(query)).body)
+        return parsed
 
-    def told(self) -> list[tuple[str, str]]:
-        return [(told.backend, told.status) for told in self.registry.event_log.events_of(NotificationDelivered)]
+    def delivered_statuses(self) -> list[tuple[str, str]]:
+        return [
+            (delivery.backend, delivery.status)
+            for delivery in self.registry.event_log.events_of(NotificationDelivered)
+        ]
 
 
-def entry(name: str) -> Entry:
+def make_entry(name: str) -> Entry:
     return Entry(name, "kita-room", "small-2c", 0, 0)
 
 
 @asynccontextmanager
-async def desk() -> AsyncIterator[Desk]:
-    registry, passes = Registry(EventLog(), seed=1), asyncio.Event()
-    passes.set()
+async def registry_harness() -> AsyncIterator[RegistryHarness]:
+    registry, network_open = Registry(EventLog(), seed=1), asyncio.Event()
+    network_open.set()
 
-    async def may_pass() -> None:
-        await passes.wait()
+    async def wait_for_network() -> None:
+        await network_open.wait()
 
     for name in ("s-0", "s-1"):
-        registry.add_entry(entry(name))
-    view = await registry.open_listener("n0", lambda box: ("127.0.0.1", 9000 + int(box[2:])), may_pass)
+        registry.add_entry(make_entry(name))
+    listener = await registry.open_listener("n0", lambda name: ("127.0.0.1", 9000 + int(name[2:])), wait_for_network)
     try:
-        yield Desk(registry, view, passes)
+        yield RegistryHarness(registry, listener, network_open)
     finally:
         registry.close()
 
 
 @on_loop
-async def test_the_whole_list_has_the_protocols_fields_and_counts_as_told() -> None:
-    async with desk() as one:
-        listed = await one.listed()
-        assert listed["snapshot"] is True and listed["index"] == 1
-        assert listed["endpoints"][0] == {
+async def test_full_list_has_the_protocol_fields_and_is_recorded_as_delivered() -> None:
+    async with registry_harness() as harness:
+        response = await harness.fetch_list()
+        assert response["snapshot"] is True and response["index"] == 1
+        assert response["endpoints"][0] == {
             "name": "s-0", "address": "127.0.0.1:9000", "zone": "kita-room", "type": "small-2c", "group": 0,
             "status": "SERVING", "weight": 1.0, "since_ms": 0,
         }  # fmt: skip
-        assert one.told() == [("s-0", "SERVING"), ("s-1", "SERVING")]
+        assert harness.delivered_statuses() == [("s-0", "SERVING"), ("s-1", "SERVING")]
 
 
 @on_loop
-async def test_a_watch_waits_for_news_and_tells_only_these() -> None:
-    async with desk() as one:
-        watch = asyncio.create_task(one.listed("?from=1&hold_ms=20000"))
-        await until(lambda: list(one.registry.event_log.events_of(DiscoveryPoll)))
+async def test_watch_waits_for_changes_and_returns_only_them() -> None:
+    async with registry_harness() as harness:
+        watch = asyncio.create_task(harness.fetch_list("?from=1&hold_ms=20000"))
+        await until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
         assert not watch.done()
-        one.registry.schedule_change(one.registry.entries["s-1"], "DRAINING", lag_s=0.02)
-        listed = await watch
-        assert listed["snapshot"] is False and listed["index"] == 2
-        assert [(e["name"], e["status"]) for e in listed["endpoints"]] == [("s-1", "DRAINING")]
-        one.registry.schedule_change(one.registry.entries["s-1"], "DELETED", lag_s=0.0)
-        gone = await one.listed("?from=2&hold_ms=20000")
-        assert [(e["name"], e["status"]) for e in gone["endpoints"]] == [("s-1", "DELETED")]
-        assert one.told() == [("s-1", "DRAINING"), ("s-1", "DELETED")]
-        assert [e["name"] for e in (await one.listed())["endpoints"]] == ["s-0"]
+        harness.registry.schedule_change(harness.registry.entries["s-1"], "DRAINING", lag_s=0.02)
+        response = await watch
+        assert response["snapshot"] is False and response["index"] == 2
+        assert [(record["name"], record["status"]) for record in response["endpoints"]] == [("s-1", "DRAINING")]
+        harness.registry.schedule_change(harness.registry.entries["s-1"], "DELETED", lag_s=0.0)
+        deleted = await harness.fetch_list("?from=2&hold_ms=20000")
+        assert [(record["name"], record["status"]) for record in deleted["endpoints"]] == [("s-1", "DELETED")]
+        assert harness.delivered_statuses() == [("s-1", "DRAINING"), ("s-1", "DELETED")]
+        assert [record["name"] for record in (await harness.fetch_list())["endpoints"]] == ["s-0"]
 
 
 @on_loop
-async def test_a_watch_without_news_ends_empty() -> None:
-    async with desk() as one:
-        listed = await one.listed("?from=1&hold_ms=50")
-        assert listed == {"index": 1, "snapshot": False, "endpoints": []} and not one.told()
+async def test_watch_without_changes_ends_with_an_empty_list() -> None:
+    async with registry_harness() as harness:
+        response = await harness.fetch_list("?from=1&hold_ms=50")
+        assert response == {"index": 1, "snapshot": False, "endpoints": []} and not harness.delivered_statuses()
 
 
 @on_loop
-async def test_what_a_whole_list_no_longer_names_is_told_gone() -> None:
-    async with desk() as one:
-        await one.listed()
-        one.registry.schedule_change(one.registry.entries["s-0"], "DELETED", lag_s=0.0)
-        await until(lambda: one.registry.index == 2)
-        await one.listed()
-        assert one.told()[-2:] == [("s-1", "SERVING"), ("s-0", "DELETED")] or ("s-0", "DELETED") in one.told()
+async def test_backend_missing_from_a_full_list_is_recorded_as_deleted() -> None:
+    async with registry_harness() as harness:
+        await harness.fetch_list()
+        harness.registry.schedule_change(harness.registry.entries["s-0"], "DELETED", lag_s=0.0)
+        await until(lambda: harness.registry.index == 2)
+        await harness.fetch_list()
+        assert (
+            harness.delivered_statuses()[-2:] == [("s-1", "SERVING"), ("s-0", "DELETED")]
+            or ("s-0", "DELETED") in harness.delivered_statuses()
+        )
 
 
 @on_loop
-async def test_one_that_registers_again_is_not_deleted_by_its_earlier_self() -> None:
-    async with desk() as one:
-        first = one.registry.entries["s-0"]
-        one.registry.schedule_change(entry("s-0"), "SERVING", lag_s=0.0)
-        await until(lambda: one.registry.index == 2)
-        one.registry.schedule_change(first, "DELETED", lag_s=0.0)
-        await until(lambda: not one.registry.tasks)
-        assert [e["name"] for e in (await one.listed())["endpoints"]] == ["s-0", "s-1"]
-        assert (await one.listed("?from=2&hold_ms=10"))["endpoints"] == []
+async def test_late_deletion_does_not_remove_a_backend_that_registered_again() -> None:
+    async with registry_harness() as harness:
+        first_entry = harness.registry.entries["s-0"]
+        harness.registry.schedule_change(make_entry("s-0"), "SERVING", lag_s=0.0)
+        await until(lambda: harness.registry.index == 2)
+        harness.registry.schedule_change(first_entry, "DELETED", lag_s=0.0)
+        await until(lambda: not harness.registry.tasks)
+        assert [record["name"] for record in (await harness.fetch_list())["endpoints"]] == ["s-0", "s-1"]
+        assert (await harness.fetch_list("?from=2&hold_ms=10"))["endpoints"] == []
 
 
 @on_loop
-async def test_an_index_that_goes_back_gives_the_whole_list() -> None:
-    async with desk() as one:
+async def test_request_with_an_index_above_the_current_one_gets_the_full_list() -> None:
+    async with registry_harness() as harness:
         for status in ("DRAINING", "SERVING"):
-            one.registry.schedule_change(one.registry.entries["s-0"], status, lag_s=0.0)
-            await until(lambda status=status: one.registry.entries["s-0"].status == status)  # type: ignore[misc]
-        one.registry.roll_back_index(2)
-        listed = await one.listed("?from=3&hold_ms=20000")
-        assert listed["snapshot"] is True and listed["index"] == 1
+            harness.registry.schedule_change(harness.registry.entries["s-0"], status, lag_s=0.0)
+            await until(lambda status=status: harness.registry.entries["s-0"].status == status)  # type: ignore[misc]
+        harness.registry.roll_back_index(2)
+        response = await harness.fetch_list("?from=3&hold_ms=20000")
+        assert response["snapshot"] is True and response["index"] == 1
 
 
-@pytest.mark.parametrize("how", ["503", "reset", "silent"])
+@pytest.mark.parametrize("mode", ["503", "reset", "silent"])
 @on_loop
-async def test_it_goes_down_in_three_ways_and_ends_watches(how: str) -> None:
-    async with desk() as one:
-        client = await one.client()
-        watch = asyncio.create_task(one.ask("?from=1&hold_ms=60000", client))
-        await until(lambda: list(one.registry.event_log.events_of(DiscoveryPoll)))
-        await one.registry.set_outage_mode(how)
-        if how == "503":
+async def test_outage_ends_watches_in_each_mode(mode: str) -> None:
+    async with registry_harness() as harness:
+        client = await harness.connect()
+        watch = asyncio.create_task(harness.request_list("?from=1&hold_ms=60000", client))
+        await until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
+        await harness.registry.set_outage_mode(mode)
+        if mode == "503":
             assert (await watch).status == 503
-        elif how == "reset":
+        elif mode == "reset":
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await watch
         else:
             done, _ = await asyncio.wait((watch,), timeout=0.1)
             assert not done
-            await one.registry.set_outage_mode("")
+            await harness.registry.set_outage_mode("")
             assert (await watch).status == 200
-        await one.registry.set_outage_mode("")
-        assert (await one.ask()).status == 200
+        await harness.registry.set_outage_mode("")
+        assert (await harness.request_list()).status == 200
 
 
 @on_loop
-async def test_a_garbled_list_tells_nothing() -> None:
-    async with desk() as one:
-        one.registry.faults.has_garbled_lists = True
-        body = (await one.ask()).body
+async def test_garbled_list_is_not_recorded_as_delivered() -> None:
+    async with registry_harness() as harness:
+        harness.registry.faults.has_garbled_lists = True
+        body = (await harness.request_list()).body
         with pytest.raises(ValueError):
             json.loads(body)
-        assert not one.told()
+        assert not harness.delivered_statuses()
 
 
 @on_loop
-async def test_it_moves_and_ends_what_is_open_at_the_old_address() -> None:
-    async with desk() as one:
-        client, old = await one.client(), one.view.address
-        await one.ask(client=client)
-        await one.registry.move_listener(one.view, close_after_s=0.05)
-        assert one.view.address != old
-        assert (await one.ask()).status == 200
+async def test_moved_listener_closes_the_connections_at_its_old_address() -> None:
+    async with registry_harness() as harness:
+        client, old_address = await harness.connect(), harness.listener.address
+        await harness.request_list(client=client)
+        await harness.registry.move_listener(harness.listener, close_after_s=0.05)
+        assert harness.listener.address != old_address
+        assert (await harness.request_list()).status == 200
         with pytest.raises(ConnectionRefusedError):
-            await one.client(old)
+            await harness.connect(old_address)
         assert await client.reader.read(1) == b""
 
 
 @on_loop
-async def test_nothing_is_told_through_a_cut_network() -> None:
-    async with desk() as one:
-        one.held.clear()
-        call = asyncio.create_task(one.listed())
-        await until(lambda: list(one.registry.event_log.events_of(DiscoveryPoll)))
-        done, _ = await asyncio.wait((call,), timeout=0.05)
-        assert not done and not one.told()
-        one.held.set()
-        await call
-        assert len(one.told()) == 2
+async def test_nothing_is_delivered_while_the_network_is_cut() -> None:
+    async with registry_harness() as harness:
+        harness.network_open.clear()
+        pending = asyncio.create_task(harness.fetch_list())
+        await until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
+        done, _ = await asyncio.wait((pending,), timeout=0.05)
+        assert not done and not harness.delivered_statuses()
+        harness.network_open.set()
+        await pending
+        assert len(harness.delivered_statuses()) == 2
 
 
 @pytest.mark.parametrize("query", ["?from=x", "?from=1&hold_ms=soon"])
 @on_loop
-async def test_what_cannot_be_read_is_refused(query: str) -> None:
-    async with desk() as one:
-        assert (await one.ask(query)).status == 400
+async def test_invalid_query_is_refused(query: str) -> None:
+    async with registry_harness() as harness:
+        assert (await harness.request_list(query)).status == 400
 
 
 @on_loop
-async def test_each_call_is_an_interval_of_listening() -> None:
-    async with desk() as one:
-        await one.listed("?from=1&hold_ms=40")
-        (call,) = one.registry.event_log.events_of(DiscoveryPoll)
-        await until(lambda: call.until_us)
-        assert call.until_us - call.at_us >= 38_000 and call.gateway == "n0"
+async def test_each_request_is_recorded_as_a_poll_with_its_duration() -> None:
+    async with registry_harness() as harness:
+        await harness.fetch_list("?from=1&hold_ms=40")
+        (poll,) = harness.registry.event_log.events_of(DiscoveryPoll)
+        await until(lambda: poll.until_us)
+        assert poll.until_us - poll.at_us >= 38_000 and poll.gateway == "n0"
--- a/tests/test_zookeeper_protocol.py
+++ b/tests/test_zookeeper_protocol.py
@@ -1,4 +1,4 @@
-"""The codec against golden bytes and any bytes; tree and watches as pure parts; what no stock client sends."""
+"""The codec with golden and random bytes, tree and watches without I/O, and requests that kazoo never sends."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 from tests.sockets import on_loop
 
-# Golden bytes, laid out by hand from the record definitions of the protocol.
+# Golden bytes, written by hand after the protocol's record definitions.
 GOLDEN_CONNECT = bytes.fromhex(
     "00000000"  # protocolVersion
     "0000000000000000"  # lastZxidSeen
@@ -92,22 +92,22 @@
 )  # fmt: skip
 
 
-def test_golden_bytes() -> None:
+def test_records_match_golden_bytes() -> None:
     assert ConnectRequest().encode() == GOLDEN_CONNECT and ConnectRequest.decode(GOLDEN_CONNECT) == ConnectRequest()
     create = Create("/a", b"x", OPEN_ACL, Mode.EPHEMERAL)
     assert encode_request(1, create) == GOLDEN_CREATE and decode_request(GOLDEN_CREATE) == (1, create)
     assert WatcherEvent(EventType.DATA_CHANGED, "/a").encode() == GOLDEN_EVENT
     multi = Multi((Check("/a", 3), Delete("/b")))
     assert encode_request(2, multi) == GOLDEN_MULTI and decode_request(GOLDEN_MULTI) == (2, multi)
-    assert ConnectRequest.decode(GOLDEN_CONNECT[:-1]).read_only is None  # a client from before read-only mode
+    assert ConnectRequest.decode(GOLDEN_CONNECT[:-1]).read_only is None  # a client older than read-only mode
     stat = Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
-    to = Writer()
-    stat.write(to)
-    assert to.data.hex() == (
+    writer = Writer()
+    stat.write(writer)
+    assert writer.data.hex() == (
         "0000000000000001" "0000000000000002" "0000000000000003" "0000000000000004" "00000005" "00000006" "00000007"
         "0000000000000008" "00000009" "0000000a" "000000000000000b"
     )  # fmt: skip
-    assert Stat.read(Reader(to.data)) == stat
+    assert Stat.read(Reader(writer.data)) == stat
 
 
 PATHS = st.sampled_from(["/", "/a", "/a/b", "/ä", "/a/b/c-"])
@@ -129,44 +129,46 @@
 
 @given(REQUESTS, st.integers(-8, 2**31 - 1))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_every_request_reads_back_as_it_was_written(request: Request, xid: int) -> None:
+def test_every_request_decodes_as_encoded(request: Request, xid: int) -> None:
     assert decode_request(encode_request(xid, request)) == (xid, request)
 
 
 @given(REQUESTS, st.randoms(use_true_random=False), st.integers(1, 4))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_spoilt_requests_are_read_or_refused_and_never_more(request: Request, dice: random.Random, hits: int) -> None:
+def test_corrupted_requests_are_decoded_or_raise_jute_error(
+    request: Request, rng: random.Random, corruption_count: int
+) -> None:
     data = bytearray(encode_request(7, request))
-    for _ in range(hits):
-        data[dice.randrange(len(data))] = dice.randrange(256)
-    cut = bytes(data[: dice.randrange(len(data) + 1)])
-    for spoilt in (bytes(data), cut):
+    for _ in range(corruption_count):
+        data[rng.randrange(len(data))] = rng.randrange(256)
+    truncated = bytes(data[: rng.randrange(len(data) + 1)])
+    for corrupted in (bytes(data), truncated):
         with suppress(JuteError):
-            decode_request(spoilt)
+            decode_request(corrupted)
 
 
 @given(st.binary(max_size=200), st.sampled_from(sorted(RECORDS)))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_noise_is_refused(noise: bytes, op: int) -> None:
-    for data in (noise, Writer().int32(1).int32(op).data + noise):
+def test_random_bytes_are_decoded_or_raise_jute_error(random_bytes: bytes, op: int) -> None:
+    for data in (random_bytes, Writer().int32(1).int32(op).data + random_bytes):
         with suppress(JuteError):
             decode_request(data)
     with suppress(JuteError):
-        ConnectRequest.decode(noise)
+        ConnectRequest.decode(random_bytes)
 
 
 @given(st.lists(st.binary(max_size=30), max_size=8), st.randoms(use_true_random=False))
-def test_messages_are_cut_out_of_any_pieces(messages: list[bytes], dice: random.Random) -> None:
-    stream, deframer, found = b"".join(map(frame, messages)), Deframer(), list[bytes]()
+def test_messages_are_split_from_a_stream_in_any_chunks(messages: list[bytes], rng: random.Random) -> None:
+    stream, deframer, messages_read = b"".join(map(frame, messages)), Deframer(), list[bytes]()
     while stream:
-        size = dice.randint(1, 9)
-        found += deframer.feed(stream[:size])
+        size = rng.randint(1, 9)
+        messages_read += deframer.feed(stream[:size])
         stream = stream[size:]
-    assert found == messages
+    assert messages_read == messages
 
 
 @pytest.mark.parametrize("size", [-1, 0x100000, 0x7FFFFFFF])
-def test_a_length_that_no_message_has_is_refused(size: int) -> None:
+def test_invalid_message_length_is_refused(size: int) -> None:
     with pytest.raises(JuteError):
         Deframer().feed(Writer().int32(size).data)
 
@@ -176,7 +178,7 @@
     [("/", True), ("/a", True), ("/a/b", True), ("", False), ("a", False), ("/a/", False), ("//", False),
      ("/a//b", False), ("/a/../b", False), ("/.", False), ("/a\x00", False), ("/a.b", True)],
 )  # fmt: skip
-def test_paths(path: str, valid: bool) -> None:
+def test_path_validity(path: str, valid: bool) -> None:
     assert is_valid(path) is valid
 
 
@@ -184,12 +186,12 @@
 
 
 class Replicas:
-    """One leader and one that hears of every change."""
+    """A leader and a follower that applies every change."""
 
     def __init__(self) -> None:
         self.leader, self.follower, self.zxid = Tree(), Tree(), 0
 
-    def do(self, request: Request, session: int = 1) -> bool:
+    def commit_request(self, request: Request, session: int = 1) -> bool:
         assert isinstance(request, Create | Delete | Check | SetData | Multi)
         try:
             steps = self.leader.prepare(request, session)
@@ -200,7 +202,7 @@
         assert self.leader.apply(change) == self.follower.apply(change)
         return True
 
-    def end(self, session: int) -> None:
+    def end_session(self, session: int) -> None:
         self.zxid += 1
         change = Change(self.zxid, 0, (), SessionClosed(session))
         assert self.leader.apply(change) == self.follower.apply(change)
@@ -218,19 +220,19 @@
 
 @given(st.lists(st.tuples(ANY_WRITE, st.integers(1, 3), st.booleans()), max_size=40))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_replicas_stay_equal_and_trees_hold_together(steps: list[tuple[Request, int, bool]]) -> None:
+def test_replicas_stay_equal_and_trees_consistent(steps: list[tuple[Request, int, bool]]) -> None:
     replicas = Replicas()
-    for request, session, ends in steps:
+    for request, session, ends_session in steps:
         before = {path: node.full_stat() for path, node in replicas.leader.nodes.items()}
-        if not replicas.do(request, session):  # it did nothing at all
+        if not replicas.commit_request(request, session):  # a failed request changes nothing
             assert {path: node.full_stat() for path, node in replicas.leader.nodes.items()} == before
-        if ends:
-            replicas.end(session)
+        if ends_session:
+            replicas.end_session(session)
             assert session not in replicas.leader.ephemerals
     for tree in (replicas.leader, replicas.follower):
         for path, node in tree.nodes.items():
-            kids = {p for p in tree.nodes if p != "/" and p.rpartition("/")[0] == path.rstrip("/")}
-            assert {path.rstrip("/") + "/" + name for name in node.children} == kids
+            expected_children = {p for p in tree.nodes if p != "/" and p.rpartition("/")[0] == path.rstrip("/")}
+            assert {path.rstrip("/") + "/" + name for name in node.children} == expected_children
             assert not (node.stat.ephemeral_owner and node.children)
         owned = {p: n.stat.ephemeral_owner for p, n in tree.nodes.items() if n.stat.ephemeral_owner}
         assert owned == {p: session for session, paths in tree.ephemerals.items() for p in paths}
@@ -239,40 +241,44 @@
     }
 
 
-def test_a_multi_sees_its_own_steps() -> None:
+def test_multi_operations_see_earlier_operations() -> None:
     replicas = Replicas()
-    assert replicas.do(Multi((Create("/a"), Create("/a/x"), Delete("/a/x"), SetData("/a", b"1", 0), Check("/a", 1))))
+    assert replicas.commit_request(
+        Multi((Create("/a"), Create("/a/x"), Delete("/a/x"), SetData("/a", b"1", 0), Check("/a", 1)))
+    )
     assert list(replicas.leader.nodes) == ["/", "/a"]
-    assert not replicas.do(Multi((Create("/b"), Delete("/a"), Create("/a/x"))))
+    assert not replicas.commit_request(Multi((Create("/b"), Delete("/a"), Create("/a/x"))))
     assert "/b" not in replicas.leader.nodes and "/a" in replicas.leader.nodes
-    assert not replicas.do(Multi((Create("/a/x"), Delete("/a"))))  # not empty by then
+    assert not replicas.commit_request(Multi((Create("/a/x"), Delete("/a"))))  # "/a" has a child by then
 
 
 # Watches
 
 
-def test_one_event_is_heard_once_however_many_watches_meet_it() -> None:
+def test_one_event_notifies_a_watcher_once() -> None:
     watches = Watches()
     for kind in (WatchKind.DATA, WatchKind.CHILD, WatchKind.PERSISTENT, WatchKind.RECURSIVE):
         watches.add("one", kind, "/a")
     watches.add("two", WatchKind.RECURSIVE, "/")
-    told = watches.trigger([(EventType.DELETED, "/a"), (EventType.CHILDREN_CHANGED, "/")])
-    assert sorted(told) == [("one", (EventType.DELETED, "/a")), ("two", (EventType.DELETED, "/a"))]
-    assert len(watches) == 3  # the one-shot ones are gone
+    notifications = watches.trigger([(EventType.DELETED, "/a"), (EventType.CHILDREN_CHANGED, "/")])
+    assert sorted(notifications) == [("one", (EventType.DELETED, "/a")), ("two", (EventType.DELETED, "/a"))]
+    assert len(watches) == 3  # the one-shot watches are removed
     watches.remove_watcher("one")
     watches.remove_watcher("two")
     assert len(watches) == 0 and not any(paths for paths in watches.by_path.values())
 
 
-def test_set_watches_tells_what_was_missed_and_sets_the_rest() -> None:
+def test_set_watches_returns_missed_events_and_sets_the_other_watches() -> None:
     replicas, watches = Replicas(), Watches()
     for path in ("/same", "/changed", "/parent", "/new"):
-        replicas.do(Create(path))
-    seen = replicas.zxid
-    replicas.do(SetData("/changed", b"1"))
-    replicas.do(Create("/parent/x"))
-    wanted = SetWatches(seen, ["/same", "/changed", "/gone"], ["/new", "/not"], ["/parent", "/same"], ["/p"], ["/r"])
-    missed = watches.restore("me", wanted, replicas.leader)
+        replicas.commit_request(Create(path))
+    last_zxid = replicas.zxid
+    replicas.commit_request(SetData("/changed", b"1"))
+    replicas.commit_request(Create("/parent/x"))
+    request = SetWatches(
+        last_zxid, ["/same", "/changed", "/gone"], ["/new", "/not"], ["/parent", "/same"], ["/p"], ["/r"]
+    )
+    missed = watches.restore("me", request, replicas.leader)
     assert missed == [
         (EventType.DATA_CHANGED, "/changed"), (EventType.DELETED, "/gone"), (EventType.CREATED, "/new"),
         (EventType.CHILDREN_CHANGED, "/parent"),
@@ -283,44 +289,44 @@
     }  # fmt: skip
 
 
-# The service, by hand
+# The ensemble, with a raw client
 
 
-class Hand:
-    """A client that sends what it is told to."""
+class RawClient:
+    """A client that sends single protocol messages."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.xid = reader, writer, 0
         self.events: list[tuple[int, str]] = []
 
-    async def message(self) -> bytes:
+    async def read_message(self) -> bytes:
         size = int.from_bytes(await self.reader.readexactly(4), "big")
         return await self.reader.readexactly(size)
 
     async def connect(self, request: ConnectRequest | None = None) -> ConnectResponse:
         self.writer.write(frame((request or ConnectRequest()).encode()))
-        return ConnectResponse.decode(await self.message())
+        return ConnectResponse.decode(await self.read_message())
 
-    async def reply(self) -> tuple[ReplyHeader, Reader]:
-        """The next that is no event; events on the way are kept."""
+    async def read_reply(self) -> tuple[ReplyHeader, Reader]:
+        """Return the next message that is no watch event; events before it are added to `events`."""
         while True:
-            of = Reader(await self.message())
-            header = ReplyHeader.read(of)
+            reader = Reader(await self.read_message())
+            header = ReplyHeader.read(reader)
             if header.xid != -1:
-                return header, of
-            type_, _, path = of.int32(), of.int32(), of.text()
+                return header, reader
+            type_, _, path = reader.int32(), reader.int32(), reader.text()
             self.events.append((type_, path))
 
-    async def ask(self, request: Request) -> tuple[int, Reader]:
+    async def send_request(self, request: Request) -> tuple[int, Reader]:
         self.xid += 1
         self.writer.write(frame(encode_request(self.xid, request)))
-        header, of = await self.reply()
+        header, reader = await self.read_reply()
         assert header.xid == self.xid
-        return header.err, of
+        return header.err, reader
 
 
 @asynccontextmanager
-async def service(servers: int = 1) -> AsyncIterator[Ensemble]:
+async def running_ensemble(servers: int = 1) -> AsyncIterator[Ensemble]:
     ensemble = Ensemble(servers)
     await ensemble.start()
     try:
@@ -329,98 +335,98 @@
         ensemble.close()
 
 
-async def hand(ensemble: Ensemble, server: int = 0) -> Hand:
-    return Hand(*await asyncio.open_connection(*ensemble.servers[server].address))
+async def open_client(ensemble: Ensemble, server: int = 0) -> RawClient:
+    return RawClient(*await asyncio.open_connection(*ensemble.servers[server].address))
 
 
 @on_loop
 async def test_persistent_and_recursive_watches() -> None:
-    async with service() as ensemble:
-        one = await hand(ensemble)
-        await one.connect()
-        await one.ask(Create("/a"))
+    async with running_ensemble() as ensemble:
+        client = await open_client(ensemble)
+        await client.connect()
+        await client.send_request(Create("/a"))
         for mode in (0, 1):
-            assert (await one.ask(AddWatch("/a", mode)))[0] == Code.OK
-        assert (await one.ask(AddWatch("/a", 7)))[0] == Code.BAD_ARGUMENTS
-        await one.ask(SetData("/a", b"1"))
-        await one.ask(Create("/a/x"))
-        await one.ask(SetData("/a/x", b"1"))
-        assert one.events == [(3, "/a"), (1, "/a/x"), (4, "/a"), (3, "/a/x")]
-        assert (await one.ask(RemoveWatches("/a", 3, Op.CHECK_WATCHES)))[0] == Code.OK
-        assert (await one.ask(RemoveWatches("/a", 3)))[0] == Code.OK
-        assert (await one.ask(RemoveWatches("/a", 3)))[0] == Code.NO_WATCHER
-        await one.ask(SetData("/a", b"2"))
-        assert len(one.events) == 4
+            assert (await client.send_request(AddWatch("/a", mode)))[0] == Code.OK
+        assert (await client.send_request(AddWatch("/a", 7)))[0] == Code.BAD_ARGUMENTS
+        await client.send_request(SetData("/a", b"1"))
+        await client.send_request(Create("/a/x"))
+        await client.send_request(SetData("/a/x", b"1"))
+        assert client.events == [(3, "/a"), (1, "/a/x"), (4, "/a"), (3, "/a/x")]
+        assert (await client.send_request(RemoveWatches("/a", 3, Op.CHECK_WATCHES)))[0] == Code.OK
+        assert (await client.send_request(RemoveWatches("/a", 3)))[0] == Code.OK
+        assert (await client.send_request(RemoveWatches("/a", 3)))[0] == Code.NO_WATCHER
+        await client.send_request(SetData("/a", b"2"))
+        assert len(client.events) == 4
 
 
 @on_loop
-async def test_watches_are_set_again_on_a_new_connection_of_the_session() -> None:
-    async with service() as ensemble:
-        one = await hand(ensemble)
-        response = await one.connect()
-        await one.ask(Create("/a"))
-        await one.ask(Read("/a", True))
-        seen = ensemble.tree.zxid
+async def test_watches_are_restored_on_a_new_connection_of_the_session() -> None:
+    async with running_ensemble() as ensemble:
+        client = await open_client(ensemble)
+        response = await client.connect()
+        await client.send_request(Create("/a"))
+        await client.send_request(Read("/a", True))
+        last_zxid = ensemble.tree.zxid
         ensemble.disrupt_session(response.session)
-        other = await hand(ensemble)
-        await other.connect()
-        await other.ask(SetData("/a", b"1"))
-        again = await hand(ensemble)
-        request = ConnectRequest(last_zxid=seen, session=response.session, password=response.password)
-        assert (await again.connect(request)).session == response.session
-        assert (await again.ask(SetWatches(seen, ["/a"], ["/b"], [], [], ["/"])))[0] == Code.OK
-        assert again.events == [(3, "/a")]
-        await other.ask(Create("/b"))
-        await again.ask(EmptyRequest(Op.PING))
-        assert again.events == [(3, "/a"), (1, "/b")]
+        other_client = await open_client(ensemble)
+        await other_client.connect()
+        await other_client.send_request(SetData("/a", b"1"))
+        resumed = await open_client(ensemble)
+        request = ConnectRequest(last_zxid=last_zxid, session=response.session, password=response.password)
+        assert (await resumed.connect(request)).session == response.session
+        assert (await resumed.send_request(SetWatches(last_zxid, ["/a"], ["/b"], [], [], ["/"])))[0] == Code.OK
+        assert resumed.events == [(3, "/a")]
+        await other_client.send_request(Create("/b"))
+        await resumed.send_request(EmptyRequest(Op.PING))
+        assert resumed.events == [(3, "/a"), (1, "/b")]
 
 
 @on_loop
-async def test_a_notification_that_was_held_comes_after_the_sessions_end_to_nobody() -> None:
-    async with service() as ensemble:
-        one, other = await hand(ensemble), await hand(ensemble)
-        response = await one.connect()
-        await other.connect()
-        await one.ask(Create("/a"))
-        await one.ask(Read("/a", True))
+async def test_delayed_notification_is_dropped_after_the_end_of_the_session() -> None:
+    async with running_ensemble() as ensemble:
+        client, other_client = await open_client(ensemble), await open_client(ensemble)
+        response = await client.connect()
+        await other_client.connect()
+        await client.send_request(Create("/a"))
+        await client.send_request(Read("/a", True))
         ensemble.sessions[response.session].notification_delay_s = 0.05
-        await other.ask(SetData("/a", b"1"))
+        await other_client.send_request(SetData("/a", b"1"))
         ensemble.expire(response.session)
-        assert await one.reader.read() == b"" and not one.events
-        await asyncio.sleep(0.08)  # its time has come, and there is nobody to tell
+        assert await client.reader.read() == b"" and not client.events
+        await asyncio.sleep(0.08)  # the delay has passed, and the client is gone
         assert ensemble.counts.notifications == 1 and ensemble.counts.expired == 1
 
 
 @on_loop
-async def test_a_server_that_has_seen_less_than_the_client_sends_it_elsewhere() -> None:
-    async with service(2) as ensemble:
+async def test_lagging_server_refuses_a_client_with_a_later_zxid() -> None:
+    async with running_ensemble(2) as ensemble:
         ensemble.servers[1].lag_s = 30.0
-        one = await hand(ensemble)
-        await one.connect()
-        await one.ask(Create("/a"))
-        late = await hand(ensemble, 1)
-        late.writer.write(frame(ConnectRequest(last_zxid=ensemble.tree.zxid).encode()))
-        assert await late.reader.read() == b""
+        client = await open_client(ensemble)
+        await client.connect()
+        await client.send_request(Create("/a"))
+        lagging = await open_client(ensemble, 1)
+        lagging.writer.write(frame(ConnectRequest(last_zxid=ensemble.tree.zxid).encode()))
+        assert await lagging.reader.read() == b""
 
 
 @on_loop
-async def test_an_ensemble_that_lost_its_last_changes_goes_back() -> None:
-    async with service() as ensemble:
-        one = await hand(ensemble)
-        response = await one.connect()
+async def test_ensemble_that_lost_changes_goes_back_to_an_earlier_zxid() -> None:
+    async with running_ensemble() as ensemble:
+        client = await open_client(ensemble)
+        response = await client.connect()
         for name in ("/a", "/b", "/c"):
-            await one.ask(Create(name, b"", OPEN_ACL, Mode.EPHEMERAL))
+            await client.send_request(Create(name, b"", OPEN_ACL, Mode.EPHEMERAL))
         before = ensemble.tree.zxid
         ensemble.stop()
         await ensemble.restart(lost_changes=2)
         assert ensemble.tree.zxid == before - 2 and set(ensemble.tree.nodes) == {"/", "/a"}
-        again = await hand(ensemble)
+        refused = await open_client(ensemble)
         request = ConnectRequest(last_zxid=before, session=response.session, password=response.password)
-        again.writer.write(frame(request.encode()))
-        assert await again.reader.read() == b""  # it has seen more than the ensemble has
-        fresh = await hand(ensemble)
+        refused.writer.write(frame(request.encode()))
+        assert await refused.reader.read() == b""  # the client has seen a later zxid than the ensemble has
+        new_client = await open_client(ensemble)
         request = ConnectRequest(session=response.session, password=response.password)
-        assert (await fresh.connect(request)).session == response.session
+        assert (await new_client.connect(request)).session == response.session
 
 
 @pytest.mark.parametrize(
@@ -439,42 +445,42 @@
     ],
 )
 @on_loop
-async def test_what_cannot_be_read_gets_a_close_and_never_a_hang(data: bytes) -> None:
-    async with service() as ensemble:
-        one = await hand(ensemble)
-        one.writer.write(data)
+async def test_undecodable_bytes_close_the_connection(data: bytes) -> None:
+    async with running_ensemble() as ensemble:
+        client = await open_client(ensemble)
+        client.writer.write(data)
         try:
-            while await one.reader.read(4096):
+            while await client.reader.read(4096):
                 pass
         except ConnectionResetError:
             pass
-        other = await hand(ensemble)  # and the service goes on
-        assert (await other.connect()).session
+        other_client = await open_client(ensemble)  # the server still accepts clients
+        assert (await other_client.connect()).session
 
 
 @on_loop
-async def test_an_unknown_request_is_unimplemented_and_the_four_letter_words_answer() -> None:
-    async with service() as ensemble:
-        one = await hand(ensemble)
-        await one.connect()
-        one.writer.write(frame(Writer().int32(1).int32(77).data))
-        header, _ = await one.reply()
+async def test_unknown_request_is_unimplemented_and_ruok_is_answered() -> None:
+    async with running_ensemble() as ensemble:
+        client = await open_client(ensemble)
+        await client.connect()
+        client.writer.write(frame(Writer().int32(1).int32(77).data))
+        header, _ = await client.read_reply()
         assert header.err == Code.UNIMPLEMENTED
-        word = await hand(ensemble)
-        word.writer.write(b"ruok")
-        assert await word.reader.read() == b"imok"
+        word_client = await open_client(ensemble)
+        word_client.writer.write(b"ruok")
+        assert await word_client.reader.read() == b"imok"
 
 
 @on_loop
-async def test_requests_that_come_together_are_answered_in_their_order() -> None:
-    async with service(2) as ensemble:
+async def test_pipelined_requests_are_answered_in_order() -> None:
+    async with running_ensemble(2) as ensemble:
         ensemble.servers[1].lag_s = 0.03
-        one = await hand(ensemble, 1)
-        await one.connect()
+        client = await open_client(ensemble, 1)
+        await client.connect()
         for xid in range(1, 101):
             request = Create(f"/n{xid}") if xid % 2 else Read(f"/n{xid - 1}", False, Op.EXISTS)
-            one.writer.write(frame(encode_request(xid, request)))
-        replies = [(await one.reply())[0] for _ in range(100)]
+            client.writer.write(frame(encode_request(xid, request)))
+        replies = [(await client.read_reply())[0] for _ in range(100)]
         assert [reply.xid for reply in replies] == list(range(1, 101))
         assert all(reply.err == Code.OK for reply in replies)
         assert [r.zxid for r in replies] == sorted(r.zxid for r in replies)
