--- a/standins/parties/network.py
+++ b/standins/parties/network.py
@@ -40,7 +40,7 @@
 
     delay_us: int = 0
     jitter_us: int = 0
-    loss: float = 0.0  # share of datagrams lost; for TCP, share of segments that arrive `resend_us` later
+    loss: float = 0.0  # share of datagrams lost; for TCP, share of chunks that arrive `resend_us` later
     resend_us: int = 200_000
     duplicate: float = 0.0  # share of datagrams that arrive twice
     delayed: float = 0.0  # share of datagrams that arrive `extra_delay_us` later, so that others overtake them
@@ -50,7 +50,7 @@
     is_cut: bool = False  # nothing passes; a TCP connection keeps the bytes that it holds
 
     def draw_delay_us(self, rng: random.Random) -> int:
-        """Draw the delay of one segment or datagram."""
+        """Draw the delay of one chunk or datagram."""
         return self.delay_us + (int(rng.random() * self.jitter_us) if self.jitter_us else 0)
 
 
@@ -88,17 +88,16 @@
 
     def __init__(self, link: TcpLink) -> None:
         self.link = link
-        self.ends = (_FlowEnd(self, FORWARD), _FlowEnd(self, BACK))  # the caller's end, the target's end
-        # By direction: arrival time (µs) and bytes of each segment in transit; b"" is the end of the stream.
+        self.ends = (_FlowEnd(self, FORWARD), _FlowEnd(self, BACK))  # towards the caller, towards the target
+        # By direction: arrival time (µs) and bytes of each chunk in transit; b"" is the end of the stream.
         self.in_transit: tuple[deque[tuple[int, bytes]], deque[tuple[int, bytes]]] = (deque(), deque())
         self.timers: list[asyncio.TimerHandle | None] = [None, None]
         self.buffered_bytes = [0, 0]
-        self.last_arrival_us = [0, 0]  # of the last segment in transit, by direction; later ones do not overtake it
+        self.last_arrival_us = [0, 0]  # of the last chunk in transit, by direction; later ones do not overtake it
         self.received_bytes = [0, 0]  # by direction
         self.send_times: deque[tuple[int, int]] = deque()  # forward: total bytes received, time (µs)
-        self.reset_after_bytes: int | None = (
-            None  # if set, reset the connection after this many more bytes of the response
-        )
+        # If set, the connection is reset after this many more bytes from the target.
+        self.reset_after_bytes: int | None = None
         self.target_port = 0
         self.ports = (0, 0)  # of the link towards the target, and of the target; set once connected
         self.is_closed = False
@@ -120,7 +119,7 @@
         return self.send_times[0][1] if self.send_times else now_us()
 
     def receive(self, side: int, data: bytes) -> None:
-        """Take in a segment at one end; it leaves at the other after its delay, in order."""
+        """Take in a chunk at one end; it leaves at the other after its delay, in order."""
         self.received_bytes[side] += len(data)
         if side == FORWARD and data:
             self.send_times.append((self.received_bytes[FORWARD], now_us()))
@@ -136,7 +135,7 @@
         self.flush(side)
 
     def flush(self, side: int) -> None:
-        """Pass on the segments whose arrival time has come, unless the link is cut."""
+        """Pass on the chunks whose arrival time has come, unless the link is cut."""
         if self.timers[side] is not None:
             self.timers[side].cancel()  # type: ignore[union-attr]
             self.timers[side] = None
@@ -152,7 +151,7 @@
             self.write(side, data)
 
     def write(self, side: int, data: bytes) -> None:
-        """Write a segment to the other end, or close its sending side for an empty one."""
+        """Write a chunk to the other end, or close its sending side for an empty one."""
         transport = self.ends[1 - side].transport
         self.buffered_bytes[side] -= len(data)
         if transport is None or self.is_closed:
@@ -219,7 +218,7 @@
 
 
 class TcpLink:
-    """Listens in place of a target and relays each connection to it."""
+    """Listens in place of a target and relays each connection to it. `near` and `far` name the joined parties."""
 
     def __init__(self, network: Network, near: str, far: str, target: Callable[[], Address | None]) -> None:
         self.network, self.near, self.far = network, near, far
@@ -232,7 +231,8 @@
         self.reserved_socket: socket.socket | None = None  # holds the port after the first `open`
         self.backlog_fillers: list[socket.socket] = []
         self.address: Address = ("127.0.0.1", 0)
-        self.connection_times_us: deque[int] = deque(maxlen=10_000)  # of all accepted connections
+        # Of all accepted connections, also while nothing listens at the target.
+        self.connection_times_us: deque[int] = deque(maxlen=10_000)
 
     def open(self) -> None:
         """Listen, on the same port as before if there is one."""
@@ -426,7 +426,7 @@
             self.conditions[direction].is_cut = True
 
     def heal(self, reset: bool = False) -> None:
-        """End all cuts."""
+        """End all cuts; datagrams have no connection that `reset` could reset."""
         for conditions in self.conditions:
             conditions.is_cut = False
 
--- a/standins/parties/registry.py
+++ b/standins/parties/registry.py
@@ -20,8 +20,8 @@
 from standins.event_log import DiscoveryPoll, EndpointChanged, EventLog, NotificationDelivered, now_us
 from standins.parties.network import Address
 
-MAX_HISTORY_CHANGES = 512  # a watch from before the oldest kept change gets the whole list
-MAX_HOLD_MS = 60_000
+MAX_HISTORY_CHANGES = 512  # a watch from before the oldest kept change gets the full list
+MAX_HOLD_MS = 60_000  # limits the time that a request asks to wait for changes
 MAX_CACHED_BODIES = 64  # a caller that is further behind gets a response encoded for it alone
 
 
@@ -31,7 +31,7 @@
 
     outage_mode: str = ""  # "" (up), "503", "reset" or "silent"
     has_garbled_lists: bool = False  # responses with a list cannot be parsed
-    lag_s: tuple[float, float] = (0.7, 3.0)
+    lag_s: tuple[float, float] = (0.7, 3.0)  # bounds of the random delay after which a change is applied
 
 
 @dataclass(slots=True, eq=False)
@@ -40,7 +40,7 @@
 
     name: str
     zone: str
-    kind: str
+    kind: str  # machine type
     group: int
     since_ms: int
     status: str = "SERVING"
@@ -90,11 +90,11 @@
 
     def encode_listed_entry(self, record: dict[str, Any]) -> bytes:
         """Return the encoded record of a listed entry, which is encoded anew only after a change."""
-        changed_version = self.registry.changed_versions.get(record["name"], 0)
-        known = self.encoded_entries.get(record["name"])
-        if known is None or known[0] != changed_version:
-            known = self.encoded_entries[record["name"]] = (changed_version, self.encode_entry(record))
-        return known[1]
+        last_change_index = self.registry.last_change_indexes.get(record["name"], 0)
+        cached = self.encoded_entries.get(record["name"])
+        if cached is None or cached[0] != last_change_index:
+            cached = self.encoded_entries[record["name"]] = (last_change_index, self.encode_entry(record))
+        return cached[1]
 
     def encode_entry(self, record: dict[str, Any]) -> bytes:
         """Return the encoded record, or b"" for a backend that cannot be reached from this listener."""
@@ -128,7 +128,7 @@
         self.index = 1
         self.entries: dict[str, Entry] = {}
         self.history: deque[tuple[int, str, dict[str, Any] | None]] = deque(maxlen=history)
-        self.changed_versions: dict[str, int] = {}  # by name: index of the last change of a listed entry
+        self.last_change_indexes: dict[str, int] = {}  # by name: index of the last change of a listed entry
         self.waiting_watches: set[asyncio.Future[None]] = set()
         self.listeners: dict[str, RegistryListener] = {}
         self.tasks: set[asyncio.Task[None]] = set()
@@ -161,10 +161,10 @@
             entry.status = status
             if status == "DELETED":
                 self.entries.pop(entry.name, None)
-                self.changed_versions.pop(entry.name, None)
+                self.last_change_indexes.pop(entry.name, None)
             else:
                 self.entries[entry.name] = entry
-                self.changed_versions[entry.name] = self.index
+                self.last_change_indexes[entry.name] = self.index
             self.history.append((self.index, entry.name, self.to_record(entry)))
             self.event_log.add(EndpointChanged(now_us(), entry.name, status))
         at_us = now_us()
--- a/standins/parties/zookeeper/ensemble.py
+++ b/standins/parties/zookeeper/ensemble.py
@@ -75,7 +75,7 @@
     timeout_ms: int
     last_heard_s: float
     connection: KeeperConnection | None = None
-    closed: bool = False
+    is_closed: bool = False
     notification_delay_s: float = 0.0  # delay of its notifications
     lose_next_reply: bool = False  # close the connection instead of answering the next write, which has been applied
     notification_count: int = 0
@@ -108,7 +108,7 @@
         self.log: list[Change] = []
         self.sessions: dict[int, Session] = {}
         self.has_leader = True
-        self.read_only = False  # whether servers serve reads while there is no leader
+        self.serves_read_only = False  # whether servers serve reads while there is no leader
         self.servers = [KeeperServer(self, number) for number in range(servers)]
         self.counts = EnsembleCounts()
         # Called when something is written to a client, with its connection, the type, the path and what was read.
@@ -117,14 +117,14 @@
         )
         # Returns a node's data for one client: an address may differ between clients.
         self.data_for_client: Callable[[KeeperConnection, str, bytes], bytes] = lambda connection, path, data: data
-        self.ticker: asyncio.TimerHandle | None = None
+        self.expiry_timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         """Start all servers and the expiry of sessions."""
         for server in self.servers:
             await server.start()
-        self.tick()
+        self.expire_silent_sessions()
 
     @property
     def hosts(self) -> str:
@@ -133,8 +133,8 @@
 
     def close(self) -> None:
         """Stop all servers and release their ports."""
-        if self.ticker is not None:
-            self.ticker.cancel()
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
         for task in self.tasks:
             task.cancel()
         for server in self.servers:
@@ -143,9 +143,9 @@
 
     # Sessions
 
-    def tick(self) -> None:
+    def expire_silent_sessions(self) -> None:
         """Expire each session whose client has sent nothing for its timeout."""
-        self.ticker = asyncio.get_running_loop().call_later(0.02, self.tick)
+        self.expiry_timer = asyncio.get_running_loop().call_later(0.02, self.expire_silent_sessions)
         if not self.has_leader:
             return
         now_s = self.clock()
@@ -174,18 +174,18 @@
 
     def end_session(self, session: Session, expired: bool = False) -> Change:
         """Close a session and delete its ephemeral nodes."""
-        session.closed = True
+        session.is_closed = True
         self.sessions.pop(session.id, None)
         return self.commit((), SessionClosed(session.id, expired))
 
     # Changes
 
-    def commit(self, steps: tuple[Step, ...], closed: SessionClosed | None = None) -> Change:
+    def commit(self, steps: tuple[Step, ...], closed_session: SessionClosed | None = None) -> Change:
         """Append a change to the log, apply it to the leader's tree and pass it to the servers."""
         if len(self.log) >= MAX_LOG_CHANGES:
             raise KeeperError(Code.SYSTEM_ERROR)
         self.change_count += 1
-        change = Change(self.epoch << 32 | self.change_count, int(time.time() * 1000), steps, closed)
+        change = Change(self.epoch << 32 | self.change_count, int(time.time() * 1000), steps, closed_session)
         self.tree.apply(change)
         self.log.append(change)
         for server in self.servers:
@@ -232,7 +232,7 @@
             self.elect_leader()
 
     async def restart(self, lost_changes: int = 0) -> None:
-        """Start again without the last changes of the log: zxids go back, and their sessions are unknown."""
+        """Start again without the last changes of the log, so that zxids go back; all sessions are kept."""
         if lost_changes:
             kept = self.log[:-lost_changes]
             self.log, self.tree = [], Tree()
@@ -303,7 +303,7 @@
     @property
     def is_serving(self) -> bool:
         """Return whether the server answers requests."""
-        return self.ensemble.has_leader or self.ensemble.read_only
+        return self.ensemble.has_leader or self.ensemble.serves_read_only
 
     def four_letter_response(self, word: bytes) -> bytes:
         """Return the response to a four-letter word, which a server gives even while it serves no requests."""
@@ -378,7 +378,7 @@
     server: KeeperServer
     transport: asyncio.Transport | None = None
     session: Session | None = None
-    read_only: bool = False
+    is_read_only: bool = False
     deframer: Deframer = field(default_factory=Deframer)
     ids: list[tuple[str, str]] = field(default_factory=list)
     queue: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
@@ -488,7 +488,7 @@
                 ensemble.counts.connections_refused += 1
                 self.close()
                 return
-            self.read_only = True
+            self.is_read_only = True
         if request.session:
             session = ensemble.sessions.get(request.session)
             if session is None or session.password != request.password:
@@ -499,7 +499,7 @@
                 return
             if session.silenced_direction in ("in", "both"):
                 return  # its messages are dropped, also on this connection
-        elif self.read_only:
+        elif self.is_read_only:
             min_ms, max_ms = ensemble.timeouts_ms
             timeout_ms = min(max(request.timeout_ms, min_ms), max_ms)
             session = Session(ensemble.rng.getrandbits(48), ensemble.rng.randbytes(16), timeout_ms, 0.0)
@@ -507,7 +507,7 @@
             session = ensemble.open_session(request.timeout_ms, server.number)
         session.last_heard_s = ensemble.clock()
         self.session, session.connection = session, self
-        read_only = None if request.read_only is None else self.read_only
+        read_only = None if request.read_only is None else self.is_read_only
         self.send(ConnectResponse(session.timeout_ms, session.id, session.password, read_only).encode())
 
     async def handle(self, message: bytes) -> None:
@@ -517,7 +517,7 @@
             return
         xid, request = decode_request(message)
         ensemble.counts.requests += 1
-        if session.closed:
+        if session.is_closed:
             self.close()
             return
         if session.connection is not self:
@@ -550,7 +550,7 @@
     async def write(self, xid: int, request: Request, session: Session) -> None:
         """Commit a write and answer it once this server has applied it."""
         ensemble = self.server.ensemble
-        if self.read_only:
+        if self.is_read_only:
             raise KeeperError(Code.NOT_READ_ONLY)
         if isinstance(request, EmptyRequest):  # CLOSE_SESSION
             change = ensemble.end_session(session)
--- a/standins/parties/zookeeper/tree.py
+++ b/standins/parties/zookeeper/tree.py
@@ -119,7 +119,7 @@
     zxid: int
     time_ms: int
     steps: tuple[Step, ...] = ()
-    closed: SessionClosed | None = None
+    closed_session: SessionClosed | None = None
 
 
 def parent_of(path: str) -> str:
@@ -144,8 +144,8 @@
 
 def allows(acl: Iterable[Acl], permission: Perm, ids: Iterable[tuple[str, str]]) -> bool:
     """Return whether an ACL grants the permission to a client with these (scheme, id) pairs."""
-    known = {("world", "anyone"), *ids}
-    return any(entry.perms & permission and (entry.scheme, entry.id) in known for entry in acl)
+    identities = {("world", "anyone"), *ids}
+    return any(entry.perms & permission and (entry.scheme, entry.id) in identities for entry in acl)
 
 
 class Tree:
@@ -169,10 +169,10 @@
         self, request: Write | SetAcl | Multi, session: int, ids: Iterable[tuple[str, str]] = ()
     ) -> tuple[Step, ...]:
         """Return the steps that the request leads to, without applying them; KeeperError if it fails."""
-        known = tuple(ids)
+        identities = tuple(ids)
         if not isinstance(request, Multi):
-            return (_Draft(self, session, known).prepare_step(request),)
-        draft, steps = _Draft(self, session, known), list[Step]()
+            return (_Draft(self, session, identities).prepare_step(request),)
+        draft, steps = _Draft(self, session, identities), list[Step]()
         for index, operation in enumerate(request.ops):
             try:
                 steps.append(draft.prepare_step(operation))
@@ -188,9 +188,9 @@
         events: list[Event] = []
         for step in change.steps:
             events += self.apply_step(step, change)
-        if change.closed is not None:
+        if change.closed_session is not None:
             # Sorted, so that every replica deletes in the same order.
-            for path in sorted(self.ephemerals.pop(change.closed.session, ()), reverse=True):
+            for path in sorted(self.ephemerals.pop(change.closed_session.session, ()), reverse=True):
                 if path in self.nodes:
                     events += self.apply_step(Deleted(path), change)
         return events
--- a/tests/test_zookeeper_kazoo.py
+++ b/tests/test_zookeeper_kazoo.py
@@ -444,7 +444,7 @@
     client.create("/e", ephemeral=True)
     session = harness.session_of(client)
     harness.service.call(lambda: harness.service.ensemble.disrupt_session(session.id, "in"))
-    until(lambda: session.closed)
+    until(lambda: session.is_closed)
     until(lambda: not zk.exists("/e"))
 
 
@@ -517,7 +517,7 @@
 @case
 def read_only_server_without_a_leader_serves_reads(harness: KazooHarness, zk: Any) -> None:
     zk.create("/a", b"1")
-    harness.service.ensemble.read_only = True
+    harness.service.ensemble.serves_read_only = True
     harness.service.call(lambda: harness.service.ensemble.lose_leader(60.0))
     reader = KazooClient(harness.service.ensemble.hosts, read_only=True)
     harness.clients.append(reader)
