--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -31,8 +31,8 @@
     ResponseReceived,
     now_us,
 )
-from standins.parties.box import Box, Shelf
-from standins.parties.clients import Clients, Door, Front, Habits
+from standins.parties.backend import Backend, IdempotencyStore
+from standins.parties.clients import ClientProfile, ConnectionBalancer, GatewayTarget, LoadGenerator
 from standins.parties.fleet import Fleet, Gateway
 from standins.parties.network import Address, Network
 from standins.site import CLASSES, BoxKind, Rules
@@ -187,13 +187,15 @@
         self.ledger = Account()
         self.network = Network(seed)
         self.dice = random.Random(f"{seed}/load")
-        shelf = Shelf(0, CLASSES["hold"].window_us)
+        shelf = IdempotencyStore(0, CLASSES["hold"].window_us)
         rules = Rules(sockets=SOCKETS)
-        self.boxes = [Box(f"rack-{n}", 0, shelf, self.ledger, self.network, KIND, rules, seed) for n in range(racks)]
-        self.front, self.straight = Front(seed), Front(seed)
-        habits = Habits(retries=0, leave=0.0, hint=HINT)
-        self.clients = Clients(self.ledger, self.front, seed, 1.0, habits)
-        self.direct = Clients(self.ledger, self.straight, seed + 1, DIRECT_PER_S, habits)
+        self.boxes = [
+            Backend(f"rack-{n}", 0, shelf, self.ledger, self.network, KIND, rules, seed) for n in range(racks)
+        ]
+        self.front, self.straight = ConnectionBalancer(seed), ConnectionBalancer(seed)
+        habits = ClientProfile(max_retries=0, early_disconnect_share=0.0, work_hint_factor=HINT)
+        self.clients = LoadGenerator(self.ledger, self.front, seed, 1.0, habits)
+        self.direct = LoadGenerator(self.ledger, self.straight, seed + 1, DIRECT_PER_S, habits)
         self.fleet = Fleet([])
         self.work: list[asyncio.Task[None]] = []
         self.open: dict[str, RequestSent] = {}  # asked, not answered yet
@@ -206,24 +208,24 @@
         """Their ports, by rack."""
         self.stops = Stops()
         for box in self.boxes:
-            await box.start(cold=False)
+            await box.start(needs_warmup=False)
         for box in self.boxes[:: max(1, len(self.boxes) // 4)]:
             assert box.address is not None
-            self.straight.admit(Door("direct", 0, box.address))
+            self.straight.add(GatewayTarget("direct", 0, box.address))
         return [box.address[1] for box in self.boxes if box.address is not None]
 
     async def start_gateways(self, gateways: Sequence[Gateway]) -> None:
         """RuntimeError where one does not get ready."""
         self.fleet = Fleet(gateways)
         for gateway in gateways:
-            gateway.on_ready = lambda one: self.front.admit(Door(one.name, one.room, one.address))
+            gateway.on_ready = lambda one: self.front.add(GatewayTarget(one.name, one.room, one.address))
         self.fleet.start()
-        if not await self.fleet.ready(self.ledger):
+        if not await self.fleet.wait_until_ready(self.ledger):
             raise RuntimeError("not every real gateway became ready")
 
     def ask(self) -> None:
         """Clients begin, at the plan's rate for a gateway, and go on until `close`."""
-        self.clients.rate = PLAN.requests_per_gateway * len(self.fleet.gateways)
+        self.clients.operations_per_s = PLAN.requests_per_gateway * len(self.fleet.gateways)
         self.work = [asyncio.ensure_future(clients.run(86_400.0)) for clients in (self.clients, self.direct)]
 
     def leave(self, racks: Sequence[int], at_us: int) -> None:
@@ -304,7 +306,7 @@
                 await asyncio.wait(pending, timeout=2.0)
             clients.close()
         await self.fleet.stop()
-        self.fleet.end()
+        self.fleet.kill()
         for box in self.boxes:
             if box.server is not None:
                 box.crash("drained")
--- a/benchmarks/capacity/run_world.py
+++ b/benchmarks/capacity/run_world.py
@@ -272,7 +272,7 @@
             relay.close()
         for tap in self.taps:
             tap.close()
-        self.bad = [fault for gateway in self.load.fleet.gateways for fault in gateway.faults()]
+        self.bad = [fault for gateway in self.load.fleet.gateways for fault in gateway.defect_lines()]
 
     def defects(self) -> list[str]:
         """Lines of the real gateways' logs that tell of a defect of theirs."""
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -63,7 +63,7 @@
 
 async def one_fault(fleet: Ground, dice: random.Random, kind: str) -> None:
     numbers = list(range(fleet.count))
-    act = fleet.mesh.watcher.holder(fleet.duty)
+    act = fleet.mesh.watcher.last_act_of(fleet.duty)
     holder = act.gateway if act is not None and act.gateway < fleet.count else dice.choice(numbers)
     chosen = holder if dice.random() < 0.6 else dice.choice(numbers)
     if kind == "stop":
@@ -91,7 +91,7 @@
         fleet.heal()
     elif kind == "lossy":
         fleet.note("lossy")
-        fleet.mesh.trouble(
+        fleet.mesh.set_conditions(
             Conditions(
                 jitter_us=dice.randrange(100_000), loss=dice.choice((0.05, 0.3)), double=0.2, late=0.1,
                 late_us=dice.randrange(5_000_000), short=0.02, spoilt=0.02,
@@ -99,7 +99,7 @@
         )  # fmt: skip
         await asyncio.sleep(dice.uniform(0.3, 2.0))
         if dice.random() < 0.5:
-            fleet.mesh.trouble(Conditions())
+            fleet.mesh.set_conditions(Conditions())
     elif kind in SERVICE:
         await service_fault(fleet, dice, kind)
     else:
@@ -161,7 +161,7 @@
             played.faults.append(kind)
             await one_fault(fleet, dice, kind)
             await asyncio.sleep(dice.choice((0.0, 0.1, dice.uniform(0, 1.0))))
-        fleet.mesh.trouble(Conditions())
+        fleet.mesh.set_conditions(Conditions())
         fleet.heal()
         await fleet.ready(*range(count))
         try:
@@ -170,7 +170,7 @@
             played.wrong.append(f"nobody holds after all is healed: {error}")
         found = fleet.judged()
         played.wrong += [f"{wrong.what}: {wrong.act} after {wrong.earlier}" for wrong in found]
-        played.wrong += [fault for gateway in fleet.gateways for fault in gateway.faults()]
+        played.wrong += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         played.holders, played.acts = len({(act.role, act.fencing_token) for act in fleet.acts}), len(fleet.acts)
         if played.wrong:
             played.timeline = fleet.timeline()
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from standins.checker import find_violations
-from standins.parties.box import Box
+from standins.parties.backend import Backend
 from standins.playing.keeper_play import FOLDER, EphemeralWorld
 from standins.event_log import BackendAttempt, RequestSent, ResourceUsage, now_us
 from standins.playing.scenario import Scenario
@@ -39,17 +39,17 @@
 
     def __init__(self, scenario: Scenario, seed: int, seconds: float, folder: Path, rate: float) -> None:
         super().__init__(scenario, seed, seconds, folder)
-        self.clients.rate = self.rate = rate
+        self.clients.operations_per_s = self.rate = rate
         self.sessions: dict[str, Session] = {}
         self.ended: list[tuple[str, int, int]] = []  # box, session's end, registered again
 
-    def register(self, box: Box, lag_s: float | None) -> None:
+    def register(self, box: Backend, lag_s: float | None) -> None:
         assert box.address is not None
         session = self.keeper.open_session(40_000, 0)
         session.heard_s = float("inf")
         data = {
             "v": 1, "name": box.name, "address": f"{box.address[0]}:{box.address[1]}", "zone": ROOMS[box.room],
-            "type": self.kind.name, "group": box.shelf.group, "status": "SERVING", "since_ms": 0,
+            "type": self.kind.name, "group": box.idempotency_store.group, "status": "SERVING", "since_ms": 0,
         }  # fmt: skip
         request = Create(f"{FOLDER}/{box.name}", json.dumps(data).encode(), flags=Mode.EPHEMERAL)
         self.keeper.commit(self.keeper.tree.prepare(request, session.id))
@@ -78,7 +78,7 @@
     world = HandWorld(scenario, options.seed, seconds, folder, options.rate)
 
     async def ends() -> None:
-        while not any(door.is_open for door in world.front.doors.values()):
+        while not any(door.is_open for door in world.front.targets_by_name.values()):
             await asyncio.sleep(0.1)
         await asyncio.sleep(2.0)
         await world.end_sessions(options.expiries)
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -132,7 +132,7 @@
             report.violations += await judge_datagrams(fleet)
         except AssertionError as error:  # the fleet's waits raise it, with a time line
             report.violations.append(str(error).partition("\n")[0])
-        report.violations += [fault for gateway in fleet.gateways for fault in gateway.faults()]
+        report.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         report.figures = (
             f"{fleet.asked} requests, {meter.retries} further attempts, {meter.peak:.1f} tokens spent beyond what "
             f"was earned of {meter.allowance:g} that may be saved up, {meter.moved:.1f} moved between gateways"
--- a/benchmarks/operating.py
+++ b/benchmarks/operating.py
@@ -27,7 +27,7 @@
 
 import uvloop
 
-from standins.parties.fleet import usage_of
+from standins.parties.fleet import read_usage
 from standins.site import BoxKind, Rules, configuration, settings
 
 LARGE = 32_000_000
@@ -169,7 +169,7 @@
 
     def usage(self) -> tuple[float, int]:
         """MiB and descriptors of all its processes that live."""
-        found = [usage_of(process.pid) for process in self.processes if process.returncode is None]
+        found = [read_usage(process.pid) for process in self.processes if process.returncode is None]
         return sum(one[0] for one in found if one) / 1024, sum(one[1] for one in found if one)
 
 
@@ -252,7 +252,7 @@
     async with site(box, LIMIT_MB) as made:
         process, _ = await made.start()
         done = await asyncio.gather(*(made.large() for _ in range(count)))
-        usage = usage_of(process.pid)
+        usage = read_usage(process.pid)
         assert usage is not None
         return {"transfers": count, "whole": sum(done), "most_mib": usage[3] / 1024, "limit_mb": LIMIT_MB}
 
--- a/benchmarks/overload/__main__.py
+++ b/benchmarks/overload/__main__.py
@@ -36,7 +36,7 @@
 from benchmarks.overload.plan import LOADS, Terms, steps
 from benchmarks.overload.play import Play, play
 from cloverkeel.balancing import BUILD
-from standins.parties.strain import Choke
+from standins.parties.overload_model import OverloadModel
 
 STEP_S, QUICK_STEP_S = 6.0, 3.0
 COLUMNS: Final = (
@@ -48,11 +48,14 @@
 AFTER_S: Final = 8.0  # at the least, from a surge's end: three of them are wanted, and two seconds to see it
 
 
-def parse_law(text: str) -> Choke | None:
+def parse_law(text: str) -> OverloadModel | None:
     """ "off", or fields of Choke. ValueError names what was expected."""
     if text == "off":
         return None
-    law, kinds = Choke(), {each.name: type(getattr(Choke(), each.name)) for each in fields(Choke)}
+    law, kinds = (
+        OverloadModel(),
+        {each.name: type(getattr(OverloadModel(), each.name)) for each in fields(OverloadModel)},
+    )
     for word in filter(None, text.split(",")):
         name, _, value = word.partition("=")
         if name not in kinds:
@@ -142,7 +145,9 @@
     parser.add_argument("--attempts", type=int, default=6, help="of a gateway, for each request")
     parser.add_argument("--no-copies", action="store_true", help="no two attempts of a request out together")
     parser.add_argument("--sharing", action="store_true", help="gateways tell one another what hosts did to them")
-    parser.add_argument("--law", default="", help="of the hosts (standins/parties/strain.py): off, or key=value,...")
+    parser.add_argument(
+        "--law", default="", help="of the hosts (standins/parties/overload_model.py): off, or key=value,..."
+    )
     return parser.parse_args(arguments)
 
 
--- a/benchmarks/overload/plan.py
+++ b/benchmarks/overload/plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from standins.parties.strain import Choke
+from standins.parties.overload_model import OverloadModel
 
 LOADS: Final = (0.6, 0.9, 1.2, 1.6, 2.5, 4.0)  # times what the hosts can do
 EMPTY: Final = 0.9  # a fleet of which no gateway knows anything yet
@@ -43,7 +43,7 @@
     steps: tuple[Step, ...]
     hosts: int = 4
     cores: int = 2
-    law: Choke | None = field(default_factory=Choke)
+    law: OverloadModel | None = field(default_factory=OverloadModel)
     honour: float = 0.7  # share of clients that heed the time they were told
     retries: int = 2  # of a client, after its first try
     attempts: int = 6  # of a gateway, for each request
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -30,8 +30,8 @@
 )
 from benchmarks.overload.plan import Terms
 from standins.event_log import EventLog, OperationStarted, RequestSent, ResponseMissing, ResponseReceived, now_us
-from standins.parties.box import Job
-from standins.parties.clients import Habits
+from standins.parties.backend import Job
+from standins.parties.clients import ClientProfile
 from standins.parties.fleet import Gateway
 from standins.playing.play import World
 from standins.playing.scenario import Scenario, Trouble
@@ -137,7 +137,9 @@
         # No key saves work: what the hosts can do is known.
         self.kind = replace(self.kind, key_saves=0.0)
         self.capacity = terms.hosts * terms.cores * 1e6 / MEAN_WORK_US
-        self.clients.habits = Habits(retries=terms.retries, honour=terms.honour, leave=0.0)
+        self.clients.profile = ClientProfile(
+            max_retries=terms.retries, retry_after_share=terms.honour, early_disconnect_share=0.0
+        )
         self.works: list[Work] = []
         self.samples: list[Sample] = []
         self.marks: list[Mark] = []
@@ -145,21 +147,21 @@
     async def build(self) -> None:
         await super().build()
         for box in self.boxes.values():
-            box.use(self.terms.law)
-            box.on_over = self.on_over
+            box.set_overload_model(self.terms.law)
+            box.on_job_end = self.on_over
 
     def on_over(self, job: Job) -> None:
-        run = job.run
+        run = job.attempt
         self.works.append(
             Work(
-                run.id, run.received_us, run.started_us, job.freed_us, run.ended_us, run.work_us - job.handshake_us,
-                job.handshake_us, job.took_us, job.gone_us, run.how,
+                run.id, run.received_us, run.started_us, job.core_released_us, run.ended_us,
+                run.work_us - job.handshake_us, job.handshake_us, job.core_time_us, job.abandoned_us, run.how,
             )
         )  # fmt: skip
 
     async def do_load(self, factor: float) -> None:
         """A step begins; at the end of the last one too."""
-        self.clients.rate = factor * self.capacity
+        self.clients.operations_per_s = factor * self.capacity
         self.marks.append(mark(self.gateways))
         if len(self.marks) == 1:
             self.spawn(self.look())
@@ -167,7 +169,7 @@
     async def look(self) -> None:
         while True:
             boxes, now = self.boxes.values(), now_us()
-            choked = sum(box.strain is not None and box.strain.is_choked(now) for box in boxes)
+            choked = sum(box.overload_state is not None and box.overload_state.is_choked(now) for box in boxes)
             self.samples.append(Sample(now, sum(len(box.jobs) for box in boxes), choked))
             await asyncio.sleep(LOOK_S)
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -25,7 +25,7 @@
 from cloverkeel.compiled.loader import PLAIN_VARIABLE
 from standins.parties.fleet import Fleet, Gateway
 from standins.event_log import EventLog, ResourceUsage
-from standins.parties.mesh import free_udp, own_host
+from standins.parties.mesh import free_udp_address, unique_loopback_host
 from standins.site import BoxKind, Rules, configuration, settings
 from standins.parties.zookeeper.ensemble import Ensemble
 from standins.parties.zookeeper.jute import Create
@@ -180,7 +180,7 @@
         told = made
         if name in parts:
             gateway.environment = {"CLOVERKEEL_OPTIONS": str(folder / f"{name}.toml")}
-            addresses = [free_udp(own_host()) for _ in range(5)]
+            addresses = [free_udp_address(unique_loopback_host()) for _ in range(5)]
             peers = {"peers": [f"{host}:{port}" for host, port in addresses]}
             peers["peer_listen"] = peers["peers"][0]
             told = made | {"balancers": 5, "index": 0, "caps": made["caps"] | {"peers": True}}
@@ -196,7 +196,7 @@
         os.sched_setaffinity(0, set(cores[: -len(names)]))
     with Fleet(list(gateways.values())) as fleet:
         fleet.start()
-        if not await fleet.ready(ledger):
+        if not await fleet.wait_until_ready(ledger):
             raise RuntimeError("not every process became ready")
         start = 0
         for number in range(options.rounds + 1):
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -293,9 +293,9 @@
         part: Component = ("relay" if is_relay else "gateway", number)
         process = (self.fleet.relays if is_relay else self.fleet.gateways)[number]
         self.fleet.begin_outage(part)
-        process.signal(signal.SIGSTOP)
+        process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(event.for_ms / 1000)
-        process.signal(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         self.fleet.end_outage(part)
 
     async def kill(self, relay: int, for_s: float) -> None:
@@ -335,7 +335,7 @@
         for relay, process in enumerate(self.fleet.relays):
             self.fleet.write_roster(relay, [f"n{event.who[0]}"])
             if ("relay", relay) not in self.fleet.open_outages:  # a start would end by it, and reads the file anyway
-                process.signal(signal.SIGHUP)
+                process.send_signal(signal.SIGHUP)
             if relay == 0:
                 await asyncio.sleep(event.for_ms / 1000)
 
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -27,13 +27,15 @@
 from standins.parties.network import Address
 from standins.site import CLASSES, ROOMS, TENANTS, Klass, draw
 
-WAITED_US = 300_000  # past a try's time: how long a client goes on listening, so that a late answer is seen
-RUDE_US = 4_000_000  # how long a client that breaks the protocol waits for an error or a close
-USES = (40, 160)  # requests on one connection before the client opens another
+LATE_RESPONSE_WAIT_US = (
+    300_000  # past a try's time: how long a client goes on listening, so that a late answer is seen
+)
+MISBEHAVING_WAIT_US = 4_000_000  # how long a client that breaks the protocol waits for an error or a close
+REQUESTS_PER_CONNECTION_RANGE = (40, 160)  # requests on one connection before the client opens another
 
 
 @dataclass(slots=True, eq=False)
-class Door:
+class GatewayTarget:
     """One gateway, as the front knows it."""
 
     name: str
@@ -42,67 +44,69 @@
     is_open: bool = False
 
 
-class Front:
+class ConnectionBalancer:
     """Deals out connections in turn among the gateways of a room."""
 
-    def __init__(self, seed: int = 0, notice_s: tuple[float, float] = (0.82, 3.9)) -> None:
-        self.doors: dict[str, Door] = {}
-        self.dice = random.Random(f"{seed}/front")
-        self.notice_s = notice_s
-        self.turn = 0
-        self.closing: dict[str, asyncio.TimerHandle] = {}
+    def __init__(self, seed: int = 0, detection_delay_s: tuple[float, float] = (0.82, 3.9)) -> None:
+        self.targets_by_name: dict[str, GatewayTarget] = {}
+        self.rng = random.Random(f"{seed}/front")
+        self.detection_delay_s = detection_delay_s
+        self.pick_count = 0
+        self.closing_timers_by_name: dict[str, asyncio.TimerHandle] = {}
 
-    def admit(self, door: Door) -> None:
+    def add(self, target: GatewayTarget) -> None:
         """It is ready: connections go to it from now on."""
-        closing = self.closing.pop(door.name, None)
-        if closing is not None:
-            closing.cancel()
-        door.is_open = True
-        self.doors[door.name] = door
+        closing_timer = self.closing_timers_by_name.pop(target.name, None)
+        if closing_timer is not None:
+            closing_timer.cancel()
+        target.is_open = True
+        self.targets_by_name[target.name] = target
 
-    def on_term(self, name: str) -> None:
+    def schedule_planned_close(self, name: str) -> None:
         """A planned restart: new connections go on coming for a moment."""
-        self.close_after(name, self.dice.uniform(0.2, 0.4))
+        self.schedule_close(name, self.rng.uniform(0.2, 0.4))
 
-    def on_dead(self, name: str) -> None:
-        self.close_after(name, self.dice.uniform(*self.notice_s))
+    def schedule_close_after_failure(self, name: str) -> None:
+        self.schedule_close(name, self.rng.uniform(*self.detection_delay_s))
 
-    def close_after(self, name: str, wait_s: float) -> None:
-        if name not in self.closing:
-            self.closing[name] = asyncio.get_running_loop().call_later(wait_s, self.shut, name)
+    def schedule_close(self, name: str, delay_s: float) -> None:
+        if name not in self.closing_timers_by_name:
+            self.closing_timers_by_name[name] = asyncio.get_running_loop().call_later(delay_s, self.close, name)
 
-    def shut(self, name: str) -> None:
-        self.closing.pop(name, None)
-        door = self.doors.get(name)
-        if door is not None:
-            door.is_open = False
+    def close(self, name: str) -> None:
+        self.closing_timers_by_name.pop(name, None)
+        target = self.targets_by_name.get(name)
+        if target is not None:
+            target.is_open = False
 
-    def pick(self, room: int) -> Door | None:
+    def pick_target(self, room: int) -> GatewayTarget | None:
         """The next gateway of the room; of any other, where it has none."""
-        doors = [door for door in self.doors.values() if door.is_open]
-        doors = [door for door in doors if door.room == room] or doors
-        if not doors:
+        targets = [target for target in self.targets_by_name.values() if target.is_open]
+        targets = [target for target in targets if target.room == room] or targets
+        if not targets:
             return None
-        self.turn += 1
-        return doors[self.turn % len(doors)]
+        self.pick_count += 1
+        return targets[self.pick_count % len(targets)]
 
 
-class Connection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection to a gateway: one request at a time."""
 
-    def __init__(self, door: Door, on_extra: Callable[[str, bytes], None], uses: int) -> None:
-        self.door, self.on_extra = door, on_extra
+    def __init__(
+        self, target: GatewayTarget, on_unexpected_bytes: Callable[[str, bytes], None], max_requests: int
+    ) -> None:
+        self.target, self.on_unexpected_bytes = target, on_unexpected_bytes
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.answer: asyncio.Future[ResponseReceived | ResponseMissing] | None = None
-        self.id = ""
-        self.left = uses
-        self.answers = 0
+        self.response_future: asyncio.Future[ResponseReceived | ResponseMissing] | None = None
+        self.request_id = ""
+        self.requests_left = max_requests
+        self.response_count = 0
         self.status = 0
         self.body = b""
         self.retry_after_us = 0
-        self.keep = True
-        self.has_begun = False  # an answer
+        self.should_keep_alive = True
+        self.has_response_begun = False  # an answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -111,29 +115,29 @@
     def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def send(self, id_: str, data: bytes) -> asyncio.Future[ResponseReceived | ResponseMissing]:
+    def send(self, request_id: str, data: bytes) -> asyncio.Future[ResponseReceived | ResponseMissing]:
         assert self.transport is not None
-        self.id, self.has_begun = id_, False
-        self.left -= 1
-        self.answer = asyncio.get_running_loop().create_future()
+        self.request_id, self.has_response_begun = request_id, False
+        self.requests_left -= 1
+        self.response_future = asyncio.get_running_loop().create_future()
         self.transport.write(data)
-        return self.answer
+        return self.response_future
 
     def data_received(self, data: bytes) -> None:
-        if self.answer is None or self.answer.done():
-            self.on_extra(self.id, data)
+        if self.response_future is None or self.response_future.done():
+            self.on_unexpected_bytes(self.request_id, data)
             self.abort()
             return
-        self.has_begun = True
+        self.has_response_begun = True
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.end("cut")
+            self.end_without_response("cut")
             self.abort()
 
     def on_message_begin(self) -> None:
-        if self.answer is not None and self.answer.done():
-            self.on_extra(self.id, b"a second answer")
+        if self.response_future is not None and self.response_future.done():
+            self.on_unexpected_bytes(self.request_id, b"a second answer")
         self.body, self.retry_after_us = b"", 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -145,22 +149,24 @@
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
-        if status < 200 or self.answer is None or self.answer.done():
+        if status < 200 or self.response_future is None or self.response_future.done():
             return
-        self.keep = self.parser.should_keep_alive() and self.left > 0
-        self.answers += 1
-        names = self.body.split(b" ", 1)[0].decode("latin-1") if status == 200 else ""
-        self.answer.set_result(ResponseReceived(now_us(), self.id, status, names, self.retry_after_us))
-        if not self.keep:
+        self.should_keep_alive = self.parser.should_keep_alive() and self.requests_left > 0
+        self.response_count += 1
+        echoed_id = self.body.split(b" ", 1)[0].decode("latin-1") if status == 200 else ""
+        self.response_future.set_result(
+            ResponseReceived(now_us(), self.request_id, status, echoed_id, self.retry_after_us)
+        )
+        if not self.should_keep_alive:
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.end("cut" if self.has_begun else "closed" if exc is None else "reset")
+        self.end_without_response("cut" if self.has_response_begun else "closed" if exc is None else "reset")
 
-    def end(self, how: str) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result(ResponseMissing(now_us(), self.id, how))
+    def end_without_response(self, reason: str) -> None:
+        if self.response_future is not None and not self.response_future.done():
+            self.response_future.set_result(ResponseMissing(now_us(), self.request_id, reason))
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -168,255 +174,303 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class ClientProfile:
     """How clients behave, as the brief has it."""
 
-    retries: int = 2
-    try_share: float = 0.5  # of the class's give-up time, for one try
-    wait_s: float = 0.05  # before a retry that is not told when
-    honour: float = 0.7  # share of clients that heed Retry-After
-    leave: float = 0.01  # share of tries that are left early
-    keys: int = 2000
-    popular: float = 0.0  # share of the wants that are about one and the same
-    hint: float = 1.0  # told of the work, as a share of it; 0: nothing is told
+    max_retries: int = 2
+    attempt_timeout_share: float = 0.5  # of the class's give-up time, for one try
+    retry_delay_s: float = 0.05  # before a retry that is not told when
+    retry_after_share: float = 0.7  # share of clients that heed Retry-After
+    early_disconnect_share: float = 0.01  # share of tries that are left early
+    key_count: int = 2000
+    popular_key_share: float = 0.0  # share of the wants that are about one and the same
+    work_hint_factor: float = 1.0  # told of the work, as a share of it; 0: nothing is told
 
 
 @dataclass
-class Clients:
+class LoadGenerator:
     """All clients of a play."""
 
-    ledger: EventLog
-    front: Front
+    event_log: EventLog
+    balancer: ConnectionBalancer
     seed: int = 0
-    rate: float = 100.0  # wants a second; may be changed while they run
-    habits: Habits = field(default_factory=Habits)
+    operations_per_s: float = 100.0  # wants a second; may be changed while they run
+    profile: ClientProfile = field(default_factory=ClientProfile)
 
     def __post_init__(self) -> None:
-        self.dice = random.Random(f"{self.seed}/clients")
-        self.idle: dict[int, list[Connection]] = {room: [] for room in range(len(ROOMS))}
-        self.count = 0
+        self.rng = random.Random(f"{self.seed}/clients")
+        self.idle_connections_by_room: dict[int, list[ClientConnection]] = {room: [] for room in range(len(ROOMS))}
+        self.operation_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        self.open: set[Connection] = set()
-        self.asking: dict[str, str] = {}  # ids of requests that are out, and at which gateway
+        self.open_connections: set[ClientConnection] = set()
+        self.gateway_by_open_request: dict[str, str] = {}  # ids of requests that are out, and at which gateway
 
-    def open_id(self, gateway: str) -> str:
+    def pick_open_request_id(self, gateway: str) -> str:
         """The id of some request that is out there; "" if none is."""
-        ids = [id_ for id_, at in self.asking.items() if at == gateway]
-        return self.dice.choice(ids) if ids else ""
+        ids = [request_id for request_id, sent_to in self.gateway_by_open_request.items() if sent_to == gateway]
+        return self.rng.choice(ids) if ids else ""
 
     # What they want
 
     async def run(self, seconds: float) -> None:
         """Ask for so long, at random moments that wait for no answer; returns when all is over."""
         loop = asyncio.get_running_loop()
-        at, end = loop.time(), loop.time() + seconds
+        next_at_s, end_s = loop.time(), loop.time() + seconds
         while True:
-            at += self.dice.expovariate(self.rate)
-            if at >= end:
+            next_at_s += self.rng.expovariate(self.operations_per_s)
+            if next_at_s >= end_s:
                 break
-            if at > loop.time():
-                await asyncio.sleep(at - loop.time())
-            self.spawn()
+            if next_at_s > loop.time():
+                await asyncio.sleep(next_at_s - loop.time())
+            self.start_operation()
         while self.tasks:
             await asyncio.wait(self.tasks)
 
-    def spawn(self) -> None:
-        klass = self.dice.choices(list(CLASSES.values()), [k.share for k in CLASSES.values()])[0]
-        task = asyncio.get_running_loop().create_task(self.want(klass))
+    def start_operation(self) -> None:
+        request_class = self.rng.choices(list(CLASSES.values()), [k.share for k in CLASSES.values()])[0]
+        task = asyncio.get_running_loop().create_task(self.run_operation(request_class))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def want(self, klass: Klass) -> None:
+    async def run_operation(self, request_class: Klass) -> None:
         """One thing that a client wants: tried, and tried again as its software does."""
-        dice, habits = self.dice, self.habits
-        room = dice.randrange(len(ROOMS))
-        self.count += 1
-        first = f"{self.seed:x}.{self.count:x}"
-        slip = 1 if dice.random() < habits.popular else min(int(dice.paretovariate(0.8)), habits.keys)
-        cost = draw(dice, klass.work_us)
-        key = f"k{first}" if klass.effect == "keyed" else ""
-        tenant = dice.choice(TENANTS)
-        end_us = now_us() + klass.give_up_us
-        self.ledger.add(OperationStarted(now_us(), first, klass.name, ROOMS[room]))
-        for number in range(habits.retries + 1):
-            budget_us = min(int(klass.give_up_us * habits.try_share), end_us - now_us())
+        rng, profile = self.rng, self.profile
+        room = rng.randrange(len(ROOMS))
+        self.operation_count += 1
+        operation_id = f"{self.seed:x}.{self.operation_count:x}"
+        resource_number = (
+            1 if rng.random() < profile.popular_key_share else min(int(rng.paretovariate(0.8)), profile.key_count)
+        )
+        work_us = draw(rng, request_class.work_us)
+        idempotency_key = f"k{operation_id}" if request_class.effect == "keyed" else ""
+        tenant = rng.choice(TENANTS)
+        end_us = now_us() + request_class.give_up_us
+        self.event_log.add(OperationStarted(now_us(), operation_id, request_class.name, ROOMS[room]))
+        for attempt_index in range(profile.max_retries + 1):
+            budget_us = min(int(request_class.give_up_us * profile.attempt_timeout_share), end_us - now_us())
             if budget_us < 1_000:
                 return
-            id_ = first if number == 0 else f"{first}-{number}"
-            leaves = dice.random() < habits.leave
-            head = self.request(klass, id_, tenant, budget_us, slip, key, int(cost * habits.hint))
-            final = await self.ask(room, klass, id_, head, budget_us, key, tenant, first, leaves)
-            wait_s = habits.wait_s
-            if isinstance(final, ResponseReceived):
-                if final.status == 200:
+            request_id = operation_id if attempt_index == 0 else f"{operation_id}-{attempt_index}"
+            disconnects_early = rng.random() < profile.early_disconnect_share
+            request_bytes = self.build_request(
+                request_class,
+                request_id,
+                tenant,
+                budget_us,
+                resource_number,
+                idempotency_key,
+                int(work_us * profile.work_hint_factor),
+            )
+            result = await self.send_attempt(
+                room,
+                request_class,
+                request_id,
+                request_bytes,
+                budget_us,
+                idempotency_key,
+                tenant,
+                operation_id,
+                disconnects_early,
+            )
+            delay_s = profile.retry_delay_s
+            if isinstance(result, ResponseReceived):
+                if result.status == 200:
                     return
-                if final.status not in (429, 503) and klass.effect == "unsafe":
+                if result.status not in (429, 503) and request_class.effect == "unsafe":
                     return  # it may have run
-                if final.retry_after_us and dice.random() < habits.honour:
-                    wait_s = final.retry_after_us / 1e6
-            elif final is not None and (leaves or klass.effect == "unsafe"):
+                if result.retry_after_us and rng.random() < profile.retry_after_share:
+                    delay_s = result.retry_after_us / 1e6
+            elif result is not None and (disconnects_early or request_class.effect == "unsafe"):
                 return
-            await asyncio.sleep(wait_s)
-
-    def request(self, klass: Klass, id_: str, tenant: str, budget_us: int, slip: int, key: str, cost: int) -> bytes:
-        body = b"" if klass.effect == "safe" else f"slip {slip} ".encode() * 8
+            await asyncio.sleep(delay_s)
+
+    def build_request(
+        self,
+        request_class: Klass,
+        request_id: str,
+        tenant: str,
+        budget_us: int,
+        resource_number: int,
+        idempotency_key: str,
+        work_us: int,
+    ) -> bytes:
+        body = b"" if request_class.effect == "safe" else f"slip {resource_number} ".encode() * 8
         lines = [
-            f"{'GET' if klass.effect == 'safe' else 'POST'} /{klass.name}/{slip} HTTP/1.1", "Host: backend.local",
-            f"X-Call-Id: {id_}", f"X-Call-Class: {klass.name}", f"X-Caller: {tenant}",
+            f"{'GET' if request_class.effect == 'safe' else 'POST'} /{request_class.name}/{resource_number} HTTP/1.1",
+            "Host: backend.local",
+            f"X-Call-Id: {request_id}", f"X-Call-Class: {request_class.name}", f"X-Caller: {tenant}",
             f"X-Budget-Ms: {budget_us // 1000}",
         ]  # fmt: skip
-        if cost:
-            lines.append(f"X-Call-Cost: {cost}")
-        if key:
-            lines.append(f"Idempotency-Key: {key}")
-        if klass.effect != "safe":
+        if work_us:
+            lines.append(f"X-Call-Cost: {work_us}")
+        if idempotency_key:
+            lines.append(f"Idempotency-Key: {idempotency_key}")
+        if request_class.effect != "safe":
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     # One try
 
-    async def ask(
-        self, room: int, klass: Klass, id_: str, data: bytes, budget_us: int, key: str, tenant: str, first: str,
-        leaves: bool,
+    async def send_attempt(
+        self, room: int, request_class: Klass, request_id: str, data: bytes, budget_us: int, idempotency_key: str,
+        tenant: str, operation_id: str, disconnects_early: bool,
     ) -> ResponseReceived | ResponseMissing | None:  # fmt: skip
         """One try; None if no gateway took it."""
-        again = False
+        is_resend = False
         while True:
-            connection, is_new = await self.connection(room, fresh=again)
+            connection, is_new = await self.get_connection(room, needs_new=is_resend)
             if connection is None:
                 return None
-            asked_us = now_us()
-            future = connection.send(id_, data)
-            gateway = connection.door.name
-            asked = RequestSent(asked_us, id_, klass.name, gateway, budget_us, key, tenant, first, again)
-            self.ledger.add(asked)
-            wait_us = budget_us + WAITED_US
-            if leaves:
-                wait_us = int(budget_us * self.dice.random() * 0.3)
-            self.asking[id_] = gateway
-            done, _ = await asyncio.wait((future,), timeout=wait_us / 1e6)
-            self.asking.pop(id_, None)
+            sent_us = now_us()
+            response_future = connection.send(request_id, data)
+            gateway = connection.target.name
+            request_event = RequestSent(
+                sent_us,
+                request_id,
+                request_class.name,
+                gateway,
+                budget_us,
+                idempotency_key,
+                tenant,
+                operation_id,
+                is_resend,
+            )
+            self.event_log.add(request_event)
+            timeout_us = budget_us + LATE_RESPONSE_WAIT_US
+            if disconnects_early:
+                timeout_us = int(budget_us * self.rng.random() * 0.3)
+            self.gateway_by_open_request[request_id] = gateway
+            done, _ = await asyncio.wait((response_future,), timeout=timeout_us / 1e6)
+            self.gateway_by_open_request.pop(request_id, None)
             if not done:
-                self.ledger.add(
-                    ClientDisconnected(now_us(), id_) if leaves else ResponseMissing(now_us(), id_, "none")
+                self.event_log.add(
+                    ClientDisconnected(now_us(), request_id)
+                    if disconnects_early
+                    else ResponseMissing(now_us(), request_id, "none")
                 )
                 connection.abort()
-                return ResponseMissing(now_us(), id_, "none")
-            final = future.result()
-            if isinstance(final, ResponseMissing) and not is_new and not again and final.how != "cut":
+                return ResponseMissing(now_us(), request_id, "none")
+            result = response_future.result()
+            if isinstance(result, ResponseMissing) and not is_new and not is_resend and result.how != "cut":
                 # Its closing crossed the request: once more, on a new connection.
-                again = True
+                is_resend = True
                 continue
-            self.ledger.add(final)
-            if isinstance(final, ResponseReceived) and connection.keep and connection.is_open:
-                self.idle[room].append(connection)
-            return final
-
-    async def connection(self, room: int, fresh: bool) -> tuple[Connection | None, bool]:
-        idle = self.idle[room]
-        while idle and not fresh:
-            connection = idle.pop(self.dice.randrange(len(idle)))
+            self.event_log.add(result)
+            if isinstance(result, ResponseReceived) and connection.should_keep_alive and connection.is_open:
+                self.idle_connections_by_room[room].append(connection)
+            return result
+
+    async def get_connection(self, room: int, needs_new: bool) -> tuple[ClientConnection | None, bool]:
+        idle_connections = self.idle_connections_by_room[room]
+        while idle_connections and not needs_new:
+            connection = idle_connections.pop(self.rng.randrange(len(idle_connections)))
             if connection.is_open:
                 return connection, False
-        door = self.front.pick(room)
-        if door is None:
+        target = self.balancer.pick_target(room)
+        if target is None:
             return None, True
-        made = Connection(door, self.on_extra, self.dice.randint(*USES))
+        new_connection = ClientConnection(
+            target, self.on_unexpected_bytes, self.rng.randint(*REQUESTS_PER_CONNECTION_RANGE)
+        )
         try:
             async with asyncio.timeout(1.0):
-                await asyncio.get_running_loop().create_connection(lambda: made, *door.address)
+                await asyncio.get_running_loop().create_connection(lambda: new_connection, *target.address)
         except (OSError, TimeoutError):
             return None, True
-        self.open.add(made)
-        if len(self.open) > 1000:
-            self.open = {connection for connection in self.open if connection.is_open}
-        return (made, True) if made.is_open else (None, True)
+        self.open_connections.add(new_connection)
+        if len(self.open_connections) > 1000:
+            self.open_connections = {connection for connection in self.open_connections if connection.is_open}
+        return (new_connection, True) if new_connection.is_open else (None, True)
 
-    def on_extra(self, id_: str, data: bytes) -> None:
-        self.ledger.add(UnexpectedBytes(now_us(), id_, data[:80].decode("latin-1")))
+    def on_unexpected_bytes(self, request_id: str, data: bytes) -> None:
+        self.event_log.add(UnexpectedBytes(now_us(), request_id, data[:80].decode("latin-1")))
 
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
-        for connection in self.open:
+        for connection in self.open_connections:
             connection.abort()
 
 
-AGAIN = 4  # tries of a client that goes away and uses its id again
-GO_ON = frozenset({"thousands at once", "an endless head"})  # these do not stop at the first answer
-GO_ON_S = 1.5
-MAY_BE_SERVED = frozenset({"its own id again", "a budget beyond all", "thousands at once"})  # odd, and readable
+ID_REUSE_COUNT = 4  # tries of a client that goes away and uses its id again
+FLOODING_KINDS = frozenset({"thousands at once", "an endless head"})  # these do not stop at the first answer
+FLOOD_DURATION_S = 1.5
+MAY_BE_SERVED_KINDS = frozenset({"its own id again", "a budget beyond all", "thousands at once"})  # odd, and readable
 
 
-def rude_requests(dice: random.Random, open_id: str = "") -> dict[str, list[bytes]]:
+def build_misbehaving_requests(rng: random.Random, open_request_id: str = "") -> dict[str, list[bytes]]:
     """What clients that break the protocol send, in pieces; each kind is owed an error or a close."""
-    id_ = f"rude-{dice.getrandbits(48):x}"
+    request_id = f"rude-{rng.getrandbits(48):x}"
     head = "GET /search/1 HTTP/1.1\r\nHost: b\r\n"
-    many = "".join(f"{head}X-Call-Id: {id_}-{n}\r\nX-Budget-Ms: 300\r\n\r\n" for n in range(400)).encode()
-    good = f"GET /search/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id_}\r\nX-Budget-Ms: 400\r\n"
-    post = f"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id_}\r\n"
+    pipelined = "".join(f"{head}X-Call-Id: {request_id}-{n}\r\nX-Budget-Ms: 300\r\n\r\n" for n in range(400)).encode()
+    valid_head = f"GET /search/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {request_id}\r\nX-Budget-Ms: 400\r\n"
+    post_head = f"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {request_id}\r\n"
     hidden = b"0\r\n\r\nGET /search/2 HTTP/1.1\r\nHost: b\r\nX-Call-Id: rude-hidden\r\n\r\n"
     return {
-        "noise": [dice.randbytes(400)],
-        "a head without end": [good.encode()] + [b"X-More: " + b"y" * 4000 + b"\r\n"] * 12,
-        "a negative length": [post.encode() + b"Content-Length: -5\r\n\r\nabcde"],
-        "a length that is no number": [post.encode() + b"Content-Length: five\r\n\r\nabcde"],
-        "a huge length": [post.encode() + b"Content-Length: 99999999999999999999\r\n\r\n"],
-        "a body of 40 MB": [post.encode() + b"Content-Length: 41943040\r\n\r\n"] + [b"z" * 65536] * 32,
-        "both framings": [post.encode() + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden],
-        "an unknown class": [good.replace("/search/1", "/nothing/1").encode() + b"\r\n"],
+        "noise": [rng.randbytes(400)],
+        "a head without end": [valid_head.encode()] + [b"X-More: " + b"y" * 4000 + b"\r\n"] * 12,
+        "a negative length": [post_head.encode() + b"Content-Length: -5\r\n\r\nabcde"],
+        "a length that is no number": [post_head.encode() + b"Content-Length: five\r\n\r\nabcde"],
+        "a huge length": [post_head.encode() + b"Content-Length: 99999999999999999999\r\n\r\n"],
+        "a body of 40 MB": [post_head.encode() + b"Content-Length: 41943040\r\n\r\n"] + [b"z" * 65536] * 32,
+        "both framings": [post_head.encode() + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n" + hidden],
+        "an unknown class": [valid_head.replace("/search/1", "/nothing/1").encode() + b"\r\n"],
         "no id": [b"GET /search/1 HTTP/1.1\r\nHost: b\r\n\r\n"],
-        "a budget that is no number": [good.replace("400", "soon").encode() + b"\r\n"],
-        "half a request": [good.encode()],
-        "an endless head": [good.encode()] + [b"X-More: " + b"y" * 16000 + b"\r\n"] * 4000,
-        "thousands at once": [many] * 250,
-        "the id of an open request": [f"{head}X-Call-Id: {open_id}\r\nX-Budget-Ms: 300\r\n\r\n".encode()],
-        "its own id again": [good.encode() + b"\r\n"],
-        "a budget beyond all": [good.replace("400", "9" * 15).encode() + b"\r\n"],
+        "a budget that is no number": [valid_head.replace("400", "soon").encode() + b"\r\n"],
+        "half a request": [valid_head.encode()],
+        "an endless head": [valid_head.encode()] + [b"X-More: " + b"y" * 16000 + b"\r\n"] * 4000,
+        "thousands at once": [pipelined] * 250,
+        "the id of an open request": [f"{head}X-Call-Id: {open_request_id}\r\nX-Budget-Ms: 300\r\n\r\n".encode()],
+        "its own id again": [valid_head.encode() + b"\r\n"],
+        "a budget beyond all": [valid_head.replace("400", "9" * 15).encode() + b"\r\n"],
         "nothing": [],
-        "two ids": [(good + f"X-Call-Id: {id_}-b\r\n").encode() + b"\r\n"],
+        "two ids": [(valid_head + f"X-Call-Id: {request_id}-b\r\n").encode() + b"\r\n"],
     }
 
 
-async def be_rude(
-    ledger: EventLog, door: Door, dice: random.Random, kind: str = "", open_id: Callable[[str], str] = lambda door: ""
+async def send_misbehaving_request(
+    event_log: EventLog,
+    target: GatewayTarget,
+    rng: random.Random,
+    kind: str = "",
+    pick_open_request_id: Callable[[str], str] = lambda target: "",
 ) -> MisbehavingClient | None:
     """Break the protocol once; None if no connection came up, or there is nothing to break it with."""
-    taken = open_id(door.name)
-    requests = rude_requests(dice, taken)
-    kind = kind or dice.choice(sorted(requests))
-    if kind == "the id of an open request" and not taken:
+    open_request_id = pick_open_request_id(target.name)
+    requests = build_misbehaving_requests(rng, open_request_id)
+    kind = kind or rng.choice(sorted(requests))
+    if kind == "the id of an open request" and not open_request_id:
         return None
     try:
-        for _ in range(AGAIN if kind == "its own id again" else 0):
-            _, writer = await asyncio.open_connection(*door.address)
+        for _ in range(ID_REUSE_COUNT if kind == "its own id again" else 0):
+            _, writer = await asyncio.open_connection(*target.address)
             writer.write(requests[kind][0])
-            await asyncio.sleep(dice.uniform(0.001, 0.03))
+            await asyncio.sleep(rng.uniform(0.001, 0.03))
             writer.transport.abort()
-        reader, writer = await asyncio.open_connection(*door.address)
+        reader, writer = await asyncio.open_connection(*target.address)
     except OSError:
         return None
-    rude = MisbehavingClient(now_us(), kind, door.name, may_be_served=kind in MAY_BE_SERVED)
-    ledger.add(rude)
+    client = MisbehavingClient(now_us(), kind, target.name, may_be_served=kind in MAY_BE_SERVED_KINDS)
+    event_log.add(client)
     sending = asyncio.create_task(_send_all(writer, requests[kind]))
     try:
-        async with asyncio.timeout(RUDE_US / 1e6):
+        async with asyncio.timeout(MISBEHAVING_WAIT_US / 1e6):
             line = await reader.readline()
             parts = line.split(b" ")
-            rude.status = int(parts[1]) if len(parts) > 1 and parts[1].isdigit() else 0
-            rude.ended_us = now_us()
-            if kind in GO_ON:
-                async with asyncio.timeout(GO_ON_S):
+            client.status = int(parts[1]) if len(parts) > 1 and parts[1].isdigit() else 0
+            client.ended_us = now_us()
+            if kind in FLOODING_KINDS:
+                async with asyncio.timeout(FLOOD_DURATION_S):
                     while await reader.read(1 << 16):
                         pass
     except (OSError, ValueError):
-        rude.ended_us = rude.ended_us or now_us()
+        client.ended_us = client.ended_us or now_us()
     except TimeoutError:
         pass  # neither an answer nor a close, or it has gone on for long enough
     finally:
         sending.cancel()
         writer.transport.abort()
-    return rude
+    return client
 
 
 async def _send_all(writer: asyncio.StreamWriter, pieces: list[bytes]) -> None:
--- a/standins/parties/strain.py
+++ b/standins/parties/overload_model.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Choke:
+class OverloadModel:
     """The law: work takes min(most, 1 + steep * max(0, held - easy)) times as long, choked `choked` times that.
 
     Held is all that has come and is not over: on a core, in the queue, waiting for others, and what nobody waits for.
@@ -32,43 +32,43 @@
     heeds: bool = False  # what waits past the time that the gateway told is dropped at its turn
 
 
-class Strain:
+class OverloadState:
     """One box under the law."""
 
-    def __init__(self, law: Choke) -> None:
-        self.law = law
-        self.held = 0
-        self.many_since_us: int | None = None  # it has held more than `many` since
+    def __init__(self, model: OverloadModel) -> None:
+        self.model = model
+        self.held_count = 0
+        self.over_limit_since_us: int | None = None  # it has held more than `many` since
         self.choked_until_us: int | None = None  # None: it is not choked; while it holds too many, moved on
 
-    def note(self, now_us: int, held: int) -> None:
+    def set_held_count(self, now_us: int, held_count: int) -> None:
         """It holds so many from now on."""
-        self._pass(now_us)
-        self.held = held
-        if held <= self.law.many:
-            self.many_since_us = None
-        elif self.many_since_us is None:
-            self.many_since_us = now_us
+        self._advance(now_us)
+        self.held_count = held_count
+        if held_count <= self.model.many:
+            self.over_limit_since_us = None
+        elif self.over_limit_since_us is None:
+            self.over_limit_since_us = now_us
 
-    def _pass(self, now_us: int) -> None:
+    def _advance(self, now_us: int) -> None:
         """What the time up to now has done."""
-        since = self.many_since_us
-        if self.choked_until_us is not None and since is None and now_us >= self.choked_until_us:
+        since_us = self.over_limit_since_us
+        if self.choked_until_us is not None and since_us is None and now_us >= self.choked_until_us:
             self.choked_until_us = None
-        if since is None:
+        if since_us is None:
             return
-        was_choked = self.choked_until_us is not None and since < self.choked_until_us
-        if was_choked or now_us - since >= self.law.long_us:
-            self.choked_until_us = now_us + self.law.slow_us
+        was_choked = self.choked_until_us is not None and since_us < self.choked_until_us
+        if was_choked or now_us - since_us >= self.model.long_us:
+            self.choked_until_us = now_us + self.model.slow_us
         else:
             self.choked_until_us = None
 
     def is_choked(self, now_us: int) -> bool:
-        self._pass(now_us)
+        self._advance(now_us)
         return self.choked_until_us is not None
 
-    def pace(self, now_us: int) -> float:
+    def work_factor(self, now_us: int) -> float:
         """Work that begins now takes so many times as long."""
-        law = self.law
-        times = min(law.most, 1.0 + law.steep * max(0, self.held - law.easy))
-        return times * (law.choked if self.is_choked(now_us) else 1.0)
+        model = self.model
+        factor = min(model.most, 1.0 + model.steep * max(0, self.held_count - model.easy))
+        return factor * (model.choked if self.is_choked(now_us) else 1.0)
--- a/standins/playing/command.py
+++ b/standins/playing/command.py
@@ -105,7 +105,7 @@
             world.on_progress = say
 
             async def tick() -> None:
-                while not any(door.is_open for door in world.front.doors.values()):
+                while not any(door.is_open for door in world.front.targets_by_name.values()):
                     await asyncio.sleep(0.05)
                 progress.update(task, description=scenario.name)
                 start = asyncio.get_running_loop().time()
--- a/standins/playing/keeper_play.py
+++ b/standins/playing/keeper_play.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import IO, Any
 
-from standins.parties.box import Box
-from standins.parties.fleet import ROOT, _die_with_parent
+from standins.parties.backend import Backend
+from standins.parties.fleet import ROOT, kill_with_parent
 from standins.event_log import BackendStopped, FaultInjected, NotificationDelivered, now_us
 from standins.parties.network import Address, TcpLink
 from standins.playing.play import DRAINS_S, World
@@ -31,17 +31,17 @@
     """The program beside a box."""
 
     def __init__(
-        self, program: Sequence[str], box: Box, hosts: str, kind: str, log: IO[bytes], since_ms: int
+        self, program: Sequence[str], box: Backend, hosts: str, kind: str, log: IO[bytes], since_ms: int
     ) -> None:
         assert box.address is not None
         self.process = subprocess.Popen(
             [
                 *program, "register", "--hosts", hosts, "--path", FOLDER,
                 "--name", box.name, "--address", f"{box.address[0]}:{box.address[1]}", "--zone", ROOMS[box.room],
-                "--type", kind, "--group", str(box.shelf.group), "--since-ms", str(since_ms),
+                "--type", kind, "--group", str(box.idempotency_store.group), "--since-ms", str(since_ms),
                 "--every-ms", str(CHECK_MS), "--session-ms", str(SESSION_MS), "--drain-s", str(DRAINS_S - 1),
             ],
-            cwd=ROOT, stdin=subprocess.DEVNULL, stdout=log, stderr=log, preexec_fn=_die_with_parent,
+            cwd=ROOT, stdin=subprocess.DEVNULL, stdout=log, stderr=log, preexec_fn=kill_with_parent,
         )  # fmt: skip
 
     def signal(self, signum: signal.Signals) -> None:
@@ -95,7 +95,7 @@
     async def build_registry(self) -> None:
         """There is none."""
 
-    def register(self, box: Box, lag_s: float | None) -> None:
+    def register(self, box: Backend, lag_s: float | None) -> None:
         if len(self.logs) > 256:
             raise RuntimeError("too many agents for one play")
         log = (self.folder / f"agent-{box.name}-{box.incarnation}.log").open("ab")
@@ -103,7 +103,7 @@
         old = self.agents.pop(box.name, None)
         if old is not None:
             old.end()
-        since_ms = box.started_us // 1000 if box.cold else 0
+        since_ms = box.started_us // 1000 if box.needs_warmup else 0
         self.agents[box.name] = Agent(self.program, box, self.keeper.hosts, self.kind.name, log, since_ms)
 
     def as_seen(self, connection: KeeperConnection, path: str, data: bytes) -> bytes:
@@ -128,14 +128,16 @@
             addresses = {box: self.links[gateway.name, box].address for box in self.boxes}
             known = [
                 {"name": box.name, "address": "{}:{}".format(*addresses[box.name]), "zone": ROOMS[box.room],
-                 "type": self.kind.name, "group": box.shelf.group, "status": "SERVING", "weight": 1.0, "since_ms": 0}
+                 "type": self.kind.name, "group": box.idempotency_store.group, "status": "SERVING", "weight": 1.0,
+                 "since_ms": 0}
                 for box in self.boxes.values()
-                if box.address is not None and box.incarnation == 1 and not box.cold
+                if box.address is not None and box.incarnation == 1 and not box.needs_warmup
             ]  # fmt: skip
             mine = settings(len(self.gateways), number, gateway.room, self.kind, self.rules, self.classes)
             return configuration(
                 gateway.name, f"127.0.0.1:{gateway.port}", "127.0.0.1:9",
-                f"{self.seed}/{number}/{len(gateway.exits)}", known, mine | {"membershipMode": "pushed"}, self.rules,
+                f"{self.seed}/{number}/{len(gateway.exit_codes)}", known, mine | {"membershipMode": "pushed"},
+                self.rules,
             )  # fmt: skip
 
         return made
@@ -192,8 +194,8 @@
             box.crash("silent")
             await self.come_back(box)
 
-    async def leave(self, box: Box) -> None:
-        box.leaving = True
+    async def leave(self, box: Backend) -> None:
+        box.is_leaving = True
         self.agents[box.name].signal(signal.SIGTERM)
         await asyncio.sleep(DRAINS_S)
         box.faults.drain = True
@@ -202,7 +204,7 @@
             await asyncio.sleep(0.02)
         box.crash("drained")
 
-    async def tell_drain(self, box: Box, wait_s: float) -> None:
+    async def tell_drain(self, box: Backend, wait_s: float) -> None:
         """The box's node goes, as somebody's hand may delete it; the box goes on."""
         await asyncio.sleep(wait_s)
         path = f"{FOLDER}/{box.name}"
@@ -211,7 +213,7 @@
             self.deleted[box.name] = node
             self.keeper.commit((Deleted(path),))
 
-    def tell_drain_over(self, box: Box) -> None:
+    def tell_drain_over(self, box: Backend) -> None:
         node = self.deleted.pop(box.name, None)
         if node is not None and node.stat.ephemeral_owner in self.keeper.sessions:
             made = Created(f"{FOLDER}/{box.name}", node.data, node.acl, node.stat.ephemeral_owner)
@@ -229,7 +231,7 @@
             self.agents[box.name].signal(signal.SIGCONT)
             self.busy.discard(box.name)
 
-    async def note_expiry(self, box: Box) -> None:
+    async def note_expiry(self, box: Backend) -> None:
         """Write down when the node went: that is the session's end."""
         end = asyncio.get_running_loop().time() + 10.0
         while box.name in self.keeper.tree.nodes[FOLDER].children:
--- a/standins/playing/play.py
+++ b/standins/playing/play.py
@@ -10,9 +10,15 @@
 from signal import Signals
 from typing import Any
 
-from standins.parties.box import Box, Shelf
-from standins.parties.clients import Clients, Door, Front, Habits, be_rude
-from standins.parties.fleet import PROGRAM, Fleet, Gateway
+from standins.parties.backend import Backend, IdempotencyStore
+from standins.parties.clients import (
+    ClientProfile,
+    ConnectionBalancer,
+    GatewayTarget,
+    LoadGenerator,
+    send_misbehaving_request,
+)
+from standins.parties.fleet import GATEWAY_COMMAND, Fleet, Gateway
 from standins.event_log import BackendStopped, EventLog, FaultInjected, ManualEjection, SchedulingDelay, now_us
 from standins.parties.mesh import Mesh
 from standins.parties.network import Address, Conditions, Network, TcpLink
@@ -51,13 +57,15 @@
         )  # fmt: skip
         self.network = Network(seed)
         self.registry = Registry(self.ledger, seed)
-        self.front = Front(seed)
+        self.front = ConnectionBalancer(seed)
         capacity = scenario.boxes * scenario.cores * 1e6 / MEAN_WORK_US
         self.rate = scenario.load * capacity
-        habits = Habits(keys=scenario.keys, popular=scenario.popular, hint=scenario.hint)
-        self.clients = Clients(self.ledger, self.front, seed, self.rate, habits)
-        self.shelves = [Shelf(n, self.classes["hold"].window_us) for n in range(scenario.shelves)]
-        self.boxes: dict[str, Box] = {}
+        habits = ClientProfile(
+            key_count=scenario.keys, popular_key_share=scenario.popular, work_hint_factor=scenario.hint
+        )
+        self.clients = LoadGenerator(self.ledger, self.front, seed, self.rate, habits)
+        self.shelves = [IdempotencyStore(n, self.classes["hold"].window_us) for n in range(scenario.shelves)]
+        self.boxes: dict[str, Backend] = {}
         self.entries: dict[str, Entry] = {}
         self.links: dict[tuple[str, str], TcpLink] = {}  # gateway, box
         self.views: dict[str, View] = {}
@@ -75,15 +83,15 @@
                 self.ledger,
                 self.on_ready,
                 self.on_exit,
-                sockets=scenario.sockets,
-                has_ops=scenario.ops,
+                max_descriptors=scenario.sockets,
+                has_ops_address=scenario.ops,
             )  # fmt: skip
             for n in range(scenario.gateways)
         ]
         self.fleet = Fleet(self.gateways)
         talk = scenario.duties or scenario.sharing
-        self.mesh = Mesh(self.network, scenario.gateways, watched=False) if talk else None
-        self.program: tuple[str, ...] = PROGRAM
+        self.mesh = Mesh(self.network, scenario.gateways, has_watcher=False) if talk else None
+        self.program: tuple[str, ...] = GATEWAY_COMMAND
 
     def use(self, program: tuple[str, ...]) -> None:
         """Play another program than the gateway as it stands."""
@@ -115,10 +123,10 @@
             link.open()
             self.links[name, REGISTRY] = link
 
-    async def add_box(self, name: str, room: int, cold: bool, lag_s: float | None, port: int = 0) -> Box:
+    async def add_box(self, name: str, room: int, cold: bool, lag_s: float | None, port: int = 0) -> Backend:
         """A box that runs; with a lag the registry hears of it later, else it knows it from the start."""
         shelf = self.shelves[len(self.boxes) // len(ROOMS) % len(self.shelves)]
-        box = Box(
+        box = Backend(
             name, room, shelf, self.ledger, self.network, self.kind, self.rules, self.seed,
             lambda up: self.on_listening(name, up),
         )  # fmt: skip
@@ -130,9 +138,9 @@
         self.register(box, lag_s)
         return box
 
-    def register(self, box: Box, lag_s: float | None) -> None:
-        since_ms = box.started_us // 1000 if box.cold else 0
-        entry = Entry(box.name, ROOMS[box.room], self.kind.name, box.shelf.group, since_ms)
+    def register(self, box: Backend, lag_s: float | None) -> None:
+        since_ms = box.started_us // 1000 if box.needs_warmup else 0
+        entry = Entry(box.name, ROOMS[box.room], self.kind.name, box.idempotency_store.group, since_ms)
         self.entries[box.name] = entry
         if lag_s is None:
             self.registry.put(entry)
@@ -172,11 +180,11 @@
             told = settings(len(self.gateways), number, gateway.room, self.kind, self.rules, self.classes)
             made = configuration(
                 name, f"127.0.0.1:{gateway.port}", f"{discovery[0]}:{discovery[1]}",
-                f"{self.seed}/{name}/{len(gateway.exits)}", known, told, self.rules,
+                f"{self.seed}/{name}/{len(gateway.exit_codes)}", known, told, self.rules,
             )  # fmt: skip
             if self.mesh is not None:
                 told["caps"]["peers"] = True
-                listen = self.mesh.listens[number]
+                listen = self.mesh.listen_addresses[number]
                 made |= {"peer_listen": f"{listen[0]}:{listen[1]}", "peers": self.mesh.peers(number)}
             return made
 
@@ -185,14 +193,14 @@
     # Gateways come and go
 
     def on_ready(self, gateway: Gateway) -> None:
-        self.front.admit(Door(gateway.name, gateway.room, gateway.address))
+        self.front.add(GatewayTarget(gateway.name, gateway.room, gateway.address))
 
     def on_exit(self, gateway: Gateway) -> None:
-        self.front.on_dead(gateway.name)
+        self.front.schedule_close_after_failure(gateway.name)
 
     async def restart(self, gateway: Gateway, kill: bool) -> None:
         if not kill:
-            self.front.on_term(gateway.name)
+            self.front.schedule_planned_close(gateway.name)
         await gateway.restart(kill)
 
     # Playing
@@ -204,7 +212,7 @@
         with self.fleet:
             try:
                 self.fleet.start()
-                if not await self.fleet.ready(self.ledger):
+                if not await self.fleet.wait_until_ready(self.ledger):
                     raise RuntimeError("not every gateway became ready; see its log")
                 start = asyncio.get_running_loop().time()
                 planned = [self.spawn(self.on_time(start, trouble)) for trouble in self.scenario.troubles]
@@ -214,7 +222,7 @@
                         await asyncio.wait((task,), timeout=10.0)
                 await asyncio.sleep(QUIET_S)
                 await self.fleet.stop()
-                self.faults = [fault for gateway in self.gateways for fault in gateway.faults()]
+                self.faults = [fault for gateway in self.gateways for fault in gateway.defect_lines()]
                 if self.failures:
                     raise self.failures[0]
             finally:
@@ -265,7 +273,7 @@
         self.on_progress(text)
         await getattr(self, f"do_{planned.do}")(**keys)
 
-    def choose(self, count: int) -> list[Box]:
+    def choose(self, count: int) -> list[Backend]:
         """Boxes that run and that no other trouble has; at least one is left alone."""
         free = [box for box in self.boxes.values() if box.server is not None and box.name not in self.busy]
         chosen = self.dice.sample(free, min(count, max(0, len(free) - 1)))
@@ -297,12 +305,12 @@
         for box in chosen:
             await self.come_back(box, renamed)
 
-    async def come_back(self, box: Box, renamed: bool = False) -> None:
+    async def come_back(self, box: Backend, renamed: bool = False) -> None:
         lag_s = self.dice.uniform(0.2, 2.0)
         if renamed:
             await self.add_box(f"{box.name}r{box.incarnation}", box.room, cold=True, lag_s=lag_s)
             return
-        await box.start(cold=True)
+        await box.start(needs_warmup=True)
         self.register(box, lag_s)
         self.busy.discard(box.name)
 
@@ -318,13 +326,13 @@
             box.crash("silent")
             await self.come_back(box)
 
-    def cut_off(self, box: Box) -> None:
-        box.silence(True)
+    def cut_off(self, box: Backend) -> None:
+        box.set_silent(True)
         for (_, name), link in self.links.items():
             if name == box.name:
                 link.cut()
 
-    def reset_links(self, box: Box) -> None:
+    def reset_links(self, box: Backend) -> None:
         for (_, name), link in self.links.items():
             if name == box.name:
                 link.heal(reset=True)
@@ -344,23 +352,23 @@
         await self.with_faults(boxes, for_s, hang=True)
 
     async def do_slow(self, for_s: float, boxes: int = 1, factor: float = 3.0) -> None:
-        await self.with_faults(boxes, for_s, slow=factor)
+        await self.with_faults(boxes, for_s, slowdown_factor=factor)
 
     async def do_errors(self, for_s: float, boxes: int = 1, share: float = 0.3) -> None:
-        await self.with_faults(boxes, for_s, error=share)
+        await self.with_faults(boxes, for_s, error_share=share)
 
     async def do_spoil(self, for_s: float, boxes: int = 1, share: float = 0.2, kind: str = "") -> None:
-        await self.with_faults(boxes, for_s, spoil=share, spoil_kind=kind)
+        await self.with_faults(boxes, for_s, malformed_share=share, malformed_kind=kind)
 
     async def do_late(self, for_s: float, boxes: int = 1, share: float = 0.3) -> None:
-        await self.with_faults(boxes, for_s, late=share)
+        await self.with_faults(boxes, for_s, late_share=share)
 
     async def do_reset(self, for_s: float, boxes: int = 1, share: float = 0.3, at_byte: int = 20) -> None:
-        await self.with_faults(boxes, for_s, reset=share, reset_at=at_byte)
+        await self.with_faults(boxes, for_s, reset_share=share, reset_at_byte=at_byte)
 
-    async def leave(self, box: Box) -> None:
+    async def leave(self, box: Backend) -> None:
         """As a planned end goes: the registry hears of it, the box finishes what it has, then it is gone."""
-        box.leaving = True
+        box.is_leaving = True
         self.registry.announce(self.entries[box.name], "DRAINING", self.dice.uniform(0.1, 0.5))
         await asyncio.sleep(DRAINS_S)
         box.faults.drain = True
@@ -380,7 +388,7 @@
     async def do_shrink(self, boxes: int, for_s: float, over_s: float = 10.0) -> None:
         chosen = self.choose(boxes)
 
-        async def one(box: Box, wait_s: float) -> None:
+        async def one(box: Backend, wait_s: float) -> None:
             await asyncio.sleep(wait_s)
             await self.leave(box)
 
@@ -426,47 +434,47 @@
 
     async def do_pause(self, for_s: float, gateways: int = 1, drain: bool = False) -> None:
         """Gateways stand still; with `drain`, as many boxes are told to drain meanwhile, and go on answering."""
-        awake = [gateway for gateway in self.gateways if gateway.is_running and not gateway.stopped]
+        awake = [gateway for gateway in self.gateways if gateway.is_running and not gateway.is_stopped]
         chosen = self.dice.sample(awake, min(gateways, len(awake)))
         for gateway in chosen:
-            gateway.signal(Signals.SIGSTOP)
+            gateway.send_signal(Signals.SIGSTOP)
         boxes = self.choose(len(chosen)) if drain else []
         tellings = [self.spawn(self.tell_drain(box, self.dice.uniform(0.1, 0.9) * for_s)) for box in boxes]
         await asyncio.sleep(for_s)
         for gateway in chosen:
-            gateway.signal(Signals.SIGCONT)
+            gateway.send_signal(Signals.SIGCONT)
         await asyncio.sleep(AFTER_PAUSE_S if drain else 0.0)
         await asyncio.gather(*tellings)
         for box in boxes:
             self.tell_drain_over(box)
 
-    async def tell_drain(self, box: Box, wait_s: float) -> None:
+    async def tell_drain(self, box: Backend, wait_s: float) -> None:
         """The list says that a box drains; the box goes on."""
         await asyncio.sleep(wait_s)
         self.registry.announce(self.entries[box.name], "DRAINING", 0.0)
 
-    def tell_drain_over(self, box: Box) -> None:
+    def tell_drain_over(self, box: Backend) -> None:
         self.registry.announce(self.entries[box.name], "SERVING", 0.0)
         self.busy.discard(box.name)
 
     async def do_early(self, signal: str = "HUP") -> None:
         """A gateway is signalled to while it starts: it has begun to load its libraries, and serves nobody yet."""
         gateway = self.dice.choice([gateway for gateway in self.gateways if gateway.is_running])
-        gateway.signal(Signals.SIGKILL)
-        await gateway.ended(5.0)
+        gateway.send_signal(Signals.SIGKILL)
+        await gateway.wait_for_exit(5.0)
         gateway.start()
         end = asyncio.get_running_loop().time() + 5.0
         while not gateway.has_loaded(EARLY_LIBRARY) and asyncio.get_running_loop().time() < end:
             await asyncio.sleep(0.001)
-        gateway.signal(Signals[f"SIG{signal}"])
+        gateway.send_signal(Signals[f"SIG{signal}"])
         if signal == "TERM":
-            await gateway.ended(5.0)
+            await gateway.wait_for_exit(5.0)
             gateway.start()
 
     # Staff at work
 
     async def staff_call(self, gateway: Gateway, line: str) -> None:
-        said = await gateway.call(line)
+        said = await gateway.send_ops_command(line)
         if not said.startswith("ACK"):
             raise RuntimeError(f"{gateway.name}: {line}: expected ACK, found {said!r}")
 
@@ -481,7 +489,7 @@
         await asyncio.sleep(for_s / 2)
         for box in chosen:
             box.crash("drained")
-            await box.start(cold=True)
+            await box.start(needs_warmup=True)
             self.register(box, self.dice.uniform(0.2, 2.0))
         await asyncio.sleep(for_s / 2)
         for ban in bans:
@@ -494,7 +502,7 @@
         chosen = self.dice.sample(self.gateways, min(gateways, len(self.gateways) - 1))
         for gateway in chosen:
             await self.staff_call(gateway, "PAUSE")
-            self.front.on_term(gateway.name)
+            self.front.schedule_planned_close(gateway.name)
         await asyncio.sleep(for_s)
         for gateway in chosen:
             await self.staff_call(gateway, "RESUME")
@@ -529,7 +537,7 @@
             link.open()
             self.links[gateway.name, REGISTRY] = link
             gateway.write_configuration()
-            gateway.signal(Signals.SIGHUP)
+            gateway.send_signal(Signals.SIGHUP)
             old.refuse()
 
     # Troubles of the network and of clients
@@ -563,13 +571,19 @@
         loop = asyncio.get_running_loop()
         end, tasks = loop.time() + for_s, list[asyncio.Task[Any]]()
         while loop.time() < end:
-            door = self.front.pick(self.dice.randrange(len(ROOMS)))
+            door = self.front.pick_target(self.dice.randrange(len(ROOMS)))
             if door is not None:
-                tasks.append(loop.create_task(be_rude(self.ledger, door, self.dice, kind, self.clients.open_id)))
+                tasks.append(
+                    loop.create_task(
+                        send_misbehaving_request(
+                            self.ledger, door, self.dice, kind, self.clients.pick_open_request_id
+                        )
+                    )
+                )
             await asyncio.sleep(self.dice.expovariate(rate))
         await asyncio.gather(*tasks)
 
     async def do_surge(self, for_s: float, factor: float) -> None:
-        self.clients.rate = self.rate * factor
+        self.clients.operations_per_s = self.rate * factor
         await asyncio.sleep(for_s)
-        self.clients.rate = self.rate
+        self.clients.operations_per_s = self.rate
--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -108,14 +108,14 @@
 
     def signal(self, relay: int, signum: signal.Signals) -> int:
         at_us = self.note(f"relay-{relay}: {signum.name}")
-        self.relays[relay].signal(signum)
+        self.relays[relay].send_signal(signum)
         return at_us
 
     async def kill(self, *relays: int) -> None:
         for relay in relays:
             self.signal(relay, signal.SIGKILL)
         for relay in relays:
-            assert await self.relays[relay].ended(10.0)
+            assert await self.relays[relay].wait_for_exit(10.0)
 
     def write_roster(self, relay: int, lacks: Iterable[str] = ()) -> None:
         """Write the roster, without the gateways in `lacks`, that a relay reads at its next start or SIGHUP."""
@@ -235,7 +235,7 @@
         return sum(poll.gateway.startswith("n") for poll in self.ledger.events_of(DiscoveryPoll))
 
     def faults(self) -> list[str]:
-        return [fault for process in self.gateways + self.relays for fault in process.faults()]
+        return [fault for process in self.gateways + self.relays for fault in process.defect_lines()]
 
     def assert_healthy(self) -> None:
         """Check that requests were served, and that no process logged a defect."""
--- a/tests/control_plane/test_relay_fleet.py
+++ b/tests/control_plane/test_relay_fleet.py
@@ -147,7 +147,7 @@
         await fleet.wait_until(at_us + int(LOST_S * 1e6))
         fleet.assert_left_within(1, at_us, LOST_S)
         fleet.assert_left_within(0, at_us, 0.0)
-        assert fleet.relays[1].exits == [0]
+        assert fleet.relays[1].exit_codes == [0]
 
 
 @on_loop
--- a/tests/discovery/test_session_stall.py
+++ b/tests/discovery/test_session_stall.py
@@ -52,5 +52,5 @@
     assert {t.backend for t in later_notifications if t.status == "SERVING"} >= set(world.boxes) - {
         b for b in world.busy
     }
-    assert all(gateway.exits == [0] for gateway in world.gateways)
+    assert all(gateway.exit_codes == [0] for gateway in world.gateways)
     assert not find_violations(world.ledger)
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -21,7 +21,7 @@
 from standins.parties.fleet import Gateway
 from standins.event_log import EventLog, ProcessEvent, now_us
 from standins.checker.leases import ObservedAct, LeaseViolation, leadership_gaps, check_leases
-from standins.parties.mesh import Mesh, duty_number, host_number
+from standins.parties.mesh import Mesh, host_number, role_number
 from standins.parties.network import Network
 from standins.parties.zookeeper.threaded import Threaded
 from tests import sockets
@@ -70,7 +70,7 @@
             settings["contract"] |= {
                 "startCapacity": 0.3, "warmAfterUs": WARM_S * 1_000_000, "tipMultiple": 3.0, "fallUs": 1_000_000,
             }  # fmt: skip
-            listen = self.mesh.listens[number]
+            listen = self.mesh.listen_addresses[number]
             return config | {
                 "name": f"n{number}", "listen": f"127.0.0.1:{self.gateways[number].port}",
                 "known": hosts_list(7, cold, *warm), "settings": settings,
@@ -91,7 +91,7 @@
         options.write_text(self.options())
         made = Gateway(
             f"n{number}", 0, self.folder, self.configure(number), self.ledger,
-            environment={"CLOVERKEEL_OPTIONS": str(options)}, command=sockets.PROGRAM, has_ops=True,
+            environment={"CLOVERKEEL_OPTIONS": str(options)}, command=sockets.PROGRAM, has_ops_address=True,
         )  # fmt: skip
         self.gateways.append(made)
         return made
@@ -103,7 +103,7 @@
 
     def signal(self, number: int, signum: signal.Signals) -> None:
         self.note(f"n{number}: {signum.name}")
-        self.gateways[number].signal(signum)
+        self.gateways[number].send_signal(signum)
 
     def stop(self, *numbers: int) -> None:
         for number in numbers:
@@ -117,7 +117,7 @@
         for number in numbers:
             self.signal(number, signal.SIGKILL)
         for number in numbers:
-            assert await self.gateways[number].ended(10.0)
+            assert await self.gateways[number].wait_for_exit(10.0)
         if not any(gateway.is_running for gateway in self.gateways):
             await asyncio.sleep(0.05)  # what they had sent has been read
             self.blanks.append(now_us())
@@ -142,7 +142,7 @@
         self.mesh.heal()
 
     async def call(self, number: int, line: str) -> str:
-        return await self.gateways[number].call(line)
+        return await self.gateways[number].send_ops_command(line)
 
     async def shown(self, number: int, line: str = "DUTIES") -> dict[str, Any]:
         said = await self.call(number, line)
@@ -169,7 +169,7 @@
         """Who acts, at or after this moment; not that one."""
 
         def acting() -> ObservedAct | None:
-            act = self.mesh.watcher.holder(self.duty)
+            act = self.mesh.watcher.last_act_of(self.duty)
             return act if act is not None and act.at_us >= after_us and act.gateway != but else None
 
         found = await self.wait(acting, f"a holder{f' but n{but}' if but is not None else ''}", within_s)
@@ -181,7 +181,7 @@
         """The same holder acts, with the same epoch, until then; what is older is for the fence (`check`)."""
         first, until_us = len(self.acts), now_us() + int(for_s * 1e6)
         await self.wait(
-            lambda: (act := self.mesh.watcher.holder(self.duty)) is not None and act.at_us > until_us,
+            lambda: (act := self.mesh.watcher.last_act_of(self.duty)) is not None and act.at_us > until_us,
             "acts go on", for_s + 20.0,
         )  # fmt: skip
         others = {act.fencing_token for act in self.acts[first:] if act.fencing_token > held.fencing_token}
@@ -205,7 +205,7 @@
         """Never two, tokens only grow, and no defect on any log."""
         wrong = self.judged()
         assert not wrong, f"{wrong[:3]}\n{self.timeline()}"
-        faults = [fault for gateway in self.gateways for fault in gateway.faults()]
+        faults = [fault for gateway in self.gateways for fault in gateway.defect_lines()]
         assert not faults, f"{faults}\n{self.timeline()}"
 
     def timeline(self) -> str:
@@ -240,8 +240,8 @@
         await mesh.open()
         started_us = now_us() // 1000 * 1000
         names = ["s-0", *(f"c-{n}" for n in range(1, colds))]
-        mesh.watcher.duties += [duty_number(f"warden/{host_number(name)}/{started_us}") for name in names]
-        duty = mesh.watcher.duties[0]
+        mesh.watcher.roles += [role_number(f"warden/{host_number(name)}/{started_us}") for name in names]
+        duty = mesh.watcher.roles[0]
         made = Ground(folder, count, voters, lease_ms, host, network, mesh, duty, started_us)
         made.keeper, made.warm, made.colds = keeper, list(warm), colds
         for number in range(count):
--- a/tests/fleet/shared.py
+++ b/tests/fleet/shared.py
@@ -47,7 +47,7 @@
             settings = config["settings"] | {"balancers": self.count, "index": number}
             settings["zone"] = self.zones[number] if self.zones else 0
             settings["caps"] |= {"peers": True}
-            listen = self.mesh.listens[number]
+            listen = self.mesh.listen_addresses[number]
             return config | {
                 "name": f"n{number}", "listen": f"127.0.0.1:{self.gateways[number].port}",
                 "known": hosts_list(7, *known), "settings": settings, "seed": f"5eed{number}",
@@ -133,7 +133,7 @@
         return any(known["host"] == host and known["doubted"] for known in found["hosts"])
 
     def check(self) -> None:
-        faults = [fault for gateway in self.gateways for fault in gateway.faults()]
+        faults = [fault for gateway in self.gateways for fault in gateway.defect_lines()]
         assert not faults, f"{faults}\n{self.timeline()}"
 
 
@@ -158,7 +158,7 @@
         return answer
 
     network = Network(1)
-    mesh = Mesh(network, count, watched=False)
+    mesh = Mesh(network, count, has_watcher=False)
     peers = [peer(script(n)) for n in range(hosts)]
     opened = [await one.__aenter__() for one in peers]
     try:
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -149,7 +149,7 @@
         await fleet.wait(
             lambda: all(link.came > 3 for link in fleet.mesh.links.values()), "datagrams were sent over all links"
         )
-        fleet.mesh.trouble(Conditions(late=1.0, late_us=4_000_000))
+        fleet.mesh.set_conditions(Conditions(late=1.0, late_us=4_000_000))
         fleet.fail(0)
         await fleet.until(
             OTHER_GATEWAYS,
@@ -157,7 +157,7 @@
             "the other gateways sent requests to the failing host",
         )
         fleet.mend(0)
-        fleet.mesh.trouble(Conditions())
+        fleet.mesh.set_conditions(Conditions())
         marks = fleet.marks()
         received = {pair: link.came for pair, link in fleet.mesh.links.items()}
         await asyncio.sleep(3.5)  # the reports sent during the fault are still in transit
@@ -194,7 +194,7 @@
 @on_loop
 async def test_reports_spread_despite_lost_repeated_truncated_and_corrupt_datagrams(tmp_path: Path) -> None:
     async with shared(tmp_path) as fleet:
-        fleet.mesh.trouble(
+        fleet.mesh.set_conditions(
             Conditions(jitter_us=20_000, loss=0.3, double=0.3, late=0.1, late_us=1_000_000, short=0.1, spoilt=0.1)
         )
         await fail_host_for_others(fleet)
@@ -251,7 +251,7 @@
     """One gateway spends at most what all gateways together may save, though most tokens moved to it."""
     async with shared(tmp_path, count=4) as fleet:
         if doubled:
-            fleet.mesh.trouble(Conditions(double=1.0, jitter_us=5_000))
+            fleet.mesh.set_conditions(Conditions(double=1.0, jitter_us=5_000))
         spent = await max_overdraft(fleet, 2 * MAX_SAVED_TOKENS)
         assert spent <= fleet.count * MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
         fleet.check()
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -120,7 +120,7 @@
             winners = first if len(voters) >= 3 else second
             await fleet.wait(
                 lambda winners=winners: (  # type: ignore[misc]
-                    (act := fleet.mesh.watcher.holder(fleet.duty)) is not None
+                    (act := fleet.mesh.watcher.last_act_of(fleet.duty)) is not None
                     and act.gateway in winners and now_us() - act.at_us < 50_000
                 ),
                 f"one of {winners} holds",
@@ -186,7 +186,7 @@
         first = await fleet.holder(after_us=fleet.blanks[-1])
         assert first.fencing_token < held.fencing_token  # otherwise the test exercises nothing
         await fleet.wait(
-            lambda: (act := fleet.mesh.watcher.holder(fleet.duty)) and act.fencing_token > held.fencing_token,
+            lambda: (act := fleet.mesh.watcher.last_act_of(fleet.duty)) and act.fencing_token > held.fencing_token,
             "a token above the rejected one",
         )
         await fleet.goes_on(await fleet.holder(after_us=now_us()), fleet.lease_s)
@@ -199,7 +199,7 @@
 ) -> None:
     async with ground(tmp_path, count=5, voters=5) as fleet:
         await fleet.holder()
-        fleet.mesh.trouble(
+        fleet.mesh.set_conditions(
             Conditions(
                 delay_us=1_000, jitter_us=30_000, loss=0.3, double=0.2, late=0.1, late_us=1_500_000, short=0.02,
                 spoilt=0.02,
@@ -212,12 +212,12 @@
             fleet.stop(number)
             await fleet.wait(
                 lambda number=number: (  # type: ignore[misc]
-                    (act := fleet.mesh.watcher.holder(fleet.duty)) is not None and act.gateway != number
+                    (act := fleet.mesh.watcher.last_act_of(fleet.duty)) is not None and act.gateway != number
                 ),
                 f"a gateway other than n{number} holds",
             )  # fmt: skip
             fleet.wake(number)
-        fleet.mesh.trouble(Conditions())
+        fleet.mesh.set_conditions(Conditions())
         await fleet.holder(after_us=now_us())
         fleet.check()
 
@@ -298,7 +298,7 @@
             assert (await fleet.call(number, "KEEPOFF")).startswith("ACK")
         # The first excluded gateway may hand over to the second one before that is excluded, too.
         second = await fleet.wait(
-            lambda: act if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.gateway == restarted else None,
+            lambda: act if (act := fleet.mesh.watcher.last_act_of(fleet.duty)) and act.gateway == restarted else None,
             f"n{restarted} holds",
         )  # fmt: skip
         assert second.fencing_token > after.fencing_token
--- a/tests/fleet/test_leases_zookeeper.py
+++ b/tests/fleet/test_leases_zookeeper.py
@@ -82,7 +82,7 @@
         after = await fleet.wait(
             lambda: (
                 act
-                if (act := fleet.mesh.watcher.holder(fleet.duty)) and act.fencing_token > held.fencing_token
+                if (act := fleet.mesh.watcher.last_act_of(fleet.duty)) and act.fencing_token > held.fencing_token
                 else None
             ),
             "a newer token",
@@ -148,7 +148,7 @@
             return act is not None and (same or act.fencing_token > held.fencing_token)
 
         await fleet.wait(
-            lambda: is_above(fleet.mesh.watcher.holder(fleet.duty)), "a newer token, or the same holder", 25.0
+            lambda: is_above(fleet.mesh.watcher.last_act_of(fleet.duty)), "a newer token, or the same holder", 25.0
         )
 
 
--- a/tests/test_overload_picture.py
+++ b/tests/test_overload_picture.py
@@ -15,7 +15,7 @@
 from benchmarks.overload.plan import LOADS, Step, Terms, steps
 from benchmarks.overload.play import OWN, Mark, Play, between, rounded, told_of, wants_of
 from standins.event_log import EventLog, OperationStarted, RequestSent, ResponseMissing, ResponseReceived
-from standins.parties.strain import Choke
+from standins.parties.overload_model import OverloadModel
 
 S = 1_000_000
 WINDOWS = [Window("one", 0.9, 10 * S, 12 * S, "up"), Window("two", 1.6, 12 * S, 14 * S, "up")]
@@ -232,8 +232,8 @@
 
 
 def test_a_law_is_told_by_its_fields() -> None:
-    assert command.parse_law("off") is None and command.parse_law("") == Choke()
-    assert command.parse_law("easy=4,steep=0.1,stale=no") == Choke(easy=4, steep=0.1, stale=False)
+    assert command.parse_law("off") is None and command.parse_law("") == OverloadModel()
+    assert command.parse_law("easy=4,steep=0.1,stale=no") == OverloadModel(easy=4, steep=0.1, stale=False)
     assert rounded({"a": [float("inf"), 0.12345]}) == {"a": [None, 0.1235]}
 
 
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -17,8 +17,16 @@
 
 import pytest
 
-from standins.parties.clients import MAY_BE_SERVED, Clients, Door, Front, Habits, be_rude, rude_requests
-from standins.parties.fleet import ROOT, Fleet, Gateway, usage_of
+from standins.parties.clients import (
+    MAY_BE_SERVED_KINDS,
+    ClientProfile,
+    ConnectionBalancer,
+    GatewayTarget,
+    LoadGenerator,
+    build_misbehaving_requests,
+    send_misbehaving_request,
+)
+from standins.parties.fleet import ROOT, Fleet, Gateway, read_usage
 from standins.event_log import (
     EventLog,
     MisbehavingClient,
@@ -35,20 +43,26 @@
 from tests.sockets import Exchange, Peer, configuration, on_loop, peer, reply, request, silent, until
 
 
-def door(to: Peer, name: str = "n0", room: int = 0) -> Door:
+def door(to: Peer, name: str = "n0", room: int = 0) -> GatewayTarget:
     host, _, port = to.address.partition(":")
-    return Door(name, room, (host, int(port)))
+    return GatewayTarget(name, room, (host, int(port)))
 
 
 def echo(exchange: Exchange) -> None:
     exchange.answer(reply(200, exchange.message.headers["x-call-id"].encode() + b" s-0 ..."))
 
 
-def clients_of(*doors: Door, **habits: Any) -> Clients:
-    front = Front(1, notice_s=(0.05, 0.06))
+def clients_of(*doors: GatewayTarget, **habits: Any) -> LoadGenerator:
+    front = ConnectionBalancer(1, detection_delay_s=(0.05, 0.06))
     for one in doors:
-        front.admit(one)
-    return Clients(EventLog(), front, 1, 200.0, Habits(leave=0.0, wait_s=0.001) if not habits else Habits(**habits))
+        front.add(one)
+    return LoadGenerator(
+        EventLog(),
+        front,
+        1,
+        200.0,
+        ClientProfile(early_disconnect_share=0.0, retry_delay_s=0.001) if not habits else ClientProfile(**habits),
+    )
 
 
 @on_loop
@@ -56,12 +70,12 @@
     async with peer(echo) as gateway:
         clients = clients_of(door(gateway))
         await clients.run(1.0)
-        wanted = list(clients.ledger.events_of(OperationStarted))
+        wanted = list(clients.event_log.events_of(OperationStarted))
         assert 120 < len(wanted) < 300
         shares = Counter(want.request_class for want in wanted)
         for klass in CLASSES.values():
             assert abs(shares[klass.name] / len(wanted) - klass.share) < 0.12
-        answers = list(clients.ledger.events_of(ResponseReceived))
+        answers = list(clients.event_log.events_of(ResponseReceived))
         assert len(answers) == len(wanted) and all(a.status == 200 and a.echoed_id == a.id for a in answers)
         posts = [x.message for x in gateway.seen if x.message.first.startswith("POST /hold")]
         assert posts and all("idempotency-key" in message.headers for message in posts)
@@ -72,11 +86,11 @@
     async def drawn(seed: int) -> list[str]:
         async with peer(echo) as gateway:
             clients = clients_of(door(gateway))
-            clients.dice = random.Random(seed)
+            clients.rng = random.Random(seed)
             for _ in range(30):
-                clients.spawn()
+                clients.start_operation()
             await asyncio.wait(clients.tasks)
-            return sorted(want.request_class for want in clients.ledger.events_of(OperationStarted))
+            return sorted(want.request_class for want in clients.event_log.events_of(OperationStarted))
 
     assert await drawn(3) == await drawn(3)
 
@@ -88,14 +102,14 @@
 
     async with peer(refuse) as gateway:
         clients = clients_of(door(gateway))
-        await clients.want(CLASSES["transfer"])
-        assert [asked.id for asked in clients.ledger.events_of(RequestSent)] == ["1.1", "1.1-1", "1.1-2"]
-        assert {asked.first_id for asked in clients.ledger.events_of(RequestSent)} == {"1.1"}
-        assert next(iter(clients.ledger.events_of(ResponseReceived))).retry_after_us == 1000
+        await clients.run_operation(CLASSES["transfer"])
+        assert [asked.id for asked in clients.event_log.events_of(RequestSent)] == ["1.1", "1.1-1", "1.1-2"]
+        assert {asked.first_id for asked in clients.event_log.events_of(RequestSent)} == {"1.1"}
+        assert next(iter(clients.event_log.events_of(ResponseReceived))).retry_after_us == 1000
         gateway.script = lambda exchange: exchange.answer(reply(502, b""))
-        await clients.want(CLASSES["transfer"])
-        assert [asked.id for asked in clients.ledger.events_of(RequestSent)][3:] == ["1.2"]
-        await clients.want(CLASSES["hold"])
+        await clients.run_operation(CLASSES["transfer"])
+        assert [asked.id for asked in clients.event_log.events_of(RequestSent)][3:] == ["1.2"]
+        await clients.run_operation(CLASSES["hold"])
         keys = [x.message.headers["idempotency-key"] for x in gateway.seen[4:]]
         assert len(keys) == 3 and len(set(keys)) == 1  # the same thing, so the same key
 
@@ -115,13 +129,13 @@
         clients, klass = clients_of(door(gateway)), CLASSES["search"]
 
         async def ask(id_: str) -> object:
-            data = clients.request(klass, id_, "central", 400_000, 1, "", 0)
-            return await clients.ask(0, klass, id_, data, 400_000, "", "central", id_, False)
+            data = clients.build_request(klass, id_, "central", 400_000, 1, "", 0)
+            return await clients.send_attempt(0, klass, id_, data, 400_000, "", "central", id_, False)
 
         if kept:
             assert isinstance(await ask("one"), ResponseReceived)
         final = await ask("two")
-        asked = [(entry.id, entry.is_resend) for entry in clients.ledger.events_of(RequestSent)]
+        asked = [(entry.id, entry.is_resend) for entry in clients.event_log.events_of(RequestSent)]
         if kept:
             assert isinstance(final, ResponseReceived) and final.echoed_id == "two" and gateway.opened == 2
             assert asked == [("one", False), ("two", False), ("two", True)]
@@ -129,48 +143,48 @@
             assert (
                 isinstance(final, ResponseMissing) and final.how in ("reset", "closed") and asked == [("two", False)]
             )
-        assert [entry.id for entry in clients.ledger.events_of(ResponseMissing)] == ([] if kept else ["two"])
+        assert [entry.id for entry in clients.event_log.events_of(ResponseMissing)] == ([] if kept else ["two"])
 
 
 @on_loop
 async def test_silence_and_bytes_that_nobody_asked_for_are_written_down() -> None:
     async with peer(lambda exchange: None) as gateway:
-        clients = clients_of(door(gateway), retries=0, try_share=0.05, leave=0.0)
-        await clients.want(CLASSES["search"])
-        assert [lost.how for lost in clients.ledger.events_of(ResponseMissing)] == ["none"]
+        clients = clients_of(door(gateway), max_retries=0, attempt_timeout_share=0.05, early_disconnect_share=0.0)
+        await clients.run_operation(CLASSES["search"])
+        assert [lost.how for lost in clients.event_log.events_of(ResponseMissing)] == ["none"]
 
         def twice(exchange: Exchange) -> None:
             echo(exchange)
             asyncio.get_running_loop().call_later(0.02, exchange.answer, b"HTTP/1.1 200 OK\r\n")
 
         gateway.script = twice
-        await clients.want(CLASSES["search"])
-        await until(lambda: list(clients.ledger.events_of(UnexpectedBytes)))
+        await clients.run_operation(CLASSES["search"])
+        await until(lambda: list(clients.event_log.events_of(UnexpectedBytes)))
 
 
 @on_loop
 async def test_the_front_deals_by_room_and_is_slow_to_notice() -> None:
     addresses: list[Address] = [("127.0.0.1", n) for n in range(1, 5)]
-    doors = [Door(f"n{n}", n % 2, address) for n, address in enumerate(addresses)]
-    front = Front(1, notice_s=(0.05, 0.06))
-    assert front.pick(0) is None
+    doors = [GatewayTarget(f"n{n}", n % 2, address) for n, address in enumerate(addresses)]
+    front = ConnectionBalancer(1, detection_delay_s=(0.05, 0.06))
+    assert front.pick_target(0) is None
     for one in doors:
-        front.admit(one)
-    picked = [front.pick(1) for _ in range(10)]
+        front.add(one)
+    picked = [front.pick_target(1) for _ in range(10)]
     assert Counter(d.name for d in picked if d) == {"n1": 5, "n3": 5}
-    front.on_dead("n1")
-    assert {d.name for d in (front.pick(1) for _ in range(4)) if d} == {"n1", "n3"}  # not yet noticed
+    front.schedule_close_after_failure("n1")
+    assert {d.name for d in (front.pick_target(1) for _ in range(4)) if d} == {"n1", "n3"}  # not yet noticed
     await until(lambda: not doors[1].is_open)
-    assert {d.name for d in (front.pick(1) for _ in range(4)) if d} == {"n3"}
-    front.on_dead("n3")
-    front.admit(doors[3])  # it is back before anybody noticed
+    assert {d.name for d in (front.pick_target(1) for _ in range(4)) if d} == {"n3"}
+    front.schedule_close_after_failure("n3")
+    front.add(doors[3])  # it is back before anybody noticed
     await asyncio.sleep(0.08)
     assert doors[3].is_open
-    front.shut("n3")
-    assert {d.room for d in (front.pick(1) for _ in range(4)) if d} == {0}  # no gateway left in the room
+    front.close("n3")
+    assert {d.room for d in (front.pick_target(1) for _ in range(4)) if d} == {0}  # no gateway left in the room
 
 
-@pytest.mark.parametrize("kind", sorted(rude_requests(random.Random(1))))
+@pytest.mark.parametrize("kind", sorted(build_misbehaving_requests(random.Random(1))))
 @on_loop
 async def test_clients_that_break_the_protocol_are_owed_an_error_or_a_close(kind: str) -> None:
     """The real gateway, in this process: each kind gets one of them, and reaches no host."""
@@ -178,18 +192,20 @@
 
     async with peer() as host, running(configuration(host)) as run:
         ledger = EventLog()
-        door = Door("n0", 0, ("127.0.0.1", run.port))
+        door = GatewayTarget("n0", 0, ("127.0.0.1", run.port))
         if kind == "the id of an open request":
-            assert await be_rude(ledger, door, random.Random(1), kind) is None  # none is open: nothing to break
+            assert (
+                await send_misbehaving_request(ledger, door, random.Random(1), kind) is None
+            )  # none is open: nothing to break
             host.script = silent
             asked = await run.connect()
             asked.send(request(x_call_id="mine"))
             await until(lambda: host.seen)
-        rude = await be_rude(ledger, door, random.Random(1), kind, lambda gateway: "mine")
+        rude = await send_misbehaving_request(ledger, door, random.Random(1), kind, lambda gateway: "mine")
         assert rude is not None and list(ledger.events_of(MisbehavingClient)) == [rude]
         assert rude.ended_us - rude.at_us < 3_000_000 and rude.ended_us
-        assert rude.status == 0 or rude.status >= 400 or kind in MAY_BE_SERVED
-        assert kind in MAY_BE_SERVED or len(host.seen) == (kind == "the id of an open request")
+        assert rude.status == 0 or rude.status >= 400 or kind in MAY_BE_SERVED_KINDS
+        assert kind in MAY_BE_SERVED_KINDS or len(host.seen) == (kind == "the id of an open request")
 
 
 def gateway_of(folder: Path, host: Peer, **changes: Any) -> tuple[Gateway, EventLog]:
@@ -209,17 +225,17 @@
         gateway.on_exit = lambda one: exits.append(one.name)
         with Fleet([gateway]) as fleet:
             fleet.start()
-            assert await fleet.ready(ledger)
+            assert await fleet.wait_until_ready(ledger)
             assert gateway.process is not None
-            usage = usage_of(gateway.process.pid)
+            usage = read_usage(gateway.process.pid)
             assert usage is not None and usage[0] > 5_000 and usage[1] >= 3
-            gateway.signal(signal.SIGHUP)
+            gateway.send_signal(signal.SIGHUP)
             await gateway.restart(down_s=0.0)
             await until(lambda: len(ready) == 2)
             await gateway.restart(kill=True, down_s=0.0)
             await until(lambda: len(ready) == 3)
             await fleet.stop()
-        assert gateway.exits == [0, -9, 0] and exits == ["n0"] * 3
+        assert gateway.exit_codes == [0, -9, 0] and exits == ["n0"] * 3
         whats = [entry.what for entry in ledger.events_of(ProcessEvent)]
         assert whats == ["start", "ready", "HUP", "TERM", "exit", "start", "ready", "KILL", "exit", "start", "ready",
                          "TERM", "exit"]  # fmt: skip
@@ -232,7 +248,7 @@
         gateway, ledger = gateway_of(tmp_path, host, settings={"lanes": []})
         with Fleet([gateway]) as fleet:
             fleet.start()
-            await until(lambda: gateway.exits)
+            await until(lambda: gateway.exit_codes)
         (ended,) = [entry for entry in ledger.events_of(ProcessEvent) if entry.what == "exit"]
         assert ended.code == 2 and not ended.was_requested
 
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 
 from standins.checker.leases import LeadershipGap, ObservedAct, check_leases, leadership_gaps
-from standins.parties.mesh import Mesh, duty_number, free_udp, own_host
+from standins.parties.mesh import Mesh, free_udp_address, role_number, unique_loopback_host
 from standins.parties.network import BACK, FORWARD, Address, Conditions, Network, UdpLink
 from tests.sockets import on_loop, until
 
@@ -29,8 +29,8 @@
 
 
 async def linked(check: Callable[[UdpLink, End, End, Callable[[int, bytes], None]], Awaitable[None]]) -> None:
-    host = own_host()
-    near, far = free_udp(host), free_udp(host)
+    host = unique_loopback_host()
+    near, far = free_udp_address(host), free_udp_address(host)
     (one, first), (other, second) = await end(near), await end(far)
     network = Network(1)
     link = network.udp("n0", "n1", lambda: far, near)
@@ -104,7 +104,7 @@
         assert len(mesh.links) == 3
         for number in range(3):
             peers = mesh.peers(number)
-            assert len(peers) == 4 and peers[number] == "{}:{}".format(*mesh.listens[number])
+            assert len(peers) == 4 and peers[number] == "{}:{}".format(*mesh.listen_addresses[number])
             assert peers[3] == "{}:{}".format(*mesh.watcher.address)
         assert mesh.peers(0)[1] == mesh.peers(1)[0]  # one link, one address, for both
         mesh.cut([0], [1, 2], one_way=True)
@@ -114,7 +114,7 @@
         mesh.close()
         network.close()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as again:
-        again.bind(mesh.listens[0])  # nothing was left behind
+        again.bind(mesh.listen_addresses[0])  # nothing was left behind
 
 
 def act(at_ms: int, epoch: int, gateway: int, nonce: int = 1, duty: int = 7) -> ObservedAct:
@@ -159,4 +159,4 @@
 def test_changes_of_holder_are_timed_from_the_last_act_to_the_first() -> None:
     acts = [act(0, 5, 1), act(10, 5, 1), act(700, 9, 2), act(710, 9, 2), act(900, 11, 1)]
     assert leadership_gaps(acts, 7) == [LeadershipGap(10_000, 690_000, 2), LeadershipGap(710_000, 190_000, 1)]
-    assert duty_number("warden/1/0") < 2**60
+    assert role_number("warden/1/0") < 2**60
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -250,7 +250,7 @@
     assert len(ready) == 4
     served = [a for a in world.ledger.events_of(ResponseReceived) if a.status == 200 and a.at_us > ready[2]]
     assert served
-    assert all(gateway.exits == [0, 0] for gateway in world.gateways)
+    assert all(gateway.exit_codes == [0, 0] for gateway in world.gateways)
 
 
 UNEVEN = """
@@ -333,7 +333,7 @@
         world = runner.run(play(load("calm"), seed, 2.0))
     assert not find_violations(world.ledger)
     assert sum(1 for _ in world.ledger.events_of(OperationStarted)) > 100
-    assert all(gateway.exits == [0] for gateway in world.gateways)
+    assert all(gateway.exit_codes == [0] for gateway in world.gateways)
 
 
 def test_ctrl_c_ends_the_play_and_leaves_nothing_behind() -> None:
