--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Outside systems to play against: boxes, registry, network, clients, gateways by the dozen, and a checker.
+"""Emulator of the systems around gateways: backends, registry, network, clients, gateway processes, and a checker.
 
-Nothing in cloverkeel/ imports this package but the command `try`.
+In cloverkeel/ only the command `try` imports this package.
 """
--- a/standins/parties/__init__.py
+++ b/standins/parties/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: boxes, registry, coordination service, clients, gateways as processes, and links between all."""
+"""The systems around a gateway: backends, registry, coordination service, clients, gateway processes and links."""
--- a/standins/parties/backend.py
+++ b/standins/parties/backend.py
@@ -1,6 +1,7 @@
-"""A box: an HTTP server with cores, a queue, a warm-up and a memory, and faults switched as it runs.
+"""Back-end server of the emulator: HTTP over loopback with cores, a queue, slow start and faults set at run time.
 
-Where it is given a law (strain.py), it slows down by what it holds, and finishes what nobody waits for any more.
+With an overload model (overload_model.py) the backend slows down as the number of requests in progress grows, and it
+completes work for requests whose sender has gone.
 """
 
 from __future__ import annotations
@@ -20,40 +21,41 @@
 from standins.site import CLASSES, BoxKind, Klass, Rules, draw
 
 RESPONSE_PADDING = b"." * 400
-MALFORMED_KINDS = ("noise", "head", "length", "huge", "short")  # a failed attempt that has run
+MALFORMED_KINDS = ("noise", "head", "length", "huge", "short")  # the attempt fails although its work was done
 ENDLESS_DATA_BY_KIND = {
     "head": b"X-More: " + b"y" * 4000 + b"\r\n",
     "huge": b"." * 65536,
-}  # what goes on after the beginning
-MAX_FLOOD_BYTES = 256 << 20  # bytes of one such answer
-EXCESS_DATA_KINDS = ("copy", "behind", "interim", "report")  # a good answer, and more than belongs to it
+}  # sent repeatedly after the start of the response
+MAX_FLOOD_BYTES = 256 << 20  # limit of one endless response
+EXCESS_DATA_KINDS = ("copy", "behind", "interim", "report")  # a valid response with unexpected data around it
 
 
 @dataclass(slots=True)
 class Faults:
-    """Each is on while it is set."""
+    """Faults of a backend. Each is active while it is set; a share is a probability per response."""
 
-    hang: bool = False  # takes requests, answers none
-    silent: bool = False  # reads nothing and says nothing, nobody comes in
-    slowdown_factor: float = 1.0  # times the work
-    error_share: float = 0.0  # share of requests answered with 500
-    reset_share: float = 0.0  # share of answers broken off with a reset
-    reset_at_byte: int = 0  # at this byte of the answer
-    malformed_share: float = 0.0  # share of spoilt answers
-    malformed_kind: str = ""  # one of SPOILT or MORE; "": any
-    late_share: float = 0.0  # share of answers held until 30 ms past the deadline that the gateway told
-    drain: bool = False  # turns new requests away
+    hang: bool = False  # requests are accepted and never answered
+    silent: bool = False  # nothing is read or written, new connections included
+    slowdown_factor: float = 1.0  # multiplies the time on a core
+    error_share: float = 0.0  # responses with status 500
+    reset_share: float = 0.0  # responses cut off by a connection reset
+    reset_at_byte: int = 0  # number of response bytes sent before the reset
+    malformed_share: float = 0.0  # responses that are malformed or followed by excess data
+    malformed_kind: str = ""  # one of MALFORMED_KINDS or EXCESS_DATA_KINDS; "": drawn for each response
+    late_share: float = 0.0  # responses delayed until 30 ms past the deadline that the gateway sent
+    drain: bool = False  # new requests are rejected
 
 
 @dataclass
 class IdempotencyStore:
-    """Boxes of one group drop each other's repeats."""
+    """Idempotency keys shared by the backends of one group, which skip requests that one of them has already run."""
 
     group: int
     window_us: int
-    first_run_us_by_key: OrderedDict[str, int] = field(default_factory=OrderedDict)  # key: when its first run began
+    first_run_us_by_key: OrderedDict[str, int] = field(default_factory=OrderedDict)
 
     def is_repeat(self, key: str, at_us: int) -> bool:
+        """Whether the key was first run within the window before `at_us`; records the key if not."""
         while self.first_run_us_by_key and at_us - next(iter(self.first_run_us_by_key.values())) >= self.window_us:
             self.first_run_us_by_key.popitem(last=False)
         if key in self.first_run_us_by_key:
@@ -63,7 +65,7 @@
 
 
 class Backend:
-    """One front box. `start`, `crash`, `stop` and `faults` may be used at any time while the loop runs."""
+    """One back-end server. `start`, `crash`, `set_silent` and `faults` may be used while the event loop runs."""
 
     def __init__(
         self, name: str, room: int, idempotency_store: IdempotencyStore, event_log: EventLog, network: Network,
@@ -78,9 +80,9 @@
             network,
         )
         self.kind, self.rules = kind or BoxKind(), rules or Rules()
-        self.on_listening = on_listening  # the network's links refuse while nobody listens
-        self.on_job_end: Callable[[Job], None] = lambda job: None  # told of each job once it is over
-        self.overload_model = overload_model  # None: its pace does not depend on what it holds
+        self.on_listening = on_listening  # links of the network refuse connections while no server listens
+        self.on_job_end: Callable[[Job], None] = lambda job: None
+        self.overload_model = overload_model  # None: the load does not slow the backend down
         self.overload_state: OverloadState | None = None
         self.rng = random.Random(f"{seed}/{name}")
         self.faults = Faults()
@@ -88,24 +90,26 @@
         self.started_us = 0
         self.needs_warmup = False
         self.has_collapsed = False
-        self.is_leaving = False  # it was told to drain; the registry may not know yet
+        self.is_leaving = False  # a planned shutdown has begun; the registry may not list it as draining yet
         self.server: asyncio.Server | None = None
         self.address: Address | None = None
         self.connections: set[BackendConnection] = set()
-        self.busy_cores = 0  # cores in use
+        self.busy_cores = 0
         self.queued_jobs: deque[Job] = deque()
         self.jobs: set[Job] = set()
-        self.recent_work: deque[tuple[int, int]] = deque()  # while cold: when, and how much work
-        self.recent_paths: OrderedDict[str, int] = OrderedDict()
-        self.recent_service_times: deque[tuple[int, float]] = deque(maxlen=200)  # when, and the service time in ms
-        self.load_reports: deque[tuple[int, str]] = deque(maxlen=8)
+        self.recent_work: deque[tuple[int, int]] = (
+            deque()
+        )  # (time in us, work in us) of requests received during slow start
+        self.recent_paths: OrderedDict[str, int] = OrderedDict()  # time of the last request in us, by path
+        self.recent_service_times: deque[tuple[int, float]] = deque(maxlen=200)  # (end in us, duration in ms)
+        self.load_reports: deque[tuple[int, str]] = deque(maxlen=8)  # (time in us, text)
         self.report_timer: asyncio.TimerHandle | None = None
 
-    # Life
+    # Lifecycle
 
     async def start(self, needs_warmup: bool, port: int = 0) -> None:
-        """Begin a new life, at the same port if one is named."""
-        assert self.server is None, "it runs"
+        """Start a new incarnation; with a port, at that port. `needs_warmup` starts it in slow start."""
+        assert self.server is None, "the backend is already running"
         self.incarnation += 1
         self.started_us, self.needs_warmup, self.has_collapsed = now_us(), needs_warmup, False
         self.is_leaving = False
@@ -126,7 +130,7 @@
         self.refresh_load_report()
 
     def crash(self, cause: str = "crash") -> None:
-        """The process dies: its connections are reset, new ones refused, what it did is lost."""
+        """Simulate the end of the process: connections are reset or refused, requests in progress are lost."""
         if self.server is None:
             return
         self.event_log.add(BackendStopped(now_us(), self.name, self.incarnation, cause))
@@ -142,7 +146,7 @@
             self.report_timer.cancel()
 
     def set_silent(self, is_silent: bool) -> None:
-        """The machine is cut off: it reads nothing, says nothing, and goes on working."""
+        """Cut the machine off, or reconnect it: while silent it neither reads nor writes, but work continues."""
         self.faults.silent = is_silent
         if is_silent:
             self.event_log.add(BackendStopped(now_us(), self.name, self.incarnation, "silent"))
@@ -151,6 +155,7 @@
 
     @property
     def state(self) -> str:
+        """State as the event log writes it."""
         if self.server is None:
             return "fell" if self.has_collapsed else "down"
         faults = self.faults
@@ -169,33 +174,33 @@
             return "bad"
         return "cold" if self.capacity() < 1 else "up"
 
-    # Work
+    # Request processing
 
     def capacity(self) -> float:
-        """Share of what it can do when warm; it rises evenly."""
+        """Share of the warm capacity, which rises linearly during slow start."""
         if not self.needs_warmup:
             return 1.0
         age = (now_us() - self.started_us) / self.kind.warm_us
         return min(1.0, self.kind.cold_share + (1 - self.kind.cold_share) * age)
 
     def set_overload_model(self, overload_model: OverloadModel | None) -> None:
-        """Be under this law from now on, as one that has held nothing."""
+        """Apply the overload model from now on, with no history."""
         self.overload_model = overload_model
         self.overload_state = OverloadState(overload_model) if overload_model is not None else None
         self.record_held_count()
 
     def record_held_count(self) -> None:
-        """What it holds has changed."""
+        """Pass the current number of requests in progress to the overload model."""
         if self.overload_state is not None:
             self.overload_state.set_held_count(now_us(), len(self.jobs))
 
     def work_factor(self) -> float:
-        """Work takes so many times as long."""
+        """Factor on the time of work that starts now: faults, overload and slow start together."""
         overload_factor = self.overload_state.work_factor(now_us()) if self.overload_state is not None else 1.0
         return self.faults.slowdown_factor * overload_factor / self.capacity()
 
     def exceeds_warmup_limit(self, work_us: int) -> bool:
-        """Count work that was sent while cold; True if it is more than a box that warms up can stand."""
+        """Count work received during slow start; True if the work of the last `fall_us` collapses the backend."""
         share, now = self.capacity(), now_us()
         if share >= 1.0:
             return False
@@ -206,9 +211,9 @@
         return sum(work for _, work in self.recent_work) > limit
 
     def accept_job(self, job: Job) -> None:
-        """A whole request has come."""
+        """Queue, start or reject a completely received request."""
         attempt = job.attempt
-        # What a client tells of the work is rough.
+        # The work hint of a client is inexact.
         hint_error = self.rng.uniform(0.8, 1.25)
         attempt.work_us = (
             int(job.work_hint_us / self.kind.hint * hint_error)
@@ -231,6 +236,7 @@
             self.start_queued_jobs()
 
     def start_queued_jobs(self) -> None:
+        """Start queued requests while a core is free; expired ones are rejected without a core."""
         while self.queued_jobs and self.busy_cores < self.kind.cores:
             job = self.queued_jobs.popleft()
             if job.attempt.how != "waiting":
@@ -240,13 +246,13 @@
                 and now_us() >= job.deadline_us
                 and (self.overload_model is None or self.overload_model.heeds)
             ):
-                job.reject(504)  # nobody waits for it any more
+                job.reject(504)  # the gateway has stopped waiting
                 continue
             self.busy_cores += 1
             job.start()
 
     def saved_work_share(self, path: str) -> float:
-        """Share of the work that a key saves that was met lately."""
+        """Share of the work that is saved because the path was requested recently."""
         now = now_us()
         last_seen_us = self.recent_paths.pop(path, 0)
         self.recent_paths[path] = now
@@ -254,10 +260,10 @@
             self.recent_paths.popitem(last=False)
         return self.kind.key_saves if last_seen_us and now - last_seen_us <= self.kind.key_us else 0.0
 
-    # What it tells
+    # Load reports
 
     def refresh_load_report(self) -> None:
-        """Refresh the load report and note the load."""
+        """Close idle connections, refresh the load report and log the load; runs four times per report interval."""
         now = now_us()
         self.report_timer = asyncio.get_running_loop().call_later(self.kind.report_us / 4e6, self.refresh_load_report)
         for connection in list(self.connections):
@@ -281,30 +287,31 @@
         )
 
     def latest_load_report(self) -> str:
-        """The newest report that is old enough to be known."""
+        """The newest report older than a random delay, since reports become visible late."""
         delay_us = int(self.rng.random() * self.kind.report_late_us)
         known = [text for at, text in self.load_reports if at <= now_us() - delay_us]
         return known[-1] if known else "queue=0, latency_ms=0, qps=0"
 
 
 class Job:
-    """One request at a box, until its answer."""
+    """One request at a backend, from its receipt to its end."""
 
     def __init__(
         self, backend: Backend, connection: BackendConnection, attempt: BackendAttempt, request_class: Klass
     ) -> None:
         self.backend, self.connection, self.attempt, self.request_class = backend, connection, attempt, request_class
-        self.work_hint_us = 0  # the work, where the client told it
+        self.work_hint_us = 0  # 0: the client sent none
         self.handshake_us = 0
         self.path = ""
-        self.deadline_us = 0  # when the gateway stops waiting
+        self.deadline_us = 0  # when the gateway stops waiting; 0: unknown
         self.timer: asyncio.TimerHandle | None = None
         self.has_core = False
-        self.abandoned_us = 0  # whoever asked has gone, and the work goes on
-        self.core_time_us = 0  # on a core, as planned when it began
-        self.core_released_us = 0  # it gave its core back
+        self.abandoned_us = 0  # when the sender went while the work continued
+        self.core_time_us = 0  # planned time on a core, computed at the start
+        self.core_released_us = 0
 
     def start(self) -> None:
+        """Begin the work on a core; a repeat within the idempotency window finishes at once."""
         backend, attempt, now = self.backend, self.attempt, now_us()
         self.has_core = True
         attempt.started_us, attempt.how = now, "running"
@@ -316,11 +323,13 @@
         self.timer = asyncio.get_running_loop().call_later(self.core_time_us / 1e6, self.wait_for_dependencies)
 
     def wait_for_dependencies(self) -> None:
+        """Release the core and wait for other services."""
         self.release_core()
         dependency_wait_us = draw(self.backend.rng, self.request_class.waits_us)
         self.timer = asyncio.get_running_loop().call_later(dependency_wait_us / 1e6, self.finish_work, "ok")
 
     def release_core(self) -> None:
+        """Give the core, if the request holds one, to the next in the queue."""
         if self.has_core:
             self.has_core = False
             self.core_released_us = now_us()
@@ -328,7 +337,7 @@
             self.backend.start_queued_jobs()
 
     def finish_work(self, outcome: str) -> None:
-        """The work is done: answer, as well as the faults allow."""
+        """Complete the work and respond as the active faults dictate."""
         backend, faults, rng = self.backend, self.backend.faults, self.backend.rng
         backend.recent_service_times.append((now_us(), (now_us() - self.attempt.started_us) / 1e3))
         self.release_core()
@@ -336,7 +345,7 @@
         if faults.hang:
             if self.abandoned_us:
                 self.end("cancelled")
-            return  # and it stays so, until the other side gives up
+            return  # no response until the sender gives up
         if faults.late_share and rng.random() < faults.late_share and self.deadline_us:
             wait_s = max(0, self.deadline_us - now_us()) / 1e6 + 0.03
             self.timer = asyncio.get_running_loop().call_later(wait_s, self.send_response, outcome, 200)
@@ -352,6 +361,7 @@
             self.send_response(outcome, 200)
 
     def build_response(self, status: int, *extra_headers: str) -> bytes:
+        """A complete response that names the request and the backend, with a load report unless given one."""
         body = b"%s %s %s" % (self.attempt.id.encode("latin-1"), self.backend.name.encode(), RESPONSE_PADDING)
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *extra_headers]
         if not any(line.startswith("X-Load-Report") for line in extra_headers):
@@ -359,6 +369,7 @@
         return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
     def send_malformed_response(self, outcome: str) -> None:
+        """Send a malformed response, or a valid one with excess data, as `Faults.malformed_kind` selects."""
         valid_response = self.build_response(200)
         kind = self.backend.faults.malformed_kind or self.backend.rng.choice(MALFORMED_KINDS + EXCESS_DATA_KINDS)
         if kind in EXCESS_DATA_KINDS:
@@ -386,19 +397,21 @@
             self.connection.start_flood(ENDLESS_DATA_BY_KIND[kind])
 
     def send_response(self, outcome: str, status: int) -> None:
+        """Send a complete response and end the request."""
         self.connection.write(self.build_response(status))
         self.end(outcome)
 
     def reject(self, status: int) -> None:
-        """Turn it away before it began: it never runs, and that is said."""
+        """Reject the request before its work starts; a header states that it was not run."""
         self.connection.write(self.build_response(status, "X-Rejected: 1"))
         self.end("rejected")
 
     def end(self, outcome: str) -> None:
+        """Record the outcome and free what the request holds; later calls have no effect."""
         if self.attempt.ended_us:
             return
         if self.abandoned_us and outcome != "crashed":
-            outcome = "cancelled"  # nobody has it
+            outcome = "cancelled"  # the response has no receiver
         self.attempt.how, self.attempt.ended_us = outcome, now_us()
         if self.timer is not None:
             self.timer.cancel()
@@ -412,7 +425,7 @@
         self.backend.on_job_end(self)
 
     def on_peer_gone(self) -> None:
-        """Whoever asked has gone: work for it stops, or goes on to its end."""
+        """The sender closed the connection: cancel the work, or let it continue as the overload model demands."""
         overload_model = self.backend.overload_model
         if overload_model is None or not overload_model.stale or (self.attempt.started_us and self.timer is None):
             self.end("cancelled")
@@ -421,18 +434,18 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection; it carries one request at a time."""
+    """One connection to a backend; it carries one request at a time."""
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.bytes_received = 0  # bytes read before the present piece
-        self.attempt: BackendAttempt | None = None  # being read
+        self.bytes_received = 0  # before the chunk that is being parsed
+        self.attempt: BackendAttempt | None = None  # the request that is being received
         self.job: Job | None = None
         self.headers: dict[str, str] = {}
         self.target = b""
-        self.is_new = True  # the first request on it pays for the handshake
+        self.is_new = True  # the first request on a connection includes the work of the handshake
         self.idle_since_us = now_us()
         self.flood_chunk, self.flood_bytes_left, self.is_write_paused = b"", 0, False
 
@@ -446,11 +459,11 @@
 
     @property
     def flow(self) -> Flow | None:
-        """What it came through. Not known yet when it has just come up: the other end may be told later."""
+        """The network flow of this connection; None until the link has registered it, shortly after connecting."""
         return self.backend.network.flow_of(self.transport) if self.transport is not None else None
 
     def update_reading(self) -> None:
-        """Read, or not, as the faults have it."""
+        """Pause or resume reading according to the fault `silent`."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.backend.faults.silent:
@@ -467,7 +480,7 @@
         self.bytes_received += len(data)
 
     def begin_attempt(self, offset: int) -> None:
-        """The first byte of a request, if none is being read."""
+        """Create the attempt at the first byte of a request; no effect while another request is in progress."""
         if self.attempt is not None or (self.job is not None and not self.job.attempt.ended_us):
             return
         flow = self.flow
@@ -519,12 +532,12 @@
             self.transport.write(data)
 
     def start_flood(self, chunk: bytes) -> None:
-        """Go on and on, as fast as the other side reads, until it closes."""
+        """Send the chunk repeatedly, as fast as the peer reads, up to MAX_FLOOD_BYTES or until it closes."""
         self.flood_chunk, self.flood_bytes_left = chunk, MAX_FLOOD_BYTES
         self.continue_flood()
 
     def continue_flood(self) -> None:
-        """A little of it in each turn, so that the play goes on."""
+        """Write one chunk per turn of the event loop, so that the rest of the emulator keeps running."""
         if (
             self.transport is None
             or self.transport.is_closing()
@@ -554,7 +567,7 @@
         self.on_peer_gone()
 
     def on_peer_gone(self) -> None:
-        """The other side stopped waiting."""
+        """The peer closed the connection and no longer waits for a response."""
         job, self.job = self.job, None
         if job is not None:
             job.on_peer_gone()
@@ -577,6 +590,6 @@
             self.transport.abort()
 
     def reset(self) -> None:
-        """End with a reset once what was written is with the other side."""
+        """Reset the connection after a short delay in which written data reaches the peer."""
         flow = self.flow
         asyncio.get_running_loop().call_later(0.002, flow.reset if flow is not None else self.abort)
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -1,6 +1,7 @@
-"""Clients: an open loop of mixed requests with retries, and some that break the protocol.
+"""Clients of the emulator: an open-loop load generator with retries, and clients that violate the protocol.
 
-A front deals their connections out among the gateways of a room, and is slow to notice a dead one.
+A connection balancer assigns their connections to the gateways of a room, and detects a failed gateway only after a
+delay.
 """
 
 from __future__ import annotations
@@ -27,16 +28,14 @@
 from standins.parties.network import Address
 from standins.site import CLASSES, ROOMS, TENANTS, Klass, draw
 
-LATE_RESPONSE_WAIT_US = (
-    300_000  # past a try's time: how long a client goes on listening, so that a late answer is seen
-)
-MISBEHAVING_WAIT_US = 4_000_000  # how long a client that breaks the protocol waits for an error or a close
-REQUESTS_PER_CONNECTION_RANGE = (40, 160)  # requests on one connection before the client opens another
+LATE_RESPONSE_WAIT_US = 300_000  # clients listen this long past an attempt's timeout, to record late responses
+MISBEHAVING_WAIT_US = 4_000_000  # wait of a misbehaving client for an error response or a close
+REQUESTS_PER_CONNECTION_RANGE = (40, 160)
 
 
 @dataclass(slots=True, eq=False)
 class GatewayTarget:
-    """One gateway, as the front knows it."""
+    """One gateway in the connection balancer's table; new connections are assigned to it while it is open."""
 
     name: str
     room: int
@@ -45,7 +44,7 @@
 
 
 class ConnectionBalancer:
-    """Deals out connections in turn among the gateways of a room."""
+    """Assigns connections round-robin to the open gateways of a room."""
 
     def __init__(self, seed: int = 0, detection_delay_s: tuple[float, float] = (0.82, 3.9)) -> None:
         self.targets_by_name: dict[str, GatewayTarget] = {}
@@ -55,7 +54,7 @@
         self.closing_timers_by_name: dict[str, asyncio.TimerHandle] = {}
 
     def add(self, target: GatewayTarget) -> None:
-        """It is ready: connections go to it from now on."""
+        """Open a gateway that has become ready for new connections; cancels a scheduled close."""
         closing_timer = self.closing_timers_by_name.pop(target.name, None)
         if closing_timer is not None:
             closing_timer.cancel()
@@ -63,24 +62,27 @@
         self.targets_by_name[target.name] = target
 
     def schedule_planned_close(self, name: str) -> None:
-        """A planned restart: new connections go on coming for a moment."""
+        """Close a gateway that is shutting down; new connections still reach it for a short time."""
         self.schedule_close(name, self.rng.uniform(0.2, 0.4))
 
     def schedule_close_after_failure(self, name: str) -> None:
+        """Close a failed gateway once its failure has been detected."""
         self.schedule_close(name, self.rng.uniform(*self.detection_delay_s))
 
     def schedule_close(self, name: str, delay_s: float) -> None:
+        """Close a gateway after a delay, unless a close is scheduled already."""
         if name not in self.closing_timers_by_name:
             self.closing_timers_by_name[name] = asyncio.get_running_loop().call_later(delay_s, self.close, name)
 
     def close(self, name: str) -> None:
+        """Assign no more new connections to the gateway."""
         self.closing_timers_by_name.pop(name, None)
         target = self.targets_by_name.get(name)
         if target is not None:
             target.is_open = False
 
     def pick_target(self, room: int) -> GatewayTarget | None:
-        """The next gateway of the room; of any other, where it has none."""
+        """The next open gateway of the room, or of all rooms if the room has none; None if all are closed."""
         targets = [target for target in self.targets_by_name.values() if target.is_open]
         targets = [target for target in targets if target.room == room] or targets
         if not targets:
@@ -90,7 +92,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection to a gateway: one request at a time."""
+    """A client's connection to a gateway; it carries one request at a time."""
 
     def __init__(
         self, target: GatewayTarget, on_unexpected_bytes: Callable[[str, bytes], None], max_requests: int
@@ -106,7 +108,7 @@
         self.body = b""
         self.retry_after_us = 0
         self.should_keep_alive = True
-        self.has_response_begun = False  # an answer
+        self.has_response_begun = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -116,6 +118,7 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def send(self, request_id: str, data: bytes) -> asyncio.Future[ResponseReceived | ResponseMissing]:
+        """Send a request; the future gets its response, or the reason why there is none."""
         assert self.transport is not None
         self.request_id, self.has_response_begun = request_id, False
         self.requests_left -= 1
@@ -165,6 +168,7 @@
         self.end_without_response("cut" if self.has_response_begun else "closed" if exc is None else "reset")
 
     def end_without_response(self, reason: str) -> None:
+        """Complete the pending request, if there is one, as failed."""
         if self.response_future is not None and not self.response_future.done():
             self.response_future.set_result(ResponseMissing(now_us(), self.request_id, reason))
 
@@ -175,26 +179,26 @@
 
 @dataclass(slots=True)
 class ClientProfile:
-    """How clients behave, as the brief has it."""
+    """Behaviour of the clients; the defaults are those of the specification."""
 
     max_retries: int = 2
-    attempt_timeout_share: float = 0.5  # of the class's give-up time, for one try
-    retry_delay_s: float = 0.05  # before a retry that is not told when
-    retry_after_share: float = 0.7  # share of clients that heed Retry-After
-    early_disconnect_share: float = 0.01  # share of tries that are left early
-    key_count: int = 2000
-    popular_key_share: float = 0.0  # share of the wants that are about one and the same
-    work_hint_factor: float = 1.0  # told of the work, as a share of it; 0: nothing is told
+    attempt_timeout_share: float = 0.5  # timeout of one attempt, as a share of the request class's give-up time
+    retry_delay_s: float = 0.05  # delay before a retry when no Retry-After is followed
+    retry_after_share: float = 0.7  # share of retries that follow Retry-After
+    early_disconnect_share: float = 0.01  # share of attempts that the client aborts early
+    key_count: int = 2000  # number of distinct resources
+    popular_key_share: float = 0.0  # share of operations on one and the same resource
+    work_hint_factor: float = 1.0  # work hint sent, as a multiple of the actual work; 0: no hint
 
 
 @dataclass
 class LoadGenerator:
-    """All clients of a play."""
+    """Open-loop load generator for all clients of a scenario run."""
 
     event_log: EventLog
     balancer: ConnectionBalancer
     seed: int = 0
-    operations_per_s: float = 100.0  # wants a second; may be changed while they run
+    operations_per_s: float = 100.0  # may be changed at run time
     profile: ClientProfile = field(default_factory=ClientProfile)
 
     def __post_init__(self) -> None:
@@ -203,17 +207,17 @@
         self.operation_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.open_connections: set[ClientConnection] = set()
-        self.gateway_by_open_request: dict[str, str] = {}  # ids of requests that are out, and at which gateway
+        self.gateway_by_open_request: dict[str, str] = {}  # by request id
 
     def pick_open_request_id(self, gateway: str) -> str:
-        """The id of some request that is out there; "" if none is."""
+        """The id of a random request that is open at the gateway; "" if there is none."""
         ids = [request_id for request_id, sent_to in self.gateway_by_open_request.items() if sent_to == gateway]
         return self.rng.choice(ids) if ids else ""
 
-    # What they want
+    # Operations
 
     async def run(self, seconds: float) -> None:
-        """Ask for so long, at random moments that wait for no answer; returns when all is over."""
+        """Start operations as a Poisson process for `seconds`, whatever the responses; wait until all have ended."""
         loop = asyncio.get_running_loop()
         next_at_s, end_s = loop.time(), loop.time() + seconds
         while True:
@@ -227,13 +231,14 @@
             await asyncio.wait(self.tasks)
 
     def start_operation(self) -> None:
+        """Start one operation of a random request class in a task."""
         request_class = self.rng.choices(list(CLASSES.values()), [k.share for k in CLASSES.values()])[0]
         task = asyncio.get_running_loop().create_task(self.run_operation(request_class))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run_operation(self, request_class: Klass) -> None:
-        """One thing that a client wants: tried, and tried again as its software does."""
+        """Run one operation of a client: a request and its retries."""
         rng, profile = self.rng, self.profile
         room = rng.randrange(len(ROOMS))
         self.operation_count += 1
@@ -277,7 +282,7 @@
                 if result.status == 200:
                     return
                 if result.status not in (429, 503) and request_class.effect == "unsafe":
-                    return  # it may have run
+                    return  # an unsafe request that may have run is not retried
                 if result.retry_after_us and rng.random() < profile.retry_after_share:
                     delay_s = result.retry_after_us / 1e6
             elif result is not None and (disconnects_early or request_class.effect == "unsafe"):
@@ -309,13 +314,13 @@
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
-    # One try
+    # Attempts
 
     async def send_attempt(
         self, room: int, request_class: Klass, request_id: str, data: bytes, budget_us: int, idempotency_key: str,
         tenant: str, operation_id: str, disconnects_early: bool,
     ) -> ResponseReceived | ResponseMissing | None:  # fmt: skip
-        """One try; None if no gateway took it."""
+        """Send one attempt and wait for its result; None if no gateway accepted a connection."""
         is_resend = False
         while True:
             connection, is_new = await self.get_connection(room, needs_new=is_resend)
@@ -352,7 +357,7 @@
                 return ResponseMissing(now_us(), request_id, "none")
             result = response_future.result()
             if isinstance(result, ResponseMissing) and not is_new and not is_resend and result.how != "cut":
-                # Its closing crossed the request: once more, on a new connection.
+                # The gateway closed the idle connection while the request was in flight: resend once, on a new one.
                 is_resend = True
                 continue
             self.event_log.add(result)
@@ -361,6 +366,7 @@
             return result
 
     async def get_connection(self, room: int, needs_new: bool) -> tuple[ClientConnection | None, bool]:
+        """An idle connection or a new one, and whether it is new; None if the connection attempt fails."""
         idle_connections = self.idle_connections_by_room[room]
         while idle_connections and not needs_new:
             connection = idle_connections.pop(self.rng.randrange(len(idle_connections)))
@@ -383,23 +389,29 @@
         return (new_connection, True) if new_connection.is_open else (None, True)
 
     def on_unexpected_bytes(self, request_id: str, data: bytes) -> None:
+        """Log bytes that arrived while no response was due, with the id of the last request."""
         self.event_log.add(UnexpectedBytes(now_us(), request_id, data[:80].decode("latin-1")))
 
     def close(self) -> None:
+        """Cancel all operations and abort all connections."""
         for task in self.tasks:
             task.cancel()
         for connection in self.open_connections:
             connection.abort()
 
 
-ID_REUSE_COUNT = 4  # tries of a client that goes away and uses its id again
-FLOODING_KINDS = frozenset({"thousands at once", "an endless head"})  # these do not stop at the first answer
+ID_REUSE_COUNT = 4  # requests that a client aborts before it sends their id again
+FLOODING_KINDS = frozenset(
+    {"thousands at once", "an endless head"}
+)  # the client keeps sending after the first response
 FLOOD_DURATION_S = 1.5
-MAY_BE_SERVED_KINDS = frozenset({"its own id again", "a budget beyond all", "thousands at once"})  # odd, and readable
+MAY_BE_SERVED_KINDS = frozenset(
+    {"its own id again", "a budget beyond all", "thousands at once"}
+)  # unusual, but valid requests
 
 
 def build_misbehaving_requests(rng: random.Random, open_request_id: str = "") -> dict[str, list[bytes]]:
-    """What clients that break the protocol send, in pieces; each kind is owed an error or a close."""
+    """Chunks that a misbehaving client sends, by kind. Each kind must get an error response or a close."""
     request_id = f"rude-{rng.getrandbits(48):x}"
     head = "GET /search/1 HTTP/1.1\r\nHost: b\r\n"
     pipelined = "".join(f"{head}X-Call-Id: {request_id}-{n}\r\nX-Budget-Ms: 300\r\n\r\n" for n in range(400)).encode()
@@ -433,9 +445,9 @@
     target: GatewayTarget,
     rng: random.Random,
     kind: str = "",
-    pick_open_request_id: Callable[[str], str] = lambda target: "",
+    pick_open_request_id: Callable[[str], str] = lambda gateway: "",
 ) -> MisbehavingClient | None:
-    """Break the protocol once; None if no connection came up, or there is nothing to break it with."""
+    """Send one misbehaving request; None if no connection was made, or the kind needs an open request and none is."""
     open_request_id = pick_open_request_id(target.name)
     requests = build_misbehaving_requests(rng, open_request_id)
     kind = kind or rng.choice(sorted(requests))
@@ -466,7 +478,7 @@
     except (OSError, ValueError):
         client.ended_us = client.ended_us or now_us()
     except TimeoutError:
-        pass  # neither an answer nor a close, or it has gone on for long enough
+        pass  # neither a response nor a close in time, or the flood has lasted long enough
     finally:
         sending.cancel()
         writer.transport.abort()
@@ -479,4 +491,4 @@
             writer.write(piece)
             await writer.drain()
     except OSError:
-        pass  # the gateway has closed: that is seen by who reads
+        pass  # the gateway closed the connection; the reader sees that
--- a/standins/parties/overload_model.py
+++ b/standins/parties/overload_model.py
@@ -1,12 +1,12 @@
-"""How a box slows down by what it holds, and what it remembers of having held too much.
+"""Slowdown of a backend under load: from the number of requests in progress, and after an overload.
 
-Pure: told the time and how many requests the box holds, gives how many times longer work takes. What holds:
+A pure function of the recorded times and numbers of requests in progress. Its properties:
 
-- a box that holds no more than `easy`, and is not choked, works at its usual pace;
-- more held never makes work quicker;
-- it chokes once it has held more than `many` for `long_us` on end, never before;
-- choked, it is so until it has held no more than `many` for `slow_us` on end, and no longer;
-- work takes at the most `most` times `choked` times as long.
+- with at most `easy` requests in progress, and not choked, a backend works at its normal speed;
+- more requests in progress never make work faster;
+- a backend becomes choked when more than `many` requests have been in progress for `long_us` without a break;
+- it recovers when at most `many` requests have been in progress for `slow_us` without a break;
+- the factor on the work never exceeds `most` times `choked`.
 """
 
 from __future__ import annotations
@@ -16,33 +16,34 @@
 
 @dataclass(slots=True, frozen=True)
 class OverloadModel:
-    """The law: work takes min(most, 1 + steep * max(0, held - easy)) times as long, choked `choked` times that.
+    """Parameters. Work takes min(most, 1 + steep * max(0, held - easy)) times as long, `choked` times more if choked.
 
-    Held is all that has come and is not over: on a core, in the queue, waiting for others, and what nobody waits for.
+    Held requests are all received ones that have not ended: on a core, in the queue, waiting for other services, and
+    those whose sender has gone. The flag `--law` of `benchmarks.overload` sets the fields by name.
     """
 
-    easy: int = 8  # with two cores: what a box at nine tenths of its load seldom holds more than
-    steep: float = 0.04  # for each request held beyond
-    most: float = 3.0
-    many: int = 16
+    easy: int = 8  # a backend with two cores at 90 % load seldom holds more
+    steep: float = 0.04  # slowdown per held request beyond `easy`
+    most: float = 3.0  # limit of the factor while not choked
+    many: int = 16  # held requests above which the backend is overloaded
     long_us: int = 2_000_000  # docs/fleet.md: hosts that hold too many requests for two seconds stay slow
-    choked: float = 1.5
-    slow_us: int = 4_000_000
-    stale: bool = True  # work is done to its end though whoever asked has gone; False: it stops at once
-    heeds: bool = False  # what waits past the time that the gateway told is dropped at its turn
+    choked: float = 1.5  # additional factor while choked
+    slow_us: int = 4_000_000  # time without overload until a choked backend recovers
+    stale: bool = True  # work is completed after its sender has gone; False: it is cancelled
+    heeds: bool = False  # a queued request past its deadline is rejected when a core is free
 
 
 class OverloadState:
-    """One box under the law."""
+    """Overload state of one backend."""
 
     def __init__(self, model: OverloadModel) -> None:
         self.model = model
         self.held_count = 0
-        self.over_limit_since_us: int | None = None  # it has held more than `many` since
-        self.choked_until_us: int | None = None  # None: it is not choked; while it holds too many, moved on
+        self.over_limit_since_us: int | None = None  # start of the current overload
+        self.choked_until_us: int | None = None  # None: not choked; extended while overloaded
 
     def set_held_count(self, now_us: int, held_count: int) -> None:
-        """It holds so many from now on."""
+        """Set the number of held requests from `now_us` on."""
         self._advance(now_us)
         self.held_count = held_count
         if held_count <= self.model.many:
@@ -51,7 +52,7 @@
             self.over_limit_since_us = now_us
 
     def _advance(self, now_us: int) -> None:
-        """What the time up to now has done."""
+        """Apply the time that has passed: become choked, stay so, or recover."""
         since_us = self.over_limit_since_us
         if self.choked_until_us is not None and since_us is None and now_us >= self.choked_until_us:
             self.choked_until_us = None
@@ -64,11 +65,12 @@
             self.choked_until_us = None
 
     def is_choked(self, now_us: int) -> bool:
+        """Whether a recent overload still slows the backend down."""
         self._advance(now_us)
         return self.choked_until_us is not None
 
     def work_factor(self, now_us: int) -> float:
-        """Work that begins now takes so many times as long."""
+        """Factor on the time of work that starts now."""
         model = self.model
         factor = min(model.most, 1.0 + model.steep * max(0, self.held_count - model.easy))
         return factor * (model.choked if self.is_choked(now_us) else 1.0)
