--- a/benchmarks/overload/__main__.py
+++ b/benchmarks/overload/__main__.py
@@ -49,7 +49,7 @@
 
 
 def parse_law(text: str) -> OverloadModel | None:
-    """ "off", or fields of Choke. ValueError names what was expected."""
+    """ "off", or fields of OverloadModel. ValueError names what was expected."""
     if text == "off":
         return None
     law, kinds = (
