--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -34,7 +34,7 @@
 from cloverkeel.compiled import loader
 from benchmarks.capacity.plan import PLAN, fleet, zones_of
 from benchmarks.capacity.world import encoded, entries, gateways_at
-from standins.site import BoxKind, Rules, configuration, settings
+from standins.site import BackendType, Rules, configuration, settings
 
 Costs = dict[str, float]
 ROOT = Path(__file__).resolve().parents[2]
@@ -61,7 +61,7 @@
 def gateway_settings(hosts: int) -> dict[str, Any]:
     """The settings of a gateway of the plan's fleet at this share of it; lists are pushed."""
     zones = [zone for each in zones_of().values() for zone in each]
-    return settings(gateways_at(hosts), 0, 0, BoxKind(), Rules()) | {"membershipMode": "pushed", "zones": zones}
+    return settings(gateways_at(hosts), 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed", "zones": zones}
 
 
 def kib(pid: int | str, field_name: str) -> float:
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -35,10 +35,12 @@
 from standins.parties.clients import Clients, Door, Front, Habits
 from standins.parties.fleet import Fleet, Gateway
 from standins.parties.network import Address, Network
-from standins.site import CLASSES, BoxKind, Rules
+from standins.site import CLASSES, BackendType, Rules
 
 HINT: Final = 0.02  # of the class's work: a host computes for about a millisecond, and waits on others as it does
-KIND: Final = BoxKind(cores=64, queue=4_000, connections=4_000, cold_share=1.0, handshake_us=0, report_us=8_000_000)
+KIND: Final = BackendType(
+    cores=64, queue=4_000, connections=4_000, cold_share=1.0, handshake_us=0, report_us=8_000_000
+)
 SOCKETS: Final = 4_096  # descriptors of a real gateway
 SLOW_HOST: Final = 0.6  # of a request's time: a host that took it was starved of the processor; it computes for 1 ms
 LEAST_CALLS: Final = 3  # for a median
--- a/benchmarks/capacity/run_world.py
+++ b/benchmarks/capacity/run_world.py
@@ -21,7 +21,7 @@
 from cloverkeel.core.options import MAX_SERVICES
 from standins.parties.fleet import Gateway
 from standins.parties.network import Address, reserve
-from standins.site import BoxKind, Rules, configuration, settings
+from standins.site import BackendType, Rules, configuration, settings
 
 if TYPE_CHECKING:
     from benchmarks.capacity.run_steps import Step
@@ -163,7 +163,7 @@
 
     def configuration(self, number: int, front: Front, targets: Sequence[Address]) -> dict[str, Any]:
         """LB_CONFIG of a gateway; with relays it is told of discovery all the same. `targets`: that, then relays."""
-        told = settings(self.size.gateways, number, 0, BoxKind(), Rules()) | {"zones": self.zones}
+        told = settings(self.size.gateways, number, 0, BackendType(), Rules()) | {"zones": self.zones}
         told["zone"] = self.zones.index(front.zone)
         seed = f"{self.seed}/{front.name}"
         rules = Rules(sockets=4_096)
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -21,10 +21,10 @@
 
 from standins.checker import find_violations
 from standins.parties.box import Box
-from standins.playing.keeper_play import FOLDER, EphemeralWorld
+from standins.playing.zookeeper_environment import REGISTRATION_PATH, ZooKeeperEnvironment
 from standins.event_log import BackendAttempt, RequestSent, ResourceUsage, now_us
 from standins.playing.scenario import Scenario
-from standins.site import ROOMS
+from standins.site import ZONES
 from standins.showing.summary import quantile
 from standins.parties.zookeeper.ensemble import Session
 from standins.parties.zookeeper.jute import Create, Mode
@@ -34,40 +34,40 @@
 LIMIT_MS = 1_050.0
 
 
-class HandWorld(EphemeralWorld):
+class HandWorld(ZooKeeperEnvironment):
     """Boxes' sessions are kept here and not by agents: they end when this says so."""
 
     def __init__(self, scenario: Scenario, seed: int, seconds: float, folder: Path, rate: float) -> None:
         super().__init__(scenario, seed, seconds, folder)
-        self.clients.rate = self.rate = rate
+        self.clients.rate = self.request_rate = rate
         self.sessions: dict[str, Session] = {}
         self.ended: list[tuple[str, int, int]] = []  # box, session's end, registered again
 
     def register(self, box: Box, lag_s: float | None) -> None:
         assert box.address is not None
-        session = self.keeper.open_session(40_000, 0)
+        session = self.ensemble.open_session(40_000, 0)
         session.heard_s = float("inf")
         data = {
-            "v": 1, "name": box.name, "address": f"{box.address[0]}:{box.address[1]}", "zone": ROOMS[box.room],
-            "type": self.kind.name, "group": box.shelf.group, "status": "SERVING", "since_ms": 0,
+            "v": 1, "name": box.name, "address": f"{box.address[0]}:{box.address[1]}", "zone": ZONES[box.room],
+            "type": self.backend_type.name, "group": box.shelf.group, "status": "SERVING", "since_ms": 0,
         }  # fmt: skip
-        request = Create(f"{FOLDER}/{box.name}", json.dumps(data).encode(), flags=Mode.EPHEMERAL)
-        self.keeper.commit(self.keeper.tree.prepare(request, session.id))
+        request = Create(f"{REGISTRATION_PATH}/{box.name}", json.dumps(data).encode(), flags=Mode.EPHEMERAL)
+        self.ensemble.commit(self.ensemble.tree.prepare(request, session.id))
         self.sessions[box.name] = session
 
     async def end_sessions(self, count: int) -> None:
-        names = sorted(self.boxes)
+        names = sorted(self.backends)
         while len(self.ended) < count:
-            chosen = self.dice.sample(names, TOGETHER)
+            chosen = self.rng.sample(names, TOGETHER)
             ends = {}
             for name in chosen:
                 ends[name] = now_us()
-                self.keeper.expire(self.sessions[name].id)
-                await asyncio.sleep(self.dice.uniform(0, 0.05))
+                self.ensemble.expire(self.sessions[name].id)
+                await asyncio.sleep(self.rng.uniform(0, 0.05))
             await asyncio.sleep(GONE_S)
             for name in chosen:
                 self.ended.append((name, ends[name], now_us()))
-                self.register(self.boxes[name], None)
+                self.register(self.backends[name], None)
             await asyncio.sleep(0.6)
 
 
@@ -78,13 +78,13 @@
     world = HandWorld(scenario, options.seed, seconds, folder, options.rate)
 
     async def ends() -> None:
-        while not any(door.is_open for door in world.front.doors.values()):
+        while not any(door.is_open for door in world.proxy_addresses.doors.values()):
             await asyncio.sleep(0.1)
         await asyncio.sleep(2.0)
         await world.end_sessions(options.expiries)
 
     world.spawn(ends())
-    await world.play()
+    await world.run()
     return world
 
 
@@ -99,7 +99,7 @@
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(run(options, Path(folder)))
     by_box: dict[str, list[int]] = {}
-    for entry in world.ledger.events_of(BackendAttempt):
+    for entry in world.event_log.events_of(BackendAttempt):
         by_box.setdefault(entry.backend, []).append(entry.at_us)
     last_ms, first_ms, sent_before = list[float](), list[float](), 0
     for box, end_us, again_us in world.ended:
@@ -114,9 +114,9 @@
         shares = " ".join(f"p{int(share * 100)} {quantile(values, share):.1f}" for share in (0.5, 0.9, 0.99))
         return f"{shares} most {max(values, default=0.0):.1f} ms"
 
-    breaches = find_violations(world.ledger)
-    asked = sum(1 for _ in world.ledger.events_of(RequestSent))
-    memory: dict[str, Any] = {entry.gateway: entry.rss_kib for entry in world.ledger.events_of(ResourceUsage)}
+    breaches = find_violations(world.event_log)
+    asked = sum(1 for _ in world.event_log.events_of(RequestSent))
+    memory: dict[str, Any] = {entry.gateway: entry.rss_kib for entry in world.event_log.events_of(ResourceUsage)}
     sent = sum(value > 0 for value in last_ms)
     print(f"{options.boxes} boxes, {options.gateways} gateways, {asked} requests, {len(world.ended)} sessions ended")
     print(
--- a/benchmarks/guards/playing.py
+++ b/benchmarks/guards/playing.py
@@ -11,9 +11,9 @@
 import uvloop
 
 from standins.checker import Checker
-from standins.playing.play import World
-from standins.playing.stage import play
-from standins.playing.scenario import load
+from standins.playing.environment import Environment
+from standins.playing.runner import run_scenario
+from standins.playing.scenario import load_scenario
 from standins.showing.summary import summarise
 
 FOLDER = Path(__file__).parent / "plays"
@@ -61,15 +61,15 @@
 
 
 def _carry_out(one: Play, out: tuple[str, ...]) -> Found:
-    scenario = load(one.path)
+    scenario = load_scenario(one.path)
 
-    def on_world(world: World) -> None:
+    def on_world(world: Environment) -> None:
         if out:
-            world.use((sys.executable, "-m", "benchmarks.guards.maimed", "+".join(out)))
+            world.use_gateway_command((sys.executable, "-m", "benchmarks.guards.maimed", "+".join(out)))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        world = runner.run(play(scenario, one.seed, one.seconds, on_world))
-    checker = Checker(world.ledger)
+        world = runner.run(run_scenario(scenario, one.seed, one.seconds, on_world))
+    checker = Checker(world.event_log)
     breaches = checker.find_violations()
     summary = summarise(checker, scenario.name, one.seed, world.seconds)
     first: dict[str, str] = {}
@@ -77,5 +77,5 @@
         first.setdefault(breach.rule, f"{breach.subject}: {breach.what}")
     return Found(
         {rule: count for rule, count in summary.breaches.items() if count}, first, summary.service,
-        summary.cold, world.faults,
+        summary.cold, world.logged_defects,
     )  # fmt: skip
--- a/benchmarks/keeper_waves.py
+++ b/benchmarks/keeper_waves.py
@@ -17,38 +17,38 @@
 import uvloop
 
 from standins.checker import find_violations
-from standins.playing.keeper_play import EphemeralWorld
+from standins.playing.zookeeper_environment import ZooKeeperEnvironment
 from standins.event_log import ProcessEvent, RequestSent, ResponseReceived, now_us
 from standins.parties.network import TcpLink
-from standins.playing.scenario import Scenario, Trouble
+from standins.playing.scenario import Scenario, Fault
 
 SHARE, OVER_S, EVERY_S, BACK_S = 0.91, 6.0, 8.0, 6.0
 
 
-async def run(options: argparse.Namespace, folder: Path) -> tuple[EphemeralWorld, int, int]:
+async def run(options: argparse.Namespace, folder: Path) -> tuple[ZooKeeperEnvironment, int, int]:
     down_s = options.waves * EVERY_S
-    troubles = [Trouble(2.0, "keeper_down", {"for": down_s})] + [
-        Trouble(3.0 + n * EVERY_S, "wave", {"share": SHARE, "over": OVER_S, "at_once": 0.29, "kill": bool(n % 2)})
+    troubles = [Fault(2.0, "keeper_down", {"for": down_s})] + [
+        Fault(3.0 + n * EVERY_S, "wave", {"share": SHARE, "over": OVER_S, "at_once": 0.29, "kill": bool(n % 2)})
         for n in range(options.waves)
     ]
     seconds = 2.0 + down_s + BACK_S
     scenario = Scenario(
         "waves", "restarts without the service", seconds, options.boxes, options.gateways, load=0.15,
-        membership="ephemeral", troubles=tuple(troubles),
+        membership="ephemeral", faults=tuple(troubles),
     )  # fmt: skip
-    world = EphemeralWorld(scenario, options.seed, seconds, folder)
+    world = ZooKeeperEnvironment(scenario, options.seed, seconds, folder)
     moments = dict[str, int]()
 
     async def watch() -> None:
-        while world.keeper.has_leader:
+        while world.ensemble.has_leader:
             await asyncio.sleep(0.01)
         moments["down"] = now_us()
-        while not world.keeper.has_leader:
+        while not world.ensemble.has_leader:
             await asyncio.sleep(0.01)
         moments["back"] = now_us()
 
     world.spawn(watch())
-    await world.play()
+    await world.run()
     return world, moments["down"], moments["back"]
 
 
@@ -61,11 +61,11 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world, down_us, back_us = runner.run(run(options, Path(folder)))
-    during = [p for p in world.ledger.events_of(ProcessEvent) if down_us < p.at_us < back_us]
+    during = [p for p in world.event_log.events_of(ProcessEvent) if down_us < p.at_us < back_us]
     starts = sum(p.what == "start" for p in during)
     ready = sum(p.what == "ready" for p in during)
-    asked = [a.id for a in world.ledger.events_of(RequestSent) if down_us < a.at_us < back_us]
-    served = {a.id for a in world.ledger.events_of(ResponseReceived) if a.status == 200}
+    asked = [a.id for a in world.event_log.events_of(RequestSent) if down_us < a.at_us < back_us]
+    served = {a.id for a in world.event_log.events_of(ResponseReceived) if a.status == 200}
     came = sorted(at for k in world.network.links if isinstance(k, TcpLink) and k.far.startswith("keeper")
                   for at in k.came)  # fmt: skip
     by_second = Counter((at - down_us) // 1_000_000 for at in came if down_us < at < back_us)
@@ -78,7 +78,7 @@
         f"by {options.gateways} gateways"
     )
     print(f"at its return, by second: {[herd[n] for n in range(5)]}")
-    breaches = find_violations(world.ledger)
+    breaches = find_violations(world.event_log)
     print(f"{len(breaches)} breaches")
     for breach in breaches[:3]:
         print(breach)
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -28,8 +28,8 @@
 from benchmarks.guards.__main__ import parse_seeds
 from standins.checker import Checker
 from standins.event_log import BackendAttempt, EventLog
-from standins.playing.scenario import load
-from standins.playing.stage import play
+from standins.playing.scenario import load_scenario
+from standins.playing.runner import run_scenario
 from standins.showing.summary import summarise
 
 
@@ -58,18 +58,19 @@
 
 
 def measure(scenario: str, gateways: int, sharing: bool, seed: int) -> Row:
-    made = replace(load(scenario), gateways=gateways, sharing=sharing)
+    made = replace(load_scenario(scenario), gateways=gateways, sharing=sharing)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        world = runner.run(play(made, seed))
-    checker = Checker(world.ledger)
+        world = runner.run(run_scenario(made, seed))
+    checker = Checker(world.event_log)
     breaches = checker.find_violations()
     found = summarise(checker, scenario, seed, world.seconds)
-    errors, given_up = lost(world.ledger)
-    sent = sum(1 for run in world.ledger.events_of(BackendAttempt) if run.received_us)
-    requests = len({run.id for run in world.ledger.events_of(BackendAttempt) if run.received_us})
+    errors, given_up = lost(world.event_log)
+    sent = sum(1 for run in world.event_log.events_of(BackendAttempt) if run.received_us)
+    requests = len({run.id for run in world.event_log.events_of(BackendAttempt) if run.received_us})
     return Row(
         gateways, sharing, seed, found.service, found.classes["search"].service, found.classes["transfer"].p99,
-        found.connections, errors, given_up, sent / max(1, requests), found.cpu_us, len(breaches) + len(world.faults),
+        found.connections, errors, given_up, sent / max(1, requests), found.cpu_us,
+        len(breaches) + len(world.logged_defects),
     )  # fmt: skip
 
 
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -39,9 +39,9 @@
 from standins.event_log import ProcessEvent, ResponseReceived
 from standins.parties.fleet import Gateway
 from standins.parties.mesh import host_number
-from standins.playing.play import World
-from standins.playing.scenario import load
-from standins.playing.stage import play
+from standins.playing.environment import Environment
+from standins.playing.scenario import load_scenario
+from standins.playing.runner import run_scenario
 from tests.fleet.ground import Ground
 from tests.fleet.shared import Shared, shared
 
@@ -87,14 +87,14 @@
 async def play_rules(seed: int, seconds: float, other: Path) -> PlayReport:
     """Play the scenario; judge the rules of the wire and the load on cold hosts."""
 
-    def mix_world(world: World) -> None:
+    def mix_world(world: Environment) -> None:
         mix_checkouts(world.gateways, seed, other)
 
-    scenario = replace(load(SCENARIO), sharing=True)
-    world = await play(scenario, seed, seconds, mix_world)
-    checker = Checker(world.ledger)
-    violations = [str(violation) for violation in checker.find_violations()] + world.faults
-    answered = sum(1 for _ in world.ledger.events_of(ResponseReceived))
+    scenario = replace(load_scenario(SCENARIO), sharing=True)
+    world = await run_scenario(scenario, seed, seconds, mix_world)
+    checker = Checker(world.event_log)
+    violations = [str(violation) for violation in checker.find_violations()] + world.logged_defects
+    answered = sum(1 for _ in world.event_log.events_of(ResponseReceived))
     peak = max(checker.slow_start_peaks.values(), default=0.0)
     figures = f"{answered} requests, a warming host was sent {peak:.0%} of what it can take at the most"
     return PlayReport("rules", violations, figures)
--- a/benchmarks/operating.py
+++ b/benchmarks/operating.py
@@ -28,7 +28,7 @@
 import uvloop
 
 from standins.parties.fleet import usage_of
-from standins.site import BoxKind, Rules, configuration, settings
+from standins.site import BackendType, Rules, configuration, settings
 
 LARGE = 32_000_000
 LIMIT_MB = 64
@@ -95,7 +95,7 @@
             "name": "s-0", "address": f"127.0.0.1:{self.box}", "zone": "kita-room", "type": "small-2c", "group": 0,
             "status": "SERVING", "weight": 1.0, "since_ms": 0,
         }  # fmt: skip
-        made = settings(1, 0, 0, BoxKind(), Rules()) | {"membershipMode": "pushed"}
+        made = settings(1, 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed"}
         file = self.folder / "config.json"
         listen = f"127.0.0.1:{self.address[1]}"
         rules = Rules(memory_mib=self.memory_mb)
--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -33,8 +33,8 @@
 from standins.parties.box import Job
 from standins.parties.clients import Habits
 from standins.parties.fleet import Gateway
-from standins.playing.play import World
-from standins.playing.scenario import Scenario, Trouble
+from standins.playing.environment import Environment
+from standins.playing.scenario import Scenario, Fault
 from standins.site import MEAN_WORK_US
 
 LOOK_S: Final = 0.1
@@ -117,7 +117,7 @@
     return [rounded(each) for each in value] if isinstance(value, list) else value
 
 
-class Overload(World):
+class Overload(Environment):
     """A world whose hosts choke, and whose load goes in steps."""
 
     def __init__(self, terms: Terms, folder: Path) -> None:
@@ -125,17 +125,17 @@
         begins = [sum(step.seconds for step in terms.steps[:place]) for place in range(len(terms.steps) + 1)]
         loads = [step.load for step in terms.steps]
         troubles = tuple(
-            Trouble(at, "load", {"factor": load}) for at, load in zip(begins, [*loads, loads[-1]], strict=True)
+            Fault(at, "load", {"factor": load}) for at, load in zip(begins, [*loads, loads[-1]], strict=True)
         )
         scenario = Scenario(
             "overload", "the load goes up in steps, and down again", seconds, terms.hosts, terms.gateways,
             cores=terms.cores, load=loads[0], attempts=terms.attempts, second_copies=terms.copies,
-            sharing=terms.sharing, troubles=troubles,
+            sharing=terms.sharing, faults=troubles,
         )  # fmt: skip
         super().__init__(scenario, terms.seed, seconds, folder)
         self.terms, self.folder = terms, folder
         # No key saves work: what the hosts can do is known.
-        self.kind = replace(self.kind, key_saves=0.0)
+        self.backend_type = replace(self.backend_type, key_saves=0.0)
         self.capacity = terms.hosts * terms.cores * 1e6 / MEAN_WORK_US
         self.clients.habits = Habits(retries=terms.retries, honour=terms.honour, leave=0.0)
         self.works: list[Work] = []
@@ -144,7 +144,7 @@
 
     async def build(self) -> None:
         await super().build()
-        for box in self.boxes.values():
+        for box in self.backends.values():
             box.use(self.terms.law)
             box.on_over = self.on_over
 
@@ -166,7 +166,7 @@
 
     async def look(self) -> None:
         while True:
-            boxes, now = self.boxes.values(), now_us()
+            boxes, now = self.backends.values(), now_us()
             choked = sum(box.strain is not None and box.strain.is_choked(now) for box in boxes)
             self.samples.append(Sample(now, sum(len(box.jobs) for box in boxes), choked))
             await asyncio.sleep(LOOK_S)
@@ -236,11 +236,11 @@
 async def carry_out(terms: Terms) -> Play:
     with tempfile.TemporaryDirectory(prefix="cloverkeel-overload-") as folder:
         world = Overload(terms, Path(folder))
-        await world.play()
+        await world.run()
         told = list(told_of(Path(folder)))
     steps = world.windows()
     account = Account(
-        wants_of(world.ledger),
+        wants_of(world.event_log),
         world.works,
         terms.hosts * terms.cores,
         terms.hosts,
@@ -252,12 +252,12 @@
     after = [window for window in steps if window.direction == "after"]
     again_us = account.served_again_us(after[0].begin_us, after[0].end_us) if after else None
     recovery_s = None if again_us is None else again_us / 1e6
-    dropped = [f"{world.ledger.dropped} entries of the ledger were dropped"] if world.ledger.dropped else []
+    dropped = [f"{world.event_log.dropped} entries of the ledger were dropped"] if world.event_log.dropped else []
     surge = [window for window in steps if window.direction == "surge"]
     onset = world.parts_of(surge, 0.1)[: round(ONSET_S / 0.1)]
     return Play(
         terms, world.capacity, rows, account.rows(world.parts_of(steps, 1.0)), account.rows(onset), recovery_s,
-        judge(rows, recovery_s, bool(after)), world.faults + dropped,
+        judge(rows, recovery_s, bool(after)), world.logged_defects + dropped,
     )  # fmt: skip
 
 
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -20,10 +20,10 @@
 import uvloop
 
 from standins.checker import Checker
-from standins.playing.keeper_play import EphemeralWorld
+from standins.playing.zookeeper_environment import ZooKeeperEnvironment
 from standins.event_log import BackendAttempt, NotificationDelivered, ProcessEvent, RequestSent, ResponseReceived
-from standins.playing.play import World
-from standins.playing.scenario import Scenario, Trouble
+from standins.playing.environment import Environment
+from standins.playing.scenario import Scenario, Fault
 from standins.showing.summary import summarise
 
 SHORTEST_S, LONGEST_S = 0.5, 20.0
@@ -32,7 +32,7 @@
 FIRST_S, LAST_S = 2.0, 6.0
 
 
-def plan(pauses: int) -> tuple[tuple[Trouble, ...], float]:
+def plan(pauses: int) -> tuple[tuple[Fault, ...], float]:
     """Pauses of all lengths, in as many rows as may stand at once; and how long that takes."""
     ratio = (LONGEST_S / SHORTEST_S) ** (1 / max(1, pauses - 1))
     lengths = sorted((SHORTEST_S * ratio**n for n in range(pauses)), reverse=True)
@@ -40,23 +40,23 @@
     troubles = []
     for length in lengths:  # the longest first, each to the row that is free soonest
         row = rows.index(min(rows))
-        troubles.append(Trouble(rows[row], "pause", {"for": length, "drain": True}))
+        troubles.append(Fault(rows[row], "pause", {"for": length, "drain": True}))
         rows[row] += length + BETWEEN_S
     return tuple(troubles), max(rows) + LAST_S
 
 
-async def run(options: argparse.Namespace, folder: Path) -> World:
+async def run(options: argparse.Namespace, folder: Path) -> Environment:
     troubles, seconds = plan(options.pauses)
     scenario = Scenario(
         "pauses", "gateways that stand still", seconds, boxes=14, gateways=10, load=options.load,
-        membership=options.membership, troubles=troubles,
+        membership=options.membership, faults=troubles,
     )  # fmt: skip
-    made = EphemeralWorld if options.membership == "ephemeral" else World
+    made = ZooKeeperEnvironment if options.membership == "ephemeral" else Environment
     world = made(scenario, options.seed, seconds, folder)
     if options.unguarded:
-        world.use((sys.executable, "-m", "benchmarks.guards.maimed", "still"))
+        world.use_gateway_command((sys.executable, "-m", "benchmarks.guards.maimed", "still"))
     world.on_progress = lambda text: print(f"  {text}", flush=True)
-    await world.play()
+    await world.run()
     return world
 
 
@@ -70,21 +70,21 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         world = runner.run(run(options, Path(folder)))
-    checker = Checker(world.ledger)
+    checker = Checker(world.event_log)
     breaches = checker.find_violations()
     stops: dict[str, list[tuple[int, int]]] = {}
-    for entry in world.ledger.events_of(ProcessEvent):
+    for entry in world.event_log.events_of(ProcessEvent):
         if entry.what == "STOP":
             stops.setdefault(entry.gateway, []).append((entry.at_us, 0))
         elif entry.what == "CONT" and entry.gateway in stops:
             stops[entry.gateway][-1] = (stops[entry.gateway][-1][0], entry.at_us)
-    told = [t for t in world.ledger.events_of(NotificationDelivered) if t.status != "SERVING"]
+    told = [t for t in world.event_log.events_of(NotificationDelivered) if t.status != "SERVING"]
     runs: dict[str, list[int]] = {}
-    for sent in world.ledger.events_of(BackendAttempt):
+    for sent in world.event_log.events_of(BackendAttempt):
         if sent.gateway and sent.received_us:
             runs.setdefault(sent.gateway, []).append(sent.at_us)
     asked: dict[str, list[int]] = {}
-    for ask in world.ledger.events_of(RequestSent):
+    for ask in world.event_log.events_of(RequestSent):
         asked.setdefault(ask.gateway, []).append(ask.at_us)
     first_ms, waited, inside = list[float](), list[int](), 0
     for gateway, pauses in stops.items():
@@ -97,7 +97,7 @@
                 first_ms.append((sends[at] - cont_us) / 1e3)
     lengths = [(cont - stop) / 1e6 for pauses in stops.values() for stop, cont in pauses]
     summary = summarise(checker, "pauses", options.seed, world.seconds)
-    statuses = sum(1 for a in world.ledger.events_of(ResponseReceived))
+    statuses = sum(1 for a in world.event_log.events_of(ResponseReceived))
     print(
         f"{len(lengths)} pauses of {min(lengths):.2f} to {max(lengths):.2f} s, word came inside {inside} of them; "
         f"{min(waited)} to {max(waited)} requests came meanwhile"
@@ -107,9 +107,9 @@
         f"most {max(first_ms):.1f}"
     )
     print(f"{statuses} answers; service by worth {summary.service:.1%}; breaches: {summary.breaches}")
-    for line in (*world.faults[:3], *map(str, breaches[:2])):
+    for line in (*world.logged_defects[:3], *map(str, breaches[:2])):
         print(line)
-    return 1 if breaches or world.faults else 0
+    return 1 if breaches or world.logged_defects else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -26,7 +26,7 @@
 from standins.parties.fleet import Fleet, Gateway
 from standins.event_log import EventLog, ResourceUsage
 from standins.parties.mesh import free_udp, own_host
-from standins.site import BoxKind, Rules, configuration, settings
+from standins.site import BackendType, Rules, configuration, settings
 from standins.parties.zookeeper.ensemble import Ensemble
 from standins.parties.zookeeper.jute import Create
 
@@ -142,7 +142,7 @@
          "zone": "kita-room", "type": "small-2c", "group": 0, "status": "SERVING", "weight": 1.0, "since_ms": 0}
         for n, server in enumerate(servers)
     ]  # fmt: skip
-    made = settings(3, 0, 0, BoxKind(), Rules()) | {"membershipMode": "pushed"}
+    made = settings(3, 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed"}
     names: dict[str, tuple[str, ...]] = {
         "gateway": (sys.executable, "-m", "cloverkeel"),
         "bare": (sys.executable, "-m", "benchmarks.bare"),
--- a/standins/checker/duplicates.py
+++ b/standins/checker/duplicates.py
@@ -16,7 +16,7 @@
 from standins.checker.timeline import request_violation
 from standins.checker.violations import Rule, Violation
 from standins.event_log import BackendAttempt, ResponseReceived
-from standins.site import Klass
+from standins.site import RequestClass
 
 REFUSAL_STATUSES: Final = (429, 503)
 
@@ -67,7 +67,7 @@
                 yield self._violation(id_, attempt.at_us, what)
 
     def _check_repeat(
-        self, request_class: Klass, attempt: BackendAttempt, before: Sequence[BackendAttempt]
+        self, request_class: RequestClass, attempt: BackendAttempt, before: Sequence[BackendAttempt]
     ) -> Iterator[Violation]:
         sender = self._observations.sender_of(attempt)
         earlier = self._attempts_that_may_have_run(before, sender, attempt.at_us)
--- a/standins/parties/box.py
+++ b/standins/parties/box.py
@@ -17,7 +17,7 @@
 from standins.event_log import BackendAttempt, BackendLoad, BackendStarted, BackendStopped, EventLog, now_us
 from standins.parties.network import Address, Flow, Network
 from standins.parties.strain import Choke, Strain
-from standins.site import CLASSES, BoxKind, Klass, Rules, draw
+from standins.site import CLASSES, BackendType, RequestClass, Rules, draw_uniform
 
 BODY = b"." * 400
 SPOILT = ("noise", "head", "length", "huge", "short")  # a failed attempt that has run
@@ -64,11 +64,11 @@
 
     def __init__(
         self, name: str, room: int, shelf: Shelf, ledger: EventLog, network: Network,
-        kind: BoxKind | None = None, rules: Rules | None = None, seed: int = 0,
+        kind: BackendType | None = None, rules: Rules | None = None, seed: int = 0,
         on_listening: Callable[[bool], None] = lambda up: None, law: Choke | None = None,
     ) -> None:  # fmt: skip
         self.name, self.room, self.shelf, self.ledger, self.network = name, room, shelf, ledger, network
-        self.kind, self.rules = kind or BoxKind(), rules or Rules()
+        self.kind, self.rules = kind or BackendType(), rules or Rules()
         self.on_listening = on_listening  # the network's links refuse while nobody listens
         self.on_over: Callable[[Job], None] = lambda job: None  # told of each job once it is over
         self.law = law  # None: its pace does not depend on what it holds
@@ -195,7 +195,9 @@
         run = job.run
         # What a client tells of the work is rough.
         rough = self.dice.uniform(0.8, 1.25)
-        run.work_us = int(job.hint_us / self.kind.hint * rough) if job.hint_us else draw(self.dice, job.klass.work_us)
+        run.work_us = (
+            int(job.hint_us / self.kind.hint * rough) if job.hint_us else draw_uniform(self.dice, job.klass.work_us)
+        )
         run.work_us += job.handshake_us
         if self.is_overdriven(run.work_us):
             self.fell = True
@@ -267,7 +269,7 @@
 class Job:
     """One request at a box, until its answer."""
 
-    def __init__(self, box: Box, connection: BoxConnection, run: BackendAttempt, klass: Klass) -> None:
+    def __init__(self, box: Box, connection: BoxConnection, run: BackendAttempt, klass: RequestClass) -> None:
         self.box, self.connection, self.run, self.klass = box, connection, run, klass
         self.hint_us = 0  # the work, where the client told it
         self.handshake_us = 0
@@ -292,7 +294,7 @@
 
     def wait_on_others(self) -> None:
         self.free_core()
-        waits_us = draw(self.box.dice, self.klass.waits_us)
+        waits_us = draw_uniform(self.box.dice, self.klass.waits_us)
         self.timer = asyncio.get_running_loop().call_later(waits_us / 1e6, self.finish, "ok")
 
     def free_core(self) -> None:
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -25,7 +25,7 @@
     now_us,
 )
 from standins.parties.network import Address
-from standins.site import CLASSES, ROOMS, TENANTS, Klass, draw
+from standins.site import CLASSES, ZONES, TENANTS, RequestClass, draw_uniform
 
 WAITED_US = 300_000  # past a try's time: how long a client goes on listening, so that a late answer is seen
 RUDE_US = 4_000_000  # how long a client that breaks the protocol waits for an error or a close
@@ -193,7 +193,7 @@
 
     def __post_init__(self) -> None:
         self.dice = random.Random(f"{self.seed}/clients")
-        self.idle: dict[int, list[Connection]] = {room: [] for room in range(len(ROOMS))}
+        self.idle: dict[int, list[Connection]] = {room: [] for room in range(len(ZONES))}
         self.count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.open: set[Connection] = set()
@@ -226,18 +226,18 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def want(self, klass: Klass) -> None:
+    async def want(self, klass: RequestClass) -> None:
         """One thing that a client wants: tried, and tried again as its software does."""
         dice, habits = self.dice, self.habits
-        room = dice.randrange(len(ROOMS))
+        room = dice.randrange(len(ZONES))
         self.count += 1
         first = f"{self.seed:x}.{self.count:x}"
         slip = 1 if dice.random() < habits.popular else min(int(dice.paretovariate(0.8)), habits.keys)
-        cost = draw(dice, klass.work_us)
+        cost = draw_uniform(dice, klass.work_us)
         key = f"k{first}" if klass.effect == "keyed" else ""
         tenant = dice.choice(TENANTS)
         end_us = now_us() + klass.give_up_us
-        self.ledger.add(OperationStarted(now_us(), first, klass.name, ROOMS[room]))
+        self.ledger.add(OperationStarted(now_us(), first, klass.name, ZONES[room]))
         for number in range(habits.retries + 1):
             budget_us = min(int(klass.give_up_us * habits.try_share), end_us - now_us())
             if budget_us < 1_000:
@@ -258,7 +258,9 @@
                 return
             await asyncio.sleep(wait_s)
 
-    def request(self, klass: Klass, id_: str, tenant: str, budget_us: int, slip: int, key: str, cost: int) -> bytes:
+    def request(
+        self, klass: RequestClass, id_: str, tenant: str, budget_us: int, slip: int, key: str, cost: int
+    ) -> bytes:
         body = b"" if klass.effect == "safe" else f"slip {slip} ".encode() * 8
         lines = [
             f"{'GET' if klass.effect == 'safe' else 'POST'} /{klass.name}/{slip} HTTP/1.1", "Host: backend.local",
@@ -276,8 +278,8 @@
     # One try
 
     async def ask(
-        self, room: int, klass: Klass, id_: str, data: bytes, budget_us: int, key: str, tenant: str, first: str,
-        leaves: bool,
+        self, room: int, klass: RequestClass, id_: str, data: bytes, budget_us: int, key: str, tenant: str,
+        first: str, leaves: bool,
     ) -> ResponseReceived | ResponseMissing | None:  # fmt: skip
         """One try; None if no gateway took it."""
         again = False
--- a/standins/playing/__init__.py
+++ b/standins/playing/__init__.py
@@ -1,1 +1,1 @@
-"""Plays: scenarios, and the worlds that they are played in."""
+"""Scenarios, and the environments that they run in."""
--- a/standins/playing/scenario.py
+++ b/standins/playing/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: TOML, checked; a mistake names file, key and what was expected."""
+"""Read scenario files: TOML, whose keys and values are checked."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from pathlib import Path
 from typing import Any
 
-FOLDER = Path(__file__).parent / "scenarios"
+SCENARIOS_FOLDER = Path(__file__).parent / "scenarios"
 Check = Callable[[Any], bool]
 
 
 class ScenarioError(ValueError):
-    """The message names file, key and what was expected, in one line."""
+    """Raised for a scenario that cannot be used; the message names file, key and what was expected, in one line."""
 
 
-def _number(low: float, high: float) -> tuple[str, Check]:
+def _number(min_value: float, max_value: float) -> tuple[str, Check]:
     def check(value: Any) -> bool:
-        return isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high
+        return isinstance(value, int | float) and not isinstance(value, bool) and min_value <= value <= max_value
 
-    return f"a number from {low:g} to {high:g}", check
+    return f"a number from {min_value:g} to {max_value:g}", check
 
 
-def _whole(low: int, high: int) -> tuple[str, Check]:
+def _integer(min_value: int, max_value: int) -> tuple[str, Check]:
     def check(value: Any) -> bool:
-        return isinstance(value, int) and not isinstance(value, bool) and low <= value <= high
+        return isinstance(value, int) and not isinstance(value, bool) and min_value <= value <= max_value
 
-    return f"a whole number from {low} to {high}", check
+    return f"a whole number from {min_value} to {max_value}", check
 
 
 def _one_of(*words: str) -> tuple[str, Check]:
@@ -35,55 +35,55 @@
 
 
 TEXT: tuple[str, Check] = ("a text", lambda value: isinstance(value, str) and bool(value))
-YES: tuple[str, Check] = ("true or false", lambda value: isinstance(value, bool))
+BOOLEAN: tuple[str, Check] = ("true or false", lambda value: isinstance(value, bool))
 PARTIES: tuple[str, Check] = (
-    "a list of names: boxes (s-0), gateways (n0), rooms, 'registry' or 'keeper'",
+    "a list of names: backends (s-0), gateways (n0), zones, 'registry' or 'keeper'",
     lambda value: isinstance(value, list) and bool(value) and all(isinstance(v, str) for v in value),
 )
 SECONDS = _number(0.05, 600)
 SHARE = _number(0.0, 1.0)
-BOXES = _whole(1, 64)
-USUAL_BOXES = 6
+BACKEND_COUNT = _integer(1, 64)
+DEFAULT_BACKEND_COUNT = 6
 
-# What may go wrong: its keys and what each expects; those in NEEDED have no default.
+# By action: its keys, each with the expected value and a check. Keys in REQUIRED_KEYS have no default.
 ACTIONS: dict[str, dict[str, tuple[str, Check]]] = {
-    "crash": {"boxes": BOXES, "for": SECONDS, "renamed": YES},
-    "hang": {"boxes": BOXES, "for": SECONDS},
-    "silent": {"boxes": BOXES, "for": SECONDS},
-    "drain": {"boxes": BOXES, "for": SECONDS},
-    "slow": {"boxes": BOXES, "for": SECONDS, "factor": _number(1, 50)},
-    "errors": {"boxes": BOXES, "for": SECONDS, "share": SHARE},
-    "spoil": {"boxes": BOXES, "for": SECONDS, "share": SHARE, "kind": TEXT},
-    "late": {"boxes": BOXES, "for": SECONDS, "share": SHARE},
-    "reset": {"boxes": BOXES, "for": SECONDS, "share": SHARE, "at_byte": _whole(0, 65536)},
-    "shrink": {"boxes": BOXES, "for": SECONDS, "over": SECONDS},
-    "join": {"boxes": BOXES},
+    "crash": {"boxes": BACKEND_COUNT, "for": SECONDS, "renamed": BOOLEAN},
+    "hang": {"boxes": BACKEND_COUNT, "for": SECONDS},
+    "silent": {"boxes": BACKEND_COUNT, "for": SECONDS},
+    "drain": {"boxes": BACKEND_COUNT, "for": SECONDS},
+    "slow": {"boxes": BACKEND_COUNT, "for": SECONDS, "factor": _number(1, 50)},
+    "errors": {"boxes": BACKEND_COUNT, "for": SECONDS, "share": SHARE},
+    "spoil": {"boxes": BACKEND_COUNT, "for": SECONDS, "share": SHARE, "kind": TEXT},
+    "late": {"boxes": BACKEND_COUNT, "for": SECONDS, "share": SHARE},
+    "reset": {"boxes": BACKEND_COUNT, "for": SECONDS, "share": SHARE, "at_byte": _integer(0, 65536)},
+    "shrink": {"boxes": BACKEND_COUNT, "for": SECONDS, "over": SECONDS},
+    "join": {"boxes": BACKEND_COUNT},
     "take_address": {"for": SECONDS},
-    "wave": {"share": SHARE, "over": SECONDS, "at_once": SHARE, "kill": YES},
-    "pause": {"gateways": _whole(1, 400), "for": SECONDS, "drain": YES},
+    "wave": {"share": SHARE, "over": SECONDS, "at_once": SHARE, "kill": BOOLEAN},
+    "pause": {"gateways": _integer(1, 400), "for": SECONDS, "drain": BOOLEAN},
     "early": {"signal": _one_of("HUP", "TERM")},
     "registry_down": {"for": SECONDS, "how": _one_of("503", "reset", "silent")},
     "registry_garbled": {"for": SECONDS},
-    "registry_back": {"by": _whole(1, 1000)},
+    "registry_back": {"by": _integer(1, 1000)},
     "registry_moves": {},
-    "partition": {"one": PARTIES, "other": PARTIES, "for": SECONDS, "one_way": YES, "reset": YES},
+    "partition": {"one": PARTIES, "other": PARTIES, "for": SECONDS, "one_way": BOOLEAN, "reset": BOOLEAN},
     "slow_network": {
         "one": PARTIES, "other": PARTIES, "for": SECONDS, "delay_ms": _number(0, 2000),
         "jitter_ms": _number(0, 2000), "loss": SHARE,
     },
     "rude": {"for": SECONDS, "rate": _number(0.1, 500), "kind": TEXT},
     "surge": {"for": SECONDS, "factor": _number(0.1, 20)},
-    # with ops = true alone
-    "suspend": {"boxes": BOXES, "for": SECONDS},
-    "empty": {"gateways": _whole(1, 400), "for": SECONDS},
-    "upgrade": {"gateways": _whole(1, 400)},
-    # with membership = "ephemeral" alone
-    "expire": {"boxes": BOXES, "for": SECONDS},
+    # only with ops = true
+    "suspend": {"boxes": BACKEND_COUNT, "for": SECONDS},
+    "empty": {"gateways": _integer(1, 400), "for": SECONDS},
+    "upgrade": {"gateways": _integer(1, 400)},
+    # only with membership = "ephemeral"
+    "expire": {"boxes": BACKEND_COUNT, "for": SECONDS},
     "expire_all": {},
     "keeper_leader": {"for": SECONDS},
-    "keeper_down": {"for": SECONDS, "lost": _whole(0, 100)},
+    "keeper_down": {"for": SECONDS, "lost": _integer(0, 100)},
 }  # fmt: skip
-NEEDED = {
+REQUIRED_KEYS = {
     "crash": ("for",),
     "hang": ("for",),
     "silent": ("for",),
@@ -108,20 +108,21 @@
     "keeper_leader": ("for",),
     "keeper_down": ("for",),
 }
-OF_THE_REGISTRY = ("registry_down", "registry_garbled", "registry_back", "registry_moves", "take_address")
-OF_STAFF = ("suspend", "empty", "upgrade")
-OF_THE_KEEPER = ("expire", "expire_all", "keeper_leader", "keeper_down")  # fmt: skip
-FLEET: dict[str, tuple[str, Check]] = {
-    "boxes": _whole(1, 64), "gateways": _whole(1, 64), "shelves": _whole(1, 16), "cores": _whole(1, 16),
+REGISTRY_ACTIONS = ("registry_down", "registry_garbled", "registry_back", "registry_moves", "take_address")
+ADMIN_ACTIONS = ("suspend", "empty", "upgrade")
+ENSEMBLE_ACTIONS = ("expire", "expire_all", "keeper_leader", "keeper_down")  # fmt: skip
+FLEET_KEYS: dict[str, tuple[str, Check]] = {
+    "boxes": _integer(1, 64), "gateways": _integer(1, 64), "shelves": _integer(1, 16), "cores": _integer(1, 16),
     "load": _number(0.01, 8.0), "cold_share": _number(0.05, 1.0), "warm_s": _number(0.1, 60),
     "warm_told_s": _number(0.1, 60), "membership": _one_of("registry", "ephemeral"),
-    "window_s": _number(0.05, 60), "idle_s": _number(0.2, 600), "second_copies": YES, "attempts": _whole(1, 20),
-    "ops": YES, "duties": YES, "sharing": YES, "sockets": _whole(128, 65_536), "memory_mib": _whole(16, 4_096),
+    "window_s": _number(0.05, 60), "idle_s": _number(0.2, 600), "second_copies": BOOLEAN, "attempts": _integer(1, 20),
+    "ops": BOOLEAN, "duties": BOOLEAN, "sharing": BOOLEAN, "sockets": _integer(128, 65_536),
+    "memory_mib": _integer(16, 4_096),
 }  # fmt: skip
-CLIENTS: dict[str, tuple[str, Check]] = {
-    "keys": _whole(1, 100_000), "popular": SHARE, "hint": _number(0.05, 20),
+CLIENT_KEYS: dict[str, tuple[str, Check]] = {
+    "keys": _integer(1, 100_000), "popular": SHARE, "hint": _number(0.05, 20),
 }  # fmt: skip
-TOP: dict[str, tuple[str, Check]] = {
+TOP_LEVEL_KEYS: dict[str, tuple[str, Check]] = {
     "about": TEXT,
     "seconds": _number(1, 600),
     "fleet": ("a table", lambda value: isinstance(value, dict)),
@@ -131,115 +132,123 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trouble:
-    at: float  # seconds from the start, at the scenario's own length
-    do: str
-    keys: dict[str, Any]
+class Fault:
+    """A fault that a scenario injects."""
+
+    at_s: float  # from the start of the run, if it has the scenario's own length
+    action: str  # key of ACTIONS
+    arguments: dict[str, Any]  # by key of the file
 
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
+    """A scenario. Its fields have the names of the file's keys, but for `faults`."""
+
     name: str
     about: str
     seconds: float = 60.0
-    boxes: int = USUAL_BOXES
-    gateways: int = 3
-    shelves: int = 2
-    cores: int = 2
-    load: float = 0.5  # share of what the boxes can do when warm
-    cold_share: float = 0.35
-    warm_s: float = 6.0
-    warm_told_s: float = 0.0  # what gateways are told of it; 0: the truth
-    window_s: float = 1.5  # in which the boxes of a shelf drop a hold's repeat
-    idle_s: float = 60.0  # after which a box closes a connection that is not used
-    second_copies: bool = True  # two attempts of one request may be out together
-    attempts: int = 6  # of one request by one gateway, at most
-    ops: bool = False  # gateways have a second address, for staff
-    duties: bool = False  # gateways hold duties by lease, and may send one another datagrams
-    sharing: bool = False  # gateways tell one another what they know of boxes, by datagrams
-    sockets: int = 512  # descriptors of a gateway
-    memory_mib: int = 192  # of a gateway
-    keys: int = 2000  # distinct ones that requests are about
-    popular: float = 0.0  # share of the requests that are about one of them
-    hint: float = 1.0  # what clients tell of a request's work, as a share of it
+    boxes: int = DEFAULT_BACKEND_COUNT  # number of backends
+    gateways: int = 3  # number of gateways
+    shelves: int = 2  # number of idempotency stores, each shared by some of the backends
+    cores: int = 2  # of a backend
+    load: float = 0.5  # offered, as a share of the capacity of all backends after warm-up
+    cold_share: float = 0.35  # capacity of a backend at its start, as a share of that after warm-up
+    warm_s: float = 6.0  # duration of the warm-up
+    warm_told_s: float = 0.0  # duration of the warm-up in the gateways' configuration; 0: the actual one
+    window_s: float = 1.5  # backends that share an idempotency store drop repeats of a hold for this long
+    idle_s: float = 60.0  # idle timeout of a backend's connections
+    second_copies: bool = True  # a gateway may have two attempts of one request in flight
+    attempts: int = 6  # a gateway sends one request at most this often
+    ops: bool = False  # gateways have an admin address
+    duties: bool = False  # gateways hold leased roles, and may send datagrams to each other
+    sharing: bool = False  # gateways share what they know of backends by datagrams
+    sockets: int = 512  # limit of a gateway's descriptors
+    memory_mib: int = 192  # limit of a gateway's memory
+    keys: int = 2000  # number of distinct keys that requests concern
+    popular: float = 0.0  # share of the requests that concern one of the keys
+    hint: float = 1.0  # cost that clients announce for a request, as a share of its actual work
     membership: str = "registry"
-    troubles: tuple[Trouble, ...] = field(default=())
+    faults: tuple[Fault, ...] = field(default=())
 
 
-def _check(where: str, table: Mapping[str, Any], known: Mapping[str, tuple[str, Check]]) -> None:
+def _check_table(location: str, table: Mapping[str, Any], known: Mapping[str, tuple[str, Check]]) -> None:
     for key, value in table.items():
         if key not in known:
-            raise ScenarioError(f"{where}: {key}: unknown; expected one of {', '.join(sorted(known))}")
+            raise ScenarioError(f"{location}: {key}: unknown; expected one of {', '.join(sorted(known))}")
         expected, check = known[key]
         if not check(value):
-            raise ScenarioError(f"{where}: {key}: expected {expected}, found {value!r}")
+            raise ScenarioError(f"{location}: {key}: expected {expected}, found {value!r}")
 
 
-def _trouble(where: str, raw: Any, seconds: float) -> Trouble:
+def _parse_fault(location: str, raw: Any, seconds: float) -> Fault:
     if not isinstance(raw, dict):
-        raise ScenarioError(f"{where}: expected a table, found {raw!r}")
-    do = raw.get("do")
-    if do not in ACTIONS:
-        raise ScenarioError(f"{where}: do: expected one of {', '.join(sorted(ACTIONS))}, found {do!r}")
-    known = ACTIONS[do] | {"at": _number(0, seconds), "do": TEXT}
-    for key in ("at", *NEEDED.get(do, ())):
+        raise ScenarioError(f"{location}: expected a table, found {raw!r}")
+    action = raw.get("do")
+    if action not in ACTIONS:
+        raise ScenarioError(f"{location}: do: expected one of {', '.join(sorted(ACTIONS))}, found {action!r}")
+    known = ACTIONS[action] | {"at": _number(0, seconds), "do": TEXT}
+    for key in ("at", *REQUIRED_KEYS.get(action, ())):
         if key not in raw:
-            raise ScenarioError(f"{where} ({do}): {key}: missing; expected {known[key][0]}")
-    _check(f"{where} ({do})", raw, known)
-    return Trouble(float(raw["at"]), do, {key: raw[key] for key in raw if key not in ("at", "do")})
+            raise ScenarioError(f"{location} ({action}): {key}: missing; expected {known[key][0]}")
+    _check_table(f"{location} ({action})", raw, known)
+    return Fault(float(raw["at"]), action, {key: raw[key] for key in raw if key not in ("at", "do")})
 
 
-def parse(text: str, name: str, where: str) -> Scenario:
-    """ScenarioError names what is wrong, and nothing is started."""
+def parse_scenario(text: str, name: str, location: str) -> Scenario:
+    """Return the scenario of a file's text; ScenarioError if it is not valid. `location` stands in the error."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ScenarioError(f"{where}: not TOML: {error}") from None
-    _check(where, raw, TOP)
+        raise ScenarioError(f"{location}: not TOML: {error}") from None
+    _check_table(location, raw, TOP_LEVEL_KEYS)
     if "about" not in raw:
-        raise ScenarioError(f"{where}: about: missing; expected {TEXT[0]}")
+        raise ScenarioError(f"{location}: about: missing; expected {TEXT[0]}")
     seconds = float(raw.get("seconds", 60.0))
     fleet = raw.get("fleet", {})
-    _check(f"{where}: fleet", fleet, FLEET)
+    _check_table(f"{location}: fleet", fleet, FLEET_KEYS)
     clients = raw.get("clients", {})
-    _check(f"{where}: clients", clients, CLIENTS)
-    troubles = tuple(
-        _trouble(f"{where}: trouble {n}", trouble, seconds) for n, trouble in enumerate(raw.get("trouble", []), 1)
+    _check_table(f"{location}: clients", clients, CLIENT_KEYS)
+    faults = tuple(
+        _parse_fault(f"{location}: trouble {number}", table, seconds)
+        for number, table in enumerate(raw.get("trouble", []), 1)
     )
-    boxes = fleet.get("boxes", USUAL_BOXES)
+    backend_count = fleet.get("boxes", DEFAULT_BACKEND_COUNT)
     membership = fleet.get("membership", "registry")
-    for number, trouble in enumerate(troubles, 1):
-        if trouble.do in (OF_THE_KEEPER if membership == "registry" else OF_THE_REGISTRY):
+    for number, fault in enumerate(faults, 1):
+        if fault.action in (ENSEMBLE_ACTIONS if membership == "registry" else REGISTRY_ACTIONS):
             raise ScenarioError(
-                f"{where}: trouble {number}: do: expected one that goes with membership = {membership!r},"
-                f" found {trouble.do!r}"
+                f"{location}: trouble {number}: do: expected an action that works with membership = {membership!r},"
+                f" found {fault.action!r}"
             )
-        if trouble.do in OF_STAFF and not fleet.get("ops", False):
+        if fault.action in ADMIN_ACTIONS and not fleet.get("ops", False):
             raise ScenarioError(
-                f"{where}: trouble {number} ({trouble.do}): expected ops = true in [fleet]: staff call there"
+                f"{location}: trouble {number} ({fault.action}): expected ops = true in [fleet]: an admin command"
             )
-        if trouble.keys.get("boxes", 1) > boxes and trouble.do != "join":
+        if fault.arguments.get("boxes", 1) > backend_count and fault.action != "join":
             raise ScenarioError(
-                f"{where}: trouble {number} ({trouble.do}): boxes: expected at most the fleet's {boxes},"
-                f" found {trouble.keys['boxes']}"
+                f"{location}: trouble {number} ({fault.action}): boxes: expected at most the fleet's {backend_count},"
+                f" found {fault.arguments['boxes']}"
             )
-    return Scenario(name, raw["about"], seconds, troubles=troubles, **fleet, **clients)
+    return Scenario(name, raw["about"], seconds, faults=faults, **fleet, **clients)
 
 
-def load(name: str) -> Scenario:
-    """A scenario by its name among ours, or by the path of a file."""
-    path = FOLDER / f"{name}.toml"
+def load_scenario(name: str) -> Scenario:
+    """Return a scenario of this package by its name, or that of a file by its path."""
+    path = SCENARIOS_FOLDER / f"{name}.toml"
     if "/" in name or name.endswith(".toml"):
         path = Path(name)
     elif not path.exists():
-        raise ScenarioError(f"{name}: no such scenario; expected a file or one of {', '.join(names())}")
+        raise ScenarioError(f"{name}: no such scenario; expected a file or one of {', '.join(scenario_names())}")
     try:
-        return parse(path.read_text(), path.stem, str(path) if path.parent != FOLDER else path.name)
+        return parse_scenario(
+            path.read_text(), path.stem, str(path) if path.parent != SCENARIOS_FOLDER else path.name
+        )
     except OSError as error:
         raise ScenarioError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise ScenarioError(f"{path}: expected text in UTF-8") from None
 
 
-def names() -> list[str]:
-    return sorted(path.stem for path in FOLDER.glob("*.toml"))
+def scenario_names() -> list[str]:
+    """Return the names of the scenarios of this package, sorted."""
+    return sorted(path.stem for path in SCENARIOS_FOLDER.glob("*.toml"))
--- a/standins/showing/__init__.py
+++ b/standins/showing/__init__.py
@@ -1,1 +1,1 @@
-"""Figures and pages of a play."""
+"""Figures and pages of a scenario run."""
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -1,4 +1,4 @@
-"""Figures of a play from its ledger: service, latency, attempts, connections. Pure; the checker judges, not this."""
+"""Figures of a scenario run from its event log: service, latency, attempts, connections. Pure; checks no rules."""
 
 from __future__ import annotations
 
@@ -20,131 +20,146 @@
     ResponseMissing,
     ResponseReceived,
 )
-from standins.site import CLASSES, Klass
+from standins.site import CLASSES, RequestClass
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """The value below which this share lies; 0 without values."""
+    """Return the value below which this share of the values lies; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 @dataclass(slots=True)
 class ClassFigures:
-    """One class. Times in milliseconds, shares from 0 to 1."""
+    """Figures of a request class. Times in milliseconds, shares from 0 to 1.
 
-    wanted: int = 0
-    in_time: int = 0  # answered within the aim, over all tries
-    service: float = 0.0
-    tries: int = 0
+    An operation takes one request, or several if the client retries.
+    """
+
+    wanted: int = 0  # operations
+    in_time: int = 0  # operations served within the latency objective, retries included
+    service: float = 0.0  # share of the operations that were served in time
+    tries: int = 0  # requests
     statuses: dict[str, int] = field(default_factory=dict)
     p50: float = 0.0
     p90: float = 0.0
     p99: float = 0.0
     longest: float = 0.0
-    attempts: float = 0.0  # sent to boxes, for each try that was sent on at all
+    attempts: float = 0.0  # mean number per request that reached a backend
 
 
 @dataclass(slots=True)
 class Summary:
+    """Figures of a scenario run. The field names are the keys of the JSON report."""
+
     scenario: str
     seed: int
     seconds: float
-    service: float  # by worth
+    service: float  # share of the operations served in time, weighted by the worth of their class
     classes: dict[str, ClassFigures]
-    connections: float  # to a box at the most, seen a few times a second
-    rude: int
-    rude_owed: int  # got neither an error nor a close in time
-    memory_mib: float  # of a gateway at the most
-    descriptors: int
-    cpu_us: float  # of all gateways, for each try
+    connections: float  # maximum at a backend, sampled a few times a second
+    rude: int  # misbehaving clients
+    rude_owed: int  # those that got neither an error nor a close in time
+    memory_mib: float  # maximum of a gateway
+    descriptors: int  # maximum of a gateway
+    cpu_us: float  # of all gateways, per request
     restarts: int
-    cold: float  # most that a cold box was sent, as a share of what pushes it over
-    breaches: dict[str, int]
+    cold: float  # maximum load of a backend in slow start, as a share of what makes it collapse
+    breaches: dict[str, int]  # number of violations by rule
 
-    def as_object(self) -> dict[str, Any]:
+    def as_json(self) -> dict[str, Any]:
+        """Return the object of the JSON report."""
         return asdict(self)
 
 
-def latencies(ledger: EventLog) -> dict[str, list[tuple[int, float]]]:
-    """By class: when served tries were asked, and how long they took in ms."""
-    asked = {entry.id: entry for entry in ledger.events_of(RequestSent)}
-    found: dict[str, list[tuple[int, float]]] = defaultdict(list)
-    for final in ledger.events_of(ResponseReceived):
-        if final.status == 200 and final.id in asked:
-            ask = asked[final.id]
-            found[ask.request_class].append((ask.at_us, (final.at_us - ask.at_us) / 1e3))
-    return found
+def served_latencies(event_log: EventLog) -> dict[str, list[tuple[int, float]]]:
+    """Return by class when each served request was sent, in µs, and its latency in ms."""
+    requests = {entry.id: entry for entry in event_log.events_of(RequestSent)}
+    latencies: dict[str, list[tuple[int, float]]] = defaultdict(list)
+    for final in event_log.events_of(ResponseReceived):
+        if final.status == 200 and final.id in requests:
+            request = requests[final.id]
+            latencies[request.request_class].append((request.at_us, (final.at_us - request.at_us) / 1e3))
+    return latencies
 
 
-def served_in_time(ledger: EventLog, classes: Mapping[str, Klass] = CLASSES) -> dict[str, int]:
-    """First tries' ids of what was answered within its aim, and when it was wanted."""
-    wanted = {entry.id: entry for entry in ledger.events_of(OperationStarted)}
-    firsts = {entry.id: entry.first_id for entry in ledger.events_of(RequestSent)}
+def served_in_time(event_log: EventLog, classes: Mapping[str, RequestClass] = CLASSES) -> dict[str, int]:
+    """Return the operations that were served within their latency objective, by id, and when each started."""
+    operations = {entry.id: entry for entry in event_log.events_of(OperationStarted)}
+    first_ids = {entry.id: entry.first_id for entry in event_log.events_of(RequestSent)}
     served: dict[str, int] = {}
-    for final in ledger.events_of(ResponseReceived):
-        want = wanted.get(firsts.get(final.id, ""))
-        if final.status == 200 and want and final.at_us - want.at_us <= classes[want.request_class].aim_us:
-            served[want.id] = want.at_us
+    for final in event_log.events_of(ResponseReceived):
+        operation = operations.get(first_ids.get(final.id, ""))
+        if (
+            final.status == 200
+            and operation
+            and final.at_us - operation.at_us <= classes[operation.request_class].aim_us
+        ):
+            served[operation.id] = operation.at_us
     return served
 
 
 def summarise(checker: Checker, scenario: str, seed: int, seconds: float) -> Summary:
-    """Of a ledger that has been judged."""
-    ledger = checker.event_log
+    """Return the figures of a run whose event log the checker has checked."""
+    event_log = checker.event_log
     figures = {name: ClassFigures() for name in CLASSES}
-    served = served_in_time(ledger)
-    for want in ledger.events_of(OperationStarted):
-        figures[want.request_class].wanted += 1
-        figures[want.request_class].in_time += want.id in served
-    asked = {entry.id: entry for entry in ledger.events_of(RequestSent)}
-    for entry in asked.values():
+    served = served_in_time(event_log)
+    for operation in event_log.events_of(OperationStarted):
+        figures[operation.request_class].wanted += 1
+        figures[operation.request_class].in_time += operation.id in served
+    requests = {entry.id: entry for entry in event_log.events_of(RequestSent)}
+    for entry in requests.values():
         figures[entry.request_class].tries += 1
     statuses: dict[str, Counter[str]] = defaultdict(Counter)
     finals: list[ResponseReceived | ResponseMissing] = [
-        *ledger.events_of(ResponseReceived),
-        *ledger.events_of(ResponseMissing),
+        *event_log.events_of(ResponseReceived),
+        *event_log.events_of(ResponseMissing),
     ]
     for final in finals:
-        if final.id in asked:
-            said = str(final.status) if isinstance(final, ResponseReceived) else final.how
-            statuses[asked[final.id].request_class][said] += 1
+        if final.id in requests:
+            status = str(final.status) if isinstance(final, ResponseReceived) else final.how
+            statuses[requests[final.id].request_class][status] += 1
     sent: dict[str, Counter[str]] = defaultdict(Counter)
-    for run in ledger.events_of(BackendAttempt):
-        if run.received_us:
-            sent[run.request_class][run.id] += 1
-    times = latencies(ledger)
-    worth = asked_worth = 0.0
-    for name, one in figures.items():
-        took = [ms for _, ms in times.get(name, [])]
-        one.p50, one.p90, one.p99 = quantile(took, 0.5), quantile(took, 0.9), quantile(took, 0.99)
-        one.longest = max(took, default=0.0)
-        one.service = one.in_time / one.wanted if one.wanted else 0.0
-        one.statuses = dict(statuses[name].most_common())
-        one.attempts = sum(sent[name].values()) / len(sent[name]) if sent[name] else 0.0
-        worth += CLASSES[name].worth * one.in_time
-        asked_worth += CLASSES[name].worth * one.wanted
-    rude = list(ledger.events_of(MisbehavingClient))
-    usage = list(ledger.events_of(ResourceUsage))
-    tries = sum(one.tries for one in figures.values())
-    found = Counter[str](breach.rule for breach in checker.violations)
+    for attempt in event_log.events_of(BackendAttempt):
+        if attempt.received_us:
+            sent[attempt.request_class][attempt.id] += 1
+    latencies = served_latencies(event_log)
+    served_worth = total_worth = 0.0
+    for name, class_figures in figures.items():
+        latencies_ms = [ms for _, ms in latencies.get(name, [])]
+        class_figures.p50, class_figures.p90, class_figures.p99 = (
+            quantile(latencies_ms, 0.5),
+            quantile(latencies_ms, 0.9),
+            quantile(latencies_ms, 0.99),
+        )
+        class_figures.longest = max(latencies_ms, default=0.0)
+        class_figures.service = class_figures.in_time / class_figures.wanted if class_figures.wanted else 0.0
+        class_figures.statuses = dict(statuses[name].most_common())
+        class_figures.attempts = sum(sent[name].values()) / len(sent[name]) if sent[name] else 0.0
+        served_worth += CLASSES[name].worth * class_figures.in_time
+        total_worth += CLASSES[name].worth * class_figures.wanted
+    misbehaving = list(event_log.events_of(MisbehavingClient))
+    usage = list(event_log.events_of(ResourceUsage))
+    tries = sum(class_figures.tries for class_figures in figures.values())
+    violation_counts = Counter[str](violation.rule for violation in checker.violations)
     return Summary(
-        scenario, seed, seconds, worth / asked_worth if asked_worth else 0.0, figures,
-        float(max((load.connections for load in ledger.events_of(BackendLoad)), default=0)),
-        len(rude), found["owed"],
-        max((u.rss_kib for u in usage), default=0) / 1024, max((u.descriptors for u in usage), default=0),
-        cpu_of(usage) / tries if tries else 0.0,
-        sum(p.what == "start" for p in ledger.events_of(ProcessEvent))
-        - len({p.gateway for p in ledger.events_of(ProcessEvent)}),
-        max(checker.slow_start_peaks.values(), default=0.0), {rule: found[rule] for rule in RULES},
+        scenario, seed, seconds, served_worth / total_worth if total_worth else 0.0, figures,
+        float(max((load.connections for load in event_log.events_of(BackendLoad)), default=0)),
+        len(misbehaving), violation_counts["owed"],
+        max((sample.rss_kib for sample in usage), default=0) / 1024,
+        max((sample.descriptors for sample in usage), default=0),
+        total_cpu_us(usage) / tries if tries else 0.0,
+        sum(event.what == "start" for event in event_log.events_of(ProcessEvent))
+        - len({event.gateway for event in event_log.events_of(ProcessEvent)}),
+        max(checker.slow_start_peaks.values(), default=0.0), {rule: violation_counts[rule] for rule in RULES},
     )  # fmt: skip
 
 
-def cpu_of(usage: Sequence[ResourceUsage]) -> float:
-    """CPU time of all processes: a figure that falls belongs to a new process."""
-    total, last = 0.0, dict[str, int]()
+def total_cpu_us(usage: Sequence[ResourceUsage]) -> float:
+    """Return the CPU time of all gateway processes: where a gateway's counter falls, a new process has started."""
+    total_us, last_us = 0.0, dict[str, int]()
     for entry in usage:
-        before = last.get(entry.gateway, 0)
-        total += entry.cpu_us - before if entry.cpu_us >= before else entry.cpu_us
-        last[entry.gateway] = entry.cpu_us
-    return total
+        previous_us = last_us.get(entry.gateway, 0)
+        total_us += entry.cpu_us - previous_us if entry.cpu_us >= previous_us else entry.cpu_us
+        last_us[entry.gateway] = entry.cpu_us
+    return total_us
--- a/tests/discovery/test_session_stall.py
+++ b/tests/discovery/test_session_stall.py
@@ -10,9 +10,9 @@
 
 from standins.checker import find_violations
 from standins.event_log import NotificationDelivered, ProcessEvent
-from standins.playing.play import World
-from standins.playing.stage import play
-from standins.playing.scenario import parse
+from standins.playing.environment import Environment
+from standins.playing.runner import run_scenario
+from standins.playing.scenario import parse_scenario
 
 SCENARIO = """
 about = "A gateway is stopped for longer than its session timeout, and boxes drain meanwhile"
@@ -36,21 +36,21 @@
 
 @pytest.mark.alone
 def test_a_gateway_reads_the_complete_list_again_after_a_stop_beyond_its_session_timeout() -> None:
-    worlds: list[World] = []
+    worlds: list[Environment] = []
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        world = runner.run(play(parse(SCENARIO, "pause", "pause"), 2, None, worlds.append))
+        world = runner.run(run_scenario(parse_scenario(SCENARIO, "pause", "pause"), 2, None, worlds.append))
     (stop_event,) = [
-        p for p in world.ledger.events_of(ProcessEvent) if p.what == signal.SIGSTOP.name.removeprefix("SIG")
+        p for p in world.event_log.events_of(ProcessEvent) if p.what == signal.SIGSTOP.name.removeprefix("SIG")
     ]
-    (continue_event,) = [p for p in world.ledger.events_of(ProcessEvent) if p.what == "CONT"]
+    (continue_event,) = [p for p in world.event_log.events_of(ProcessEvent) if p.what == "CONT"]
     later_notifications = [
         t
-        for t in world.ledger.events_of(NotificationDelivered)
+        for t in world.event_log.events_of(NotificationDelivered)
         if t.gateway == stop_event.gateway and t.at_us > continue_event.at_us
     ]
     # The session expired during the stop: the complete list is read again, without the box that crashed meanwhile.
-    assert {t.backend for t in later_notifications if t.status == "SERVING"} >= set(world.boxes) - {
-        b for b in world.busy
+    assert {t.backend for t in later_notifications if t.status == "SERVING"} >= set(world.backends) - {
+        b for b in world.faulted_backends
     }
     assert all(gateway.exits == [0] for gateway in world.gateways)
-    assert not find_violations(world.ledger)
+    assert not find_violations(world.event_log)
--- a/tests/test_standin_box.py
+++ b/tests/test_standin_box.py
@@ -15,16 +15,16 @@
 from standins.event_log import BackendAttempt, BackendStarted, BackendStopped, EventLog, now_us
 from standins.parties.network import Network
 from standins.parties.strain import Choke, Strain
-from standins.site import BoxKind
+from standins.site import BackendType
 
 from tests.sockets import Client, on_loop, request, until
 
-KIND = BoxKind(cores=1, queue=1, handshake_us=0, report_us=20_000, report_late_us=0)
+KIND = BackendType(cores=1, queue=1, handshake_us=0, report_us=20_000, report_late_us=0)
 QUICK: dict[str, Any] = {"x_call_cost": "1000"}  # the work, in microseconds
 
 
 @asynccontextmanager
-async def box(kind: BoxKind = KIND, cold: bool = False, name: str = "s-0") -> AsyncIterator[Box]:
+async def box(kind: BackendType = KIND, cold: bool = False, name: str = "s-0") -> AsyncIterator[Box]:
     made = Box(name, 0, Shelf(0, 1_000_000), EventLog(), Network(), kind, seed=1)
     await made.start(cold)
     try:
@@ -130,7 +130,7 @@
 
 @on_loop
 async def test_a_key_met_lately_takes_less_work() -> None:
-    async with box(BoxKind(cores=1, handshake_us=0, key_saves=0.9)) as one:
+    async with box(BackendType(cores=1, handshake_us=0, key_saves=0.9)) as one:
         client = await connect(one)
         for _ in range(2):
             await client.ask(request(x_call_cost="150000"))
@@ -140,7 +140,7 @@
 
 @on_loop
 async def test_a_cold_box_warms_up_and_falls_over_when_pushed() -> None:
-    kind = BoxKind(cores=1, queue=50, handshake_us=0, cold_share=0.3, warm_us=60_000_000)
+    kind = BackendType(cores=1, queue=50, handshake_us=0, cold_share=0.3, warm_us=60_000_000)
     async with box(kind, cold=True) as one:
         (up,) = one.ledger.events_of(BackendStarted)
         assert up.initial_capacity == 0.3 and one.capacity() < 0.31 and one.state == "cold"
@@ -179,7 +179,7 @@
 
 @on_loop
 async def test_more_connections_than_it_holds_are_closed() -> None:
-    async with box(BoxKind(connections=2, handshake_us=0)) as one:
+    async with box(BackendType(connections=2, handshake_us=0)) as one:
         kept = [await connect(one) for _ in range(2)]
         await until(lambda: len(one.connections) == 2)
         extra = await connect(one)
--- a/try.sh
+++ b/try.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Play a minute of a fleet's troubles round real gateways: in a virtual environment of its own, on loopback alone.
+# Runs a scenario of faults around real gateways for a minute, in a separate virtual environment, on loopback only.
 set -eu
 cd "$(dirname "$0")"
 python=.venv-try/bin/python
