--- a/standins/checker/__init__.py
+++ b/standins/checker/__init__.py
@@ -1,4 +1,4 @@
-"""Check runs from outside, by what their parties observed. Pure; knows no product code."""
+"""Check runs by the observations of the parties around the gateways. Pure; imports no product code."""
 
 from standins.checker.event_checker import Checker, find_violations
 from standins.checker.violations import RULES, Rule, Violation
--- a/standins/checker/drains.py
+++ b/standins/checker/drains.py
@@ -1,4 +1,4 @@
-"""Check drains: no first byte to a backend later than the grace period after the gateway was told to leave it."""
+"""Check drains: a gateway sends no first byte to a draining backend after the grace period."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self._observations = observations
 
     def check_attempt(self, attempt: BackendAttempt) -> Iterator[Violation]:
-        """Yield a violation if the attempt was sent too long after the backend was to be left."""
+        """Yield a violation if the attempt was sent after the grace period of the backend's drain."""
         rules = self._observations.rules
         gateway = self._observations.sender_of(attempt)
         process = self._observations.process_of(attempt)
@@ -33,5 +33,5 @@
             return
         if late_us > self._observations.delays.stalled_us(deadline_us, attempt.at_us):
             after_s = (attempt.at_us - since_us) / 1e6
-            what = f"{attempt.backend} was sent it {after_s:.3f} s after {gateway} was told"
+            what = f"sent to {attempt.backend} {after_s:.3f} s after {gateway} was notified"
             yield request_violation(self._observations, attempt.id, Rule.DRAIN, attempt.at_us, what)
--- a/standins/checker/duplicates.py
+++ b/standins/checker/duplicates.py
@@ -1,7 +1,8 @@
 """Check that no request takes effect twice.
 
-An unsafe request is sent again only once each earlier attempt was rejected or never arrived whole; one with an
-idempotency key only to the same group and within the window; neither is refused once it may have run.
+An unsafe request may be repeated only when each earlier attempt was rejected or was not received completely; one with
+an idempotency key only in the same group and within the idempotency window; neither may be refused after it may have
+run.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
         self._rules = observations.rules
 
     def check_request(self, id_: str) -> Iterator[Violation]:
-        """Yield what is wrong with the attempts of a request."""
+        """Yield the violations among the attempts of a request."""
         attempts = sorted(self._observations.attempts_by_id.get(id_, []), key=lambda attempt: attempt.at_us)
         received = [attempt for attempt in attempts if attempt.received_us]
         yield from self._check_attempts_by_process(id_, received)
@@ -44,7 +45,7 @@
         yield from self._check_refusals(id_, received)
 
     def _check_attempts_by_process(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
-        """Check how often one process sent the request, and whether two of its attempts were out together."""
+        """Check how often one process sent the request, and whether two of its attempts were in flight together."""
         attempts_by_process: dict[ProcessLifetime | None, list[BackendAttempt]] = defaultdict(list)
         for attempt in attempts:
             attempts_by_process[self._observations.process_of(attempt)].append(attempt)
@@ -63,7 +64,7 @@
         for earlier, attempt in pairwise(attempts):
             ended_us = earlier.ended_us - self._rules.slack_us if earlier.ended_us else FOREVER_US
             if attempt.at_us < ended_us:
-                what = f"sent to {attempt.backend} while an attempt is out at {earlier.backend}"
+                what = f"sent to {attempt.backend} while an attempt at {earlier.backend} is in flight"
                 yield self._violation(id_, attempt.at_us, what)
 
     def _check_repeat(
@@ -75,20 +76,20 @@
             return
         first = earlier[0]
         if request_class.effect == "unsafe":
-            what = f"sent to {attempt.backend} when it may have run at {first.backend}"
+            what = f"sent to {attempt.backend} although it may have run at {first.backend}"
             yield self._violation(attempt.id, attempt.at_us, what)
             return
         age_us = attempt.at_us - first.at_us
         if any(other.group != attempt.group for other in earlier):
-            what = f"repeated at {attempt.backend}, not of the group of {first.backend}, where it may have run"
+            what = f"repeated at {attempt.backend}, not in the group of {first.backend}, where it may have run"
             yield self._violation(attempt.id, attempt.at_us, what)
         elif age_us >= request_class.window_us:
             what = f"repeated {age_us / 1e6:.3f} s after it was first sent; "
-            what += f"repeats are dropped for {request_class.window_us / 1e6:g} s"
+            what += f"backends drop repeats for {request_class.window_us / 1e6:g} s"
             yield self._violation(attempt.id, attempt.at_us, what)
 
     def _check_refusals(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
-        """Check that the client was not told to repeat what may have run."""
+        """Check that no request was refused that may have run, as clients repeat refused requests."""
         gateway = self._observations.requests_by_id[id_][-1].gateway
         for outcome in self._observations.outcomes_by_id.get(id_, []):
             if not isinstance(outcome, ResponseReceived):
@@ -98,13 +99,15 @@
             before = [attempt for attempt in attempts if attempt.at_us <= outcome.at_us]
             ran = self._attempts_that_may_have_run(before, gateway, outcome.at_us)
             if ran:
-                what = f"refused with {outcome.status}: harmless to repeat, but it may have run at {ran[0].backend}"
+                what = (
+                    f"refused with {outcome.status}, so a client repeats it, but it may have run at {ran[0].backend}"
+                )
                 yield self._violation(id_, outcome.at_us, what)
 
     def _attempts_that_may_have_run(
         self, attempts: Sequence[BackendAttempt], gateway: str, at_us: int
     ) -> list[BackendAttempt]:
-        """Return those that the gateway had to assume to have run by then."""
+        """Return the attempts that the gateway had to assume to have run by then."""
         return [
             attempt
             for attempt in attempts
@@ -112,7 +115,7 @@
         ]
 
     def _was_lost_with_its_process(self, attempt: BackendAttempt, gateway: str, at_us: int) -> bool:
-        """Tell whether another process sent it, which was killed since: the client may send that again."""
+        """Tell whether another process sent the attempt and was killed since: the client may repeat the request."""
         sender = self._observations.process_of(attempt)
         if sender is None:
             return False
@@ -125,5 +128,5 @@
 
 
 def was_rejected(attempt: BackendAttempt, by_us: int) -> bool:
-    """Tell whether the sender had been told by then that the attempt never ran."""
+    """Tell whether the sender had been told by then that the attempt did not run."""
     return attempt.how == "rejected" and 0 < attempt.ended_us <= by_us
--- a/standins/checker/event_checker.py
+++ b/standins/checker/event_checker.py
@@ -1,11 +1,11 @@
-"""Check a run against the rules, by its event log alone: pure, no clock, no I/O.
+"""Check a run against the rules by its event log: pure, no clock, no I/O.
 
 Invariants of the package: it reads what backends, clients, the registry and the network observed, and nothing that a
-gateway reports of itself; each violation carries the whole timeline of its subject; a limit that a party observed
-late, as the emulator itself was stalled (SchedulingDelay), is longer by that much and no more.
+gateway reports about itself; each violation contains the whole timeline of its subject; while the emulator was
+stalled (SchedulingDelay), limits are longer by that much and no more.
 
-One module checks one rule: responses, duplicates, drains, slow_start; beside those four, gateway_processes and
-misbehaving_clients.
+Each of these modules checks one rule: responses, duplicates, drains, slow_start. gateway_processes and
+misbehaving_clients check the rest.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 
 class Checker:
-    """One reading of an event log; `find_violations` runs all checks over it.
+    """Checks an event log.
 
-    The log says which rules the run is checked by; `rules`, if given, take their place.
+    The log contains the rules that the run is checked by; `rules`, if given, take their place.
     """
 
     def __init__(self, event_log: EventLog, rules: Rules | None = None) -> None:
@@ -39,7 +39,7 @@
 
     @property
     def slow_start_peaks(self) -> dict[BackendIncarnation, float]:
-        """Return the most work that each backend was sent while it warmed up, as a share of what it stands."""
+        """Return the maximum load of each backend in slow start, as a share of what makes it collapse."""
         return self._slow_start.peaks
 
     def process_at(self, gateway: str, at_us: int) -> ProcessLifetime | None:
@@ -65,8 +65,8 @@
     def _check_completeness(self) -> Iterator[Violation]:
         dropped = self.event_log.dropped
         if dropped:
-            what = f"{dropped} entries did not fit: no account"
-            yield Violation(Rule.MISSING, self._observations.end_us, "ledger", what)
+            what = f"{dropped} events were dropped: the event log is incomplete"
+            yield Violation(Rule.MISSING, self._observations.end_us, "event log", what)
 
     def _check_requests(self) -> Iterator[Violation]:
         responses = ResponseCheck(self._observations)
@@ -87,6 +87,6 @@
 def find_violations(event_log: EventLog, rules: Rules | None = None) -> list[Violation]:
     """Return all violations of a run, by time.
 
-    The log says which rules the run is checked by; `rules`, if given, take their place.
+    The log contains the rules that the run is checked by; `rules`, if given, take their place.
     """
     return Checker(event_log, rules).find_violations()
--- a/standins/checker/gateway_processes.py
+++ b/standins/checker/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Check gateway processes: none exits unasked, and each stays within its memory and descriptors."""
+"""Check gateway processes: none exits unasked, and each stays within its limits of memory and descriptors."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
         has_failed = event.code != 0 and not exit_.was_killed
         if event.was_requested and not has_failed:
             continue
-        what = f"ended with code {event.code}"
+        what = f"exited with code {event.code}"
         if not event.was_requested:
-            what += ", and nobody had asked"
+            what += ", unasked"
         yield Violation(Rule.CRASH, event.at_us, event.gateway, what)
 
 
 def check_resources(observations: Observations) -> Iterator[Violation]:
-    """Yield a violation for each process that exceeded its limits, once each: it would have been killed."""
+    """Yield one violation for each process that exceeded its limits: in production it would be killed."""
     for gateway, samples in observations.usage_by_gateway.items():
         reported: set[ProcessLifetime | None] = set()
         for sample in samples:
@@ -47,7 +47,7 @@
     excesses: list[str] = []
     memory_mib = max(sample.rss_kib, sample.peak_kib) // KIB_PER_MIB
     if memory_mib > rules.memory_mib:
-        excesses.append(f"{memory_mib} MiB, {rules.memory_mib} at most")
+        excesses.append(f"{memory_mib} MiB of memory, {rules.memory_mib} at most")
     if sample.descriptors > rules.sockets:
         excesses.append(f"{sample.descriptors} descriptors, {rules.sockets} at most")
     return excesses
--- a/standins/checker/leases.py
+++ b/standins/checker/leases.py
@@ -1,8 +1,8 @@
-"""Check leader leases by the acts that a party outside observed: one holder at a time, growing fencing tokens.
+"""Check leader leases by the acts that an external party received: one holder at a time, growing fencing tokens.
 
-Invariant: acts are given in the order in which one socket received them, which is that in which they were sent.
-So an act with an older token than the one before was sent by a gateway that was no longer the holder: the fencing
-check rejects it. Pure; knows no product code.
+Invariant: acts are passed in the order in which one socket received them, which is the order in which they were sent.
+So an act with an older token than the act before it was sent by a gateway that was no longer the holder: the fencing
+check rejects it. Pure; imports no product code.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-SLACK_US: Final = 250_000  # beyond a lease: what a busy machine may take between reading the clock and the write
+SLACK_US: Final = 250_000  # a busy machine may take this long between reading the clock and the write
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseViolation:
-    """One violation, and the earlier act that shows it."""
+    """One violation, with the earlier act that conflicts with it."""
 
     what: str
     act: ObservedAct
@@ -40,7 +40,7 @@
     """A change of holder."""
 
     last_us: int  # the old holder's last act
-    gap_us: int  # from that to the new holder's first act
+    gap_us: int  # from the old holder's last act to the new holder's first act
     gateway: int  # the new holder
 
 
@@ -61,17 +61,17 @@
     lease_us: int = 0,
     expiries: Sequence[int] = (),
 ) -> list[LeaseViolation]:
-    """Return where two holders acted at a time that the fencing check accepts, or where a token shrank.
+    """Return where the fencing check accepts acts of two holders, or where a fencing token is lower than before.
 
-    `stops`: how often each gateway was stopped. Each stop allows one rejected act of that gateway: between its last
-    look at the clock and the write.
+    `stops`: how often each gateway was stopped. Each stop allows one rejected act of that gateway, which was stopped
+    between its last reading of the clock and the write.
 
-    `blanks`: moments at which no gateway's process lived. Only the fencing check remembers older tokens then, and it
-    answers that it has seen a newer one: a later holder may act under an older token for a lease at most, and
-    whatever is below what the check has seen is rejected. Among themselves the later holders keep to the rules.
+    `blanks`: moments at which no gateway process ran. After one, only the fencing check remembers older tokens, and
+    it reports that it has seen a newer one. A later holder may act under an older token for at most one lease duration,
+    and the fencing check rejects these acts. The rules apply among the later holders.
 
-    `expiries`: moments at which sessions were ended before their time, on purpose: who held by one believes so until
-    it hears of it, for a lease at most, under the token that it had. The fencing check rejects it.
+    `expiries`: moments at which sessions were ended early, on purpose. A holder whose session was ended may act under
+    its token until it is notified, for at most one lease duration. The fencing check rejects these acts.
     """
     checker = LeaseChecker(stops or {}, blanks, lease_us, expiries)
     for act in acts:
@@ -80,7 +80,7 @@
 
 
 class LeaseChecker:
-    """Check acts one by one, in the order in which they were received; `check_leases` says what the arguments are."""
+    """Checks acts one by one, in the order in which they were received. `check_leases` explains the arguments."""
 
     def __init__(
         self, stops: Mapping[int, int], blanks: Sequence[int], lease_us: int, expiries: Sequence[int]
@@ -90,13 +90,15 @@
         self._blanks = blanks
         self._max_stale_us = lease_us + SLACK_US
         self._expiries = expiries
-        self._newest_by_era: dict[tuple[int, int], ObservedAct] = {}  # by role and how many blanks were before
-        self._highest_by_role: dict[int, ObservedAct] = {}  # what the fencing check has seen
+        self._newest_by_era: dict[tuple[int, int], ObservedAct] = {}  # by role and number of earlier blanks
+        self._highest_by_role: dict[
+            int, ObservedAct
+        ] = {}  # by role: the act with the highest token that the fencing check has seen
         self._first_rejected: dict[Term, ObservedAct] = {}
         self._term_begins_us: dict[Term, int] = {}
 
     def check_act(self, act: ObservedAct) -> None:
-        """Check an act against all before it."""
+        """Check an act against all earlier acts."""
         begin_us = self._term_begins_us.setdefault(term_of(act), act.at_us)
         if self._is_expired_holder(begin_us, act):
             return
@@ -106,17 +108,17 @@
             self._on_older_token(act, newest)
             return
         if newest is not None and is_rival(act, newest):
-            self._report("two holders with one epoch", act, newest)
+            self._report("two holders with one fencing token", act, newest)
         self._newest_by_era[era] = act
         self._check_against_highest(act)
 
     def _is_expired_holder(self, begin_us: int, act: ObservedAct) -> bool:
-        """Tell whether the act is one of a holder whose session was ended, which the fencing check rejects."""
-        was_ended_lately = any(
+        """Tell whether the act is that of a holder whose session was ended, which the fencing check rejects."""
+        was_ended_recently = any(
             begin_us <= expired_us <= act.at_us <= expired_us + self._max_stale_us for expired_us in self._expiries
         )
         highest = self._highest_by_role.get(act.role)
-        if not was_ended_lately or highest is None:
+        if not was_ended_recently or highest is None:
             return False
         return act.fencing_token < highest.fencing_token
 
@@ -124,7 +126,7 @@
         remaining = self._allowed_rejections.get(act.gateway, 0) - 1
         self._allowed_rejections[act.gateway] = remaining
         if remaining < 0:
-            self._report("an act after a newer holder's", act, newest)
+            self._report("an act after that of a newer holder", act, newest)
 
     def _check_against_highest(self, act: ObservedAct) -> None:
         highest = self._highest_by_role.setdefault(act.role, act)
@@ -133,7 +135,7 @@
             return
         first = self._first_rejected.setdefault(term_of(act), act)
         if act.at_us - first.at_us > self._max_stale_us:
-            self._report("it goes on under an epoch that was refused", act, highest)
+            self._report("acts continue under a rejected fencing token", act, highest)
 
     def _report(self, what: str, act: ObservedAct, earlier: ObservedAct) -> None:
         self.violations.append(LeaseViolation(what, act, earlier))
--- a/standins/checker/misbehaving_clients.py
+++ b/standins/checker/misbehaving_clients.py
@@ -14,7 +14,7 @@
 
 
 def check_misbehaving_clients(observations: Observations) -> Iterator[Violation]:
-    """Yield what gateways did wrong with clients that break the protocol."""
+    """Yield the violations of gateways towards clients that break the protocol."""
     for client in observations.misbehaving_clients:
         if client.status == STATUS_OK and not client.may_be_served:
             what = f"served a client that sent: {client.what}"
--- a/standins/checker/notifications.py
+++ b/standins/checker/notifications.py
@@ -1,4 +1,4 @@
-"""What each gateway knew of each backend: what it was told, and what it could have been told."""
+"""What each gateway knew of each backend: the notifications that it received, and those that it could have polled."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self._ejections: dict[tuple[str, str], list[ManualEjection]] = defaultdict(list)
 
     def record_notification(self, event: NotificationDelivered) -> None:
-        """Record what the registry told a gateway."""
+        """Record a notification of the registry to a gateway."""
         self._notifications[event.gateway, event.backend].append(event)
 
     def record_ejection(self, event: ManualEjection) -> None:
@@ -25,13 +25,13 @@
         self._ejections[event.gateway, event.backend].append(event)
 
     def notifications(self, gateway: str, backend: str) -> Sequence[NotificationDelivered]:
-        """Return what the gateway was told of the backend, by time."""
+        """Return the notifications to the gateway about the backend, by time."""
         return self._notifications.get((gateway, backend), ())
 
     def unavailable_since(self, gateway: str, backend: str, process_start_us: int, at_us: int) -> int | None:
-        """Return since when the gateway's process knew that it should not use the backend; None: it may use it.
+        """Return since when the gateway's process knew that it must not use the backend; None: it may use it.
 
-        An earlier process's notifications don't count; a manual ejection outlasts restarts.
+        Notifications to an earlier process do not count. A manual ejection survives restarts.
         """
         since_us: int | None = None
         for notification in self.notifications(gateway, backend):
@@ -56,15 +56,15 @@
         max_silence_us: int,
         end_us: int,
     ) -> None:
-        """Add the changes that each gateway could have polled, as if it had been told of them.
+        """Add the changes that each gateway could have polled, as if it had been notified of them.
 
-        A gateway that neither watched nor polled for `max_silence_us` counts as told. Changes that count only
-        after `end_us`, the end of the run, are left out.
+        A gateway that neither watched nor polled for `max_silence_us` counts as notified. Changes for which that
+        moment is not before `end_us`, the end of the run, are left out.
         """
         periods_by_gateway = listening_periods(polls, processes, max_silence_us)
         for gateway, periods in periods_by_gateway.items():
             for change in changes:
-                at_us = counts_as_told_us(change.at_us, periods)
+                at_us = notification_due_us(change.at_us, periods)
                 if at_us < end_us:
                     notification = NotificationDelivered(at_us, gateway, change.backend, change.status)
                     self.record_notification(notification)
@@ -75,7 +75,7 @@
 def listening_periods(
     polls: Sequence[DiscoveryPoll], processes: ProcessHistory, max_silence_us: int
 ) -> dict[str, list[tuple[int, int]]]:
-    """Return by gateway the periods, by beginning, in which a change need not have been heard at once."""
+    """Return by gateway the periods, by beginning, in which a gateway need not learn of a change at once."""
     periods_by_gateway: dict[str, list[tuple[int, int]]] = {
         gateway: [(lifetime.start_us, lifetime.start_us + max_silence_us) for lifetime in lifetimes]
         for gateway, lifetimes in processes.lifetimes_by_gateway.items()
@@ -88,8 +88,8 @@
     return {gateway: sorted(periods) for gateway, periods in periods_by_gateway.items()}
 
 
-def counts_as_told_us(changed_us: int, periods: Sequence[tuple[int, int]]) -> int:
-    """Return from when on a gateway counts as told of a change, given its listening periods by beginning."""
+def notification_due_us(changed_us: int, periods: Sequence[tuple[int, int]]) -> int:
+    """Return from when on a gateway counts as notified of a change, given its listening periods by beginning."""
     at_us = changed_us
     for begin_us, end_us in periods:
         if begin_us <= at_us < end_us:
--- a/standins/checker/observations.py
+++ b/standins/checker/observations.py
@@ -1,4 +1,4 @@
-"""The events of a log, in order for the checks: by request, gateway and backend."""
+"""The events of a log, indexed for the checks by request, gateway and backend."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 from standins.site import CLASSES, Rules
 
 Outcome = ResponseReceived | ResponseMissing
-COLLAPSED: Final = "fell"  # how a backend stops that is sent more than it stands while it warms up
+COLLAPSED: Final = "fell"  # how a backend stops that is overloaded during slow start
 
 
 @dataclass(slots=True, frozen=True)
 class BackendIncarnation:
-    """Identify one process of a backend."""
+    """Identifies one process of a backend."""
 
     backend: str
     incarnation: int
@@ -78,7 +78,7 @@
         return self.processes.process_at(self.sender_of(attempt), attempt.at_us)
 
     def sender_of(self, attempt: BackendAttempt) -> str:
-        """Return the gateway that sent an attempt: the link knew it, or else it is the one that had the request."""
+        """Return the gateway that sent an attempt: the one that the link recorded, or that which had the request."""
         if attempt.gateway:
             return attempt.gateway
         requests = self.requests_by_id.get(attempt.id, [])
--- a/standins/checker/process_history.py
+++ b/standins/checker/process_history.py
@@ -9,7 +9,7 @@
 from standins.event_log import ProcessEvent
 
 FOREVER_US: Final = 2**62
-KILL_EXCUSE_US: Final = 700_000  # after SIGTERM: a request that SIGKILL finds later should have been answered
+KILL_EXCUSE_US: Final = 700_000  # after SIGTERM; a process killed later should have answered its requests before
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,10 +95,10 @@
         """Tell whether the gateway's process was killed or stopped while it held a request."""
         lifetime = self.process_at(gateway, held_since_us)
         if lifetime is None:
-            # Where no process was ever recorded, nothing is held against the gateway.
+            # Without a recorded process, each loss is excused.
             return not self.lifetimes_by_gateway.get(gateway)
         if held_since_us >= lifetime.end_us:
-            return True  # the kernel had accepted the bytes, and the process was gone
+            return True  # the kernel had accepted the bytes after the process ended
         if lifetime.kill_us <= until_us and lifetime.was_killed_in_time:
             return True
         return lifetime.was_stopped_between(held_since_us, until_us)
--- a/standins/checker/relays/__init__.py
+++ b/standins/checker/relays/__init__.py
@@ -1,16 +1,16 @@
-"""Check gateways behind relays by what hosts, clients and discoveries observed, and by which links were cut. Pure.
+"""Check gateways behind relays by the observations of hosts, clients and discoveries, and by the outages. Pure.
 
-Invariants that it checks; times in microseconds of one clock:
-- nobody sends to a host that drains or is gone once it could have heard of that: some chain gateway, relay, discovery
-  was whole for DELIVERY_TIMEOUT_US since, and INTERRUPTION_COST_US for each time that it was interrupted;
-- a host that a gateway has left is not used again while it drains, however soon that is;
-- a host that is back is used by each gateway that could have heard of it, FIRST_USE_TIMEOUT_US later;
-- no gateway is without hosts: not all its requests are refused for MAX_REFUSING_US, and clients get nothing but a
-  host's response or 503;
-- each request gets its own response within RESPONSE_TIMEOUT_US, the gateway's stops left out;
-- a gateway polls discovery directly once in `direct_poll_interval_us`;
+The checked invariants; times are microseconds of one clock:
+- no gateway sends to a host that drains or is gone after the change could have reached it: some chain of gateway,
+  relay and discovery worked for DELIVERY_TIMEOUT_US since, and INTERRUPTION_COST_US more for each interruption;
+- a host that a gateway has left is not used again while it drains, even before that time;
+- a host that has returned is used by each gateway that the change could have reached, FIRST_USE_TIMEOUT_US later;
+- no gateway is without hosts: it does not refuse all requests for MAX_REFUSING_US, and clients get only a host's
+  response or 503;
+- each request gets its own response within RESPONSE_TIMEOUT_US, not counting the gateway's stops;
+- a gateway polls discovery directly at most once in `direct_poll_interval_us`;
 - no process exits unasked.
-Where discoveries disagree on a host, its use is not checked: it serves, or it is left, once all of them say so.
+While discoveries disagree on a host, its use is not checked: it counts as serving or removed once all agree.
 """
 
 from standins.checker.relays.direct_polls import check_direct_polls
@@ -51,5 +51,5 @@
         *ResponseCheck(record, outages).check(),
         *check_direct_polls(record, outages),
     ]
-    violations += [RelayViolation("a process ended by itself", exit_.at_us, exit_.process) for exit_ in record.exits]
+    violations += [RelayViolation("a process exited unasked", exit_.at_us, exit_.process) for exit_ in record.exits]
     return sorted(violations, key=lambda violation: violation.at_us)
--- a/standins/checker/relays/direct_polls.py
+++ b/standins/checker/relays/direct_polls.py
@@ -24,12 +24,12 @@
 ) -> RelayViolation | None:
     """Return the first poll that comes too soon after an earlier one."""
     for first, at_us in enumerate(polls_us):
-        # What was decided before a stop is observed after it.
+        # A poll that was decided before a stop is observed after it.
         stops = outages.stops_ending_between(gateway, at_us - SLACK_US, at_us)
         slack_us = SLACK_US + sum(stop.length_us for stop in stops)
         for count, last_us in enumerate(polls_us[first + 1 :], 1):
             passed_us = last_us - at_us
             if passed_us + slack_us < count * record.direct_poll_interval_us:
-                what = f"asked discovery itself {count + 1} times in {passed_us / 1e6:.3f} s"
+                what = f"polled discovery directly {count + 1} times in {passed_us / 1e6:.3f} s"
                 return RelayViolation(what, last_us, f"n{gateway}")
     return None
--- a/standins/checker/relays/endpoints.py
+++ b/standins/checker/relays/endpoints.py
@@ -1,4 +1,4 @@
-"""Check which hosts gateways send to: they leave those that drain, and use those that are back."""
+"""Check which hosts gateways send to: they leave hosts that drain, and use hosts that have returned."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from standins.checker.relays.outages import OutageHistory
 from standins.checker.relays.record import RelayViolation, RunRecord
 
-FIRST_USE_TIMEOUT_US: Final = 2_000_000  # from hearing of a host to the first request there
-MAX_REQUESTS_ELSEWHERE: Final = 80  # with none at a host: beyond, the gateway has left that host
+FIRST_USE_TIMEOUT_US: Final = 2_000_000  # from the notification of a host to the first request to it
+MAX_REQUESTS_ELSEWHERE: Final = 80  # a gateway that sent more elsewhere, and none to a host, has left that host
 
 
 class HostState(Enum):
-    """What the discoveries that are polled say of a host."""
+    """The status of a host according to all discoveries that relays poll."""
 
     SERVING = auto()
     REMOVED = auto()  # it drains or is gone
-    DISPUTED = auto()  # they disagree
+    DISPUTED = auto()  # the discoveries disagree
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,7 +89,7 @@
         previous_us = arrivals_us[first - 1] if first else 0
         late_us = 0
         if self._has_left(gateway, previous_us, period.begin_us):
-            previous_us = 0  # it was not in use, as where this gateway did not hear that it was back
+            previous_us = 0  # not in use, for example as the gateway had not learnt of the host's return
         for at_us in arrivals_us[first : bisect_right(arrivals_us, period.end_us)]:
             if self._outages.could_have_heard(gateway, period.begin_us, at_us, DELIVERY_TIMEOUT_US + SLACK_US):
                 late_us = at_us
@@ -100,10 +100,10 @@
             previous_us = at_us
         if late_us:
             late_s = (late_us - period.begin_us) / 1e6
-            yield RelayViolation(f"sent to until {late_s:.3f} s after it was to be left", late_us, subject)
+            yield RelayViolation(f"used until {late_s:.3f} s after its removal", late_us, subject)
 
     def _has_left(self, gateway: int, last_used_us: int, at_us: int) -> bool:
-        """Tell whether the gateway sent so much elsewhere since it last used a host that it has left it."""
+        """Tell whether the gateway has left a host: it sent many requests elsewhere since its last use of the host."""
         anywhere_us = self._arrivals_anywhere_us[gateway]
         elsewhere = bisect_right(anywhere_us, at_us) - bisect_right(anywhere_us, last_used_us)
         return elsewhere > MAX_REQUESTS_ELSEWHERE
@@ -112,7 +112,7 @@
         arrivals_us = self._arrivals_us[gateway, host]
         first = bisect_right(arrivals_us, period.begin_us)
         used_us = min(arrivals_us[first] if first < len(arrivals_us) else period.end_us, period.end_us)
-        # The bound may be passed at the beginning of an outage, though not at its end.
+        # The bound may be exceeded when an outage begins, though not when it ends, as the outage extends it.
         outages_us = [
             outage.begin_us for outage in self._record.outages if period.begin_us < outage.begin_us < used_us
         ]
@@ -120,7 +120,7 @@
             timeout_us = DELIVERY_TIMEOUT_US + FIRST_USE_TIMEOUT_US
             if self._outages.could_have_heard(gateway, period.begin_us, at_us, timeout_us):
                 unused_s = (used_us - period.begin_us) / 1e6
-                what = f"not used for {unused_s:.3f} s after it was back"
+                what = f"not used for {unused_s:.3f} s after its return"
                 yield RelayViolation(what, at_us, f"n{gateway} s-{host}")
                 return
 
--- a/standins/checker/relays/outages.py
+++ b/standins/checker/relays/outages.py
@@ -1,4 +1,4 @@
-"""When each gateway was stopped, and when no change could reach it by each of the relays."""
+"""When each gateway was stopped, and when no change could reach it through each relay."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 from standins.checker.relays.periods import Period, clip_periods, merge_periods, total_us
 from standins.checker.relays.record import Component, RunRecord
 
-INTERRUPTION_COST_US: Final = 1_000_000  # of losing a relay: docs/relay-design.md, "On the wire"
+INTERRUPTION_COST_US: Final = (
+    1_000_000  # time to recover from the loss of a relay: docs/relay-design.md, "On the wire"
+)
 
 
 class OutageHistory:
@@ -29,9 +31,9 @@
         self._stopped = [self._outages_of(("gateway", gateway)) for gateway in range(record.gateways)]
 
     def could_have_heard(self, gateway: int, since_us: int, at_us: int, delay_us: int) -> bool:
-        """Tell whether by some relay the gateway had more than `delay_us` to hear of a change.
+        """Tell whether a change had more than `delay_us` to reach the gateway through some relay.
 
-        Interruptions are left out, and so is what each of them costs.
+        Interruptions and the time to recover from each of them do not count.
         """
         for relay in range(len(self._record.discovery_by_relay)):
             interruptions = clip_periods(self._interrupted[gateway, relay], since_us, at_us)
--- a/standins/checker/relays/periods.py
+++ b/standins/checker/relays/periods.py
@@ -1,4 +1,4 @@
-"""Arithmetic of periods of time."""
+"""Arithmetic of time periods."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     @property
     def length_us(self) -> int:
-        """Return how long it lasts."""
+        """Return the length of the period."""
         return self.end_us - self.begin_us
 
 
@@ -41,5 +41,5 @@
 
 
 def total_us(periods: Sequence[Period]) -> int:
-    """Return how long the periods last together."""
+    """Return the total length of the periods."""
     return sum(period.length_us for period in periods)
--- a/standins/checker/relays/record.py
+++ b/standins/checker/relays/record.py
@@ -1,10 +1,11 @@
-"""What was observed of one run of gateways behind relays. Times are microseconds of one clock."""
+"""The observations of one run of gateways behind relays. Times are microseconds of one clock."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# ("gateway", n), ("relay", n), ("link", gateway, relay), ("feed", relay): to its discovery, ("discovery", n)
+# ("gateway", n), ("relay", n), ("discovery", n), ("link", gateway, relay),
+# or ("feed", relay): the link of a relay to its discovery
 Component = tuple[str, int] | tuple[str, int, int]
 
 
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnaskedExit:
-    """The exit of a process that nobody had told to exit."""
+    """The exit of a process that had not been signalled to exit."""
 
     at_us: int
     process: str
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """All that was observed of one run."""
+    """All observations of one run."""
 
     begin_us: int
     end_us: int
--- a/standins/checker/relays/responses.py
+++ b/standins/checker/relays/responses.py
@@ -1,4 +1,4 @@
-"""Check what clients get: each request its own response in time, and no gateway that refuses everything."""
+"""Check the responses to clients: each request gets its own in time, and no gateway refuses all requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ResponseCheck:
-    """Check the responses to clients."""
+    """Checks the responses to clients."""
 
     def __init__(self, record: RunRecord, outages: OutageHistory) -> None:
         self._record = record
@@ -38,7 +38,7 @@
         if request.answered_us and request.status not in ALLOWED_STATUSES:
             yield RelayViolation(f"answered {request.status}", request.answered_us, subject)
         if not request.is_own:
-            yield RelayViolation("the answer is another request's", request.answered_us, subject)
+            yield RelayViolation("the response is that of another request", request.answered_us, subject)
 
     def _check_refusals(self, gateway: int) -> Iterator[RelayViolation]:
         refusing_since_us = 0
@@ -53,6 +53,6 @@
             refusing_us = request.answered_us - refusing_since_us
             stopped_us = self._outages.stopped_us(gateway, refusing_since_us, request.answered_us)
             if refusing_us - stopped_us > MAX_REFUSING_US:
-                what = f"all was refused for {refusing_us / 1e6:.3f} s"
+                what = f"all requests refused for {refusing_us / 1e6:.3f} s"
                 yield RelayViolation(what, request.answered_us, f"n{gateway}")
                 return
--- a/standins/checker/responses.py
+++ b/standins/checker/responses.py
@@ -1,6 +1,6 @@
-"""Check that no request goes missing: one whole response in time, and nothing sent after it.
+"""Check that each request gets one whole response in time, and that nothing is sent after it.
 
-What a gateway's process held when it was killed or stopped is excused: the client sends it again.
+Requests that a gateway's process held when it was killed or stopped are excused: the client repeats them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 STATUS_OK: Final = 200
 MAX_SHOWN_BYTES: Final = 60
-MISBEHAVING_ID_PREFIX: Final = "rude-"  # of ids of clients that break the protocol
+MISBEHAVING_ID_PREFIX: Final = "rude-"  # of the request ids of clients that break the protocol
 
 
 class ResponseCheck:
@@ -28,12 +28,12 @@
         self._delays = observations.delays
 
     def check_request(self, id_: str) -> Iterator[Violation]:
-        """Yield what is wrong with the response to a request, or with its absence."""
+        """Yield the violations of the response to a request, or of its absence."""
         request = self._observations.requests_by_id[id_][-1]
         outcomes = self._observations.outcomes_by_id.get(id_, [])
         responses = [outcome for outcome in outcomes if isinstance(outcome, ResponseReceived)]
         if len(responses) > 1:
-            yield self._violation(id_, responses[1].at_us, "a second answer")
+            yield self._violation(id_, responses[1].at_us, "a second response")
         if not outcomes:
             yield from self._check_silence(request)
             return
@@ -53,12 +53,12 @@
         if id_.startswith(MISBEHAVING_ID_PREFIX):
             return
         first = self._observations.attempts_by_id[id_][0]
-        yield self._violation(id_, first.at_us, "a box was sent a request that no client sent")
+        yield self._violation(id_, first.at_us, "a backend received a request that no client sent")
 
     def check_unexpected_bytes(self) -> Iterator[Violation]:
         """Yield a violation for each client that received bytes when no response was due."""
         for event in self._observations.unexpected_bytes:
-            what = f"bytes where none were owed: {event.data[:MAX_SHOWN_BYTES]!r}"
+            what = f"bytes when no response was due: {event.data[:MAX_SHOWN_BYTES]!r}"
             yield self._violation(event.id, event.at_us, what)
 
     def _check_silence(self, request: RequestSent) -> Iterator[Violation]:
@@ -68,17 +68,17 @@
         if self._observations.end_us <= deadline_us:
             return
         if not self._is_excused(request, deadline_us):
-            yield self._violation(request.id, deadline_us, "no answer at all")
+            yield self._violation(request.id, deadline_us, "no response")
 
     def _check_lost_connection(self, request: RequestSent, outcome: ResponseMissing) -> Iterator[Violation]:
-        # Within its time, a close loses the request; past it, so does silence.
+        # A close before the deadline, and silence beyond it, both lose the request.
         if self._disconnected_us(request) <= outcome.at_us:
             return
         if self._is_excused(request, outcome.at_us):
             return
-        what = f"its connection was ended ({outcome.how})"
+        what = f"the connection ended without a whole response ({outcome.how})"
         if outcome.how == "none":
-            what = "no answer in its time"
+            what = "no response before the deadline"
         yield self._violation(request.id, outcome.at_us, what)
 
     def _check_deadline(self, request: RequestSent, response: ResponseReceived) -> Iterator[Violation]:
@@ -90,7 +90,7 @@
         if self._disconnected_us(request) <= deadline_us:
             return
         if not self._is_excused(request, response.at_us):
-            what = f"answered {late_us / 1e3:.1f} ms past its time and the slack"
+            what = f"response {late_us / 1e3:.1f} ms after the deadline and the tolerance"
             yield self._violation(request.id, response.at_us, what)
 
     def _check_origin(self, response: ResponseReceived) -> Iterator[Violation]:
@@ -99,16 +99,16 @@
         was_served = any(is_served_by(attempt, response.at_us) for attempt in attempts)
         if is_own and was_served:
             return
-        what = "served with what no box made for it"
+        what = "served with a response that no backend produced for it"
         if not is_own:
-            what += f" (it names {response.echoed_id!r})"
+            what += f" (the body names {response.echoed_id!r})"
         yield self._violation(response.id, response.at_us, what)
 
     def _check_attempts_after(self, response: ResponseReceived) -> Iterator[Violation]:
         for attempt in self._observations.attempts_by_id.get(response.id, []):
             after_us = attempt.at_us - response.at_us - self._rules.slack_us
             if after_us > self._delays.stalled_us(response.at_us, attempt.at_us):
-                what = f"sent to {attempt.backend} after its final answer"
+                what = f"sent to {attempt.backend} after the final response"
                 yield self._violation(response.id, attempt.at_us, what)
 
     def _deadline_us(self, request: RequestSent) -> int:
@@ -125,5 +125,5 @@
 
 
 def is_served_by(attempt: BackendAttempt, at_us: int) -> bool:
-    """Tell whether the attempt had made a response by then."""
+    """Tell whether the attempt had produced a response by then."""
     return attempt.how in ("ok", "duplicate") and attempt.ended_us <= at_us
--- a/standins/checker/slow_start.py
+++ b/standins/checker/slow_start.py
@@ -1,7 +1,7 @@
-"""Check slow starts: a backend that warms up is never sent more work than it stands.
+"""Check slow starts: a backend that warms up is not overloaded.
 
-While it warms up, its capacity grows linearly from its initial share; more than a multiple of that within the
-window makes it collapse.
+During slow start its capacity grows linearly from its initial share. It collapses if the work that it is sent within
+the window exceeds a multiple of its capacity.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Overload:
-    """The first moment at which a backend was sent more than it stands, and how much."""
+    """The first moment at which a backend was overloaded, and by how much."""
 
     at_us: int
     what: str
 
 
 class SlowStartCheck:
-    """Check what each backend was sent while it warmed up."""
+    """Checks the work that each backend was sent in slow start."""
 
     def __init__(self, observations: Observations) -> None:
         self._observations = observations
         self._rules = observations.rules
-        self.peaks: dict[BackendIncarnation, float] = {}  # most work in a window, as a share of its limit
+        self.peaks: dict[BackendIncarnation, float] = {}  # maximum work in a window, as a share of its limit
 
     def check(self) -> Iterator[Violation]:
         """Yield a violation for each backend process that was overloaded, or collapsed."""
@@ -42,7 +42,7 @@
             if overload is not None:
                 yield self._violation(start, attempts, overload.at_us, overload.what)
             elif collapsed_us is not None:
-                yield self._violation(start, attempts, collapsed_us, "it fell over")
+                yield self._violation(start, attempts, collapsed_us, "the backend collapsed")
 
     def _attempts_by_process(self) -> dict[BackendIncarnation, list[BackendAttempt]]:
         attempts_by_process: dict[BackendIncarnation, list[BackendAttempt]] = defaultdict(list)
@@ -76,11 +76,11 @@
             self._record_peak(incarnation_of(start), work_us / limit_us)
             if work_us > limit_us and overload is None:
                 what = f"sent {work_us / 1e3:.1f} ms of work in {window_us / 1e6:g} s, {limit_us / 1e3:.1f} at most"
-                overload = Overload(attempt.received_us, f"{what}: it is {age_us / 1e6:.2f} s old")
+                overload = Overload(attempt.received_us, f"{what}, {age_us / 1e6:.2f} s after its start")
         return overload
 
     def _limit_us(self, start: BackendStarted, age_us: int) -> float:
-        """Return how much work within the window a backend of this age stands."""
+        """Return how much work within the window a backend of this age can be sent before it collapses."""
         capacity = start.initial_capacity + (1 - start.initial_capacity) * age_us / start.slow_start_us
         return self._rules.multiple * capacity * start.cores * self._rules.fall_us
 
--- a/standins/checker/timeline.py
+++ b/standins/checker/timeline.py
@@ -1,4 +1,4 @@
-"""Timelines of requests and backends, for whoever reads a violation."""
+"""Timelines of requests and backends, which are part of violations."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from standins.checker.violations import Rule, Violation
 from standins.event_log import BackendAttempt, BackendStarted, RequestSent, ResponseReceived
 
-NOTIFICATION_CONTEXT_US: Final = 10_000_000  # before an attempt: what its gateway had been told by then
-PROCESS_CONTEXT_US: Final = 5_000_000  # before and after a request: signals to its gateway
+NOTIFICATION_CONTEXT_US: Final = 10_000_000  # notifications this long before an attempt are shown
+PROCESS_CONTEXT_US: Final = 5_000_000  # signals to the gateway this long before and after a request are shown
 
 
 @dataclass(slots=True, frozen=True, order=True)
@@ -28,17 +28,19 @@
 
 
 def request_timeline(observations: Observations, id_: str) -> list[str]:
-    """Return all that any party observed of a request, in milliseconds since it was first sent."""
+    """Return all observations of a request, in milliseconds since it was first sent."""
     requests = observations.requests_by_id.get(id_, [])
     entries = [TimelineEntry(request.at_us, describe_request(request)) for request in requests]
     for attempt in observations.attempts_by_id.get(id_, []):
         entries += attempt_entries(attempt)
         entries += notification_entries(observations, attempt)
     for outcome in observations.outcomes_by_id.get(id_, []):
-        text = f"answer {outcome.status}" if isinstance(outcome, ResponseReceived) else f"no answer ({outcome.how})"
+        text = (
+            f"response {outcome.status}" if isinstance(outcome, ResponseReceived) else f"no response ({outcome.how})"
+        )
         entries.append(TimelineEntry(outcome.at_us, f"client: {text}"))
     if id_ in observations.disconnected_us_by_id:
-        entries.append(TimelineEntry(observations.disconnected_us_by_id[id_], "client: went away"))
+        entries.append(TimelineEntry(observations.disconnected_us_by_id[id_], "client: disconnected"))
     for gateway in {request.gateway for request in requests}:
         add_process_entries(entries, observations, gateway)
     return format_timeline(entries, requests[0].at_us if requests else None)
@@ -50,9 +52,9 @@
     if request.idempotency_key:
         text += f", key {request.idempotency_key}"
     if request.first_id not in ("", request.id):
-        text += f", a try of {request.first_id}"
+        text += f", a retry of {request.first_id}"
     if request.is_resend:
-        text += ", once more on a new connection"
+        text += ", sent again on a new connection"
     return text
 
 
@@ -61,13 +63,13 @@
     place = f"{attempt.backend}#{attempt.incarnation}"
     sent = f"gateway {attempt.gateway or '?'}: first byte to {place} (group {attempt.group})"
     entries = [TimelineEntry(attempt.at_us, sent)]
-    moments = ((attempt.received_us, "came whole"), (attempt.started_us, "began"), (attempt.ended_us, attempt.how))
+    moments = ((attempt.received_us, "received"), (attempt.started_us, "started"), (attempt.ended_us, attempt.how))
     entries += [TimelineEntry(at_us, f"{place}: {text}") for at_us, text in moments if at_us]
     return entries
 
 
 def notification_entries(observations: Observations, attempt: BackendAttempt) -> list[TimelineEntry]:
-    """Return what the attempt's gateway had lately been told of its backend."""
+    """Return the recent notifications to the attempt's gateway about its backend."""
     gateway = observations.sender_of(attempt)
     return [
         TimelineEntry(event.at_us, f"registry: told {event.gateway} that {event.backend} is {event.status}")
@@ -77,9 +79,9 @@
 
 
 def add_process_entries(entries: list[TimelineEntry], observations: Observations, gateway: str) -> None:
-    """Add what happened to the gateway's processes near the entries there are, which each addition extends."""
+    """Add signals and exits of the gateway's processes near the existing entries; each addition extends the range."""
     for lifetime in observations.processes.lifetimes_by_gateway.get(gateway, []):
-        moments = ((lifetime.term_us, "SIGTERM"), (lifetime.kill_us, "SIGKILL"), (lifetime.end_us, "ended"))
+        moments = ((lifetime.term_us, "SIGTERM"), (lifetime.kill_us, "SIGKILL"), (lifetime.end_us, "exited"))
         for at_us, text in moments:
             begin_us = min(entries).at_us - PROCESS_CONTEXT_US
             end_us = max(entries).at_us + PROCESS_CONTEXT_US
--- a/standins/checker/violations.py
+++ b/standins/checker/violations.py
@@ -7,14 +7,14 @@
 
 
 class Rule(StrEnum):
-    """Name a rule; the values stand in reports and summaries."""
+    """The rules. The values are used in reports and summaries."""
 
     MISSING = "missing"  # each request gets one whole response in time, and nothing is sent after it
     DUPLICATE = "twice"  # no request takes effect twice
     DRAIN = "drain"  # no request is sent to a draining backend after the grace period
     SLOW_START = "cold"  # no backend is overloaded while it warms up
     CRASH = "crash"  # no gateway process exits unasked
-    RESOURCES = "bounds"  # a gateway process stays within its memory and descriptors
+    RESOURCES = "bounds"  # a gateway process stays within its limits of memory and descriptors
     MISBEHAVING = "owed"  # a client that breaks the protocol gets an error or a close in time
 
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """Describe one violation of a rule, with the timeline of what it is about."""
+    """One violation of a rule, with the timeline of its subject."""
 
     rule: Rule
     at_us: int
--- a/standins/event_log/__init__.py
+++ b/standins/event_log/__init__.py
@@ -1,8 +1,8 @@
 """The event log of a run: everything the checker knows.
 
-Each event is recorded by the party that observed it (a backend, a client, the registry, the network, or whoever
-signals the gateways); nothing that a gateway reports of itself is in here. Times are Unix microseconds that never
-move backward, from one clock for all parties of a run, which is why they share one process.
+Each event is recorded by the party that observed it (a backend, a client, the registry, the network, or the process
+that signals the gateways); the log contains nothing that a gateway reports about itself. Times are Unix microseconds
+that never move backward. All parties of a run share one process, so that they share one clock.
 """
 
 from standins.event_log.clock import now_us
--- a/standins/event_log/environment_events.py
+++ b/standins/event_log/environment_events.py
@@ -27,7 +27,7 @@
     incarnation: int
     cores: float
     initial_capacity: float  # share of its capacity at the start; 1: no slow start
-    slow_start_us: int  # slow start lasts so long at most
+    slow_start_us: int  # maximum duration of slow start
 
 
 @dataclass(slots=True, eq=False)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, eq=False)
 class BackendLoad:
-    """Record a sample of a backend's load; taken a few times a second."""
+    """Record a sample of a backend's load. Samples are taken a few times a second."""
 
     at_us: int
     backend: str
@@ -50,14 +50,14 @@
     running: int
     waiting: int
     connections: int
-    capacity: float  # share
+    capacity: float  # share of its capacity after warm-up
 
 
 @dataclass(slots=True, eq=False)
 class NotificationDelivered:
     """Record that the registry wrote an endpoint's state to a gateway.
 
-    A snapshot also tells of the endpoints that it no longer contains.
+    A snapshot also reports the endpoints that it no longer contains.
     """
 
     at_us: int
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, eq=False)
 class ManualEjection:
-    """Record that an operator ejected a backend at a gateway by hand, whatever the registry says."""
+    """Record that an operator ejected a backend at a gateway by hand, regardless of its status in the registry."""
 
     at_us: int
     gateway: str
@@ -90,8 +90,8 @@
     """Record a gateway's poll of the registry, or a period in which no gateway could reach it."""
 
     at_us: int
-    gateway: str  # "": all
-    until_us: int = 0  # 0: still
+    gateway: str  # "": all gateways
+    until_us: int = 0  # end of the poll; 0: it has not ended
 
 
 @dataclass(slots=True, eq=False)
@@ -102,7 +102,7 @@
     gateway: str
     what: str  # "start", "ready", "TERM", "KILL", "HUP", "STOP", "CONT", "exit"
     code: int = 0  # of an exit
-    was_requested: bool = True  # of an exit: the process had been signalled
+    was_requested: bool = True  # of an exit: the process had been signalled to exit
 
 
 @dataclass(slots=True, eq=False)
@@ -114,12 +114,12 @@
     rss_kib: int
     descriptors: int
     cpu_us: int
-    peak_kib: int = 0  # the most that was ever resident
+    peak_kib: int = 0  # peak of the resident memory
 
 
 @dataclass(slots=True, eq=False)
 class SchedulingDelay:
-    """Record that the emulator itself was stalled: what it observed then is late by this much at most."""
+    """Record that the emulator was stalled: what it observed then is late by at most this much."""
 
     at_us: int  # the end of the delay
     delay_us: int
--- a/standins/event_log/file_format.py
+++ b/standins/event_log/file_format.py
@@ -1,7 +1,7 @@
 """Map events to the JSON objects of a log file and back.
 
-Files keep the names that earlier versions wrote, so that either can read the other's; this module is the one place
-that maps them to the names of the code.
+Files keep the names that earlier versions wrote, so that each version can read the files of the others. Only this
+module maps them to the names of the code.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
 
 
 def decode_event(raw: dict[str, Any]) -> Event:
-    """Return the event of a JSON object; KeyError or TypeError where it is none."""
+    """Return the event of a JSON object; KeyError or TypeError if the object is not an event."""
     values = dict(raw)
     event_type = EVENT_TYPES[values.pop("kind")]
     fields = FIELD_BY_KEY.get(event_type, {})
--- a/standins/event_log/log.py
+++ b/standins/event_log/log.py
@@ -12,7 +12,7 @@
 from standins.event_log.file_format import Event, decode_event, encode_event
 
 EventT = TypeVar("EventT")
-MAX_EVENTS = 5_000_000  # a run that has more is not kept whole, and its log says so
+MAX_EVENTS = 5_000_000  # further events are only counted, which bounds the memory
 
 
 @dataclass
@@ -20,10 +20,10 @@
     """The events of one run, in the order in which they were recorded."""
 
     events: list[Event] = field(default_factory=list)
-    dropped: int = 0  # events beyond MAX_EVENTS; the checker rejects an incomplete log
+    dropped: int = 0  # number of events beyond MAX_EVENTS; the checker rejects an incomplete log
 
     def add(self, event: Event) -> None:
-        """Record an event; beyond MAX_EVENTS it is only counted."""
+        """Record an event, or only count it if there are MAX_EVENTS already."""
         if len(self.events) >= MAX_EVENTS:
             self.dropped += 1
             return
@@ -34,7 +34,7 @@
         return (event for event in self.events if isinstance(event, event_type))
 
     def dump(self, path: Path) -> None:
-        """Write one JSON object a line, so that the run can be checked again."""
+        """Write one JSON object per line, so that the run can be checked again."""
         with path.open("w") as file:
             for event in self.events:
                 file.write(json.dumps(encode_event(event)) + "\n")
@@ -43,7 +43,7 @@
     def load(cls, path: Path) -> EventLog:
         """Read a log from a file.
 
-        Raises EventLogError, which names the line that is no event.
+        Raises EventLogError, which names the line that is not an event.
         """
         event_log = cls()
         for line_number, line in enumerate(path.read_text().splitlines(), 1):
--- a/standins/event_log/request_events.py
+++ b/standins/event_log/request_events.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, eq=False)
 class OperationStarted:
-    """Record that a client starts an operation, which takes one request or several tries."""
+    """Record that a client starts an operation, which takes one request, or several if the client retries."""
 
     at_us: int
     id: str  # of the operation's first request
@@ -37,7 +37,7 @@
     at_us: int
     id: str
     status: int
-    echoed_id: str = ""  # id of the request that the body claims to answer
+    echoed_id: str = ""  # id of the request that the body names
     retry_after_us: int = 0
 
 
@@ -47,7 +47,7 @@
 
     at_us: int
     id: str
-    how: str  # "closed", "reset", "cut" (an answer had begun), "none" (waited past the end)
+    how: str  # "closed", "reset", "cut" (part of a response had arrived), "none" (the client stopped waiting)
 
 
 @dataclass(slots=True, eq=False)
@@ -63,7 +63,7 @@
     """Record bytes on a client's connection when no response was due."""
 
     at_us: int
-    id: str  # of the last request there
+    id: str  # of the last request on the connection
     data: str
 
 
@@ -72,7 +72,7 @@
     """Record what a client that breaks the protocol received."""
 
     at_us: int  # when it had connected
-    what: str
+    what: str  # what it sent
     gateway: str
     ended_us: int = 0  # when a response or a close arrived; 0: neither
     status: int = 0  # 0: a close
@@ -83,11 +83,12 @@
 class BackendAttempt:
     """Record one attempt of a request at a backend, from its first byte on; its fields are filled in as it proceeds.
 
-    `how` is "coming" (not whole), "waiting", "running", "ok", "duplicate" (dropped, answered from memory),
-    "rejected" (turned away before it began, and told so), "error", "spoilt" (corrupted), "cancelled" or "crashed".
+    `how` is "coming" (not received completely), "waiting", "running", "ok", "duplicate" (dropped, and answered from
+    the idempotency store), "rejected" (before work began, and the gateway was told), "error", "spoilt" (corrupted
+    response), "cancelled" or "crashed".
     """
 
-    at_us: int  # its first byte was sent
+    at_us: int  # when its first byte was sent
     backend: str
     incarnation: int
     group: int
@@ -95,13 +96,13 @@
     request_class: str = ""
     idempotency_key: str = ""
     gateway: str = ""
-    received_us: int = 0  # its last byte has come; 0: never
-    started_us: int = 0  # work began; 0: never
-    ended_us: int = 0  # the last byte of the answer was written, or it ended otherwise
+    received_us: int = 0  # when its last byte arrived; 0: never
+    started_us: int = 0  # when work began; 0: never
+    ended_us: int = 0  # when the last byte of the response was written, or it ended otherwise
     how: str = "coming"
-    work_us: int = 0  # on a standard core, before what a remembered key saves
+    work_us: int = 0  # on a standard core, without what a remembered key saves
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether a gateway must assume that it ran: it arrived whole and was not rejected."""
+        """Tell whether a gateway must assume that it ran: it was received completely and not rejected."""
         return self.received_us > 0 and self.how != "rejected"
--- a/tests/checker/events.py
+++ b/tests/checker/events.py
@@ -1,4 +1,4 @@
-"""Builders of the events that the tests of the checker put together."""
+"""Builders of events for the tests of the checker."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def gateway_started(gateway: str = "n0", at_us: int = BEGIN_US - 10 * SECOND_US) -> list[Event]:
-    """Return the start of a gateway's process, which watches the registry from then on."""
+    """Return the start of a gateway's process that watches the registry from then on."""
     return [ProcessEvent(at_us, gateway, "start"), DiscoveryPoll(at_us, gateway)]
 
 
@@ -48,16 +48,16 @@
     work_us: int = 50 * MS_US,
     incarnation: int = 1,
 ) -> BackendAttempt:
-    """Return an attempt at a backend, which arrived whole unless `is_whole` says otherwise."""
-    run = BackendAttempt(
+    """Return an attempt at a backend; it was received completely if `is_whole`."""
+    result = BackendAttempt(
         at_us, backend, incarnation, group, id_, request_class, gateway="n0", work_us=work_us, how=how
     )
     if is_whole:
-        run.received_us = at_us + 100
+        result.received_us = at_us + 100
     if how not in ("rejected", "coming"):
-        run.started_us = at_us + 200
-    run.ended_us = at_us + took_us
-    return run
+        result.started_us = at_us + 200
+    result.ended_us = at_us + took_us
+    return result
 
 
 def response(id_: str = "r", at_us: int = BEGIN_US + 90 * MS_US, status: int = 200) -> ResponseReceived:
@@ -71,7 +71,7 @@
 
 
 def load_of(total_us: int, count: int = 10, first_us: int = BEGIN_US, name: str = "w") -> list[Event]:
-    """Return requests of so much work together, in equal parts within 0.9 s; each is served."""
+    """Return served requests within 0.9 s that have equal parts of the total work."""
     events: list[Event] = []
     for n in range(count):
         at_us = first_us + n * 900_000 // count
@@ -85,7 +85,7 @@
 
 
 def slow_start_limit_us(last_sent_us: int) -> int:
-    """Return what slow_starting_backend() stands when the last request of a load has arrived."""
+    """Return the limit of slow_starting_backend() when the last request of a load has arrived."""
     age = (last_sent_us + 100 - (BEGIN_US - SECOND_US)) / (9 * SECOND_US)
     return int(3 * (0.3 + 0.7 * age) * 2 * SECOND_US)
 
@@ -93,18 +93,18 @@
 LAST_SENT_US = BEGIN_US + 9 * 90 * MS_US + 2 * MS_US
 COMPLIANT = [*gateway_started(), request_sent(), attempt(), response()]
 NO_CONCURRENT_ATTEMPTS = RuleOverrides(BEGIN_US - 20 * SECOND_US, {"second_copies": False}, {})
-TOLD_DRAINING = NotificationDelivered(BEGIN_US - 2 * SECOND_US, "n0", "s-0", "DRAINING")
+DRAIN_NOTIFICATION = NotificationDelivered(BEGIN_US - 2 * SECOND_US, "n0", "s-0", "DRAINING")
 
 
 def sent_after_grace(over_us: int) -> list[Event]:
-    """Return an attempt whose first byte was sent so long after the grace period of a drain."""
+    """Return events with an attempt that is sent `over_us` after the grace period of a drain."""
     first_us = BEGIN_US + 2 * MS_US
-    notification = replace(TOLD_DRAINING, at_us=first_us - SECOND_US - over_us)
+    notification = replace(DRAIN_NOTIFICATION, at_us=first_us - SECOND_US - over_us)
     return [*gateway_started(), notification, request_sent(), attempt(at_us=first_us), response()]
 
 
 def hold_repeated(after_us: int, group: int = 0) -> list[Event]:
-    """Return a hold that was sent again so long after its first attempt, which may have run."""
+    """Return events with a hold that is repeated `after_us` after its first attempt, which may have run."""
     first = attempt(request_class="hold", how="cancelled", at_us=BEGIN_US)
     second = attempt(request_class="hold", backend="s-2", at_us=BEGIN_US + after_us, group=group, how="duplicate")
     final = response(at_us=BEGIN_US + after_us + 90 * MS_US)
--- a/tests/checker/test_event_checker.py
+++ b/tests/checker/test_event_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each planted violation and reports nothing of a compliant run."""
+"""Tests that the checker finds each planted violation and reports none in a compliant run."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 def check_shuffled(events: list[Event]) -> list[Violation]:
-    """Return the violations of events that were recorded in another order than they happened in."""
+    """Return the violations of events that are recorded in random order among those of the same time."""
     shuffled = events[:]
     random.Random(7).shuffle(shuffled)
     shuffled.sort(key=lambda event: event.at_us)
     event_log = EventLog()
     for event in shuffled:
         event_log.add(replace(event))
-    event_log.add(SchedulingDelay(BEGIN_US + 20 * SECOND_US, 0))  # the run goes on for a while
+    event_log.add(SchedulingDelay(BEGIN_US + 20 * SECOND_US, 0))  # the run continues, so that deadlines pass
     return find_violations(event_log)
 
 
@@ -64,16 +64,16 @@
 
 def test_a_violation_has_the_whole_timeline() -> None:
     (violation,) = check_shuffled(
-        next(case.violating for case in CASES if case.name.startswith("a hold again after"))
+        next(case.violating for case in CASES if case.name.startswith("hold repeated after"))
     )
     text = str(violation)
-    for part in ("client: hold to n0", "byte to s-0#1", "s-0#1: cancelled", "byte to s-2#1", "answer 200"):
+    for part in ("client: hold to n0", "byte to s-0#1", "s-0#1: cancelled", "byte to s-2#1", "response 200"):
         assert part in text
     moments = [float(line.split(" ms")[0]) for line in violation.timeline]
     assert moments == sorted(moments) and len(moments) >= 8
 
 
-def test_a_scheduling_delay_excuses_what_was_observed_late_and_no_more() -> None:
+def test_a_scheduling_delay_extends_a_deadline_by_its_length_and_no_more() -> None:
     late = [
         *gateway_started(),
         request_sent(),
@@ -82,19 +82,17 @@
     ]
     assert check_shuffled(late)
     assert not check_shuffled([*late, SchedulingDelay(BEGIN_US + BUDGET_US + 79 * MS_US, 40 * MS_US)])
-    assert check_shuffled([*late, SchedulingDelay(BEGIN_US + BUDGET_US + 79 * MS_US, 20 * MS_US)])  # 30 ms were over
-    assert check_shuffled(
-        [*late, SchedulingDelay(BEGIN_US + 50 * MS_US, 40 * MS_US)]
-    )  # long before: it excuses nothing
+    assert check_shuffled([*late, SchedulingDelay(BEGIN_US + BUDGET_US + 79 * MS_US, 20 * MS_US)])  # 30 ms late
+    assert check_shuffled([*late, SchedulingDelay(BEGIN_US + 50 * MS_US, 40 * MS_US)])  # long before the deadline
 
 
-def test_an_incomplete_log_does_not_pass() -> None:
+def test_an_incomplete_event_log_is_a_violation() -> None:
     event_log = EventLog(list(COMPLIANT), dropped=1)
     assert find_violations(event_log)
 
 
 def compliant_events(rng: random.Random) -> list[Event]:
-    """Return requests of all classes that end in every way that keeps the rules."""
+    """Return requests of all classes with every outcome that the rules allow."""
     events: list[Event] = [*gateway_started(), slow_starting_backend(BEGIN_US)]
     for n in range(rng.randint(1, 40)):
         request_class = rng.choice(["search", "hold", "transfer"])
@@ -111,10 +109,10 @@
                     attempt(id_, request_class, sent_us, "s-9", took_us=rng.randint(10 * MS_US, 300 * MS_US))
                 )
                 events.append(response(id_, events[-1].at_us + 301 * MS_US))
-            case 1:  # failed, as it may have run
+            case 1:  # failed, as an attempt may have run
                 events.append(attempt(id_, request_class, sent_us, "s-9", "cancelled"))
                 events.append(response(id_, at_us + 400 * MS_US + rng.randint(0, 49 * MS_US), 504))
-            case 2:  # refused, as it never ran
+            case 2:  # refused, as no attempt ran
                 events.append(response(id_, sent_us + rng.randint(0, 20 * MS_US), 503))
             case 3:  # repeated where the class allows it
                 how = "rejected" if request_class == "transfer" else "error"
@@ -154,9 +152,9 @@
     assert case.rule in {violation.rule for violation in check_shuffled([*processes, *others, *moved])}
 
 
-def test_a_process_is_found_by_a_moment_of_its_lifetime() -> None:
-    whats = [(0, "start"), (SECOND_US, "KILL"), (SECOND_US, "exit"), (2 * SECOND_US, "start")]
-    event_log = EventLog([ProcessEvent(BEGIN_US + after_us, "n0", what, -9) for after_us, what in whats])
+def test_process_at_returns_the_process_that_ran_at_a_time() -> None:
+    signals = [(0, "start"), (SECOND_US, "KILL"), (SECOND_US, "exit"), (2 * SECOND_US, "start")]
+    event_log = EventLog([ProcessEvent(BEGIN_US + after_us, "n0", what, -9) for after_us, what in signals])
     checker = Checker(event_log)
     first, second = checker.process_at("n0", BEGIN_US + SECOND_US), checker.process_at("n0", BEGIN_US + 3 * SECOND_US)
     assert (
--- a/tests/checker/test_event_log.py
+++ b/tests/checker/test_event_log.py
@@ -1,4 +1,4 @@
-"""A log file reads back as it was written, and an odd line is named."""
+"""Tests that a log file reads back as it was written, and that an invalid line is named."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tests.checker.violation_cases import CASES
 
 
-def test_an_event_log_reads_back_as_it_was_written(tmp_path: Path) -> None:
+def test_an_event_log_reads_back_as_it_was_written_and_an_invalid_line_is_named(tmp_path: Path) -> None:
     event_log = EventLog([event for case in CASES for event in case.violating])
     event_log.dump(tmp_path / "ledger")
-    again = EventLog.load(tmp_path / "ledger")
-    assert list(map(repr, again.events)) == list(map(repr, event_log.events))
+    loaded = EventLog.load(tmp_path / "ledger")
+    assert list(map(repr, loaded.events)) == list(map(repr, event_log.events))
     (tmp_path / "ledger").write_text('{"kind": "Run"}\n')
     with pytest.raises(EventLogError, match="line 1"):
         EventLog.load(tmp_path / "ledger")
--- a/tests/checker/test_relays.py
+++ b/tests/checker/test_relays.py
@@ -1,4 +1,4 @@
-"""The check of relays finds each kind of violation in a made-up record."""
+"""Tests that the check of relays finds each kind of violation in a constructed record."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 SECOND_US = 1_000_000
 
 
-def record(until_s: float = 20.0, feeds: tuple[int, ...] = (0, 0)) -> RunRecord:
-    return RunRecord(0, int(until_s * SECOND_US), 1, 2, feeds, 3 * SECOND_US)
+def record(until_s: float = 20.0, discovery_by_relay: tuple[int, ...] = (0, 0)) -> RunRecord:
+    """Return the record of a run with one gateway and two hosts, without events."""
+    return RunRecord(0, int(until_s * SECOND_US), 1, 2, discovery_by_relay, 3 * SECOND_US)
 
 
 def add_arrivals(run: RunRecord, host: int, begin_s: float, end_s: float) -> None:
-    """Add twenty requests a second."""
+    """Add twenty requests a second to a host."""
     run.arrivals += [
         BackendArrival(at, 0, host) for at in range(int(begin_s * SECOND_US), int(end_s * SECOND_US), SECOND_US // 20)
     ]
@@ -32,14 +33,17 @@
 
 
 def add_change(run: RunRecord, at_s: float, status: str, discovery: int = 0) -> None:
+    """Add a change of the status of host 1."""
     run.changes.append(EndpointChange(int(at_s * SECOND_US), discovery, 1, status))
 
 
-def add_outage(run: RunRecord, begin_s: float, end_s: float, *parts: Component) -> None:
-    run.outages += [Outage(int(begin_s * SECOND_US), int(end_s * SECOND_US), part) for part in parts]
+def add_outage(run: RunRecord, begin_s: float, end_s: float, *components: Component) -> None:
+    """Add an outage of components."""
+    run.outages += [Outage(int(begin_s * SECOND_US), int(end_s * SECOND_US), component) for component in components]
 
 
 def violations_of(run: RunRecord) -> list[str]:
+    """Return the texts of the violations of a run."""
     return [violation.what for violation in check_relays(run)]
 
 
@@ -50,25 +54,27 @@
     add_arrivals(run, 1, 0.5, 8.2)
     assert not violations_of(run)
     add_arrivals(run, 1, 8.2, 8.5)
-    assert violations_of(run) == ["sent to until 6.500 s after it was to be left"]
+    assert violations_of(run) == ["used until 6.500 s after its removal"]
 
 
-def test_time_without_a_whole_chain_extends_the_bound() -> None:
+def test_outages_of_all_chains_extend_the_bound() -> None:
     cut: tuple[Component, ...] = (("link", 0, 0), ("feed", 1))
     run = record()
     add_change(run, 2.0, "DRAINING")
     add_arrivals(run, 1, 0.5, 11.2)
-    add_outage(run, 3.0, 5.0, *cut)  # 2 s and what an interruption costs
+    add_outage(run, 3.0, 5.0, *cut)  # the bound is longer by 2 s and INTERRUPTION_COST_US
     assert not violations_of(run)
     add_arrivals(run, 1, 11.2, 11.5)
-    assert violations_of(run) == ["sent to until 9.450 s after it was to be left"]
-    for parts in ((("gateway", 0),), (("discovery", 0),), (("relay", 0), ("relay", 1))):
+    assert violations_of(run) == ["used until 9.450 s after its removal"]
+    for components in ((("gateway", 0),), (("discovery", 0),), (("relay", 0), ("relay", 1))):
         run.outages.clear()
-        add_outage(run, 3.0, 6.0, *parts)
+        add_outage(run, 3.0, 6.0, *components)
         assert not violations_of(run)
     run.outages.clear()
-    add_outage(run, 3.0, 6.0, ("relay", 0), ("feed", 0), ("link", 0, 0))  # by the other relay it could be told
-    assert violations_of(run) == ["sent to until 9.450 s after it was to be left"]
+    add_outage(
+        run, 3.0, 6.0, ("relay", 0), ("feed", 0), ("link", 0, 0)
+    )  # the change could arrive through the other relay
+    assert violations_of(run) == ["used until 9.450 s after its removal"]
 
 
 def test_a_host_that_was_left_is_not_used_again() -> None:
@@ -77,7 +83,7 @@
     add_arrivals(run, 1, 0.0, 2.5)
     add_arrivals(run, 0, 0.0, 10.0)
     add_arrivals(run, 1, 5.0, 5.1)
-    assert not violations_of(run)  # 50 requests elsewhere may be chance, 100 are not
+    assert not violations_of(run)  # after 50 requests elsewhere it may still be in use, after 100 it is not
     add_arrivals(run, 0, 0.0, 10.0)
     assert violations_of(run) == ["left, and used again after 2.550 s"]
     add_change(run, 4.9, "SERVING")
@@ -85,7 +91,7 @@
     assert not violations_of(run)
 
 
-def test_a_host_left_at_once_or_not_in_use_while_it_drained() -> None:
+def test_a_host_left_at_once_or_unused_before_its_drain() -> None:
     run = record()
     add_change(run, 2.0, "DRAINING")
     add_arrivals(run, 1, 0.0, 2.0)
@@ -94,7 +100,7 @@
     add_arrivals(run, 1, 5.0, 5.1)
     assert violations_of(run) == ["left, and used again after 3.050 s"]
     run.arrivals = [arrival for arrival in run.arrivals if arrival.host == 0 or arrival.at_us >= 2 * SECOND_US]
-    assert not violations_of(run)  # it did not know that this one was there
+    assert not violations_of(run)  # the gateway had not used the host before
     add_arrivals(run, 1, 0.0, 0.5)
     assert violations_of(run) == ["left, and used again after 4.550 s"]
 
@@ -107,27 +113,28 @@
     assert not violations_of(run)
     run.arrivals.clear()
     add_arrivals(run, 1, 12.5, 20.0)
-    assert violations_of(run) == ["not used for 8.500 s after it was back"]
+    assert violations_of(run) == ["not used for 8.500 s after its return"]
     add_outage(run, 5.0, 6.0, ("gateway", 0))
     assert not violations_of(run)
     run.arrivals.clear()
-    assert violations_of(run) == ["not used for 16.000 s after it was back"]
-    add_change(run, 11.0, "DELETED")  # it had not come to that
+    assert violations_of(run) == ["not used for 16.000 s after its return"]
+    add_change(run, 11.0, "DELETED")  # removed again before the bound
     assert not violations_of(run)
 
 
 def test_a_host_that_discoveries_disagree_on_is_not_checked() -> None:
-    run = record(feeds=(0, 1))
+    run = record(discovery_by_relay=(0, 1))
     add_change(run, 2.0, "DRAINING", 0)
     add_arrivals(run, 1, 0.5, 19.0)
     assert not violations_of(run)
     add_change(run, 10.0, "DELETED", 1)
-    assert violations_of(run) == ["sent to until 8.950 s after it was to be left"]
+    assert violations_of(run) == ["used until 8.950 s after its removal"]
 
 
 def add_request(
     run: RunRecord, at_s: float, took_s: float | None = 0.1, status: int = 200, is_own: bool = True
 ) -> None:
+    """Add a request of a client; it is not answered if `took_s` is None."""
     answered_us = 0 if took_s is None else int((at_s + took_s) * SECOND_US)
     run.requests.append(ClientRequest(int(at_s * SECOND_US), 0, answered_us, status if answered_us else 0, is_own))
 
@@ -146,7 +153,7 @@
     run.requests.pop()
     add_request(run, 12.0, status=502)
     add_request(run, 13.0, is_own=False)
-    assert violations_of(run) == ["answered 502", "the answer is another request's"]
+    assert violations_of(run) == ["answered 502", "the response is that of another request"]
 
 
 def test_no_gateway_is_without_hosts() -> None:
@@ -157,7 +164,7 @@
     add_request(run, 2.6, status=503)
     assert not violations_of(run)
     add_request(run, 4.2, status=503)
-    assert violations_of(run) == ["all was refused for 1.600 s"]
+    assert violations_of(run) == ["all requests refused for 1.600 s"]
     add_outage(run, 3.0, 4.0, ("gateway", 0))
     assert not violations_of(run)
 
@@ -167,12 +174,12 @@
     run.direct_polls = [DirectPoll(at_us, 0) for at_us in (1 * SECOND_US, 4 * SECOND_US, 7 * SECOND_US - 200_000)]
     assert not violations_of(run)
     run.direct_polls = [DirectPoll(at_us, 0) for at_us in (1 * SECOND_US, 7 * SECOND_US, 8 * SECOND_US)]
-    assert violations_of(run) == ["asked discovery itself 2 times in 1.000 s"]
-    add_outage(run, 4.0, 6.9, ("gateway", 0))  # the second was decided before the stop, and came after it
+    assert violations_of(run) == ["polled discovery directly 2 times in 1.000 s"]
+    add_outage(run, 4.0, 6.9, ("gateway", 0))  # the second poll was decided before the stop and sent after it
     assert not violations_of(run)
 
 
 def test_no_process_exits_unasked() -> None:
     run = record()
     run.exits.append(UnaskedExit(5 * SECOND_US, "relay-0"))
-    assert violations_of(run) == ["a process ended by itself"]
+    assert violations_of(run) == ["a process exited unasked"]
--- a/tests/checker/violation_cases.py
+++ b/tests/checker/violation_cases.py
@@ -1,4 +1,4 @@
-"""Event logs that violate a rule, and the nearest that comply."""
+"""Events that violate a rule, each with the most similar events that comply with it."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     BEGIN_US,
     BUDGET_US,
     COMPLIANT,
+    DRAIN_NOTIFICATION,
     LAST_SENT_US,
     MS_US,
     NO_CONCURRENT_ATTEMPTS,
     SECOND_US,
-    TOLD_DRAINING,
     attempt,
     gateway_started,
     hold_repeated,
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ViolationCase:
-    """Events that violate one rule, and the nearest ones that violate none."""
+    """Events that violate one rule, and the most similar events that violate none."""
 
-    rule: str  # as reports name it
-    name: str
+    rule: str  # value of Rule
+    name: str  # what happens in the violating events, and in the compliant ones
     violating: list[Event]
     compliant: list[Event]
 
@@ -54,7 +54,7 @@
 CASES = [
     ViolationCase(
         "missing",
-        "an answer 51 ms late, and 49 ms",
+        "response 51 ms late, and 49 ms late",
         [
             *gateway_started(),
             request_sent(),
@@ -70,7 +70,7 @@
     ),
     ViolationCase(
         "missing",
-        "a connection ended by a gateway that lives, and by one that was killed",
+        "connection closed by a running gateway, and by a killed one",
         [*gateway_started(), request_sent(), attempt(), ResponseMissing(BEGIN_US + 50 * MS_US, "r", "reset")],
         [
             *gateway_started(),
@@ -83,7 +83,7 @@
     ),
     ViolationCase(
         "missing",
-        "no word at all, and a client that had disconnected",
+        "no response, and no response after the client disconnected",
         [
             *gateway_started(),
             request_sent(),
@@ -104,25 +104,25 @@
     ),
     ViolationCase(
         "missing",
-        "served with another's answer, and with its own",
+        "response of another request, and its own response",
         [*gateway_started(), request_sent(), attempt(), ResponseReceived(BEGIN_US + 90 * MS_US, "r", 200, "q")],
         COMPLIANT,
     ),
     ViolationCase(
         "missing",
-        "served when no backend had answered, and a failure that says so",
+        "status 200 though no backend responded, and status 502",
         [*gateway_started(), request_sent(), attempt(how="cancelled"), response()],
         [*gateway_started(), request_sent(), attempt(how="cancelled"), response(status=502)],
     ),
     ViolationCase(
         "missing",
-        "sent 51 ms after the final answer, and 49 ms",
+        "attempt sent 51 ms after the final response, and 49 ms after it",
         [*COMPLIANT, attempt(backend="s-1", at_us=BEGIN_US + 141 * MS_US + 1)],
         [*COMPLIANT, attempt(backend="s-1", at_us=BEGIN_US + 139 * MS_US)],
     ),
     ViolationCase(
         "missing",
-        "SIGKILL 0.8 s after SIGTERM finds it unanswered, and 0.6 s after",
+        "request unanswered at a SIGKILL 0.8 s after SIGTERM, and 0.6 s after",
         [
             *gateway_started(),
             request_sent(budget_us=2 * SECOND_US),
@@ -140,19 +140,19 @@
     ),
     ViolationCase(
         "missing",
-        "bytes after the answer, and none",
+        "bytes after the response, and none",
         [*COMPLIANT, UnexpectedBytes(BEGIN_US + 95 * MS_US, "r", "HTTP/1.1 200 OK")],
         COMPLIANT,
     ),
     ViolationCase(
         "missing",
-        "a client that hid a request in another is served, and refused",
+        "smuggled request is served, and rejected",
         [*COMPLIANT, MisbehavingClient(BEGIN_US, "both framings", "n0", BEGIN_US + 90 * MS_US, 200)],
         [*COMPLIANT, MisbehavingClient(BEGIN_US, "both framings", "n0", BEGIN_US + 90 * MS_US, 400)],
     ),
     ViolationCase(
         "twice",
-        "a transfer sent on after a reset, and after it was turned away",
+        "transfer repeated after a reset, and after a rejection",
         [
             *gateway_started(),
             request_sent(request_class="transfer"),
@@ -170,7 +170,7 @@
     ),
     ViolationCase(
         "twice",
-        "a transfer sent on before it was turned away, and one that never came whole",
+        "transfer repeated before its rejection, and after an attempt that was not received completely",
         [
             *gateway_started(),
             request_sent(request_class="transfer"),
@@ -188,7 +188,7 @@
     ),
     ViolationCase(
         "twice",
-        "a client asks again after a close by a gateway that lives, and by one that was killed",
+        "client repeats a transfer after a close by a running gateway, and by a killed one",
         [
             *gateway_started(),
             *gateway_started("n1"),
@@ -216,7 +216,7 @@
     ),
     ViolationCase(
         "twice",
-        "a transfer refused that may have run, and failed",
+        "transfer that may have run is refused, and failed",
         [
             *gateway_started(),
             request_sent(request_class="transfer"),
@@ -232,19 +232,19 @@
     ),
     ViolationCase(
         "twice",
-        "a hold again after 1.51 s, and after 1.49 s",
+        "hold repeated after 1.51 s, and after 1.49 s",
         hold_repeated(1_510 * MS_US),
         hold_repeated(1_490 * MS_US),
     ),
     ViolationCase(
         "twice",
-        "a hold again in another group, and in its own",
+        "hold repeated in another group, and in its own",
         hold_repeated(100 * MS_US, 1),
         hold_repeated(100 * MS_US, 0),
     ),
     ViolationCase(
         "twice",
-        "a hold refused that may have run, and a search",
+        "hold that may have run is refused, and a search",
         [
             *gateway_started(),
             request_sent(request_class="hold"),
@@ -255,17 +255,17 @@
     ),
     ViolationCase(
         "drain",
-        "a first byte 51 ms after the grace, and 49 ms",
+        "first byte 51 ms after the grace period, and 49 ms after it",
         sent_after_grace(51 * MS_US),
         sent_after_grace(49 * MS_US),
     ),
     ViolationCase(
         "drain",
-        "sent after the grace, and begun before it and ended after",
-        [*gateway_started(), TOLD_DRAINING, request_sent(), attempt(), response()],
+        "attempt sent after the grace period, and one that ends after it",
+        [*gateway_started(), DRAIN_NOTIFICATION, request_sent(), attempt(), response()],
         [
             *gateway_started(),
-            replace(TOLD_DRAINING, at_us=BEGIN_US - 900 * MS_US),
+            replace(DRAIN_NOTIFICATION, at_us=BEGIN_US - 900 * MS_US),
             request_sent(budget_us=SECOND_US),
             attempt(took_us=700 * MS_US),
             response(at_us=BEGIN_US + 710 * MS_US),
@@ -273,11 +273,11 @@
     ),
     ViolationCase(
         "drain",
-        "told that it is gone, and told since that it serves again",
-        [*gateway_started(), replace(TOLD_DRAINING, status="DELETED"), request_sent(), attempt(), response()],
+        "backend deleted, and backend that serves again since",
+        [*gateway_started(), replace(DRAIN_NOTIFICATION, status="DELETED"), request_sent(), attempt(), response()],
         [
             *gateway_started(),
-            replace(TOLD_DRAINING, status="DELETED"),
+            replace(DRAIN_NOTIFICATION, status="DELETED"),
             NotificationDelivered(BEGIN_US - MS_US, "n0", "s-0", "SERVING"),
             request_sent(),
             attempt(),
@@ -286,7 +286,7 @@
     ),
     ViolationCase(
         "drain",
-        "silent to the registry for longer than allowed, and watching",
+        "gateway that has not polled for longer than allowed, and one that watches",
         [
             ProcessEvent(BEGIN_US - 30 * SECOND_US, "n0", "start"),
             DiscoveryPoll(BEGIN_US - 30 * SECOND_US, "n0", BEGIN_US - 20 * SECOND_US),
@@ -306,7 +306,7 @@
     ),
     ViolationCase(
         "drain",
-        "out by hand though the list has it as serving, and put back",
+        "backend ejected by hand while the registry lists it as serving, and reinstated",
         [
             *gateway_started(),
             ManualEjection(BEGIN_US - 2 * SECOND_US, "n0", "s-0"),
@@ -325,7 +325,7 @@
     ),
     ViolationCase(
         "drain",
-        "out by hand through a restart of the gateway, and at another gateway",
+        "backend ejected by hand before a restart of the gateway, and at another gateway",
         [
             *gateway_started(),
             ManualEjection(BEGIN_US - 3 * SECOND_US, "n0", "s-0"),
@@ -345,11 +345,11 @@
     ),
     ViolationCase(
         "drain",
-        "told to this process, and to the one before it",
-        [*gateway_started(), TOLD_DRAINING, request_sent(), attempt(), response()],
+        "this process was notified, and an earlier process was",
+        [*gateway_started(), DRAIN_NOTIFICATION, request_sent(), attempt(), response()],
         [
             *gateway_started(),
-            TOLD_DRAINING,
+            DRAIN_NOTIFICATION,
             ProcessEvent(BEGIN_US - SECOND_US, "n0", "start"),
             DiscoveryPoll(BEGIN_US - SECOND_US, "n0"),
             request_sent(),
@@ -359,13 +359,13 @@
     ),
     ViolationCase(
         "cold",
-        "a little more than the multiple, and a little less",
+        "load just above the limit, and just below it",
         [*gateway_started(), slow_starting_backend(), *load_of(slow_start_limit_us(LAST_SENT_US) + 1_000)],
         [*gateway_started(), slow_starting_backend(), *load_of(slow_start_limit_us(LAST_SENT_US) - 1_000)],
     ),
     ViolationCase(
         "cold",
-        "at once, and in two halves more than the window apart",
+        "load within one window, and in halves more than a window apart",
         [*gateway_started(), slow_starting_backend(), *load_of(4_000_000)],
         [
             *gateway_started(),
@@ -376,19 +376,19 @@
     ),
     ViolationCase(
         "cold",
-        "to a backend that warms up, and to one that is warm",
+        "load on a backend in slow start, and on one after it",
         [*gateway_started(), slow_starting_backend(), *load_of(6_000_000)],
         [*gateway_started(), slow_starting_backend(BEGIN_US - 10 * SECOND_US), *load_of(6_000_000)],
     ),
     ViolationCase(
         "cold",
-        "it fell over, and it crashed of itself",
+        "backend collapsed, and backend crashed",
         [*gateway_started(), slow_starting_backend(), BackendStopped(BEGIN_US, "s-0", 1, "fell")],
         [*gateway_started(), slow_starting_backend(), BackendStopped(BEGIN_US, "s-0", 1, "crash")],
     ),
     ViolationCase(
         "crash",
-        "an exit that nobody asked for, and one after SIGTERM",
+        "exit without a signal, and after SIGTERM",
         [*COMPLIANT, ProcessEvent(BEGIN_US + SECOND_US, "n0", "exit", 1, was_requested=False)],
         [
             *COMPLIANT,
@@ -398,7 +398,7 @@
     ),
     ViolationCase(
         "twice",
-        "a search sent seven times by one process, and six times",
+        "search sent seven times by one process, and six times",
         [
             *gateway_started(),
             request_sent(),
@@ -414,7 +414,7 @@
     ),
     ViolationCase(
         "twice",
-        "two attempts out together where that is not allowed, and one after the other",
+        "two attempts in flight together although not allowed, and one after the other",
         [
             NO_CONCURRENT_ATTEMPTS,
             *gateway_started(),
@@ -434,7 +434,7 @@
     ),
     ViolationCase(
         "twice",
-        "a hold again after 0.6 s where repeats are dropped for 0.5 s, and where for 1.5 s",
+        "hold repeated after 0.6 s with a window of 0.5 s, and of 1.5 s",
         [
             RuleOverrides(BEGIN_US - 20 * SECOND_US, {}, {"hold": {"window_us": 500 * MS_US}}),
             *hold_repeated(600 * MS_US),
@@ -443,25 +443,25 @@
     ),
     ViolationCase(
         "bounds",
-        "more memory than there is, and a little less",
+        "memory above the limit, and at it",
         [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 20, 0, peak_kib=193 * 1024)],
         [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 20, 0, peak_kib=192 * 1024)],
     ),
     ViolationCase(
         "bounds",
-        "a descriptor more than there are, and as many",
+        "descriptors above the limit, and at it",
         [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 513, 0)],
         [*COMPLIANT, ResourceUsage(BEGIN_US + SECOND_US, "n0", 30_000, 512, 0)],
     ),
     ViolationCase(
         "owed",
-        "a misbehaving client with neither error nor close, and with a close after 3 s",
+        "misbehaving client with neither error nor close, and with a close after 3 s",
         [*COMPLIANT, MisbehavingClient(BEGIN_US, "half a request", "n0")],
         [*COMPLIANT, MisbehavingClient(BEGIN_US, "half a request", "n0", ended_us=BEGIN_US + 3 * SECOND_US)],
     ),
     ViolationCase(
         "owed",
-        "a close after 4 s, and after 4 s from a gateway that stood still meanwhile",
+        "close after 4 s, and after 4 s by a gateway that was stopped meanwhile",
         [*COMPLIANT, MisbehavingClient(BEGIN_US, "nothing", "n0", ended_us=BEGIN_US + 4 * SECOND_US)],
         [
             *COMPLIANT,
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -125,11 +125,11 @@
     clean = [act(0, 5, 1), act(10, 5, 1), act(20, 9, 2), act(30, 9, 2), act(40, 3, 1, duty=8)]
     assert check_leases(clean) == []
     late = check_leases([*clean, act(50, 5, 1)])
-    assert [wrong.what for wrong in late] == ["an act after a newer holder's"]
+    assert [wrong.what for wrong in late] == ["an act after that of a newer holder"]
     assert check_leases([*clean, act(50, 5, 1)], {1: 1}) == []  # it was stopped once: the fence's to refuse
     assert len(check_leases([*clean, act(50, 5, 1), act(60, 5, 1)], {1: 1})) == 1
     twice = check_leases([*clean, act(50, 9, 3)])
-    assert [wrong.what for wrong in twice] == ["two holders with one epoch"]
+    assert [wrong.what for wrong in twice] == ["two holders with one fencing token"]
     assert check_leases([*clean, act(50, 9, 2, nonce=2)])  # another process of the same gateway is another holder
 
 
@@ -139,11 +139,11 @@
     assert check_leases(acts, lease_us=600_000)  # it did not begin anew: somebody remembered
     on = [act(0, 9, 1), act(1000, 5, 2), act(2000, 5, 2)]
     assert [w.what for w in check_leases(on, blanks=[500_000], lease_us=600_000)] == [
-        "it goes on under an epoch that was refused"
+        "acts continue under a rejected fencing token"
     ]
     two = [act(0, 9, 1), act(1000, 5, 2), act(1100, 4, 3)]  # the holders of after are judged among themselves
     assert [w.what for w in check_leases(two, blanks=[500_000], lease_us=600_000)] == [
-        "an act after a newer holder's"
+        "an act after that of a newer holder"
     ]
 
 
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -16,8 +16,6 @@
 import uvloop
 
 from standins.checker import RULES, Checker, find_violations
-from standins.parties.fleet import ROOT
-from standins.playing.zookeeper_environment import ZooKeeperEnvironment
 from standins.event_log import (
     BackendAttempt,
     BackendStopped,
@@ -30,9 +28,11 @@
     ResponseReceived,
     SchedulingDelay,
 )
+from standins.parties.fleet import ROOT
 from standins.playing.environment import Environment
 from standins.playing.runner import run_scenario
-from standins.playing.scenario import ACTIONS, ScenarioError, load_scenario, scenario_names, parse_scenario
+from standins.playing.scenario import ACTIONS, ScenarioError, load_scenario, parse_scenario, scenario_names
+from standins.playing.zookeeper_environment import ZooKeeperEnvironment
 from standins.showing.summary import quantile, summarise
 
 
@@ -189,7 +189,7 @@
     assert re.search(r'"status": 200, "names": "5\.1"', text)
     event_log_path.write_text(re.sub(r'"status": 200, "names": "5\.1"', '"status": 200, "names": "other"', text))
     audit = run_try("--audit", str(event_log_path))
-    assert audit.returncode == 1 and "served with what no box made for it" in audit.stdout
+    assert audit.returncode == 1 and "served with a response that no backend produced for it" in audit.stdout
 
 
 @pytest.mark.alone
