--- a/standins/checker/leases.py
+++ b/standins/checker/leases.py
@@ -66,9 +66,9 @@
     `stops`: how often each gateway was stopped. Each stop allows one rejected act of that gateway, which was stopped
     between its last reading of the clock and the write.
 
-    `blanks`: moments at which no gateway process ran. After one, only the fencing check remembers older tokens, and
-    it reports that it has seen a newer one. A later holder may act under an older token for at most one lease duration,
-    and the fencing check rejects these acts. The rules apply among the later holders.
+    `blanks`: moments at which no gateway process ran. After one, only the fencing check remembers older tokens,
+    and it reports that it has seen a newer one. A later holder may act under an older token for at most one lease
+    duration, and the fencing check rejects these acts. The rules apply among the later holders.
 
     `expiries`: moments at which sessions were ended early, on purpose. A holder whose session was ended may act under
     its token until it is notified, for at most one lease duration. The fencing check rejects these acts.
--- a/standins/checker/relays/endpoints.py
+++ b/standins/checker/relays/endpoints.py
@@ -103,7 +103,7 @@
             yield RelayViolation(f"used until {late_s:.3f} s after its removal", late_us, subject)
 
     def _has_left(self, gateway: int, last_used_us: int, at_us: int) -> bool:
-        """Tell whether the gateway has left a host: it sent many requests elsewhere since its last use of the host."""
+        """Tell whether the gateway has left a host: it sent many requests elsewhere since its last use of it."""
         anywhere_us = self._arrivals_anywhere_us[gateway]
         elsewhere = bisect_right(anywhere_us, at_us) - bisect_right(anywhere_us, last_used_us)
         return elsewhere > MAX_REQUESTS_ELSEWHERE
--- a/standins/playing/environment.py
+++ b/standins/playing/environment.py
@@ -465,7 +465,7 @@
     async def do_wave(
         self, share: float = 0.9, over_s: float = 10.0, at_once: float = 0.3, kill: bool = False
     ) -> None:
-        """Restart a share of the gateways over some time, at most a share of `at_once` at the same moment."""
+        """Restart a share of the gateways over some time, at most the share `at_once` at the same moment."""
         chosen = self.gateways[: max(1, round(share * len(self.gateways)))]
         semaphore = asyncio.Semaphore(max(1, int(at_once * len(self.gateways))))
 
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -131,7 +131,7 @@
 
 
 SMALL = """
-about = "A short play with a crash, a drain and a restart"
+about = "A short run with a crash, a restart and misbehaving clients"
 seconds = 6
 [fleet]
 boxes = 4
