--- a/standins/parties/backend.py
+++ b/standins/parties/backend.py
@@ -18,7 +18,7 @@
 from standins.event_log import BackendAttempt, BackendLoad, BackendStarted, BackendStopped, EventLog, now_us
 from standins.parties.network import Address, Flow, Network
 from standins.parties.overload_model import OverloadModel, OverloadState
-from standins.site import CLASSES, BoxKind, Klass, Rules, draw
+from standins.site import CLASSES, BackendType, RequestClass, Rules, draw_uniform
 
 RESPONSE_PADDING = b"." * 400
 MALFORMED_KINDS = ("noise", "head", "length", "huge", "short")  # the attempt fails although its work was done
@@ -69,7 +69,7 @@
 
     def __init__(
         self, name: str, room: int, idempotency_store: IdempotencyStore, event_log: EventLog, network: Network,
-        kind: BoxKind | None = None, rules: Rules | None = None, seed: int = 0,
+        kind: BackendType | None = None, rules: Rules | None = None, seed: int = 0,
         on_listening: Callable[[bool], None] = lambda up: None, overload_model: OverloadModel | None = None,
     ) -> None:  # fmt: skip
         self.name, self.room, self.idempotency_store, self.event_log, self.network = (
@@ -79,7 +79,7 @@
             event_log,
             network,
         )
-        self.kind, self.rules = kind or BoxKind(), rules or Rules()
+        self.kind, self.rules = kind or BackendType(), rules or Rules()
         self.on_listening = on_listening  # links of the network refuse connections while no server listens
         self.on_job_end: Callable[[Job], None] = lambda job: None
         self.overload_model = overload_model  # None: the load does not slow the backend down
@@ -218,7 +218,7 @@
         attempt.work_us = (
             int(job.work_hint_us / self.kind.hint * hint_error)
             if job.work_hint_us
-            else draw(self.rng, job.request_class.work_us)
+            else draw_uniform(self.rng, job.request_class.work_us)
         )
         attempt.work_us += job.handshake_us
         if self.exceeds_warmup_limit(attempt.work_us):
@@ -297,7 +297,7 @@
     """One request at a backend, from its receipt to its end."""
 
     def __init__(
-        self, backend: Backend, connection: BackendConnection, attempt: BackendAttempt, request_class: Klass
+        self, backend: Backend, connection: BackendConnection, attempt: BackendAttempt, request_class: RequestClass
     ) -> None:
         self.backend, self.connection, self.attempt, self.request_class = backend, connection, attempt, request_class
         self.work_hint_us = 0  # 0: the client sent none
@@ -325,7 +325,7 @@
     def wait_for_dependencies(self) -> None:
         """Release the core and wait for other services."""
         self.release_core()
-        dependency_wait_us = draw(self.backend.rng, self.request_class.waits_us)
+        dependency_wait_us = draw_uniform(self.backend.rng, self.request_class.waits_us)
         self.timer = asyncio.get_running_loop().call_later(dependency_wait_us / 1e6, self.finish_work, "ok")
 
     def release_core(self) -> None:
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -26,7 +26,7 @@
     now_us,
 )
 from standins.parties.network import Address
-from standins.site import CLASSES, ROOMS, TENANTS, Klass, draw
+from standins.site import CLASSES, ZONES, TENANTS, RequestClass, draw_uniform
 
 LATE_RESPONSE_WAIT_US = 300_000  # clients listen this long past an attempt's timeout, to record late responses
 MISBEHAVING_WAIT_US = 4_000_000  # wait of a misbehaving client for an error response or a close
@@ -203,7 +203,7 @@
 
     def __post_init__(self) -> None:
         self.rng = random.Random(f"{self.seed}/clients")
-        self.idle_connections_by_room: dict[int, list[ClientConnection]] = {room: [] for room in range(len(ROOMS))}
+        self.idle_connections_by_room: dict[int, list[ClientConnection]] = {room: [] for room in range(len(ZONES))}
         self.operation_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.open_connections: set[ClientConnection] = set()
@@ -237,20 +237,20 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def run_operation(self, request_class: Klass) -> None:
+    async def run_operation(self, request_class: RequestClass) -> None:
         """Run one operation of a client: a request and its retries."""
         rng, profile = self.rng, self.profile
-        room = rng.randrange(len(ROOMS))
+        room = rng.randrange(len(ZONES))
         self.operation_count += 1
         operation_id = f"{self.seed:x}.{self.operation_count:x}"
         resource_number = (
             1 if rng.random() < profile.popular_key_share else min(int(rng.paretovariate(0.8)), profile.key_count)
         )
-        work_us = draw(rng, request_class.work_us)
+        work_us = draw_uniform(rng, request_class.work_us)
         idempotency_key = f"k{operation_id}" if request_class.effect == "keyed" else ""
         tenant = rng.choice(TENANTS)
         end_us = now_us() + request_class.give_up_us
-        self.event_log.add(OperationStarted(now_us(), operation_id, request_class.name, ROOMS[room]))
+        self.event_log.add(OperationStarted(now_us(), operation_id, request_class.name, ZONES[room]))
         for attempt_index in range(profile.max_retries + 1):
             budget_us = min(int(request_class.give_up_us * profile.attempt_timeout_share), end_us - now_us())
             if budget_us < 1_000:
@@ -291,7 +291,7 @@
 
     def build_request(
         self,
-        request_class: Klass,
+        request_class: RequestClass,
         request_id: str,
         tenant: str,
         budget_us: int,
@@ -317,7 +317,7 @@
     # Attempts
 
     async def send_attempt(
-        self, room: int, request_class: Klass, request_id: str, data: bytes, budget_us: int, idempotency_key: str,
+        self, room: int, request_class: RequestClass, request_id: str, data: bytes, budget_us: int, idempotency_key: str,
         tenant: str, operation_id: str, disconnects_early: bool,
     ) -> ResponseReceived | ResponseMissing | None:  # fmt: skip
         """Send one attempt and wait for its result; None if no gateway accepted a connection."""
--- a/standins/parties/mesh.py
+++ b/standins/parties/mesh.py
@@ -67,8 +67,11 @@
         for low, high in combinations(range(self.count), 2):
             target = self.listen_addresses[high]
             link = self.network.add_udp_link(
-                f"n{low}", f"n{high}", lambda target=target: target, self.listen_addresses[low]
-            )  # type: ignore[misc]
+                f"n{low}",
+                f"n{high}",
+                lambda target=target: target,  # type: ignore[misc]
+                self.listen_addresses[low],
+            )
             await link.open(self.host)
             self.links[low, high] = link
         if self.has_watcher:
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -137,11 +137,11 @@
     valid_acts = [act(0, 5, 1), act(10, 5, 1), act(20, 9, 2), act(30, 9, 2), act(40, 3, 1, role=8)]
     assert check_leases(valid_acts) == []
     violations = check_leases([*valid_acts, act(50, 5, 1)])
-    assert [violation.what for violation in violations] == ["an act after a newer holder's"]
+    assert [violation.what for violation in violations] == ["an act after that of a newer holder"]
     assert check_leases([*valid_acts, act(50, 5, 1)], {1: 1}) == []  # one stop allows one rejected act
     assert len(check_leases([*valid_acts, act(50, 5, 1), act(60, 5, 1)], {1: 1})) == 1
     duplicate_token = check_leases([*valid_acts, act(50, 9, 3)])
-    assert [violation.what for violation in duplicate_token] == ["two holders with one epoch"]
+    assert [violation.what for violation in duplicate_token] == ["two holders with one fencing token"]
     assert check_leases(
         [*valid_acts, act(50, 9, 2, nonce=2)]
     )  # another process of the same gateway is another holder
@@ -153,7 +153,7 @@
     assert check_leases(acts, lease_us=600_000)  # without a full restart it is a violation
     continued_acts = [act(0, 9, 1), act(1000, 5, 2), act(2000, 5, 2)]
     assert [violation.what for violation in check_leases(continued_acts, blanks=[500_000], lease_us=600_000)] == [
-        "it goes on under an epoch that was refused"
+        "acts continue under a rejected fencing token"
     ]
     competing_acts = [
         act(0, 9, 1),
@@ -161,7 +161,7 @@
         act(1100, 4, 3),
     ]  # the restarted holders are checked against each other
     assert [violation.what for violation in check_leases(competing_acts, blanks=[500_000], lease_us=600_000)] == [
-        "an act after a newer holder's"
+        "an act after that of a newer holder"
     ]
 
 
