--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -317,8 +317,8 @@
     # Attempts
 
     async def send_attempt(
-        self, room: int, request_class: RequestClass, request_id: str, data: bytes, budget_us: int, idempotency_key: str,
-        tenant: str, operation_id: str, disconnects_early: bool,
+        self, room: int, request_class: RequestClass, request_id: str, data: bytes, budget_us: int,
+        idempotency_key: str, tenant: str, operation_id: str, disconnects_early: bool,
     ) -> ResponseReceived | ResponseMissing | None:  # fmt: skip
         """Send one attempt and wait for its result; None if no gateway accepted a connection."""
         is_resend = False
