--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -38,166 +38,176 @@
 from rich.table import Table
 
 from benchmarks.capacity.plan import PLAN
-from benchmarks.capacity.run_parts import PartError, raise_descriptors
-from benchmarks.capacity.run_sizes import MEMORY_MB, Size, held_about, size
+from benchmarks.capacity.run_processes import WorkerError, raise_descriptor_limit
+from benchmarks.capacity.run_sizes import MAX_MEMORY_MB, Size, estimate_held_hosts, fit_size
 from benchmarks.capacity.run_steps import STEPS, Step
-from benchmarks.capacity.run_world import World
+from benchmarks.capacity.run_environment import Environment
 from cloverkeel.balancing import BUILD
 
-TOTAL_S: Final = 470.0  # of a whole run, at the most
-SMALL_S: Final = 58.0
-END_S: Final = 8.0  # of that for the end
-SHARES: Final = (0.01, 0.1, 1.0)  # of the largest size
+MAX_RUN_S: Final = 470.0  # of a whole run, at the most
+MAX_SMALL_RUN_S: Final = 58.0
+SHUTDOWN_RESERVE_S: Final = 8.0  # of that for the end
+SIZE_SHARES: Final = (0.01, 0.1, 1.0)  # of the largest size
 SMALL_SIZES: Final = ((8, 60, 0), (24, 240, 4))  # gateways, hosts, relays
-RELAYS_LEAST: Final = 2
-EACH_RELAY: Final = 16  # gateways, at the least, where relays may be fewer than asked for
-REAL: Final = 2  # real gateways, at each size: what they add is compared
-SMALL_PACE: Final = 0.2  # of a full step's length
-REPORT_S: Final = 10.0  # between two lines about memory and time
-WITHIN: Final = 0.10  # of what a real one costs the others, a hollow one costs them
+MIN_RELAYS: Final = 2
+MIN_GATEWAYS_PER_RELAY: Final = 16  # gateways, at the least, where relays may be fewer than asked for
+REAL_GATEWAYS: Final = 2  # real gateways, at each size: what they add is compared
+SMALL_RUN_TIME_SCALE: Final = 0.2  # of a full step's length
+REPORT_INTERVAL_S: Final = 10.0  # between two lines about memory and time
+MAX_COST_DEVIATION: Final = 0.10  # of what a real one costs the others, a hollow one costs them
 
 
-def sizes(options: argparse.Namespace) -> list[Size]:
+def plan_sizes(options: argparse.Namespace) -> list[Size]:
     """Those to be played, the smallest first."""
     if options.small:
-        wanted = list(SMALL_SIZES)
+        requested_sizes = list(SMALL_SIZES)
     else:
         gateways, hosts, relays = options.gateways, options.hosts, options.relays
-        wanted = [(max(REAL + 4, round(gateways * x)), max(60, round(hosts * x)), relays) for x in SHARES]
-    made = []
-    for gateways, hosts, relays in wanted:
+        requested_sizes = [
+            (max(REAL_GATEWAYS + 4, round(gateways * share)), max(60, round(hosts * share)), relays)
+            for share in SIZE_SHARES
+        ]
+    sizes = []
+    for gateways, hosts, relays in requested_sizes:
         # Near ones: two a region, as one that is killed is not to leave a region to discovery itself.
-        least = RELAYS_LEAST * (PLAN.regions if options.near else 1)
-        relays = min(relays, max(least, gateways // EACH_RELAY))
+        min_relays = MIN_RELAYS * (PLAN.regions if options.near else 1)
+        relays = min(relays, max(min_relays, gateways // MIN_GATEWAYS_PER_RELAY))
 
-        def held_by(count: int, hosts: int = hosts, relays: int = relays) -> float:
-            return held_about(count, hosts) if relays else float(hosts)
+        def held_hosts(count: int, hosts: int = hosts, relays: int = relays) -> float:
+            return estimate_held_hosts(count, hosts) if relays else float(hosts)
 
-        made.append(size(gateways, hosts, REAL, relays, held_by, options.cores))
-    return made
+        sizes.append(fit_size(gateways, hosts, REAL_GATEWAYS, relays, held_hosts, options.cores))
+    return sizes
 
 
-class Run:
+class ScaleRun:
     """All sizes in turn, and what became of them."""
 
     def __init__(self, options: argparse.Namespace, console: Console) -> None:
         self.options, self.console = options, console
-        self.total_s = SMALL_S if options.small else TOTAL_S
-        self.until_s = time.monotonic() + self.total_s - END_S
+        self.max_run_s = MAX_SMALL_RUN_S if options.small else MAX_RUN_S
+        self.deadline_s = time.monotonic() + self.max_run_s - SHUTDOWN_RESERVE_S
         self.rows: list[dict[str, Any]] = []
         self.faults: list[str] = []
         self.peak_mb = 0.0
 
     @property
-    def left_s(self) -> float:
-        return self.until_s - time.monotonic()
+    def remaining_s(self) -> float:
+        return self.deadline_s - time.monotonic()
 
-    def say(self, text: str) -> None:
+    def print_line(self, text: str) -> None:
         self.console.print(text, highlight=False, markup=False)
 
-    async def play(self) -> None:
+    async def run_all_sizes(self) -> None:
         """Stops at its time or its memory, whatever is on; what was measured by then stays."""
         try:
-            async with asyncio.timeout(max(1.0, self.left_s)):
-                for made in sizes(self.options):
-                    await self.at_size(made)
+            async with asyncio.timeout(max(1.0, self.remaining_s)):
+                for size in plan_sizes(self.options):
+                    await self.run_size(size)
         except TimeoutError:
-            self.faults.append(f"not all was played within {self.total_s:.0f} s")
-        except (PartError, RuntimeError, OSError) as error:
+            self.faults.append(f"not all was played within {self.max_run_s:.0f} s")
+        except (WorkerError, RuntimeError, OSError) as error:
             self.faults.append(f"{error}")
 
-    async def at_size(self, made: Size) -> None:
-        self.say(
-            f"{made.gateways} gateways ({made.hollow} hollow in {made.processes} processes, {made.real} real), "
-            f"{made.hosts} hosts ({made.share:.3f} of the plan's), {made.relays} relays; bounded by {made.bound}"
+    async def run_size(self, size: Size) -> None:
+        self.print_line(
+            f"{size.gateways} gateways ({size.simulated} simulated in {size.worker_processes} processes, "
+            f"{size.real} real), {size.hosts} hosts ({size.share:.3f} of the plan's), {size.relays} relays; "
+            f"limited by {size.limited_by}"
         )
-        pace = SMALL_PACE if self.options.small else 1.0
+        time_scale = SMALL_RUN_TIME_SCALE if self.options.small else 1.0
         with tempfile.TemporaryDirectory() as folder:
-            world = World(made, Path(folder), self.options.seed, pace, self.options.near)
-            watching = asyncio.create_task(self.watch(world, asyncio.current_task()))
+            environment = Environment(size, Path(folder), self.options.seed, time_scale, self.options.near)
+            memory_watch = asyncio.create_task(self.watch_memory(environment, asyncio.current_task()))
             try:
-                began_s = time.monotonic()
-                await world.start()
-                self.say(f"  .. started in {time.monotonic() - began_s:.1f} s")
-                for step in self.steps(made):
-                    if self.left_s < step.seconds * pace:
-                        self.faults.append(f"{made.gateways} gateways: {step.name}: not played, the time is over")
+                started_s = time.monotonic()
+                await environment.start()
+                self.print_line(f"  .. started in {time.monotonic() - started_s:.1f} s")
+                for step in self.select_steps(size):
+                    if self.remaining_s < step.duration_s * time_scale:
+                        self.faults.append(f"{size.gateways} gateways: {step.name}: not played, the time is over")
                         continue
-                    await self.step(world, step)
+                    await self.run_step(environment, step)
             finally:
-                watching.cancel()
-                await world.close()
-            self.faults += world.defects()
+                memory_watch.cancel()
+                await environment.close()
+            self.faults += environment.log_defects()
 
-    def steps(self, made: Size) -> list[Step]:
+    def select_steps(self, size: Size) -> list[Step]:
         """Those that fit this size; at the smaller ones of a full run only those that show slopes."""
-        asked, small, largest = self.options.steps, self.options.small, made.hosts >= self.options.hosts
+        requested, is_small, is_largest = self.options.steps, self.options.small, size.hosts >= self.options.hosts
         return [
             step for step in STEPS
-            if (step.name in asked if asked else step.small > (not made.relays) if small else step.always or largest)
-            and (made.relays or not step.relays)
+            if (step.name in requested if requested
+                else step.small_run_level > (not size.relays) if is_small else step.at_every_size or is_largest)
+            and (size.relays or not step.needs_relays)
         ]  # fmt: skip
 
-    async def step(self, world: World, step: Step) -> None:
-        row = await world.measure(step)
+    async def run_step(self, environment: Environment, step: Step) -> None:
+        row = await environment.measure(step)
         self.rows.append(row)
-        self.judge(row)
-        text = ", ".join(f"{key} {value}" for key, value in row.items() if key in SAID and value is not None)
-        self.say(f"  {row['step']}: {text}")
+        self.check_row(row)
+        text = ", ".join(f"{key} {value}" for key, value in row.items() if key in PRINTED_KEYS and value is not None)
+        self.print_line(f"  {row['step']}: {text}")
 
-    def judge(self, row: dict[str, Any]) -> None:
+    def check_row(self, row: dict[str, Any]) -> None:
         """What a run may not have, at any size."""
-        where = f"{row['gateways']} gateways: {row['step']}"
+        location = f"{row['gateways']} gateways: {row['step']}"
         if row["missing"]:
-            self.faults.append(f"{where}: {row['missing']} gateways lack a change: {row['some']}")
+            self.faults.append(f"{location}: {row['missing']} gateways lack a change: {row['some']}")
         if row.get("missing_while_cut"):
-            self.faults.append(f"{where}: {row['missing_while_cut']} lack a change of their own half: {row['some']}")
+            self.faults.append(
+                f"{location}: {row['missing_while_cut']} lack a change of their own half: {row['some']}"
+            )
         if row.get("undone"):
             self.faults.append(
-                f"{where}: {row['undone']} gateways were told that a host serves that had left: " f"{row['some']}"
+                f"{location}: {row['undone']} gateways were told that a host serves that had left: " f"{row['some']}"
             )
         if row.get("emptied"):
-            self.faults.append(f"{where}: {row['emptied']} lists left a gateway without a host")
-        for key, what in (("lost", "lost"), ("failed", "failed")):
+            self.faults.append(f"{location}: {row['emptied']} lists left a gateway without a host")
+        for key, outcome in (("lost", "lost"), ("failed", "failed")):
             if row[key]:
-                self.faults.append(f"{where}: {row[key]} requests {what}")
+                self.faults.append(f"{location}: {row[key]} requests {outcome}")
         if row["late_sends"]:
-            self.faults.append(f"{where}: {row['late_sends']} requests reached hosts that had left")
+            self.faults.append(f"{location}: {row['late_sends']} requests reached hosts that had left")
         for key in ("calls_to_real", "bytes_to_real"):
             ratio = row.get(key)
-            if ratio is not None and abs(ratio - 1) > WITHIN:
-                self.faults.append(f"{where}: a hollow gateway costs {ratio:.2f} of a real one ({key})")
+            if ratio is not None and abs(ratio - 1) > MAX_COST_DEVIATION:
+                self.faults.append(f"{location}: a hollow gateway costs {ratio:.2f} of a real one ({key})")
 
-    async def watch(self, world: World, playing: asyncio.Task[Any] | None) -> None:
+    async def watch_memory(self, environment: Environment, run_task: asyncio.Task[Any] | None) -> None:
         """Memory of all processes together; beyond the bound the run ends."""
-        due_s = 0.0
+        next_report_s = 0.0
         while True:
-            mb = world.memory_mb()
-            self.peak_mb = max(self.peak_mb, mb)
-            if time.monotonic() >= due_s:
-                due_s = time.monotonic() + REPORT_S
-                self.say(f"  .. {mb:.0f} of {MEMORY_MB} MB, {world.processes()} processes, {self.left_s:.0f} s left")
-            if mb > MEMORY_MB and playing is not None:
-                self.faults.append(f"{mb:.0f} MB of {MEMORY_MB}: the run is ended")
-                playing.cancel()
+            used_mb = environment.measure_memory_mb()
+            self.peak_mb = max(self.peak_mb, used_mb)
+            if time.monotonic() >= next_report_s:
+                next_report_s = time.monotonic() + REPORT_INTERVAL_S
+                self.print_line(
+                    f"  .. {used_mb:.0f} of {MAX_MEMORY_MB} MB, {environment.count_processes()} processes, "
+                    f"{self.remaining_s:.0f} s left"
+                )
+            if used_mb > MAX_MEMORY_MB and run_task is not None:
+                self.faults.append(f"{used_mb:.0f} MB of {MAX_MEMORY_MB}: the run is ended")
+                run_task.cancel()
                 return
             await asyncio.sleep(1.0)
 
     def as_json(self) -> dict[str, Any]:
         return {
             "plan": asdict(PLAN), "build": BUILD, "cores": os.cpu_count(),
-            "memory_bound_mb": MEMORY_MB, "memory_peak_mb": round(self.peak_mb), "faults": self.faults,
-            "seconds": round(self.total_s - END_S - self.left_s, 1), "steps": self.rows,
+            "memory_bound_mb": MAX_MEMORY_MB, "memory_peak_mb": round(self.peak_mb), "faults": self.faults,
+            "seconds": round(self.max_run_s - SHUTDOWN_RESERVE_S - self.remaining_s, 1), "steps": self.rows,
         }  # fmt: skip
 
 
-SAID: Final = (
+PRINTED_KEYS: Final = (
     "last_s", "p99_s", "limit_s", "had", "bytes_per_s", "calls_per_s", "cpu_share", "stop_ms", "relay_stop_ms",
     "hollow_busy", "lost", "starved", "added_p99_ms", "direct_p99_ms", "last_send_s",
     "calls_to_real", "bytes_to_real", "refused", "had_while_cut", "missing_while_cut", "moved_while_cut",
     "last_while_cut_s", "undone", "kills", "kill_stop_ms",
 )  # fmt: skip
-COLUMNS: Final = (
+TABLE_COLUMNS: Final = (
     ("gateways", "gateways"), ("hosts", "hosts"), ("step", "step"), ("last has it s", "last_s"), ("limit", "limit_s"),
     ("p50 s", "p50_s"), ("p99 s", "p99_s"), ("who", "had"), ("B/s each", "bytes_per_s"), ("calls/s", "calls_per_s"),
     ("core each", "cpu_share"), ("apply ms", "apply_ms"), ("hollow stop ms", "stop_ms"),
@@ -207,18 +217,18 @@
 )  # fmt: skip
 
 
-def show(rows: Sequence[dict[str, Any]], console: Console) -> None:
+def print_table(rows: Sequence[dict[str, Any]], console: Console) -> None:
     table = Table(title="the scale run: each step at each size")
-    for title, _ in COLUMNS:
+    for title, _ in TABLE_COLUMNS:
         table.add_column(title, justify="right")
     for row in rows:
-        cells = ["" if row.get(key) is None else str(row[key]) for _, key in COLUMNS]
-        beyond = row["limit_s"] is not None and row["last_s"] is not None and row["last_s"] > row["limit_s"]
-        table.add_row(*cells, style="bold" if beyond else "")
+        cells = ["" if row.get(key) is None else str(row[key]) for _, key in TABLE_COLUMNS]
+        exceeds_limit = row["limit_s"] is not None and row["last_s"] is not None and row["last_s"] > row["limit_s"]
+        table.add_row(*cells, style="bold" if exceeds_limit else "")
     console.print(table)
 
 
-def parse(arguments: Sequence[str]) -> argparse.Namespace:
+def parse_arguments(arguments: Sequence[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         "python -m benchmarks.capacity run", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -229,38 +239,40 @@
     parser.add_argument("--hosts", type=int, default=PLAN.hosts, metavar="N")
     parser.add_argument("--near", action="store_true", help="gateways name the relays of their own region alone")
     parser.add_argument("--steps", default="", metavar="NAME,...", help=", ".join(step.name for step in STEPS))
-    half = max(1.0, (os.cpu_count() or 2) / 2)
-    parser.add_argument("--cores", type=float, default=half, help="for hollow gateways and relays, quiet")
+    half_of_cores = max(1.0, (os.cpu_count() or 2) / 2)
+    parser.add_argument("--cores", type=float, default=half_of_cores, help="for hollow gateways and relays, quiet")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args(arguments)
     options.near |= options.small
     options.steps = [name for name in options.steps.split(",") if name]
-    known = [step.name for step in STEPS]
+    known_steps = [step.name for step in STEPS]
     for name in options.steps:
-        if name not in known:
-            parser.error(f"--steps: {name}: expected some of {', '.join(known)}")
-    if options.relays != 0 and not RELAYS_LEAST <= options.relays <= PLAN.control_machines:
-        parser.error(f"--relays: expected 0, or {RELAYS_LEAST} to {PLAN.control_machines}; found {options.relays}")
-    if not REAL + 4 <= options.gateways <= PLAN.gateways or not 60 <= options.hosts <= PLAN.hosts:
-        parser.error(f"--gateways, --hosts: expected {REAL + 4} to {PLAN.gateways}, and 60 to {PLAN.hosts}")
+        if name not in known_steps:
+            parser.error(f"--steps: {name}: expected some of {', '.join(known_steps)}")
+    if options.relays != 0 and not MIN_RELAYS <= options.relays <= PLAN.control_machines:
+        parser.error(f"--relays: expected 0, or {MIN_RELAYS} to {PLAN.control_machines}; found {options.relays}")
+    if not REAL_GATEWAYS + 4 <= options.gateways <= PLAN.gateways or not 60 <= options.hosts <= PLAN.hosts:
+        parser.error(f"--gateways, --hosts: expected {REAL_GATEWAYS + 4} to {PLAN.gateways}, and 60 to {PLAN.hosts}")
     return options
 
 
 def main(arguments: Sequence[str]) -> int:
     """Exit code; see above."""
-    options = parse(arguments)
+    options = parse_arguments(arguments)
     console = Console(width=None if sys.stdout.isatty() else 220)
-    raise_descriptors()
-    run = Run(options, console)
+    raise_descriptor_limit()
+    run = ScaleRun(options, console)
     # Cancelled: by its memory, and it said so.
     with contextlib.suppress(asyncio.CancelledError), asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(run.play())
-    show(run.rows, console)
+        runner.run(run.run_all_sizes())
+    print_table(run.rows, console)
     for fault in run.faults:
-        run.say(f"FAULT: {fault}")
+        run.print_line(f"FAULT: {fault}")
     if options.json is not None:
         options.json.write_text(json.dumps(run.as_json(), indent=1) + "\n")
-    run.say(f"{'ended with faults' if run.faults else 'all as it should be'}; {BUILD}; at most {run.peak_mb:.0f} MB")
+    run.print_line(
+        f"{'ended with faults' if run.faults else 'all as it should be'}; {BUILD}; at most {run.peak_mb:.0f} MB"
+    )
     return 1 if run.faults else 0
 
 
--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -12,98 +12,112 @@
 from typing import Any, Final
 
 from benchmarks.capacity.plan import fleet
-from benchmarks.capacity.run_parts import Order, Stops, clock_us, cpu_us, raise_descriptors, serve
+from benchmarks.capacity.run_processes import (
+    OrderHandler,
+    StallMeter,
+    clock_us,
+    own_cpu_us,
+    raise_descriptor_limit,
+    serve_orders,
+)
 from benchmarks.capacity.run_sizes import host_ports
 from standins.event_log import EventLog
 from standins.parties.halves import Change, Halves
 from standins.parties.network import Address
 from standins.parties.registry import Bodies, Entry, Registry, View
 
-HISTORY: Final = 32_768  # changes kept for watches: two zones' worth at the plan's size
+MAX_CHANGE_HISTORY: Final = 32_768  # changes kept for watches: two zones' worth at the plan's size
 
 
-class Nothing(EventLog):
+class NullEventLog(EventLog):
     """No account is kept: the run judges by what gateways got."""
 
     def add(self, entry: object) -> None:
         pass
 
 
-class Discovery:
+class DiscoveryProcess:
     def __init__(self) -> None:
-        raise_descriptors()
-        self.halves = Halves({})
+        raise_descriptor_limit()
+        self.partitioned_registry = Halves({})
         self.addresses: dict[str, Address] = {}
         self.views: dict[str, View] = {}
-        self.uncut: dict[str, asyncio.Event] = {}
-        self.stops = Stops()
+        self.delivery_allowed: dict[str, asyncio.Event] = {}
+        self.stall_meter = StallMeter()
 
-    def orders(self) -> dict[str, Order]:
+    def handlers(self) -> dict[str, OrderHandler]:
         return {
-            "start": self.start, "change": self.change, "down": self.down, "cut": self.cut, "part": self.part,
-            "join": self.join, "stats": self.stats,
+            "start": self.start, "change": self.change_hosts, "down": self.set_outage,
+            "cut": self.hold_responses, "part": self.partition, "join": self.heal_partition,
+            "stats": self.report_counts,
         }  # fmt: skip
 
     async def start(self, order: dict[str, Any]) -> dict[str, Any]:
         """List this fleet, in these halves, on a listener for each group; returns their addresses."""
-        made = fleet(order["gateways"], order["hosts"])
-        self.halves = Halves({name: Registry(Nothing(), history=HISTORY) for name in order["halves"]})
-        for host, port in zip(made.hosts, host_ports(made, order["ports"]), strict=True):
+        simulated_fleet = fleet(order["gateways"], order["hosts"])
+        self.partitioned_registry = Halves(
+            {name: Registry(NullEventLog(), history=MAX_CHANGE_HISTORY) for name in order["halves"]}
+        )
+        for host, port in zip(simulated_fleet.hosts, host_ports(simulated_fleet, order["ports"]), strict=True):
             self.addresses[host.name] = ("127.0.0.1", port)
-            self.halves.put(Entry(host.name, host.zone, "m", 0, 0, service=host.service))
-        bodies = {name: Bodies(half.registry, self.addresses.get) for name, half in self.halves.halves.items()}
-        for each in bodies.values():
-            each.body(None)
+            self.partitioned_registry.put(Entry(host.name, host.zone, "m", 0, 0, service=host.service))
+        bodies = {
+            name: Bodies(half.registry, self.addresses.get) for name, half in self.partitioned_registry.halves.items()
+        }
+        for encoded in bodies.values():
+            encoded.body(None)
         for group in order["groups"]:
-            self.uncut[group] = asyncio.Event()
-            self.uncut[group].set()
-            name = group if group in bodies else order["halves"][0]
-            registry = self.halves.halves[name].registry
-            self.views[group] = await registry.open(group, self.addresses.get, self.gate(group), bodies[name])
+            self.delivery_allowed[group] = asyncio.Event()
+            self.delivery_allowed[group].set()
+            half_name = group if group in bodies else order["halves"][0]
+            registry = self.partitioned_registry.halves[half_name].registry
+            self.views[group] = await registry.open(
+                group, self.addresses.get, self.delivery_gate(group), bodies[half_name]
+            )
         gc.collect()
         gc.freeze()  # the fleet is no garbage
         return {"addresses": {group: view.address for group, view in self.views.items()}}
 
-    def gate(self, group: str) -> Any:
-        async def may_pass() -> None:
-            await self.uncut[group].wait()
+    def delivery_gate(self, group: str) -> Any:
+        async def wait_for_delivery() -> None:
+            await self.delivery_allowed[group].wait()
 
-        return may_pass
+        return wait_for_delivery
 
-    async def change(self, order: dict[str, Any]) -> dict[str, Any]:
+    async def change_hosts(self, order: dict[str, Any]) -> dict[str, Any]:
         """Change hosts, all at once, at one `half` where they are cut: name, status, weight, start (ms). Returns just
         before when."""
         at_us = clock_us()
-        self.halves.change([Change(*each) for each in order["hosts"]], order.get("half", ""))
+        self.partitioned_registry.change([Change(*each) for each in order["hosts"]], order.get("half", ""))
         return {"at_us": at_us}
 
-    async def down(self, order: dict[str, Any]) -> dict[str, Any]:
+    async def set_outage(self, order: dict[str, Any]) -> dict[str, Any]:
         """ "503", "reset" or "silent"; "": up again."""
-        for half in self.halves.halves.values():
+        for half in self.partitioned_registry.halves.values():
             await half.registry.set_down(order["how"])
         return {"at_us": clock_us()}
 
-    async def part(self, order: dict[str, Any]) -> dict[str, Any]:
+    async def partition(self, order: dict[str, Any]) -> dict[str, Any]:
         """The halves hear of one another no longer."""
-        self.halves.cut()
+        self.partitioned_registry.cut()
         return {"at_us": clock_us()}
 
-    async def join(self, order: dict[str, Any]) -> dict[str, Any]:
+    async def heal_partition(self, order: dict[str, Any]) -> dict[str, Any]:
         """They do again, and each takes up what the other has. Returns just before when."""
         at_us = clock_us()
-        self.halves.join()
+        self.partitioned_registry.join()
         return {"at_us": at_us}
 
-    async def cut(self, order: dict[str, Any]) -> dict[str, Any]:
+    async def hold_responses(self, order: dict[str, Any]) -> dict[str, Any]:
         """What is said to this group is held back, or no longer."""
         for group in order["groups"]:
             if order["on"]:
-                self.uncut[group].clear()
+                self.delivery_allowed[group].clear()
             else:
-                self.uncut[group].set()
+                self.delivery_allowed[group].set()
         return {"at_us": clock_us()}
 
-    async def stats(self, order: dict[str, Any]) -> dict[str, Any]:
+    async def report_counts(self, order: dict[str, Any]) -> dict[str, Any]:
         """Counts since the start, by group; the longest stop since the last call."""
         counts = {
             group: {
@@ -112,8 +126,13 @@
             }
             for group, view in self.views.items()
         }  # fmt: skip
-        return {"at_us": clock_us(), "cpu_us": cpu_us(), "stop_us": self.stops.take(), "groups": counts}
+        return {
+            "at_us": clock_us(),
+            "cpu_us": own_cpu_us(),
+            "stop_us": self.stall_meter.take_longest_us(),
+            "groups": counts,
+        }
 
 
 if __name__ == "__main__":
-    serve(lambda: Discovery().orders())
+    serve_orders(lambda: DiscoveryProcess().handlers())
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -20,7 +20,7 @@
 from typing import Any, Final
 
 from benchmarks.capacity.plan import PLAN
-from benchmarks.capacity.run_parts import Stops, clock_us
+from benchmarks.capacity.run_processes import StallMeter, clock_us
 from standins.event_log import (
     BackendAttempt,
     Event,
@@ -37,107 +37,115 @@
 from standins.parties.network import Address, Network
 from standins.site import CLASSES, BoxKind, Rules
 
-HINT: Final = 0.02  # of the class's work: a host computes for about a millisecond, and waits on others as it does
-KIND: Final = BoxKind(cores=64, queue=4_000, connections=4_000, cold_share=1.0, handshake_us=0, report_us=8_000_000)
-SOCKETS: Final = 4_096  # descriptors of a real gateway
-SLOW_HOST: Final = 0.6  # of a request's time: a host that took it was starved of the processor; it computes for 1 ms
-LEAST_CALLS: Final = 3  # for a median
-DIRECT_PER_S: Final = 40.0  # requests without a gateway
-READ: Final = 64 * 1024
-KEPT: Final = (RequestSent, ResponseReceived, ResponseMissing, BackendAttempt, ProcessEvent)
-TOLD_US: Final = 6_000_000  # a change counts as told by then, whatever fails (the terms in force)
-GRACE_US: Final = 1_000_000  # after that, nothing new to a host that leaves
-_LEDGER_AHEAD_US: Final = now_us() - clock_us()  # of the run's clock
+COST_HINT_SHARE: Final = (
+    0.02  # of the class's work: a host computes for about a millisecond, and waits on others as it does
+)
+BACKEND_KIND: Final = BoxKind(
+    cores=64, queue=4_000, connections=4_000, cold_share=1.0, handshake_us=0, report_us=8_000_000
+)
+GATEWAY_SOCKETS: Final = 4_096  # descriptors of a real gateway
+SLOW_HOST_SHARE: Final = (
+    0.6  # of a request's time: a host that took it was starved of the processor; it computes for 1 ms
+)
+MIN_CALLS: Final = 3  # for a median
+DIRECT_REQUESTS_PER_S: Final = 40.0  # requests without a gateway
+READ_BYTES: Final = 64 * 1024
+RECORDED_EVENTS: Final = (RequestSent, ResponseReceived, ResponseMissing, BackendAttempt, ProcessEvent)
+CHANGE_NOTICE_US: Final = 6_000_000  # a change counts as told by then, whatever fails (the terms in force)
+LATE_SEND_GRACE_US: Final = 1_000_000  # after that, nothing new to a host that leaves
+_EVENT_LOG_OFFSET_US: Final = now_us() - clock_us()  # of the run's clock
 
 
-_numbers = itertools.count()  # of connections through taps
+_connection_ids = itertools.count()  # of connections through taps
 
 
-class Account(EventLog):
+class FilteredEventLog(EventLog):
     """Only what is judged here."""
 
     def add(self, entry: Event) -> None:
-        if isinstance(entry, KEPT):
+        if isinstance(entry, RECORDED_EVENTS):
             super().add(entry)
 
 
 @dataclass(slots=True)
-class Passed:
+class Traffic:
     """What went through taps of a kind, both ways, since `begin`."""
 
     calls: int = 0
-    size: int = 0  # bytes
+    byte_count: int = 0  # bytes
     # By connection: when each call came, and the bytes before it on that connection.
-    marks: dict[int, list[tuple[int, int]]] = field(default_factory=dict)
+    calls_by_connection: dict[int, list[tuple[int, int]]] = field(default_factory=dict)
 
-    def begin(self) -> None:
-        self.calls = self.size = 0
-        self.marks.clear()
+    def reset(self) -> None:
+        self.calls = self.byte_count = 0
+        self.calls_by_connection.clear()
 
     def rates(self) -> tuple[float, float]:
         """Calls and bytes a second, by the median call: from one call on a connection to its next. 0.0: too few.
 
         A call that the machine has kept waiting, or that asked for the whole list after a move, is no usual one.
         """
-        pairs = [pair for marks in self.marks.values() for pair in pairwise(marks)]
-        if len(pairs) < LEAST_CALLS:
+        pairs = [pair for calls in self.calls_by_connection.values() for pair in pairwise(calls)]
+        if len(pairs) < MIN_CALLS:
             return 0.0, 0.0
-        took_s = statistics.median(after[0] - before[0] for before, after in pairs) / 1e6
-        return 1 / took_s, statistics.median(after[1] - before[1] for before, after in pairs) / took_s
+        interval_s = statistics.median(after[0] - before[0] for before, after in pairs) / 1e6
+        return 1 / interval_s, statistics.median(after[1] - before[1] for before, after in pairs) / interval_s
 
 
-class Tap:
+class CountingProxy:
     """Passes a gateway's connections on to whom it asks for lists, and counts."""
 
-    def __init__(self, target: Address, passed: Passed) -> None:
-        self.target, self.passed = target, passed
+    def __init__(self, target: Address, traffic: Traffic) -> None:
+        self.target, self.traffic = target, traffic
         self.server: asyncio.Server | None = None
         self.address: Address = ("127.0.0.1", 0)
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.sizes: dict[int, int] = {}  # by connection: bytes both ways
+        self.bytes_by_connection: dict[int, int] = {}  # by connection: bytes both ways
 
     async def open(self) -> None:
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.relay_connection, "127.0.0.1", 0)
         self.address = self.server.sockets[0].getsockname()
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def relay_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
-        number = next(_numbers)
-        self.sizes[number] = 0
-        far: asyncio.StreamWriter | None = None
+        connection_id = next(_connection_ids)
+        self.bytes_by_connection[connection_id] = 0
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            back, far = await asyncio.open_connection(*self.target)
-            both = {
-                asyncio.ensure_future(self.copy(reader, far, number, True)),
-                asyncio.ensure_future(self.copy(back, writer, number, False)),
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            copies = {
+                asyncio.ensure_future(self.copy_data(reader, target_writer, connection_id, True)),
+                asyncio.ensure_future(self.copy_data(target_reader, writer, connection_id, False)),
             }
             try:
-                await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(copies, return_when=asyncio.FIRST_COMPLETED)
             finally:
-                for one in both:
-                    one.cancel()
-                await asyncio.gather(*both, return_exceptions=True)
+                for copy in copies:
+                    copy.cancel()
+                await asyncio.gather(*copies, return_exceptions=True)
         except (OSError, asyncio.CancelledError):
             pass  # nobody there: the gateway sees its connection end. Or the run has ended
         finally:
             self.tasks.discard(task)
-            self.sizes.pop(number, None)
+            self.bytes_by_connection.pop(connection_id, None)
             writer.transport.abort()
-            if far is not None:
-                far.transport.abort()
+            if target_writer is not None:
+                target_writer.transport.abort()
 
-    async def copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: int, forward: bool
+    async def copy_data(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection_id: int, is_request: bool
     ) -> None:
-        passed = self.passed
-        while data := await reader.read(READ):
-            if forward and data.startswith(b"GET "):
-                passed.calls += 1
-                passed.marks.setdefault(connection, []).append((clock_us(), self.sizes[connection]))
-            passed.size += len(data)
-            self.sizes[connection] += len(data)
+        traffic = self.traffic
+        while data := await reader.read(READ_BYTES):
+            if is_request and data.startswith(b"GET "):
+                traffic.calls += 1
+                traffic.calls_by_connection.setdefault(connection_id, []).append(
+                    (clock_us(), self.bytes_by_connection[connection_id])
+                )
+            traffic.byte_count += len(data)
+            self.bytes_by_connection[connection_id] += len(data)
             writer.write(data)
             await writer.drain()
 
@@ -149,27 +157,27 @@
 
 
 @dataclass(slots=True)
-class Served:
+class ClientResults:
     """What clients got in a window. Times in milliseconds; nan: nothing to take it from."""
 
-    asked: int = 0
-    answered: int = 0  # with 200
+    requests: int = 0
+    succeeded: int = 0  # with 200
     refused: int = 0  # 429, 503: not done, and said so
     failed: int = 0  # any other status
     lost: int = 0  # no whole answer
     starved: int = 0  # failed or lost while these stand-ins stood still, or a host's answer took all of its time
     added_ms: list[float] = field(default_factory=list)
     direct_ms: list[float] = field(default_factory=list)
-    late: int = 0  # requests at hosts that had left, past the grace
+    late_sends: int = 0  # requests at hosts that had left, past the grace
     last_send_s: float = 0.0  # the last one to reach a host that leaves, after discovery had the change
 
-    def row(self) -> dict[str, Any]:
+    def as_row(self) -> dict[str, Any]:
         return {
-            "requests": self.asked, "refused": self.refused, "failed": self.failed, "lost": self.lost,
+            "requests": self.requests, "refused": self.refused, "failed": self.failed, "lost": self.lost,
             "starved": self.starved,
             "added_p50_ms": quantile(self.added_ms, 0.5), "added_p99_ms": quantile(self.added_ms, 0.99),
             "direct_p99_ms": quantile(self.direct_ms, 0.99),
-            "late_sends": self.late, "last_send_s": round(self.last_send_s, 3),
+            "late_sends": self.late_sends, "last_send_s": round(self.last_send_s, 3),
         }  # fmt: skip
 
 
@@ -179,133 +187,147 @@
     return round(ordered[max(0, math.ceil(share * len(ordered)) - 1)], 3) if ordered else None
 
 
-class Load:
+class RequestLoad:
     """Hosts by racks, real gateways, clients."""
 
-    def __init__(self, folder: Path, racks: int, seed: int) -> None:
+    def __init__(self, folder: Path, rack_count: int, seed: int) -> None:
         self.folder, self.seed = folder, seed
-        self.ledger = Account()
+        self.event_log = FilteredEventLog()
         self.network = Network(seed)
-        self.dice = random.Random(f"{seed}/load")
-        shelf = Shelf(0, CLASSES["hold"].window_us)
-        rules = Rules(sockets=SOCKETS)
-        self.boxes = [Box(f"rack-{n}", 0, shelf, self.ledger, self.network, KIND, rules, seed) for n in range(racks)]
-        self.front, self.straight = Front(seed), Front(seed)
-        habits = Habits(retries=0, leave=0.0, hint=HINT)
-        self.clients = Clients(self.ledger, self.front, seed, 1.0, habits)
-        self.direct = Clients(self.ledger, self.straight, seed + 1, DIRECT_PER_S, habits)
+        self.rng = random.Random(f"{seed}/load")
+        idempotency_store = Shelf(0, CLASSES["hold"].window_us)
+        rules = Rules(sockets=GATEWAY_SOCKETS)
+        self.backends = [
+            Box(f"rack-{index}", 0, idempotency_store, self.event_log, self.network, BACKEND_KIND, rules, seed)
+            for index in range(rack_count)
+        ]
+        self.proxy_addresses, self.direct_addresses = Front(seed), Front(seed)
+        client_settings = Habits(retries=0, leave=0.0, hint=COST_HINT_SHARE)
+        self.clients = Clients(self.event_log, self.proxy_addresses, seed, 1.0, client_settings)
+        self.direct_clients = Clients(
+            self.event_log, self.direct_addresses, seed + 1, DIRECT_REQUESTS_PER_S, client_settings
+        )
         self.fleet = Fleet([])
-        self.work: list[asyncio.Task[None]] = []
-        self.open: dict[str, RequestSent] = {}  # asked, not answered yet
-        self.runs: dict[str, BackendAttempt] = {}  # at hosts, of those
-        self.leaving: dict[str, int] = {}  # racks that have left or are about to: since when
-        self.used: Counter[str] = Counter()  # racks that were sent to between the last two looks
-        self.served = Served()
+        self.client_tasks: list[asyncio.Task[None]] = []
+        self.open_requests: dict[str, RequestSent] = {}  # asked, not answered yet
+        self.attempts: dict[str, BackendAttempt] = {}  # at hosts, of those
+        self.leaving_since_us: dict[str, int] = {}  # racks that have left or are about to: since when
+        self.attempts_by_rack: Counter[str] = Counter()  # racks that were sent to between the last two looks
+        self.results = ClientResults()
 
     async def start_hosts(self) -> list[int]:
         """Their ports, by rack."""
-        self.stops = Stops()
-        for box in self.boxes:
-            await box.start(cold=False)
-        for box in self.boxes[:: max(1, len(self.boxes) // 4)]:
-            assert box.address is not None
-            self.straight.admit(Door("direct", 0, box.address))
-        return [box.address[1] for box in self.boxes if box.address is not None]
+        self.stall_meter = StallMeter()
+        for backend in self.backends:
+            await backend.start(cold=False)
+        for backend in self.backends[:: max(1, len(self.backends) // 4)]:
+            assert backend.address is not None
+            self.direct_addresses.admit(Door("direct", 0, backend.address))
+        return [backend.address[1] for backend in self.backends if backend.address is not None]
 
     async def start_gateways(self, gateways: Sequence[Gateway]) -> None:
         """RuntimeError where one does not get ready."""
         self.fleet = Fleet(gateways)
         for gateway in gateways:
-            gateway.on_ready = lambda one: self.front.admit(Door(one.name, one.room, one.address))
+            gateway.on_ready = lambda ready_gateway: self.proxy_addresses.admit(
+                Door(ready_gateway.name, ready_gateway.room, ready_gateway.address)
+            )
         self.fleet.start()
-        if not await self.fleet.ready(self.ledger):
+        if not await self.fleet.ready(self.event_log):
             raise RuntimeError("not every real gateway became ready")
 
-    def ask(self) -> None:
+    def start_clients(self) -> None:
         """Clients begin, at the plan's rate for a gateway, and go on until `close`."""
         self.clients.rate = PLAN.requests_per_gateway * len(self.fleet.gateways)
-        self.work = [asyncio.ensure_future(clients.run(86_400.0)) for clients in (self.clients, self.direct)]
+        self.client_tasks = [
+            asyncio.ensure_future(clients.run(86_400.0)) for clients in (self.clients, self.direct_clients)
+        ]
 
-    def leave(self, racks: Sequence[int], at_us: int) -> None:
+    def mark_leaving(self, rack_indexes: Sequence[int], at_us: int) -> None:
         """Discovery says from then on that these have left, or drain."""
-        for rack in racks:
-            self.leaving[f"rack-{rack}"] = at_us
+        for index in rack_indexes:
+            self.leaving_since_us[f"rack-{index}"] = at_us
 
-    def back(self, racks: Sequence[int]) -> None:
-        for rack in racks:
-            self.leaving.pop(f"rack-{rack}", None)
+    def mark_returned(self, rack_indexes: Sequence[int]) -> None:
+        for index in rack_indexes:
+            self.leaving_since_us.pop(f"rack-{index}", None)
 
-    def take(self) -> Served:
+    def take_results(self) -> ClientResults:
         """What was seen since the last call of this."""
-        self.look()
-        made, self.served = self.served, Served()
-        return made
+        self.process_events()
+        results, self.results = self.results, ClientResults()
+        return results
 
-    def look(self) -> None:
+    def process_events(self) -> None:
         """Judge what has come. Call it before hosts that have left are back."""
-        entries, self.ledger.events = self.ledger.events, []
-        made = self.served
-        used: Counter[str] = Counter()
-        for entry in entries:
-            if isinstance(entry, RequestSent):
-                self.open[entry.id] = entry
-            elif isinstance(entry, BackendAttempt):
-                self.runs[entry.id] = entry
-                if self.open.get(entry.id) is None or self.open[entry.id].gateway != "direct":
-                    used[entry.backend] += 1
-                    self.judge_send(entry, made)
-            elif isinstance(entry, ResponseReceived | ResponseMissing):
-                self.judge_end(entry, made)
-        self.used = used
-
-    def judge_send(self, run: BackendAttempt, made: Served) -> None:
-        since_us = self.leaving.get(run.backend)
-        if since_us is None:
+        events, self.event_log.events = self.event_log.events, []
+        results = self.results
+        attempts_by_rack: Counter[str] = Counter()
+        for event in events:
+            if isinstance(event, RequestSent):
+                self.open_requests[event.id] = event
+            elif isinstance(event, BackendAttempt):
+                self.attempts[event.id] = event
+                if self.open_requests.get(event.id) is None or self.open_requests[event.id].gateway != "direct":
+                    attempts_by_rack[event.backend] += 1
+                    self.check_attempt(event, results)
+            elif isinstance(event, ResponseReceived | ResponseMissing):
+                self.check_response(event, results)
+        self.attempts_by_rack = attempts_by_rack
+
+    def check_attempt(self, attempt: BackendAttempt, results: ClientResults) -> None:
+        left_us = self.leaving_since_us.get(attempt.backend)
+        if left_us is None:
             return
-        after_us = run.at_us - _LEDGER_AHEAD_US - since_us
-        made.last_send_s = max(made.last_send_s, after_us / 1e6)
-        made.late += after_us > TOLD_US + GRACE_US
+        elapsed_us = attempt.at_us - _EVENT_LOG_OFFSET_US - left_us
+        results.last_send_s = max(results.last_send_s, elapsed_us / 1e6)
+        results.late_sends += elapsed_us > CHANGE_NOTICE_US + LATE_SEND_GRACE_US
 
-    def judge_end(self, end: ResponseReceived | ResponseMissing, made: Served) -> None:
-        asked, run = self.open.pop(end.id, None), self.runs.pop(end.id, None)
-        if asked is None:
+    def check_response(self, response: ResponseReceived | ResponseMissing, results: ClientResults) -> None:
+        request, attempt = self.open_requests.pop(response.id, None), self.attempts.pop(response.id, None)
+        if request is None:
             return
-        is_direct = asked.gateway == "direct"
-        made.asked += not is_direct
-        if isinstance(end, ResponseReceived) and end.status in (429, 503):
-            made.refused += 1
-        elif (isinstance(end, ResponseMissing) or end.status != 200) and self.is_starved(asked, end, run):
-            made.starved += 1
-        elif isinstance(end, ResponseMissing):
-            made.lost += 1
-        elif end.status != 200:
-            made.failed += 1
-        elif run is not None:
-            made.answered += 1
-            added_ms = (end.at_us - asked.at_us - (run.ended_us - run.at_us)) / 1e3
-            (made.direct_ms if is_direct else made.added_ms).append(added_ms)
+        is_direct = request.gateway == "direct"
+        results.requests += not is_direct
+        if isinstance(response, ResponseReceived) and response.status in (429, 503):
+            results.refused += 1
+        elif (isinstance(response, ResponseMissing) or response.status != 200) and self.is_starved(
+            request, response, attempt
+        ):
+            results.starved += 1
+        elif isinstance(response, ResponseMissing):
+            results.lost += 1
+        elif response.status != 200:
+            results.failed += 1
+        elif attempt is not None:
+            results.succeeded += 1
+            added_ms = (response.at_us - request.at_us - (attempt.ended_us - attempt.at_us)) / 1e3
+            (results.direct_ms if is_direct else results.added_ms).append(added_ms)
 
     def is_starved(
-        self, asked: RequestSent, end: ResponseReceived | ResponseMissing, run: BackendAttempt | None
+        self, request: RequestSent, response: ResponseReceived | ResponseMissing, attempt: BackendAttempt | None
     ) -> bool:
         """Guards against laying the machine's at the gateway's door: who judges stood still, or the host did."""
-        if run is not None and (run.ended_us or end.at_us) - run.at_us > asked.budget_us * SLOW_HOST:
+        if (
+            attempt is not None
+            and (attempt.ended_us or response.at_us) - attempt.at_us > request.budget_us * SLOW_HOST_SHARE
+        ):
             return True
-        return any(asked.at_us - _LEDGER_AHEAD_US < to_us and from_us < end.at_us - _LEDGER_AHEAD_US
-                   for from_us, to_us in self.stops.stood)  # fmt: skip
+        return any(request.at_us - _EVENT_LOG_OFFSET_US < to_us and from_us < response.at_us - _EVENT_LOG_OFFSET_US
+                   for from_us, to_us in self.stall_meter.stalls)  # fmt: skip
 
     async def close(self) -> None:
         """Clients end first; the gateways are told to, and none is left behind."""
-        for task in self.work:
+        for task in self.client_tasks:
             task.cancel()
-        for clients in (self.clients, self.direct):
+        for clients in (self.clients, self.direct_clients):
             pending = list(clients.tasks)
             if pending:
                 await asyncio.wait(pending, timeout=2.0)
             clients.close()
         await self.fleet.stop()
         self.fleet.end()
-        for box in self.boxes:
-            if box.server is not None:
-                box.crash("drained")
+        for backend in self.backends:
+            if backend.server is not None:
+                backend.crash("drained")
         self.network.close()
--- a/benchmarks/capacity/run_steps.py
+++ b/benchmarks/capacity/run_steps.py
@@ -13,240 +13,260 @@
 
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.run_load import quantile
-from benchmarks.capacity.run_parts import clock_us
-from benchmarks.capacity.run_world import Relay, World, later
+from benchmarks.capacity.run_processes import clock_us
+from benchmarks.capacity.run_environment import RelayProcess, Environment, delayed_change_id
 
-SOON_S: Final = 1.0  # a change at its last gateway
-WORST_S: Final = 4.0  # the same in the worst second, and a configuration
-RESTART_CHANGES: Final = 3  # of a machine: it drains, is gone, is back
+CHANGE_LIMIT_S: Final = 1.0  # a change at its last gateway
+WORST_CHANGE_LIMIT_S: Final = 4.0  # the same in the worst second, and a configuration
+CHANGES_PER_RESTART: Final = 3  # of a machine: it drains, is gone, is back
 RESTARTS_PER_S: Final = (PLAN.restarts_per_day + PLAN.failures_per_day) / 86_400
-KILLED: Final = 3  # relays that are killed in turn
-SLOW: Final = 10  # slow readers
-LARGE: Final = ("s0", "s1", "s2")  # services with hosts enough in each zone
-FEW_HOSTS: Final = 5  # of a rack, at the plan's size, that are of these
-HEAVIER: Final = 2.0  # a weight that no host has otherwise
+KILLED_RELAYS: Final = 3  # relays that are killed in turn
+SLOW_READERS: Final = 10  # slow readers
+LARGE_SERVICES: Final = ("s0", "s1", "s2")  # services with hosts enough in each zone
+MAX_CHANGED_HOSTS: Final = 5  # of a rack, at the plan's size, that are of these
+CHANGED_WEIGHT: Final = 2.0  # a weight that no host has otherwise
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
     name: str
-    play: Callable[[World], Awaitable[None]]
-    seconds: float  # that it takes, about
+    run: Callable[[Environment], Awaitable[None]]
+    duration_s: float  # that it takes, about
     limit_s: float | None = None  # until the last has it
-    always: bool = True  # at each size of a full run; else at the largest alone
-    small: int = 1  # in a small run: 0 never, 1 behind relays, 2 without them too
-    relays: bool = False  # only where there are some
-    compares: str = ""  # hollow ones with real ones: "rates" of calls and bytes, or "bytes" in all
+    at_every_size: bool = True  # at each size of a full run; else at the largest alone
+    small_run_level: int = 1  # in a small run: 0 never, 1 behind relays, 2 without them too
+    needs_relays: bool = False  # only where there are some
+    compared_costs: str = ""  # hollow ones with real ones: "rates" of calls and bytes, or "bytes" in all
 
 
-async def quiet(world: World) -> None:
+async def run_quiet(environment: Environment) -> None:
     """Nothing changes, for long enough to count calls."""
-    await asyncio.sleep(max(4.0, 10 * world.pace))
+    await asyncio.sleep(max(4.0, 10 * environment.time_scale))
 
 
-async def restarts(world: World, count: int, seconds: float) -> None:
+async def restart_hosts(environment: Environment, count: int, seconds: float) -> None:
     """Hosts are restarted, one after another at even distances; drained 1 s, gone 1 s (theirs is minutes)."""
-    names: list[str] = []
+    change_ids: list[str] = []
 
-    async def one(number: int) -> None:
-        await world.sleep(seconds * number / count)
-        host = world.host(world.ids * 7_919 + number * 104_729).name
-        if host in taken:
+    async def restart_host(index: int) -> None:
+        await environment.sleep(seconds * index / count)
+        name = environment.host_at(environment.last_id * 7_919 + index * 104_729).name
+        if name in restarted_hosts:
             return
-        taken.add(host)
-        first = await world.change([host], "DRAINING")
-        names.append(first)
-        await world.sleep(1)
-        gone = await world.change([host], "DELETED")
-        names.append(gone)
-        await world.sleep(1)
-        names.append(await world.change([host], "SERVING", like=gone, anew=True))
-
-    taken: set[str] = set()
-    await asyncio.gather(*(one(number) for number in range(count)))
-    await world.had(names)
-    world.more["changes"] = len(names)
-
-
-async def hour(world: World) -> None:
+        restarted_hosts.add(name)
+        drain = await environment.change_hosts([name], "DRAINING")
+        change_ids.append(drain)
+        await environment.sleep(1)
+        removal = await environment.change_hosts([name], "DELETED")
+        change_ids.append(removal)
+        await environment.sleep(1)
+        change_ids.append(await environment.change_hosts([name], "SERVING", holders_of=removal, is_restarted=True))
+
+    restarted_hosts: set[str] = set()
+    await asyncio.gather(*(restart_host(index) for index in range(count)))
+    await environment.wait_for_changes(change_ids)
+    environment.extra_values["changes"] = len(change_ids)
+
+
+async def run_ordinary_hour(environment: Environment) -> None:
     """An ordinary hour's restarts and failures at their rate, for 12 s of it."""
-    await restarts(world, max(1, round(RESTARTS_PER_S * 12)), 12)
+    await restart_hosts(environment, max(1, round(RESTARTS_PER_S * 12)), 12)
 
 
-async def hour_tenfold(world: World) -> None:
-    await restarts(world, max(3, round(10 * RESTARTS_PER_S * 8)), 8)
+async def run_tenfold_hour(environment: Environment) -> None:
+    await restart_hosts(environment, max(3, round(10 * RESTARTS_PER_S * 8)), 8)
 
 
-async def to_all(world: World) -> None:
+async def change_all_gateways(environment: Environment) -> None:
     """A change that every gateway is to have: with whole lists one host's; with subsets as few hosts' as reach all.
 
     It stands for a change of configuration, which the program has no way for but this list and its files.
     """
-    names = [host.name for host in world.fleet.hosts if host.service == "s0"]
-    held = [set(one) for said in await world.ask_halls("holders", names=names) for one in said["held"]]
+    names = [host.name for host in environment.fleet.hosts if host.service == "s0"]
+    held_indexes = [
+        set(indexes)
+        for response in await environment.order_workers("holders", names=names)
+        for indexes in response["held"]
+    ]
     chosen: list[int] = []
-    left = [one for one in held if one]
-    while left:
+    uncovered = [indexes for indexes in held_indexes if indexes]
+    while uncovered:
         counts: dict[int, int] = {}
-        for one in left:
-            for place in one:
-                counts[place] = counts.get(place, 0) + 1
-        best = max(counts, key=lambda place: (counts[place], -place))
+        for indexes in uncovered:
+            for host_index in indexes:
+                counts[host_index] = counts.get(host_index, 0) + 1
+        best = max(counts, key=lambda host_index: (counts[host_index], -host_index))
         chosen.append(best)
-        left = [one for one in left if best not in one]
-    hosts = [names[place] for place in chosen] or names[:1]
-    await world.sleep(2)
-    there = await world.change(hosts, "SERVING", HEAVIER)
-    await world.had([there])
-    back = await world.change(hosts, "SERVING")
-    await world.had([back])
-    world.more |= {"changed_hosts": len(hosts), "reach_all": sum(world.changes[there][1:]) == world.size.hollow}
-
-
-async def lost_and_back(world: World, names: list[str], seconds: float) -> None:
-    gone = await world.change(names, "DELETED")
-    world.leave(names, world.changes[gone][0])
-    await world.had([gone])
-    await world.sleep(seconds)
-    world.back(names)
-    back = await world.change(names, "SERVING", like=gone, anew=True)
-    await world.had([back])
-    world.more["changed_hosts"] = len(names)
-
-
-async def drain(world: World) -> None:
+        uncovered = [indexes for indexes in uncovered if best not in indexes]
+    hosts = [names[host_index] for host_index in chosen] or names[:1]
+    await environment.sleep(2)
+    weight_change = await environment.change_hosts(hosts, "SERVING", CHANGED_WEIGHT)
+    await environment.wait_for_changes([weight_change])
+    restoration = await environment.change_hosts(hosts, "SERVING")
+    await environment.wait_for_changes([restoration])
+    environment.extra_values |= {
+        "changed_hosts": len(hosts),
+        "reach_all": sum(environment.changes[weight_change][1:]) == environment.size.simulated,
+    }
+
+
+async def remove_and_restore(environment: Environment, names: list[str], seconds: float) -> None:
+    removal = await environment.change_hosts(names, "DELETED")
+    environment.mark_leaving(names, environment.changes[removal][0])
+    await environment.wait_for_changes([removal])
+    await environment.sleep(seconds)
+    environment.mark_returned(names)
+    restoration = await environment.change_hosts(names, "SERVING", holders_of=removal, is_restarted=True)
+    await environment.wait_for_changes([restoration])
+    environment.extra_values["changed_hosts"] = len(names)
+
+
+async def drain_rack(environment: Environment) -> None:
     """A rack that the real gateways use is told to drain, then is gone and back."""
-    await world.sleep(3)
-    world.load.look()
-    names = world.rack()
-    drains = await world.change(names, "DRAINING")
-    world.leave(names, world.changes[drains][0])
-    await world.had([drains])
-    await lost_and_back(world, names, 6)
+    await environment.sleep(3)
+    environment.load.process_events()
+    names = environment.used_rack_hosts()
+    drain = await environment.change_hosts(names, "DRAINING")
+    environment.mark_leaving(names, environment.changes[drain][0])
+    await environment.wait_for_changes([drain])
+    await remove_and_restore(environment, names, 6)
 
 
-async def rack(world: World) -> None:
-    await lost_and_back(world, world.rack(), 4)
+async def remove_rack(environment: Environment) -> None:
+    await remove_and_restore(environment, environment.used_rack_hosts(), 4)
 
 
-async def zone(world: World) -> None:
+async def remove_zone(environment: Environment) -> None:
     """A sixth of the hosts goes at once, and is back at once."""
-    await lost_and_back(world, world.zone(world.zones[0]), 8)
+    await remove_and_restore(environment, environment.hosts_in_zone(environment.zones[0]), 8)
 
 
-async def wave(world: World) -> None:
+async def restart_gateways(environment: Environment) -> None:
     """7 in 10 of the hollow gateways are down, and are started within 2 s; how long until each has its list.
 
     Where that is more than their few processes can do, over longer: `over_s` of the row says.
     """
-    down = sum(said["down"] for said in await world.ask_halls("down", share=0.7))
-    over_s = world.over_s(down)
-    await world.sleep(2)
-    began_us = clock_us()
-    begun = sum(said["begin"] for said in await world.ask_halls("begin", over_s=over_s))
-    await world.until(world.all_listed, "after a wave of starts not every gateway has a list")
-    stats = await world.ask_halls("stats", since_us=began_us)
-    world.times_s += [us / 1e6 for said in stats for us in said["ready_us"]]
-    await world.settle()
-    world.more |= {"started": begun, "over_s": round(over_s, 1)}
-
-
-async def noticed(world: World, names: list[str], since_us: int = 0) -> None:
+    stopped = sum(response["down"] for response in await environment.order_workers("down", share=0.7))
+    over_s = environment.start_duration_s(stopped)
+    await environment.sleep(2)
+    started_us = clock_us()
+    started = sum(response["begin"] for response in await environment.order_workers("begin", over_s=over_s))
+    await environment.wait_until(environment.have_all_lists, "after a wave of starts not every gateway has a list")
+    stats = await environment.order_workers("stats", since_us=started_us)
+    environment.delays_s += [us / 1e6 for response in stats for us in response["ready_us"]]
+    await environment.wait_until_settled()
+    environment.extra_values |= {"started": started, "over_s": round(over_s, 1)}
+
+
+async def change_weight(environment: Environment, names: list[str], since_us: int = 0) -> None:
     """A change of these hosts that costs no request anything; waited for, and taken back."""
-    there = await world.change(names, "SERVING", HEAVIER)
-    await world.had([there], since_us=since_us)
-    await world.had([await world.change(names, "SERVING")])
+    weight_change = await environment.change_hosts(names, "SERVING", CHANGED_WEIGHT)
+    await environment.wait_for_changes([weight_change], since_us=since_us)
+    await environment.wait_for_changes([await environment.change_hosts(names, "SERVING")])
 
 
-async def discovery_down(world: World) -> None:
+async def interrupt_discovery(environment: Environment) -> None:
     """Discovery resets every call for 8 s; a rack drains meanwhile. Counted from its being up again."""
-    names = world.rack()
-    await world.tell("down", how="reset")
-    await world.sleep(4)
-    drains = await world.change(names, "DRAINING")
-    await world.sleep(4)
-    up_us = (await world.tell("down", how=""))["at_us"]
-    world.leave(names, up_us)
-    await world.had([drains], since_us=up_us)
-    world.back(names)
-    await world.had([await world.change(names, "SERVING")])
-
-
-async def relay_killed(world: World) -> None:
+    names = environment.used_rack_hosts()
+    await environment.order_discovery("down", how="reset")
+    await environment.sleep(4)
+    drain = await environment.change_hosts(names, "DRAINING")
+    await environment.sleep(4)
+    up_us = (await environment.order_discovery("down", how=""))["at_us"]
+    environment.mark_leaving(names, up_us)
+    await environment.wait_for_changes([drain], since_us=up_us)
+    environment.mark_returned(names)
+    await environment.wait_for_changes([await environment.change_hosts(names, "SERVING")])
+
+
+async def kill_relays_in_turn(environment: Environment) -> None:
     """Relays are killed one at a time, a change comes at once, and the relay is started again.
 
     How many asked each, when the last gateway had the change, and the longest that a hollow loop stood until then:
     what a gateway of its own would not have met.
     """
     kills: list[dict[str, Any]] = []
-    for relay in world.relays[:KILLED]:
-        asked, killed_us, before = await world.asking(relay), clock_us(), len(world.times_s)
+    for relay in environment.relays[:KILLED_RELAYS]:
+        callers, killed_us, before = await environment.count_callers(relay), clock_us(), len(environment.delays_s)
         relay.kill()
-        await noticed(world, world.rack())
-        stats = await world.ask_halls("stats", since_us=killed_us)
+        await change_weight(environment, environment.used_rack_hosts())
+        stats = await environment.order_workers("stats", since_us=killed_us)
         kills.append({
-            "asked": asked, "last_s": quantile(world.times_s[before:], 1.0),
-            "stop_ms": round(max(said["stood_us"] for said in stats) / 1e3, 1),
+            "asked": callers, "last_s": quantile(environment.delays_s[before:], 1.0),
+            "stop_ms": round(max(response["stood_us"] for response in stats) / 1e3, 1),
         })  # fmt: skip
         relay.start()
-        await world.until(world.all_relays_ready, "a relay that was started again is not ready")
-        await world.settle()
-    world.more |= {"kills": kills, "kill_stop_ms": max(kill["stop_ms"] for kill in kills)}
+        await environment.wait_until(environment.are_relays_ready, "a relay that was started again is not ready")
+        await environment.wait_until_settled()
+    environment.extra_values |= {"kills": kills, "kill_stop_ms": max(kill["stop_ms"] for kill in kills)}
 
 
-async def relays_killed(world: World) -> None:
+async def kill_all_relays(environment: Environment) -> None:
     """All relays are dead for 3 s; what changes meanwhile counts from their being ready again."""
-    for relay in world.relays:
+    for relay in environment.relays:
         relay.kill()
-    names = world.rack()
-    await world.sleep(1)
-    there = await world.change(names, "SERVING", HEAVIER)
-    await world.sleep(2)
-    for relay in world.relays:
+    names = environment.used_rack_hosts()
+    await environment.sleep(1)
+    weight_change = await environment.change_hosts(names, "SERVING", CHANGED_WEIGHT)
+    await environment.sleep(2)
+    for relay in environment.relays:
         relay.start()
-    await world.until(world.all_relays_ready, "relays that were started again are not ready")
-    await world.had([there], since_us=clock_us())
-    await world.had([await world.change(names, "SERVING")])
-    await world.settle()
+    await environment.wait_until(environment.are_relays_ready, "relays that were started again are not ready")
+    await environment.wait_for_changes([weight_change], since_us=clock_us())
+    await environment.wait_for_changes([await environment.change_hosts(names, "SERVING")])
+    await environment.wait_until_settled()
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class HalfChanges:
     """What changes at one half while discovery is in two: a rack drains, other hosts are gone, some come back."""
 
     half: str
     is_used: bool  # by the real gateways: the rack that drains
-    drains: list[str]
-    goes: list[str]
-    returns: list[str]
+    drained: list[str]
+    removed: list[str]
+    restored: list[str]
 
 
-def changed_at(world: World, half: str) -> Changed:
+def plan_half_changes(environment: Environment, half: str) -> HalfChanges:
     """Each in a zone of its own, so that none shifts another's windows. Those gone and back are of services that have
     hosts enough in each region all the same: none spills for them. The real ones use the rack that drains, if it can
     be."""
-    zones = world.fleet.regions[half]
-    used, near = world.rack(), world.zone(zones[0])
-    is_used = world.hosts[used[0]].zone in zones
-    mine = used if is_used else [name for name in near if world.rack_of[name] == world.rack_of[near[0]]]
-    others = [zone for zone in zones if zone != world.hosts[mine[0]].zone]
-    large = [[name for name in world.zone(zone) if world.hosts[name].service in LARGE] for zone in others]
-    return Changed(half, is_used, mine, large[0][:FEW_HOSTS], large[1][:FEW_HOSTS])
-
-
-def of_the_other(world: World, half: str, plays: list[Changed]) -> list[str]:
+    zones = environment.fleet.regions[half]
+    used, nearby = environment.used_rack_hosts(), environment.hosts_in_zone(zones[0])
+    is_used = environment.hosts[used[0]].zone in zones
+    draining = (
+        used
+        if is_used
+        else [name for name in nearby if environment.rack_by_host[name] == environment.rack_by_host[nearby[0]]]
+    )
+    others = [zone for zone in zones if zone != environment.hosts[draining[0]].zone]
+    large_by_zone = [
+        [name for name in environment.hosts_in_zone(zone) if environment.hosts[name].service in LARGE_SERVICES]
+        for zone in others
+    ]
+    return HalfChanges(
+        half, is_used, draining, large_by_zone[0][:MAX_CHANGED_HOSTS], large_by_zone[1][:MAX_CHANGED_HOSTS]
+    )
+
+
+def select_remote_hosts(environment: Environment, half: str, half_changes: list[HalfChanges]) -> list[str]:
     """Hosts of another region that nothing else is said of: their weight changes at this half, as staff may say at
     either side. Who has them learns of it at the join, unless it asks this half."""
-    taken = {name for play in plays for name in play.drains + play.goes + play.returns}
-    near = world.fleet.regions[half]
-    far = [
-        name for name, host in world.hosts.items()
-        if host.zone not in near and host.service in LARGE and name not in taken
+    used = {name for changes in half_changes for name in changes.drained + changes.removed + changes.restored}
+    near_zones = environment.fleet.regions[half]
+    remote = [
+        name for name, host in environment.hosts.items()
+        if host.zone not in near_zones and host.service in LARGE_SERVICES and name not in used
     ]  # fmt: skip
-    return far[-FEW_HOSTS:]
+    return remote[-MAX_CHANGED_HOSTS:]
 
 
-async def in_two(world: World, meanwhile: Callable[[World], Awaitable[None]], leaves: bool) -> None:
+async def partition_discovery(
+    environment: Environment,
+    while_partitioned: Callable[[Environment], Awaitable[None]],
+    expects_immediate_drain: bool,
+) -> None:
     """Discovery is cut in two, one half a region; each tells its region's relays of changes of its own, and at the
     join takes up the other's. Each gateway may ask the relays of both regions.
 
@@ -254,110 +274,130 @@
     a host had left may be told that it serves, for an older word of the other half. `leaves`: the real gateways, too,
     are to know of the drain at once if they ask that half alone.
     """
-    plays = [changed_at(world, half) for half in world.fleet.regions]
-    ended = [name for play in plays for name in play.drains + play.goes]
-    noted = await world.note(ended + [name for play in plays for name in play.returns])
-    gone = await world.change([name for play in plays for name in play.returns], "DELETED")
-    await world.had([gone])
-    world.times_s.clear()
-    await world.guard(ended, noted)
-    await world.tell("part")
-    names: list[str] = []
-    late: list[str] = []  # what the real gateways are to leave, from the join on
-    for play in plays:
-        drains = await world.change(play.drains, "DRAINING", half=play.half)
-        if play.is_used and leaves and world.real_sides() == {play.half}:
-            world.leave(play.drains, world.changes[drains][0])
-        elif play.is_used:
-            late = play.drains
-        goes = await world.change(play.goes, "DELETED", half=play.half)
-        returns = await world.change(play.returns, "SERVING", like=noted, anew=True, half=play.half)
-        names += [drains, goes, returns]
-        await world.had([drains, goes, returns], within_s=WORST_S, half=play.half)
-    far = {play.half: of_the_other(world, play.half, plays) for play in plays}
-    for half, hosts in far.items():  # last: what shifts windows there has been told
-        names.append(await world.change(hosts, "SERVING", HEAVIER, half=half))
-        await world.had(names[-1:], within_s=WORST_S, half=half)
-    world.more |= {
-        "had_while_cut": len(world.times_s), "missing_while_cut": world.missing, "moved_while_cut": world.moved,
-        "last_while_cut_s": quantile(world.times_s, 1.0),
+    half_changes = [plan_half_changes(environment, half) for half in environment.fleet.regions]
+    ended = [name for changes in half_changes for name in changes.drained + changes.removed]
+    recorded = await environment.record_holders(
+        ended + [name for changes in half_changes for name in changes.restored]
+    )
+    removal = await environment.change_hosts(
+        [name for changes in half_changes for name in changes.restored], "DELETED"
+    )
+    await environment.wait_for_changes([removal])
+    environment.delays_s.clear()
+    await environment.watch_ended_hosts(ended, recorded)
+    await environment.order_discovery("part")
+    change_ids: list[str] = []
+    left_at_join: list[str] = []  # what the real gateways are to leave, from the join on
+    for changes in half_changes:
+        drain = await environment.change_hosts(changes.drained, "DRAINING", half=changes.half)
+        if changes.is_used and expects_immediate_drain and environment.real_gateway_regions() == {changes.half}:
+            environment.mark_leaving(changes.drained, environment.changes[drain][0])
+        elif changes.is_used:
+            left_at_join = changes.drained
+        removal = await environment.change_hosts(changes.removed, "DELETED", half=changes.half)
+        restoration = await environment.change_hosts(
+            changes.restored, "SERVING", holders_of=recorded, is_restarted=True, half=changes.half
+        )
+        change_ids += [drain, removal, restoration]
+        await environment.wait_for_changes(
+            [drain, removal, restoration], within_s=WORST_CHANGE_LIMIT_S, half=changes.half
+        )
+    remote_by_half = {
+        changes.half: select_remote_hosts(environment, changes.half, half_changes) for changes in half_changes
+    }
+    for half, hosts in remote_by_half.items():  # last: what shifts windows there has been told
+        change_ids.append(await environment.change_hosts(hosts, "SERVING", CHANGED_WEIGHT, half=half))
+        await environment.wait_for_changes(change_ids[-1:], within_s=WORST_CHANGE_LIMIT_S, half=half)
+    environment.extra_values |= {
+        "had_while_cut": len(environment.delays_s), "missing_while_cut": environment.missing_count,
+        "moved_while_cut": environment.moved_count,
+        "last_while_cut_s": quantile(environment.delays_s, 1.0),
     }  # fmt: skip
-    moved, lacking = world.moved, world.some
-    world.missing, world.some, world.times_s = 0, [], []
-    await meanwhile(world)
-    joined_us = (await world.tell("join"))["at_us"]
-    world.leave(late, joined_us)
-    await world.had([later(name) for name in names] + (names if moved else []), since_us=joined_us)
-    undone = await world.guard([], "")
-    world.more |= {"undone": len(undone)}
-    world.some = undone + lacking + world.some
-    world.back([name for play in plays for name in play.drains])
+    moved_count, missing_examples = environment.moved_count, environment.missing_examples
+    environment.missing_count, environment.missing_examples, environment.delays_s = 0, [], []
+    await while_partitioned(environment)
+    joined_us = (await environment.order_discovery("join"))["at_us"]
+    environment.mark_leaving(left_at_join, joined_us)
+    await environment.wait_for_changes(
+        [delayed_change_id(change_id) for change_id in change_ids] + (change_ids if moved_count else []),
+        since_us=joined_us,
+    )
+    undone = await environment.watch_ended_hosts([], "")
+    environment.extra_values |= {"undone": len(undone)}
+    environment.missing_examples = undone + missing_examples + environment.missing_examples
+    environment.mark_returned([name for changes in half_changes for name in changes.drained])
     # As it was before, at once: who held these then is to have them again.
-    times_s, world.times_s = world.times_s, []
-    await world.had([await world.change([name for hosts in far.values() for name in hosts], "SERVING")])
-    await world.had([await world.change(ended, "SERVING", like=noted, anew=True)])
-    world.times_s = times_s
+    delays_s, environment.delays_s = environment.delays_s, []
+    await environment.wait_for_changes(
+        [await environment.change_hosts([name for hosts in remote_by_half.values() for name in hosts], "SERVING")]
+    )
+    await environment.wait_for_changes(
+        [await environment.change_hosts(ended, "SERVING", holders_of=recorded, is_restarted=True)]
+    )
+    environment.delays_s = delays_s
 
 
-async def relays_cut(world: World) -> None:
+async def partition_only(environment: Environment) -> None:
     """Discovery in two for 8 s, while gateways stay at their relays."""
-    await in_two(world, lambda world: world.sleep(8), leaves=True)
+    await partition_discovery(environment, lambda environment: environment.sleep(8), expects_immediate_drain=True)
 
 
-async def relays_differ(world: World) -> None:
+async def partition_and_restart_relays(environment: Environment) -> None:
     """The same, and relays of both regions are killed in turn and started again: gateways move between the halves."""
 
-    async def kill(world: World) -> None:
-        for half in world.fleet.regions:
-            relay = next(relay for relay in world.relays if relay.region == half)
+    async def restart_relays(environment: Environment) -> None:
+        for half in environment.fleet.regions:
+            relay = next(relay for relay in environment.relays if relay.region == half)
             relay.kill()
 
-            async def left(relay: Relay = relay) -> bool:
-                return not await world.asking(relay)
+            async def has_no_callers(relay: RelayProcess = relay) -> bool:
+                return not await environment.count_callers(relay)
 
-            await world.until(left, "gateways of a relay that was killed ask it on")
-            await world.settle()
+            await environment.wait_until(has_no_callers, "gateways of a relay that was killed ask it on")
+            await environment.wait_until_settled()
             relay.start()
-            await world.until(world.all_relays_ready, "a relay that was started again is not ready")
+            await environment.wait_until(environment.are_relays_ready, "a relay that was started again is not ready")
 
-    await in_two(world, kill, leaves=False)
+    await partition_discovery(environment, restart_relays, expects_immediate_drain=False)
 
 
-async def slow_readers(world: World) -> None:
+async def stall_readers(environment: Environment) -> None:
     """Some ask for the whole list, of a relay or of discovery, and read nothing of it; others are to have news."""
-    address = world.relays[0].address if world.relays else world.listens
-    slow = []
+    address = environment.relays[0].address if environment.relays else environment.discovery_address
+    sockets = []
     try:
-        for _ in range(SLOW):
-            one = socket.socket()
-            one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            one.setblocking(False)
-            slow.append(one)
-            await asyncio.get_running_loop().sock_connect(one, address)
-            await asyncio.get_running_loop().sock_sendall(one, b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n")
-        await world.sleep(1)
-        await noticed(world, world.rack())
-        await world.sleep(2)
-        await noticed(world, world.rack())
+        for _ in range(SLOW_READERS):
+            reader = socket.socket()
+            reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            reader.setblocking(False)
+            sockets.append(reader)
+            await asyncio.get_running_loop().sock_connect(reader, address)
+            await asyncio.get_running_loop().sock_sendall(
+                reader, b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n"
+            )
+        await environment.sleep(1)
+        await change_weight(environment, environment.used_rack_hosts())
+        await environment.sleep(2)
+        await change_weight(environment, environment.used_rack_hosts())
     finally:
-        for one in slow:
-            one.close()
+        for reader in sockets:
+            reader.close()
 
 
 # Gateways go back to a relay that was killed for half a minute after: what they are to stay for is played before.
 STEPS: Final = (
-    Step("quiet", quiet, 12, small=2, compares="rates"),
-    Step("hour", hour, 16, SOON_S, always=False, small=0),
-    Step("hour10", hour_tenfold, 14, SOON_S, always=False, small=0),
-    Step("all", to_all, 6, WORST_S, small=2),
-    Step("drain", drain, 14, SOON_S, always=False),
-    Step("rack", rack, 10, SOON_S, always=False, small=0),
-    Step("zone", zone, 16, WORST_S, small=2, compares="bytes"),
-    Step("wave", wave, 20, WORST_S, small=2),
-    Step("cut", relays_cut, 14, WORST_S, always=False, relays=True),
-    Step("down", discovery_down, 14, WORST_S, always=False),
-    Step("slow", slow_readers, 6, SOON_S, always=False),
-    Step("killed", relay_killed, 12, SOON_S, relays=True),
-    Step("all-killed", relays_killed, 10, WORST_S, always=False, relays=True),
-    Step("differ", relays_differ, 24, WORST_S, always=False, relays=True),
+    Step("quiet", run_quiet, 12, small_run_level=2, compared_costs="rates"),
+    Step("hour", run_ordinary_hour, 16, CHANGE_LIMIT_S, at_every_size=False, small_run_level=0),
+    Step("hour10", run_tenfold_hour, 14, CHANGE_LIMIT_S, at_every_size=False, small_run_level=0),
+    Step("all", change_all_gateways, 6, WORST_CHANGE_LIMIT_S, small_run_level=2),
+    Step("drain", drain_rack, 14, CHANGE_LIMIT_S, at_every_size=False),
+    Step("rack", remove_rack, 10, CHANGE_LIMIT_S, at_every_size=False, small_run_level=0),
+    Step("zone", remove_zone, 16, WORST_CHANGE_LIMIT_S, small_run_level=2, compared_costs="bytes"),
+    Step("wave", restart_gateways, 20, WORST_CHANGE_LIMIT_S, small_run_level=2),
+    Step("cut", partition_only, 14, WORST_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
+    Step("down", interrupt_discovery, 14, WORST_CHANGE_LIMIT_S, at_every_size=False),
+    Step("slow", stall_readers, 6, CHANGE_LIMIT_S, at_every_size=False),
+    Step("killed", kill_relays_in_turn, 12, CHANGE_LIMIT_S, needs_relays=True),
+    Step("all-killed", kill_all_relays, 10, WORST_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
+    Step("differ", partition_and_restart_relays, 24, WORST_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
 )
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -18,11 +18,12 @@
 
 from benchmarks.capacity import run
 from benchmarks.capacity.plan import fleet
-from benchmarks.capacity.run_guard import Guard
+from benchmarks.capacity.run_stale_updates import StaleUpdateDetector
 from benchmarks.capacity.run_sizes import (
-    STALL_RELAYED_S, Size, held_about, memory_mb, racks, size, stall_s, start_s, subset_hosts,
+    MAX_RELAYED_STALL_S, Size, estimate_held_hosts, estimate_memory_mb, estimate_stall_s, fit_size,
+    mean_subset_hosts, rack_indexes, start_duration_s,
 )  # fmt: skip
-from benchmarks.capacity.run_world import HOLLOW, TWINS, World, twinned
+from benchmarks.capacity.run_environment import SIMULATED, COMPARED_GATEWAYS, Environment, with_compared_services
 from cloverkeel.balancing.events import ListKind, ListedServer, ServerStatus
 from cloverkeel.core.ports import Endpoint as HostEntry
 from standins.event_log import EventLog, NotificationDelivered
@@ -36,26 +37,29 @@
 
 
 @pytest.mark.timeout(100)
-def test_a_small_run_plays_every_step_and_finds_nothing_amiss(tmp_path: Path) -> None:
+def test_small_run_completes_every_step_without_faults(tmp_path: Path) -> None:
     """It ends with 0 only if each change came to each gateway that should have it, no request was lost, no drain was
     late, and a hollow gateway cost the others what a real one does."""
-    file = tmp_path / "run.json"
-    assert run.main(["--small", "--json", str(file)]) == 0
-    made = json.loads(file.read_text())
-    assert made["faults"] == [] and made["seconds"] < run.SMALL_S and made["memory_peak_mb"] < 1_000
+    report_file = tmp_path / "run.json"
+    assert run.main(["--small", "--json", str(report_file)]) == 0
+    report = json.loads(report_file.read_text())
+    assert report["faults"] == [] and report["seconds"] < run.MAX_SMALL_RUN_S and report["memory_peak_mb"] < 1_000
     # The size, the step, and how many gateways should have each change and had it.
-    rows = {(row["gateways"], row["step"]): row for row in made["steps"]}
-    both = ["quiet", "all", "zone", "wave"]
-    behind = ["drain", "down", "killed", "all-killed", "cut", "slow", "differ"]
-    assert sorted(rows) == sorted([(8, name) for name in both] + [(24, name) for name in both + behind])
+    rows = {(row["gateways"], row["step"]): row for row in report["steps"]}
+    steps_without_relays = ["quiet", "all", "zone", "wave"]
+    steps_with_relays = ["drain", "down", "killed", "all-killed", "cut", "slow", "differ"]
+    assert sorted(rows) == sorted(
+        [(8, name) for name in steps_without_relays]
+        + [(24, name) for name in steps_without_relays + steps_with_relays]
+    )
     for gateways, _, relays in run.SMALL_SIZES:
-        hollow = gateways - run.REAL
+        simulated = gateways - run.REAL_GATEWAYS
         zone, wave = rows[gateways, "zone"], rows[gateways, "wave"]
-        assert rows[gateways, "all"]["reach_all"] and rows[gateways, "all"]["had"] == 2 * hollow
+        assert rows[gateways, "all"]["reach_all"] and rows[gateways, "all"]["had"] == 2 * simulated
         # Lost and back: whoever has hosts of that zone. Behind relays these are the gateways of its region.
-        near = sum(1 for number in range(run.REAL, gateways) if not relays or number % 6 < 3)
-        assert zone["changed_hosts"] > zone["hosts"] / 8 and zone["had"] == 2 * near
-        assert wave["started"] == round(0.7 * hollow) == wave["had"]
+        gateways_in_region = sum(1 for index in range(run.REAL_GATEWAYS, gateways) if not relays or index % 6 < 3)
+        assert zone["changed_hosts"] > zone["hosts"] / 8 and zone["had"] == 2 * gateways_in_region
+        assert wave["started"] == round(0.7 * simulated) == wave["had"]
     assert all(row["requests"] > 20 and row["added_p99_ms"] is not None for row in rows.values())
     # Nobody had to be told twice for the relays that were lost, nor by those that were cut off alone.
     assert all(rows[24, name]["had"] for name in ("cut", "differ", "killed", "all-killed"))
@@ -64,36 +68,39 @@
         assert rows[24, name]["had_while_cut"] and not rows[24, name]["moved_while_cut"]
     # The same eyes saw both: what is asked for in a second, and a zone's worth of changes.
     for gateways, _, _ in run.SMALL_SIZES:
-        assert abs(rows[gateways, "quiet"]["calls_to_real"] - 1) < run.WITHIN
-        assert abs(rows[gateways, "quiet"]["bytes_to_real"] - 1) < run.WITHIN
-    assert abs(rows[8, "zone"]["bytes_to_real"] - 1) < run.WITHIN
+        assert abs(rows[gateways, "quiet"]["calls_to_real"] - 1) < run.MAX_COST_DEVIATION
+        assert abs(rows[gateways, "quiet"]["bytes_to_real"] - 1) < run.MAX_COST_DEVIATION
+    assert abs(rows[8, "zone"]["bytes_to_real"] - 1) < run.MAX_COST_DEVIATION
 
 
-def test_a_change_that_does_not_come_is_seen_and_so_is_the_one_that_comes_late(tmp_path: Path) -> None:
+def test_missing_change_and_late_change_are_recorded(tmp_path: Path) -> None:
     """The opposite of a good run: discovery's answers to the hollow gateways are held back."""
 
-    async def play() -> None:
-        world = World(Size(8, 60, 2, 0, 1, ""), tmp_path, 1, run.SMALL_PACE)
+    async def run_environment() -> None:
+        environment = Environment(Size(8, 60, 2, 0, 1, ""), tmp_path, 1, run.SMALL_RUN_TIME_SCALE)
         try:
-            await world.start()
-            host = world.host(5).name
-            await world.tell("cut", groups=[HOLLOW], on=True)
-            name = await world.change([host], "DRAINING")
-            await world.had([name], within_s=0.5)
-            assert (world.missing, len(world.times_s)) == (6 - TWINS, TWINS)  # the twins ask elsewhere
-            assert host in world.some[0]
-            world.begin_step()
-            name = await world.change([host], "SERVING")
+            await environment.start()
+            host = environment.host_at(5).name
+            await environment.order_discovery("cut", groups=[SIMULATED], on=True)
+            name = await environment.change_hosts([host], "DRAINING")
+            await environment.wait_for_changes([name], within_s=0.5)
+            assert (environment.missing_count, len(environment.delays_s)) == (
+                6 - COMPARED_GATEWAYS,
+                COMPARED_GATEWAYS,
+            )  # the twins ask elsewhere
+            assert host in environment.missing_examples[0]
+            environment.begin_step()
+            name = await environment.change_hosts([host], "SERVING")
             await asyncio.sleep(0.3)
-            await world.tell("cut", groups=[HOLLOW], on=False)
-            await world.had([name])
-            assert world.missing == 0 and len(world.times_s) == 6
-            assert sum(seconds > 0.3 for seconds in world.times_s) == 6 - TWINS
+            await environment.order_discovery("cut", groups=[SIMULATED], on=False)
+            await environment.wait_for_changes([name])
+            assert environment.missing_count == 0 and len(environment.delays_s) == 6
+            assert sum(delay_s > 0.3 for delay_s in environment.delays_s) == 6 - COMPARED_GATEWAYS
         finally:
-            await world.close()
+            await environment.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(play())
+        runner.run(run_environment())
 
 
 @pytest.mark.parametrize(
@@ -103,153 +110,184 @@
         {"missing_while_cut": 1}, {"undone": 1}, {"emptied": 1},
     ],
 )  # fmt: skip
-def test_each_thing_that_a_run_may_not_have_is_a_fault(fault: dict[str, float]) -> None:
-    judged = run.Run(run.parse(["--small"]), Console(quiet=True))
-    good: dict[str, Any] = {
+def test_each_failed_criterion_adds_one_fault(fault: dict[str, float]) -> None:
+    scale_run = run.ScaleRun(run.parse_arguments(["--small"]), Console(quiet=True))
+    row: dict[str, Any] = {
         "gateways": 8, "step": "quiet", "missing": 0, "some": [], "lost": 0, "failed": 0, "late_sends": 0,
         "calls_to_real": 1.05, "bytes_to_real": 0.95, "missing_while_cut": 0, "undone": 0, "emptied": 0,
     }  # fmt: skip
-    judged.judge(good)
-    assert not judged.faults
-    judged.judge(good | fault)
-    assert len(judged.faults) == 1
+    scale_run.check_row(row)
+    assert not scale_run.faults
+    scale_run.check_row(row | fault)
+    assert len(scale_run.faults) == 1
 
 
 @pytest.mark.parametrize(
-    "said",
+    "arguments",
     [["--steps", "quiet,tea"], ["--relays", "13"], ["--relays", "1"], ["--gateways", "5000"], ["--hosts", "1"]],
 )
-def test_a_call_that_asks_for_what_there_is_not_is_refused(said: list[str]) -> None:
+def test_unknown_step_and_out_of_range_size_are_rejected(arguments: list[str]) -> None:
     with pytest.raises(SystemExit) as error:
-        run.parse(said)
+        run.parse_arguments(arguments)
     assert error.value.code == 2
 
 
-def test_who_is_told_again_that_a_host_serves_is_found_and_only_where_it_knew_of_the_end() -> None:
-    guard = Guard({1: frozenset({7}), 2: frozenset({7})})
-    serves, drains = told(7, ServerStatus.READY), told(7, ServerStatus.DRAINING)
-    guard.take(1, ListKind.DELTA, [serves, told(8, ServerStatus.GONE)])
-    guard.take(3, ListKind.DELTA, [drains])
-    guard.take(3, ListKind.DELTA, [serves])  # it did not hold it
-    guard.take(1, ListKind.DELTA, [])
-    assert not guard.ended and not guard.undone
-    guard.take(1, ListKind.DELTA, [drains])
-    guard.take(2, ListKind.FULL, [told(8, ServerStatus.READY)])  # a whole list without it is its end, too
-    assert guard.ended == {(1, 7), (2, 7)} and not guard.undone
-    guard.take(1, ListKind.FULL, [serves])
-    guard.take(2, ListKind.DELTA, [serves])
-    assert guard.undone == [(1, 7), (2, 7)]
+def test_serving_update_after_known_end_is_detected_as_stale() -> None:
+    detector = StaleUpdateDetector({1: frozenset({7}), 2: frozenset({7})})
+    serving, draining = listed_host(7, ServerStatus.READY), listed_host(7, ServerStatus.DRAINING)
+    detector.check_update(1, ListKind.DELTA, [serving, listed_host(8, ServerStatus.GONE)])
+    detector.check_update(3, ListKind.DELTA, [draining])
+    detector.check_update(3, ListKind.DELTA, [serving])  # it did not hold it
+    detector.check_update(1, ListKind.DELTA, [])
+    assert not detector.ended_hosts and not detector.stale_updates
+    detector.check_update(1, ListKind.DELTA, [draining])
+    detector.check_update(
+        2, ListKind.FULL, [listed_host(8, ServerStatus.READY)]
+    )  # a whole list without it is its end, too
+    assert detector.ended_hosts == {(1, 7), (2, 7)} and not detector.stale_updates
+    detector.check_update(1, ListKind.FULL, [serving])
+    detector.check_update(2, ListKind.DELTA, [serving])
+    assert detector.stale_updates == [(1, 7), (2, 7)]
 
 
-def told(number: int, status: ServerStatus) -> HostEntry:
-    return HostEntry(f"h-{number}", ("127.0.0.1", 1), ListedServer(number, status))
+def listed_host(host_id: int, status: ServerStatus) -> HostEntry:
+    return HostEntry(f"h-{host_id}", ("127.0.0.1", 1), ListedServer(host_id, status))
 
 
-def test_twins_call_for_the_services_of_the_real_ones() -> None:
+def test_compared_gateways_subscribe_to_the_services_of_real_gateways() -> None:
     """What a call costs is by the names in it: of gateways before others, one may cost a tenth more than the next."""
-    made = fleet(60, 3_800)
-    same = twinned(made, run.REAL)
-    assert [g.services for g in same.gateways[2:4]] == [g.services for g in made.gateways[:2]]
-    assert same.gateways[4:] == made.gateways[4:] and same.gateways[2].zone == made.gateways[2].zone
+    plan_fleet = fleet(60, 3_800)
+    compared_fleet = with_compared_services(plan_fleet, run.REAL_GATEWAYS)
+    assert [gateway.services for gateway in compared_fleet.gateways[2:4]] == [
+        gateway.services for gateway in plan_fleet.gateways[:2]
+    ]
+    assert (
+        compared_fleet.gateways[4:] == plan_fleet.gateways[4:]
+        and compared_fleet.gateways[2].zone == plan_fleet.gateways[2].zone
+    )
 
 
 # Discovery in halves
 
 
-def halves(count: int = 3) -> Halves:
-    made = Halves({"r0": Registry(EventLog()), "r1": Registry(EventLog())})
-    for n in range(count):
-        made.put(Entry(f"s-{n}", "a", "m", 0, 0))
-    return made
+def create_partitioned_registry(count: int = 3) -> Halves:
+    registry = Halves({"r0": Registry(EventLog()), "r1": Registry(EventLog())})
+    for index in range(count):
+        registry.put(Entry(f"s-{index}", "a", "m", 0, 0))
+    return registry
 
 
-def listed(made: Halves, half: str) -> dict[str, tuple[str, float]]:
-    return {name: (e.status, e.weight) for name, e in made.halves[half].registry.entries.items()}
+def entries_of_half(registry: Halves, half: str) -> dict[str, tuple[str, float]]:
+    return {name: (entry.status, entry.weight) for name, entry in registry.halves[half].registry.entries.items()}
 
 
 @on_loop
-async def test_halves_take_changes_apart_while_cut_and_are_alike_after() -> None:
-    made = halves()
-    made.change([Change("s-0", "DRAINING", 1.0, 0)])
-    assert listed(made, "r0") == listed(made, "r1") and listed(made, "r0")["s-0"] == ("DRAINING", 1.0)
-    made.cut()
+async def test_registry_halves_diverge_while_partitioned_and_converge_after_healing() -> None:
+    registry = create_partitioned_registry()
+    registry.change([Change("s-0", "DRAINING", 1.0, 0)])
+    assert entries_of_half(registry, "r0") == entries_of_half(registry, "r1") and entries_of_half(registry, "r0")[
+        "s-0"
+    ] == ("DRAINING", 1.0)
+    registry.cut()
     with pytest.raises(ValueError, match="half: expected one of r0, r1"):
-        made.change([Change("s-1", "DRAINING", 1.0, 0)])
-    versions = {name: half.registry.index for name, half in made.halves.items()}
-    made.change([Change("s-1", "DELETED", 1.0, 0)], "r0")
-    made.change([Change("s-2", "SERVING", 2.0, 0)], "r1")
-    assert "s-1" not in listed(made, "r0") and listed(made, "r0")["s-2"][1] == 1.0
-    assert listed(made, "r1")["s-1"] == ("SERVING", 1.0) and listed(made, "r1")["s-2"][1] == 2.0
-    made.join()
-    assert listed(made, "r0") == listed(made, "r1") == {"s-0": ("DRAINING", 1.0), "s-2": ("SERVING", 2.0)}
+        registry.change([Change("s-1", "DRAINING", 1.0, 0)])
+    index_before = {name: half.registry.index for name, half in registry.halves.items()}
+    registry.change([Change("s-1", "DELETED", 1.0, 0)], "r0")
+    registry.change([Change("s-2", "SERVING", 2.0, 0)], "r1")
+    assert "s-1" not in entries_of_half(registry, "r0") and entries_of_half(registry, "r0")["s-2"][1] == 1.0
+    assert (
+        entries_of_half(registry, "r1")["s-1"] == ("SERVING", 1.0)
+        and entries_of_half(registry, "r1")["s-2"][1] == 2.0
+    )
+    registry.join()
+    assert (
+        entries_of_half(registry, "r0")
+        == entries_of_half(registry, "r1")
+        == {"s-0": ("DRAINING", 1.0), "s-2": ("SERVING", 2.0)}
+    )
     # Each told its own callers what the other had, as changes that came after all that they knew.
-    for name, half in made.halves.items():
-        whole, forms = half.registry.forms_since(versions[name])
-        assert not whole and {form["name"] for form in forms} == {"s-1", "s-2"}
+    for name, half in registry.halves.items():
+        is_full_list, entries = half.registry.forms_since(index_before[name])
+        assert not is_full_list and {entry["name"] for entry in entries} == {"s-1", "s-2"}
 
 
 @on_loop
-async def test_of_what_both_changed_the_later_start_counts_then_what_restricts_then_the_newest() -> None:
-    for first, second, counts in (
+async def test_conflicting_changes_are_resolved_by_start_time_then_restriction_then_recency() -> None:
+    for first, second, winner in (
         (Change("s-0", "DRAINING", 1.0, 0), Change("s-0", "SERVING", 2.0, 0), "first"),  # a drain outlasts news
         (Change("s-0", "SERVING", 2.0, 0), Change("s-0", "DRAINING", 1.0, 0), "second"),
         (Change("s-0", "SERVING", 1.0, 9), Change("s-0", "DRAINING", 1.0, 0), "first"),  # it began anew since
         (Change("s-0", "SERVING", 2.0, 0), Change("s-0", "SERVING", 3.0, 0), "second"),
         (Change("s-0", "DELETED", 1.0, 0), Change("s-0", "SERVING", 1.0, 0), "first"),
     ):
-        made = halves(1)
-        made.cut()
-        made.change([first], "r0")
+        registry = create_partitioned_registry(1)
+        registry.cut()
+        registry.change([first], "r0")
         await asyncio.sleep(0.001)
-        made.change([second], "r1")
-        made.join()
-        wanted = first if counts == "first" else second
-        end = {} if wanted.status == "DELETED" else {"s-0": (wanted.status, wanted.weight)}
-        assert listed(made, "r0") == listed(made, "r1") == end
+        registry.change([second], "r1")
+        registry.join()
+        winning_change = first if winner == "first" else second
+        expected = (
+            {} if winning_change.status == "DELETED" else {"s-0": (winning_change.status, winning_change.weight)}
+        )
+        assert entries_of_half(registry, "r0") == entries_of_half(registry, "r1") == expected
 
 
 # How large it may be
 
 
-def test_a_size_is_cut_to_the_memory_and_the_processor_that_it_may_use() -> None:
-    whole = size(4_600, 38_000, 2, 0, lambda count: 38_000.0, 4.0)
-    assert 20 < whole.gateways < 100 and "processor" in whole.bound
-    small = size(4_600, 38_000, 2, 0, lambda count: 38_000.0, 100.0, limit_mb=3_000)
-    assert small.gateways < 40 and "memory" in small.bound
-    assert memory_mb(small.gateways, 38_000, 38_000.0, 2, 0, small.processes) <= 3_000
-    tier = size(4_600, 38_000, 2, 12, lambda count: 400.0, 4.0)
-    assert 500 < tier.gateways < 1_700 and "processor" in tier.bound and tier.processes == 6
-    assert stall_s(tier.gateways, 400.0, 12) <= STALL_RELAYED_S
-    few = size(24, 240, 2, 0, lambda count: 240.0, 4.0)
-    assert (few.gateways, few.hollow, few.processes, few.bound) == (24, 22, 1, "what was asked for")
-    assert start_s(few, 240.0, 22) == 2.0 < start_s(whole, 38_000.0, 700)
-
-
-def test_a_rack_is_of_one_zone_and_none_is_empty() -> None:
+def test_size_is_limited_by_memory_and_processor() -> None:
+    direct_size = fit_size(4_600, 38_000, 2, 0, lambda count: 38_000.0, 4.0)
+    assert 20 < direct_size.gateways < 100 and "processor" in direct_size.limited_by
+    small_size = fit_size(4_600, 38_000, 2, 0, lambda count: 38_000.0, 100.0, max_memory_mb=3_000)
+    assert small_size.gateways < 40 and "memory" in small_size.limited_by
+    assert estimate_memory_mb(small_size.gateways, 38_000, 38_000.0, 2, 0, small_size.worker_processes) <= 3_000
+    relayed_size = fit_size(4_600, 38_000, 2, 12, lambda count: 400.0, 4.0)
+    assert (
+        500 < relayed_size.gateways < 1_700
+        and "processor" in relayed_size.limited_by
+        and relayed_size.worker_processes == 6
+    )
+    assert estimate_stall_s(relayed_size.gateways, 400.0, 12) <= MAX_RELAYED_STALL_S
+    requested_size = fit_size(24, 240, 2, 0, lambda count: 240.0, 4.0)
+    assert (
+        requested_size.gateways,
+        requested_size.simulated,
+        requested_size.worker_processes,
+        requested_size.limited_by,
+    ) == (24, 22, 1, "what was asked for")
+    assert start_duration_s(requested_size, 240.0, 22) == 2.0 < start_duration_s(direct_size, 38_000.0, 700)
+
+
+def test_every_rack_has_hosts_of_exactly_one_zone() -> None:
     for hosts in (60, 240, 3_800):
-        made = fleet(24, hosts)
-        zones: dict[int, set[str]] = {}
-        for host, rack in zip(made.hosts, racks(made), strict=True):
-            zones.setdefault(rack, set()).add(host.zone)
-        assert all(len(of) == 1 for of in zones.values()) and sorted(zones) == list(range(len(zones)))
+        simulated_fleet = fleet(24, hosts)
+        zones_by_rack: dict[int, set[str]] = {}
+        for host, rack_index in zip(simulated_fleet.hosts, rack_indexes(simulated_fleet), strict=True):
+            zones_by_rack.setdefault(rack_index, set()).add(host.zone)
+        assert all(len(zones) == 1 for zones in zones_by_rack.values()) and sorted(zones_by_rack) == list(
+            range(len(zones_by_rack))
+        )
 
 
-def test_a_subset_is_what_the_design_says() -> None:
+def test_mean_subset_size_matches_relay_design() -> None:
     """One service of 240 hosts before 24 gateways, 12 a region: 40 hosts a zone, so that each has 27 of them."""
-    made = fleet(24, 240, services=1)
-    assert subset_hosts(made) == pytest.approx(3 * 27, rel=0.1)
+    simulated_fleet = fleet(24, 240, services=1)
+    assert mean_subset_hosts(simulated_fleet) == pytest.approx(3 * 27, rel=0.1)
     for gateways, hosts in ((200, 3_800), (460, 3_800)):
-        assert held_about(gateways, hosts) == pytest.approx(subset_hosts(fleet(gateways, hosts)), rel=0.15)
+        assert estimate_held_hosts(gateways, hosts) == pytest.approx(
+            mean_subset_hosts(fleet(gateways, hosts)), rel=0.15
+        )
 
 
 # Discovery for many
 
 
 @asynccontextmanager
-async def shared(history: int = 512) -> AsyncIterator[tuple[Registry, View, Bodies]]:
+async def open_shared_registry(history: int = 512) -> AsyncIterator[tuple[Registry, View, Bodies]]:
     registry = Registry(EventLog(), history=history)
-    for n in range(3):
-        registry.put(Entry(f"s-{n}", "a", "m", 0, 0, service="pay" if n else None))
+    for index in range(3):
+        registry.put(Entry(f"s-{index}", "a", "m", 0, 0, service="pay" if index else None))
 
     async def may_pass() -> None:
         pass
@@ -265,21 +303,24 @@
         registry.close()
 
 
-async def ask(view: View, query: str = "") -> dict[str, Any]:
+async def fetch_instances(view: View, query: str = "") -> dict[str, Any]:
     assert view.address is not None
     client = Client(*await asyncio.open_connection(*view.address))
-    said = await client.ask(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+    response = await client.ask(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
     client.close()
-    found: dict[str, Any] = json.loads(said.body)
-    return found
+    body: dict[str, Any] = json.loads(response.body)
+    return body
 
 
 @on_loop
-async def test_many_callers_are_told_alike_and_only_counted() -> None:
-    async with shared() as (registry, view, bodies):
-        first, second = await ask(view), await ask(view)
+async def test_shared_registry_sends_equal_lists_and_records_no_notifications() -> None:
+    async with open_shared_registry() as (registry, view, bodies):
+        first, second = await fetch_instances(view), await fetch_instances(view)
         assert first == second and first["snapshot"] is True
-        assert [e["name"] for e in first["endpoints"]] == ["s-0", "s-1"]  # the third cannot be reached from here
+        assert [entry["name"] for entry in first["endpoints"]] == [
+            "s-0",
+            "s-1",
+        ]  # the third cannot be reached from here
         assert "service" not in first["endpoints"][0] and first["endpoints"][1]["service"] == "pay"
         assert bodies.body(None) is bodies.body(None)
         assert (view.counts.calls, view.counts.wholes) == (2, 2) and view.counts.sent > 400
@@ -287,29 +328,32 @@
 
 
 @on_loop
-async def test_all_watches_are_woken_by_a_change_and_told_the_newest_of_each() -> None:
-    async with shared() as (registry, view, bodies):
-        watches = [asyncio.create_task(ask(view, "?from=1&hold_ms=20000")) for _ in range(20)]
+async def test_change_completes_all_watches_with_the_latest_entry_of_each_host() -> None:
+    async with open_shared_registry() as (registry, view, bodies):
+        watches = [asyncio.create_task(fetch_instances(view, "?from=1&hold_ms=20000")) for _ in range(20)]
         await until(lambda: len(registry.waiting) == 20)
-        one = registry.entries["s-1"]
-        one.weight = 2.0
-        registry.change([(one, "DRAINING"), (registry.entries["s-0"], "DELETED"), (one, "SERVING")])
-        told = await asyncio.gather(*watches)
-        assert all(t == told[0] for t in told) and (told[0]["index"], told[0]["snapshot"]) == (4, False)
-        assert {e["name"]: (e["status"], e["weight"]) for e in told[0]["endpoints"]} == {
+        entry = registry.entries["s-1"]
+        entry.weight = 2.0
+        registry.change([(entry, "DRAINING"), (registry.entries["s-0"], "DELETED"), (entry, "SERVING")])
+        responses = await asyncio.gather(*watches)
+        assert all(response == responses[0] for response in responses) and (
+            responses[0]["index"],
+            responses[0]["snapshot"],
+        ) == (4, False)
+        assert {listed["name"]: (listed["status"], listed["weight"]) for listed in responses[0]["endpoints"]} == {
             "s-0": ("DELETED", 1.0), "s-1": ("SERVING", 2.0),
         }  # fmt: skip
         assert not registry.waiting
-        whole = await ask(view)
-        assert [(e["name"], e["weight"]) for e in whole["endpoints"]] == [("s-1", 2.0)]
+        full_list = await fetch_instances(view)
+        assert [(listed["name"], listed["weight"]) for listed in full_list["endpoints"]] == [("s-1", 2.0)]
 
 
 @on_loop
-async def test_who_is_further_behind_than_is_kept_gets_the_whole() -> None:
-    async with shared(history=2) as (registry, view, _):
-        one = registry.entries["s-1"]
+async def test_caller_behind_the_kept_history_gets_a_full_list() -> None:
+    async with open_shared_registry(history=2) as (registry, view, _):
+        entry = registry.entries["s-1"]
         for status in ("DRAINING", "SERVING", "DRAINING"):
-            registry.change([(one, status)])
-        assert (await ask(view, "?from=1"))["snapshot"] is True
-        near = await ask(view, "?from=2")
-        assert near["snapshot"] is False and [e["status"] for e in near["endpoints"]] == ["DRAINING"]
+            registry.change([(entry, status)])
+        assert (await fetch_instances(view, "?from=1"))["snapshot"] is True
+        delta = await fetch_instances(view, "?from=2")
+        assert delta["snapshot"] is False and [listed["status"] for listed in delta["endpoints"]] == ["DRAINING"]
