--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -1,21 +1,23 @@
-"""The scale run: as near to the plan's size as one machine gets, played and judged from outside (issue 42).
+"""The scale run: measures a fleet as close to the planned size as one machine allows (issue 42).
 
     python -m benchmarks.capacity run [--json FILE] [--small] [--relays N] [--near] [--gateways N] [--hosts N]
                                       [--steps A,B]
 
-Hollow gateways (hollow.py), some to a process, beside real ones under the plan's load; discovery's stand-in, hosts
-and clients; control-plane relays between, 12 if not said otherwise (`--relays 0`: each gateway asks discovery, and
-holds the whole list). Three sizes a decade apart, the largest as near to the plan's as memory and `--cores` allow:
-what bounds it is printed. `--near`: gateways name the relays of their own region alone. `--small` is for CI: one size
-without relays and one with four, near ones, under a minute.
-
-Judged by one clock: how long from a change at discovery until the LAST gateway that should have it has it (those that
-held the hosts; when they come back, those that had them before); bytes and calls at the hollow ones' sockets; what
-clients got from the real ones meanwhile. Memory, processes and time are bounded, printed, and the run ends by itself.
-
-Exit code 0: every change came to every gateway that should have it, no request was lost or failed, no drain was late,
-hollow gateways cost what real ones do, and it stayed within its bounds. 1 otherwise; figures beyond the plan's limits
-are marked, and are no failure: they are what the run is for. 2: a mistake in the call.
+Simulated gateways (simulated_gateways.py), several per process, run beside real gateways that serve the plan's load.
+The emulated discovery service, hosts and clients surround them. Control-plane relays stand between the gateways and
+discovery, 12 by default (`--relays 0`: each gateway calls discovery and holds the whole list). The run measures three
+sizes a decade apart. The largest is as close to the plan's as memory and `--cores` allow, and the run prints what
+limits it. `--near`: gateways are configured with the relays of their own region only. `--small` is for CI: one size
+without relays and one with four regional relays, in under a minute.
+
+One clock measures how long a change at discovery takes to reach the LAST gateway that must receive it (a gateway that
+holds the hosts; for hosts that return, one that held them before), the bytes and calls at the simulated gateways'
+sockets, and what clients of the real gateways receive meanwhile. Memory, processes and time are limited and printed,
+and the run ends by itself.
+
+Exit code 0: every change reached every gateway that must receive it, no request was lost or failed, no drain was
+late, simulated gateways cost what real ones do, and the run stayed within its limits. 1 otherwise. Figures beyond the
+plan's limits are marked and are not a failure, as the run exists to show them. 2: invalid arguments.
 """
 
 from __future__ import annotations
@@ -44,21 +46,21 @@
 from benchmarks.capacity.run_environment import Environment
 from cloverkeel.balancing import BUILD
 
-MAX_RUN_S: Final = 470.0  # of a whole run, at the most
+MAX_RUN_S: Final = 470.0  # limit of a whole run
 MAX_SMALL_RUN_S: Final = 58.0
-SHUTDOWN_RESERVE_S: Final = 8.0  # of that for the end
-SIZE_SHARES: Final = (0.01, 0.1, 1.0)  # of the largest size
+SHUTDOWN_RESERVE_S: Final = 8.0  # part of the run's time that is kept for shutdown
+SIZE_SHARES: Final = (0.01, 0.1, 1.0)  # shares of the largest size
 SMALL_SIZES: Final = ((8, 60, 0), (24, 240, 4))  # gateways, hosts, relays
 MIN_RELAYS: Final = 2
-MIN_GATEWAYS_PER_RELAY: Final = 16  # gateways, at the least, where relays may be fewer than asked for
-REAL_GATEWAYS: Final = 2  # real gateways, at each size: what they add is compared
-SMALL_RUN_TIME_SCALE: Final = 0.2  # of a full step's length
-REPORT_INTERVAL_S: Final = 10.0  # between two lines about memory and time
-MAX_COST_DEVIATION: Final = 0.10  # of what a real one costs the others, a hollow one costs them
+MIN_GATEWAYS_PER_RELAY: Final = 16  # a smaller size gets fewer relays than requested, down to this
+REAL_GATEWAYS: Final = 2  # real gateways at each size, with which simulated ones are compared
+SMALL_RUN_TIME_SCALE: Final = 0.2  # factor on the duration of a step
+REPORT_INTERVAL_S: Final = 10.0  # between two lines about memory and remaining time
+MAX_COST_DEVIATION: Final = 0.10  # allowed difference between the costs of a simulated and a real gateway
 
 
 def plan_sizes(options: argparse.Namespace) -> list[Size]:
-    """Those to be played, the smallest first."""
+    """The sizes to measure, the smallest first."""
     if options.small:
         requested_sizes = list(SMALL_SIZES)
     else:
@@ -69,7 +71,7 @@
         ]
     sizes = []
     for gateways, hosts, relays in requested_sizes:
-        # Near ones: two a region, as one that is killed is not to leave a region to discovery itself.
+        # With regional relays each region needs two: if one is killed, its gateways must not fall back to discovery.
         min_relays = MIN_RELAYS * (PLAN.regions if options.near else 1)
         relays = min(relays, max(min_relays, gateways // MIN_GATEWAYS_PER_RELAY))
 
@@ -81,7 +83,7 @@
 
 
 class ScaleRun:
-    """All sizes in turn, and what became of them."""
+    """Runs all sizes in turn and collects their rows and faults."""
 
     def __init__(self, options: argparse.Namespace, console: Console) -> None:
         self.options, self.console = options, console
@@ -93,23 +95,26 @@
 
     @property
     def remaining_s(self) -> float:
+        """Time left before the shutdown reserve begins."""
         return self.deadline_s - time.monotonic()
 
     def print_line(self, text: str) -> None:
+        """Print a line as it is, without markup."""
         self.console.print(text, highlight=False, markup=False)
 
     async def run_all_sizes(self) -> None:
-        """Stops at its time or its memory, whatever is on; what was measured by then stays."""
+        """Stop when time or memory runs out, in whatever step; the rows measured so far stay."""
         try:
             async with asyncio.timeout(max(1.0, self.remaining_s)):
                 for size in plan_sizes(self.options):
                     await self.run_size(size)
         except TimeoutError:
-            self.faults.append(f"not all was played within {self.max_run_s:.0f} s")
+            self.faults.append(f"not all steps were run within {self.max_run_s:.0f} s")
         except (WorkerError, RuntimeError, OSError) as error:
             self.faults.append(f"{error}")
 
     async def run_size(self, size: Size) -> None:
+        """Start the processes of one size, run its steps and stop the processes."""
         self.print_line(
             f"{size.gateways} gateways ({size.simulated} simulated in {size.worker_processes} processes, "
             f"{size.real} real), {size.hosts} hosts ({size.share:.3f} of the plan's), {size.relays} relays; "
@@ -125,7 +130,7 @@
                 self.print_line(f"  .. started in {time.monotonic() - started_s:.1f} s")
                 for step in self.select_steps(size):
                     if self.remaining_s < step.duration_s * time_scale:
-                        self.faults.append(f"{size.gateways} gateways: {step.name}: not played, the time is over")
+                        self.faults.append(f"{size.gateways} gateways: {step.name}: not run, no time is left")
                         continue
                     await self.run_step(environment, step)
             finally:
@@ -134,7 +139,7 @@
             self.faults += environment.log_defects()
 
     def select_steps(self, size: Size) -> list[Step]:
-        """Those that fit this size; at the smaller ones of a full run only those that show slopes."""
+        """The steps for this size; at the smaller sizes of a full run only those that show how a cost grows."""
         requested, is_small, is_largest = self.options.steps, self.options.small, size.hosts >= self.options.hosts
         return [
             step for step in STEPS
@@ -144,6 +149,7 @@
         ]  # fmt: skip
 
     async def run_step(self, environment: Environment, step: Step) -> None:
+        """Run a step, keep and check its row, and print a line about it."""
         row = await environment.measure(step)
         self.rows.append(row)
         self.check_row(row)
@@ -151,17 +157,17 @@
         self.print_line(f"  {row['step']}: {text}")
 
     def check_row(self, row: dict[str, Any]) -> None:
-        """What a run may not have, at any size."""
+        """Add a fault for each criterion that the row violates; the criteria hold at any size."""
         location = f"{row['gateways']} gateways: {row['step']}"
         if row["missing"]:
-            self.faults.append(f"{location}: {row['missing']} gateways lack a change: {row['some']}")
+            self.faults.append(f"{location}: {row['missing']} gateways did not receive a change: {row['some']}")
         if row.get("missing_while_cut"):
             self.faults.append(
-                f"{location}: {row['missing_while_cut']} lack a change of their own half: {row['some']}"
+                f"{location}: {row['missing_while_cut']} did not receive a change of their own half: {row['some']}"
             )
         if row.get("undone"):
             self.faults.append(
-                f"{location}: {row['undone']} gateways were told that a host serves that had left: " f"{row['some']}"
+                f"{location}: {row['undone']} gateways received a host that had left as serving: {row['some']}"
             )
         if row.get("emptied"):
             self.faults.append(f"{location}: {row['emptied']} lists left a gateway without a host")
@@ -173,10 +179,10 @@
         for key in ("calls_to_real", "bytes_to_real"):
             ratio = row.get(key)
             if ratio is not None and abs(ratio - 1) > MAX_COST_DEVIATION:
-                self.faults.append(f"{location}: a hollow gateway costs {ratio:.2f} of a real one ({key})")
+                self.faults.append(f"{location}: a simulated gateway costs {ratio:.2f} times a real one ({key})")
 
     async def watch_memory(self, environment: Environment, run_task: asyncio.Task[Any] | None) -> None:
-        """Memory of all processes together; beyond the bound the run ends."""
+        """Check the memory of all processes together; end the run if it exceeds the limit."""
         next_report_s = 0.0
         while True:
             used_mb = environment.measure_memory_mb()
@@ -188,12 +194,13 @@
                     f"{self.remaining_s:.0f} s left"
                 )
             if used_mb > MAX_MEMORY_MB and run_task is not None:
-                self.faults.append(f"{used_mb:.0f} MB of {MAX_MEMORY_MB}: the run is ended")
+                self.faults.append(f"{used_mb:.0f} MB of {MAX_MEMORY_MB} in use: the run was cancelled")
                 run_task.cancel()
                 return
             await asyncio.sleep(1.0)
 
     def as_json(self) -> dict[str, Any]:
+        """The run's report, as written to the file of `--json`."""
         return {
             "plan": asdict(PLAN), "build": BUILD, "cores": os.cpu_count(),
             "memory_bound_mb": MAX_MEMORY_MB, "memory_peak_mb": round(self.peak_mb), "faults": self.faults,
@@ -208,16 +215,18 @@
     "last_while_cut_s", "undone", "kills", "kill_stop_ms",
 )  # fmt: skip
 TABLE_COLUMNS: Final = (
-    ("gateways", "gateways"), ("hosts", "hosts"), ("step", "step"), ("last has it s", "last_s"), ("limit", "limit_s"),
-    ("p50 s", "p50_s"), ("p99 s", "p99_s"), ("who", "had"), ("B/s each", "bytes_per_s"), ("calls/s", "calls_per_s"),
-    ("core each", "cpu_share"), ("apply ms", "apply_ms"), ("hollow stop ms", "stop_ms"),
-    ("relay ms", "relay_stop_ms"), ("MB each", "hollow_mb"), ("MB all", "all_mb"),
+    ("gateways", "gateways"), ("hosts", "hosts"), ("step", "step"), ("last gateway s", "last_s"),
+    ("limit", "limit_s"), ("p50 s", "p50_s"), ("p99 s", "p99_s"), ("received by", "had"),
+    ("B/s each", "bytes_per_s"), ("calls/s", "calls_per_s"), ("core each", "cpu_share"),
+    ("apply ms", "apply_ms"), ("simulated stall ms", "stop_ms"),
+    ("relay stall ms", "relay_stop_ms"), ("MB each", "hollow_mb"), ("MB all", "all_mb"),
     ("added p99 ms", "added_p99_ms"), ("direct", "direct_p99_ms"),
     ("lost", "lost"), ("starved", "starved"), ("refused", "refused"), ("drain s", "last_send_s"),
 )  # fmt: skip
 
 
 def print_table(rows: Sequence[dict[str, Any]], console: Console) -> None:
+    """Print one line per row; a row beyond the plan's limit is bold."""
     table = Table(title="the scale run: each step at each size")
     for title, _ in TABLE_COLUMNS:
         table.add_column(title, justify="right")
@@ -229,6 +238,7 @@
 
 
 def parse_arguments(arguments: Sequence[str]) -> argparse.Namespace:
+    """The options of the command line; exits with code 2 if one is invalid."""
     parser = argparse.ArgumentParser(
         "python -m benchmarks.capacity run", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -237,10 +247,17 @@
     parser.add_argument("--relays", type=int, default=PLAN.control_machines, metavar="N")
     parser.add_argument("--gateways", type=int, default=PLAN.gateways, metavar="N")
     parser.add_argument("--hosts", type=int, default=PLAN.hosts, metavar="N")
-    parser.add_argument("--near", action="store_true", help="gateways name the relays of their own region alone")
+    parser.add_argument(
+        "--near", action="store_true", help="configure gateways with the relays of their own region only"
+    )
     parser.add_argument("--steps", default="", metavar="NAME,...", help=", ".join(step.name for step in STEPS))
     half_of_cores = max(1.0, (os.cpu_count() or 2) / 2)
-    parser.add_argument("--cores", type=float, default=half_of_cores, help="for hollow gateways and relays, quiet")
+    parser.add_argument(
+        "--cores",
+        type=float,
+        default=half_of_cores,
+        help="processor budget of simulated gateways and relays while nothing changes",
+    )
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args(arguments)
     options.near |= options.small
@@ -257,12 +274,12 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Exit code; see above."""
+    """Run the command and return its exit code (see the module docstring)."""
     options = parse_arguments(arguments)
     console = Console(width=None if sys.stdout.isatty() else 220)
     raise_descriptor_limit()
     run = ScaleRun(options, console)
-    # Cancelled: by its memory, and it said so.
+    # Cancelled only by the memory check, which has recorded a fault.
     with contextlib.suppress(asyncio.CancelledError), asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run.run_all_sizes())
     print_table(run.rows, console)
@@ -270,9 +287,7 @@
         run.print_line(f"FAULT: {fault}")
     if options.json is not None:
         options.json.write_text(json.dumps(run.as_json(), indent=1) + "\n")
-    run.print_line(
-        f"{'ended with faults' if run.faults else 'all as it should be'}; {BUILD}; at most {run.peak_mb:.0f} MB"
-    )
+    run.print_line(f"{'ended with faults' if run.faults else 'no faults'}; {BUILD}; peak memory {run.peak_mb:.0f} MB")
     return 1 if run.faults else 0
 
 
--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -1,8 +1,9 @@
-"""The stand-in of discovery as a process of its own: a fleet of the plan's shape, listed to thousands of callers.
+"""The emulated discovery service as a process of its own: lists a fleet of the plan's shape to thousands of callers.
 
 Orders: `start`, `change`, `down`, `cut`, `part`, `join`, `stats`. Each group of callers has a listener of its own, so
-that what goes to it is counted and cut apart from the others; those of one half share the encoded answers. Behind
-relays it has a half in each region (standins/parties/halves.py): the region's relays ask that, all others the first.
+that its traffic is counted and interrupted separately. The groups of one registry half share the encoded responses.
+With relays there is a registry half in each region (standins/parties/halves.py): the region's relays call that half,
+all other callers the first.
 """
 
 from __future__ import annotations
@@ -26,17 +27,19 @@
 from standins.parties.network import Address
 from standins.parties.registry import Bodies, Entry, Registry, View
 
-MAX_CHANGE_HISTORY: Final = 32_768  # changes kept for watches: two zones' worth at the plan's size
+MAX_CHANGE_HISTORY: Final = 32_768  # changes kept for watches: those of two zones at the plan's size
 
 
 class NullEventLog(EventLog):
-    """No account is kept: the run judges by what gateways got."""
+    """An event log that keeps nothing: the run is evaluated by what gateways receive."""
 
     def add(self, entry: object) -> None:
         pass
 
 
 class DiscoveryProcess:
+    """Executes the orders to the discovery service."""
+
     def __init__(self) -> None:
         raise_descriptor_limit()
         self.partitioned_registry = Halves({})
@@ -53,7 +56,8 @@
         }  # fmt: skip
 
     async def start(self, order: dict[str, Any]) -> dict[str, Any]:
-        """List this fleet, in these halves, on a listener for each group; returns their addresses."""
+        """Start a listener for each group, which lists this fleet from a registry half; return the listeners'
+        addresses."""
         simulated_fleet = fleet(order["gateways"], order["hosts"])
         self.partitioned_registry = Halves(
             {name: Registry(NullEventLog(), history=MAX_CHANGE_HISTORY) for name in order["halves"]}
@@ -75,41 +79,43 @@
                 group, self.addresses.get, self.delivery_gate(group), bodies[half_name]
             )
         gc.collect()
-        gc.freeze()  # the fleet is no garbage
+        gc.freeze()  # the fleet lives as long as the process, so collections skip it
         return {"addresses": {group: view.address for group, view in self.views.items()}}
 
     def delivery_gate(self, group: str) -> Any:
+        """A function that waits while responses to this group are held back."""
+
         async def wait_for_delivery() -> None:
             await self.delivery_allowed[group].wait()
 
         return wait_for_delivery
 
     async def change_hosts(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Change hosts, all at once, at one `half` where they are cut: name, status, weight, start (ms). Returns just
-        before when."""
+        """Change hosts (name, status, weight, start time in ms), all at once, at one `half` during a partition.
+        Returns the time just before the change."""
         at_us = clock_us()
         self.partitioned_registry.change([Change(*each) for each in order["hosts"]], order.get("half", ""))
         return {"at_us": at_us}
 
     async def set_outage(self, order: dict[str, Any]) -> dict[str, Any]:
-        """ "503", "reset" or "silent"; "": up again."""
+        """Let calls fail with "503", "reset" or "silent"; "" ends the outage."""
         for half in self.partitioned_registry.halves.values():
             await half.registry.set_down(order["how"])
         return {"at_us": clock_us()}
 
     async def partition(self, order: dict[str, Any]) -> dict[str, Any]:
-        """The halves hear of one another no longer."""
+        """Stop the exchange between the registry halves."""
         self.partitioned_registry.cut()
         return {"at_us": clock_us()}
 
     async def heal_partition(self, order: dict[str, Any]) -> dict[str, Any]:
-        """They do again, and each takes up what the other has. Returns just before when."""
+        """Resume the exchange: each half takes over the other's changes. Returns the time just before."""
         at_us = clock_us()
         self.partitioned_registry.join()
         return {"at_us": at_us}
 
     async def hold_responses(self, order: dict[str, Any]) -> dict[str, Any]:
-        """What is said to this group is held back, or no longer."""
+        """Hold back the responses to these groups, or send them again."""
         for group in order["groups"]:
             if order["on"]:
                 self.delivery_allowed[group].clear()
@@ -118,7 +124,7 @@
         return {"at_us": clock_us()}
 
     async def report_counts(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Counts since the start, by group; the longest stop since the last call."""
+        """Counts since the start, by group, and the longest stall since the last call."""
         counts = {
             group: {
                 "calls": view.counts.calls, "wholes": view.counts.wholes, "came": view.counts.came,
--- a/benchmarks/capacity/run_environment.py
+++ b/benchmarks/capacity/run_environment.py
@@ -1,4 +1,4 @@
-"""One size of the scale run: its processes started, ordered about, measured, and ended."""
+"""The environment of one size of the scale run: starts its processes, controls, measures and stops them."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 if TYPE_CHECKING:
     from benchmarks.capacity.run_steps import Step
 
-READY_TIMEOUT_S: Final = 120.0  # for all to have a list: how long a broken run takes
-CHANGE_TIMEOUT_S: Final = 30.0  # for a change to reach all
-SETTLE_TIMEOUT_S: Final = 15.0  # after starts and restarts
+READY_TIMEOUT_S: Final = 120.0  # until all gateways have a list; a run that cannot start fails after this time
+CHANGE_TIMEOUT_S: Final = 30.0  # until a change has reached all gateways
+SETTLE_TIMEOUT_S: Final = 15.0  # until no gateway requests a whole list any more after starts
 POLL_INTERVAL_S: Final = 0.1
-PING_INTERVAL_S: Final = 0.2  # between two questions to a relay whether it lives
+PING_INTERVAL_S: Final = 0.2  # between two readiness checks of a relay
 PING_TIMEOUT_S: Final = 5.0
-COMPARED_GATEWAYS: Final = 2  # hollow gateways that ask through a counter, as the real ones do
+COMPARED_GATEWAYS: Final = 2  # simulated gateways that call through a counting proxy, as the real ones do
 SIMULATED, REAL, COMPARED = "hollow", "real", "twin"
 
 
 class RelayProcess:
-    """One relay's process, through restarts, at one address."""
+    """A relay's process, which may be restarted and keeps its address."""
 
     def __init__(self, index: int, region: str, folder: Path, discovery: Address) -> None:
         self.name, self.region = f"relay-{index}", region
@@ -49,7 +49,7 @@
             f'discovery = "{discovery[0]}:{discovery[1]}"\nroster = "roster.json"\n'
         )
         self.process: subprocess.Popen[bytes] | None = None
-        self.longest_ping_us = 0  # until it answered whether it lives
+        self.longest_ping_us = 0  # longest time that a readiness check took
 
     def start(self) -> None:
         self.process = subprocess.Popen(
@@ -71,7 +71,7 @@
             self.process.wait()
 
     async def check_ready(self) -> bool:
-        """Whether it says that it is ready; how long the answer took is kept."""
+        """Return whether the relay reports that it is ready, and record how long the response took."""
         started_us, is_ready = clock_us(), False
         try:
             async with asyncio.timeout(PING_TIMEOUT_S):
@@ -80,7 +80,7 @@
                 is_ready = (await reader.readline()).startswith(b"HTTP/1.1 200")
                 writer.transport.abort()
         except OSError:
-            return False  # it is down; TimeoutError is one of these, and counts
+            return False  # the relay is down or timed out (TimeoutError is an OSError)
         finally:
             if self.is_running:
                 self.longest_ping_us = max(self.longest_ping_us, clock_us() - started_us)
@@ -93,8 +93,11 @@
 
 
 class Environment:
-    """Everything at one size. `pace`: how long steps are, 1: in full; `near`: gateways name their region's relays
-    alone, else all."""
+    """All processes of one size.
+
+    `time_scale`: factor on the duration of steps, 1 for the full duration. `own_region_only`: gateways are configured
+    with the relays of their own region only, otherwise with all relays.
+    """
 
     def __init__(self, size: Size, folder: Path, seed: int, time_scale: float, own_region_only: bool = False) -> None:
         self.size, self.folder, self.seed, self.time_scale, self.own_region_only = (
@@ -112,23 +115,24 @@
         self.load = RequestLoad(folder, max(self.rack_indexes) + 1, seed)
         self.traffic_by_kind = {REAL: Traffic(), COMPARED: Traffic()}
         self.counting_proxies: list[CountingProxy] = []
-        self.real_proxy_by_relay: dict[str, CountingProxy] = {}  # by relay
+        self.real_proxy_by_relay: dict[str, CountingProxy] = {}
         self.discovery: WorkerProcess | None = None
         self.workers: list[WorkerProcess] = []
         self.relays: list[RelayProcess] = []
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.relay_ports_by_region: dict[str, list[int]] = {}  # by region: ports at which hollow ones ask its relays
-        self.ports_by_relay: dict[str, list[int]] = {}  # the same by relay
-        self.discovery_address: Address = ("127.0.0.1", 0)  # discovery, for hollow ones
-        self.start_ms_by_host: dict[str, int] = {}  # of hosts that have begun anew
+        self.relay_ports_by_region: dict[str, list[int]] = {}  # where simulated gateways call its relays
+        self.ports_by_relay: dict[str, list[int]] = {}  # where simulated gateways call it
+        self.discovery_address: Address = ("127.0.0.1", 0)  # for simulated gateways
+        self.start_ms_by_host: dict[str, int] = {}  # start times of restarted hosts
         self.last_id = 0
         self.log_faults: list[str] = []
         self.begin_step()
 
-    # Start and end
+    # Starting and stopping
 
     async def start(self) -> None:
-        """Until every gateway has a list and the real ones serve. PartError or RuntimeError where that fails."""
+        """Start all processes and wait until every gateway has a list and the real ones serve. Raises WorkerError or
+        RuntimeError on failure."""
         ports = await self.load.start_hosts()
         self.discovery = await WorkerProcess.start("discovery", "benchmarks.capacity.run_discovery", self.folder)
         groups = [SIMULATED, REAL, COMPARED, *self.fleet.regions]
@@ -147,7 +151,8 @@
             relay.start()
         await self.wait_until(lambda: self.are_relays_ready(), "relays are not ready")
         self.start_task(self.ping_relays())
-        # Of each kind: discovery's address, and the relays'. What real ones and twins ask is counted on its way.
+        # For each kind of gateway: discovery's address, then the relays'. Real and compared gateways call through
+        # counting proxies.
         targets = {SIMULATED: [addresses[SIMULATED], *(relay.address for relay in self.relays)]}
         for kind in (REAL, COMPARED):
             targets[kind] = await self.open_counting_proxies(
@@ -167,12 +172,13 @@
         await self.create_simulated_gateways(targets)
         await self.order_workers("begin", over_s=self.start_duration_s(self.size.simulated))
         await self.load.start_gateways([self.create_real_gateway(n, targets[REAL]) for n in range(self.size.real)])
-        await self.wait_until(self.have_all_lists, "not every hollow gateway has a list")
+        await self.wait_until(self.have_all_lists, "not every simulated gateway has a list")
         self.load.start_clients()
         await self.wait_until_settled()
 
     def gateway_configuration(self, index: int, gateway: Front, targets: Sequence[Address]) -> dict[str, Any]:
-        """LB_CONFIG of a gateway; with relays it is told of discovery all the same. `targets`: that, then relays."""
+        """A gateway's LB_CONFIG, which names discovery also where there are relays. `targets`: discovery's address,
+        then the relays'."""
         gateway_settings = settings(self.size.gateways, index, 0, BoxKind(), Rules()) | {"zones": self.zones}
         gateway_settings["zone"] = self.zones.index(gateway.zone)
         seed = f"{self.seed}/{gateway.name}"
@@ -180,13 +186,13 @@
         result = configuration(
             gateway.name, "127.0.0.1:1", _address_text(targets[0]), seed, [], gateway_settings, rules
         )
-        return result | {"known": {}}  # nothing from before: the whole list is asked for
+        return result | {"known": {}}  # without a stored list, so that the gateway requests the whole list
 
     def gateway_options(self, gateway: Front, targets: Sequence[Address]) -> dict[str, Any]:
-        """CLOVERKEEL_OPTIONS of a gateway, as parsed."""
+        """A gateway's CLOVERKEEL_OPTIONS, as parsed from the file."""
         if not self.relays:
             return {}
-        # Before more than that, a gateway leaves them to the roster.
+        # A gateway with more services than MAX_SERVICES names none; the relays take them from the roster.
         services = [*gateway.services] if len(gateway.services) <= MAX_SERVICES else []
         addresses = [
             _address_text(target) for relay, target in zip(self.relays, targets[1:], strict=True)
@@ -195,6 +201,7 @@
         return {"relays": {"addresses": addresses, "services": services}}
 
     async def create_simulated_gateways(self, targets: dict[str, list[Address]]) -> None:
+        """Create the simulated gateways in the worker processes, spread evenly."""
         gateways = self.fleet.gateways
         gateways_by_worker: list[list[list[Any]]] = [[] for _ in self.workers]
         for index in range(self.size.real, self.size.gateways):
@@ -210,6 +217,7 @@
         ))  # fmt: skip
 
     def create_real_gateway(self, index: int, targets: Sequence[Address]) -> Gateway:
+        """Write the options of a real gateway and return it, not started."""
         fleet_gateway = self.fleet.gateways[index]
         environment = {}
         options = self.gateway_options(fleet_gateway, targets)
@@ -224,14 +232,15 @@
             result = self.gateway_configuration(index, fleet_gateway, targets)
             return result | {"listen": f"127.0.0.1:{gateway.port}"}
 
-        room = index % 2  # clients ask in two; each is to find a gateway
+        room = index % 2  # clients use two rooms, and each room needs a gateway
         gateway = Gateway(
             fleet_gateway.name, room, self.folder, configure, self.load.event_log, environment=environment
         )
         return gateway
 
     async def open_counting_proxies(self, kind: str, targets: Iterable[Address]) -> list[Address]:
-        """Where gateways of this kind ask instead: what goes there is counted."""
+        """Open a counting proxy before each target and return the proxies' addresses, which gateways of this kind
+        call."""
         addresses = []
         for target in targets:
             proxy = CountingProxy(target, self.traffic_by_kind[kind])
@@ -244,11 +253,12 @@
         return all(await asyncio.gather(*(relay.check_ready() for relay in self.relays)))
 
     async def have_all_lists(self) -> bool:
+        """Return whether every simulated gateway has a list."""
         stats = await self.order_workers("stats")
         return bool(sum(counts["listed"] for counts in stats) == self.size.simulated)
 
     async def wait_until(self, condition: Any, failure: str, within_s: float = READY_TIMEOUT_S) -> None:
-        """RuntimeError where it does not hold within that time."""
+        """Poll until the condition holds; raises RuntimeError with the failure's description after `within_s`."""
         deadline_s = time.monotonic() + within_s
         while not await condition():
             if time.monotonic() > deadline_s:
@@ -256,12 +266,12 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def start_duration_s(self, count: int) -> float:
-        """Over how long so many hollow gateways are started."""
+        """The time over which the starts of `count` simulated gateways are spread."""
         held_hosts = mean_subset_hosts(self.fleet) if self.relays else float(self.size.hosts)
         return start_duration_s(self.size, held_hosts, count)
 
     async def wait_until_settled(self) -> None:
-        """Wait until nobody asks for whole lists any more, or fails; no longer than SETTLE_S."""
+        """Wait until no gateway requests a whole list or fails for a second, for SETTLE_TIMEOUT_S at most."""
         deadline_s, previous = time.monotonic() + SETTLE_TIMEOUT_S, -1
         while time.monotonic() < deadline_s:
             stats = await self.order_workers("stats")
@@ -272,11 +282,13 @@
             await self.sleep(1)
 
     def start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine in the background until `close`."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def close(self) -> None:
+        """Stop all processes and collect the faults in the real gateways' logs."""
         for task in list(self.tasks):
             task.cancel()
         await self.load.close()
@@ -289,16 +301,17 @@
         self.log_faults = [fault for gateway in self.load.fleet.gateways for fault in gateway.faults()]
 
     def log_defects(self) -> list[str]:
-        """Lines of the real gateways' logs that tell of a defect of theirs."""
+        """Lines of the real gateways' logs that report a defect of the gateway."""
         return self.log_faults
 
-    # Orders
+    # Orders to the processes
 
     async def order_workers(self, command: str, **keys: Any) -> list[dict[str, Any]]:
+        """Send an order to all worker processes of simulated gateways and return their responses."""
         return list(await asyncio.gather(*(worker.send_order(command, **keys) for worker in self.workers)))
 
     async def order_discovery(self, command: str, **keys: Any) -> dict[str, Any]:
-        """An order to discovery."""
+        """Send an order to discovery and return its response."""
         assert self.discovery is not None
         return await self.discovery.send_order(command, **keys)
 
@@ -306,10 +319,12 @@
         self, names: Sequence[str], status: str, weight: float = 1.0, holders_of: str = "",
         is_restarted: bool = False, half: str = "",
     ) -> str:  # fmt: skip
-        """Hosts change at discovery, all at once; who holds them, or did at `like`, is to have it. Names the change.
+        """Change hosts at discovery, all at once, and return the change's ID. The gateways that hold the hosts, or
+        that held them at the recording `holders_of`, must receive the change.
 
-        `anew`: with a new time of their start. `half`: of a cut discovery; then who asks that region's relays is to
-        have it, and who does not is to have `later(name)`.
+        `is_restarted`: the hosts get a new start time. `half`: changes the hosts at this half of a partitioned
+        registry. Then the callers of that region's relays must receive the change, and for all other gateways it is
+        tracked under `delayed_change_id(change_id)`.
         """
         self.last_id += 1
         change_id = f"c{self.last_id}"
@@ -338,21 +353,22 @@
         return change_id
 
     async def record_holders(self, names: Sequence[str]) -> str:
-        """Who holds these hosts now, for `like` of a later change."""
+        """Record which gateways hold these hosts now; the returned ID serves as `holders_of` of a later change."""
         self.last_id += 1
         note_id = f"n{self.last_id}"
         await self.order_workers("note", id=note_id, names=list(names))
         return note_id
 
     async def watch_ended_hosts(self, names: Sequence[str], holders_of: str) -> list[str]:
-        """Whoever held these hosts then is not told any more that they serve, once told that they don't; no names: no
-        longer. Returns which gateways were told otherwise since the last call."""
+        """From now on, a gateway that held one of these hosts at the recording `holders_of` must not receive it as
+        serving once it has received its end. Without names nothing is watched any more. Returns the names of the
+        gateways that received such a stale update since the last call."""
         responses = await self.order_workers("guard", id=holders_of, names=list(names))
         gateways = sorted({gateway for response in responses for gateway, _ in response["undone"]})
         return [self.fleet.gateways[index].name for index in gateways]
 
     async def count_callers(self, relay: RelayProcess) -> int:
-        """Hollow gateways that have called this relay last."""
+        """The number of simulated gateways whose last call was to this relay."""
         ports = self.ports_by_relay[relay.name]
         responses = await self.order_workers("asked")
         return sum(count for response in responses for port, count in response["asked"] if port in ports)
@@ -360,9 +376,10 @@
     async def wait_for_changes(
         self, change_ids: Sequence[str], within_s: float = CHANGE_TIMEOUT_S, since_us: int = 0, half: str = ""
     ) -> None:
-        """Wait until all have these changes, or the time is over; counted from the change, or from a later moment.
+        """Wait until every gateway that must receive these changes has them, or for `within_s` at most, and record
+        the delays. They count from the change, or from `since_us` if that is later.
 
-        `half`: who asks the other half's relays by now is not waited for, and counted as moved.
+        `half`: does not wait for gateways that call the other half's relays by now, and counts them as moved.
         """
         deadline_s = time.monotonic() + within_s
         while True:
@@ -383,24 +400,27 @@
         self.moved_count += moved_count
 
     async def sleep(self, seconds: float) -> None:
+        """Sleep for this time, multiplied by the time scale."""
         await asyncio.sleep(seconds * self.time_scale)
 
     def mark_leaving(self, names: Iterable[str], at_us: int) -> None:
-        """These racks leave, as discovery has it: what reaches them later is judged."""
+        """Discovery reports from then on that these hosts' racks leave; attempts that reach them too late are
+        counted."""
         self.load.mark_leaving(sorted({self.rack_by_host[name] for name in names}), at_us)
 
     def mark_returned(self, names: Iterable[str]) -> None:
+        """These hosts' racks are back and may receive requests again."""
         self.load.process_events()
         self.load.mark_returned(sorted({self.rack_by_host[name] for name in names}))
 
     def used_rack_hosts(self) -> list[str]:
-        """The hosts of a rack that the real gateways use, if they use any."""
+        """The hosts of the rack that the real gateways use most, or of the first rack if they use none."""
         most_used = self.load.attempts_by_rack.most_common(1)
         index = int(most_used[0][0].removeprefix("rack-")) if most_used else 0
         return [name for name, rack_index in self.rack_by_host.items() if rack_index == index]
 
     def real_gateway_regions(self) -> set[str]:
-        """The regions whose relays the real gateways ask."""
+        """The regions whose relays the real gateways are connected to."""
         return {relay.region for relay in self.relays if self.real_proxy_by_relay[relay.name].tasks}
 
     def hosts_in_zone(self, zone: str) -> list[str]:
@@ -412,16 +432,17 @@
     # Measuring
 
     def begin_step(self) -> None:
-        """Nothing of an earlier step counts."""
-        self.changes: dict[str, tuple[int, int]] = {}  # when, and how many gateways should have it
-        self.delays_s: list[float] = []  # of each gateway and change: how long until it had it
-        self.missing_count = 0  # gateways that lack a change, of those waited for
-        self.moved_count = 0  # that went over to the other half's relays before they had one of theirs
-        self.missing_examples: list[str] = []  # which, for the log
-        self.extra_values: dict[str, Any] = {}  # of this step alone, for its row
+        """Forget the changes and delays of the previous step."""
+        # Change ID -> time of the change, number of gateways that must receive it.
+        self.changes: dict[str, tuple[int, int]] = {}
+        self.delays_s: list[float] = []  # one for each gateway and change
+        self.missing_count = 0  # gateways that did not receive a change in time
+        self.moved_count = 0  # gateways that moved to the other half's relays before they received a change
+        self.missing_examples: list[str] = []  # some of the missing changes, for the log
+        self.extra_values: dict[str, Any] = {}  # values that only this step adds to its row
 
     async def measure(self, step: Step) -> dict[str, Any]:
-        """Play a step; what was seen, as one row."""
+        """Run a step and return its measurements as one row."""
         self.begin_step()
         await self.order_workers("tidy")
         self.load.take_results()
@@ -484,7 +505,8 @@
         return row
 
     def compare_rates(self) -> dict[str, Any]:
-        """What a hollow gateway costs the others, as a share of what a real one does, by the same counters."""
+        """The calls and bytes per second that a simulated gateway causes, relative to a real one, from the same
+        counters."""
         (call_rate, byte_rate), (real_call_rate, real_byte_rate) = (
             self.traffic_by_kind[COMPARED].rates(),
             self.traffic_by_kind[REAL].rates(),
@@ -495,7 +517,8 @@
         }
 
     def compare_bytes(self) -> dict[str, Any]:
-        """The same where much is told to both alike, by what came and went in all."""
+        """The bytes that a simulated gateway transfers in all, relative to a real one, for steps that send both large
+        updates."""
         bytes_per_gateway = (
             self.traffic_by_kind[COMPARED].byte_count / min(COMPARED_GATEWAYS, self.size.simulated),
             self.traffic_by_kind[REAL].byte_count / self.size.real,
@@ -520,23 +543,25 @@
         return len(self.list_pids()) + 1
 
     def measure_memory_mb(self) -> float:
-        """Of all processes of the run, this one too."""
+        """Resident memory of all processes of the run, including this one."""
         kib = sum(rss_kib(pid) for pid in (os.getpid(), *self.list_pids()))
         return kib / 1024
 
     async def ping_relays(self) -> None:
+        """Check the readiness of all running relays at intervals, to record how long their responses take."""
         while True:
             await asyncio.sleep(PING_INTERVAL_S)
             await asyncio.gather(*(relay.check_ready() for relay in self.relays if relay.is_running))
 
 
 def delayed_change_id(name: str) -> str:
-    """Of a change at one half: that of those who do not ask it."""
+    """The ID under which a change at one half is tracked for gateways that do not call that half's relays."""
     return f"{name}-later"
 
 
 def with_compared_services(simulated_fleet: Fleet, real_count: int) -> Fleet:
-    """The twins are before the services of the real ones: each call names them, so its length is by these."""
+    """Give the compared gateways the services of the real ones: each call names the services, so its length depends
+    on them."""
     gateways = list(simulated_fleet.gateways)
     for index in range(real_count, min(real_count + COMPARED_GATEWAYS, len(gateways))):
         gateways[index] = replace(gateways[index], services=gateways[index - real_count].services)
@@ -544,12 +569,12 @@
 
 
 def _cpu_growth_us(before: dict[int, int]) -> int:
-    """CPU in µs since then, of those processes that still run."""
+    """CPU time since `before`, in µs, of the processes that still run."""
     return sum(max(0, process_cpu_us(pid) - cpu_us) for pid, cpu_us in before.items())
 
 
 def _ratio(value: float, reference: float) -> float | None:
-    """None where there is nothing to compare."""
+    """The ratio, or None if one of the values is 0 or missing."""
     return round(value / reference, 3) if value and reference else None
 
 
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -1,8 +1,9 @@
-"""What the real gateways of a scale run stand between: clients, hosts, and counters before whom they ask for lists.
+"""The load on the real gateways of a scale run: clients, hosts, and counting proxies for their calls.
 
-All in one process and by one clock. A listener stands for a rack of hosts; what reaches it after its rack has left is
-seen, as it goes on answering. What the gateways add is the client's time less the host's own, for each request; a few
-requests go to hosts with no gateway between, and show how much of it is these stand-ins' own.
+All run in this process and use one clock. Each listener emulates a rack of hosts. It keeps responding after its rack
+has left, so that attempts that reach it too late are seen. The latency that the gateways add is the client's time
+less the host's own time, for each request. A few requests go directly to hosts and show how much of it is the
+emulator's own.
 """
 
 from __future__ import annotations
@@ -37,30 +38,28 @@
 from standins.parties.network import Address, Network
 from standins.site import CLASSES, BoxKind, Rules
 
-COST_HINT_SHARE: Final = (
-    0.02  # of the class's work: a host computes for about a millisecond, and waits on others as it does
-)
+# Share of the request class's work: a host computes for about a millisecond, and its waits are as usual.
+COST_HINT_SHARE: Final = 0.02
 BACKEND_KIND: Final = BoxKind(
     cores=64, queue=4_000, connections=4_000, cold_share=1.0, handshake_us=0, report_us=8_000_000
 )
-GATEWAY_SOCKETS: Final = 4_096  # descriptors of a real gateway
-SLOW_HOST_SHARE: Final = (
-    0.6  # of a request's time: a host that took it was starved of the processor; it computes for 1 ms
-)
-MIN_CALLS: Final = 3  # for a median
-DIRECT_REQUESTS_PER_S: Final = 40.0  # requests without a gateway
+GATEWAY_SOCKETS: Final = 4_096  # file descriptors of a real gateway
+# Share of a request's time budget: a host that takes longer was starved of the processor, as it computes for 1 ms.
+SLOW_HOST_SHARE: Final = 0.6
+MIN_CALLS: Final = 3  # needed for a median
+DIRECT_REQUESTS_PER_S: Final = 40.0  # requests that bypass the gateways
 READ_BYTES: Final = 64 * 1024
 RECORDED_EVENTS: Final = (RequestSent, ResponseReceived, ResponseMissing, BackendAttempt, ProcessEvent)
-CHANGE_NOTICE_US: Final = 6_000_000  # a change counts as told by then, whatever fails (the terms in force)
-LATE_SEND_GRACE_US: Final = 1_000_000  # after that, nothing new to a host that leaves
-_EVENT_LOG_OFFSET_US: Final = now_us() - clock_us()  # of the run's clock
+CHANGE_NOTICE_US: Final = 6_000_000  # by then gateways must follow a change, whatever fails (the terms in force)
+LATE_SEND_GRACE_US: Final = 1_000_000  # after that no attempt may reach a host that leaves
+_EVENT_LOG_OFFSET_US: Final = now_us() - clock_us()  # the event log's clock minus the run's clock
 
 
-_connection_ids = itertools.count()  # of connections through taps
+_connection_ids = itertools.count()  # of connections through counting proxies
 
 
 class FilteredEventLog(EventLog):
-    """Only what is judged here."""
+    """An event log that keeps only the events that this module evaluates."""
 
     def add(self, entry: Event) -> None:
         if isinstance(entry, RECORDED_EVENTS):
@@ -69,11 +68,11 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What went through taps of a kind, both ways, since `begin`."""
+    """What counting proxies of one kind of gateway forwarded, in both directions, since `reset`."""
 
     calls: int = 0
-    byte_count: int = 0  # bytes
-    # By connection: when each call came, and the bytes before it on that connection.
+    byte_count: int = 0
+    # Connection ID -> time of each call, and the bytes on that connection before it.
     calls_by_connection: dict[int, list[tuple[int, int]]] = field(default_factory=dict)
 
     def reset(self) -> None:
@@ -81,9 +80,11 @@
         self.calls_by_connection.clear()
 
     def rates(self) -> tuple[float, float]:
-        """Calls and bytes a second, by the median call: from one call on a connection to its next. 0.0: too few.
+        """Calls and bytes per second, from the median of the time and bytes between two calls on a connection. 0.0 if
+        there are too few calls.
 
-        A call that the machine has kept waiting, or that asked for the whole list after a move, is no usual one.
+        The median leaves out calls that the machine delayed and those that requested the whole list after a change of
+        relay.
         """
         pairs = [pair for calls in self.calls_by_connection.values() for pair in pairwise(calls)]
         if len(pairs) < MIN_CALLS:
@@ -93,20 +94,21 @@
 
 
 class CountingProxy:
-    """Passes a gateway's connections on to whom it asks for lists, and counts."""
+    """Forwards a gateway's connections to the server of its lists, and counts calls and bytes."""
 
     def __init__(self, target: Address, traffic: Traffic) -> None:
         self.target, self.traffic = target, traffic
         self.server: asyncio.Server | None = None
         self.address: Address = ("127.0.0.1", 0)
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.bytes_by_connection: dict[int, int] = {}  # by connection: bytes both ways
+        self.bytes_by_connection: dict[int, int] = {}  # connection ID -> bytes in both directions
 
     async def open(self) -> None:
         self.server = await asyncio.start_server(self.relay_connection, "127.0.0.1", 0)
         self.address = self.server.sockets[0].getsockname()
 
     async def relay_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward one connection in both directions until either side closes it."""
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
@@ -126,7 +128,7 @@
                     copy.cancel()
                 await asyncio.gather(*copies, return_exceptions=True)
         except (OSError, asyncio.CancelledError):
-            pass  # nobody there: the gateway sees its connection end. Or the run has ended
+            pass  # the target is down, and the gateway sees its connection close; or the run has ended
         finally:
             self.tasks.discard(task)
             self.bytes_by_connection.pop(connection_id, None)
@@ -137,6 +139,7 @@
     async def copy_data(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection_id: int, is_request: bool
     ) -> None:
+        """Copy one direction of a connection and count its bytes, and the calls if it carries requests."""
         traffic = self.traffic
         while data := await reader.read(READ_BYTES):
             if is_request and data.startswith(b"GET "):
@@ -158,20 +161,22 @@
 
 @dataclass(slots=True)
 class ClientResults:
-    """What clients got in a window. Times in milliseconds; nan: nothing to take it from."""
+    """What clients received in a period. Times are in milliseconds; a quantile of no values is None."""
 
     requests: int = 0
-    succeeded: int = 0  # with 200
-    refused: int = 0  # 429, 503: not done, and said so
+    succeeded: int = 0  # status 200
+    refused: int = 0  # status 429 or 503
     failed: int = 0  # any other status
-    lost: int = 0  # no whole answer
-    starved: int = 0  # failed or lost while these stand-ins stood still, or a host's answer took all of its time
+    lost: int = 0  # no complete response
+    # Failed or lost while the emulator stalled, or after a host took most of the time for its response.
+    starved: int = 0
     added_ms: list[float] = field(default_factory=list)
     direct_ms: list[float] = field(default_factory=list)
-    late_sends: int = 0  # requests at hosts that had left, past the grace
-    last_send_s: float = 0.0  # the last one to reach a host that leaves, after discovery had the change
+    late_sends: int = 0  # attempts that reached hosts after they had left, beyond the grace time
+    last_send_s: float = 0.0  # last attempt that reached a host that leaves, after the change at discovery
 
     def as_row(self) -> dict[str, Any]:
+        """The values under the keys of a step's row."""
         return {
             "requests": self.requests, "refused": self.refused, "failed": self.failed, "lost": self.lost,
             "starved": self.starved,
@@ -182,13 +187,13 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float | None:
-    """The nearest that was measured; None of nothing."""
+    """The measured value at this quantile, rounded; None if there are no values."""
     ordered = sorted(values)
     return round(ordered[max(0, math.ceil(share * len(ordered)) - 1)], 3) if ordered else None
 
 
 class RequestLoad:
-    """Hosts by racks, real gateways, clients."""
+    """The racks of hosts, the real gateways and the clients, and the evaluation of their events."""
 
     def __init__(self, folder: Path, rack_count: int, seed: int) -> None:
         self.folder, self.seed = folder, seed
@@ -209,14 +214,14 @@
         )
         self.fleet = Fleet([])
         self.client_tasks: list[asyncio.Task[None]] = []
-        self.open_requests: dict[str, RequestSent] = {}  # asked, not answered yet
-        self.attempts: dict[str, BackendAttempt] = {}  # at hosts, of those
-        self.leaving_since_us: dict[str, int] = {}  # racks that have left or are about to: since when
-        self.attempts_by_rack: Counter[str] = Counter()  # racks that were sent to between the last two looks
+        self.open_requests: dict[str, RequestSent] = {}  # request ID -> request without a response yet
+        self.attempts: dict[str, BackendAttempt] = {}  # request ID -> attempt of an open request at a host
+        self.leaving_since_us: dict[str, int] = {}  # rack that leaves or has left -> since when
+        self.attempts_by_rack: Counter[str] = Counter()  # attempts between the last two calls of `process_events`
         self.results = ClientResults()
 
     async def start_hosts(self) -> list[int]:
-        """Their ports, by rack."""
+        """Start the hosts and return their ports, by rack index."""
         self.stall_meter = StallMeter()
         for backend in self.backends:
             await backend.start(cold=False)
@@ -226,7 +231,7 @@
         return [backend.address[1] for backend in self.backends if backend.address is not None]
 
     async def start_gateways(self, gateways: Sequence[Gateway]) -> None:
-        """RuntimeError where one does not get ready."""
+        """Start the real gateways; raises RuntimeError if one does not become ready."""
         self.fleet = Fleet(gateways)
         for gateway in gateways:
             gateway.on_ready = lambda ready_gateway: self.proxy_addresses.admit(
@@ -237,29 +242,30 @@
             raise RuntimeError("not every real gateway became ready")
 
     def start_clients(self) -> None:
-        """Clients begin, at the plan's rate for a gateway, and go on until `close`."""
+        """Start the clients, at the plan's request rate per gateway; they run until `close`."""
         self.clients.rate = PLAN.requests_per_gateway * len(self.fleet.gateways)
         self.client_tasks = [
             asyncio.ensure_future(clients.run(86_400.0)) for clients in (self.clients, self.direct_clients)
         ]
 
     def mark_leaving(self, rack_indexes: Sequence[int], at_us: int) -> None:
-        """Discovery says from then on that these have left, or drain."""
+        """Discovery reports from `at_us` on that these racks have left or drain."""
         for index in rack_indexes:
             self.leaving_since_us[f"rack-{index}"] = at_us
 
     def mark_returned(self, rack_indexes: Sequence[int]) -> None:
+        """These racks are back and may receive attempts again."""
         for index in rack_indexes:
             self.leaving_since_us.pop(f"rack-{index}", None)
 
     def take_results(self) -> ClientResults:
-        """What was seen since the last call of this."""
+        """The results since the last call."""
         self.process_events()
         results, self.results = self.results, ClientResults()
         return results
 
     def process_events(self) -> None:
-        """Judge what has come. Call it before hosts that have left are back."""
+        """Evaluate the events so far. Must be called before hosts that have left return."""
         events, self.event_log.events = self.event_log.events, []
         results = self.results
         attempts_by_rack: Counter[str] = Counter()
@@ -276,6 +282,7 @@
         self.attempts_by_rack = attempts_by_rack
 
     def check_attempt(self, attempt: BackendAttempt, results: ClientResults) -> None:
+        """Count an attempt that reached a rack too late after it left."""
         left_us = self.leaving_since_us.get(attempt.backend)
         if left_us is None:
             return
@@ -284,6 +291,7 @@
         results.late_sends += elapsed_us > CHANGE_NOTICE_US + LATE_SEND_GRACE_US
 
     def check_response(self, response: ResponseReceived | ResponseMissing, results: ClientResults) -> None:
+        """Count a request's outcome and, if it succeeded, the latency added to the host's own."""
         request, attempt = self.open_requests.pop(response.id, None), self.attempts.pop(response.id, None)
         if request is None:
             return
@@ -307,7 +315,8 @@
     def is_starved(
         self, request: RequestSent, response: ResponseReceived | ResponseMissing, attempt: BackendAttempt | None
     ) -> bool:
-        """Guards against laying the machine's at the gateway's door: who judges stood still, or the host did."""
+        """Whether a failure is due to the busy machine and not to the gateway: this process or the host stalled
+        meanwhile."""
         if (
             attempt is not None
             and (attempt.ended_us or response.at_us) - attempt.at_us > request.budget_us * SLOW_HOST_SHARE
@@ -317,7 +326,7 @@
                    for from_us, to_us in self.stall_meter.stalls)  # fmt: skip
 
     async def close(self) -> None:
-        """Clients end first; the gateways are told to, and none is left behind."""
+        """Stop the clients first, then the gateways and hosts, so that no process is left."""
         for task in self.client_tasks:
             task.cancel()
         for clients in (self.clients, self.direct_clients):
--- a/benchmarks/capacity/run_sizes.py
+++ b/benchmarks/capacity/run_sizes.py
@@ -1,6 +1,6 @@
-"""How large a run may be: gateways, hosts, processes and memory, and where a host is found. Pure.
+"""Limits of the size of a scale run: gateways, processes and memory; and the rack and port of each host. Pure.
 
-Bounds are worked out before anything is started, from figures that a run prints beside what it then measures.
+The limits are calculated before any process starts. The run prints the figures they rest on beside its measurements.
 """
 
 from __future__ import annotations
@@ -12,58 +12,60 @@
 
 from benchmarks.capacity.plan import LEAST_GATEWAYS, PLAN, SERVICES_EACH, Fleet, service_sizes
 
-MAX_MEMORY_MB: Final = 12_000  # half of the machine's: all processes of a run together
-HELD_HOST_KIB: Final = 2.5  # a host that a gateway holds, measured by the slopes
-LISTED_HOST_BYTES: Final = 190  # of a host in a list
-SIMULATED_GATEWAY_KIB: Final = 90  # a hollow gateway that holds none: its rooms, its connection and buffers
-PROCESS_MB: Final = 45  # a process with the program's modules
-REAL_GATEWAY_MB: Final = 60  # a real gateway, beyond its hosts
-RELAY_HOST_KIB: Final = 3.0  # a host at a relay or at discovery, with the encoded forms
-CORES_PER_RELAYED_GATEWAY: Final = (
-    0.0025  # of a core for a hollow gateway and its share of the relays, quiet: 2.5 calls a second
-)
-CORES_PER_DIRECT_GATEWAY: Final = 0.0014  # the same where each asks discovery: 1 call a second
+MAX_MEMORY_MB: Final = 12_000  # half of the machine's memory, for all processes of a run
+HELD_HOST_KIB: Final = 2.5  # memory per host that a gateway holds (see slopes.py)
+LISTED_HOST_BYTES: Final = 190
+SIMULATED_GATEWAY_KIB: Final = 90  # a simulated gateway without hosts: its objects, its connection and buffers
+PROCESS_MB: Final = 45  # a process with the program's modules loaded
+REAL_GATEWAY_MB: Final = 60  # a real gateway without its hosts
+RELAY_HOST_KIB: Final = 3.0  # a host at a relay or at discovery, including the encoded forms
+# Of a core, for a simulated gateway and its share of the relays while nothing changes: 2.5 calls per second.
+CORES_PER_RELAYED_GATEWAY: Final = 0.0025
+CORES_PER_DIRECT_GATEWAY: Final = 0.0014  # the same if gateways call discovery: 1 call per second
 FULL_CORES: Final = 4.0
-CPU_S_PER_LISTED_HOST: Final = 35e-6  # of the processor, for each entry of a list that a gateway is told
-# How long one loop may take for a zone's changes at all of its hollow gateways: longer, and their calls' times run
-# out for the others' work, so that they ask anew, which no real one would.
-# A call to a relay ends 0.7 s after it was made, 0.4 s of which it is held. Where 0.48 s were worked out, loops stood
-# for 0.59 s, and a third of 849 gateways asked anew. Below 0.35 s it never is at the plan's hosts: the fewer gateways
-# there are before a service, the more of its hosts each has.
+CPU_S_PER_LISTED_HOST: Final = 35e-6  # for each entry of a list that a gateway receives
+# Limit of the time in which one event loop applies a zone's changes at all of its simulated gateways. During a longer
+# stall the gateways' own calls time out because of the other gateways' work and are repeated, which a real gateway
+# would not do. A call to a relay times out 0.7 s after it was made, and the relay holds it for 0.4 s of that. At an
+# estimate of 0.48 s, loops stalled for 0.59 s and a third of 849 gateways repeated their call. At the plan's hosts
+# the estimate is never below 0.35 s: the fewer gateways serve a service, the more of its hosts each holds.
 MAX_RELAYED_STALL_S: Final = 0.4
-MAX_DIRECT_STALL_S: Final = 1.5  # of 2 s
-ZONE_SHARE: Final = 1 / 6  # of the hosts, by the plan
-MAX_START_CPU_SHARE: Final = 0.5  # of their time hollow processes may work while gateways start
-MAX_WORKER_PROCESSES: Final = 6  # processes of hollow gateways: the machine has eight cores
-MAX_GATEWAYS_IN_ONE_WORKER: Final = 24  # gateways that are in one process
-HOSTS_PER_RACK: Final = 40  # hosts of one zone that one listener stands for, at the plan's size
-MAX_RACKS: Final = 960  # listeners
-MIN_SUBSET_HOSTS: Final = 8  # docs/relay-design.md: hosts of a service and zone that a gateway has, at the least
+MAX_DIRECT_STALL_S: Final = 1.5  # of the 2 s timeout of a call to discovery
+ZONE_SHARE: Final = 1 / 6  # of the hosts, according to the plan
+MAX_START_CPU_SHARE: Final = 0.5  # allowed utilization of the worker processes while gateways start
+MAX_WORKER_PROCESSES: Final = 6  # processes of simulated gateways on a machine with eight cores
+MAX_GATEWAYS_IN_ONE_WORKER: Final = 24  # a size with more gateways uses MAX_WORKER_PROCESSES
+HOSTS_PER_RACK: Final = 40  # hosts of one zone that one listener emulates, at the plan's size
+MAX_RACKS: Final = 960  # each has a listener of its own
+MIN_SUBSET_HOSTS: Final = 8  # of a service and zone, at each gateway (docs/relay-design.md)
 
 
 @dataclass(slots=True, frozen=True)
 class Size:
-    gateways: int  # in all, hollow and real
+    """One size of a scale run."""
+
+    gateways: int  # simulated and real
     hosts: int
     real: int
     relays: int
-    worker_processes: int  # of hollow gateways
-    limited_by: str  # what bounds it
+    worker_processes: int  # of simulated gateways
+    limited_by: str  # what limits the number of gateways, for the log
 
     @property
     def simulated(self) -> int:
+        """The number of simulated gateways."""
         return self.gateways - self.real
 
     @property
     def share(self) -> float:
-        """Of the plan's hosts."""
+        """The share of the plan's hosts."""
         return self.hosts / PLAN.hosts
 
 
 def rack_indexes(fleet: Fleet) -> list[int]:
-    """The rack of each host, by its place in the fleet: racks are of one zone, numbered from 0 without gaps.
+    """The rack of each host, in the fleet's order. A rack belongs to one zone; racks are numbered from 0, no gaps.
 
-    Hosts of all services are spread over the racks of their zone.
+    The hosts of each service are spread over the racks of their zone.
     """
     host_count_by_zone = Counter(host.zone for host in fleet.hosts)
     rack_count = (
@@ -83,12 +85,12 @@
 
 
 def host_ports(fleet: Fleet, ports: Sequence[int]) -> list[int]:
-    """Where each host is found, by its place in the fleet: one port a rack."""
+    """The port of each host, in the fleet's order; the hosts of a rack share a port."""
     return [ports[index] for index in rack_indexes(fleet)]
 
 
 def mean_subset_hosts(fleet: Fleet) -> float:
-    """Hosts that a gateway behind relays holds, in the mean: from docs/relay-design.md."""
+    """The mean number of hosts that a gateway behind relays holds, according to docs/relay-design.md."""
     region_by_zone = {zone: region for region, zones in fleet.regions.items() for zone in zones}
     host_counts: dict[tuple[str, str], int] = defaultdict(int)
     for host in fleet.hosts:
@@ -107,7 +109,8 @@
 
 
 def estimate_held_hosts(gateways: int, hosts: int) -> float:
-    """`subset_hosts` without making the fleet: a service is spread evenly over regions and zones."""
+    """Estimate `mean_subset_hosts` without building the fleet, with each service spread evenly over regions and
+    zones."""
     services = max(1, round(PLAN.services * hosts / PLAN.hosts))
     held_total = 0.0
     for count in service_sizes(hosts, services):
@@ -124,7 +127,7 @@
 def estimate_memory_mb(
     gateways: int, hosts: int, held_hosts: float, real: int, relays: int, worker_processes: int
 ) -> float:
-    """Of all processes together, expected."""
+    """The expected memory of all processes together."""
     simulated_mb = (gateways - real) * (SIMULATED_GATEWAY_KIB + held_hosts * HELD_HOST_KIB) / 1024
     real_mb = real * (REAL_GATEWAY_MB + held_hosts * HELD_HOST_KIB / 1024)
     control_plane_mb = (relays + 1) * (PROCESS_MB + hosts * RELAY_HOST_KIB / 1024)
@@ -132,15 +135,17 @@
 
 
 def estimate_stall_s(gateways: int, held_hosts: float, relays: int) -> float:
-    """For one loop to apply a zone's changes at its gateways; behind relays those of one region of two have any."""
+    """The time in which one event loop applies a zone's changes at its gateways.
+
+    With relays only the gateways of the zone's region receive them, half of all, and a third of their hosts change.
+    That equals a sixth of the hosts at all gateways, as without relays.
+    """
     gateways_per_worker = gateways / _worker_count(gateways)
-    return (
-        gateways_per_worker * held_hosts * CPU_S_PER_LISTED_HOST * ZONE_SHARE
-    )  # half of the gateways, and a third of their hosts, come to the same
+    return gateways_per_worker * held_hosts * CPU_S_PER_LISTED_HOST * ZONE_SHARE
 
 
 def start_duration_s(size: Size, held_hosts: float, gateway_count: int) -> float:
-    """Over how long so many hollow gateways are started: the plan's 2 s, or as long as these processes need."""
+    """The time over which the starts of simulated gateways are spread: 2 s as planned, or what the processes need."""
     return max(
         2.0, gateway_count * held_hosts * CPU_S_PER_LISTED_HOST / (size.worker_processes * MAX_START_CPU_SHARE)
     )
@@ -150,12 +155,13 @@
     gateways: int, hosts: int, real: int, relays: int, held_hosts_at: Callable[[int], float], cores: float,
     max_memory_mb: int = MAX_MEMORY_MB,
 ) -> Size:  # fmt: skip
-    """As many gateways of those asked for as memory and processor allow.
+    """The requested size, with as many of the gateways as memory and processor allow.
 
-    `held_by`: hosts that each holds where there are so many gateways; `cores`: for hollow ones and relays while
-    nothing changes; of FULL_CORES, a loop may stall for as long as its gateways' calls allow.
+    `held_hosts_at`: the hosts that each gateway holds at a given number of gateways. `cores`: the processor time for
+    simulated gateways and relays while nothing changes. A loop may stall for as long as its gateways' calls allow at
+    FULL_CORES, and proportionally shorter with fewer cores.
     """
-    limited_by, min_gateways = "what was asked for", real + 4
+    limited_by, min_gateways = "the requested size", real + 4
     cores_per_gateway = CORES_PER_RELAYED_GATEWAY if relays else CORES_PER_DIRECT_GATEWAY
     max_stall_s = (MAX_RELAYED_STALL_S if relays else MAX_DIRECT_STALL_S) * cores / FULL_CORES
     while True:
--- a/benchmarks/capacity/run_stale_updates.py
+++ b/benchmarks/capacity/run_stale_updates.py
@@ -1,4 +1,4 @@
-"""Who is told that a host serves although it knew of its end. Pure: gateways' lists in, who and which host out."""
+"""Detects gateways that receive a host as serving after they received its end. Pure: takes the gateways' lists."""
 
 from __future__ import annotations
 
@@ -10,13 +10,17 @@
 
 @dataclass(slots=True)
 class StaleUpdateDetector:
-    """Hosts that were restricted for good, and who held them: none may count one as serving that it knew as ended."""
+    """Watches hosts that were drained or removed for good: a gateway that held one and received its end must not
+    receive it as serving again."""
 
-    held_hosts_by_gateway: dict[int, frozenset[int]] = field(default_factory=dict)  # by gateway
-    ended_hosts: set[tuple[int, int]] = field(default_factory=set)  # gateway and host: it has been told so
-    stale_updates: list[tuple[int, int]] = field(default_factory=list)  # the same: told later that it serves
+    # Gateway index -> IDs of its watched hosts.
+    held_hosts_by_gateway: dict[int, frozenset[int]] = field(default_factory=dict)
+    ended_hosts: set[tuple[int, int]] = field(default_factory=set)  # (gateway, host) whose end the gateway received
+    # (gateway, host) that the gateway received as serving after that.
+    stale_updates: list[tuple[int, int]] = field(default_factory=list)
 
     def check_update(self, gateway: int, kind: ListKind, entries: list[Endpoint]) -> None:
+        """Record which watched hosts this list ends for the gateway, or restores although they had ended."""
         watched = self.held_hosts_by_gateway.get(gateway, frozenset())
         if not watched:
             return
--- a/benchmarks/capacity/run_steps.py
+++ b/benchmarks/capacity/run_steps.py
@@ -1,6 +1,7 @@
-"""The steps of a scale run, in the order in which they are played: what is done, and the time it may take.
+"""The steps of a scale run, in the order in which they run: what each does, and its time limit.
 
-A step leaves discovery's list as it found it. What is shortened is said so; a step's length is times the run's pace.
+Each step leaves discovery's list as it found it. Durations are multiplied by the environment's time scale. Where a
+step shortens what the plan describes, its docstring says so.
 """
 
 from __future__ import annotations
@@ -16,36 +17,41 @@
 from benchmarks.capacity.run_processes import clock_us
 from benchmarks.capacity.run_environment import RelayProcess, Environment, delayed_change_id
 
-CHANGE_LIMIT_S: Final = 1.0  # a change at its last gateway
-WORST_CHANGE_LIMIT_S: Final = 4.0  # the same in the worst second, and a configuration
-CHANGES_PER_RESTART: Final = 3  # of a machine: it drains, is gone, is back
+CHANGE_LIMIT_S: Final = 1.0  # until a change is at the last gateway
+WORST_CHANGE_LIMIT_S: Final = 4.0  # the same in the worst second, and for a configuration
+CHANGES_PER_RESTART: Final = 3  # of a host: it drains, is removed and returns
 RESTARTS_PER_S: Final = (PLAN.restarts_per_day + PLAN.failures_per_day) / 86_400
-KILLED_RELAYS: Final = 3  # relays that are killed in turn
-SLOW_READERS: Final = 10  # slow readers
-LARGE_SERVICES: Final = ("s0", "s1", "s2")  # services with hosts enough in each zone
-MAX_CHANGED_HOSTS: Final = 5  # of a rack, at the plan's size, that are of these
+KILLED_RELAYS: Final = 3  # relays to kill, one after another
+SLOW_READERS: Final = 10  # connections that do not read their response
+LARGE_SERVICES: Final = ("s0", "s1", "s2")  # services with enough hosts in each zone
+# Hosts of LARGE_SERVICES to change at once: at the plan's size a rack has about this many of them.
+MAX_CHANGED_HOSTS: Final = 5
 CHANGED_WEIGHT: Final = 2.0  # a weight that no host has otherwise
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
+    """One step of a scale run."""
+
     name: str
     run: Callable[[Environment], Awaitable[None]]
-    duration_s: float  # that it takes, about
-    limit_s: float | None = None  # until the last has it
-    at_every_size: bool = True  # at each size of a full run; else at the largest alone
-    small_run_level: int = 1  # in a small run: 0 never, 1 behind relays, 2 without them too
-    needs_relays: bool = False  # only where there are some
-    compared_costs: str = ""  # hollow ones with real ones: "rates" of calls and bytes, or "bytes" in all
+    duration_s: float  # approximate duration at time scale 1
+    limit_s: float | None = None  # until the last gateway has received the change
+    at_every_size: bool = True  # runs at each size of a full run; otherwise at the largest only
+    small_run_level: int = 1  # in a small run: 0 never, 1 only with relays, 2 with and without relays
+    needs_relays: bool = False  # runs only at sizes that have relays
+    # Costs to compare between simulated and real gateways: "rates" of calls and bytes, or total "bytes".
+    compared_costs: str = ""
 
 
 async def run_quiet(environment: Environment) -> None:
-    """Nothing changes, for long enough to count calls."""
+    """Change nothing, for long enough to count calls."""
     await asyncio.sleep(max(4.0, 10 * environment.time_scale))
 
 
 async def restart_hosts(environment: Environment, count: int, seconds: float) -> None:
-    """Hosts are restarted, one after another at even distances; drained 1 s, gone 1 s (theirs is minutes)."""
+    """Restart hosts one after another at even intervals. Each drains for 1 s and is removed for 1 s, where the plan's
+    restarts take minutes."""
     change_ids: list[str] = []
 
     async def restart_host(index: int) -> None:
@@ -69,18 +75,20 @@
 
 
 async def run_ordinary_hour(environment: Environment) -> None:
-    """An ordinary hour's restarts and failures at their rate, for 12 s of it."""
+    """Restart hosts at the rate of an ordinary hour's restarts and failures, for 12 s."""
     await restart_hosts(environment, max(1, round(RESTARTS_PER_S * 12)), 12)
 
 
 async def run_tenfold_hour(environment: Environment) -> None:
+    """Restart hosts at ten times the rate of an ordinary hour, for 8 s."""
     await restart_hosts(environment, max(3, round(10 * RESTARTS_PER_S * 8)), 8)
 
 
 async def change_all_gateways(environment: Environment) -> None:
-    """A change that every gateway is to have: with whole lists one host's; with subsets as few hosts' as reach all.
+    """Make a change that every gateway must receive: of one host where gateways hold the whole list, and of as few
+    hosts as reach every subset otherwise.
 
-    It stands for a change of configuration, which the program has no way for but this list and its files.
+    It represents a change of configuration, as gateways take one only from this list and from their files.
     """
     names = [host.name for host in environment.fleet.hosts if host.service == "s0"]
     held_indexes = [
@@ -111,6 +119,7 @@
 
 
 async def remove_and_restore(environment: Environment, names: list[str], seconds: float) -> None:
+    """Remove the hosts, wait, and restore them with a new start time."""
     removal = await environment.change_hosts(names, "DELETED")
     environment.mark_leaving(names, environment.changes[removal][0])
     await environment.wait_for_changes([removal])
@@ -122,7 +131,7 @@
 
 
 async def drain_rack(environment: Environment) -> None:
-    """A rack that the real gateways use is told to drain, then is gone and back."""
+    """Drain a rack that the real gateways use, then remove and restore it."""
     await environment.sleep(3)
     environment.load.process_events()
     names = environment.used_rack_hosts()
@@ -133,25 +142,26 @@
 
 
 async def remove_rack(environment: Environment) -> None:
+    """Remove a rack that the real gateways use, and restore it."""
     await remove_and_restore(environment, environment.used_rack_hosts(), 4)
 
 
 async def remove_zone(environment: Environment) -> None:
-    """A sixth of the hosts goes at once, and is back at once."""
+    """Remove the hosts of one zone, a sixth of all, at once and restore them at once."""
     await remove_and_restore(environment, environment.hosts_in_zone(environment.zones[0]), 8)
 
 
 async def restart_gateways(environment: Environment) -> None:
-    """7 in 10 of the hollow gateways are down, and are started within 2 s; how long until each has its list.
+    """Stop 7 in 10 of the simulated gateways, start them within 2 s, and measure how long each needs to get its list.
 
-    Where that is more than their few processes can do, over longer: `over_s` of the row says.
+    If the few worker processes cannot start them that fast, the start takes longer; the row's `over_s` says how long.
     """
     stopped = sum(response["down"] for response in await environment.order_workers("down", share=0.7))
     over_s = environment.start_duration_s(stopped)
     await environment.sleep(2)
     started_us = clock_us()
     started = sum(response["begin"] for response in await environment.order_workers("begin", over_s=over_s))
-    await environment.wait_until(environment.have_all_lists, "after a wave of starts not every gateway has a list")
+    await environment.wait_until(environment.have_all_lists, "not every gateway has a list after the restart")
     stats = await environment.order_workers("stats", since_us=started_us)
     environment.delays_s += [us / 1e6 for response in stats for us in response["ready_us"]]
     await environment.wait_until_settled()
@@ -159,14 +169,14 @@
 
 
 async def change_weight(environment: Environment, names: list[str], since_us: int = 0) -> None:
-    """A change of these hosts that costs no request anything; waited for, and taken back."""
+    """Change the hosts' weight, which affects no request, wait until the gateways have it, and undo it."""
     weight_change = await environment.change_hosts(names, "SERVING", CHANGED_WEIGHT)
     await environment.wait_for_changes([weight_change], since_us=since_us)
     await environment.wait_for_changes([await environment.change_hosts(names, "SERVING")])
 
 
 async def interrupt_discovery(environment: Environment) -> None:
-    """Discovery resets every call for 8 s; a rack drains meanwhile. Counted from its being up again."""
+    """Discovery resets every call for 8 s, and a rack drains meanwhile. Delays count from the end of the outage."""
     names = environment.used_rack_hosts()
     await environment.order_discovery("down", how="reset")
     await environment.sleep(4)
@@ -180,10 +190,10 @@
 
 
 async def kill_relays_in_turn(environment: Environment) -> None:
-    """Relays are killed one at a time, a change comes at once, and the relay is started again.
+    """Kill relays one at a time, change hosts at once, and start the relay again.
 
-    How many asked each, when the last gateway had the change, and the longest that a hollow loop stood until then:
-    what a gateway of its own would not have met.
+    Each kill records how many gateways called the relay, when the last gateway received the change, and the longest
+    stall of a simulated gateways' event loop until then. A gateway in a process of its own has no such stall.
     """
     kills: list[dict[str, Any]] = []
     for relay in environment.relays[:KILLED_RELAYS]:
@@ -196,13 +206,13 @@
             "stop_ms": round(max(response["stood_us"] for response in stats) / 1e3, 1),
         })  # fmt: skip
         relay.start()
-        await environment.wait_until(environment.are_relays_ready, "a relay that was started again is not ready")
+        await environment.wait_until(environment.are_relays_ready, "a restarted relay is not ready")
         await environment.wait_until_settled()
     environment.extra_values |= {"kills": kills, "kill_stop_ms": max(kill["stop_ms"] for kill in kills)}
 
 
 async def kill_all_relays(environment: Environment) -> None:
-    """All relays are dead for 3 s; what changes meanwhile counts from their being ready again."""
+    """Kill all relays for 3 s. The delay of a change made meanwhile counts from when they are ready again."""
     for relay in environment.relays:
         relay.kill()
     names = environment.used_rack_hosts()
@@ -211,7 +221,7 @@
     await environment.sleep(2)
     for relay in environment.relays:
         relay.start()
-    await environment.wait_until(environment.are_relays_ready, "relays that were started again are not ready")
+    await environment.wait_until(environment.are_relays_ready, "restarted relays are not ready")
     await environment.wait_for_changes([weight_change], since_us=clock_us())
     await environment.wait_for_changes([await environment.change_hosts(names, "SERVING")])
     await environment.wait_until_settled()
@@ -219,19 +229,20 @@
 
 @dataclass(slots=True, frozen=True)
 class HalfChanges:
-    """What changes at one half while discovery is in two: a rack drains, other hosts are gone, some come back."""
+    """Changes at one registry half during a partition: a rack drains, some hosts are removed, others return."""
 
     half: str
-    is_used: bool  # by the real gateways: the rack that drains
+    is_used: bool  # the real gateways use the rack that drains
     drained: list[str]
     removed: list[str]
     restored: list[str]
 
 
 def plan_half_changes(environment: Environment, half: str) -> HalfChanges:
-    """Each in a zone of its own, so that none shifts another's windows. Those gone and back are of services that have
-    hosts enough in each region all the same: none spills for them. The real ones use the rack that drains, if it can
-    be."""
+    """Choose the hosts that change at one half, each kind in a zone of its own so that no change shifts the windows
+    of another. Hosts that are removed or return belong to services that have enough hosts in each region without
+    them, so that no traffic spills to another region. If possible, the rack that drains is one that the real
+    gateways use."""
     zones = environment.fleet.regions[half]
     used, nearby = environment.used_rack_hosts(), environment.hosts_in_zone(zones[0])
     is_used = environment.hosts[used[0]].zone in zones
@@ -251,8 +262,9 @@
 
 
 def select_remote_hosts(environment: Environment, half: str, half_changes: list[HalfChanges]) -> list[str]:
-    """Hosts of another region that nothing else is said of: their weight changes at this half, as staff may say at
-    either side. Who has them learns of it at the join, unless it asks this half."""
+    """Hosts of the other region that no other change touches; their weight changes at this half, as an operator may
+    change any host at either half. A gateway that holds them receives the change when the partition heals, or at
+    once if it calls this half's relays."""
     used = {name for changes in half_changes for name in changes.drained + changes.removed + changes.restored}
     near_zones = environment.fleet.regions[half]
     remote = [
@@ -267,12 +279,13 @@
     while_partitioned: Callable[[Environment], Awaitable[None]],
     expects_immediate_drain: bool,
 ) -> None:
-    """Discovery is cut in two, one half a region; each tells its region's relays of changes of its own, and at the
-    join takes up the other's. Each gateway may ask the relays of both regions.
+    """Partition discovery into one half per region. Each half sends its own changes to its region's relays, and takes
+    over the other half's when the partition heals. Each gateway may call the relays of both regions.
 
-    While it is cut, whoever asks a half's relays is to have its changes; after the join all are. Nobody who knew that
-    a host had left may be told that it serves, for an older word of the other half. `leaves`: the real gateways, too,
-    are to know of the drain at once if they ask that half alone.
+    During the partition the callers of a half's relays must receive that half's changes; after it every gateway must
+    receive all of them. A gateway that knew that a host had left must not receive older state of the other half that
+    says that the host serves. `expects_immediate_drain`: the real gateways, too, must follow the drain at once if
+    they call only that half.
     """
     half_changes = [plan_half_changes(environment, half) for half in environment.fleet.regions]
     ended = [name for changes in half_changes for name in changes.drained + changes.removed]
@@ -287,7 +300,7 @@
     await environment.watch_ended_hosts(ended, recorded)
     await environment.order_discovery("part")
     change_ids: list[str] = []
-    left_at_join: list[str] = []  # what the real gateways are to leave, from the join on
+    left_at_join: list[str] = []  # hosts that the real gateways must stop using when the partition heals
     for changes in half_changes:
         drain = await environment.change_hosts(changes.drained, "DRAINING", half=changes.half)
         if changes.is_used and expects_immediate_drain and environment.real_gateway_regions() == {changes.half}:
@@ -305,7 +318,8 @@
     remote_by_half = {
         changes.half: select_remote_hosts(environment, changes.half, half_changes) for changes in half_changes
     }
-    for half, hosts in remote_by_half.items():  # last: what shifts windows there has been told
+    # Last, after the changes that shift windows at that half have been received.
+    for half, hosts in remote_by_half.items():
         change_ids.append(await environment.change_hosts(hosts, "SERVING", CHANGED_WEIGHT, half=half))
         await environment.wait_for_changes(change_ids[-1:], within_s=WORST_CHANGE_LIMIT_S, half=half)
     environment.extra_values |= {
@@ -326,7 +340,7 @@
     environment.extra_values |= {"undone": len(undone)}
     environment.missing_examples = undone + missing_examples + environment.missing_examples
     environment.mark_returned([name for changes in half_changes for name in changes.drained])
-    # As it was before, at once: who held these then is to have them again.
+    # Restore the original state at once. The gateways that held these hosts before must receive them again.
     delays_s, environment.delays_s = environment.delays_s, []
     await environment.wait_for_changes(
         [await environment.change_hosts([name for hosts in remote_by_half.values() for name in hosts], "SERVING")]
@@ -338,12 +352,13 @@
 
 
 async def partition_only(environment: Environment) -> None:
-    """Discovery in two for 8 s, while gateways stay at their relays."""
+    """Partition discovery for 8 s while gateways stay at their relays."""
     await partition_discovery(environment, lambda environment: environment.sleep(8), expects_immediate_drain=True)
 
 
 async def partition_and_restart_relays(environment: Environment) -> None:
-    """The same, and relays of both regions are killed in turn and started again: gateways move between the halves."""
+    """Partition discovery, and kill and restart a relay of each region in turn, so that gateways move between the
+    halves."""
 
     async def restart_relays(environment: Environment) -> None:
         for half in environment.fleet.regions:
@@ -353,16 +368,17 @@
             async def has_no_callers(relay: RelayProcess = relay) -> bool:
                 return not await environment.count_callers(relay)
 
-            await environment.wait_until(has_no_callers, "gateways of a relay that was killed ask it on")
+            await environment.wait_until(has_no_callers, "gateways still call a relay that was killed")
             await environment.wait_until_settled()
             relay.start()
-            await environment.wait_until(environment.are_relays_ready, "a relay that was started again is not ready")
+            await environment.wait_until(environment.are_relays_ready, "a restarted relay is not ready")
 
     await partition_discovery(environment, restart_relays, expects_immediate_drain=False)
 
 
 async def stall_readers(environment: Environment) -> None:
-    """Some ask for the whole list, of a relay or of discovery, and read nothing of it; others are to have news."""
+    """Open connections that request the whole list from a relay or from discovery and do not read the response. Other
+    gateways must receive changes meanwhile."""
     address = environment.relays[0].address if environment.relays else environment.discovery_address
     sockets = []
     try:
@@ -384,7 +400,8 @@
             reader.close()
 
 
-# Gateways go back to a relay that was killed for half a minute after: what they are to stay for is played before.
+# Gateways take up to half a minute to return to a relay that was killed, so the steps during which they must stay at
+# their relays come first.
 STEPS: Final = (
     Step("quiet", run_quiet, 12, small_run_level=2, compared_costs="rates"),
     Step("hour", run_ordinary_hour, 16, CHANGE_LIMIT_S, at_every_size=False, small_run_level=0),
--- a/benchmarks/capacity/simulated_gateways.py
+++ b/benchmarks/capacity/simulated_gateways.py
@@ -1,12 +1,12 @@
-"""Hollow gateways: all that a real one has but its clients, hundreds to a process, on real sockets.
+"""Simulated gateways: everything that a real gateway has except clients, hundreds per process, on real sockets.
 
-Each is the program's own rooms put together (assembly.py) with its front never opened: membership client, core,
-pools and the decision module, with the options that a real one would have. Two things differ from a process of its
-own, as its loop is shared with hundreds: it never counts as having stood still, and the collector is off but between
-steps and where many were taken down. Its clock's beat, its timers, its connection and its state are a real one's.
+Each is the program as assembly.py builds it, without opening its listener: membership client, core, pools and the
+decision module, with the options that a real gateway would have. Two things differ from a gateway in a process of its
+own, because hundreds share the event loop: stall detection is off, and the garbage collector runs only between steps
+and after many gateways were stopped. The clock's tick, the timers, the connection and the state are a real gateway's.
 
-What is judged comes from here: when a gateway had applied a change, in the run's one clock, and what went over its
-sockets, counted between its client and the transport. The gateways know nothing of it.
+The measurements are taken here: when a gateway had applied a change, by the run's clock, and the traffic on its
+sockets, counted between its client and the transport. The gateways do not know of it.
 
 Orders: `make`, `begin`, `down`, `note`, `expect`, `result`, `holders`, `guard`, `asked`, `stats`, `tidy`.
 """
@@ -28,7 +28,7 @@
 
 from cloverkeel.compiled import loader
 
-loader.load("cloverkeel")  # as the program does, before any of its rooms is imported as a source
+loader.load("cloverkeel")  # as the program does, before any of its packages is imported from its source
 
 from benchmarks.capacity.run_stale_updates import StaleUpdateDetector  # noqa: E402
 from benchmarks.capacity.run_processes import (  # noqa: E402
@@ -47,8 +47,8 @@
 from cloverkeel.core.options import parse as parse_options  # noqa: E402
 from cloverkeel.core.ports import Endpoint  # noqa: E402
 
-STALL_DETECTION_OFF_US: Final = 10**15  # no gap is as long
-CURRENT_GATEWAY: Final[ContextVar[int]] = ContextVar("CURRENT_GATEWAY")  # the number of the gateway that a task is of
+STALL_DETECTION_OFF_US: Final = 10**15  # a threshold that no stall reaches
+CURRENT_GATEWAY: Final[ContextVar[int]] = ContextVar("CURRENT_GATEWAY")  # index of the gateway that a task belongs to
 STATUS_BY_NAME: Final = {
     "SERVING": ServerStatus.READY,
     "DRAINING": ServerStatus.DRAINING,
@@ -56,12 +56,12 @@
 }
 
 
-# What goes over sockets
+# Traffic on sockets
 
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Of all hollow gateways of this process, since the start. Bytes of TCP's payload."""
+    """Traffic of all simulated gateways of this process, since its start. Bytes are TCP payload."""
 
     calls: int = 0
     sent_bytes: int = 0
@@ -70,7 +70,7 @@
 
 
 class CountingTransport:
-    """A transport whose writes are counted; all else is its own."""
+    """A transport that counts what is written; everything else is passed through."""
 
     def __init__(self, transport: asyncio.Transport, counters: TrafficCounters) -> None:
         self.transport, self.counters = transport, counters
@@ -85,7 +85,7 @@
 
 
 class CountingProtocol(asyncio.Protocol):
-    """Before a client's protocol: what comes is counted."""
+    """Stands before a client's protocol and counts what is received."""
 
     def __init__(self, inner: Any, counters: TrafficCounters) -> None:
         self.inner, self.counters = inner, counters
@@ -114,11 +114,11 @@
 
 
 class CountingLoop(uvloop.Loop):
-    """The loop of hollow gateways: every connection that one opens is counted."""
+    """The event loop of simulated gateways, which counts the traffic of every connection that they open."""
 
     def __init__(self) -> None:
         self.counters = TrafficCounters()
-        self.last_called_port: dict[int, int] = {}  # by gateway: the port that it has called last
+        self.last_called_port: dict[int, int] = {}  # gateway index -> port of its last call
 
     async def create_connection(  # type: ignore[override]
         self, factory: Callable[[], Any], *args: Any, **kwargs: Any
@@ -132,21 +132,24 @@
         return protocol.transport, protocol.inner
 
 
-# One of them
+# The gateways
 
 
 @dataclass(slots=True, eq=False)
 class ExpectedChange:
-    """A change that gateways are to have, and when each had it."""
+    """A change that gateways must receive, and when each received it."""
 
     name_by_host_id: dict[int, str]
-    host_ids_by_gateway: dict[int, list[int]] = field(default_factory=dict)  # by gateway: hosts of it that it holds
-    remaining_by_gateway: dict[int, int] = field(default_factory=dict)  # by gateway: how many it has not got yet
-    received_us_by_gateway: dict[int, int] = field(default_factory=dict)  # by gateway: when it got the last
-    overtaken_count: int = 0  # hosts of gateways that a newer change has overtaken
+    host_ids_by_gateway: dict[int, list[int]] = field(default_factory=dict)  # the changed hosts that it holds
+    remaining_by_gateway: dict[int, int] = field(default_factory=dict)  # changed hosts not received yet
+    received_us_by_gateway: dict[int, int] = field(default_factory=dict)  # when it received the last one
+    # Hosts whose change a newer one replaced before a gateway received it, over all gateways.
+    overtaken_count: int = 0
 
 
 class SimulatedGateway:
+    """One simulated gateway, through stops and starts."""
+
     def __init__(
         self, index: int, config: Config, options: Options, stale_update_detector: StaleUpdateDetector
     ) -> None:
@@ -160,16 +163,18 @@
         self.started_us = self.listed_us = 0
         self.pending_changes: dict[int, tuple[ExpectedChange, ServerStatus, float]] = {}
         self.errors = self.full_lists = self.deltas = self.listed_entries = 0
-        self.longest_apply_us = 0  # to apply one list
+        self.longest_apply_us = 0  # longest time to apply one list
         self.emptied_lists = 0  # lists that left it without a host
         self.generation = 0
 
     def start(self) -> None:
+        """Start the program in a context that identifies the gateway."""
         context = copy_context()
         context.run(CURRENT_GATEWAY.set, self.index)
-        context.run(self.start_program)  # what it starts is known by its number
+        context.run(self.start_program)  # tasks that it starts inherit the gateway's index
 
     def start_program(self) -> None:
+        """Build and start the program, with a new seed for each start."""
         self.generation += 1
         seed = stable_id(f"{self.config.seed}/{self.generation}", 8)
         self.program = program = assemble(replace(self.config, seed=seed), self.options)
@@ -179,6 +184,7 @@
         program.gateway.start()
 
     def stop(self) -> None:
+        """Stop the program, without the shutdown that a real gateway would make."""
         if self.program is not None:
             self.program.close()
             self.program = None
@@ -186,10 +192,11 @@
 
     @property
     def held_hosts(self) -> dict[int, Any]:
-        """Hosts by their numbers."""
+        """Host ID -> host, of the hosts that the gateway holds."""
         return self.program.pool.hosts if self.program is not None else {}
 
     def on_list(self, kind: ListKind, entries: list[Endpoint]) -> None:
+        """Let the gateway apply a list, then count it and mark the changes that it brought."""
         program = self.program
         if program is None:
             return
@@ -211,7 +218,7 @@
                 self.match_expected_changes(kind, entries, at_us)
 
     def match_expected_changes(self, kind: ListKind, entries: list[Endpoint], at_us: int) -> None:
-        """Which of the changes that are waited for this list has brought."""
+        """Mark the expected changes that this list has brought."""
         listed_hosts = set()
         for entry in entries:
             host_id = entry.listed.server
@@ -224,7 +231,7 @@
             ):
                 self.mark_received(host_id, at_us)
         if kind is ListKind.FULL:
-            # Who asks for the whole is not told of hosts that drain.
+            # A full list leaves out hosts that drain.
             removed_statuses = (ServerStatus.GONE, ServerStatus.DRAINING)
             for host_id in [
                 host_id
@@ -234,12 +241,14 @@
                 self.mark_received(host_id, at_us)
 
     def mark_received(self, host_id: int, at_us: int) -> None:
+        """The gateway has received the change of this host; record the time if it was the change's last host."""
         expected, _, _ = self.pending_changes.pop(host_id)
         expected.remaining_by_gateway[self.index] -= 1
         if not expected.remaining_by_gateway[self.index]:
             expected.received_us_by_gateway[self.index] = at_us
 
     def expect_change(self, expected: ExpectedChange, host_id: int, status: ServerStatus, weight: float) -> None:
+        """Expect a host's new status and weight; this replaces an earlier expectation for the host."""
         previous = self.pending_changes.get(host_id)
         if previous is not None:
             previous[0].overtaken_count += 1
@@ -250,11 +259,11 @@
 
 
 class SimulatedGatewayWorker:
-    """All of this process."""
+    """The simulated gateways of this process, and the orders to them."""
 
     def __init__(self) -> None:
         raise_descriptor_limit()
-        gc.disable()  # its heap is that of hundreds of processes: a pass would stop all of them
+        gc.disable()  # the heap holds hundreds of gateways, and a collection would stall all of them
         self.loop = cast(CountingLoop, asyncio.get_running_loop())
         self.gateways: dict[int, SimulatedGateway] = {}
         self.expected_changes: dict[str, ExpectedChange] = {}
@@ -271,7 +280,8 @@
         }  # fmt: skip
 
     async def create_gateways(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Gateways by their numbers, from one configuration: `each` has number, zone, name, options, discovery."""
+        """Create gateways from a common configuration; `each` lists index, zone, name, options and discovery's
+        address."""
         common = parse(order["configuration"])
         for index, zone, name, options, discovery in order["each"]:
             settings = replace(common.settings, proxy=index, zone=zone)
@@ -283,14 +293,14 @@
         return {"made": len(self.gateways)}
 
     async def start_gateways(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Start those that are down, spread evenly over a time; returns at once with how many."""
+        """Start the stopped gateways, spread evenly over `over_s`. Returns their number at once."""
         stopped = [gateway for gateway in self.gateways.values() if gateway.program is None]
         for gateway in stopped:
             self.loop.call_later(self.rng.random() * order["over_s"], gateway.start)
         return {"begin": len(stopped), "at_us": clock_us()}
 
     async def stop_gateways(self, order: dict[str, Any]) -> dict[str, Any]:
-        """End this share of them outright."""
+        """Stop this share of the gateways abruptly."""
         chosen = self.rng.sample(list(self.gateways.values()), round(len(self.gateways) * order["share"]))
         for gateway in chosen:
             gateway.stop()
@@ -300,14 +310,14 @@
         return {"down": len(chosen)}
 
     async def finish_step(self, order: dict[str, Any]) -> dict[str, Any]:
-        """A step has ended: what it left is collected, and what is there now is not looked at again."""
+        """Collect the garbage of the step that has ended, and exclude all that remains from later collections."""
         self.expected_changes.clear()
         gc.collect()
         gc.freeze()
         return {}
 
     async def record_holders(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Who holds these hosts now, for `as` of a later change."""
+        """Record which gateways hold these hosts now, for `as` of a later change."""
         holders = ExpectedChange({stable_id(name, 4): name for name in order["names"]})
         for gateway in self.gateways.values():
             holders.host_ids_by_gateway[gateway.index] = [
@@ -317,8 +327,9 @@
         return {}
 
     async def expect_change(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Hosts are about to change: name, status, weight. Who holds them is to learn of it, or who did at `as`; with
-        `asking`, ports, of these gateways only who asks there, or only who does not (`asks` false)."""
+        """Hosts (name, status, weight) are about to change. The gateways that hold them, or that held them at the
+        recording `as`, must receive it. `asking`, a list of ports, limits this to gateways whose last call was to
+        one of the ports, or with `asks` false to all others."""
         change = ExpectedChange({stable_id(name, 4): name for name, _, _ in order["hosts"]})
         target_by_host = {
             stable_id(name, 4): (STATUS_BY_NAME[status], float(weight)) for name, status, weight in order["hosts"]
@@ -350,8 +361,9 @@
         return {"gateways": len(change.remaining_by_gateway), "pairs": sum(change.remaining_by_gateway.values())}
 
     async def watch_ended_hosts(self, order: dict[str, Any]) -> dict[str, Any]:
-        """From now on the hosts of this note are not to serve any more at who held them then; none: no longer.
-        Returns who was told otherwise, of those guarded before."""
+        """From now on, a gateway that held one of these hosts at the recording `id` must not receive it as serving
+        after its end; without an ID nothing is watched. Returns the stale updates of the hosts that were watched
+        before."""
         stale_updates = self.stale_update_detector.stale_updates
         self.stale_update_detector.stale_updates, self.stale_update_detector.ended_hosts = [], set()
         recorded = self.expected_changes[order["id"]].host_ids_by_gateway if order["id"] else {}
@@ -362,15 +374,16 @@
         return {"undone": stale_updates}
 
     async def count_callers(self, order: dict[str, Any]) -> dict[str, Any]:
-        """How many of those that are up have called each port last."""
+        """The number of running gateways whose last call was to each port."""
         running = [gateway.index for gateway in self.gateways.values() if gateway.program is not None]
         return {"asked": list(Counter(self.loop.last_called_port.get(index, 0) for index in running).items())}
 
     async def report_changes(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Of each of these changes: when each gateway had all of it that it should have; how many lack some."""
+        """For each of these changes, when each gateway received it completely, and how many still miss a part."""
         return {"results": [self.describe_change(self.expected_changes[change_id]) for change_id in order["ids"]]}
 
     def describe_change(self, change: ExpectedChange) -> dict[str, Any]:
+        """The result of one change."""
         missing = [index for index, remaining in change.remaining_by_gateway.items() if remaining]
         return {
             "had_us": list(change.received_us_by_gateway.values()), "missing": len(missing),
@@ -380,6 +393,7 @@
         }  # fmt: skip
 
     def describe_missing(self, index: int, change: ExpectedChange) -> str:
+        """The gateway's name and some of the hosts whose change it has not received."""
         gateway = self.gateways[index]
         hosts = [
             f"{change.name_by_host_id[host_id]} {expected[1].value}"
@@ -389,7 +403,7 @@
         return f"{gateway.config.name}: {', '.join(hosts[:3])}"
 
     async def report_holders(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Of these hosts, by their places, which each gateway that is up has."""
+        """For each running gateway, which of these hosts it holds, as indexes into `names`."""
         index_by_host = {stable_id(name, 4): index for index, name in enumerate(order["names"])}
         running = [gateway for gateway in self.gateways.values() if gateway.program is not None]
         return {
@@ -400,8 +414,9 @@
         }
 
     async def report_counts(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Counts since the start; the longest stops since the last call with `begins`, at a step's start; how long
-        from start to list, of those started since `since_us`, and the longest stop that ended since, of long ones."""
+        """Counts since the start; the longest stalls since the last call with `begins`, which marks the start of a
+        step; and for gateways started since `since_us` the time from start to list, and the longest recorded stall
+        that ended since."""
         gateways = list(self.gateways.values())
         running = [gateway for gateway in gateways if gateway.program is not None]
         counters = self.loop.counters
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -1,6 +1,6 @@
-"""The scale run, small: it plays its steps between real processes and judges them; and what it rests on.
+"""The small scale run between real processes, and the parts it consists of.
 
-Beside the run itself: discovery's stand-in for many callers, and the sizes that a run allows itself.
+Also covers the emulated discovery service with many callers, and the limits of a run's size.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 from tests.sockets import Client, on_loop, until
 
 
-# The whole of it
+# The whole run
 
 
 @pytest.mark.timeout(100)
 def test_small_run_completes_every_step_without_faults(tmp_path: Path) -> None:
-    """It ends with 0 only if each change came to each gateway that should have it, no request was lost, no drain was
-    late, and a hollow gateway cost the others what a real one does."""
+    """Exit code 0 means that each change reached every gateway that must receive it, no request was lost, no drain
+    was late, and a simulated gateway cost what a real one does."""
     report_file = tmp_path / "run.json"
     assert run.main(["--small", "--json", str(report_file)]) == 0
     report = json.loads(report_file.read_text())
     assert report["faults"] == [] and report["seconds"] < run.MAX_SMALL_RUN_S and report["memory_peak_mb"] < 1_000
-    # The size, the step, and how many gateways should have each change and had it.
+    # The steps at each size, and the number of gateways that received each change.
     rows = {(row["gateways"], row["step"]): row for row in report["steps"]}
     steps_without_relays = ["quiet", "all", "zone", "wave"]
     steps_with_relays = ["drain", "down", "killed", "all-killed", "cut", "slow", "differ"]
@@ -56,17 +56,17 @@
         simulated = gateways - run.REAL_GATEWAYS
         zone, wave = rows[gateways, "zone"], rows[gateways, "wave"]
         assert rows[gateways, "all"]["reach_all"] and rows[gateways, "all"]["had"] == 2 * simulated
-        # Lost and back: whoever has hosts of that zone. Behind relays these are the gateways of its region.
+        # Removed and restored: the gateways that hold hosts of that zone; with relays those of the zone's region.
         gateways_in_region = sum(1 for index in range(run.REAL_GATEWAYS, gateways) if not relays or index % 6 < 3)
         assert zone["changed_hosts"] > zone["hosts"] / 8 and zone["had"] == 2 * gateways_in_region
         assert wave["started"] == round(0.7 * simulated) == wave["had"]
     assert all(row["requests"] > 20 and row["added_p99_ms"] is not None for row in rows.values())
-    # Nobody had to be told twice for the relays that were lost, nor by those that were cut off alone.
+    # Changes reached gateways also while relays were killed or discovery was partitioned.
     assert all(rows[24, name]["had"] for name in ("cut", "differ", "killed", "all-killed"))
-    # Each half's changes came to who asked its relays while discovery was cut in two, and to all at the join.
+    # During the partition each half's changes reached the callers of its relays; after it they reached all.
     for name in ("cut", "differ"):
         assert rows[24, name]["had_while_cut"] and not rows[24, name]["moved_while_cut"]
-    # The same eyes saw both: what is asked for in a second, and a zone's worth of changes.
+    # The same counters measure both kinds of gateway: calls and bytes per second, and the changes of a zone.
     for gateways, _, _ in run.SMALL_SIZES:
         assert abs(rows[gateways, "quiet"]["calls_to_real"] - 1) < run.MAX_COST_DEVIATION
         assert abs(rows[gateways, "quiet"]["bytes_to_real"] - 1) < run.MAX_COST_DEVIATION
@@ -74,7 +74,8 @@
 
 
 def test_missing_change_and_late_change_are_recorded(tmp_path: Path) -> None:
-    """The opposite of a good run: discovery's answers to the hollow gateways are held back."""
+    """Guards against a run that passes without measuring: discovery's responses to the simulated gateways are held
+    back."""
 
     async def run_environment() -> None:
         environment = Environment(Size(8, 60, 2, 0, 1, ""), tmp_path, 1, run.SMALL_RUN_TIME_SCALE)
@@ -82,18 +83,19 @@
             await environment.start()
             host = environment.host_at(5).name
             await environment.order_discovery("cut", groups=[SIMULATED], on=True)
-            name = await environment.change_hosts([host], "DRAINING")
-            await environment.wait_for_changes([name], within_s=0.5)
+            change_id = await environment.change_hosts([host], "DRAINING")
+            await environment.wait_for_changes([change_id], within_s=0.5)
+            # The compared gateways belong to another group, whose responses are not held back.
             assert (environment.missing_count, len(environment.delays_s)) == (
                 6 - COMPARED_GATEWAYS,
                 COMPARED_GATEWAYS,
-            )  # the twins ask elsewhere
+            )
             assert host in environment.missing_examples[0]
             environment.begin_step()
-            name = await environment.change_hosts([host], "SERVING")
+            change_id = await environment.change_hosts([host], "SERVING")
             await asyncio.sleep(0.3)
             await environment.order_discovery("cut", groups=[SIMULATED], on=False)
-            await environment.wait_for_changes([name])
+            await environment.wait_for_changes([change_id])
             assert environment.missing_count == 0 and len(environment.delays_s) == 6
             assert sum(delay_s > 0.3 for delay_s in environment.delays_s) == 6 - COMPARED_GATEWAYS
         finally:
@@ -137,13 +139,12 @@
     serving, draining = listed_host(7, ServerStatus.READY), listed_host(7, ServerStatus.DRAINING)
     detector.check_update(1, ListKind.DELTA, [serving, listed_host(8, ServerStatus.GONE)])
     detector.check_update(3, ListKind.DELTA, [draining])
-    detector.check_update(3, ListKind.DELTA, [serving])  # it did not hold it
+    detector.check_update(3, ListKind.DELTA, [serving])  # gateway 3 did not hold the host
     detector.check_update(1, ListKind.DELTA, [])
     assert not detector.ended_hosts and not detector.stale_updates
     detector.check_update(1, ListKind.DELTA, [draining])
-    detector.check_update(
-        2, ListKind.FULL, [listed_host(8, ServerStatus.READY)]
-    )  # a whole list without it is its end, too
+    # A full list without the host also ends it.
+    detector.check_update(2, ListKind.FULL, [listed_host(8, ServerStatus.READY)])
     assert detector.ended_hosts == {(1, 7), (2, 7)} and not detector.stale_updates
     detector.check_update(1, ListKind.FULL, [serving])
     detector.check_update(2, ListKind.DELTA, [serving])
@@ -155,7 +156,8 @@
 
 
 def test_compared_gateways_subscribe_to_the_services_of_real_gateways() -> None:
-    """What a call costs is by the names in it: of gateways before others, one may cost a tenth more than the next."""
+    """A call's length depends on the services named in it, which can make one gateway's calls a tenth longer than
+    another's."""
     plan_fleet = fleet(60, 3_800)
     compared_fleet = with_compared_services(plan_fleet, run.REAL_GATEWAYS)
     assert [gateway.services for gateway in compared_fleet.gateways[2:4]] == [
@@ -167,7 +169,7 @@
     )
 
 
-# Discovery in halves
+# Partitioned registry
 
 
 def create_partitioned_registry(count: int = 3) -> Halves:
@@ -205,7 +207,7 @@
         == entries_of_half(registry, "r1")
         == {"s-0": ("DRAINING", 1.0), "s-2": ("SERVING", 2.0)}
     )
-    # Each told its own callers what the other had, as changes that came after all that they knew.
+    # Each half sends its own callers the other half's changes, as newer than everything they know.
     for name, half in registry.halves.items():
         is_full_list, entries = half.registry.forms_since(index_before[name])
         assert not is_full_list and {entry["name"] for entry in entries} == {"s-1", "s-2"}
@@ -214,9 +216,11 @@
 @on_loop
 async def test_conflicting_changes_are_resolved_by_start_time_then_restriction_then_recency() -> None:
     for first, second, winner in (
-        (Change("s-0", "DRAINING", 1.0, 0), Change("s-0", "SERVING", 2.0, 0), "first"),  # a drain outlasts news
+        # A drain wins over a later change that does not restrict.
+        (Change("s-0", "DRAINING", 1.0, 0), Change("s-0", "SERVING", 2.0, 0), "first"),
         (Change("s-0", "SERVING", 2.0, 0), Change("s-0", "DRAINING", 1.0, 0), "second"),
-        (Change("s-0", "SERVING", 1.0, 9), Change("s-0", "DRAINING", 1.0, 0), "first"),  # it began anew since
+        # The host was restarted later.
+        (Change("s-0", "SERVING", 1.0, 9), Change("s-0", "DRAINING", 1.0, 0), "first"),
         (Change("s-0", "SERVING", 2.0, 0), Change("s-0", "SERVING", 3.0, 0), "second"),
         (Change("s-0", "DELETED", 1.0, 0), Change("s-0", "SERVING", 1.0, 0), "first"),
     ):
@@ -233,7 +237,7 @@
         assert entries_of_half(registry, "r0") == entries_of_half(registry, "r1") == expected
 
 
-# How large it may be
+# Limits of the size
 
 
 def test_size_is_limited_by_memory_and_processor() -> None:
@@ -255,7 +259,7 @@
         requested_size.simulated,
         requested_size.worker_processes,
         requested_size.limited_by,
-    ) == (24, 22, 1, "what was asked for")
+    ) == (24, 22, 1, "the requested size")
     assert start_duration_s(requested_size, 240.0, 22) == 2.0 < start_duration_s(direct_size, 38_000.0, 700)
 
 
@@ -271,7 +275,7 @@
 
 
 def test_mean_subset_size_matches_relay_design() -> None:
-    """One service of 240 hosts before 24 gateways, 12 a region: 40 hosts a zone, so that each has 27 of them."""
+    """One service with 240 hosts and 24 gateways, 12 per region: 40 hosts per zone, 27 of them at each gateway."""
     simulated_fleet = fleet(24, 240, services=1)
     assert mean_subset_hosts(simulated_fleet) == pytest.approx(3 * 27, rel=0.1)
     for gateways, hosts in ((200, 3_800), (460, 3_800)):
@@ -280,7 +284,7 @@
         )
 
 
-# Discovery for many
+# Discovery with many callers
 
 
 @asynccontextmanager
@@ -317,10 +321,8 @@
     async with open_shared_registry() as (registry, view, bodies):
         first, second = await fetch_instances(view), await fetch_instances(view)
         assert first == second and first["snapshot"] is True
-        assert [entry["name"] for entry in first["endpoints"]] == [
-            "s-0",
-            "s-1",
-        ]  # the third cannot be reached from here
+        # The third host has no address here.
+        assert [entry["name"] for entry in first["endpoints"]] == ["s-0", "s-1"]
         assert "service" not in first["endpoints"][0] and first["endpoints"][1]["service"] == "pay"
         assert bodies.body(None) is bodies.body(None)
         assert (view.counts.calls, view.counts.wholes) == (2, 2) and view.counts.sent > 400
