--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -1,9 +1,9 @@
-"""The stand-in of discovery as a process of its own: a fleet of the plan's shape, listed to thousands of callers.
+"""The emulated discovery service as a process of its own: lists a fleet of the plan's shape to thousands of callers.
 
 Orders: `start`, `change`, `down`, `cut`, `part`, `join`, `stats`. Each group of callers has a listener of its own, so
-that what goes to it is counted and cut apart from the others; those of one half share the encoded answers. Behind
-relays it has a half in each region (standins/parties/partitioned_registry.py): the region's relays ask that, all
-others the first.
+that its traffic is counted and interrupted separately. The groups of one registry half share the encoded responses.
+With relays there is a registry half in each region (standins/parties/partitioned_registry.py): the region's relays
+call that half, all other callers the first.
 """
 
 from __future__ import annotations
@@ -13,101 +13,119 @@
 from typing import Any, Final
 
 from benchmarks.capacity.plan import fleet
-from benchmarks.capacity.run_parts import Order, Stops, clock_us, cpu_us, raise_descriptors, serve
+from benchmarks.capacity.run_processes import (
+    OrderHandler,
+    StallMeter,
+    clock_us,
+    own_cpu_us,
+    raise_descriptor_limit,
+    serve_orders,
+)
 from benchmarks.capacity.run_sizes import host_ports
 from standins.event_log import EventLog
 from standins.parties.partitioned_registry import HostChange, PartitionedRegistry
 from standins.parties.network import Address
 from standins.parties.registry import ResponseCache, Entry, Registry, RegistryListener
 
-HISTORY: Final = 32_768  # changes kept for watches: two zones' worth at the plan's size
+MAX_CHANGE_HISTORY: Final = 32_768  # changes kept for watches: those of two zones at the plan's size
 
 
-class Nothing(EventLog):
-    """No account is kept: the run judges by what gateways got."""
+class NullEventLog(EventLog):
+    """An event log that keeps nothing: the run is evaluated by what gateways receive."""
 
     def add(self, entry: object) -> None:
         pass
 
 
-class Discovery:
+class DiscoveryProcess:
+    """Executes the orders to the discovery service."""
+
     def __init__(self) -> None:
-        raise_descriptors()
-        self.halves = PartitionedRegistry({})
+        raise_descriptor_limit()
+        self.partitioned_registry = PartitionedRegistry({})
         self.addresses: dict[str, Address] = {}
         self.views: dict[str, RegistryListener] = {}
-        self.uncut: dict[str, asyncio.Event] = {}
-        self.stops = Stops()
+        self.delivery_allowed: dict[str, asyncio.Event] = {}
+        self.stall_meter = StallMeter()
 
-    def orders(self) -> dict[str, Order]:
+    def handlers(self) -> dict[str, OrderHandler]:
         return {
-            "start": self.start, "change": self.change, "down": self.down, "cut": self.cut, "part": self.part,
-            "join": self.join, "stats": self.stats,
+            "start": self.start, "change": self.change_hosts, "down": self.set_outage,
+            "cut": self.hold_responses, "part": self.partition, "join": self.heal_partition,
+            "stats": self.report_counts,
         }  # fmt: skip
 
     async def start(self, order: dict[str, Any]) -> dict[str, Any]:
-        """List this fleet, in these halves, on a listener for each group; returns their addresses."""
-        made = fleet(order["gateways"], order["hosts"])
-        self.halves = PartitionedRegistry({name: Registry(Nothing(), history=HISTORY) for name in order["halves"]})
-        for host, port in zip(made.hosts, host_ports(made, order["ports"]), strict=True):
+        """Start a listener for each group, which lists this fleet from a registry half; return the listeners'
+        addresses."""
+        simulated_fleet = fleet(order["gateways"], order["hosts"])
+        self.partitioned_registry = PartitionedRegistry(
+            {name: Registry(NullEventLog(), history=MAX_CHANGE_HISTORY) for name in order["halves"]}
+        )
+        for host, port in zip(simulated_fleet.hosts, host_ports(simulated_fleet, order["ports"]), strict=True):
             self.addresses[host.name] = ("127.0.0.1", port)
-            self.halves.add_entry(Entry(host.name, host.zone, "m", 0, 0, service=host.service))
-        bodies = {name: ResponseCache(half.registry, self.addresses.get) for name, half in self.halves.halves.items()}
-        for each in bodies.values():
-            each.get_body(None)
+            self.partitioned_registry.add_entry(Entry(host.name, host.zone, "m", 0, 0, service=host.service))
+        bodies = {
+            name: ResponseCache(half.registry, self.addresses.get)
+            for name, half in self.partitioned_registry.halves.items()
+        }
+        for encoded in bodies.values():
+            encoded.get_body(None)
         for group in order["groups"]:
-            self.uncut[group] = asyncio.Event()
-            self.uncut[group].set()
-            name = group if group in bodies else order["halves"][0]
-            registry = self.halves.halves[name].registry
+            self.delivery_allowed[group] = asyncio.Event()
+            self.delivery_allowed[group].set()
+            half_name = group if group in bodies else order["halves"][0]
+            registry = self.partitioned_registry.halves[half_name].registry
             self.views[group] = await registry.open_listener(
-                group, self.addresses.get, self.gate(group), bodies[name]
+                group, self.addresses.get, self.delivery_gate(group), bodies[half_name]
             )
         gc.collect()
-        gc.freeze()  # the fleet is no garbage
+        gc.freeze()  # the fleet lives as long as the process, so collections skip it
         return {"addresses": {group: view.address for group, view in self.views.items()}}
 
-    def gate(self, group: str) -> Any:
-        async def may_pass() -> None:
-            await self.uncut[group].wait()
+    def delivery_gate(self, group: str) -> Any:
+        """A function that waits while responses to this group are held back."""
+
+        async def wait_for_delivery() -> None:
+            await self.delivery_allowed[group].wait()
 
-        return may_pass
+        return wait_for_delivery
 
-    async def change(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Change hosts, all at once, at one `half` where they are cut: name, status, weight, start (ms). Returns just
-        before when."""
+    async def change_hosts(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Change hosts (name, status, weight, start time in ms), all at once, at one `half` during a partition.
+        Returns the time just before the change."""
         at_us = clock_us()
-        self.halves.apply_changes([HostChange(*each) for each in order["hosts"]], order.get("half", ""))
+        self.partitioned_registry.apply_changes([HostChange(*each) for each in order["hosts"]], order.get("half", ""))
         return {"at_us": at_us}
 
-    async def down(self, order: dict[str, Any]) -> dict[str, Any]:
-        """ "503", "reset" or "silent"; "": up again."""
-        for half in self.halves.halves.values():
+    async def set_outage(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Let calls fail with "503", "reset" or "silent"; "" ends the outage."""
+        for half in self.partitioned_registry.halves.values():
             await half.registry.set_outage_mode(order["how"])
         return {"at_us": clock_us()}
 
-    async def part(self, order: dict[str, Any]) -> dict[str, Any]:
-        """The halves hear of one another no longer."""
-        self.halves.partition()
+    async def partition(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Stop the exchange between the registry halves."""
+        self.partitioned_registry.partition()
         return {"at_us": clock_us()}
 
-    async def join(self, order: dict[str, Any]) -> dict[str, Any]:
-        """They do again, and each takes up what the other has. Returns just before when."""
+    async def heal_partition(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Resume the exchange: each half takes over the other's changes. Returns the time just before."""
         at_us = clock_us()
-        self.halves.merge()
+        self.partitioned_registry.merge()
         return {"at_us": at_us}
 
-    async def cut(self, order: dict[str, Any]) -> dict[str, Any]:
-        """What is said to this group is held back, or no longer."""
+    async def hold_responses(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Hold back the responses to these groups, or send them again."""
         for group in order["groups"]:
             if order["on"]:
-                self.uncut[group].clear()
+                self.delivery_allowed[group].clear()
             else:
-                self.uncut[group].set()
+                self.delivery_allowed[group].set()
         return {"at_us": clock_us()}
 
-    async def stats(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Counts since the start, by group; the longest stop since the last call."""
+    async def report_counts(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Counts since the start, by group, and the longest stall since the last call."""
         counts = {
             group: {
                 "calls": view.counts.requests, "wholes": view.counts.full_lists, "came": view.counts.received_bytes,
@@ -115,8 +133,13 @@
             }
             for group, view in self.views.items()
         }  # fmt: skip
-        return {"at_us": clock_us(), "cpu_us": cpu_us(), "stop_us": self.stops.take(), "groups": counts}
+        return {
+            "at_us": clock_us(),
+            "cpu_us": own_cpu_us(),
+            "stop_us": self.stall_meter.take_longest_us(),
+            "groups": counts,
+        }
 
 
 if __name__ == "__main__":
-    serve(lambda: Discovery().orders())
+    serve_orders(lambda: DiscoveryProcess().handlers())
