--- a/standins/parties/backend.py
+++ b/standins/parties/backend.py
@@ -22,10 +22,8 @@
 
 RESPONSE_PADDING = b"." * 400
 MALFORMED_KINDS = ("noise", "head", "length", "huge", "short")  # the attempt fails although its work was done
-ENDLESS_DATA_BY_KIND = {
-    "head": b"X-More: " + b"y" * 4000 + b"\r\n",
-    "huge": b"." * 65536,
-}  # sent repeatedly after the start of the response
+# Sent repeatedly after the start of the response.
+ENDLESS_DATA_BY_KIND = {"head": b"X-More: " + b"y" * 4000 + b"\r\n", "huge": b"." * 65536}
 MAX_FLOOD_BYTES = 256 << 20  # limit of one endless response
 EXCESS_DATA_KINDS = ("copy", "behind", "interim", "report")  # a valid response with unexpected data around it
 
@@ -97,9 +95,7 @@
         self.busy_cores = 0
         self.queued_jobs: deque[Job] = deque()
         self.jobs: set[Job] = set()
-        self.recent_work: deque[tuple[int, int]] = (
-            deque()
-        )  # (time in us, work in us) of requests received during slow start
+        self.recent_work: deque[tuple[int, int]] = deque()  # (time, work) in us, of requests during slow start
         self.recent_paths: OrderedDict[str, int] = OrderedDict()  # time of the last request in us, by path
         self.recent_service_times: deque[tuple[int, float]] = deque(maxlen=200)  # (end in us, duration in ms)
         self.load_reports: deque[tuple[int, str]] = deque(maxlen=8)  # (time in us, text)
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -187,10 +187,8 @@
     picked = [balancer.pick_target(1) for _ in range(10)]
     assert Counter(target.name for target in picked if target) == {"n1": 5, "n3": 5}
     balancer.schedule_close_after_failure("n1")
-    assert {target.name for target in (balancer.pick_target(1) for _ in range(4)) if target} == {
-        "n1",
-        "n3",
-    }  # not yet detected
+    # The failure is not yet detected.
+    assert {target.name for target in (balancer.pick_target(1) for _ in range(4)) if target} == {"n1", "n3"}
     await until(lambda: not targets[1].is_open)
     assert {target.name for target in (balancer.pick_target(1) for _ in range(4)) if target} == {"n3"}
     balancer.schedule_close_after_failure("n3")
@@ -198,9 +196,8 @@
     await asyncio.sleep(0.08)
     assert targets[3].is_open
     balancer.close("n3")
-    assert {target.room for target in (balancer.pick_target(1) for _ in range(4)) if target} == {
-        0
-    }  # no gateway is open in the room
+    # No gateway is open in the room.
+    assert {target.room for target in (balancer.pick_target(1) for _ in range(4)) if target} == {0}
 
 
 @pytest.mark.parametrize("kind", sorted(build_misbehaving_requests(random.Random(1))))
@@ -213,9 +210,8 @@
         event_log = EventLog()
         target = GatewayTarget("n0", 0, ("127.0.0.1", run.port))
         if kind == "the id of an open request":
-            assert (
-                await send_misbehaving_request(event_log, target, random.Random(1), kind) is None
-            )  # no request is open
+            # No request is open.
+            assert await send_misbehaving_request(event_log, target, random.Random(1), kind) is None
             backend.script = silent
             other_client = await run.connect()
             other_client.send(request(x_call_id="mine"))
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -142,9 +142,8 @@
     assert len(check_leases([*valid_acts, act(50, 5, 1), act(60, 5, 1)], {1: 1})) == 1
     duplicate_token = check_leases([*valid_acts, act(50, 9, 3)])
     assert [violation.what for violation in duplicate_token] == ["two holders with one epoch"]
-    assert check_leases(
-        [*valid_acts, act(50, 9, 2, nonce=2)]
-    )  # another process of the same gateway is another holder
+    # Another process of the same gateway is another holder.
+    assert check_leases([*valid_acts, act(50, 9, 2, nonce=2)])
 
 
 def test_lower_token_after_a_full_restart_is_accepted_for_one_lease() -> None:
@@ -155,11 +154,8 @@
     assert [violation.what for violation in check_leases(continued_acts, blanks=[500_000], lease_us=600_000)] == [
         "it goes on under an epoch that was refused"
     ]
-    competing_acts = [
-        act(0, 9, 1),
-        act(1000, 5, 2),
-        act(1100, 4, 3),
-    ]  # the restarted holders are checked against each other
+    # The restarted holders are checked against each other.
+    competing_acts = [act(0, 9, 1), act(1000, 5, 2), act(1100, 4, 3)]
     assert [violation.what for violation in check_leases(competing_acts, blanks=[500_000], lease_us=600_000)] == [
         "an act after a newer holder's"
     ]
