--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -18,7 +18,7 @@
 from typing import Final
 
 from benchmarks.capacity.fit import Curve
-from benchmarks.capacity.plan import LEAST_GATEWAYS, PLAN, SERVICES_EACH, fleet, service_sizes
+from benchmarks.capacity.plan import MIN_GATEWAYS_PER_SERVICE, PLAN, SERVICES_PER_GATEWAY, build_fleet, service_sizes
 
 DAY_S: Final = 86_400
 CHANGES_EACH: Final = 2.5  # of the list by one restart or replacement: it drains, perhaps goes, and is back
@@ -59,7 +59,10 @@
     gateways, hosts, services = scaled(share)
     told = 0.0
     for size in service_sizes(hosts, services):
-        full = min(gateways, max(min(LEAST_GATEWAYS, gateways), round(gateways * SERVICES_EACH / hosts * size)))
+        full = min(
+            gateways,
+            max(min(MIN_GATEWAYS_PER_SERVICE, gateways), round(gateways * SERVICES_PER_GATEWAY / hosts * size)),
+        )
         before = gateways if before_all else full
         near = max(1.0, before / PLAN.regions)
         zone = size / PLAN.zones
@@ -77,7 +80,7 @@
 @lru_cache(maxsize=1)
 def services_of_gateways() -> tuple[int, float, int]:
     """Services that a gateway is before, in the plan's fleet: least, mean, most."""
-    counts = [len(front.services) for front in fleet(PLAN.gateways, PLAN.hosts).gateways]
+    counts = [len(gateway.services) for gateway in build_fleet(PLAN.gateways, PLAN.hosts).gateways]
     return min(counts), sum(counts) / len(counts), max(counts)
 
 
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -19,7 +19,7 @@
 
 from benchmarks.capacity import budget
 from benchmarks.capacity.budget import ASSUMED, Figure, Load, ranking, work_out
-from benchmarks.capacity.plan import LEAST_GATEWAYS, PLAN, SERVICES_EACH, service_sizes
+from benchmarks.capacity.plan import MIN_GATEWAYS_PER_SERVICE, PLAN, SERVICES_PER_GATEWAY, service_sizes
 from benchmarks.capacity.slopes import curve_of, read
 
 ROOT: Final = Path(__file__).resolve().parents[2]
@@ -125,8 +125,8 @@
         rows = [
             ("hosts of a service, largest", figure(sizes[-1])),
             ("hosts of a service, median", figure(sizes[len(sizes) // 2])),
-            (f"services of a gateway (each gateway has room for {SERVICES_EACH}, each service {LEAST_GATEWAYS} "
-             "gateways or more)", f"{least} to {most}, mean {mean:.1f}"),
+            (f"services of a gateway (each gateway has room for {SERVICES_PER_GATEWAY}, "
+             f"each service {MIN_GATEWAYS_PER_SERVICE} gateways or more)", f"{least} to {most}, mean {mean:.1f}"),
             ("hosts in a gateway's subset, mean", figure(budget.subset_hosts(1.0))),
             ("the same for the gateway with the most services: what the tables take", figure(told)),
             ("the same if each gateway were before all services", figure(all_told)),
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -32,7 +32,7 @@
 import uvloop
 
 from cloverkeel.compiled import loader
-from benchmarks.capacity.plan import PLAN, fleet, zones_of
+from benchmarks.capacity.plan import PLAN, build_fleet, zones_by_region
 from benchmarks.capacity.world import encoded, entries, gateways_at
 from standins.site import BackendType, Rules, configuration, settings
 
@@ -60,7 +60,7 @@
 
 def gateway_settings(hosts: int) -> dict[str, Any]:
     """The settings of a gateway of the plan's fleet at this share of it; lists are pushed."""
-    zones = [zone for each in zones_of().values() for zone in each]
+    zones = [zone for each in zones_by_region().values() for zone in each]
     return settings(gateways_at(hosts), 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed", "zones": zones}
 
 
@@ -514,14 +514,14 @@
     from cloverkeel.control_plane.incremental_update import apply_list_incrementally
     from cloverkeel.core.incremental_json import decode_json
 
-    made = fleet(gateways_at(size), size)
+    made = build_fleet(gateways_at(size), size)
     dice = random.Random(2)
-    listed = [host.entry(since_ms=dice.randrange(NOW_MS - SPREAD_MS, NOW_MS)) for host in made.hosts]
+    listed = [host.to_entry(since_ms=dice.randrange(NOW_MS - SPREAD_MS, NOW_MS)) for host in made.hosts]
     share = max(1, round(len(made.gateways) / PLAN.control_machines))
     askers = [Subscriber(front.name) for front in random.Random(1).sample(made.gateways, share)]
     bodies = [_answer(1, True, listed)]
     before = kib("self", "VmRSS")
-    cache = EndpointCache(parse_roster(json.dumps(made.roster()), "the plan"), 1)
+    cache = EndpointCache(parse_roster(json.dumps(made.to_roster()), "the plan"), 1)
     gc.collect()
     gc.freeze()
     gc.disable()  # as the program does
@@ -711,13 +711,13 @@
     from benchmarks.capacity.budget import HOUR, Load
 
     costs: Costs = {}
-    made = fleet(gateways_at(size), size)
+    made = build_fleet(gateways_at(size), size)
     front = max(made.gateways, key=lambda one: len(one.services))
     zones = [zone for each in made.regions.values() for zone in each]
     seconds = min(seconds, RELAYED_S)
     with world(size) as (hosts, discovery), tempfile.TemporaryDirectory() as name:
         folder, port = Path(name), free_port()
-        (folder / "roster.json").write_text(json.dumps(made.roster()))
+        (folder / "roster.json").write_text(json.dumps(made.to_roster()))
         listens = f'listen = "127.0.0.1:{port}"\ndiscovery = "127.0.0.1:{discovery}"\n'
         (folder / "relay.toml").write_text(f'name = "relay"\n{listens}roster = "roster.json"\n')
         options = folder / "options.toml"
--- a/benchmarks/capacity/plan.py
+++ b/benchmarks/capacity/plan.py
@@ -1,8 +1,9 @@
-"""The size that the operators plan for, and a fleet of that shape at any share of it.
+"""The size that the operators plan for, and a fleet of the same shape at any share of that size.
 
-What they did not say is assumed here, in one place, and printed on docs/CAPACITY.md: hosts over services by 1/rank
-(the largest has some 5,400 hosts, half have 7 or fewer), hosts evenly over zones, three zones a region, each gateway
-before some 27 services (all gateways are before the large ones).
+The operators' figures leave open how hosts, services and gateways are distributed. This module assumes, and
+docs/CAPACITY.md prints: hosts per service proportional to 1/rank (the largest service has about 5,400 hosts, half of
+the services have 7 or fewer), hosts distributed evenly over zones, three zones per region, and about 27 services
+per gateway (every gateway serves the largest services).
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """The operators' figures (issue 'The size of two years')."""
+    """The operators' figures (issue 'The size of two years') for the whole fleet, unless a comment says otherwise."""
 
     gateways: int = 4_600
     hosts: int = 38_000
@@ -24,35 +25,38 @@
     tenants: int = 170_000
     added_p99_ms: float = 2.1
     regions: int = 2
-    zones: int = 6  # in all: three a region
+    zones: int = 6  # total over all regions: three per region
     configurations_per_day: int = 3_200
-    configuration_s: float = 4.0  # in force everywhere
-    control_core: float = 0.026  # of a core, for control, a gateway
-    control_mb: int = 128
-    control_bytes_per_s: int = 4_096
+    configuration_s: float = 4.0  # until a change of configuration is in force at every gateway
+    control_core: float = 0.026  # share of a core for control traffic, per gateway
+    control_mb: int = 128  # per gateway
+    control_bytes_per_s: int = 4_096  # per gateway
     control_machines: int = 12
-    failures_per_day: int = 60  # machines
-    restarts_per_day: int = 9_800  # machines restarted or replaced
+    failures_per_day: int = 60  # machines that fail
+    restarts_per_day: int = 9_800  # machines that are restarted or replaced
 
     @property
     def requests_per_gateway(self) -> float:
+        """Requests per second at each gateway."""
         return self.requests_per_s / self.gateways
 
 
 PLAN: Final = Plan()
-SERVICES_EACH: Final = 30  # that a gateway is before, where every service had its full share of gateways
-LEAST_GATEWAYS: Final = 24  # before a service
+SERVICES_PER_GATEWAY: Final = 30  # if every service had its full share of gateways
+MIN_GATEWAYS_PER_SERVICE: Final = 24
 
 
 @dataclass(slots=True, frozen=True)
 class Host:
+    """One host of a service."""
+
     name: str
     service: str
     zone: str
     address: str
 
-    def entry(self, status: str = "SERVING", since_ms: int = 0) -> dict[str, Any]:
-        """In discovery's published form, with the optional field `service`."""
+    def to_entry(self, status: str = "SERVING", since_ms: int = 0) -> dict[str, Any]:
+        """Return the entry of this host in discovery's published format, with the optional field `service`."""
         return {
             "name": self.name, "address": self.address, "zone": self.zone, "type": "m", "group": 0,
             "status": status, "weight": 1.0, "since_ms": since_ms, "service": self.service,
@@ -60,8 +64,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Front:
-    """One gateway and the services that it is before."""
+class FleetGateway:
+    """One gateway and the services whose requests it forwards."""
 
     name: str
     zone: str
@@ -70,56 +74,64 @@
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
+    """All hosts and gateways, and the zones of each region."""
+
     hosts: tuple[Host, ...]
-    gateways: tuple[Front, ...]
-    regions: dict[str, tuple[str, ...]]  # zones of each
+    gateways: tuple[FleetGateway, ...]
+    regions: dict[str, tuple[str, ...]]  # zones by region
 
-    def roster(self) -> dict[str, Any]:
-        """The relay's file of gateways (docs/relay-design.md)."""
+    def to_roster(self) -> dict[str, Any]:
+        """Return the content of a relay's roster file (docs/relay-design.md)."""
         return {
             "regions": {region: list(zones) for region, zones in self.regions.items()},
-            "gateways": {g.name: {"zone": g.zone, "services": list(g.services)} for g in self.gateways},
+            "gateways": {
+                gateway.name: {"zone": gateway.zone, "services": list(gateway.services)} for gateway in self.gateways
+            },
         }
 
 
-def zones_of(plan: Plan = PLAN) -> dict[str, tuple[str, ...]]:
-    each = plan.zones // plan.regions
-    return {f"r{r}": tuple(f"r{r}-z{z}" for z in range(each)) for r in range(plan.regions)}
+def zones_by_region(plan: Plan = PLAN) -> dict[str, tuple[str, ...]]:
+    """Return the names of all zones, by the name of their region."""
+    zones_per_region = plan.zones // plan.regions
+    return {f"r{r}": tuple(f"r{r}-z{z}" for z in range(zones_per_region)) for r in range(plan.regions)}
 
 
 def service_sizes(hosts: int, services: int) -> list[int]:
-    """Hosts of each service, the largest first, at least one each; they add up to `hosts`."""
+    """Return the number of hosts of each service, largest first, at least one each. Their sum is `hosts`."""
     weights = [1.0 / rank for rank in range(1, services + 1)]
-    left, total = hosts - services, sum(weights)
-    sizes = [1 + int(left * weight / total) for weight in weights]
+    remaining, total_weight = hosts - services, sum(weights)
+    sizes = [1 + int(remaining * weight / total_weight) for weight in weights]
     sizes[0] += hosts - sum(sizes)
     return sizes
 
 
-def fleet(gateways: int, hosts: int, services: int | None = None, seed: int = 1, host_ports: int = 0) -> Fleet:
-    """A fleet of the plan's shape. Without `services`, as many as the plan has for so many hosts.
+def build_fleet(gateways: int, hosts: int, services: int | None = None, seed: int = 1, host_ports: int = 0) -> Fleet:
+    """Build a fleet of the plan's shape. Without `services`, it has the plan's ratio of services to hosts.
 
-    Addresses are 127.0.0.1 and one of `host_ports` ports from 20000 on (0: made-up ones that nobody serves).
+    Host addresses are 127.0.0.1 with one of `host_ports` ports from 20000 upward. With `host_ports` 0 they are
+    addresses at which no server listens.
     """
-    dice = random.Random(f"{seed}/fleet")
+    rng = random.Random(f"{seed}/fleet")
     services = services or max(1, round(PLAN.services * hosts / PLAN.hosts))
-    regions = zones_of()
-    zones = [zone for each in regions.values() for zone in each]
+    regions = zones_by_region()
+    zones = [zone for region_zones in regions.values() for zone in region_zones]
     sizes = service_sizes(hosts, services)
-    made: list[Host] = []
-    for number, size in enumerate(sizes):
-        first = dice.randrange(len(zones))
-        for each in range(size):
-            at = len(made)
-            far = f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:8081"
-            address = f"127.0.0.1:{20_000 + at % host_ports}" if host_ports else far
-            zone = zones[(first + each) % len(zones)]
-            made.append(Host(f"h-{dice.getrandbits(32):08x}-{at}", f"s{number}", zone, address))
-    fronts: dict[int, list[str]] = {number: [] for number in range(gateways)}
-    share = gateways * SERVICES_EACH / hosts
-    for number, size in enumerate(sizes):
-        count = min(gateways, max(min(LEAST_GATEWAYS, gateways), round(share * size)))
-        for gateway in dice.sample(range(gateways), count):
-            fronts[gateway].append(f"s{number}")
-    named = [Front(f"g{n}", zones[n % len(zones)], tuple(fronts[n])) for n in range(gateways)]
-    return Fleet(tuple(made), tuple(named), regions)
+    fleet_hosts: list[Host] = []
+    for service_index, size in enumerate(sizes):
+        first_zone_index = rng.randrange(len(zones))
+        for index_in_service in range(size):
+            host_index = len(fleet_hosts)
+            unserved_address = f"10.{host_index >> 16}.{host_index >> 8 & 255}.{host_index & 255}:8081"
+            address = f"127.0.0.1:{20_000 + host_index % host_ports}" if host_ports else unserved_address
+            zone = zones[(first_zone_index + index_in_service) % len(zones)]
+            fleet_hosts.append(Host(f"h-{rng.getrandbits(32):08x}-{host_index}", f"s{service_index}", zone, address))
+    services_by_gateway: dict[int, list[str]] = {gateway_index: [] for gateway_index in range(gateways)}
+    gateways_per_host = gateways * SERVICES_PER_GATEWAY / hosts
+    for service_index, size in enumerate(sizes):
+        count = min(gateways, max(min(MIN_GATEWAYS_PER_SERVICE, gateways), round(gateways_per_host * size)))
+        for gateway_index in rng.sample(range(gateways), count):
+            services_by_gateway[gateway_index].append(f"s{service_index}")
+    fleet_gateways = [
+        FleetGateway(f"g{n}", zones[n % len(zones)], tuple(services_by_gateway[n])) for n in range(gateways)
+    ]
+    return Fleet(tuple(fleet_hosts), tuple(fleet_gateways), regions)
--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -12,7 +12,7 @@
 import gc
 from typing import Any, Final
 
-from benchmarks.capacity.plan import fleet
+from benchmarks.capacity.plan import build_fleet
 from benchmarks.capacity.run_processes import (
     OrderHandler,
     StallMeter,
@@ -58,7 +58,7 @@
     async def start(self, order: dict[str, Any]) -> dict[str, Any]:
         """Start a listener for each group, which lists this fleet from a registry half; return the listeners'
         addresses."""
-        simulated_fleet = fleet(order["gateways"], order["hosts"])
+        simulated_fleet = build_fleet(order["gateways"], order["hosts"])
         self.partitioned_registry = PartitionedRegistry(
             {name: Registry(NullEventLog(), history=MAX_CHANGE_HISTORY) for name in order["halves"]}
         )
--- a/benchmarks/capacity/run_environment.py
+++ b/benchmarks/capacity/run_environment.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, Final
 
-from benchmarks.capacity.plan import Fleet, Front, Host, fleet
+from benchmarks.capacity.plan import Fleet, FleetGateway, Host, build_fleet
 from benchmarks.capacity.run_load import RequestLoad, Traffic, CountingProxy, quantile
 from benchmarks.capacity.run_processes import ROOT, WorkerProcess, clock_us, process_cpu_us, die_with_parent, rss_kib
 from benchmarks.capacity.run_sizes import Size, rack_indexes, start_duration_s, mean_subset_hosts
@@ -107,7 +107,7 @@
             time_scale,
             own_region_only,
         )
-        self.fleet = with_compared_services(fleet(size.gateways, size.hosts), size.real)
+        self.fleet = with_compared_services(build_fleet(size.gateways, size.hosts), size.real)
         self.hosts = {host.name: host for host in self.fleet.hosts}
         self.rack_indexes = rack_indexes(self.fleet)
         self.rack_by_host = {host.name: rack for host, rack in zip(self.fleet.hosts, self.rack_indexes, strict=True)}
@@ -142,7 +142,7 @@
         )  # fmt: skip
         addresses: dict[str, Address] = {group: (a[0], a[1]) for group, a in response["addresses"].items()}
         self.discovery_address = addresses[SIMULATED]
-        (self.folder / "roster.json").write_text(json.dumps(self.fleet.roster()))
+        (self.folder / "roster.json").write_text(json.dumps(self.fleet.to_roster()))
         regions = list(self.fleet.regions)
         for index in range(self.size.relays):
             region = regions[index % len(regions)]
@@ -176,7 +176,7 @@
         self.load.start_clients()
         await self.wait_until_settled()
 
-    def gateway_configuration(self, index: int, gateway: Front, targets: Sequence[Address]) -> dict[str, Any]:
+    def gateway_configuration(self, index: int, gateway: FleetGateway, targets: Sequence[Address]) -> dict[str, Any]:
         """A gateway's LB_CONFIG, which names discovery also where there are relays. `targets`: discovery's address,
         then the relays'."""
         gateway_settings = settings(self.size.gateways, index, 0, BackendType(), Rules()) | {"zones": self.zones}
@@ -188,7 +188,7 @@
         )
         return result | {"known": {}}  # without a stored list, so that the gateway requests the whole list
 
-    def gateway_options(self, gateway: Front, targets: Sequence[Address]) -> dict[str, Any]:
+    def gateway_options(self, gateway: FleetGateway, targets: Sequence[Address]) -> dict[str, Any]:
         """A gateway's CLOVERKEEL_OPTIONS, as parsed from the file."""
         if not self.relays:
             return {}
--- a/benchmarks/capacity/run_sizes.py
+++ b/benchmarks/capacity/run_sizes.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from benchmarks.capacity.plan import LEAST_GATEWAYS, PLAN, SERVICES_EACH, Fleet, service_sizes
+from benchmarks.capacity.plan import MIN_GATEWAYS_PER_SERVICE, PLAN, SERVICES_PER_GATEWAY, Fleet, service_sizes
 
 MAX_MEMORY_MB: Final = 12_000  # half of the machine's memory, for all processes of a run
 HELD_HOST_KIB: Final = 2.5  # memory per host that a gateway holds (see slopes.py)
@@ -114,7 +114,9 @@
     services = max(1, round(PLAN.services * hosts / PLAN.hosts))
     held_total = 0.0
     for count in service_sizes(hosts, services):
-        serving_gateways = max(min(LEAST_GATEWAYS, gateways), round(gateways * SERVICES_EACH / hosts * count))
+        serving_gateways = max(
+            min(MIN_GATEWAYS_PER_SERVICE, gateways), round(gateways * SERVICES_PER_GATEWAY / hosts * count)
+        )
         gateways_per_region, hosts_per_zone = min(gateways, serving_gateways) / PLAN.regions, count / PLAN.zones
         held_total += (
             PLAN.zones
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from benchmarks.capacity.plan import PLAN, fleet
+from benchmarks.capacity.plan import PLAN, build_fleet
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\nX-Load-Report: TEXT queue=0.2, latency_ms=1.0, qps=80\r\n\r\n"
 ANSWER += b"." * 400
@@ -32,9 +32,9 @@
 
 def entries(hosts: int, ports: list[int]) -> list[dict[str, Any]]:
     """The plan's fleet at this number of hosts, in discovery's form, the hosts on these ports in turn."""
-    made = fleet(gateways_at(hosts), hosts).hosts
+    made = build_fleet(gateways_at(hosts), hosts).hosts
     return [
-        host.entry() | ({"address": f"127.0.0.1:{ports[at % len(ports)]}"} if ports else {})
+        host.to_entry() | ({"address": f"127.0.0.1:{ports[at % len(ports)]}"} if ports else {})
         for at, host in enumerate(made)
     ]
 
--- a/tests/control_plane/test_subsetting.py
+++ b/tests/control_plane/test_subsetting.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.capacity.plan import fleet as capacity_plan_fleet
+from benchmarks.capacity.plan import build_fleet as capacity_plan_fleet
 from benchmarks.relay_model import entry, plainly
 from cloverkeel.control_plane.entry_codec import WIDENED_USERS_FACTOR, Host
 from cloverkeel.control_plane.fleet_roster import GatewayGroup, gateway_hash
@@ -209,7 +209,7 @@
 
 def test_every_host_has_gateways_in_a_tenth_of_the_capacity_plan() -> None:
     small = capacity_plan_fleet(460, 3_800)
-    cache = make_cache(small.roster(), [each.entry() for each in small.hosts])
+    cache = make_cache(small.to_roster(), [each.to_entry() for each in small.hosts])
     subsets = {each.name: subset_of(cache, Subscriber(each.name)) for each in small.gateways}
     users_by_host = Counter(name for subset in subsets.values() for name in subset)
     assert users_by_host.keys() == {each.name for each in small.hosts} and min(users_by_host.values()) >= 3
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -17,7 +17,7 @@
 from rich.console import Console
 
 from benchmarks.capacity import run
-from benchmarks.capacity.plan import fleet
+from benchmarks.capacity.plan import build_fleet
 from benchmarks.capacity.run_stale_updates import StaleUpdateDetector
 from benchmarks.capacity.run_sizes import (
     MAX_RELAYED_STALL_S, Size, estimate_held_hosts, estimate_memory_mb, estimate_stall_s, fit_size,
@@ -158,7 +158,7 @@
 def test_compared_gateways_subscribe_to_the_services_of_real_gateways() -> None:
     """A call's length depends on the services named in it, which can make one gateway's calls a tenth longer than
     another's."""
-    plan_fleet = fleet(60, 3_800)
+    plan_fleet = build_fleet(60, 3_800)
     compared_fleet = with_compared_services(plan_fleet, run.REAL_GATEWAYS)
     assert [gateway.services for gateway in compared_fleet.gateways[2:4]] == [
         gateway.services for gateway in plan_fleet.gateways[:2]
@@ -265,7 +265,7 @@
 
 def test_every_rack_has_hosts_of_exactly_one_zone() -> None:
     for hosts in (60, 240, 3_800):
-        simulated_fleet = fleet(24, hosts)
+        simulated_fleet = build_fleet(24, hosts)
         zones_by_rack: dict[int, set[str]] = {}
         for host, rack_index in zip(simulated_fleet.hosts, rack_indexes(simulated_fleet), strict=True):
             zones_by_rack.setdefault(rack_index, set()).add(host.zone)
@@ -276,11 +276,11 @@
 
 def test_mean_subset_size_matches_relay_design() -> None:
     """One service with 240 hosts and 24 gateways, 12 per region: 40 hosts per zone, 27 of them at each gateway."""
-    simulated_fleet = fleet(24, 240, services=1)
+    simulated_fleet = build_fleet(24, 240, services=1)
     assert mean_subset_hosts(simulated_fleet) == pytest.approx(3 * 27, rel=0.1)
     for gateways, hosts in ((200, 3_800), (460, 3_800)):
         assert estimate_held_hosts(gateways, hosts) == pytest.approx(
-            mean_subset_hosts(fleet(gateways, hosts)), rel=0.15
+            mean_subset_hosts(build_fleet(gateways, hosts)), rel=0.15
         )
 
 
