--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -1,12 +1,13 @@
-"""What the plan's size asks of each role, beside the limit it must keep; the share of the plan at which it breaks.
+"""What the plan's size requires of each role, the limit for it, and the share of the plan at which it is exceeded.
 
-Pure arithmetic: the plan and the curves of the slopes in, rows out. It reads no file and measures nothing.
-Everything grows with one share s of the plan: hosts, gateways, services, tenants, routes, changes and requests; so
-the requests at one gateway stay as they are. `share` is the least s at which the limit is passed: 1.00 just holds.
+Pure arithmetic: the plan and the curves of measured costs in, rows out. It reads no file and measures nothing.
+Everything grows with one share s of the plan: hosts, gateways, services, tenants, routes, changes and requests, so
+the request rate at one gateway stays constant. `share` is the smallest s at which the limit is exceeded; at 1.00 the
+plan's size is just within the limit.
 
 Invariants:
-- a value comes from curves (named in `rows`), the plan, and what ASSUMED says; from nothing else;
-- a curve that is not there makes its row 'not known', never a figure.
+- a value is derived only from curves (named in `rows`), the plan, and what ASSUMED lists;
+- a line whose curve is missing is 'not known' and has no figure.
 """
 
 from __future__ import annotations
@@ -21,389 +22,458 @@
 from benchmarks.capacity.plan import MIN_GATEWAYS_PER_SERVICE, PLAN, SERVICES_PER_GATEWAY, build_fleet, service_sizes
 
 DAY_S: Final = 86_400
-CHANGES_EACH: Final = 2.5  # of the list by one restart or replacement: it drains, perhaps goes, and is back
-FAILURE_CHANGES: Final = 2.0  # by a machine that fails: gone, and later back; one host a machine
-HOUR: Final = 10.0  # the worst hour has so many times the ordinary rate
-WORST_S: Final = 4.0  # every change is at its last gateway within this in the worst second: it may be spread so far
-START_S: Final = 10.0  # nine in ten restarted processes are ready within this
-WAVE: Final = 0.7  # of the gateways, started within 2 s
-POLLS_PER_S: Final = 1.0  # a gateway's calls to discovery: it holds each for a second
-STOP_MS: Final = 2.0  # of the loop, at the most: the issue's goal
-MET: Final = 0.01  # of the requests may be late by more than the plan's: no more may meet a stop
-NEWS_MS: Final = 1_000.0  # until the last gateway has a change
-LINK: Final = 1.25e9  # bytes a second of one machine: 10 Gbit/s, assumed
-CORE_MS: Final = 1_000.0
-SUBSET: Final = 8  # of docs/relay-design.md: gateways at a host, and hosts of a gateway in a zone, at the least
-MOST: Final = 10.0  # a share beyond this is not worked out
-LEAST: Final = 0.0005  # one below this is "at any size": some 20 hosts
+# Changes of the host list per restart or replacement: the host drains, may be removed, and returns.
+CHANGES_PER_RESTART: Final = 2.5
+CHANGES_PER_FAILURE: Final = 2.0  # a machine carries one host, which is removed and later returns
+WORST_HOUR_FACTOR: Final = 10.0  # rate of changes in the worst hour, relative to an ordinary day
+# In the worst second, every change must reach its last gateway within this time, so sending may be spread over it.
+WORST_CHANGE_LIMIT_S: Final = 4.0
+START_LIMIT_S: Final = 10.0  # nine in ten restarted processes are ready within this time
+STARTED_SHARE: Final = 0.7  # share of the gateways that start within 2 s
+POLLS_PER_S: Final = 1.0  # calls of a gateway to discovery, which holds each for a second
+MAX_STALL_MS: Final = 2.0  # longest stall of the event loop: the issue's goal
+# Share of requests that may be delayed by more than the plan's added p99, so no larger share may meet a stall.
+MAX_DELAYED_SHARE: Final = 0.01
+CHANGE_LIMIT_MS: Final = 1_000.0  # until the last gateway has received a change
+LINK_BYTES_PER_S: Final = 1.25e9  # network link of one machine: 10 Gbit/s, assumed
+CORE_MS_PER_S: Final = 1_000.0  # CPU time of one core
+# Minimum number of gateways that hold a host, and of a service's hosts in a zone that a gateway holds
+# (docs/relay-design.md).
+MIN_SUBSET_SIZE: Final = 8
+MAX_SHARE: Final = 10.0  # larger shares of the plan are not evaluated
+MIN_SHARE: Final = 0.0005  # about 20 hosts; a limit that is exceeded here is exceeded "at any size"
 
 ASSUMED: Final = (
-    f"a restart or replacement makes {CHANGES_EACH:g} changes of the list, a failure {FAILURE_CHANGES:g}, and all "
-    "restarts are of hosts",
-    f"the worst hour has {HOUR:g} times the ordinary day's rate of changes",
-    f"a zone's return may be spread over {WORST_S:g} s, as every change is to be everywhere by then",
-    f"a gateway that starts has {START_S:g} s for its list",
+    f"a restart or replacement makes {CHANGES_PER_RESTART:g} changes of the list, a failure "
+    f"{CHANGES_PER_FAILURE:g}, and all restarts are of hosts",
+    f"the worst hour has {WORST_HOUR_FACTOR:g} times the ordinary day's rate of changes",
+    f"a zone's return may be spread over {WORST_CHANGE_LIMIT_S:g} s, as every change is to be everywhere by then",
+    f"a gateway that starts has {START_LIMIT_S:g} s for its list",
     "MB are 10^6 bytes; 4 KB are 4,096 bytes",
-    f"a machine of the control roles, or of discovery, has a link of {LINK / 1e9:g} GB a second, and a core for this",
+    f"a machine of the control roles, or of discovery, has a link of {LINK_BYTES_PER_S / 1e9:g} GB a second, and a "
+    "core for this",
     "each change of configuration is a reload of the one file at each gateway, and takes effect with it",
-    f"the goal for the longest stop of a loop is {STOP_MS:g} ms (it is not the operators')",
+    f"the goal for the longest stop of a loop is {MAX_STALL_MS:g} ms (it is not the operators')",
 )
 
 
 @lru_cache(maxsize=512)
-def subset_hosts(share: float, before_all: bool = False) -> float:
-    """Hosts in one gateway's subset (docs/relay-design.md), as the mean over gateways, at this share of the plan.
+def mean_subset_hosts(share: float, before_all: bool = False) -> float:
+    """Return the hosts in one gateway's subset (docs/relay-design.md) at this share of the plan, mean over gateways.
 
-    `before_all`: if each gateway were before every service.
+    With `before_all`, as if each gateway served every service.
     """
-    gateways, hosts, services = scaled(share)
-    told = 0.0
+    gateways, hosts, services = scale_plan(share)
+    subset_hosts = 0.0
     for size in service_sizes(hosts, services):
         full = min(
             gateways,
             max(min(MIN_GATEWAYS_PER_SERVICE, gateways), round(gateways * SERVICES_PER_GATEWAY / hosts * size)),
         )
-        before = gateways if before_all else full
-        near = max(1.0, before / PLAN.regions)
-        zone = size / PLAN.zones
-        whole = min(zone, max(float(SUBSET), math.ceil(SUBSET * zone / near)))
-        told += before / gateways * whole * PLAN.zones / PLAN.regions
-    return told
+        serving_gateways = gateways if before_all else full
+        gateways_per_region = max(1.0, serving_gateways / PLAN.regions)
+        hosts_per_zone = size / PLAN.zones
+        held_per_zone = min(
+            hosts_per_zone,
+            max(float(MIN_SUBSET_SIZE), math.ceil(MIN_SUBSET_SIZE * hosts_per_zone / gateways_per_region)),
+        )
+        subset_hosts += serving_gateways / gateways * held_per_zone * PLAN.zones / PLAN.regions
+    return subset_hosts
 
 
-def scaled(share: float) -> tuple[int, int, int]:
-    """Gateways, hosts, services."""
+def scale_plan(share: float) -> tuple[int, int, int]:
+    """Return the numbers of gateways, hosts and services at this share of the plan."""
     services = max(1, round(PLAN.services * share))
     return max(2, round(PLAN.gateways * share)), max(services, round(PLAN.hosts * share)), services
 
 
 @lru_cache(maxsize=1)
-def services_of_gateways() -> tuple[int, float, int]:
-    """Services that a gateway is before, in the plan's fleet: least, mean, most."""
+def services_per_gateway() -> tuple[int, float, int]:
+    """Return the minimum, mean and maximum number of services that a gateway of the plan's fleet serves."""
     counts = [len(gateway.services) for gateway in build_fleet(PLAN.gateways, PLAN.hosts).gateways]
     return min(counts), sum(counts) / len(counts), max(counts)
 
 
 @dataclass(slots=True, frozen=True)
-class Load:
-    """A fleet at this share of the plan. `told` hosts are known to one gateway, which hears of changes of these."""
+class ScaledFleet:
+    """A fleet at this share of the plan, and its costs. With `has_subsets`, a gateway holds only its subset of the
+    hosts."""
 
     curves: Mapping[str, Curve]
     share: float
-    subset: bool = False
+    has_subsets: bool = False
 
-    def at(self, name: str, size: float) -> float:
+    def cost(self, name: str, size: float) -> float:
+        """Return the value of a measured cost at this size."""
         return self.curves[name].at(size)
 
     @property
     def hosts(self) -> float:
+        """Hosts of the whole fleet."""
         return PLAN.hosts * self.share
 
     @property
     def gateways(self) -> float:
+        """Gateways of the whole fleet."""
         return PLAN.gateways * self.share
 
     @property
-    def told(self) -> float:
-        if not self.subset:
+    def held_hosts(self) -> float:
+        """Hosts that one gateway holds, and whose changes it receives; with subsets, of the gateway with the most
+        services."""
+        if not self.has_subsets:
             return self.hosts
-        least, mean, most = services_of_gateways()
-        widest = subset_hosts(round(self.share, 4)) * most / mean  # hosts, of the gateway with the most services
-        return min(self.hosts / PLAN.regions, widest)
+        _, mean_services, max_services = services_per_gateway()
+        max_subset_hosts = mean_subset_hosts(round(self.share, 4)) * max_services / mean_services
+        return min(self.hosts / PLAN.regions, max_subset_hosts)
 
     @property
-    def changes(self) -> float:
-        """Changes a second of the whole list, ordinary day."""
-        a_day = PLAN.restarts_per_day * CHANGES_EACH + PLAN.failures_per_day * FAILURE_CHANGES
-        return a_day / DAY_S * self.share
+    def changes_per_s(self) -> float:
+        """Changes per second of the whole list, on an ordinary day."""
+        changes_per_day = PLAN.restarts_per_day * CHANGES_PER_RESTART + PLAN.failures_per_day * CHANGES_PER_FAILURE
+        return changes_per_day / DAY_S * self.share
 
     @property
-    def heard(self) -> float:
-        """Of these, at one gateway."""
-        return self.changes * self.told / self.hosts
+    def received_changes_per_s(self) -> float:
+        """Changes per second that one gateway receives, on an ordinary day."""
+        return self.changes_per_s * self.held_hosts / self.hosts
 
     @property
-    def zone(self) -> float:
-        """Hosts of a zone that one gateway is told of when it comes back, as a share of a sixth of those told."""
-        return float(PLAN.zones) / (PLAN.zones / PLAN.regions) if self.subset else 1.0
+    def zone_factor(self) -> float:
+        """Hosts of a returning zone that one gateway holds, relative to a sixth of the hosts that it holds."""
+        return float(PLAN.zones) / (PLAN.zones / PLAN.regions) if self.has_subsets else 1.0
 
-    def zone_back(self, name: str) -> float:
-        """What the return of a zone costs: the curve is by all hosts told, of which a sixth are back."""
-        return self.at(name, self.told * self.zone)
+    def zone_return_cost(self, name: str) -> float:
+        """Return the cost of a zone's return. Its curve counts all held hosts, of which a sixth return."""
+        return self.cost(name, self.held_hosts * self.zone_factor)
 
     @property
-    def each_relay(self) -> float:
-        """Gateways of one relay."""
+    def gateways_per_relay(self) -> float:
+        """Gateways that one relay serves."""
         return self.gateways / PLAN.control_machines
 
     @property
-    def configurations(self) -> float:
+    def configurations_per_s(self) -> float:
+        """Changes of configuration per second."""
         return PLAN.configurations_per_day / DAY_S * self.share
 
-    def settings(self, name: str) -> float:
-        return self.at(f"tenants_reload_{name}", PLAN.tenants * self.share)
-
-    def control_bytes(self, times: float) -> float:
-        """A second, at one gateway."""
-        changes = times * self.heard * self.change_bytes
-        return POLLS_PER_S * self.at("poll_bytes", self.told) + self.others_bytes + changes
-
-    def relayed_bytes(self, times: float) -> float:
-        """The same by what a relay says of each change, also for windows that shift; the widest gateway's part."""
-        least, mean, most = services_of_gateways()
-        each = self.at("relay_change_1_bytes", self.hosts) / self.each_relay * most / mean
-        return POLLS_PER_S * self.at("poll_bytes", self.told) + self.others_bytes + times * self.changes * each
+    def reload_cost(self, name: str) -> float:
+        """Return a cost of one reload of the settings, with all tenants."""
+        return self.cost(f"tenants_reload_{name}", PLAN.tenants * self.share)
+
+    def control_bytes_per_s(self, rate_factor: float) -> float:
+        """Return the control bytes per second at one gateway, at this multiple of the ordinary rate of changes."""
+        changes = rate_factor * self.received_changes_per_s * self.change_bytes
+        return POLLS_PER_S * self.cost("poll_bytes", self.held_hosts) + self.peer_bytes_per_s + changes
+
+    def relayed_bytes_per_s(self, rate_factor: float) -> float:
+        """Return the same behind a relay, for the gateway with the most services, from the bytes that a relay sends
+        for each change. They include subsets that shift."""
+        _, mean_services, max_services = services_per_gateway()
+        bytes_per_change = (
+            self.cost("relay_change_1_bytes", self.hosts) / self.gateways_per_relay * max_services / mean_services
+        )
+        return (
+            POLLS_PER_S * self.cost("poll_bytes", self.held_hosts)
+            + self.peer_bytes_per_s
+            + rate_factor * self.changes_per_s * bytes_per_change
+        )
 
     @property
-    def others_bytes(self) -> float:
-        """A second, at one gateway; the holders of duties are taken for spread evenly."""
-        each = self.at("duties_bytes_per_s", self.gateways) / self.gateways
-        return self.at("presence_bytes_per_s", self.gateways) + each
+    def peer_bytes_per_s(self) -> float:
+        """Bytes per second that one gateway exchanges with its peers, with lease holders spread evenly over
+        gateways."""
+        lease_bytes = self.cost("duties_bytes_per_s", self.gateways) / self.gateways
+        return self.cost("presence_bytes_per_s", self.gateways) + lease_bytes
 
     @property
     def change_bytes(self) -> float:
-        return self.at("change_1_bytes", self.told)
+        """Bytes of a change of one host."""
+        return self.cost("change_1_bytes", self.held_hosts)
 
-    def control_ms(self, times: float) -> float:
-        """CPU a second for control, at one gateway, in ms."""
-        others = self.at("presence_ms_per_s", self.gateways) + self.at("duties_ms_per_s", self.gateways)
-        changes = times * self.heard * self.at("change_1_cpu_ms", self.told)
-        return self.at("idle_ms_per_s", self.told) + others + changes
+    def control_cpu_ms_per_s(self, rate_factor: float) -> float:
+        """Return the CPU time per second for control at one gateway, at this multiple of the ordinary rate of
+        changes."""
+        peers = self.cost("presence_ms_per_s", self.gateways) + self.cost("duties_ms_per_s", self.gateways)
+        changes = rate_factor * self.received_changes_per_s * self.cost("change_1_cpu_ms", self.held_hosts)
+        return self.cost("idle_ms_per_s", self.held_hosts) + peers + changes
 
-    def memory(self, most: bool = False) -> float:
-        """MB of one gateway with all that it would have to know."""
-        kib = self.at("presence_kib", self.gateways) + self.at("routes_kib", PLAN.routes * self.share)
-        kib += self.at("services_kib", PLAN.services * self.share)
-        resident = self.at("resident_most_mb" if most else "resident_mb", self.told)
-        return resident + self.settings("kept_mb") + kib * 1024 / 1e6
+    def memory_mb(self, is_peak: bool = False) -> float:
+        """Return the memory of one gateway with all the state that it would need."""
+        kib = self.cost("presence_kib", self.gateways) + self.cost("routes_kib", PLAN.routes * self.share)
+        kib += self.cost("services_kib", PLAN.services * self.share)
+        resident_mb = self.cost("resident_most_mb" if is_peak else "resident_mb", self.held_hosts)
+        return resident_mb + self.reload_cost("kept_mb") + kib * 1024 / 1e6
 
 
-LIST, SETTINGS, OTHERS, RELAYS, PROGRAM = (
+HOST_LIST, SETTINGS, PEERS, RELAYS, PROGRAM = (
     "the list of hosts at each gateway", "the settings, told and read as a whole", "gateways that watch one another",
     "relays", "the program itself",
 )  # fmt: skip
-_BYTES, _CPU = ("poll_bytes", "presence_bytes_per_s", "duties_bytes_per_s", "change_1_bytes"), (
+_CONTROL_BYTES, _CONTROL_CPU = ("poll_bytes", "presence_bytes_per_s", "duties_bytes_per_s", "change_1_bytes"), (
     "idle_ms_per_s", "presence_ms_per_s", "duties_ms_per_s", "change_1_cpu_ms",
 )  # fmt: skip
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
+class BudgetLine:
+    """One requirement of a role, its limit, and how its value is derived. docs/CAPACITY.md prints the texts."""
+
     role: str
     moment: str
     what: str
     unit: str
-    limit: float | None  # None: the operators named none
-    value: Callable[[Load], float]
-    rows: tuple[str, ...]  # of the slopes
+    limit: float | None  # None where the operators named none
+    value: Callable[[ScaledFleet], float]
+    rows: tuple[str, ...]  # names of the measured costs that `value` uses
     cause: str
-    carried: str = ""  # by whom, before the mechanism; "" is 'missing'
-    carried_after: str = ""  # the same with it; "" where it changes nothing
-    priced: bool = False  # state that the program does not have
-    only_after: bool = False  # the role is not there before the mechanism
-    # With the mechanism, where these rows of its own were measured; else `value` at the subset's size.
-    after: Callable[[Load], float] | None = None
-    after_rows: tuple[str, ...] = ()
-    would: str = ""  # what would carry it where it is broken with the mechanism too
-
-    def by(self, curves: Mapping[str, Curve], subset: bool) -> tuple[Callable[[Load], float], tuple[str, ...]]:
-        """How it is worked out, and by which rows."""
-        if subset and self.after is not None and all(name in curves for name in self.after_rows):
-            return self.after, self.after_rows
+    carried_by: str = ""  # the module that meets the requirement before the mechanism; "" is printed as 'missing'
+    carried_by_after: str = ""  # the same with the mechanism; "" if it is unchanged
+    needs_new_state: bool = False  # includes state that the program does not have yet
+    only_after: bool = False  # the role exists only with the mechanism
+    # Value with the mechanism, if `rows_after` were measured; otherwise `value` at the size of the subset is used.
+    value_after: Callable[[ScaledFleet], float] | None = None
+    rows_after: tuple[str, ...] = ()
+    remedy: str = ""  # what would meet the requirement if the limit is exceeded with the mechanism too
+
+    def value_and_rows(
+        self, curves: Mapping[str, Curve], has_subsets: bool
+    ) -> tuple[Callable[[ScaledFleet], float], tuple[str, ...]]:
+        """Return the function that derives the value, and the names of the costs that it uses."""
+        if has_subsets and self.value_after is not None and all(name in curves for name in self.rows_after):
+            return self.value_after, self.rows_after
         return self.value, self.rows
 
 
-_MEMORY = ("presence_kib", "routes_kib", "services_kib", "tenants_reload_kept_mb")
-_REGISTRY = "`cloverkeel.discovery.http_client`"
-_SUBSET = "relay and subset (docs/relay-design.md)"
-_MODULE = "`EndpointUpdates.apply`"
-_RELAYED = ("poll_bytes", "presence_bytes_per_s", "duties_bytes_per_s", "relay_change_1_bytes")
-_SLICES = "lists taken in slices: so many hosts a turn of the loop"
-_REQUEST = "what a request costs before few hosts too: fewer wakes, and the machine's share"
-_SPREAD = "a subset told in parts at a metered rate, what restricts and what is near first"
-_PARTS = "changes of settings told as changes, and taken as such"
+_STATE_ROWS = ("presence_kib", "routes_kib", "services_kib", "tenants_reload_kept_mb")
+_DISCOVERY_CLIENT = "`cloverkeel.discovery.http_client`"
+_RELAY_AND_SUBSET = "relay and subset (docs/relay-design.md)"
+_ENDPOINT_UPDATES = "`EndpointUpdates.apply`"
+_RELAYED_BYTES = ("poll_bytes", "presence_bytes_per_s", "duties_bytes_per_s", "relay_change_1_bytes")
+_SLICED_LISTS = "lists taken in slices: so many hosts a turn of the loop"
+_CHEAPER_REQUESTS = "what a request costs before few hosts too: fewer wakes, and the machine's share"
+_METERED_SUBSET = "a subset told in parts at a metered rate, what restricts and what is near first"
+_SETTINGS_DELTAS = "changes of settings told as changes, and taken as such"
 _RELAY = "`cloverkeel.control_plane`"
 LINES: Final = (
-    Line("gateway, requests", "ordinary day", "p99 added", "ms", PLAN.added_p99_ms,
-         lambda at: at.at("quiet_p99_added_ms", at.told), ("quiet_p99_added_ms",), LIST,
-         "`cloverkeel.balancing.balancer`", _SUBSET, would=_REQUEST,
-         after=lambda at: at.at("relayed_p99_added_ms", at.hosts), after_rows=("relayed_p99_added_ms",)),
-    Line("gateway, requests", "worst hour", "p99 added while hosts change", "ms",
-         PLAN.added_p99_ms, lambda at: at.at("changes_p99_added_ms", at.told), ("changes_p99_added_ms",), LIST,
-         "`cloverkeel.balancing.balancer`", _SUBSET, would=_REQUEST,
-         after=lambda at: at.at("relayed_changes_p99_added_ms", at.hosts),
-         after_rows=("relayed_changes_p99_added_ms",)),
-    Line("gateway, requests", "ordinary day", "CPU of requests, a second", "ms/s", CORE_MS,
-         lambda at: PLAN.requests_per_gateway * at.at("quiet_request_us", at.told) / 1e3, ("quiet_request_us",),
-         PROGRAM, "`cloverkeel.core.gateway`"),
-    Line("gateway, hosts", "ordinary day", "bytes a second for control", "bytes/s", PLAN.control_bytes_per_s,
-         lambda at: at.control_bytes(1), _BYTES, LIST, _REGISTRY, _SUBSET,
-         after=lambda at: at.relayed_bytes(1), after_rows=_RELAYED),
-    Line("gateway, hosts", "worst hour", "bytes a second for control", "bytes/s", PLAN.control_bytes_per_s,
-         lambda at: at.control_bytes(HOUR), _BYTES, LIST, _REGISTRY, _SUBSET,
-         after=lambda at: at.relayed_bytes(HOUR), after_rows=_RELAYED),
-    Line("gateway, hosts", "worst second", "bytes a second, a zone back", "bytes/s", PLAN.control_bytes_per_s,
-         lambda at: at.zone_back("change_zone_bytes") / WORST_S, ("change_zone_bytes",), LIST, _REGISTRY, _SUBSET,
-         after=lambda at: at.at("relay_change_zone_bytes_most", at.hosts) / WORST_S,
-         after_rows=("relay_change_zone_bytes_most",), would=_SPREAD),
-    Line("gateway, hosts", "worst second", "bytes a second, its start", "bytes/s", PLAN.control_bytes_per_s,
-         lambda at: at.at("whole_bytes", at.told) / START_S, ("whole_bytes",), LIST, _REGISTRY, _SUBSET,
-         after=lambda at: at.at("relay_whole_bytes", at.hosts) / START_S, after_rows=("relay_whole_bytes",),
-         would=_SPREAD),
-    Line("gateway, hosts", "ordinary day", "CPU for control, a second", "ms/s", PLAN.control_core * CORE_MS,
-         lambda at: at.control_ms(1), _CPU, LIST, _MODULE, _SUBSET),
-    Line("gateway, hosts", "worst hour", "CPU for control, a second", "ms/s", PLAN.control_core * CORE_MS,
-         lambda at: at.control_ms(HOUR), _CPU, LIST, _MODULE, _SUBSET),
-    Line("gateway, hosts", "worst second", "CPU for control, a second, a zone back", "ms/s",
-         PLAN.control_core * CORE_MS, lambda at: at.control_ms(1) + at.zone_back("change_zone_cpu_ms") / WORST_S,
-         (*_CPU, "change_zone_cpu_ms"), LIST, _MODULE, _SUBSET,
-         after=lambda at: at.control_ms(1) + at.zone_back("subset_change_zone_cpu_ms") / WORST_S,
-         after_rows=(*_CPU, "subset_change_zone_cpu_ms")),
-    Line("gateway, hosts", "ordinary day", "longest stop of the loop, one change", "ms", STOP_MS,
-         lambda at: at.at("change_1_stop_ms", at.told), ("change_1_stop_ms",), LIST, _MODULE, _SUBSET,
-         would=_SLICES),
-    Line("gateway, hosts", "worst second", "longest stop of the loop, the collector", "ms", STOP_MS,
-         lambda at: at.at("collector_ms", at.told), ("collector_ms",), LIST, "`cloverkeel.core.gc_tuning`", _SUBSET,
-         would=_SLICES),
-    Line("gateway, hosts", "worst second", "longest stop of the loop, a zone back", "ms", STOP_MS,
-         lambda at: at.zone_back("change_zone_stop_ms"), ("change_zone_stop_ms",), LIST, _MODULE, _SUBSET,
-         would=_SLICES,
-         after=lambda at: at.zone_back("subset_change_zone_stop_ms"), after_rows=("subset_change_zone_stop_ms",)),
-    Line("gateway, hosts", "worst second", "longest stop of the loop, a whole list while requests are served", "ms",
-         STOP_MS, lambda at: at.at("whole_stop_ms", at.told), ("whole_stop_ms",), LIST, _REGISTRY, _SUBSET,
-         would=_SLICES,
-         after=lambda at: at.at("subset_whole_stop_ms", at.told), after_rows=("subset_whole_stop_ms",)),
-    Line("gateway, hosts", "worst second", "longest stop of the loop, the first list: nobody is served before it",
-         "ms", None, lambda at: at.at("whole_first_stop_ms", at.told), ("whole_first_stop_ms",), LIST, _REGISTRY,
-         _SUBSET, after=lambda at: at.at("subset_whole_first_stop_ms", at.told),
-         after_rows=("subset_whole_first_stop_ms",)),
-    Line("gateway, hosts", "worst second", "start to ready", "ms", START_S * 1e3,
-         lambda at: at.at("ready_ms", at.told), ("ready_ms",), LIST, "`cloverkeel.cli.serving`", _SUBSET),
-    Line("gateway, hosts", "ordinary day", "memory, with what it would have to know of routes and tenants", "MB",
-         PLAN.control_mb, lambda at: at.memory(), ("resident_mb", *_MEMORY), LIST, _MODULE, _SUBSET, True,
-         would="tenants and routes of its own services alone"),
-    Line("gateway, hosts", "worst second", "the same, with a whole list told to it once", "MB", PLAN.control_mb,
-         lambda at: at.memory(most=True), ("resident_most_mb", *_MEMORY), LIST, _REGISTRY, _SUBSET, True,
-         would="tenants and routes of its own services alone"),
-    Line("gateway, others", "ordinary day", "bytes a second, presence and duties", "bytes/s",
-         PLAN.control_bytes_per_s, lambda at: at.others_bytes,
-         ("presence_bytes_per_s", "duties_bytes_per_s"), OTHERS, "`cloverkeel.gossip`, `cloverkeel.leases`"),
-    Line("gateway, others", "ordinary day", "CPU a second, presence and duties", "ms/s", PLAN.control_core * CORE_MS,
-         lambda at: at.at("presence_ms_per_s", at.gateways) + at.at("duties_ms_per_s", at.gateways),
-         ("presence_ms_per_s", "duties_ms_per_s"), OTHERS, "`cloverkeel.gossip`, `cloverkeel.leases`"),
-    Line("gateway, others", "worst second", "until all doubt a host that fails", "ms", None,
-         lambda at: at.at("news_all_ms", at.gateways), ("news_all_ms",), OTHERS, "`cloverkeel.gossip.dissemination`"),
-    Line("gateway, others", "worst second", "bytes a second while that is told", "bytes/s", PLAN.control_bytes_per_s,
-         lambda at: at.at("news_bytes_per_s", at.gateways), ("news_bytes_per_s",), OTHERS,
-         "`cloverkeel.gossip.dissemination`"),
-    Line("gateway, settings", "ordinary day", "bytes a second, if each change brings the whole file", "bytes/s",
-         PLAN.control_bytes_per_s, lambda at: at.configurations * at.settings("bytes"), ("tenants_reload_bytes",),
-         SETTINGS, would=_PARTS, priced=True),
-    Line("gateway, settings", "ordinary day", "CPU a second of reloads", "ms/s", PLAN.control_core * CORE_MS,
-         lambda at: at.configurations * at.settings("cpu_ms"), ("tenants_reload_cpu_ms",), SETTINGS,
-         "`cloverkeel.core.reload`: only discovery's address is taken", would=_PARTS,
-         priced=True),
-    Line("gateway, settings", "ordinary day", "part of the time that the loop stands for reloads", "share", MET,
-         lambda at: at.configurations * at.settings("stop_ms") / 1e3, ("tenants_reload_stop_ms",), SETTINGS,
-         "`cloverkeel.core.reload`", would=_PARTS, priced=True),
-    Line("gateway, settings", "ordinary day", "until a reload is read", "ms", PLAN.configuration_s * 1e3,
-         lambda at: at.settings("ms"), ("tenants_reload_ms",), SETTINGS, "`cloverkeel.core.reload`", would=_PARTS),
-    Line("gateway, settings", "ordinary day", "memory while one is read, beside the program", "MB", PLAN.control_mb,
-         lambda at: at.at("resident_mb", at.told) + at.settings("most_mb"),
-         ("resident_mb", "tenants_reload_most_mb"), SETTINGS, "`cloverkeel.core.config`", would=_PARTS),
-    Line("relay", "ordinary day", "bytes out a second, each", "bytes/s", LINK,
-         lambda at: at.each_relay * POLLS_PER_S * at.at("poll_bytes", 1)
-         + at.changes * at.at("relay_change_1_bytes", at.hosts),
-         ("poll_bytes", "relay_change_1_bytes"), RELAYS, _RELAY, only_after=True),
-    Line("relay", "worst second", "bytes out a second, each, a zone back", "bytes/s", LINK,
-         lambda at: at.at("relay_change_zone_bytes", at.hosts) / WORST_S, ("relay_change_zone_bytes",), RELAYS,
-         _RELAY, only_after=True),
-    Line("relay", "worst second", "bytes out a second, each, 7 in 10 gateways start", "bytes/s", LINK,
-         lambda at: WAVE * at.each_relay * at.at("relay_whole_bytes", at.hosts) / START_S, ("relay_whole_bytes",),
-         RELAYS, _RELAY, only_after=True),
-    Line("relay", "worst second", "bytes out a second, each, one killed and its gateways told within 1 s", "bytes/s",
-         LINK, lambda at: at.each_relay / (PLAN.control_machines - 1) * at.at("relay_whole_bytes", at.hosts),
-         ("relay_whole_bytes",), RELAYS, _RELAY, only_after=True),
-    Line("relay", "worst hour", "CPU of changes a second, each", "ms/s", CORE_MS,
-         lambda at: HOUR * at.changes * at.at("relay_change_1_cpu_ms", at.hosts), ("relay_change_1_cpu_ms",), RELAYS,
-         _RELAY, only_after=True),
-    Line("relay", "worst second", "CPU until a zone that is back is told to all of one relay", "ms", WORST_S * 1e3,
-         lambda at: at.at("relay_change_zone_cpu_ms", at.hosts), ("relay_change_zone_cpu_ms",), RELAYS, _RELAY,
-         only_after=True),
-    Line("relay", "worst second", "CPU until 7 in 10 of its gateways have their wholes", "ms", START_S * 1e3,
-         lambda at: WAVE * at.each_relay * at.at("relay_whole_cpu_ms", at.hosts), ("relay_whole_cpu_ms",), RELAYS,
-         _RELAY, only_after=True),
-    Line("relay", "worst second", "longest step, a whole list taken", "ms", NEWS_MS,
-         lambda at: at.at("relay_take_stop_ms", at.hosts), ("relay_take_stop_ms",), RELAYS, _RELAY, only_after=True,
-         would=_SLICES),
-    Line("relay", "ordinary day", "memory of the list and of what each gateway has", "MB", None,
-         lambda at: at.at("relay_kept_mb", at.hosts), ("relay_kept_mb",), RELAYS, _RELAY, only_after=True),
-    Line("discovery", "ordinary day", "calls a second that it answers", "/s", None,
-         lambda at: (PLAN.control_machines if at.subset else at.gateways) * POLLS_PER_S, (), LIST, "discovery's own",
-         "12 relays ask"),
-    Line("discovery", "ordinary day", "bytes out a second", "bytes/s", LINK,
-         lambda at: (PLAN.control_machines if at.subset else at.gateways)
-         * (at.at("poll_bytes", 1) + at.changes * at.change_bytes),
-         ("poll_bytes", "change_1_bytes"), LIST, "discovery's own", "12 relays ask"),
-    Line("discovery", "worst second", "bytes out a second, a zone back", "bytes/s", LINK,
-         lambda at: (PLAN.control_machines if at.subset else at.gateways)
-         * at.at("change_zone_bytes", at.hosts) / WORST_S,
-         ("change_zone_bytes",), LIST, "discovery's own", "12 relays ask"),
-    Line("discovery", "worst second", "bytes out a second, 7 in 10 gateways start", "bytes/s", LINK,
-         lambda at: (PLAN.control_machines if at.subset else WAVE * at.gateways)
-         * at.at("whole_bytes", at.hosts) / START_S,
-         ("whole_bytes",), LIST, "discovery's own", "12 relays ask, at the worst all at once"),
+    BudgetLine("gateway, requests", "ordinary day", "p99 added", "ms", PLAN.added_p99_ms,
+               lambda fleet: fleet.cost("quiet_p99_added_ms", fleet.held_hosts), ("quiet_p99_added_ms",), HOST_LIST,
+               "`cloverkeel.balancing.balancer`", _RELAY_AND_SUBSET, remedy=_CHEAPER_REQUESTS,
+               value_after=lambda fleet: fleet.cost("relayed_p99_added_ms", fleet.hosts),
+               rows_after=("relayed_p99_added_ms",)),
+    BudgetLine("gateway, requests", "worst hour", "p99 added while hosts change", "ms", PLAN.added_p99_ms,
+               lambda fleet: fleet.cost("changes_p99_added_ms", fleet.held_hosts), ("changes_p99_added_ms",),
+               HOST_LIST, "`cloverkeel.balancing.balancer`", _RELAY_AND_SUBSET, remedy=_CHEAPER_REQUESTS,
+               value_after=lambda fleet: fleet.cost("relayed_changes_p99_added_ms", fleet.hosts),
+               rows_after=("relayed_changes_p99_added_ms",)),
+    BudgetLine("gateway, requests", "ordinary day", "CPU of requests, a second", "ms/s", CORE_MS_PER_S,
+               lambda fleet: PLAN.requests_per_gateway * fleet.cost("quiet_request_us", fleet.held_hosts) / 1e3,
+               ("quiet_request_us",), PROGRAM, "`cloverkeel.core.gateway`"),
+    BudgetLine("gateway, hosts", "ordinary day", "bytes a second for control", "bytes/s", PLAN.control_bytes_per_s,
+               lambda fleet: fleet.control_bytes_per_s(1), _CONTROL_BYTES, HOST_LIST, _DISCOVERY_CLIENT,
+               _RELAY_AND_SUBSET, value_after=lambda fleet: fleet.relayed_bytes_per_s(1), rows_after=_RELAYED_BYTES),
+    BudgetLine("gateway, hosts", "worst hour", "bytes a second for control", "bytes/s", PLAN.control_bytes_per_s,
+               lambda fleet: fleet.control_bytes_per_s(WORST_HOUR_FACTOR), _CONTROL_BYTES, HOST_LIST,
+               _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
+               value_after=lambda fleet: fleet.relayed_bytes_per_s(WORST_HOUR_FACTOR), rows_after=_RELAYED_BYTES),
+    BudgetLine("gateway, hosts", "worst second", "bytes a second, a zone back", "bytes/s", PLAN.control_bytes_per_s,
+               lambda fleet: fleet.zone_return_cost("change_zone_bytes") / WORST_CHANGE_LIMIT_S,
+               ("change_zone_bytes",), HOST_LIST, _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
+               value_after=lambda fleet: fleet.cost("relay_change_zone_bytes_most", fleet.hosts)
+               / WORST_CHANGE_LIMIT_S, rows_after=("relay_change_zone_bytes_most",), remedy=_METERED_SUBSET),
+    BudgetLine("gateway, hosts", "worst second", "bytes a second, its start", "bytes/s", PLAN.control_bytes_per_s,
+               lambda fleet: fleet.cost("whole_bytes", fleet.held_hosts) / START_LIMIT_S, ("whole_bytes",), HOST_LIST,
+               _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
+               value_after=lambda fleet: fleet.cost("relay_whole_bytes", fleet.hosts) / START_LIMIT_S,
+               rows_after=("relay_whole_bytes",), remedy=_METERED_SUBSET),
+    BudgetLine("gateway, hosts", "ordinary day", "CPU for control, a second", "ms/s",
+               PLAN.control_core * CORE_MS_PER_S, lambda fleet: fleet.control_cpu_ms_per_s(1), _CONTROL_CPU,
+               HOST_LIST, _ENDPOINT_UPDATES, _RELAY_AND_SUBSET),
+    BudgetLine("gateway, hosts", "worst hour", "CPU for control, a second", "ms/s", PLAN.control_core * CORE_MS_PER_S,
+               lambda fleet: fleet.control_cpu_ms_per_s(WORST_HOUR_FACTOR), _CONTROL_CPU, HOST_LIST,
+               _ENDPOINT_UPDATES, _RELAY_AND_SUBSET),
+    BudgetLine("gateway, hosts", "worst second", "CPU for control, a second, a zone back", "ms/s",
+               PLAN.control_core * CORE_MS_PER_S,
+               lambda fleet: fleet.control_cpu_ms_per_s(1) + fleet.zone_return_cost("change_zone_cpu_ms")
+               / WORST_CHANGE_LIMIT_S, (*_CONTROL_CPU, "change_zone_cpu_ms"), HOST_LIST, _ENDPOINT_UPDATES,
+               _RELAY_AND_SUBSET,
+               value_after=lambda fleet: fleet.control_cpu_ms_per_s(1)
+               + fleet.zone_return_cost("subset_change_zone_cpu_ms") / WORST_CHANGE_LIMIT_S,
+               rows_after=(*_CONTROL_CPU, "subset_change_zone_cpu_ms")),
+    BudgetLine("gateway, hosts", "ordinary day", "longest stop of the loop, one change", "ms", MAX_STALL_MS,
+               lambda fleet: fleet.cost("change_1_stop_ms", fleet.held_hosts), ("change_1_stop_ms",), HOST_LIST,
+               _ENDPOINT_UPDATES, _RELAY_AND_SUBSET, remedy=_SLICED_LISTS),
+    BudgetLine("gateway, hosts", "worst second", "longest stop of the loop, the collector", "ms", MAX_STALL_MS,
+               lambda fleet: fleet.cost("collector_ms", fleet.held_hosts), ("collector_ms",), HOST_LIST,
+               "`cloverkeel.core.gc_tuning`", _RELAY_AND_SUBSET, remedy=_SLICED_LISTS),
+    BudgetLine("gateway, hosts", "worst second", "longest stop of the loop, a zone back", "ms", MAX_STALL_MS,
+               lambda fleet: fleet.zone_return_cost("change_zone_stop_ms"), ("change_zone_stop_ms",), HOST_LIST,
+               _ENDPOINT_UPDATES, _RELAY_AND_SUBSET, remedy=_SLICED_LISTS,
+               value_after=lambda fleet: fleet.zone_return_cost("subset_change_zone_stop_ms"),
+               rows_after=("subset_change_zone_stop_ms",)),
+    BudgetLine("gateway, hosts", "worst second", "longest stop of the loop, a whole list while requests are served",
+               "ms", MAX_STALL_MS, lambda fleet: fleet.cost("whole_stop_ms", fleet.held_hosts), ("whole_stop_ms",),
+               HOST_LIST, _DISCOVERY_CLIENT, _RELAY_AND_SUBSET, remedy=_SLICED_LISTS,
+               value_after=lambda fleet: fleet.cost("subset_whole_stop_ms", fleet.held_hosts),
+               rows_after=("subset_whole_stop_ms",)),
+    BudgetLine("gateway, hosts", "worst second",
+               "longest stop of the loop, the first list: nobody is served before it", "ms", None,
+               lambda fleet: fleet.cost("whole_first_stop_ms", fleet.held_hosts), ("whole_first_stop_ms",), HOST_LIST,
+               _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
+               value_after=lambda fleet: fleet.cost("subset_whole_first_stop_ms", fleet.held_hosts),
+               rows_after=("subset_whole_first_stop_ms",)),
+    BudgetLine("gateway, hosts", "worst second", "start to ready", "ms", START_LIMIT_S * 1e3,
+               lambda fleet: fleet.cost("ready_ms", fleet.held_hosts), ("ready_ms",), HOST_LIST,
+               "`cloverkeel.cli.serving`", _RELAY_AND_SUBSET),
+    BudgetLine("gateway, hosts", "ordinary day", "memory, with what it would have to know of routes and tenants",
+               "MB", PLAN.control_mb, lambda fleet: fleet.memory_mb(), ("resident_mb", *_STATE_ROWS), HOST_LIST,
+               _ENDPOINT_UPDATES, _RELAY_AND_SUBSET, True, remedy="tenants and routes of its own services alone"),
+    BudgetLine("gateway, hosts", "worst second", "the same, with a whole list told to it once", "MB", PLAN.control_mb,
+               lambda fleet: fleet.memory_mb(is_peak=True), ("resident_most_mb", *_STATE_ROWS), HOST_LIST,
+               _DISCOVERY_CLIENT, _RELAY_AND_SUBSET, True, remedy="tenants and routes of its own services alone"),
+    BudgetLine("gateway, others", "ordinary day", "bytes a second, presence and duties", "bytes/s",
+               PLAN.control_bytes_per_s, lambda fleet: fleet.peer_bytes_per_s,
+               ("presence_bytes_per_s", "duties_bytes_per_s"), PEERS, "`cloverkeel.gossip`, `cloverkeel.leases`"),
+    BudgetLine("gateway, others", "ordinary day", "CPU a second, presence and duties", "ms/s",
+               PLAN.control_core * CORE_MS_PER_S,
+               lambda fleet: fleet.cost("presence_ms_per_s", fleet.gateways)
+               + fleet.cost("duties_ms_per_s", fleet.gateways), ("presence_ms_per_s", "duties_ms_per_s"), PEERS,
+               "`cloverkeel.gossip`, `cloverkeel.leases`"),
+    BudgetLine("gateway, others", "worst second", "until all doubt a host that fails", "ms", None,
+               lambda fleet: fleet.cost("news_all_ms", fleet.gateways), ("news_all_ms",), PEERS,
+               "`cloverkeel.gossip.dissemination`"),
+    BudgetLine("gateway, others", "worst second", "bytes a second while that is told", "bytes/s",
+               PLAN.control_bytes_per_s, lambda fleet: fleet.cost("news_bytes_per_s", fleet.gateways),
+               ("news_bytes_per_s",), PEERS, "`cloverkeel.gossip.dissemination`"),
+    BudgetLine("gateway, settings", "ordinary day", "bytes a second, if each change brings the whole file", "bytes/s",
+               PLAN.control_bytes_per_s, lambda fleet: fleet.configurations_per_s * fleet.reload_cost("bytes"),
+               ("tenants_reload_bytes",), SETTINGS, remedy=_SETTINGS_DELTAS, needs_new_state=True),
+    BudgetLine("gateway, settings", "ordinary day", "CPU a second of reloads", "ms/s",
+               PLAN.control_core * CORE_MS_PER_S,
+               lambda fleet: fleet.configurations_per_s * fleet.reload_cost("cpu_ms"), ("tenants_reload_cpu_ms",),
+               SETTINGS, "`cloverkeel.core.reload`: only discovery's address is taken", remedy=_SETTINGS_DELTAS,
+               needs_new_state=True),
+    BudgetLine("gateway, settings", "ordinary day", "part of the time that the loop stands for reloads", "share",
+               MAX_DELAYED_SHARE, lambda fleet: fleet.configurations_per_s * fleet.reload_cost("stop_ms") / 1e3,
+               ("tenants_reload_stop_ms",), SETTINGS, "`cloverkeel.core.reload`", remedy=_SETTINGS_DELTAS,
+               needs_new_state=True),
+    BudgetLine("gateway, settings", "ordinary day", "until a reload is read", "ms", PLAN.configuration_s * 1e3,
+               lambda fleet: fleet.reload_cost("ms"), ("tenants_reload_ms",), SETTINGS, "`cloverkeel.core.reload`",
+               remedy=_SETTINGS_DELTAS),
+    BudgetLine("gateway, settings", "ordinary day", "memory while one is read, beside the program", "MB",
+               PLAN.control_mb,
+               lambda fleet: fleet.cost("resident_mb", fleet.held_hosts) + fleet.reload_cost("most_mb"),
+               ("resident_mb", "tenants_reload_most_mb"), SETTINGS, "`cloverkeel.core.config`",
+               remedy=_SETTINGS_DELTAS),
+    BudgetLine("relay", "ordinary day", "bytes out a second, each", "bytes/s", LINK_BYTES_PER_S,
+               lambda fleet: fleet.gateways_per_relay * POLLS_PER_S * fleet.cost("poll_bytes", 1)
+               + fleet.changes_per_s * fleet.cost("relay_change_1_bytes", fleet.hosts),
+               ("poll_bytes", "relay_change_1_bytes"), RELAYS, _RELAY, only_after=True),
+    BudgetLine("relay", "worst second", "bytes out a second, each, a zone back", "bytes/s", LINK_BYTES_PER_S,
+               lambda fleet: fleet.cost("relay_change_zone_bytes", fleet.hosts) / WORST_CHANGE_LIMIT_S,
+               ("relay_change_zone_bytes",), RELAYS, _RELAY, only_after=True),
+    BudgetLine("relay", "worst second", "bytes out a second, each, 7 in 10 gateways start", "bytes/s",
+               LINK_BYTES_PER_S,
+               lambda fleet: STARTED_SHARE * fleet.gateways_per_relay * fleet.cost("relay_whole_bytes", fleet.hosts)
+               / START_LIMIT_S, ("relay_whole_bytes",), RELAYS, _RELAY, only_after=True),
+    BudgetLine("relay", "worst second", "bytes out a second, each, one killed and its gateways told within 1 s",
+               "bytes/s", LINK_BYTES_PER_S,
+               lambda fleet: fleet.gateways_per_relay / (PLAN.control_machines - 1)
+               * fleet.cost("relay_whole_bytes", fleet.hosts), ("relay_whole_bytes",), RELAYS, _RELAY,
+               only_after=True),
+    BudgetLine("relay", "worst hour", "CPU of changes a second, each", "ms/s", CORE_MS_PER_S,
+               lambda fleet: WORST_HOUR_FACTOR * fleet.changes_per_s
+               * fleet.cost("relay_change_1_cpu_ms", fleet.hosts), ("relay_change_1_cpu_ms",), RELAYS, _RELAY,
+               only_after=True),
+    BudgetLine("relay", "worst second", "CPU until a zone that is back is told to all of one relay", "ms",
+               WORST_CHANGE_LIMIT_S * 1e3, lambda fleet: fleet.cost("relay_change_zone_cpu_ms", fleet.hosts),
+               ("relay_change_zone_cpu_ms",), RELAYS, _RELAY, only_after=True),
+    BudgetLine("relay", "worst second", "CPU until 7 in 10 of its gateways have their wholes", "ms",
+               START_LIMIT_S * 1e3,
+               lambda fleet: STARTED_SHARE * fleet.gateways_per_relay * fleet.cost("relay_whole_cpu_ms", fleet.hosts),
+               ("relay_whole_cpu_ms",), RELAYS, _RELAY, only_after=True),
+    BudgetLine("relay", "worst second", "longest step, a whole list taken", "ms", CHANGE_LIMIT_MS,
+               lambda fleet: fleet.cost("relay_take_stop_ms", fleet.hosts), ("relay_take_stop_ms",), RELAYS, _RELAY,
+               only_after=True, remedy=_SLICED_LISTS),
+    BudgetLine("relay", "ordinary day", "memory of the list and of what each gateway has", "MB", None,
+               lambda fleet: fleet.cost("relay_kept_mb", fleet.hosts), ("relay_kept_mb",), RELAYS, _RELAY,
+               only_after=True),
+    BudgetLine("discovery", "ordinary day", "calls a second that it answers", "/s", None,
+               lambda fleet: (PLAN.control_machines if fleet.has_subsets else fleet.gateways) * POLLS_PER_S, (),
+               HOST_LIST, "discovery's own", "12 relays ask"),
+    BudgetLine("discovery", "ordinary day", "bytes out a second", "bytes/s", LINK_BYTES_PER_S,
+               lambda fleet: (PLAN.control_machines if fleet.has_subsets else fleet.gateways)
+               * (fleet.cost("poll_bytes", 1) + fleet.changes_per_s * fleet.change_bytes),
+               ("poll_bytes", "change_1_bytes"), HOST_LIST, "discovery's own", "12 relays ask"),
+    BudgetLine("discovery", "worst second", "bytes out a second, a zone back", "bytes/s", LINK_BYTES_PER_S,
+               lambda fleet: (PLAN.control_machines if fleet.has_subsets else fleet.gateways)
+               * fleet.cost("change_zone_bytes", fleet.hosts) / WORST_CHANGE_LIMIT_S, ("change_zone_bytes",),
+               HOST_LIST, "discovery's own", "12 relays ask"),
+    BudgetLine("discovery", "worst second", "bytes out a second, 7 in 10 gateways start", "bytes/s", LINK_BYTES_PER_S,
+               lambda fleet: (PLAN.control_machines if fleet.has_subsets else STARTED_SHARE * fleet.gateways)
+               * fleet.cost("whole_bytes", fleet.hosts) / START_LIMIT_S, ("whole_bytes",), HOST_LIST,
+               "discovery's own", "12 relays ask, at the worst all at once"),
 )  # fmt: skip
 
 
 @dataclass(slots=True, frozen=True)
 class Figure:
-    """A line worked out at the plan's size. `share`: inf beyond MOST, 0 at any size, None where there is no limit or
-    no figure."""
+    """The value of a line at the plan's size, and the share of the plan at which its limit is exceeded."""
 
-    line: Line
+    line: BudgetLine
     value: float | None
-    share: float | None
-    rows: tuple[str, ...]  # of the slopes
+    share: float | None  # inf above MAX_SHARE, 0 at any size, None without a limit or a value
+    rows: tuple[str, ...]  # names of the measured costs
 
 
-def work_out(curves: Mapping[str, Curve], subset: bool, lines: tuple[Line, ...] = LINES) -> list[Figure]:
-    """Each line at the plan's size, as the program is (`subset` False), or with the mechanism."""
-    made: list[Figure] = []
+def evaluate_lines(
+    curves: Mapping[str, Curve], has_subsets: bool, lines: tuple[BudgetLine, ...] = LINES
+) -> list[Figure]:
+    """Evaluate each line at the plan's size, without or with (`has_subsets`) relays and subsets."""
+    figures: list[Figure] = []
     for line in lines:
-        if line.only_after and not subset:
+        if line.only_after and not has_subsets:
             continue
-        value, rows = line.by(curves, subset)
+        value, rows = line.value_and_rows(curves, has_subsets)
         if any(name not in curves for name in rows):
-            made.append(Figure(line, None, None, rows))
+            figures.append(Figure(line, None, None, rows))
             continue
-        made.append(Figure(line, value(Load(curves, 1.0, subset)), share_at(line, curves, subset), rows))
-    return made
+        figures.append(
+            Figure(
+                line,
+                value(ScaledFleet(curves, 1.0, has_subsets)),
+                find_breaking_share(line, curves, has_subsets),
+                rows,
+            )
+        )
+    return figures
 
 
-def share_at(line: Line, curves: Mapping[str, Curve], subset: bool) -> float | None:
-    """The least share of the plan at which the limit is passed, within 0.1%."""
+def find_breaking_share(line: BudgetLine, curves: Mapping[str, Curve], has_subsets: bool) -> float | None:
+    """Return the smallest share of the plan at which the limit is exceeded, within 0.1%."""
     limit = line.limit
     if limit is None:
         return None
 
-    value, _ = line.by(curves, subset)
+    value, _ = line.value_and_rows(curves, has_subsets)
 
-    def breaks(share: float) -> bool:
-        return value(Load(curves, share, subset)) > limit
+    def is_exceeded(share: float) -> bool:
+        return value(ScaledFleet(curves, share, has_subsets)) > limit
 
-    if breaks(LEAST):
+    if is_exceeded(MIN_SHARE):
         return 0.0
-    if not breaks(MOST):
+    if not is_exceeded(MAX_SHARE):
         return math.inf
-    low, high = LEAST, MOST
+    low, high = MIN_SHARE, MAX_SHARE
     while high / low > 1.001:
         middle = math.sqrt(low * high)
-        low, high = (low, middle) if breaks(middle) else (middle, high)
+        low, high = (low, middle) if is_exceeded(middle) else (middle, high)
     return low
 
 
-def ranking(figures: list[Figure]) -> list[Figure]:
-    """What has a limit and a figure, the least share first."""
+def rank_figures(figures: list[Figure]) -> list[Figure]:
+    """Return the figures that have a share, smallest share first."""
     known = [figure for figure in figures if figure.share is not None]
-    return sorted(known, key=lambda found: (found.share or 0.0, -(found.value or 0.0) / (found.line.limit or 1.0)))
+    return sorted(
+        known, key=lambda figure: (figure.share or 0.0, -(figure.value or 0.0) / (figure.line.limit or 1.0))
+    )
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -18,7 +18,7 @@
 from typing import Any, Final
 
 from benchmarks.capacity import budget
-from benchmarks.capacity.budget import ASSUMED, Figure, Load, ranking, work_out
+from benchmarks.capacity.budget import ASSUMED, Figure, ScaledFleet, evaluate_lines, rank_figures
 from benchmarks.capacity.plan import MIN_GATEWAYS_PER_SERVICE, PLAN, SERVICES_PER_GATEWAY, service_sizes
 from benchmarks.capacity.slopes import curve_of, read
 
@@ -61,7 +61,7 @@
     if value == 0:
         return "at any size"
     if math.isinf(value):
-        return f"over {budget.MOST:g}"
+        return f"over {budget.MAX_SHARE:g}"
     return f"{value:.4f}" if value < 0.01 else f"{value:.3f}" if value < 0.1 else f"{value:.2f}"
 
 
@@ -77,7 +77,7 @@
     ) -> None:
         self.rows, self.runs, self.files = rows, runs, files
         self.curves = {name: curve_of(row) for name, row in rows.items()}
-        self.before, self.after = work_out(self.curves, False), work_out(self.curves, True)
+        self.before, self.after = evaluate_lines(self.curves, False), evaluate_lines(self.curves, True)
 
     def tables(self) -> dict[str, Callable[[], str]]:
         made = {name.removeprefix("table_"): getattr(self, name) for name in dir(self) if name.startswith("table_")}
@@ -118,35 +118,39 @@
         return table(heads, rows, right=(5, 6))
 
     def table_assumed(self) -> str:
-        least, mean, most = budget.services_of_gateways()
+        least, mean, most = budget.services_per_gateway()
         sizes = sorted(service_sizes(PLAN.hosts, PLAN.services))
-        told, all_told = Load({}, 1.0, subset=True).told, budget.subset_hosts(1.0, before_all=True)
-        load = Load({}, 1.0)
+        told, all_told = (
+            ScaledFleet({}, 1.0, has_subsets=True).held_hosts,
+            budget.mean_subset_hosts(1.0, before_all=True),
+        )
+        load = ScaledFleet({}, 1.0)
         rows = [
             ("hosts of a service, largest", figure(sizes[-1])),
             ("hosts of a service, median", figure(sizes[len(sizes) // 2])),
             (f"services of a gateway (each gateway has room for {SERVICES_PER_GATEWAY}, "
              f"each service {MIN_GATEWAYS_PER_SERVICE} gateways or more)", f"{least} to {most}, mean {mean:.1f}"),
-            ("hosts in a gateway's subset, mean", figure(budget.subset_hosts(1.0))),
+            ("hosts in a gateway's subset, mean", figure(budget.mean_subset_hosts(1.0))),
             ("the same for the gateway with the most services: what the tables take", figure(told)),
             ("the same if each gateway were before all services", figure(all_told)),
-            ("changes of the list a second, ordinary day", figure(load.changes)),
-            ("changes of configuration a second", figure(load.configurations)),
+            ("changes of the list a second, ordinary day", figure(load.changes_per_s)),
+            ("changes of configuration a second", figure(load.configurations_per_s)),
             ("requests a second at a gateway", figure(PLAN.requests_per_gateway)),
             ("hosts that come back with a zone", figure(PLAN.hosts / PLAN.zones)),
-            ("gateways that start within 2 s", figure(budget.WAVE * PLAN.gateways)),
+            ("gateways that start within 2 s", figure(budget.STARTED_SHARE * PLAN.gateways)),
         ]  # fmt: skip
         counted = table(("worked out of the plan", ""), rows, right=(1,))
         return counted + "\n" + "".join(f"- {said}\n" for said in ASSUMED)
 
     def table_other_way(self) -> str:
         """Had each gateway every service: what its subset would then cost."""
-        told = budget.subset_hosts(1.0, before_all=True)
+        told = budget.mean_subset_hosts(1.0, before_all=True)
         names = (
             "resident_mb", "whole_bytes", "whole_stop_ms", "change_1_stop_ms", "collector_ms", "quiet_p99_added_ms",
         )  # fmt: skip
         rows = [
-            (self.rows[name]["cost"], self.rows[name]["unit"], figure(self.curves[name].at(Load({}, 1.0, True).told)),
+            (self.rows[name]["cost"], self.rows[name]["unit"],
+             figure(self.curves[name].at(ScaledFleet({}, 1.0, True).held_hosts)),
              figure(self.curves[name].at(told)), figure(self.curves[name].at(PLAN.hosts)))
             for name in names if name in self.rows
         ]  # fmt: skip
@@ -164,7 +168,7 @@
         scatter = max(self.rows[name]["residual"] for name in found.rows)
         if scatter > SCATTER:
             said += f", scatters by {scatter:.0%}"
-        return said + (", priced" if found.line.priced else "")
+        return said + (", priced" if found.line.needs_new_state else "")
 
     def of_role(self, role: str) -> str:
         today = {id(found.line): found for found in self.before}
@@ -176,7 +180,8 @@
                 (line.moment, f"{line.what}, {line.unit}",
                  figure(now.value) if now is not None else "", share(now.share) if now is not None else "",
                  figure(then.value), share(then.share), limit(line.limit),
-                 line.carried or "missing", line.carried_after or ("the same" if line.carried else "missing"),
+                 line.carried_by or "missing",
+                 line.carried_by_after or ("the same" if line.carried_by else "missing"),
                  self.far(now or then), ", ".join(f"`{name}`" for name in used) or "the plan")
             )  # fmt: skip
         heads = ("moment", "what", "today", "breaks at", "with the mechanism", "breaks at", "limit",
@@ -220,7 +225,7 @@
             (str(place), share(found.share), found.line.role, found.line.moment, f"{found.line.what}, "
              f"{found.line.unit}", figure(found.value), limit(found.line.limit),
              self.far(found), found.line.cause)
-            for place, found in enumerate(ranking(figures), 1)
+            for place, found in enumerate(rank_figures(figures), 1)
         ]  # fmt: skip
         heads = ("", "breaks at", "role", "moment", "what", "at the plan's size", "limit", "known how", "cause")
         return table(heads, rows, right=(0, 1, 5, 6))
@@ -235,8 +240,8 @@
         """With the mechanism: what is broken at the plan's size all the same."""
         rows = [
             (share(found.share), found.line.role, f"{found.line.what}, {found.line.unit}", figure(found.value),
-             limit(found.line.limit), found.line.would or "not known")
-            for found in ranking(self.after) if (found.share or 0.0) < 1
+             limit(found.line.limit), found.line.remedy or "not known")
+            for found in rank_figures(self.after) if (found.share or 0.0) < 1
         ]  # fmt: skip
         heads = ("breaks at", "role", "what", "at the plan's size", "limit", "what would carry it")
         return table(heads, rows, right=(0, 3, 4))
@@ -244,10 +249,12 @@
     def table_causes(self) -> str:
         """By cause: limits that break below the plan's size, before and after."""
         rows = []
-        for cause in dict.fromkeys(found.line.cause for found in ranking(self.before) + ranking(self.after)):
+        for cause in dict.fromkeys(
+            found.line.cause for found in rank_figures(self.before) + rank_figures(self.after)
+        ):
             cells = []
             for figures in (self.before, self.after):
-                of = [found for found in ranking(figures) if found.line.cause == cause]
+                of = [found for found in rank_figures(figures) if found.line.cause == cause]
                 broken = [found for found in of if (found.share or 0.0) < 1]
                 cells += [f"{len(broken)} of {len(of)}" if of else "", share(of[0].share) if of else ""]
             rows.append((cause, *cells))
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -31,9 +31,9 @@
 
 import uvloop
 
-from cloverkeel.compiled import loader
 from benchmarks.capacity.plan import PLAN, build_fleet, zones_by_region
 from benchmarks.capacity.world import encoded, entries, gateways_at
+from cloverkeel.compiled import loader
 from standins.site import BackendType, Rules, configuration, settings
 
 Costs = dict[str, float]
@@ -504,14 +504,14 @@
     Hosts began at moments of the last four days, in milliseconds, as 9,800 starts a day of 38,000 come to; those of a
     zone that is back within some seconds. With `since_ms` alike a body takes a third less.
     """
-    from cloverkeel.control_plane.messages import ListResponse, Subscriber
+    from cloverkeel.control_plane.discovery_source import MAX_SINGLE_STEP_BYTES
     from cloverkeel.control_plane.encoding import MIN_GZIP_BYTES, gzip_body
     from cloverkeel.control_plane.endpoint_cache import EndpointCache
     from cloverkeel.control_plane.endpoint_table import SubscriptionKey
-    from cloverkeel.control_plane.roster_parser import parse_roster
     from cloverkeel.control_plane.http_server import free_incrementally
-    from cloverkeel.control_plane.discovery_source import MAX_SINGLE_STEP_BYTES
     from cloverkeel.control_plane.incremental_update import apply_list_incrementally
+    from cloverkeel.control_plane.messages import ListResponse, Subscriber
+    from cloverkeel.control_plane.roster_parser import parse_roster
     from cloverkeel.core.incremental_json import decode_json
 
     made = build_fleet(gateways_at(size), size)
@@ -708,7 +708,7 @@
 def part_relayed(size: int, seconds: float) -> Costs:
     """p99 added by the gateway with the most services, told its subset by a relay that has so many hosts and the
     plan's roster: while nothing changes, and while hosts are restarted at the rate of the fleet's worst hour."""
-    from benchmarks.capacity.budget import HOUR, Load
+    from benchmarks.capacity.budget import WORST_HOUR_FACTOR, ScaledFleet
 
     costs: Costs = {}
     made = build_fleet(gateways_at(size), size)
@@ -741,7 +741,7 @@
                 clients = Clients(real.port, hosts, PLAN.requests_per_gateway)
                 runner.run(clients.run(min(WARM_S, seconds)))
                 _under_load(costs, "relayed", runner, clients, real.pid, seconds)
-                every_ms = 1_000 / (HOUR * Load({}, size / PLAN.hosts).changes)
+                every_ms = 1_000 / (WORST_HOUR_FACTOR * ScaledFleet({}, size / PLAN.hosts).changes_per_s)
                 call(discovery, f"/restarts?every_ms={every_ms:.0f}")
                 _under_load(costs, "relayed_changes", runner, clients, real.pid, seconds)
         finally:
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 from typing import Any, Final
 
-from cloverkeel.balancing import BUILD
 from benchmarks.capacity.fit import LEAST_POINTS, Curve, Point, fit
 from benchmarks.capacity.rows import PARTS, SPECS, Part, Spec
+from cloverkeel.balancing import BUILD
 
 ROOT = Path(__file__).resolve().parents[2]
 FULL_S: Final = 410.0  # a run in full ends within seven minutes
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,14 +11,20 @@
 import pytest
 
 from benchmarks.capacity import budget, slopes
-from benchmarks.capacity.budget import LINES, Line, Load, share_at, subset_hosts, work_out
+from benchmarks.capacity.budget import (
+    LINES,
+    BudgetLine,
+    ScaledFleet,
+    evaluate_lines,
+    find_breaking_share,
+    mean_subset_hosts,
+)
 from benchmarks.capacity.fit import Curve, fit
 from benchmarks.capacity.page import MARKED, PAGE, SLOPES, Page, current, page_of
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.rows import PARTS, SPECS, Part
 from benchmarks.capacity.slopes import Measured, measure, read, rows_of, run_part
 from benchmarks.capacity.world import Discovery, entries
-
 from tests.sockets import on_loop, until
 
 SIZES = (200.0, 2_000.0, 10_000.0, 38_000.0)
@@ -62,8 +68,10 @@
 # The budget
 
 
-def line_of(name: str, limit: float | None) -> Line:
-    return Line("r", "m", "w", "ms", limit, lambda at: at.at(name, at.told), (name,), budget.LIST)
+def line_of(name: str, limit: float | None) -> BudgetLine:
+    return BudgetLine(
+        "r", "m", "w", "ms", limit, lambda fleet: fleet.cost(name, fleet.held_hosts), (name,), budget.HOST_LIST
+    )
 
 
 @pytest.mark.parametrize(
@@ -77,43 +85,43 @@
     ],
 )
 def test_the_share_at_which_a_limit_breaks(curve: Curve, share: float) -> None:
-    assert share_at(line_of("x", 2.0), {"x": curve}, False) == pytest.approx(share, rel=0.002)
+    assert find_breaking_share(line_of("x", 2.0), {"x": curve}, False) == pytest.approx(share, rel=0.002)
 
 
 def test_what_has_no_limit_or_no_curve_has_no_share() -> None:
-    assert share_at(line_of("x", None), {"x": Curve("constant", 1.0, 0.0, 0.0)}, False) is None
-    (found,) = work_out({}, False, (line_of("x", 2.0),))
+    assert find_breaking_share(line_of("x", None), {"x": Curve("constant", 1.0, 0.0, 0.0)}, False) is None
+    (found,) = evaluate_lines({}, False, (line_of("x", 2.0),))
     assert (found.value, found.share) == (None, None)
 
 
 def test_every_line_names_rows_that_are_measured() -> None:
     names = {spec.name for spec in SPECS}
-    assert {name for line in LINES for name in (*line.rows, *line.after_rows)} <= names
+    assert {name for line in LINES for name in (*line.rows, *line.rows_after)} <= names
     assert {spec.part for spec in SPECS} == {part.name for part in PARTS}
 
 
 def test_every_line_is_worked_out_by_the_rows_that_it_names_alone() -> None:
     for line in LINES:
         for subset in (False, True):
-            value, rows = line.by(dict.fromkeys((*line.rows, *line.after_rows), ONE), subset)
+            value, rows = line.value_and_rows(dict.fromkeys((*line.rows, *line.rows_after), ONE), subset)
             if not (line.only_after and not subset):
-                assert value(Load(dict.fromkeys(rows, ONE), 1.0, subset)) >= 0
+                assert value(ScaledFleet(dict.fromkeys(rows, ONE), 1.0, subset)) >= 0
 
 
 ONE = Curve("line", 1.0, 0.001, 0.0)
 
 
 def test_the_plans_day_in_figures() -> None:
-    load = Load({}, 1.0)
-    assert load.changes * budget.DAY_S == pytest.approx(9_800 * 2.5 + 60 * 2)
-    assert load.configurations * budget.DAY_S == pytest.approx(3_200)
-    assert Load({}, 0.5).changes == pytest.approx(load.changes / 2)
+    load = ScaledFleet({}, 1.0)
+    assert load.changes_per_s * budget.DAY_S == pytest.approx(9_800 * 2.5 + 60 * 2)
+    assert load.configurations_per_s * budget.DAY_S == pytest.approx(3_200)
+    assert ScaledFleet({}, 0.5).changes_per_s == pytest.approx(load.changes_per_s / 2)
 
 
 def test_a_subset_is_small_and_hardly_grows() -> None:
-    assert 0 < subset_hosts(1.0) < PLAN.hosts / 20
-    assert subset_hosts(2.0) < 1.5 * subset_hosts(1.0)
-    assert subset_hosts(1.0, before_all=True) > 5 * subset_hosts(1.0)
+    assert 0 < mean_subset_hosts(1.0) < PLAN.hosts / 20
+    assert mean_subset_hosts(2.0) < 1.5 * mean_subset_hosts(1.0)
+    assert mean_subset_hosts(1.0, before_all=True) > 5 * mean_subset_hosts(1.0)
 
 
 def test_p99_with_the_mechanism_is_what_was_measured_behind_relays_not_the_direct_curve() -> None:
@@ -121,10 +129,10 @@
     curves = {"quiet_p99_added_ms": direct, "relayed_p99_added_ms": behind,
               "changes_p99_added_ms": direct, "relayed_changes_p99_added_ms": behind}  # fmt: skip
     lines = tuple(line for line in LINES if line.what.startswith("p99 added"))
-    assert [(f.value, f.rows) for f in work_out(curves, False, lines)] == [
+    assert [(f.value, f.rows) for f in evaluate_lines(curves, False, lines)] == [
         (9.0, ("quiet_p99_added_ms",)), (9.0, ("changes_p99_added_ms",)),
     ]  # fmt: skip
-    with_it = work_out(curves, True, lines)
+    with_it = evaluate_lines(curves, True, lines)
     assert [f.value for f in with_it] == pytest.approx([2.0, 2.0])
     assert [f.rows for f in with_it] == [("relayed_p99_added_ms",), ("relayed_changes_p99_added_ms",)]
 
@@ -132,7 +140,7 @@
 def test_a_first_list_has_no_limit_and_one_that_comes_while_requests_are_served_has() -> None:
     """Nobody is served before the first."""
     limits = {line.rows: line.limit for line in LINES if line.rows in (("whole_stop_ms",), ("whole_first_stop_ms",))}
-    assert limits == {("whole_stop_ms",): budget.STOP_MS, ("whole_first_stop_ms",): None}
+    assert limits == {("whole_stop_ms",): budget.MAX_STALL_MS, ("whole_first_stop_ms",): None}
 
 
 # What is measured
