--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What grows, how it grows, and at which share of the plan's size each limit breaks (docs/CAPACITY.md)."""
+"""Capacity: how costs grow, and at which share of the plan's size each limit is exceeded (docs/CAPACITY.md)."""
--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -105,7 +105,7 @@
 
     def cost(self, name: str, size: float) -> float:
         """Return the value of a measured cost at this size."""
-        return self.curves[name].at(size)
+        return self.curves[name].value_at(size)
 
     @property
     def hosts(self) -> float:
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,12 +1,13 @@
-"""How a cost grows: a constant, by log, by line, or worse, chosen by residuals. Pure: points in, a curve out.
+"""Fits a curve to measured costs: constant, logarithmic, linear, or worse than linear. Pure: points in, a curve out.
 
 Invariants:
-- residuals are relative to the curve (RMS over the points, freedom taken off): a small size counts as much as a large
-  one, and what scatters is not taken for its least value;
-- a curve below FLOOR of its largest value counts as that there: what is next to nothing must not decide;
-- a curve with two coefficients is taken over a constant only where it is better by BETTER, and one that grows worse
-  than by line only where it is better than the line by as much: noise must not become a law;
-- no curve is below zero anywhere: where it would be, it is 0.
+- residuals are relative to the curve (RMS over the points, corrected for degrees of freedom), so that a small size
+  counts as much as a large one, and scattered values are not represented by their minimum;
+- where a curve is below MIN_RELATIVE_VALUE of its largest value, residuals are relative to that bound instead, so
+  that values near zero do not decide the fit;
+- a curve with two coefficients replaces a constant only if its residual is smaller by MAX_RESIDUAL_RATIO, and one
+  that grows worse than linearly replaces the others only if it is better by as much, so that noise is not fitted;
+- no curve is below zero: negative values become 0.
 """
 
 from __future__ import annotations
@@ -16,26 +17,27 @@
 from dataclasses import dataclass
 from typing import Final
 
-BETTER: Final = 0.6  # of the simpler curve's residual, at the most
-CONSTANT: Final = 0.01  # relative residual up to which nothing grows
-FLOOR: Final = 0.02
-ROUNDS: Final = 30  # of least squares, each with weights by the curve of the one before
-WORSE: Final = 1.1  # an exponent above this is worse than by line
-LEAST_POINTS: Final = 4
+MAX_RESIDUAL_RATIO: Final = 0.6  # residual of an accepted curve, relative to the simpler curve's
+MAX_CONSTANT_RESIDUAL: Final = 0.01  # relative residual up to which a cost is constant
+MIN_RELATIVE_VALUE: Final = 0.02  # relative to the largest value of the curve
+ITERATIONS: Final = 30  # of weighted least squares, each with weights from the previous curve
+MIN_WORSE_EXPONENT: Final = 1.1  # a power law with a larger exponent is worse than linear
+MIN_POINTS: Final = 4  # different sizes that a fit needs
 
 Point = tuple[float, float]
 
 
 @dataclass(slots=True, frozen=True)
 class Curve:
-    """`kind`: constant (a), log (a + b ln n), line (a + b n), worse (a n^b)."""
+    """A fitted cost by size n. `kind` is constant (a), log (a + b ln n), line (a + b n) or worse (a n^b)."""
 
     kind: str
     a: float
     b: float
-    residual: float  # relative, RMS
+    residual: float  # relative RMS
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
+        """Return the cost at this size, at least 0."""
         match self.kind:
             case "constant":
                 value = self.a
@@ -50,66 +52,73 @@
         return max(0.0, value)
 
 
-def fit(points: Sequence[Point]) -> Curve:
-    """ValueError for fewer than LEAST_POINTS sizes, or a value below zero."""
-    if len({size for size, _ in points}) < LEAST_POINTS:
-        raise ValueError(f"points: expected {LEAST_POINTS} sizes or more, found {len(points)}")
+def fit_curve(points: Sequence[Point]) -> Curve:
+    """Fit the simplest adequate curve. Raise ValueError for fewer than MIN_POINTS sizes or for a value below zero."""
+    if len({size for size, _ in points}) < MIN_POINTS:
+        raise ValueError(f"points: expected {MIN_POINTS} sizes or more, found {len(points)}")
     if any(value < 0 or size <= 0 for size, value in points):
         raise ValueError("points: expected sizes above 0 and values of 0 or more")
     if not any(value for _, value in points):
         return Curve("constant", 0.0, 0.0, 0.0)
-    best = constant = _constant(points)
-    if constant.residual <= CONSTANT:
+    best = constant = _fit_constant(points)
+    if constant.residual <= MAX_CONSTANT_RESIDUAL:
         return constant
-    two = [_straight(points, "log", lambda size: math.log(size)), _straight(points, "line", lambda size: size)]
-    better = min(two, key=lambda curve: curve.residual)
-    if better.residual <= BETTER * constant.residual:
-        best = better
-    worse = _power(points)
-    if worse is not None and worse.b > WORSE and worse.residual <= BETTER * min(best.residual, two[1].residual):
+    candidates = [
+        _fit_linear(points, "log", lambda size: math.log(size)),
+        _fit_linear(points, "line", lambda size: size),
+    ]
+    best_candidate = min(candidates, key=lambda curve: curve.residual)
+    if best_candidate.residual <= MAX_RESIDUAL_RATIO * constant.residual:
+        best = best_candidate
+    worse = _fit_power(points)
+    if (
+        worse is not None
+        and worse.b > MIN_WORSE_EXPONENT
+        and worse.residual <= MAX_RESIDUAL_RATIO * min(best.residual, candidates[1].residual)
+    ):
         best = worse
     return best
 
 
 def _weights(points: Sequence[Point], curve: Curve) -> list[float]:
-    values = [curve.at(size) for size, _ in points]
-    least = FLOOR * max(values) or 1.0
-    return [1.0 / max(value, least) for value in values]
+    values = [curve.value_at(size) for size, _ in points]
+    min_value = MIN_RELATIVE_VALUE * max(values) or 1.0
+    return [1.0 / max(value, min_value) for value in values]
 
 
 def _residual(points: Sequence[Point], curve: Curve) -> float:
-    taken = 1 if curve.kind == "constant" else 2
+    coefficients = 1 if curve.kind == "constant" else 2
     weights = _weights(points, curve)
-    squares = [(w * (value - curve.at(size))) ** 2 for (size, value), w in zip(points, weights, strict=True)]
-    return math.sqrt(sum(squares) / (len(points) - taken))
+    squares = [(w * (value - curve.value_at(size))) ** 2 for (size, value), w in zip(points, weights, strict=True)]
+    return math.sqrt(sum(squares) / (len(points) - coefficients))
 
 
-def _constant(points: Sequence[Point]) -> Curve:
+def _fit_constant(points: Sequence[Point]) -> Curve:
     a = sum(value for _, value in points) / len(points)
     return Curve("constant", a, 0.0, _residual(points, Curve("constant", a, 0.0, 0.0)))
 
 
-def _straight(points: Sequence[Point], kind: str, of: Callable[[float], float]) -> Curve:
-    """Least relative squares of a + b f(n), by rounds."""
-    xs, ys = [of(size) for size, _ in points], [value for _, value in points]
+def _fit_linear(points: Sequence[Point], kind: str, transform: Callable[[float], float]) -> Curve:
+    """Fit a + b f(n) by iterated least squares of the relative residuals."""
+    xs, ys = [transform(size) for size, _ in points], [value for _, value in points]
     weights = [1.0] * len(points)
-    made = Curve(kind, 0.0, 0.0, 0.0)
-    for _ in range(ROUNDS):
+    curve = Curve(kind, 0.0, 0.0, 0.0)
+    for _ in range(ITERATIONS):
         total = sum(weights)
         mean_x = sum(w * x for w, x in zip(weights, xs, strict=True)) / total
         mean_y = sum(w * y for w, y in zip(weights, ys, strict=True)) / total
         spread = sum(w * (x - mean_x) ** 2 for w, x in zip(weights, xs, strict=True))
         b = sum(w * (x - mean_x) * (y - mean_y) for w, x, y in zip(weights, xs, ys, strict=True)) / spread
-        made = Curve(kind, mean_y - b * mean_x, b, 0.0)
-        weights = [w * w for w in _weights(points, made)]
-    return Curve(kind, made.a, made.b, _residual(points, made))
+        curve = Curve(kind, mean_y - b * mean_x, b, 0.0)
+        weights = [w * w for w in _weights(points, curve)]
+    return Curve(kind, curve.a, curve.b, _residual(points, curve))
 
 
-def _power(points: Sequence[Point]) -> Curve | None:
+def _fit_power(points: Sequence[Point]) -> Curve | None:
     if any(value <= 0 for _, value in points):
         return None
     logs = [(math.log(size), math.log(value)) for size, value in points]
-    mean_x, mean_y = (sum(log[i] for log in logs) / len(logs) for i in (0, 1))
+    mean_x, mean_y = (sum(log[axis] for log in logs) / len(logs) for axis in (0, 1))
     spread = sum((x - mean_x) ** 2 for x, _ in logs)
     b = sum((x - mean_x) * (y - mean_y) for x, y in logs) / spread
     a = math.exp(mean_y - b * mean_x)
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -20,7 +20,7 @@
 from benchmarks.capacity import budget
 from benchmarks.capacity.budget import ASSUMED, Figure, ScaledFleet, evaluate_lines, rank_figures
 from benchmarks.capacity.plan import MIN_GATEWAYS_PER_SERVICE, PLAN, SERVICES_PER_GATEWAY, service_sizes
-from benchmarks.capacity.slopes import curve_of, read
+from benchmarks.capacity.slopes import curve_from_row, read_rows
 
 ROOT: Final = Path(__file__).resolve().parents[2]
 PAGE: Final = ROOT / "docs" / "CAPACITY.md"
@@ -76,7 +76,7 @@
         self, rows: dict[str, dict[str, Any]], runs: Sequence[dict[str, Any]] = (), files: Sequence[Path] = ()
     ) -> None:
         self.rows, self.runs, self.files = rows, runs, files
-        self.curves = {name: curve_of(row) for name, row in rows.items()}
+        self.curves = {name: curve_from_row(row) for name, row in rows.items()}
         self.before, self.after = evaluate_lines(self.curves, False), evaluate_lines(self.curves, True)
 
     def tables(self) -> dict[str, Callable[[], str]]:
@@ -150,8 +150,8 @@
         )  # fmt: skip
         rows = [
             (self.rows[name]["cost"], self.rows[name]["unit"],
-             figure(self.curves[name].at(ScaledFleet({}, 1.0, True).held_hosts)),
-             figure(self.curves[name].at(told)), figure(self.curves[name].at(PLAN.hosts)))
+             figure(self.curves[name].value_at(ScaledFleet({}, 1.0, True).held_hosts)),
+             figure(self.curves[name].value_at(told)), figure(self.curves[name].value_at(PLAN.hosts)))
             for name in names if name in self.rows
         ]  # fmt: skip
         heads = ("cost", "unit", "its services alone", "all services", "no subset")
@@ -285,7 +285,7 @@
     """By the files of one folder. OSError or ValueError where one cannot be used."""
     runs = sorted(folder.glob(RUNS))
     slopes = folder / SLOPES.name
-    return Page(read(slopes), [json.loads(file.read_text()) for file in runs], [slopes, *runs])
+    return Page(read_rows(slopes), [json.loads(file.read_text()) for file in runs], [slopes, *runs])
 
 
 def current() -> Page:
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -31,9 +31,9 @@
 
 import uvloop
 
+from cloverkeel.compiled import loader
 from benchmarks.capacity.plan import PLAN, build_fleet, zones_by_region
 from benchmarks.capacity.world import encoded, entries, gateways_at
-from cloverkeel.compiled import loader
 from standins.site import BackendType, Rules, configuration, settings
 
 Costs = dict[str, float]
@@ -504,14 +504,14 @@
     Hosts began at moments of the last four days, in milliseconds, as 9,800 starts a day of 38,000 come to; those of a
     zone that is back within some seconds. With `since_ms` alike a body takes a third less.
     """
-    from cloverkeel.control_plane.discovery_source import MAX_SINGLE_STEP_BYTES
+    from cloverkeel.control_plane.messages import ListResponse, Subscriber
     from cloverkeel.control_plane.encoding import MIN_GZIP_BYTES, gzip_body
     from cloverkeel.control_plane.endpoint_cache import EndpointCache
     from cloverkeel.control_plane.endpoint_table import SubscriptionKey
+    from cloverkeel.control_plane.roster_parser import parse_roster
     from cloverkeel.control_plane.http_server import free_incrementally
+    from cloverkeel.control_plane.discovery_source import MAX_SINGLE_STEP_BYTES
     from cloverkeel.control_plane.incremental_update import apply_list_incrementally
-    from cloverkeel.control_plane.messages import ListResponse, Subscriber
-    from cloverkeel.control_plane.roster_parser import parse_roster
     from cloverkeel.core.incremental_json import decode_json
 
     made = build_fleet(gateways_at(size), size)
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -40,10 +40,10 @@
 from rich.table import Table
 
 from benchmarks.capacity.plan import PLAN
-from benchmarks.capacity.run_environment import Environment
 from benchmarks.capacity.run_processes import WorkerError, raise_descriptor_limit
 from benchmarks.capacity.run_sizes import MAX_MEMORY_MB, Size, estimate_held_hosts, fit_size
 from benchmarks.capacity.run_steps import STEPS, Step
+from benchmarks.capacity.run_environment import Environment
 from cloverkeel.balancing import BUILD
 
 MAX_RUN_S: Final = 470.0  # limit of a whole run
--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -23,9 +23,9 @@
 )
 from benchmarks.capacity.run_sizes import host_ports
 from standins.event_log import EventLog
-from standins.parties.network import Address
 from standins.parties.partitioned_registry import HostChange, PartitionedRegistry
-from standins.parties.registry import Entry, Registry, RegistryListener, ResponseCache
+from standins.parties.network import Address
+from standins.parties.registry import ResponseCache, Entry, Registry, RegistryListener
 
 MAX_CHANGE_HISTORY: Final = 32_768  # changes kept for watches: those of two zones at the plan's size
 
--- a/benchmarks/capacity/run_environment.py
+++ b/benchmarks/capacity/run_environment.py
@@ -15,9 +15,9 @@
 from typing import TYPE_CHECKING, Any, Final
 
 from benchmarks.capacity.plan import Fleet, FleetGateway, Host, build_fleet
-from benchmarks.capacity.run_load import CountingProxy, RequestLoad, Traffic, quantile
-from benchmarks.capacity.run_processes import ROOT, WorkerProcess, clock_us, die_with_parent, process_cpu_us, rss_kib
-from benchmarks.capacity.run_sizes import Size, mean_subset_hosts, rack_indexes, start_duration_s
+from benchmarks.capacity.run_load import RequestLoad, Traffic, CountingProxy, quantile
+from benchmarks.capacity.run_processes import ROOT, WorkerProcess, clock_us, process_cpu_us, die_with_parent, rss_kib
+from benchmarks.capacity.run_sizes import Size, rack_indexes, start_duration_s, mean_subset_hosts
 from cloverkeel.core.options import MAX_SERVICES
 from standins.parties.fleet import Gateway
 from standins.parties.network import Address, reserve_port
--- a/benchmarks/capacity/run_steps.py
+++ b/benchmarks/capacity/run_steps.py
@@ -13,9 +13,9 @@
 from typing import Any, Final
 
 from benchmarks.capacity.plan import PLAN
-from benchmarks.capacity.run_environment import Environment, RelayProcess, delayed_change_id
 from benchmarks.capacity.run_load import quantile
 from benchmarks.capacity.run_processes import clock_us
+from benchmarks.capacity.run_environment import RelayProcess, Environment, delayed_change_id
 
 CHANGE_LIMIT_S: Final = 1.0  # until a change is at the last gateway
 WORST_CHANGE_LIMIT_S: Final = 4.0  # the same in the worst second, and for a configuration
--- a/benchmarks/capacity/simulated_gateways.py
+++ b/benchmarks/capacity/simulated_gateways.py
@@ -30,6 +30,7 @@
 
 loader.load("cloverkeel")  # as the program does, before any of its packages is imported from its source
 
+from benchmarks.capacity.run_stale_updates import StaleUpdateDetector  # noqa: E402
 from benchmarks.capacity.run_processes import (  # noqa: E402
     OrderHandler,
     StallMeter,
@@ -39,9 +40,8 @@
     rss_kib,
     serve_orders,
 )
-from benchmarks.capacity.run_stale_updates import StaleUpdateDetector  # noqa: E402
-from cloverkeel.assembly import Program, assemble  # noqa: E402
 from cloverkeel.balancing.events import ListKind, ServerStatus  # noqa: E402
+from cloverkeel.assembly import Program, assemble  # noqa: E402
 from cloverkeel.core.config import Config, parse, parse_address, stable_id  # noqa: E402
 from cloverkeel.core.options import Options  # noqa: E402
 from cloverkeel.core.options import parse as parse_options  # noqa: E402
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,11 +19,11 @@
     find_breaking_share,
     mean_subset_hosts,
 )
-from benchmarks.capacity.fit import Curve, fit
+from benchmarks.capacity.fit import Curve, fit_curve
 from benchmarks.capacity.page import MARKED, PAGE, SLOPES, Page, current, page_of
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.rows import PARTS, SPECS, Part
-from benchmarks.capacity.slopes import Measured, measure, read, rows_of, run_part
+from benchmarks.capacity.slopes import Measurements, make_rows, measure_parts, read_rows, run_part
 from benchmarks.capacity.world import Discovery, entries
 from tests.sockets import on_loop, until
 
@@ -46,23 +46,23 @@
 )
 @pytest.mark.parametrize("noise", [(1.0,) * 4, NOISE])
 def test_the_kind_of_growth_is_found(kind: str, at: Any, noise: tuple[float, ...]) -> None:
-    found = fit([(n, at(n) * factor) for n, factor in zip(SIZES, noise, strict=True)])
+    found = fit_curve([(n, at(n) * factor) for n, factor in zip(SIZES, noise, strict=True)])
     assert found.kind == kind
-    assert found.at(38_000) == pytest.approx(at(38_000), rel=0.1)
+    assert found.value_at(38_000) == pytest.approx(at(38_000), rel=0.1)
 
 
 def test_noise_is_no_law() -> None:
-    assert fit([(n, value) for n, value in zip(SIZES, (5.0, 9.0, 4.0, 8.0), strict=True)]).kind == "constant"
+    assert fit_curve([(n, value) for n, value in zip(SIZES, (5.0, 9.0, 4.0, 8.0), strict=True)]).kind == "constant"
 
 
 def test_a_curve_is_never_below_zero() -> None:
-    assert Curve("log", 5.0, -3.0, 0.0).at(1e6) == 0
+    assert Curve("log", 5.0, -3.0, 0.0).value_at(1e6) == 0
 
 
 @pytest.mark.parametrize("points", [[(1.0, 1.0)] * 5, [(n, -1.0) for n in SIZES], [(n - 200.0, n) for n in SIZES]])
 def test_what_no_curve_goes_through_is_refused(points: list[tuple[float, float]]) -> None:
     with pytest.raises(ValueError, match="points: expected"):
-        fit(points)
+        fit_curve(points)
 
 
 # The budget
@@ -150,14 +150,14 @@
 def test_a_part_prints_the_costs_that_its_rows_name(part: Part) -> None:
     found = run_part(part.name, SMALL.get(part.name, 20), 0.5, 60.0)
     assert not isinstance(found, str), found
-    assert {spec.name for spec in SPECS if spec.part == part.name and not spec.least} <= found.keys()
+    assert {spec.name for spec in SPECS if spec.part == part.name and not spec.min_size} <= found.keys()
     assert all(value >= 0 for value in found.values())
 
 
 def test_what_is_not_reached_is_said() -> None:
-    found = measure([PARTS[0]], quick=True, limit_s=0.0)
-    assert not found.costs and len(found.lacking) == len(PARTS[0].quick)
-    assert all("not reached" in line for line in found.lacking)
+    found = measure_parts([PARTS[0]], quick=True, limit_s=0.0)
+    assert not found.costs and len(found.missing) == len(PARTS[0].quick_sizes)
+    assert all("not reached" in line for line in found.missing)
     assert "did not end" in str(run_part("routes", 20, 0.5, 0.01))
 
 
@@ -172,9 +172,9 @@
 
     monkeypatch.setattr(slopes, "run_part", play)
     part = Part("relayed", "hosts", (1, 2, 3, 4), (), 8, rounds=3)
-    found = measure([part], quick=False, limit_s=60.0)
-    assert played == [1, 2, 3, 4] * 3 and found.lacking == ["relayed at 4 hosts: failed: once"]
-    (row,) = rows_of(found, {}, [spec for spec in SPECS if spec.name == "relayed_p99_added_ms"])
+    found = measure_parts([part], quick=False, limit_s=60.0)
+    assert played == [1, 2, 3, 4] * 3 and found.missing == ["relayed at 4 hosts: failed: once"]
+    (row,) = make_rows(found, {}, [spec for spec in SPECS if spec.name == "relayed_p99_added_ms"])
     assert row["points"] == [[1.0, 2.0], [2.0, 4.0], [3.0, 6.0], [4.0, 6.0]]  # of two, the middle
     assert row["spread"] == [[1.0, 1.0, 5.0], [2.0, 2.0, 10.0], [3.0, 3.0, 15.0], [4.0, 4.0, 8.0]]
     page = Page({row["name"]: row | {"commit": "c"}})
@@ -196,9 +196,9 @@
 
 
 def test_too_few_sizes_make_no_row() -> None:
-    found = Measured({("news", size): {"news_all_ms": 80.0, "news_bytes_per_s": 1.0} for size in (25, 50, 100)})
-    assert rows_of(found, {}) == []
-    assert any("too few" in line for line in found.lacking)
+    found = Measurements({("news", size): {"news_all_ms": 80.0, "news_bytes_per_s": 1.0} for size in (25, 50, 100)})
+    assert make_rows(found, {}) == []
+    assert any("too few" in line for line in found.missing)
 
 
 # The page
@@ -244,7 +244,7 @@
 
 
 def test_every_row_says_where_it_was_measured() -> None:
-    for row in read(SLOPES).values():
+    for row in read_rows(SLOPES).values():
         assert row["command"].startswith("python -m benchmarks.capacity slopes") and "--quick" not in row["command"]
         assert row["commit"] and row["date"] and row["cores"] and row["build"] == "compiled"
         assert len(row["points"]) >= 4
