--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -33,7 +33,7 @@
 
 from cloverkeel.compiled import loader
 from benchmarks.capacity.plan import PLAN, build_fleet, zones_by_region
-from benchmarks.capacity.world import encoded, entries, gateways_at
+from benchmarks.capacity.stub_environment import encode_response, gateways_for_hosts, host_entries
 from standins.site import BackendType, Rules, configuration, settings
 
 Costs = dict[str, float]
@@ -61,7 +61,10 @@
 def gateway_settings(hosts: int) -> dict[str, Any]:
     """The settings of a gateway of the plan's fleet at this share of it; lists are pushed."""
     zones = [zone for each in zones_by_region().values() for zone in each]
-    return settings(gateways_at(hosts), 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed", "zones": zones}
+    return settings(gateways_for_hosts(hosts), 0, 0, BackendType(), Rules()) | {
+        "membershipMode": "pushed",
+        "zones": zones,
+    }
 
 
 def kib(pid: int | str, field_name: str) -> float:
@@ -78,7 +81,7 @@
 
 
 def _answer(index: int, whole: bool, listed: list[dict[str, Any]]) -> bytes:
-    return encoded(index, whole, listed).partition(b"\r\n\r\n")[2]
+    return encode_response(index, whole, listed).partition(b"\r\n\r\n")[2]
 
 
 def part_list(size: int, seconds: float) -> Costs:
@@ -101,7 +104,7 @@
     from cloverkeel.discovery.http_client import HttpEndpointSource
     from cloverkeel.discovery.relay_client import RelayEndpointSource
 
-    listed = entries(size, [])
+    listed = host_entries(size, [])
     costs: Costs = {}
 
     async def measure() -> None:
@@ -154,7 +157,7 @@
         costs["whole_first_stop_ms"] = first[1]  # nobody is served before it
         _note(costs, "whole", wholes, len(body.body))
         query = b"GET /registry/instances?from=100000&hold_ms=1000 HTTP/1.1\r\nHost: 10.0.0.1:8080\r\n\r\n"
-        costs["poll_bytes"] = len(query) + len(encoded(100_000, False, []))
+        costs["poll_bytes"] = len(query) + len(encode_response(100_000, False, []))
         index = 2
         for count in (1, 5, 500, max(1, size // PLAN.zones)):
             name = "change_zone" if count == max(1, size // PLAN.zones) and count not in (1, 5) else f"change_{count}"
@@ -198,7 +201,7 @@
 @contextmanager
 def world(hosts: int) -> Iterator[tuple[list[int], int]]:
     """The ports of its hosts, and of discovery."""
-    command = (sys.executable, "-m", "benchmarks.capacity.world", str(hosts))
+    command = (sys.executable, "-m", "benchmarks.capacity.stub_environment", str(hosts))
     process = subprocess.Popen(command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert process.stdin is not None and process.stdout is not None
     try:
@@ -374,7 +377,7 @@
     """A real gateway: start, memory, CPU a request, p99 added in quiet and while hosts change."""
     costs: Costs = {}
     with world(size) as (hosts, discovery), tempfile.TemporaryDirectory() as folder:
-        known = entries(size, hosts)
+        known = host_entries(size, hosts)
         made = gateway_settings(size)
         config = configuration("g0", "", f"127.0.0.1:{discovery}", "1", known, made)
         real = Real(Path(folder), config)
@@ -407,7 +410,7 @@
     """A real gateway before RATE_HOSTS hosts at so many requests a second."""
     with world(RATE_HOSTS) as (hosts, discovery), tempfile.TemporaryDirectory() as folder:
         made = gateway_settings(RATE_HOSTS)
-        known = entries(RATE_HOSTS, hosts)
+        known = host_entries(RATE_HOSTS, hosts)
         real = Real(Path(folder), configuration("g0", "", f"127.0.0.1:{discovery}", "1", known, made))
         try:
             real.start()
@@ -514,7 +517,7 @@
     from cloverkeel.control_plane.incremental_update import apply_list_incrementally
     from cloverkeel.core.incremental_json import decode_json
 
-    made = build_fleet(gateways_at(size), size)
+    made = build_fleet(gateways_for_hosts(size), size)
     dice = random.Random(2)
     listed = [host.to_entry(since_ms=dice.randrange(NOW_MS - SPREAD_MS, NOW_MS)) for host in made.hosts]
     share = max(1, round(len(made.gateways) / PLAN.control_machines))
@@ -711,7 +714,7 @@
     from benchmarks.capacity.budget import WORST_HOUR_FACTOR, ScaledFleet
 
     costs: Costs = {}
-    made = build_fleet(gateways_at(size), size)
+    made = build_fleet(gateways_for_hosts(size), size)
     front = max(made.gateways, key=lambda one: len(one.services))
     zones = [zone for each in made.regions.values() for zone in each]
     seconds = min(seconds, RELAYED_S)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -24,7 +24,7 @@
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.rows import PARTS, SPECS, Part
 from benchmarks.capacity.slopes import Measurements, make_rows, measure_parts, read_rows, run_part
-from benchmarks.capacity.world import Discovery, entries
+from benchmarks.capacity.stub_environment import StubDiscovery, host_entries
 from tests.sockets import on_loop, until
 
 SIZES = (200.0, 2_000.0, 10_000.0, 38_000.0)
@@ -183,16 +183,16 @@
 
 @on_loop
 async def test_hosts_of_the_measured_world_restart_one_after_another() -> None:
-    discovery = Discovery(entries(20, []))
-    discovery.restart(0.001)
+    discovery = StubDiscovery(host_entries(20, []))
+    discovery.restart_next_host(0.001)
     await until(lambda: len(discovery.history) >= 6)
-    discovery.restart(0.0)
+    discovery.restart_next_host(0.0)
     count = len(discovery.history)
     told = [json.loads(data.partition(b"\r\n\r\n")[2])["endpoints"][0] for _, data in discovery.history[:6]]
     assert [one["status"] for one in told] == ["DRAINING", "DELETED", "SERVING"] * 2
     assert len({one["name"] for one in told[:3]}) == 1 and told[2]["since_ms"] < told[5]["since_ms"]
     await asyncio.sleep(0.01)
-    assert len(discovery.history) == count and discovery.changing is None
+    assert len(discovery.history) == count and discovery.change_timer is None
 
 
 def test_too_few_sizes_make_no_row() -> None:
