--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,9 +1,9 @@
-"""docs/CAPACITY.md: what stands between its markers is made here, from the committed files of docs/capacity/.
+"""Writes the tables of docs/CAPACITY.md from the committed files of docs/capacity/, between these markers:
 
     <!-- table NAME --> ... <!-- end -->
 
-The text around them is written by hand and holds no measured figure. tests/test_capacity.py fails where what is on
-the page is not what the files give.
+The text around the tables is written by hand and contains no measured figure. tests/test_capacity.py fails if the
+tables on the page differ from those of the files.
 """
 
 from __future__ import annotations
@@ -25,24 +25,27 @@
 ROOT: Final = Path(__file__).resolve().parents[2]
 PAGE: Final = ROOT / "docs" / "CAPACITY.md"
 SLOPES: Final = ROOT / "docs" / "capacity" / "slopes.json"
-RUNS: Final = "run*.json"  # beside it: the scale run, before and with the mechanism
+RUN_FILES: Final = "run*.json"  # next to SLOPES: scale runs, before and with the mechanism
 RUN_COLUMNS: Final = (
     "gateways", "hosts", "step", "last_s", "limit_s", "p50_s", "p99_s", "had", "bytes_per_s", "calls_per_s",
     "cpu_share", "apply_ms", "stop_ms", "relay_stop_ms", "hollow_mb", "all_mb", "added_p99_ms", "direct_p99_ms",
     "lost", "refused", "had_while_cut", "last_while_cut_s", "undone", "kill_stop_ms",
 )  # fmt: skip
-SCATTER: Final = 0.3  # a relative residual beyond this is said wherever the curve is used
-MARKED: Final = re.compile(r"<!-- table (\S+) -->\n.*?<!-- end -->", flags=re.S)
+MAX_UNMENTIONED_RESIDUAL: Final = 0.3  # a larger relative residual is printed wherever its curve is used
+TABLE_PATTERN: Final = re.compile(r"<!-- table (\S+) -->\n.*?<!-- end -->", flags=re.S)
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[str]], right: Sequence[int] = ()) -> str:
-    lines = ["| " + " | ".join(heads) + " |"]
-    lines.append("| " + " | ".join("---:" if at in right else "---" for at in range(len(heads))) + " |")
+def format_table(headings: Sequence[str], rows: Iterable[Sequence[str]], right_aligned: Sequence[int] = ()) -> str:
+    """Return a Markdown table. `right_aligned` has the indexes of right-aligned columns."""
+    lines = ["| " + " | ".join(headings) + " |"]
+    lines.append(
+        "| " + " | ".join("---:" if index in right_aligned else "---" for index in range(len(headings))) + " |"
+    )
     return "\n".join([*lines, *("| " + " | ".join(row) + " |" for row in rows)]) + "\n"
 
 
-def figure(value: float | None) -> str:
-    """Three digits, thousands apart."""
+def format_value(value: float | None) -> str:
+    """Return the value with three significant digits and separators of thousands."""
     if value is None:
         return "not known"
     if value == 0 or abs(value) >= 100:
@@ -50,12 +53,13 @@
     return f"{value:.3g}"
 
 
-def limit(value: float | None) -> str:
-    """As it was named."""
+def format_limit(value: float | None) -> str:
+    """Return the limit with all its digits."""
     return "none named" if value is None else f"{value:,.0f}" if value >= 100 else f"{value:g}"
 
 
-def share(value: float | None) -> str:
+def format_share(value: float | None) -> str:
+    """Return the share of the plan at which a limit is exceeded."""
     if value is None:
         return ""
     if value == 0:
@@ -65,247 +69,292 @@
     return f"{value:.4f}" if value < 0.01 else f"{value:.3f}" if value < 0.1 else f"{value:.2f}"
 
 
-def digest(file: Path) -> str:
+def file_digest(file: Path) -> str:
+    """Return a digest of the content of a file."""
     return hashlib.blake2b(file.read_bytes(), digest_size=8).hexdigest()
 
 
 class Page:
-    """The tables by name; each from the rows of the slopes, and of the scale run where there is one."""
+    """The tables of the page, from the rows of the slopes and of the scale runs. A method `table_NAME` per table."""
 
     def __init__(
         self, rows: dict[str, dict[str, Any]], runs: Sequence[dict[str, Any]] = (), files: Sequence[Path] = ()
     ) -> None:
         self.rows, self.runs, self.files = rows, runs, files
         self.curves = {name: curve_from_row(row) for name, row in rows.items()}
-        self.before, self.after = evaluate_lines(self.curves, False), evaluate_lines(self.curves, True)
+        self.figures_before, self.figures_after = (
+            evaluate_lines(self.curves, False),
+            evaluate_lines(self.curves, True),
+        )
 
     def tables(self) -> dict[str, Callable[[], str]]:
-        made = {name.removeprefix("table_"): getattr(self, name) for name in dir(self) if name.startswith("table_")}
-        return {name.replace("_", "-"): of for name, of in made.items()}
+        """Return the function of each table by its name in the markers."""
+        functions = {
+            name.removeprefix("table_"): getattr(self, name) for name in dir(self) if name.startswith("table_")
+        }
+        return {name.replace("_", "-"): function for name, function in functions.items()}
 
     def render(self, text: str) -> str:
-        """The page with all its tables as the files give them. KeyError for a name that is no table."""
+        """Return the page with all tables written from the files. Raise KeyError if a marker has an unknown name."""
         tables = self.tables()
-        return MARKED.sub(lambda found: f"<!-- table {found[1]} -->\n{tables[found[1]]()}<!-- end -->", text)
+        return TABLE_PATTERN.sub(lambda match: f"<!-- table {match[1]} -->\n{tables[match[1]]()}<!-- end -->", text)
 
     # The tables
 
     def table_where(self) -> str:
-        kinds: dict[tuple[str, ...], int] = {}
+        """Return how, when and where the rows were measured, and the digests of the files."""
+        row_counts: dict[tuple[str, ...], int] = {}
         for row in self.rows.values():
-            told = (row["commit"], row["date"], f"{row['cores']}", f"{row['load']:g}", row["build"])
-            key = (f"`{row['command']}`", *told)
-            kinds[key] = kinds.get(key, 0) + 1
-        rows = [(*key, str(count)) for key, count in kinds.items()]
-        heads = ("command", "commit", "date", "cores", "load at the start", "build", "rows")
-        # Digests: a figure that is rounded on this page is held to its file all the same.
-        digests = [(f"`{file.name}`", digest(file)) for file in self.files]
-        return table(heads, rows, right=(3, 4, 6)) + "\n" + table(("file", "digest"), digests)
+            run_details = (row["commit"], row["date"], f"{row['cores']}", f"{row['load']:g}", row["build"])
+            key = (f"`{row['command']}`", *run_details)
+            row_counts[key] = row_counts.get(key, 0) + 1
+        rows = [(*key, str(count)) for key, count in row_counts.items()]
+        headings = ("command", "commit", "date", "cores", "load at the start", "build", "rows")
+        # The page rounds figures; the digests make a change of any digit in a file visible.
+        digests = [(f"`{file.name}`", file_digest(file)) for file in self.files]
+        return (
+            format_table(headings, rows, right_aligned=(3, 4, 6)) + "\n" + format_table(("file", "digest"), digests)
+        )
 
     def table_slopes(self) -> str:
+        """Return each cost with its measured points and its curve."""
         rows = []
         for name, row in self.rows.items():
-            points = ", ".join(f"{figure(size)}: {figure(value)}" for size, value in row["points"])
+            points = ", ".join(f"{format_value(size)}: {format_value(value)}" for size, value in row["points"])
             if spread := row.get("spread"):
-                spans = ", ".join(f"{figure(low)} to {figure(high)}" for _, low, high in spread)
+                spans = ", ".join(f"{format_value(low)} to {format_value(high)}" for _, low, high in spread)
                 points += f"; of the rounds {spans}"
             kind = {"worse": f"worse, to the power of {row['coefficients'][1]:.2f}"}.get(row["fit"], row["fit"])
-            far = "measured" if row["extrapolation"] <= 1 else f"{figure(row['extrapolation'])} times"
+            extrapolation = "measured" if row["extrapolation"] <= 1 else f"{format_value(row['extrapolation'])} times"
             cost = row["cost"] + (" (an estimate)" if row["estimate"] else "")
             rows.append((f"`{name}`", cost, row["unit"], f"{row['by']}: {points}", kind, f"{row['residual']:.0%}",
-                         figure(row["at_plan"]), far))  # fmt: skip
-        heads = ("row", "cost", "unit", "by: measured", "grows", "residual", "at the plan's size", "extrapolated")
-        return table(heads, rows, right=(5, 6))
+                         format_value(row["at_plan"]), extrapolation))  # fmt: skip
+        headings = ("row", "cost", "unit", "by: measured", "grows", "residual", "at the plan's size", "extrapolated")
+        return format_table(headings, rows, right_aligned=(5, 6))
 
     def table_assumed(self) -> str:
-        least, mean, most = budget.services_per_gateway()
+        """Return the figures that are derived from the plan, and the assumptions."""
+        min_services, mean_services, max_services = budget.services_per_gateway()
         sizes = sorted(service_sizes(PLAN.hosts, PLAN.services))
-        told, all_told = (
+        held_hosts, held_hosts_of_all_services = (
             ScaledFleet({}, 1.0, has_subsets=True).held_hosts,
             budget.mean_subset_hosts(1.0, before_all=True),
         )
-        load = ScaledFleet({}, 1.0)
+        fleet = ScaledFleet({}, 1.0)
         rows = [
-            ("hosts of a service, largest", figure(sizes[-1])),
-            ("hosts of a service, median", figure(sizes[len(sizes) // 2])),
+            ("hosts of a service, largest", format_value(sizes[-1])),
+            ("hosts of a service, median", format_value(sizes[len(sizes) // 2])),
             (f"services of a gateway (each gateway has room for {SERVICES_PER_GATEWAY}, "
-             f"each service {MIN_GATEWAYS_PER_SERVICE} gateways or more)", f"{least} to {most}, mean {mean:.1f}"),
-            ("hosts in a gateway's subset, mean", figure(budget.mean_subset_hosts(1.0))),
-            ("the same for the gateway with the most services: what the tables take", figure(told)),
-            ("the same if each gateway were before all services", figure(all_told)),
-            ("changes of the list a second, ordinary day", figure(load.changes_per_s)),
-            ("changes of configuration a second", figure(load.configurations_per_s)),
-            ("requests a second at a gateway", figure(PLAN.requests_per_gateway)),
-            ("hosts that come back with a zone", figure(PLAN.hosts / PLAN.zones)),
-            ("gateways that start within 2 s", figure(budget.STARTED_SHARE * PLAN.gateways)),
+             f"each service {MIN_GATEWAYS_PER_SERVICE} gateways or more)",
+             f"{min_services} to {max_services}, mean {mean_services:.1f}"),
+            ("hosts in a gateway's subset, mean", format_value(budget.mean_subset_hosts(1.0))),
+            ("the same for the gateway with the most services: what the tables take", format_value(held_hosts)),
+            ("the same if each gateway were before all services", format_value(held_hosts_of_all_services)),
+            ("changes of the list a second, ordinary day", format_value(fleet.changes_per_s)),
+            ("changes of configuration a second", format_value(fleet.configurations_per_s)),
+            ("requests a second at a gateway", format_value(PLAN.requests_per_gateway)),
+            ("hosts that come back with a zone", format_value(PLAN.hosts / PLAN.zones)),
+            ("gateways that start within 2 s", format_value(budget.STARTED_SHARE * PLAN.gateways)),
         ]  # fmt: skip
-        counted = table(("worked out of the plan", ""), rows, right=(1,))
-        return counted + "\n" + "".join(f"- {said}\n" for said in ASSUMED)
+        plan_table = format_table(("worked out of the plan", ""), rows, right_aligned=(1,))
+        return plan_table + "\n" + "".join(f"- {assumption}\n" for assumption in ASSUMED)
 
     def table_other_way(self) -> str:
-        """Had each gateway every service: what its subset would then cost."""
-        told = budget.mean_subset_hosts(1.0, before_all=True)
+        """Return what a gateway's subset would cost if every gateway served every service."""
+        held_hosts = budget.mean_subset_hosts(1.0, before_all=True)
         names = (
             "resident_mb", "whole_bytes", "whole_stop_ms", "change_1_stop_ms", "collector_ms", "quiet_p99_added_ms",
         )  # fmt: skip
         rows = [
             (self.rows[name]["cost"], self.rows[name]["unit"],
-             figure(self.curves[name].value_at(ScaledFleet({}, 1.0, True).held_hosts)),
-             figure(self.curves[name].value_at(told)), figure(self.curves[name].value_at(PLAN.hosts)))
+             format_value(self.curves[name].value_at(ScaledFleet({}, 1.0, True).held_hosts)),
+             format_value(self.curves[name].value_at(held_hosts)),
+             format_value(self.curves[name].value_at(PLAN.hosts)))
             for name in names if name in self.rows
         ]  # fmt: skip
-        heads = ("cost", "unit", "its services alone", "all services", "no subset")
-        return table(heads, rows, right=(2, 3, 4))
+        headings = ("cost", "unit", "its services alone", "all services", "no subset")
+        return format_table(headings, rows, right_aligned=(2, 3, 4))
 
-    def far(self, found: Figure) -> str:
-        """Whether its rows were measured at the plan's size."""
-        if found.value is None:
+    def describe_source(self, figure: Figure) -> str:
+        """Return whether the costs behind a figure were measured at the plan's size or extrapolated."""
+        if figure.value is None:
             return "not known"
-        if not found.rows:
+        if not figure.rows:
             return "counted"
-        most = max(self.rows[name]["extrapolation"] for name in found.rows)
-        said = "measured" if most <= 1 else f"extrapolated {figure(most)} times"
-        scatter = max(self.rows[name]["residual"] for name in found.rows)
-        if scatter > SCATTER:
-            said += f", scatters by {scatter:.0%}"
-        return said + (", priced" if found.line.needs_new_state else "")
-
-    def of_role(self, role: str) -> str:
-        today = {id(found.line): found for found in self.before}
+        max_extrapolation = max(self.rows[name]["extrapolation"] for name in figure.rows)
+        description = (
+            "measured" if max_extrapolation <= 1 else f"extrapolated {format_value(max_extrapolation)} times"
+        )
+        residual = max(self.rows[name]["residual"] for name in figure.rows)
+        if residual > MAX_UNMENTIONED_RESIDUAL:
+            description += f", scatters by {residual:.0%}"
+        return description + (", priced" if figure.line.needs_new_state else "")
+
+    def role_table(self, role: str) -> str:
+        """Return the lines of a role, without and with the mechanism."""
+        before_by_line = {id(figure.line): figure for figure in self.figures_before}
         rows = []
-        for then in [found for found in self.after if found.line.role == role]:
-            line, now = then.line, today.get(id(then.line))
-            used = dict.fromkeys((now.rows if now is not None else ()) + then.rows)
+        for figure_after in [figure for figure in self.figures_after if figure.line.role == role]:
+            line, figure_before = figure_after.line, before_by_line.get(id(figure_after.line))
+            row_names = dict.fromkeys((figure_before.rows if figure_before is not None else ()) + figure_after.rows)
             rows.append(
                 (line.moment, f"{line.what}, {line.unit}",
-                 figure(now.value) if now is not None else "", share(now.share) if now is not None else "",
-                 figure(then.value), share(then.share), limit(line.limit),
+                 format_value(figure_before.value) if figure_before is not None else "",
+                 format_share(figure_before.share) if figure_before is not None else "",
+                 format_value(figure_after.value), format_share(figure_after.share), format_limit(line.limit),
                  line.carried_by or "missing",
                  line.carried_by_after or ("the same" if line.carried_by else "missing"),
-                 self.far(now or then), ", ".join(f"`{name}`" for name in used) or "the plan")
+                 self.describe_source(figure_before or figure_after),
+                 ", ".join(f"`{name}`" for name in row_names) or "the plan")
             )  # fmt: skip
-        heads = ("moment", "what", "today", "breaks at", "with the mechanism", "breaks at", "limit",
-                 "carried today by", "and with it by", "known how", "rows")  # fmt: skip
-        return table(heads, rows, right=(2, 3, 4, 5, 6))
+        headings = ("moment", "what", "today", "breaks at", "with the mechanism", "breaks at", "limit",
+                    "carried today by", "and with it by", "known how", "rows")  # fmt: skip
+        return format_table(headings, rows, right_aligned=(2, 3, 4, 5, 6))
 
     def table_requests(self) -> str:
-        return self.of_role("gateway, requests") + self.relayed()
+        """Return the lines of requests at a gateway, and the measured p99 behind a relay."""
+        return self.role_table("gateway, requests") + self.relayed_table()
 
-    def relayed(self) -> str:
-        """p99 added behind a relay, by hosts: the median of the rounds, their spread, and beside the least size."""
+    def relayed_table(self) -> str:
+        """Return the p99 added behind a relay by number of hosts: median and range of the rounds, and the ratio
+        to the smallest size."""
         rows = []
         for name in ("relayed_p99_added_ms", "relayed_changes_p99_added_ms"):
             row = self.rows.get(name)
             if row is None:
                 continue
-            least = row["points"][0][1]
+            first_value = row["points"][0][1]
             for (size, value), (_, low, high) in zip(row["points"], row["spread"], strict=True):
-                times = f"{value / least:.2f}" if least else ""
-                rows.append((row["cost"], figure(size), figure(value), f"{figure(low)} to {figure(high)}", times))
-        heads = ("row", "hosts", "median, ms", "of the rounds, ms", "times that of the fewest hosts")
-        return "\n" + table(heads, rows, right=(1, 2, 4)) if rows else ""
+                ratio = f"{value / first_value:.2f}" if first_value else ""
+                rows.append(
+                    (
+                        row["cost"],
+                        format_value(size),
+                        format_value(value),
+                        f"{format_value(low)} to {format_value(high)}",
+                        ratio,
+                    )
+                )
+        headings = ("row", "hosts", "median, ms", "of the rounds, ms", "times that of the fewest hosts")
+        return "\n" + format_table(headings, rows, right_aligned=(1, 2, 4)) if rows else ""
 
     def table_hosts(self) -> str:
-        return self.of_role("gateway, hosts")
+        """Return the lines of the host list at a gateway."""
+        return self.role_table("gateway, hosts")
 
     def table_others(self) -> str:
-        return self.of_role("gateway, others")
+        """Return the lines of peers at a gateway."""
+        return self.role_table("gateway, others")
 
     def table_settings(self) -> str:
-        return self.of_role("gateway, settings")
+        """Return the lines of the settings at a gateway."""
+        return self.role_table("gateway, settings")
 
     def table_discovery(self) -> str:
-        return self.of_role("discovery")
+        """Return the lines of discovery."""
+        return self.role_table("discovery")
 
     def table_relay(self) -> str:
-        return self.of_role("relay")
+        """Return the lines of a relay."""
+        return self.role_table("relay")
 
-    def ranked(self, figures: list[Figure]) -> str:
+    def ranking_table(self, figures: list[Figure]) -> str:
+        """Return the lines in the order of the share at which their limits are exceeded."""
         rows = [
-            (str(place), share(found.share), found.line.role, found.line.moment, f"{found.line.what}, "
-             f"{found.line.unit}", figure(found.value), limit(found.line.limit),
-             self.far(found), found.line.cause)
-            for place, found in enumerate(rank_figures(figures), 1)
+            (str(rank), format_share(figure.share), figure.line.role, figure.line.moment, f"{figure.line.what}, "
+             f"{figure.line.unit}", format_value(figure.value), format_limit(figure.line.limit),
+             self.describe_source(figure), figure.line.cause)
+            for rank, figure in enumerate(rank_figures(figures), 1)
         ]  # fmt: skip
-        heads = ("", "breaks at", "role", "moment", "what", "at the plan's size", "limit", "known how", "cause")
-        return table(heads, rows, right=(0, 1, 5, 6))
+        headings = ("", "breaks at", "role", "moment", "what", "at the plan's size", "limit", "known how", "cause")
+        return format_table(headings, rows, right_aligned=(0, 1, 5, 6))
 
     def table_ranking_before(self) -> str:
-        return self.ranked(self.before)
+        """Return the ranking without the mechanism."""
+        return self.ranking_table(self.figures_before)
 
     def table_ranking_after(self) -> str:
-        return self.ranked(self.after)
+        """Return the ranking with the mechanism."""
+        return self.ranking_table(self.figures_after)
 
     def table_broken(self) -> str:
-        """With the mechanism: what is broken at the plan's size all the same."""
+        """Return the limits that are exceeded at the plan's size even with the mechanism."""
         rows = [
-            (share(found.share), found.line.role, f"{found.line.what}, {found.line.unit}", figure(found.value),
-             limit(found.line.limit), found.line.remedy or "not known")
-            for found in rank_figures(self.after) if (found.share or 0.0) < 1
+            (format_share(figure.share), figure.line.role, f"{figure.line.what}, {figure.line.unit}",
+             format_value(figure.value), format_limit(figure.line.limit), figure.line.remedy or "not known")
+            for figure in rank_figures(self.figures_after) if (figure.share or 0.0) < 1
         ]  # fmt: skip
-        heads = ("breaks at", "role", "what", "at the plan's size", "limit", "what would carry it")
-        return table(heads, rows, right=(0, 3, 4))
+        headings = ("breaks at", "role", "what", "at the plan's size", "limit", "what would carry it")
+        return format_table(headings, rows, right_aligned=(0, 3, 4))
 
     def table_causes(self) -> str:
-        """By cause: limits that break below the plan's size, before and after."""
+        """Return, by cause, how many limits are exceeded below the plan's size, without and with the mechanism."""
         rows = []
         for cause in dict.fromkeys(
-            found.line.cause for found in rank_figures(self.before) + rank_figures(self.after)
+            figure.line.cause for figure in rank_figures(self.figures_before) + rank_figures(self.figures_after)
         ):
             cells = []
-            for figures in (self.before, self.after):
-                of = [found for found in rank_figures(figures) if found.line.cause == cause]
-                broken = [found for found in of if (found.share or 0.0) < 1]
-                cells += [f"{len(broken)} of {len(of)}" if of else "", share(of[0].share) if of else ""]
+            for figures in (self.figures_before, self.figures_after):
+                ranked = [figure for figure in rank_figures(figures) if figure.line.cause == cause]
+                exceeded = [figure for figure in ranked if (figure.share or 0.0) < 1]
+                cells += [
+                    f"{len(exceeded)} of {len(ranked)}" if ranked else "",
+                    format_share(ranked[0].share) if ranked else "",
+                ]
             rows.append((cause, *cells))
-        heads = ("cause", "limits broken today", "the first at", "with the mechanism", "the first at")
-        return table(heads, rows, right=(1, 2, 3, 4))
+        headings = ("cause", "limits broken today", "the first at", "with the mechanism", "the first at")
+        return format_table(headings, rows, right_aligned=(1, 2, 3, 4))
 
     def table_run(self) -> str:
-        """Each scale run that is committed: its steps at its sizes."""
-        made = []
+        """Return the steps of each committed scale run, at its sizes."""
+        run_texts = []
         for run in self.runs:
             faults, steps = run.get("faults", []), run.get("steps", [])
             relays = ", ".join(str(count) for count in sorted({step.get("relays", 0) for step in steps}))
             near = " near" if any(step.get("near") for step in steps) else ""
-            head = f"{relays or 'no step, no'}{near} relays, {run.get('cores')} cores, {run.get('build')}"
-            head += f", {len(faults)} faults" + "".join(f"; {text(fault)}" for fault in faults)
+            title = f"{relays or 'no step, no'}{near} relays, {run.get('cores')} cores, {run.get('build')}"
+            title += f", {len(faults)} faults" + "".join(f"; {format_cell(fault)}" for fault in faults)
             keys = [key for key in RUN_COLUMNS if any(step.get(key) is not None for step in steps)]
-            made.append(head + ":\n\n" + table(keys, [[text(step.get(key)) for key in keys] for step in steps]))
-        return "\n".join(made) or "No scale run is committed: nothing of it is known.\n"
+            run_texts.append(
+                title + ":\n\n" + format_table(keys, [[format_cell(step.get(key)) for key in keys] for step in steps])
+            )
+        return "\n".join(run_texts) or "No scale run is committed: nothing of it is known.\n"
 
 
-def text(value: Any) -> str:
+def format_cell(value: Any) -> str:
+    """Return a value of a scale run as the text of a table cell."""
     if isinstance(value, bool) or value is None:
         return {True: "yes", False: "no", None: ""}[value]
-    return figure(float(value)) if isinstance(value, int | float) else str(value).replace("|", "/")
+    return format_value(float(value)) if isinstance(value, int | float) else str(value).replace("|", "/")
 
 
-def page_of(folder: Path) -> Page:
-    """By the files of one folder. OSError or ValueError where one cannot be used."""
-    runs = sorted(folder.glob(RUNS))
+def load_page(folder: Path) -> Page:
+    """Return the page of the files in a folder. Raise OSError or ValueError if a file cannot be used."""
+    runs = sorted(folder.glob(RUN_FILES))
     slopes = folder / SLOPES.name
     return Page(read_rows(slopes), [json.loads(file.read_text()) for file in runs], [slopes, *runs])
 
 
-def current() -> Page:
-    return page_of(SLOPES.parent)
+def load_committed_page() -> Page:
+    """Return the page of the committed files."""
+    return load_page(SLOPES.parent)
 
 
 def main(check: bool) -> int:
-    """Exit code: 1 where the page differs and `check` is asked for."""
+    """Write the page, or with `check` only compare it. Return exit code 0; 1 if the page differs with
+    `check`; 2 if the page cannot be made."""
     try:
-        was = PAGE.read_text()
-        made = current().render(was)
+        old_text = PAGE.read_text()
+        new_text = load_committed_page().render(old_text)
     except (OSError, ValueError, KeyError) as error:
-        print(f"capacity: the page cannot be made: {error!r}", file=sys.stderr)
+        print(f"capacity: cannot make the page: {error!r}", file=sys.stderr)
         return 2
-    if made == was:
-        print("docs/CAPACITY.md is as the files give it")
+    if new_text == old_text:
+        print("docs/CAPACITY.md is up to date")
         return 0
     if check:
-        print("docs/CAPACITY.md is not what the files give: `python -m benchmarks.capacity page` writes it")
+        print("docs/CAPACITY.md differs from its files; run `python -m benchmarks.capacity page` to write it")
         return 1
-    PAGE.write_text(made)
+    PAGE.write_text(new_text)
     print("docs/CAPACITY.md: tables written")
     return 0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -20,7 +20,7 @@
     mean_subset_hosts,
 )
 from benchmarks.capacity.fit import Curve, fit_curve
-from benchmarks.capacity.page import MARKED, PAGE, SLOPES, Page, current, page_of
+from benchmarks.capacity.page import TABLE_PATTERN, PAGE, SLOPES, Page, load_committed_page, load_page
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.rows import PARTS, SPECS, Part
 from benchmarks.capacity.slopes import Measurements, make_rows, measure_parts, read_rows, run_part
@@ -205,11 +205,13 @@
 
 
 def test_the_page_is_what_the_files_give() -> None:
-    assert current().render(PAGE.read_text()) == PAGE.read_text(), "run `python -m benchmarks.capacity page`"
+    assert (
+        load_committed_page().render(PAGE.read_text()) == PAGE.read_text()
+    ), "run `python -m benchmarks.capacity page`"
 
 
 def test_the_page_has_every_table_once() -> None:
-    assert sorted(MARKED.findall(PAGE.read_text())) == sorted(current().tables())
+    assert sorted(TABLE_PATTERN.findall(PAGE.read_text())) == sorted(load_committed_page().tables())
 
 
 @pytest.mark.parametrize(
@@ -223,7 +225,7 @@
     row["coefficients"] = [1.5 * each + 1 for each in row["coefficients"]]  # another figure also where it was 0
     row["points"][-1][1] = 1.5 * row["points"][-1][1] + 1
     (tmp_path / SLOPES.name).write_text(json.dumps(raw))
-    changed, now = page_of(tmp_path).tables(), current().tables()
+    changed, now = load_page(tmp_path).tables(), load_committed_page().tables()
     assert changed["slopes"]() != now["slopes"]()
     assert changed[budget]() != now[budget]()
 
@@ -232,15 +234,15 @@
     text = SLOPES.read_text()
     at = text.rindex("9")
     (tmp_path / SLOPES.name).write_text(text[:at] + "8" + text[at + 1 :])
-    assert page_of(tmp_path).render(PAGE.read_text()) != PAGE.read_text()
+    assert load_page(tmp_path).render(PAGE.read_text()) != PAGE.read_text()
 
 
 def test_a_figure_changed_on_the_page_is_found() -> None:
     text = PAGE.read_text()
-    table = next(found for found in MARKED.finditer(text) if found[1] == "ranking-before")
+    table = next(found for found in TABLE_PATTERN.finditer(text) if found[1] == "ranking-before")
     digit = next(at for at in range(table.start(), table.end()) if text[at].isdigit())
     forged = text[:digit] + str((int(text[digit]) + 1) % 10) + text[digit + 1 :]
-    assert current().render(forged) == text != forged
+    assert load_committed_page().render(forged) == text != forged
 
 
 def test_every_row_says_where_it_was_measured() -> None:
