--- a/benchmarks/overload/__init__.py
+++ b/benchmarks/overload/__init__.py
@@ -1,1 +1,1 @@
-"""What an overload does to a fleet: offered load in steps, judged by what hosts and clients saw."""
+"""Effect of an overload on a fleet: the load is raised in steps; hosts and clients record the outcome."""
--- a/benchmarks/overload/account.py
+++ b/benchmarks/overload/account.py
@@ -1,10 +1,10 @@
-"""The account of an overload: what clients and hosts saw in each stretch of time, as plain figures.
+"""Figures of an overload run by time window, from the records of clients, hosts and gateway logs. Pure.
 
-Pure: from wants, runs and samples to rows. What holds:
+The figures have these properties:
 
-- a host's core is counted once: useful, slowed, handshake, lost, nobody, copy and idle are all of its time;
-- an answer is good where its client had it within the time that it gave to that try, and a want counts once;
-- a row is void where the machine, not the hosts, may have been the limit: it says why, and is judged by nobody.
+- the hosts' core time is counted once: useful, slowed, handshake, lost, nobody, copy and idle add up to all of it;
+- a response is good if its client received it before that request's deadline; an operation is served at most once;
+- a row is void if the machine, and not the hosts, may have been the limit: it states why, and is not assessed.
 """
 
 from __future__ import annotations
@@ -15,151 +15,151 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-FOREVER: Final = 1 << 62
-STRETCH_MOST: Final = 0.05  # of a core's planned time, that its end came later: the stand-ins were held up
-PROCESS_MOST: Final = 0.85  # of one processor: the stand-ins' process, or a gateway's
-WAITED_MOST_US: Final = 1_000  # for a processor, whenever one of these was ready: an answer has some six such waits
-SERVED: Final = 0.99
-SERVED_IN_US: Final = 2_000_000  # what is wanted in so long counts together
-LOOK_US: Final = 100_000
+NEVER_US: Final = 1 << 62
+MAX_STRETCH: Final = 0.05  # excess of actual over planned core time; above it, the emulator was delayed
+MAX_PROCESS_SHARE: Final = 0.85  # of one processor, for the emulator's process and for each gateway's
+MAX_PROCESSOR_WAIT_US: Final = 1_000  # mean per scheduling of a process; a response takes about six such waits
+MIN_SERVED_SHARE: Final = 0.99
+SERVED_PERIOD_US: Final = 2_000_000  # period over which MIN_SERVED_SHARE must be reached
+RECOVERY_CHECK_INTERVAL_US: Final = 100_000
 
 
 @dataclass(slots=True, eq=False)
-class Try:
+class ClientRequest:
     """One request of a client to a gateway."""
 
-    asked_us: int
-    until_us: int  # its client waits no longer
-    ended_us: int = 0  # an answer, or its connection's end; 0: neither
-    status: int = 0  # 0: no answer
+    sent_us: int
+    deadline_us: int  # the client waits until then
+    ended_us: int = 0  # time of the response or of the connection's end; 0: neither
+    status: int = 0  # 0: no response
 
     @property
     def is_good(self) -> bool:
-        return self.status == 200 and self.ended_us <= self.until_us
+        return self.status == 200 and self.ended_us <= self.deadline_us
 
     @property
     def is_timeout(self) -> bool:
-        """No answer, or a good one too late."""
+        """Whether no response came, or a 200 after the deadline."""
         return not self.is_good and self.status in (0, 200)
 
     @property
-    def over_us(self) -> int:
-        """From then on nobody waits for it."""
-        return min(self.ended_us or FOREVER, self.until_us)
+    def wait_end_us(self) -> int:
+        """Time at which the client stops waiting for the response."""
+        return min(self.ended_us or NEVER_US, self.deadline_us)
 
 
 @dataclass(slots=True, eq=False)
-class Want:
-    """What a client wants, and its tries by id."""
+class Operation:
+    """An operation of a client, with its first request and its retries by id."""
 
-    at_us: int
-    klass: str
-    tries: dict[str, Try] = field(default_factory=dict)
+    started_us: int
+    request_class: str
+    requests_by_id: dict[str, ClientRequest] = field(default_factory=dict)
 
     @property
-    def good_us(self) -> int:
-        """When it was served; 0: never."""
-        return next((each.ended_us for each in self.tries.values() if each.is_good), 0)
+    def served_us(self) -> int:
+        """Time of the first good response; 0: none."""
+        return next((request.ended_us for request in self.requests_by_id.values() if request.is_good), 0)
 
 
 @dataclass(slots=True, eq=False)
-class Work:
-    """One run at a host, once it is over. Times 0: not reached."""
-
-    id: str
-    whole_us: int
-    began_us: int
-    freed_us: int
-    over_us: int
-    work_us: int  # as it was sent, at the usual pace, without the handshake
+class HostAttempt:
+    """One completed attempt at a host. A time of 0 means that the attempt never got there."""
+
+    request_id: str
+    received_us: int
+    started_us: int
+    core_released_us: int
+    ended_us: int
+    work_us: int  # at normal speed, without the handshake
     handshake_us: int
-    took_us: int  # planned when it began
-    gone_us: int  # its gateway had closed the connection
-    how: str
+    planned_core_us: int  # core time as planned when the work started
+    abandoned_us: int  # the gateway closed the connection
+    outcome: str
 
 
 @dataclass(slots=True, eq=False)
 class Window:
-    """A stretch of time: a step of the load, or a second."""
+    """A time window: a load step or a part of one."""
 
     name: str
-    load: float  # times what the hosts can do
+    load: float  # relative to the capacity of the hosts
     begin_us: int
     end_us: int
-    direction: str = ""  # of a step: "empty", "up", "down", "surge" or "after"
+    direction: str = ""  # of the load step: "empty", "up", "down", "surge" or "after"
 
 
 @dataclass(slots=True, eq=False)
-class Sample:
-    """A look at all hosts together."""
+class HostSample:
+    """Sampled state of all hosts together."""
 
     at_us: int
-    held: int
-    choked: int
+    held_requests: int
+    choked_hosts: int
 
 
 @dataclass(slots=True, eq=False)
-class Told:
-    """What one gateway's line of the log says of one second."""
+class GatewayLogRecord:
+    """Figures of one second that one gateway logged in one line."""
 
-    at_us: int  # the middle of it
-    why: dict[str, int]
-    shed: tuple[float, float]  # of what is cheap, of all else
-    timeouts: int  # attempts at hosts
-    full: int
-    cancelled: int
-    trips: int  # breakers that opened, as far as the log says each
+    middle_us: int  # middle of the second
+    rejections_by_reason: dict[str, int]
+    shed_shares: tuple[float, float]  # of cheap requests, of all others
+    host_timeouts: int  # attempts that timed out
+    full_rejections: int  # attempts that a full host rejected
+    cancelled_attempts: int
+    breaker_trips: int  # circuit breakers that opened, as far as the log reports each
 
 
 @dataclass(slots=True)
-class Machine:
-    """Shares over one window."""
+class MachineUsage:
+    """Use of the processors over one window."""
 
-    own: float = 0.0  # of a processor: the stand-ins' process
-    gateway: float = 0.0  # the busiest gateway's
-    waited_us: float = 0.0  # for a processor at each turn, in the mean: whichever of these waited longest
-    idle: float = 1.0  # of all processors: others may use them, and that alone is no limit
+    own: float = 0.0  # share of one processor used by the emulator's process
+    gateway: float = 0.0  # share of one processor used by the busiest gateway
+    waited_us: float = 0.0  # mean wait for a processor per scheduling, of the process that waited longest
+    idle: float = 1.0  # share of all processors; not a limit by itself, as other programs may use them
 
 
 @dataclass(slots=True)
 class Row:
-    """Figures of one window. Rates are a second over the whole fleet; shares are of the hosts' core time."""
+    """Figures of one window. Rates are per second over the whole fleet; shares are of the hosts' core time."""
 
     name: str
     direction: str
     load: float
     seconds: float
-    offered: float = 0.0  # wants begun
-    good: float = 0.0  # good answers that came
-    served: float = 0.0  # share of the wants begun here that were served in the end
-    by_class: dict[str, float] = field(default_factory=dict)  # the same
-    refused: float = 0.0  # tries that a client was told no
-    timeouts: float = 0.0  # tries without an answer in time
-    tries: float = 0.0  # of a client for each want
-    runs: float = 0.0  # attempts at hosts, for each request that reached one
-    arrived: float = 0.0  # attempts that reached a host
-    why: dict[str, float] = field(default_factory=dict)  # refusals by the gateways' reason
-    host_timeouts: float = 0.0  # attempts that gateways gave up
-    full: float = 0.0  # attempts that hosts turned away
-    cancelled: float = 0.0  # attempts that gateways called off
-    held: float = 0.0  # requests at a host, mean
-    choked: float = 0.0  # share of the hosts
-    shed: float = 0.0  # mean over the gateways: of what is cheap
-    shed_dear: float = 0.0
-    shed_from: float = 0.0  # of what is cheap, at the gateway that shed least, and most
-    shed_to: float = 0.0
-    trips: float = 0.0  # breakers that opened, at the least
-    useful: float = 0.0  # work behind good answers
-    reach: float = 0.0  # the same, of what was possible: of what was wanted, or of all
-    slowed: float = 0.0  # what these took beyond their work
+    offered: float = 0.0  # rate of operations started
+    good: float = 0.0  # rate of good responses received
+    served: float = 0.0  # share of the operations started in this window that were served, then or later
+    by_class: dict[str, float] = field(default_factory=dict)  # `served` by request class
+    refused: float = 0.0  # rate of client requests rejected
+    timeouts: float = 0.0  # rate of client requests without a response in time
+    tries: float = 0.0  # client requests per operation
+    runs: float = 0.0  # attempts at hosts per request that reached a host
+    arrived: float = 0.0  # rate of attempts that reached a host
+    why: dict[str, float] = field(default_factory=dict)  # rate of rejections by the gateways' reason
+    host_timeouts: float = 0.0  # rate of attempts that timed out at the gateways
+    full: float = 0.0  # rate of attempts that full hosts rejected
+    cancelled: float = 0.0  # rate of attempts that gateways cancelled
+    held: float = 0.0  # mean number of requests at a host
+    choked: float = 0.0  # mean share of the hosts
+    shed: float = 0.0  # shed share of cheap requests, mean over the gateways
+    shed_dear: float = 0.0  # shed share of all other requests, mean over the gateways
+    shed_from: float = 0.0  # shed share of cheap requests, minimum over the gateways
+    shed_to: float = 0.0  # shed share of cheap requests, maximum over the gateways
+    trips: float = 0.0  # rate of circuit breakers that opened; a lower bound
+    useful: float = 0.0  # work behind good responses
+    reach: float = 0.0  # `useful` relative to what was possible: the offered load, at most all core time
+    slowed: float = 0.0  # core time of attempts with good responses, beyond their work and handshakes
     handshake: float = 0.0
-    lost: float = 0.0  # for a client that waited, and got nothing of it
-    nobody: float = 0.0  # whose client had gone by then
-    copy: float = 0.0  # the client had its answer from another run
+    lost: float = 0.0  # without a good response, while the client waited
+    nobody: float = 0.0  # without a good response, after the client had stopped waiting
+    copy: float = 0.0  # the client's response came from another attempt
     idle: float = 1.0
-    begun_for_nobody: float = 0.0  # runs that began when their client had gone
-    stretch: float = 0.0  # what cores took beyond what was planned
-    machine: Machine = field(default_factory=Machine)
+    begun_for_nobody: float = 0.0  # rate of attempts that started after their client had stopped waiting
+    stretch: float = 0.0  # excess of actual over planned core time, relative
+    machine: MachineUsage = field(default_factory=MachineUsage)
     void: list[str] = field(default_factory=list)
 
     @property
@@ -167,253 +167,291 @@
         return self.lost + self.nobody + self.copy
 
 
-def voids(row: Row) -> list[str]:
-    """Why the machine may have been the limit; empty: it was not."""
-    machine, found = row.machine, []
-    if row.stretch > STRETCH_MOST:
-        found.append(f"hosts' cores took {row.stretch:.1%} longer than planned, {STRETCH_MOST:.0%} at the most")
-    if machine.own > PROCESS_MOST:
-        found.append(f"the stand-ins' process used {machine.own:.0%} of a processor, {PROCESS_MOST:.0%} at the most")
-    if machine.gateway > PROCESS_MOST:
-        found.append(f"a gateway used {machine.gateway:.0%} of a processor, {PROCESS_MOST:.0%} at the most")
-    if machine.waited_us > WAITED_MOST_US:
-        found.append(f"a process waited {machine.waited_us:.0f} us for a processor, {WAITED_MOST_US} at the most")
-    return found
+def void_reasons(row: Row) -> list[str]:
+    """Return why the machine may have been the limit; empty if it was not."""
+    machine, reasons = row.machine, []
+    if row.stretch > MAX_STRETCH:
+        reasons.append(f"hosts' cores took {row.stretch:.1%} longer than planned, {MAX_STRETCH:.0%} at the most")
+    if machine.own > MAX_PROCESS_SHARE:
+        reasons.append(
+            f"the stand-ins' process used {machine.own:.0%} of a processor, {MAX_PROCESS_SHARE:.0%} at the most"
+        )
+    if machine.gateway > MAX_PROCESS_SHARE:
+        reasons.append(f"a gateway used {machine.gateway:.0%} of a processor, {MAX_PROCESS_SHARE:.0%} at the most")
+    if machine.waited_us > MAX_PROCESSOR_WAIT_US:
+        reasons.append(
+            f"a process waited {machine.waited_us:.0f} us for a processor, {MAX_PROCESSOR_WAIT_US} at the most"
+        )
+    return reasons
 
 
-class Account:
-    """All that was seen of one play."""
+class RunAccounting:
+    """Computes the figures of one run from all its records."""
 
     def __init__(
-        self, wants: Iterable[Want], works: Iterable[Work], cores: int, hosts: int, capacity: float,
-        samples: Sequence[Sample] = (), told: Sequence[Told] = (),
+        self, operations: Iterable[Operation], attempts: Iterable[HostAttempt], cores: int, hosts: int,
+        capacity_per_s: float, samples: Sequence[HostSample] = (), log_records: Sequence[GatewayLogRecord] = (),
     ) -> None:  # fmt: skip
-        self.wants = sorted(wants, key=lambda want: want.at_us)
-        self.works = list(works)
-        self.cores, self.hosts, self.capacity = cores, hosts, capacity  # all cores; requests a second of all hosts
-        self.samples, self.told = samples, told
-        self.tries = {id_: each for want in self.wants for id_, each in want.tries.items()}
-        self.answers = self.answering()
-
-    def answering(self) -> dict[str, Work]:
-        """By id, the run whose answer the client had in time: the first that was answered to someone who listened."""
-        found: dict[str, Work] = {}
-        for work in sorted(self.works, key=lambda work: work.over_us):
-            each = self.tries.get(work.id)
-            was_answered = work.how in ("ok", "duplicate") and each is not None and work.over_us <= each.ended_us
-            if each is not None and each.is_good and was_answered:
-                found.setdefault(work.id, work)
-        return found
-
-    def nobody_from_us(self, work: Work) -> int:
-        """When nobody waits for this run any more."""
-        each = self.tries.get(work.id)
-        return min(work.gone_us or FOREVER, each.over_us if each is not None else 0)
-
-    def rows(self, windows: Sequence[Window], machines: Sequence[Machine] = ()) -> list[Row]:
-        """A row for each window; they follow each other, and no two overlap."""
-        made = [Row(w.name, w.direction, w.load, (w.end_us - w.begin_us) / 1e6) for w in windows]
-        for row, machine in zip(made, machines, strict=False):
+        self.operations = sorted(operations, key=lambda operation: operation.started_us)
+        self.attempts = list(attempts)
+        self.cores, self.hosts, self.capacity_per_s = cores, hosts, capacity_per_s  # all cores; all hosts' requests
+        self.samples, self.log_records = samples, log_records
+        self.requests_by_id = {
+            id_: request for operation in self.operations for id_, request in operation.requests_by_id.items()
+        }
+        self.answering_attempts = self.find_answering_attempts()
+
+    def find_answering_attempts(self) -> dict[str, HostAttempt]:
+        """Return, by request id, the attempt behind the good response: the first one that ended before it arrived."""
+        answering: dict[str, HostAttempt] = {}
+        for attempt in sorted(self.attempts, key=lambda attempt: attempt.ended_us):
+            request = self.requests_by_id.get(attempt.request_id)
+            has_response = (
+                attempt.outcome in ("ok", "duplicate")
+                and request is not None
+                and attempt.ended_us <= request.ended_us
+            )
+            if request is not None and request.is_good and has_response:
+                answering.setdefault(attempt.request_id, attempt)
+        return answering
+
+    def wait_end_us(self, attempt: HostAttempt) -> int:
+        """Return the time from which neither client nor gateway waits for this attempt."""
+        request = self.requests_by_id.get(attempt.request_id)
+        return min(attempt.abandoned_us or NEVER_US, request.wait_end_us if request is not None else 0)
+
+    def compute_rows(self, windows: Sequence[Window], machine_usages: Sequence[MachineUsage] = ()) -> list[Row]:
+        """Return a row for each window. Windows are in order of time and do not overlap."""
+        rows = [Row(w.name, w.direction, w.load, (w.end_us - w.begin_us) / 1e6) for w in windows]
+        for row, machine in zip(rows, machine_usages, strict=False):
             row.machine = machine
-        finder = Finder(windows)
-        self.count_wants(made, finder)
-        self.count_works(made, finder)
-        self.count_told(made, finder)
-        for row in made:
-            row.void = voids(row)
-        return made
-
-    def count_wants(self, made: list[Row], finder: Finder) -> None:
-        begun, served = Counter[tuple[int, str]](), Counter[tuple[int, str]]()
-        tried = Counter[int]()
-        for want in self.wants:
-            place = finder.of(want.at_us)
-            if place is not None:
-                begun[place, want.klass] += 1
-                served[place, want.klass] += bool(want.good_us)
-                tried[place] += len(want.tries)
-            good = finder.of(want.good_us)
-            if good is not None:
-                made[good].good += 1 / made[good].seconds
-            for each in want.tries.values():
-                end = finder.of(each.over_us)
-                if end is not None and each.is_timeout:
-                    made[end].timeouts += 1 / made[end].seconds
-                elif end is not None and not each.is_good:
-                    made[end].refused += 1 / made[end].seconds
-        for place, row in enumerate(made):
-            classes = {klass: count for (at, klass), count in begun.items() if at == place}
-            count = sum(classes.values())
-            row.offered = count / row.seconds
-            row.tries = tried[place] / max(1, count)
-            row.served = sum(served[place, klass] for klass in classes) / max(1, count)
-            row.by_class = {klass: served[place, klass] / classes[klass] for klass in sorted(classes)}
-
-    def count_works(self, made: list[Row], finder: Finder) -> None:
-        planned, took = [0] * len(made), [0] * len(made)
-        ids: list[set[str]] = [set() for _ in made]
-        arrived = [0] * len(made)
-        for work in self.works:
-            for place, part_us in finder.parts(work.whole_us, work.over_us):
-                made[place].held += part_us / 1e6 / made[place].seconds / self.hosts
-            at = finder.of(work.whole_us)
-            if at is not None:
-                arrived[at] += 1
-                ids[at].add(work.id)
-            begun = finder.of(work.began_us)
-            if begun is None:
+        lookup = WindowLookup(windows)
+        self.add_operations(rows, lookup)
+        self.add_attempts(rows, lookup)
+        self.add_samples_and_logs(rows, lookup)
+        for row in rows:
+            row.void = void_reasons(row)
+        return rows
+
+    def add_operations(self, rows: list[Row], lookup: WindowLookup) -> None:
+        """Add the figures of operations and client requests to the rows."""
+        started, served = Counter[tuple[int, str]](), Counter[tuple[int, str]]()
+        request_counts = Counter[int]()
+        for operation in self.operations:
+            index = lookup.index_at(operation.started_us)
+            if index is not None:
+                started[index, operation.request_class] += 1
+                served[index, operation.request_class] += bool(operation.served_us)
+                request_counts[index] += len(operation.requests_by_id)
+            served_index = lookup.index_at(operation.served_us)
+            if served_index is not None:
+                rows[served_index].good += 1 / rows[served_index].seconds
+            for request in operation.requests_by_id.values():
+                end_index = lookup.index_at(request.wait_end_us)
+                if end_index is not None and request.is_timeout:
+                    rows[end_index].timeouts += 1 / rows[end_index].seconds
+                elif end_index is not None and not request.is_good:
+                    rows[end_index].refused += 1 / rows[end_index].seconds
+        for index, row in enumerate(rows):
+            count_by_class = {request_class: count for (at, request_class), count in started.items() if at == index}
+            total = sum(count_by_class.values())
+            row.offered = total / row.seconds
+            row.tries = request_counts[index] / max(1, total)
+            row.served = sum(served[index, request_class] for request_class in count_by_class) / max(1, total)
+            row.by_class = {
+                request_class: served[index, request_class] / count_by_class[request_class]
+                for request_class in sorted(count_by_class)
+            }
+
+    def add_attempts(self, rows: list[Row], lookup: WindowLookup) -> None:
+        """Add the figures of attempts at hosts to the rows."""
+        planned_us, actual_us = [0] * len(rows), [0] * len(rows)
+        request_ids: list[set[str]] = [set() for _ in rows]
+        received = [0] * len(rows)
+        for attempt in self.attempts:
+            for index, part_us in lookup.split_interval(attempt.received_us, attempt.ended_us):
+                rows[index].held += part_us / 1e6 / rows[index].seconds / self.hosts
+            received_index = lookup.index_at(attempt.received_us)
+            if received_index is not None:
+                received[received_index] += 1
+                request_ids[received_index].add(attempt.request_id)
+            start_index = lookup.index_at(attempt.started_us)
+            if start_index is None:
                 continue
-            if work.freed_us and work.took_us:
-                planned[begun] += work.took_us
-                took[begun] += work.freed_us - work.began_us
-            nobody_us = self.nobody_from_us(work)
-            if work.began_us >= nobody_us and work.id not in self.answers:
-                made[begun].begun_for_nobody += 1 / made[begun].seconds
-            self.share_out(work, nobody_us, made, finder)
-        for place, row in enumerate(made):
-            row.runs = arrived[place] / max(1, len(ids[place]))
-            row.arrived = arrived[place] / row.seconds
-            row.stretch = took[place] / planned[place] - 1 if planned[place] else 0.0
-            row.reach = row.useful / min(1.0, row.offered / self.capacity) if row.offered else 0.0
+            if attempt.core_released_us and attempt.planned_core_us:
+                planned_us[start_index] += attempt.planned_core_us
+                actual_us[start_index] += attempt.core_released_us - attempt.started_us
+            wait_end_us = self.wait_end_us(attempt)
+            if attempt.started_us >= wait_end_us and attempt.request_id not in self.answering_attempts:
+                rows[start_index].begun_for_nobody += 1 / rows[start_index].seconds
+            self.add_core_time(attempt, wait_end_us, rows, lookup)
+        for index, row in enumerate(rows):
+            row.runs = received[index] / max(1, len(request_ids[index]))
+            row.arrived = received[index] / row.seconds
+            row.stretch = actual_us[index] / planned_us[index] - 1 if planned_us[index] else 0.0
+            row.reach = row.useful / min(1.0, row.offered / self.capacity_per_s) if row.offered else 0.0
             row.idle = 1 - row.useful - row.slowed - row.handshake - row.wasted
 
-    def share_out(self, work: Work, nobody_us: int, made: list[Row], finder: Finder) -> None:
-        """Its core's time, by what came of it and by window."""
-        end_us = work.freed_us or work.over_us
-        span = max(1, end_us - work.began_us)
-        answer = self.answers.get(work.id)
-        for place, part_us in finder.parts(work.began_us, end_us):
-            row = made[place]
+    def add_core_time(self, attempt: HostAttempt, wait_end_us: int, rows: list[Row], lookup: WindowLookup) -> None:
+        """Distribute the core time of an attempt over the windows, by its outcome."""
+        end_us = attempt.core_released_us or attempt.ended_us
+        duration_us = max(1, end_us - attempt.started_us)
+        answering = self.answering_attempts.get(attempt.request_id)
+        for index, part_us in lookup.split_interval(attempt.started_us, end_us):
+            row = rows[index]
             share = part_us / 1e6 / row.seconds / self.cores
-            if answer is work:
-                useful, handshake = min(1.0, work.work_us / span), min(1.0, work.handshake_us / span)
+            if answering is attempt:
+                useful, handshake = (
+                    min(1.0, attempt.work_us / duration_us),
+                    min(1.0, attempt.handshake_us / duration_us),
+                )
                 row.useful += share * useful
                 row.handshake += share * handshake
                 row.slowed += share * max(0.0, 1 - useful - handshake)
-            elif answer is not None:
+            elif answering is not None:
                 row.copy += share
             else:
-                waited = overlap(work.began_us, min(end_us, nobody_us), *finder.bounds(place)) / max(1, part_us)
+                waited = overlap_us(attempt.started_us, min(end_us, wait_end_us), *lookup.bounds_of(index)) / max(
+                    1, part_us
+                )
                 row.lost += share * waited
                 row.nobody += share * (1 - waited)
 
-    def count_told(self, made: list[Row], finder: Finder) -> None:
-        looks, lines = Counter[int](), Counter[int]()
+    def add_samples_and_logs(self, rows: list[Row], lookup: WindowLookup) -> None:
+        """Add the figures of host samples and gateway logs to the rows."""
+        sample_counts, record_counts = Counter[int](), Counter[int]()
         for sample in self.samples:
-            place = finder.of(sample.at_us)
-            if place is not None:
-                looks[place] += 1
-                made[place].choked += sample.choked / self.hosts
-        for told in self.told:
-            place = finder.of(told.at_us)
-            if place is None:
+            index = lookup.index_at(sample.at_us)
+            if index is not None:
+                sample_counts[index] += 1
+                rows[index].choked += sample.choked_hosts / self.hosts
+        for record in self.log_records:
+            index = lookup.index_at(record.middle_us)
+            if index is None:
                 continue
-            row = made[place]
-            lines[place] += 1
-            row.shed_from = min(row.shed_from, told.shed[0]) if lines[place] > 1 else told.shed[0]
-            row.shed_to = max(row.shed_to, told.shed[0])
-            row.trips += told.trips / row.seconds
-            row.shed += told.shed[0]
-            row.shed_dear += told.shed[1]
-            row.host_timeouts += told.timeouts / row.seconds
-            row.full += told.full / row.seconds
-            row.cancelled += told.cancelled / row.seconds
-            for why, count in told.why.items():
-                row.why[why] = row.why.get(why, 0.0) + count / row.seconds
-        for place, row in enumerate(made):
-            row.choked /= max(1, looks[place])
-            row.shed /= max(1, lines[place])
-            row.shed_dear /= max(1, lines[place])
-
-    def served_again_us(self, from_us: int, until_us: int) -> int | None:
-        """From the load's end, how long until 99% of what is wanted in the next two seconds is served; None: not."""
-        for at in range(from_us, until_us - SERVED_IN_US + 1, LOOK_US):
-            wants = [want for want in self.wants if at <= want.at_us < at + SERVED_IN_US]
-            if wants and sum(bool(want.good_us) for want in wants) >= SERVED * len(wants):
-                return at - from_us
+            row = rows[index]
+            record_counts[index] += 1
+            row.shed_from = (
+                min(row.shed_from, record.shed_shares[0]) if record_counts[index] > 1 else record.shed_shares[0]
+            )
+            row.shed_to = max(row.shed_to, record.shed_shares[0])
+            row.trips += record.breaker_trips / row.seconds
+            row.shed += record.shed_shares[0]
+            row.shed_dear += record.shed_shares[1]
+            row.host_timeouts += record.host_timeouts / row.seconds
+            row.full += record.full_rejections / row.seconds
+            row.cancelled += record.cancelled_attempts / row.seconds
+            for reason, count in record.rejections_by_reason.items():
+                row.why[reason] = row.why.get(reason, 0.0) + count / row.seconds
+        for index, row in enumerate(rows):
+            row.choked /= max(1, sample_counts[index])
+            row.shed /= max(1, record_counts[index])
+            row.shed_dear /= max(1, record_counts[index])
+
+    def recovery_time_us(self, from_us: int, until_us: int) -> int | None:
+        """Return the time from `from_us` until service has recovered; None if it does not.
+
+        Service has recovered when MIN_SERVED_SHARE of the operations of the next SERVED_PERIOD_US are served.
+        """
+        for at_us in range(from_us, until_us - SERVED_PERIOD_US + 1, RECOVERY_CHECK_INTERVAL_US):
+            operations = [each for each in self.operations if at_us <= each.started_us < at_us + SERVED_PERIOD_US]
+            if operations and sum(bool(each.served_us) for each in operations) >= MIN_SERVED_SHARE * len(operations):
+                return at_us - from_us
         return None
 
 
-class Finder:
-    """Which window a moment belongs to."""
+class WindowLookup:
+    """Finds the windows of a time or an interval."""
 
     def __init__(self, windows: Sequence[Window]) -> None:
         self.windows = windows
-        self.begins = [window.begin_us for window in windows]
-
-    def of(self, at_us: int) -> int | None:
-        place = bisect_right(self.begins, at_us) - 1
-        return place if place >= 0 and at_us < self.windows[place].end_us else None
-
-    def bounds(self, place: int) -> tuple[int, int]:
-        return self.windows[place].begin_us, self.windows[place].end_us
-
-    def parts(self, from_us: int, to_us: int) -> Iterable[tuple[int, int]]:
-        """The windows that a stretch of time reaches into, and how much of it is in each."""
-        place = max(0, bisect_right(self.begins, from_us) - 1)
-        while place < len(self.windows) and self.windows[place].begin_us < to_us:
-            part_us = overlap(from_us, to_us, *self.bounds(place))
+        self.begins_us = [window.begin_us for window in windows]
+
+    def index_at(self, at_us: int) -> int | None:
+        """Return the index of the window that contains this time."""
+        index = bisect_right(self.begins_us, at_us) - 1
+        return index if index >= 0 and at_us < self.windows[index].end_us else None
+
+    def bounds_of(self, index: int) -> tuple[int, int]:
+        """Return when a window begins and ends."""
+        return self.windows[index].begin_us, self.windows[index].end_us
+
+    def split_interval(self, from_us: int, to_us: int) -> Iterable[tuple[int, int]]:
+        """Yield the index of each window that an interval overlaps, and the length of the overlap."""
+        index = max(0, bisect_right(self.begins_us, from_us) - 1)
+        while index < len(self.windows) and self.windows[index].begin_us < to_us:
+            part_us = overlap_us(from_us, to_us, *self.bounds_of(index))
             if part_us > 0:
-                yield place, part_us
-            place += 1
+                yield index, part_us
+            index += 1
 
 
-def overlap(one_us: int, end_us: int, other_us: int, other_end_us: int) -> int:
-    return max(0, min(end_us, other_end_us) - max(one_us, other_us))
+def overlap_us(begin_us: int, end_us: int, other_begin_us: int, other_end_us: int) -> int:
+    """Return the length of the intersection of two intervals."""
+    return max(0, min(end_us, other_end_us) - max(begin_us, other_begin_us))
 
 
-# The judgement: what issue 34 wants shown of an overload
+# Requirements of issue 34 on the behaviour under overload
 
-FROM_LOAD: Final = 1.6  # and more: an overload
-OF_BEST: Final = 0.9  # of the best goodput
-LOOP: Final = 0.03  # of goodput: coming down against going up, at the same load
-RECOVERY_S: Final = 3.0
-RUNS_MOST: Final = 1.05  # at hosts for each request, while anything is shed
-SHEDDING: Final = 0.05  # of all requests refused as shed
+MIN_OVERLOAD: Final = 1.6  # load from which a step counts as overload
+MIN_GOODPUT_RATIO: Final = 0.9  # to the highest goodput of the run
+MAX_HYSTERESIS: Final = 0.03  # relative difference of goodput at the same load, downwards against upwards
+MAX_RECOVERY_S: Final = 3.0
+MAX_RUNS_PER_REQUEST: Final = 1.05  # at hosts, while requests are shed
+MIN_SHED_SHARE: Final = 0.05  # of all requests; from then on a step counts as shedding
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One thing that is wanted of a fleet under overload, and what was found."""
+    """One requirement on a fleet under overload, and the measured value."""
 
     what: str
     found: float
     wanted: str
     holds: bool
-    void: bool = False  # a row that it rests on is void
+    void: bool = False  # a row that the value is computed from is void
 
 
-def judge(rows: Sequence[Row], recovery_s: float | None, has_surge: bool = True) -> list[Finding]:
-    """What is wanted against what was found. Goodput is the share of host time behind good answers.
+def assess(rows: Sequence[Row], recovery_s: float | None, has_surge: bool = True) -> list[Finding]:
+    """Compare the rows with the requirements. Goodput is the share of the hosts' core time behind good responses.
 
-    Up and down are compared by what was possible: below the hosts' limit, arrivals are drawn, and differ by chance.
+    Upward and downward steps are compared relative to what was possible (`reach`): below the capacity of the hosts,
+    goodput follows the random arrivals, which differ between the two.
     """
-    sound = [row for row in rows if not row.void]
-    best = max((row.useful for row in sound), default=0.0)
-    found = []
+    valid = [row for row in rows if not row.void]
+    best = max((row.useful for row in valid), default=0.0)
+    findings = []
     for row in rows:
-        if row.load >= FROM_LOAD and row.direction in ("up", "down"):
-            share = row.useful / best if best else 0.0
+        if row.load >= MIN_OVERLOAD and row.direction in ("up", "down"):
+            ratio = row.useful / best if best else 0.0
             what = f"goodput at {row.load:g}, {row.direction}, of its best"
-            found.append(Finding(what, share, f">= {OF_BEST:g}", share >= OF_BEST, bool(row.void)))
-    for up, down in pairs(rows):
+            findings.append(
+                Finding(what, ratio, f">= {MIN_GOODPUT_RATIO:g}", ratio >= MIN_GOODPUT_RATIO, bool(row.void))
+            )
+    for up, down in pair_up_and_down(rows):
         ratio = down.reach / up.reach if up.reach else 0.0
         what, void = f"goodput at {up.load:g}, down against up", bool(up.void or down.void)
-        found.append(Finding(what, ratio, f"within {LOOP:.0%} of 1", abs(ratio - 1) <= LOOP, void))
+        findings.append(
+            Finding(what, ratio, f"within {MAX_HYSTERESIS:.0%} of 1", abs(ratio - 1) <= MAX_HYSTERESIS, void)
+        )
     if has_surge:
         void = any(row.void for row in rows if row.direction in ("surge", "after"))
         seconds = float("inf") if recovery_s is None else recovery_s
         what = "seconds from the surge's end until 99% is served"
-        found.append(Finding(what, seconds, f"<= {RECOVERY_S:g}", seconds <= RECOVERY_S, void))
-    shedding = [row for row in rows if row.why.get("shed", 0.0) > SHEDDING * row.offered]
+        findings.append(Finding(what, seconds, f"<= {MAX_RECOVERY_S:g}", seconds <= MAX_RECOVERY_S, void))
+    shedding = [row for row in rows if row.why.get("shed", 0.0) > MIN_SHED_SHARE * row.offered]
     if shedding:
         worst = max(shedding, key=lambda row: row.runs)
         what = f"runs at hosts a request while shedding (worst at {worst.load:g}, {worst.direction})"
-        found.append(Finding(what, worst.runs, f"<= {RUNS_MOST:g}", worst.runs <= RUNS_MOST, bool(worst.void)))
-    return found
-
-
-def pairs(rows: Sequence[Row]) -> list[tuple[Row, Row]]:
-    """The same load on its way up and on its way down."""
-    downs = {row.load: row for row in rows if row.direction == "down"}
-    return [(row, downs[row.load]) for row in rows if row.direction == "up" and row.load in downs]
+        findings.append(
+            Finding(
+                what, worst.runs, f"<= {MAX_RUNS_PER_REQUEST:g}", worst.runs <= MAX_RUNS_PER_REQUEST, bool(worst.void)
+            )
+        )
+    return findings
+
+
+def pair_up_and_down(rows: Sequence[Row]) -> list[tuple[Row, Row]]:
+    """Pair the upward and the downward row of each load that has both."""
+    down_by_load = {row.load: row for row in rows if row.direction == "down"}
+    return [(row, down_by_load[row.load]) for row in rows if row.direction == "up" and row.load in down_by_load]
--- a/benchmarks/overload/plan.py
+++ b/benchmarks/overload/plan.py
@@ -1,4 +1,4 @@
-"""Which loads a play offers, and under which conditions: data alone."""
+"""Load steps and settings of an overload run. Data only."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 
 from standins.parties.overload_model import OverloadModel
 
-LOADS: Final = (0.6, 0.9, 1.2, 1.6, 2.5, 4.0)  # times what the hosts can do
-EMPTY: Final = 0.9  # a fleet of which no gateway knows anything yet
-SURGE: Final = 4.0
-CALM: Final = 0.6  # before and after a surge
+LOADS: Final = (0.6, 0.9, 1.2, 1.6, 2.5, 4.0)  # relative to the capacity of the hosts
+EMPTY_FLEET_LOAD: Final = 0.9  # of the first step, in which no gateway has any state yet
+SURGE_LOAD: Final = 4.0
+RECOVERY_LOAD: Final = 0.6  # after the surge
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
+    """A period of constant load."""
+
     direction: str
     load: float
     seconds: float
@@ -24,28 +26,31 @@
         return f"{self.direction} {self.load:g}"
 
 
-def steps(loads: tuple[float, ...], each_s: float, surge_s: float, after_s: float) -> list[Step]:
-    """Empty at 0.9, up, down again by the same loads, then from the least straight into a surge and out of it."""
-    made = [Step("empty", EMPTY, each_s)]
-    made += [Step("up", load, each_s) for load in loads]
-    made += [Step("down", load, each_s) for load in reversed(loads[:-1])]
+def make_steps(loads: tuple[float, ...], step_s: float, surge_s: float, recovery_s: float) -> list[Step]:
+    """Return the empty-fleet step, all loads upwards, then downwards, then the surge and the recovery from it."""
+    steps = [Step("empty", EMPTY_FLEET_LOAD, step_s)]
+    steps += [Step("up", load, step_s) for load in loads]
+    steps += [Step("down", load, step_s) for load in reversed(loads[:-1])]
     if surge_s:
-        made += [Step("surge", SURGE, surge_s), Step("after", CALM, after_s)]
-    return made
+        steps += [Step("surge", SURGE_LOAD, surge_s), Step("after", RECOVERY_LOAD, recovery_s)]
+    return steps
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
-    """One play's conditions. Hosts of two cores do 37 requests a second each."""
+class RunSettings:
+    """Settings of one run; the JSON report holds them under these names.
+
+    A host with two cores serves 37 requests per second.
+    """
 
     gateways: int
     seed: int
     steps: tuple[Step, ...]
     hosts: int = 4
-    cores: int = 2
-    law: OverloadModel | None = field(default_factory=OverloadModel)
-    honour: float = 0.7  # share of clients that heed the time they were told
-    retries: int = 2  # of a client, after its first try
-    attempts: int = 6  # of a gateway, for each request
-    copies: bool = True  # two of them may be out together
+    cores: int = 2  # per host
+    law: OverloadModel | None = field(default_factory=OverloadModel)  # None: load does not slow the hosts down
+    honour: float = 0.7  # share of clients that obey Retry-After
+    retries: int = 2  # maximum per operation of a client
+    attempts: int = 6  # maximum of a gateway per request
+    copies: bool = True  # two attempts of one request may be in progress at the same time
     sharing: bool = False
