--- a/tests/control_plane/test_relay_fleet.py
+++ b/tests/control_plane/test_relay_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from benchmarks.relay_schedules import draw, play
+from benchmarks.relay_schedules import draw_schedule, run_schedule
 from standins.event_log import now_us
 from standins.parties import fleet as processes
 from tests.control_plane.relay_fleet import GATEWAYS, relay_fleet
@@ -229,5 +229,5 @@
 @on_loop
 async def test_random_schedule_of_faults_breaks_no_rule(tmp_path: Path, seed: int) -> None:
     """Hundreds of longer schedules are run by `python -m benchmarks.relay_schedules`."""
-    played = await play(draw(seed, 2.5), tmp_path)
-    assert not played.wrong, f"{played.schedule}: {played.wrong}\n{played.timeline}"
+    result = await run_schedule(draw_schedule(seed, 2.5), tmp_path)
+    assert not result.violations, f"{result.schedule}: {result.violations}\n{result.timeline}"
