--- a/benchmarks/relay_model.py
+++ b/benchmarks/relay_model.py
@@ -1,16 +1,17 @@
-"""Every order of events of a small fleet, played on the pure parts of relays: what a gateway holds is its subset.
+"""Model checking of relays: all orders of events in a small fleet, applied to the relays' pure modules.
 
     .venv-dev/bin/python -m benchmarks.relay_model [--depth 12] [--states 100000] [--from START] [--only change,ask]
     .venv-dev/bin/python -m benchmarks.relay_model --walks 2000 [--steps 80] [--seed 1]
     .venv-dev/bin/python -m benchmarks.relay_model --from spill --replay 'change:0 hear:1 ask:0 ...'
 
-Discovery, two relays, two gateways, three hosts. What may happen next: a host changes or comes back in another zone
-or service, a relay hears the next change or a whole list, a gateway asks, asks in vain (its answer is lost), moves to
-the other relay, asks for more hosts, a relay begins anew or reads another roster. Breadth first, each state once, so
-that the first trace that is found is a shortest one. Judged by `plainly` below, which is written from
-docs/relay-design.md alone and knows no window that it has not just made.
+The fleet is a discovery, two relays, two gateways and three hosts. Its events: a host changes its status, or returns
+in another zone or service; a relay receives the next change or a whole list; a gateway polls its relay; a gateway
+polls and the response is lost; a gateway moves to the other relay; a gateway widens its subset; a relay restarts
+without state, or reads another roster. The search is breadth-first and visits each state once, so the first trace to
+a violation is a shortest one. The invariant: what a gateway holds is its subset. The expected subset comes from
+`reference_subset`, which is written from docs/relay-design.md alone and computes each window from scratch.
 
-Exit code: 0 nothing was found; 1 an invariant was broken; 2 an option cannot be used.
+Exit code: 0: no violation; 1: an invariant was violated; 2: invalid arguments.
 """
 
 from __future__ import annotations
@@ -36,375 +37,469 @@
 from cloverkeel.control_plane.subsetting import HashRing, RingShare, ServiceRings, SubsetSizes
 from cloverkeel.core.config import stable_id
 
-Event = tuple[str, int]
-Shares = tuple[set[str], set[tuple[str, str]]]  # names of hosts; rings, by service and zone
+Event = tuple[str, int]  # kind; number of the host, relay or gateway
+Subset = tuple[set[str], set[tuple[str, str]]]  # names of hosts; rings as (service, zone)
 Entry = dict[str, Any]
-List = dict[str, Entry]
-FIRST_INDEX: Final = 1_000  # of both relays: versions of one mean nothing to the other
-NEXT_LIFE: Final = 100
-# Which events at the most in one trace of a search; a walk has no bound but its own.
-BUDGETS: Final = {"change": 4, "shift": 1, "lose": 2, "move": 2, "restart": 1, "list": 1, "roster": 1, "wide": 1}
-KINDS: Final = (*BUDGETS, "hear", "ask")
-ORDER: Final = ("DELETED", "DRAINING", "SERVING")
+EntryByName = dict[str, Entry]
+FIRST_INDEX: Final = 1_000  # of both relays; an index of one relay has no meaning for the other
+INDEX_STEP_PER_RESTART: Final = 100
+# Maximum number of events of each kind in one trace of a search. Random walks are limited by their length alone.
+MAX_EVENTS_BY_KIND: Final = {
+    "change": 4, "shift": 1, "lose": 2, "move": 2, "restart": 1, "list": 1, "roster": 1, "wide": 1
+}  # fmt: skip
+EVENT_KINDS: Final = (*MAX_EVENTS_BY_KIND, "hear", "ask")
+STATUSES_BY_RESTRICTION: Final = ("DELETED", "DRAINING", "SERVING")  # most restrictive first
 
 
 @dataclass(slots=True, frozen=True)
-class Scene:
-    """A fleet to begin with. `rosters`: what relays read in turn. `shifts`: where a host may come back."""
+class FleetSetup:
+    """A fleet at the start of a trace.
+
+    rosters: the rosters that relays read in turn.
+    locations: (service, zone) in which a host may return.
+    """
 
     rosters: tuple[dict[str, Any], ...]
     hosts: tuple[Entry, ...]
-    askers: tuple[Subscriber, ...]
-    shifts: tuple[tuple[str, str], ...]  # service and zone
+    subscribers: tuple[Subscriber, ...]
+    locations: tuple[tuple[str, str], ...]
     sizes: SubsetSizes
-    parsed: tuple[FleetRoster, ...] = ()
-    known: dict[tuple[object, ...], Shares] = field(default_factory=dict)  # what `shares` has worked out
-
-    def ready(self) -> Scene:
-        return replace(self, parsed=tuple(parse_roster(json.dumps(raw), "a scene") for raw in self.rosters))
-
-    def shares(self, roster: int, asker: Subscriber, listed: List) -> Shares:
-        """`plainly`, each question once."""
-        states = sorted((e["name"], e["service"], e["zone"], e["status"]) for e in listed.values())
-        key = (roster, asker, tuple(states))
-        found = self.known.get(key)
-        if found is None:
-            found = self.known[key] = plainly(self.rosters[roster], self.sizes, asker, listed)
-        return found
+    parsed_rosters: tuple[FleetRoster, ...] = ()
+    cached_subsets: dict[tuple[object, ...], Subset] = field(default_factory=dict)  # results of `subset_of`
+
+    def with_parsed_rosters(self) -> FleetSetup:
+        """Return a copy whose rosters are parsed, as a fleet needs them."""
+        return replace(self, parsed_rosters=tuple(parse_roster(json.dumps(raw), "a setup") for raw in self.rosters))
+
+    def subset_of(self, roster_number: int, subscriber: Subscriber, entry_by_name: EntryByName) -> Subset:
+        """Return the reference subset; cached."""
+        states = sorted((e["name"], e["service"], e["zone"], e["status"]) for e in entry_by_name.values())
+        key = (roster_number, subscriber, tuple(states))
+        subset = self.cached_subsets.get(key)
+        if subset is None:
+            subset = self.cached_subsets[key] = reference_subset(
+                self.rosters[roster_number], self.sizes, subscriber, entry_by_name
+            )
+        return subset
 
 
-def entry(name: str, service: str, zone: str) -> Entry:
+def make_entry(name: str, service: str, zone: str) -> Entry:
+    """Return the entry of a host that serves."""
     return {"name": name, "address": "10.0.0.1:80", "zone": zone, "service": service, "status": "SERVING"}
 
 
-# The page, written again
+# Reference implementation of docs/relay-design.md
 
 
-def plainly(roster: dict[str, Any], sizes: SubsetSizes, asker: Subscriber, listed: List) -> Shares:
-    """Names of an asker's hosts in a list, and the (service, zone) that it shares. By what the page says."""
-    post = roster["gateways"].get(asker.gateway)
+def reference_subset(
+    roster: dict[str, Any], sizes: SubsetSizes, subscriber: Subscriber, entry_by_name: EntryByName
+) -> Subset:
+    """Return the names of a subscriber's hosts, and the rings (service, zone) that it shares."""
+    placement = roster["gateways"].get(subscriber.gateway)
     regions = roster["regions"]
-    if post is None:
-        return {name for name, each in listed.items() if each["status"] == "SERVING"}, set()
+    if placement is None:
+        return {name for name, each in entry_by_name.items() if each["status"] == "SERVING"}, set()
 
     def region_of(zone: str) -> str:
         return next((region for region, zones in regions.items() if zone in zones), "")
 
-    def before(service: str) -> dict[str, str]:
-        fronts = roster["gateways"].items()
-        return {n: region_of(p["zone"]) for n, p in fronts if "services" not in p or service in p["services"]}
-
-    mine, names, shared = region_of(post["zone"]), set[str](), set[tuple[str, str]]()
-    wanted = asker.services or post.get("services") or sorted({each["service"] for each in listed.values()})
-    for service in wanted:
-        fronts = before(service)
-        zones = {each["zone"] for each in listed.values() if each["service"] == service}
-        lent = {zone for zone in zones if region_of(zone) not in fronts.values()}  # nobody there is before it
-        own = lent | {zone for zone in zones if region_of(zone) == mine}
-
-        def serving(zone: str, service: str = service) -> list[str]:
-            its = (service, zone, "SERVING")
-            of = [name for name, each in listed.items() if (each["service"], each["zone"], each["status"]) == its]
-            return sorted(of, key=lambda name: (stable_id(f"{service}\0{zone}\0{name}", 8), name))
-
-        if sum(len(serving(zone)) for zone in own) < sizes.min_serving:
-            own = zones
-        for zone in own:
+    def region_by_gateway(service: str) -> dict[str, str]:
+        """The gateways that route to a service."""
+        gateways = roster["gateways"].items()
+        return {n: region_of(p["zone"]) for n, p in gateways if "services" not in p or service in p["services"]}
+
+    own_region, names, shared = region_of(placement["zone"]), set[str](), set[tuple[str, str]]()
+    services = (
+        subscriber.services
+        or placement.get("services")
+        or sorted({each["service"] for each in entry_by_name.values()})
+    )
+    for service in services:
+        gateways = region_by_gateway(service)
+        zones = {each["zone"] for each in entry_by_name.values() if each["service"] == service}
+        # Zones whose region has no gateway that routes to the service
+        unclaimed = {zone for zone in zones if region_of(zone) not in gateways.values()}
+        own_zones = unclaimed | {zone for zone in zones if region_of(zone) == own_region}
+
+        def serving_in(zone: str, service: str = service) -> list[str]:
+            key = (service, zone, "SERVING")
+            hosts = [
+                name for name, each in entry_by_name.items() if (each["service"], each["zone"], each["status"]) == key
+            ]
+            return sorted(hosts, key=lambda name: (stable_id(f"{service}\0{zone}\0{name}", 8), name))
+
+        if sum(len(serving_in(zone)) for zone in own_zones) < sizes.min_serving:
+            own_zones = zones
+        for zone in own_zones:
             shared.add((service, zone))
-            hosts = serving(zone)
-            group = [n for n, region in fronts.items() if zone in lent or region == mine] or list(fronts)
+            hosts = serving_in(zone)
+            group = [n for n, region in gateways.items() if zone in unclaimed or region == own_region] or list(
+                gateways
+            )
             hashes = [stable_id(f"{service}\0{n}", 8) for n in group]
-            place = sum(number < stable_id(f"{service}\0{asker.gateway}", 8) for number in hashes)
-            count, least = max(len(group), 1), sizes.min_hosts << asker.widenings
-            for number in range(min(len(hosts), max(least, -(-least * len(hosts) // count)))):
-                first = int((place + 0.5) * len(hosts) / count)
-                names.add(hosts[(first + number) % len(hosts)])
+            rank = sum(hash_ < stable_id(f"{service}\0{subscriber.gateway}", 8) for hash_ in hashes)
+            count, min_hosts = max(len(group), 1), sizes.min_hosts << subscriber.widenings
+            for offset in range(min(len(hosts), max(min_hosts, -(-min_hosts * len(hosts) // count)))):
+                first = int((rank + 0.5) * len(hosts) / count)
+                names.add(hosts[(first + offset) % len(hosts)])
     return names, shared
 
 
 # The small fleet
 
 
-class Holder:
-    """A gateway's client: where it asks, and what it has."""
+class GatewayClient:
+    """A gateway's client: the relay that it polls, and the list that it holds."""
 
-    __slots__ = ("asker", "held", "index", "relay")
+    __slots__ = ("held_entry_by_name", "known_index", "relay_number", "subscriber")
 
-    def __init__(self, asker: Subscriber, relay: int) -> None:
-        self.asker, self.relay = asker, relay
-        self.index: int | None = None
-        self.held: dict[str, bytes] = {}
+    def __init__(self, subscriber: Subscriber, relay_number: int) -> None:
+        self.subscriber, self.relay_number = subscriber, relay_number
+        self.known_index: int | None = None
+        self.held_entry_by_name: dict[str, bytes] = {}
 
-    def copy(self) -> Holder:
-        made = Holder(self.asker, self.relay)
-        made.index, made.held = self.index, dict(self.held)
-        return made
+    def copy(self) -> GatewayClient:
+        """Return a copy that can be changed independently."""
+        client = GatewayClient(self.subscriber, self.relay_number)
+        client.known_index, client.held_entry_by_name = self.known_index, dict(self.held_entry_by_name)
+        return client
 
-    def apply(self, answer: ListResponse) -> None:
-        """As Watch.on_answer has it: changes up to a version below the one held are of another life."""
-        if not answer.is_snapshot and self.index is not None and answer.index < self.index:
-            self.index = None
+    def apply_response(self, response: ListResponse) -> None:
+        """Apply a response like PollSchedule.on_reply.
+
+        Changes with an index below the known one come from a relay that has restarted; a snapshot is requested next.
+        """
+        if not response.is_snapshot and self.known_index is not None and response.index < self.known_index:
+            self.known_index = None
             return
-        if answer.is_snapshot:
-            self.held = {}
-        self.index = answer.index
-        for told in answer.entries:
-            raw = json.loads(told)
+        if response.is_snapshot:
+            self.held_entry_by_name = {}
+        self.known_index = response.index
+        for encoded in response.entries:
+            raw = json.loads(encoded)
             if raw["status"] == "DELETED":
-                self.held.pop(raw["name"], None)
+                self.held_entry_by_name.pop(raw["name"], None)
             else:
-                self.held[raw["name"]] = told
+                self.held_entry_by_name[raw["name"]] = encoded
 
 
 class Relay:
-    """A cache, and what it has heard of discovery."""
+    """A relay's cache, and what the relay has received from discovery."""
 
-    __slots__ = ("cache", "heard", "life", "listed", "roster")
+    __slots__ = ("applied_changes", "cache", "entry_by_name", "restart_count", "roster_number")
 
-    def __init__(self, scene: Scene, life: int = 0, roster: int = 0) -> None:
-        self.life, self.roster = life, roster
-        self.cache = EndpointCache(scene.parsed[roster], FIRST_INDEX + life * NEXT_LIFE, scene.sizes)
-        self.heard = -1  # changes of discovery's; -1: no list yet
-        self.listed: List = {}
+    def __init__(self, setup: FleetSetup, restart_count: int = 0, roster_number: int = 0) -> None:
+        self.restart_count, self.roster_number = restart_count, roster_number
+        self.cache = EndpointCache(
+            setup.parsed_rosters[roster_number], FIRST_INDEX + restart_count * INDEX_STEP_PER_RESTART, setup.sizes
+        )
+        self.applied_changes = -1  # number of discovery's changes that were applied; -1: no list received yet
+        self.entry_by_name: EntryByName = {}
 
     def copy(self) -> Relay:
-        made = Relay.__new__(Relay)
-        made.life, made.roster, made.heard, made.listed = self.life, self.roster, self.heard, dict(self.listed)
-        made.cache = copy_cache(self.cache)
-        return made
-
-
-class State:
-    """The small fleet at one moment."""
-
-    __slots__ = ("changes", "had", "holders", "listed", "relays", "scene", "used", "wrong")
+        """Return a copy that can be changed independently."""
+        relay = Relay.__new__(Relay)
+        relay.restart_count, relay.roster_number, relay.applied_changes, relay.entry_by_name = (
+            self.restart_count,
+            self.roster_number,
+            self.applied_changes,
+            dict(self.entry_by_name),
+        )
+        relay.cache = copy_cache(self.cache)
+        return relay
+
+
+class FleetState:
+    """State of the small fleet, and the first violation."""
+
+    __slots__ = (
+        "changes",
+        "clients",
+        "entry_by_name",
+        "event_counts",
+        "published_entries",
+        "relays",
+        "setup",
+        "violation",
+    )
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene, self.wrong = scene, ""
-        self.listed: List = {each["name"]: each for each in scene.hosts}
+    def __init__(self, setup: FleetSetup) -> None:
+        self.setup, self.violation = setup, ""
+        self.entry_by_name: EntryByName = {each["name"]: each for each in setup.hosts}
         self.changes: tuple[Entry, ...] = ()  # since the start, in order
-        self.had = frozenset(text_of(each) for each in scene.hosts)
-        self.relays = [Relay(scene), Relay(scene)]
-        self.holders = [Holder(asker, number % 2) for number, asker in enumerate(scene.askers)]
-        self.used = dict.fromkeys(BUDGETS, 0)
-
-    def copy(self) -> State:
-        made = State.__new__(State)
-        made.scene, made.wrong, made.changes, made.had = self.scene, self.wrong, self.changes, self.had
-        made.listed, made.used = dict(self.listed), dict(self.used)
-        made.relays = [relay.copy() for relay in self.relays]
-        made.holders = [holder.copy() for holder in self.holders]
-        return made
+        self.published_entries = frozenset(encode_entry(each) for each in setup.hosts)
+        self.relays = [Relay(setup), Relay(setup)]
+        self.clients = [GatewayClient(subscriber, number % 2) for number, subscriber in enumerate(setup.subscribers)]
+        self.event_counts = dict.fromkeys(MAX_EVENTS_BY_KIND, 0)
+
+    def copy(self) -> FleetState:
+        """Return a copy that can be changed independently."""
+        state = FleetState.__new__(FleetState)
+        state.setup, state.violation, state.changes, state.published_entries = (
+            self.setup,
+            self.violation,
+            self.changes,
+            self.published_entries,
+        )
+        state.entry_by_name, state.event_counts = dict(self.entry_by_name), dict(self.event_counts)
+        state.relays = [relay.copy() for relay in self.relays]
+        state.clients = [client.copy() for client in self.clients]
+        return state
 
     def key(self) -> tuple[object, ...]:
-        """What any later event can depend on. Numbers of changes and indexes count by their order alone."""
+        """Return everything that later events depend on. Change numbers and indexes are reduced to their order."""
         relays = tuple(
-            (relay.roster, relay.heard - len(self.changes), relay.life, key_of_cache(relay.cache))
+            (relay.roster_number, relay.applied_changes - len(self.changes), relay.restart_count,
+             cache_key(relay.cache))
             for relay in self.relays
-        )
-        holders = tuple(
+        )  # fmt: skip
+        clients = tuple(
             (
-                holder.relay, holder.asker.widenings, tuple(sorted(holder.held.items())),
-                None if holder.index is None else holder.index - self.relays[holder.relay].cache.indexes.last,
+                client.relay_number, client.subscriber.widenings, tuple(sorted(client.held_entry_by_name.items())),
+                None
+                if client.known_index is None
+                else client.known_index - self.relays[client.relay_number].cache.indexes.last,
             )
-            for holder in self.holders
+            for client in self.clients
         )  # fmt: skip
-        behind = len(self.changes) - min(relay.heard for relay in self.relays)
-        pending = tuple(text_of(each) for each in self.changes[-behind:]) if behind else ()
-        return relays, holders, pending, self.had, tuple(self.used.values()), key_of_list(self.listed)
+        pending_count = len(self.changes) - min(relay.applied_changes for relay in self.relays)
+        pending = tuple(encode_entry(each) for each in self.changes[-pending_count:]) if pending_count else ()
+        return (
+            relays,
+            clients,
+            pending,
+            self.published_entries,
+            tuple(self.event_counts.values()),
+            list_key(self.entry_by_name),
+        )
 
-    # What may happen
+    # Events
 
-    def events(self) -> Iterator[Event]:
-        left = {what for what, most in BUDGETS.items() if self.used[what] < most}
-        for what, count in (("change", len(self.scene.hosts)), ("shift", len(self.scene.hosts))):
-            if what in left:
-                yield from ((what, number) for number in range(count))
+    def possible_events(self) -> Iterator[Event]:
+        """Yield the events that can happen next."""
+        allowed = {kind for kind, max_count in MAX_EVENTS_BY_KIND.items() if self.event_counts[kind] < max_count}
+        for kind, count in (("change", len(self.setup.hosts)), ("shift", len(self.setup.hosts))):
+            if kind in allowed:
+                yield from ((kind, number) for number in range(count))
         for number, relay in enumerate(self.relays):
-            if -1 < relay.heard < len(self.changes):
+            if -1 < relay.applied_changes < len(self.changes):
                 yield "hear", number
-            if relay.heard == -1 or "list" in left:
+            if relay.applied_changes == -1 or "list" in allowed:
                 yield "list", number
-            if "restart" in left and relay.heard >= 0:
+            if "restart" in allowed and relay.applied_changes >= 0:
                 yield "restart", number
-            if "roster" in left and len(self.scene.rosters) > 1:
+            if "roster" in allowed and len(self.setup.rosters) > 1:
                 yield "roster", number
-        for number in range(len(self.holders)):
+        for number in range(len(self.clients)):
             yield "ask", number
-            yield from ((what, number) for what in ("lose", "move", "wide") if what in left)
-
-    def apply(self, event: Event) -> None:
-        """Let it happen; what cannot happen now does nothing."""
-        what, number = event
-        if what in BUDGETS and not (what == "list" and self.relays[number].heard == -1):
-            self.used[what] += 1
-        if what in ("change", "shift"):
-            self.change(number, what == "shift")
-        elif what == "hear":
-            self.hear(number)
-        elif what == "list":
+            yield from ((kind, number) for kind in ("lose", "move", "wide") if kind in allowed)
+
+    def apply_event(self, event: Event) -> None:
+        """Apply an event; one that is not possible now has no effect."""
+        kind, number = event
+        if kind in MAX_EVENTS_BY_KIND and not (kind == "list" and self.relays[number].applied_changes == -1):
+            self.event_counts[kind] += 1
+        if kind in ("change", "shift"):
+            self.change_host(number, kind == "shift")
+        elif kind == "hear":
+            self.deliver_next_change(number)
+        elif kind == "list":
             relay = self.relays[number]
-            relay.cache.apply_list(True, list(self.listed.values()))
-            relay.heard, relay.listed = len(self.changes), dict(self.listed)
-        elif what == "restart":
-            self.relays[number] = Relay(self.scene, self.relays[number].life + 1, self.relays[number].roster)
-        elif what == "roster":
+            relay.cache.apply_list(True, list(self.entry_by_name.values()))
+            relay.applied_changes, relay.entry_by_name = len(self.changes), dict(self.entry_by_name)
+        elif kind == "restart":
+            self.relays[number] = Relay(
+                self.setup, self.relays[number].restart_count + 1, self.relays[number].roster_number
+            )
+        elif kind == "roster":
             relay = self.relays[number]
-            relay.roster = (relay.roster + 1) % len(self.scene.rosters)
-            relay.cache.replace_roster(self.scene.parsed[relay.roster])
-        elif what == "move":
-            holder = self.holders[number]
-            holder.relay, holder.index = 1 - holder.relay, None
-        elif what == "wide":
-            holder = self.holders[number]
-            holder.asker = replace(holder.asker, widenings=1 - holder.asker.widenings)
+            relay.roster_number = (relay.roster_number + 1) % len(self.setup.rosters)
+            relay.cache.replace_roster(self.setup.parsed_rosters[relay.roster_number])
+        elif kind == "move":
+            client = self.clients[number]
+            client.relay_number, client.known_index = 1 - client.relay_number, None
+        elif kind == "wide":
+            client = self.clients[number]
+            client.subscriber = replace(client.subscriber, widenings=1 - client.subscriber.widenings)
         else:
-            self.ask(number, what == "lose")
-
-    def change(self, number: int, shift: bool) -> None:
-        """A host goes on to drain, to be gone, to be back; or it comes back elsewhere."""
-        was = self.listed.get(self.scene.hosts[number]["name"])
-        if shift:
-            home = self.scene.hosts[number]
-            at = (home["service"], home["zone"]) if was is None else (was["service"], was["zone"])
-            others = [place for place in self.scene.shifts if place != at]
+            self.poll_relay(number, kind == "lose")
+
+    def change_host(self, number: int, is_move: bool) -> None:
+        """Change a host from serving to draining to deleted to serving; or let it serve in another location."""
+        previous = self.entry_by_name.get(self.setup.hosts[number]["name"])
+        if is_move:
+            initial = self.setup.hosts[number]
+            location = (
+                (initial["service"], initial["zone"]) if previous is None else (previous["service"], previous["zone"])
+            )
+            others = [other for other in self.setup.locations if other != location]
             service, zone = others[number % len(others)]
-            now = entry(home["name"], service, zone)
-        elif was is None:
-            now = dict(self.scene.hosts[number])
+            changed = make_entry(initial["name"], service, zone)
+        elif previous is None:
+            changed = dict(self.setup.hosts[number])
         else:
-            now = was | {"status": "DRAINING" if was["status"] == "SERVING" else "DELETED"}
-        self.changes = (*self.changes, now)
-        take_in(self.listed, now)
-        self.had |= {text_of(now)}
+            changed = previous | {"status": "DRAINING" if previous["status"] == "SERVING" else "DELETED"}
+        self.changes = (*self.changes, changed)
+        apply_change(self.entry_by_name, changed)
+        self.published_entries |= {encode_entry(changed)}
 
-    def hear(self, number: int) -> None:
+    def deliver_next_change(self, number: int) -> None:
+        """Let a relay receive the next change from discovery, if there is one."""
         relay = self.relays[number]
-        if -1 < relay.heard < len(self.changes):
-            now = self.changes[relay.heard]
-            relay.cache.apply_list(False, [now])
-            take_in(relay.listed, now)
-            relay.heard += 1
-
-    def ask(self, number: int, is_lost: bool) -> None:
-        holder = self.holders[number]
-        relay = self.relays[holder.relay]
+        if -1 < relay.applied_changes < len(self.changes):
+            changed = self.changes[relay.applied_changes]
+            relay.cache.apply_list(False, [changed])
+            apply_change(relay.entry_by_name, changed)
+            relay.applied_changes += 1
+
+    def poll_relay(self, number: int, is_response_lost: bool) -> None:
+        """Let a gateway poll its relay, and check the response and the list that the gateway then holds."""
+        client = self.clients[number]
+        relay = self.relays[client.relay_number]
         try:
-            answer = relay.cache.respond(holder.asker, holder.index)
+            response = relay.cache.respond(client.subscriber, client.known_index)
         except NotReadyError:
-            self.require(relay.heard == -1, "a relay that has a list gave no answer")
+            self.require(relay.applied_changes == -1, "a relay that has a list is not ready")
             return
-        self.require(relay.heard >= 0, "a relay that has no list gave an answer")
-        if is_lost:
+        self.require(relay.applied_changes >= 0, "a relay that has no list sent a response")
+        if is_response_lost:
             return
-        if answer is not None:
-            self.judge_answer(holder, relay, answer)
-            holder.apply(answer)
-        if holder.index is not None:
-            self.judge_held(holder, relay)
-
-    def quiet(self) -> State:
-        """All that happens when nothing more does: relays hear all, gateways ask until they have it all."""
-        made = self.copy()
-        for number, relay in enumerate(made.relays):
-            if relay.heard == -1:
-                made.apply(("list", number))
-            while relay.heard < len(made.changes):
-                made.hear(number)
-        for number, holder in enumerate(made.holders):
-            for _ in range(2):  # once may be for a list that it cannot use
-                made.ask(number, False)
-            made.require(holder.index is not None, "a gateway is left without a list")
-            drains = {name for name, each in made.listed.items() if each["status"] == "DRAINING"}
-            names, _ = made.scene.shares(made.relays[holder.relay].roster, holder.asker, made.listed)
-            made.require(holder.held.keys() - drains == names, "after quiet, a gateway has another subset")
-        return made
-
-    # What must hold
-
-    def require(self, holds: bool, wrong: str) -> None:
-        if not holds and not self.wrong:
-            self.wrong = wrong
-
-    def judge_answer(self, holder: Holder, relay: Relay, answer: ListResponse) -> None:
-        raws = [json.loads(each) for each in answer.entries]
-        ranks = [ORDER.index(raw["status"]) for raw in raws]
-        self.require(answer.is_snapshot or ranks == sorted(ranks), "what restricts was not said first")
-        names = [raw["name"] for raw in raws]
-        self.require(len(set(names)) == len(names), "a host was told twice in one answer")
-        self.require(answer.is_snapshot or bool(raws), "an answer with nothing in it")
-        self.require(holder.index is not None or answer.is_snapshot, "changes for one that holds nothing")
-        if answer.is_snapshot:
+        if response is not None:
+            self.check_response(client, relay, response)
+            client.apply_response(response)
+        if client.known_index is not None:
+            self.check_held_list(client, relay)
+
+    def settled(self) -> FleetState:
+        """Return a copy in which relays have received all changes and gateways have polled them; checked."""
+        state = self.copy()
+        for number, relay in enumerate(state.relays):
+            if relay.applied_changes == -1:
+                state.apply_event(("list", number))
+            while relay.applied_changes < len(state.changes):
+                state.deliver_next_change(number)
+        for number, client in enumerate(state.clients):
+            for _ in range(2):  # the first response may be unusable
+                state.poll_relay(number, False)
+            state.require(client.known_index is not None, "a gateway has no list after the fleet has settled")
+            draining = {name for name, each in state.entry_by_name.items() if each["status"] == "DRAINING"}
+            names, _ = state.setup.subset_of(
+                state.relays[client.relay_number].roster_number, client.subscriber, state.entry_by_name
+            )
+            state.require(
+                client.held_entry_by_name.keys() - draining == names,
+                "a gateway holds another subset after the fleet has settled",
+            )
+        return state
+
+    # Invariants
+
+    def require(self, holds: bool, violation: str) -> None:
+        """Record a violation, if it is the first."""
+        if not holds and not self.violation:
+            self.violation = violation
+
+    def check_response(self, client: GatewayClient, relay: Relay, response: ListResponse) -> None:
+        """Check the order, content and necessity of the entries of a response."""
+        raw_entries = [json.loads(encoded) for encoded in response.entries]
+        ranks = [STATUSES_BY_RESTRICTION.index(raw["status"]) for raw in raw_entries]
+        self.require(
+            response.is_snapshot or ranks == sorted(ranks), "the most restrictive entries are not sent first"
+        )
+        names = [raw["name"] for raw in raw_entries]
+        self.require(len(set(names)) == len(names), "a host appears twice in one response")
+        self.require(response.is_snapshot or bool(raw_entries), "a response with changes is empty")
+        self.require(
+            client.known_index is not None or response.is_snapshot, "changes were sent to a gateway without a list"
+        )
+        if response.is_snapshot:
             return
-        _, shared = self.scene.shares(relay.roster, holder.asker, relay.listed)
-        for raw in raws:
-            now = relay.listed.get(raw["name"])
-            if raw["status"] == "DELETED" and now is not None and now["status"] == "DRAINING":
-                is_shared = (now["service"], now["zone"]) in shared and raw["name"] in holder.held
-                self.require(not is_shared, "one that drains was told as gone")
-
-    def judge_held(self, holder: Holder, relay: Relay) -> None:
-        """After an answer, or where there is none to give."""
-        names, _ = self.scene.shares(relay.roster, holder.asker, relay.listed)
+        _, shared = self.setup.subset_of(relay.roster_number, client.subscriber, relay.entry_by_name)
+        for raw in raw_entries:
+            current = relay.entry_by_name.get(raw["name"])
+            if raw["status"] == "DELETED" and current is not None and current["status"] == "DRAINING":
+                is_shared = (
+                    (current["service"], current["zone"]) in shared
+                    and raw["name"] in client.held_entry_by_name
+                )  # fmt: skip
+                self.require(not is_shared, "a draining host was sent as deleted")
+
+    def check_held_list(self, client: GatewayClient, relay: Relay) -> None:
+        """Check a gateway's list after a response, or if there is nothing to send."""
+        names, _ = self.setup.subset_of(relay.roster_number, client.subscriber, relay.entry_by_name)
         serving: set[str] = set()
-        for name, told in holder.held.items():
-            raw = json.loads(told)
+        for name, encoded in client.held_entry_by_name.items():
+            raw = json.loads(encoded)
             users = raw.pop("users", None)
-            self.require(text_of(raw) in self.had, "a gateway holds what discovery never had")
-            now = relay.listed.get(name)
-            is_now = now is not None and text_of(now) == text_of(raw)
-            self.require(is_now, "a gateway holds what its relay no longer has")
+            self.require(
+                encode_entry(raw) in self.published_entries, "a gateway holds an entry that discovery never had"
+            )
+            current = relay.entry_by_name.get(name)
+            is_current = current is not None and encode_entry(current) == encode_entry(raw)
+            self.require(is_current, "a gateway holds an entry that its relay no longer has")
             if raw["status"] == "SERVING":
                 serving.add(name)
-                least = self.least_users(relay, holder.asker, name) if users is not None else 0
-                self.require((users or least) >= least, "more gateways have a host than `users` says")
-        self.require(serving == names, "a gateway has another subset than its relay's list gives")
-
-    def least_users(self, relay: Relay, asker: Subscriber, name: str) -> int:
-        """Gateways of the roster that have this host and have not widened; WIDENED_USERS_FACTOR times that where it
-        came by that."""
-        fronts = [Subscriber(gateway) for gateway in self.scene.rosters[relay.roster]["gateways"]]
-        users = sum(name in self.scene.shares(relay.roster, front, relay.listed)[0] for front in fronts)
-        own, _ = self.scene.shares(relay.roster, replace(asker, widenings=0), relay.listed)
+                min_users = self.min_users_of(relay, client.subscriber, name) if users is not None else 0
+                self.require((users or min_users) >= min_users, "more gateways use a host than `users` says")
+        self.require(serving == names, "a gateway's subset differs from the one that its relay's list gives")
+
+    def min_users_of(self, relay: Relay, subscriber: Subscriber, name: str) -> int:
+        """Return the minimum value of `users` for a host in a subscriber's subset.
+
+        This is the number of gateways in the roster that use the host without widening; multiplied by
+        WIDENED_USERS_FACTOR if the subscriber has the host only by widening.
+        """
+        gateways = [Subscriber(gateway) for gateway in self.setup.rosters[relay.roster_number]["gateways"]]
+        users = sum(
+            name in self.setup.subset_of(relay.roster_number, gateway, relay.entry_by_name)[0] for gateway in gateways
+        )
+        own, _ = self.setup.subset_of(relay.roster_number, replace(subscriber, widenings=0), relay.entry_by_name)
         return users if name in own else users * WIDENED_USERS_FACTOR
 
 
-def text_of(raw: Entry) -> str:
+def encode_entry(raw: Entry) -> str:
+    """Return a canonical text form, for comparisons."""
     return json.dumps(raw, sort_keys=True)
 
 
-def key_of_list(listed: List) -> tuple[str, ...]:
-    return tuple(sorted(text_of(each) for each in listed.values()))
+def list_key(entry_by_name: EntryByName) -> tuple[str, ...]:
+    """Return a hashable form of a list."""
+    return tuple(sorted(encode_entry(each) for each in entry_by_name.values()))
 
 
-def take_in(listed: List, now: Entry) -> None:
-    if now["status"] == "DELETED":
-        listed.pop(now["name"], None)
+def apply_change(entry_by_name: EntryByName, changed: Entry) -> None:
+    """Apply a change of one host to a list."""
+    if changed["status"] == "DELETED":
+        entry_by_name.pop(changed["name"], None)
     else:
-        listed[now["name"]] = now
+        entry_by_name[changed["name"]] = changed
 
 
 def copy_cache(cache: EndpointCache) -> EndpointCache:
-    """Hosts, windows and snapshots are never changed, so both may have them."""
-    made = EndpointCache(cache.roster, cache.indexes.last + 1, cache.table.sizes)
-    made.is_ready = cache.is_ready
+    """Copy a cache. Hosts, windows and snapshots are immutable, and so shared by the copies."""
+    copied = EndpointCache(cache.roster, cache.indexes.last + 1, cache.table.sizes)
+    copied.is_ready = cache.is_ready
     for counter in fields(cache.counters):
-        setattr(made.counters, counter.name, getattr(cache.counters, counter.name))
-    copy_table(cache.table, made.table)
+        setattr(copied.counters, counter.name, getattr(cache.counters, counter.name))
+    copy_table(cache.table, copied.table)
     snapshots = cache.subsets.snapshots_by_gateway
-    made.subsets.snapshots_by_gateway = {gateway: dict(its) for gateway, its in snapshots.items()}
-    made.full_list.change_by_index = cache.full_list.change_by_index.copy()
-    made.full_list.entries, made.full_list.entries_change = cache.full_list.entries, cache.full_list.entries_change
-    return made
+    copied.subsets.snapshots_by_gateway = {gateway: dict(by_index) for gateway, by_index in snapshots.items()}
+    copied.full_list.change_by_index = cache.full_list.change_by_index.copy()
+    copied.full_list.entries, copied.full_list.entries_change = (
+        cache.full_list.entries,
+        cache.full_list.entries_change,
+    )
+    return copied
 
 
-def copy_table(table: EndpointTable, made: EndpointTable) -> None:
-    made.change_number, made.host_by_name = table.change_number, dict(table.host_by_name)
-    made.change_by_service = table.change_by_service.copy()
-    made.change_by_service_floor = table.change_by_service_floor
-    made.change_log.entries, made.change_log.floor = table.change_log.entries.copy(), table.change_log.floor
+def copy_table(table: EndpointTable, target: EndpointTable) -> None:
+    """Copy the content of a table into a new one."""
+    target.change_number, target.host_by_name = table.change_number, dict(table.host_by_name)
+    target.change_by_service = table.change_by_service.copy()
+    target.change_by_service_floor = table.change_by_service_floor
+    target.change_log.entries, target.change_log.floor = table.change_log.entries.copy(), table.change_log.floor
     for name, rings in table.rings_by_service.items():
-        copied = made.rings_by_service[name] = ServiceRings.__new__(ServiceRings)
+        copied = target.rings_by_service[name] = ServiceRings.__new__(ServiceRings)
         copied.sizes, copied.groups, copied.spillover_regions = rings.sizes, rings.groups, rings.spillover_regions
         copied.ring_by_zone = {zone: copy_ring(ring) for zone, ring in rings.ring_by_zone.items()}
         copied.shares_by_region = {
@@ -414,276 +509,308 @@
 
 
 def copy_ring(ring: HashRing) -> HashRing:
-    made = HashRing(ring.zone, ring.min_hosts)
-    made.hosts, made.known_hosts, made.changed_at = list(ring.hosts), ring.known_hosts, ring.changed_at
-    made.group_sizes = ring.group_sizes
-    return made
+    """Copy a ring. Its hosts are immutable, and so shared by the copies."""
+    copied = HashRing(ring.zone, ring.min_hosts)
+    copied.hosts, copied.known_hosts, copied.changed_at = list(ring.hosts), ring.known_hosts, ring.changed_at
+    copied.group_sizes = ring.group_sizes
+    return copied
 
 
-def key_of_cache(cache: EndpointCache) -> tuple[object, ...]:
-    """Its state, with numbers of changes replaced by their order, and indexes by their distance from the last."""
+def cache_key(cache: EndpointCache) -> tuple[object, ...]:
+    """Return a cache's state, with change numbers replaced by their ranks, and indexes relative to the last one."""
     table, by_gateway = cache.table, cache.subsets.snapshots_by_gateway
     log, by_index, last = table.change_log, cache.full_list.change_by_index, cache.indexes.last
     snapshots = [snapshot for each in by_gateway.values() for snapshot in each.values()]
     windows = [w for each in snapshots for zones in each.windows_by_service.values() for w in zones.values()]
     all_rings = [ring for rings in table.rings_by_service.values() for ring in rings.ring_by_zone.values()]
-    numbers = {table.change_number, log.floor, table.change_by_service_floor}
-    numbers.update(table.change_by_service.values(), by_index.values())
-    numbers.update(number for number, _ in log.entries)
-    numbers.update(snapshot.change_number for snapshot in snapshots)
-    numbers.update(ring.changed_at for ring in all_rings)
-    numbers.update(window.changed_at for window in windows)
-    rank = {number: place for place, number in enumerate(sorted(numbers))}
-
-    def of_window(window: SubsetWindow) -> object:
+    change_numbers = {table.change_number, log.floor, table.change_by_service_floor}
+    change_numbers.update(table.change_by_service.values(), by_index.values())
+    change_numbers.update(number for number, _ in log.entries)
+    change_numbers.update(snapshot.change_number for snapshot in snapshots)
+    change_numbers.update(ring.changed_at for ring in all_rings)
+    change_numbers.update(window.changed_at for window in windows)
+    rank_by_number = {number: rank for rank, number in enumerate(sorted(change_numbers))}
+
+    def window_key(window: SubsetWindow) -> object:
         hosts = tuple((host.is_serving, host.fields) for host in window.hosts)
-        return rank[window.changed_at], window.max_users, window.own_hosts, hosts
+        return rank_by_number[window.changed_at], window.max_users, window.own_hosts, hosts
 
-    def of_snapshot(snapshot: ClientSnapshot) -> object:
+    def snapshot_key(snapshot: ClientSnapshot) -> object:
         windows = tuple(
-            (name, zone, of_window(window))
+            (name, zone, window_key(window))
             for name, zones in sorted(snapshot.windows_by_service.items()) for zone, window in sorted(zones.items())
         )  # fmt: skip
         draining = tuple((host.is_serving, host.fields) for _, host in sorted(snapshot.draining_by_name.items()))
-        its = snapshot.subscription
-        return rank[snapshot.change_number], its.roster.digest, its.services, its.widenings, windows, draining
+        subscription = snapshot.subscription
+        return (
+            rank_by_number[snapshot.change_number],
+            subscription.roster.digest,
+            subscription.services,
+            subscription.widenings,
+            windows,
+            draining,
+        )
 
     rings = tuple(
-        (name, zone, rank[ring.changed_at], ring.known_hosts, tuple(host.fields for host in ring.hosts))
-        for name, its in sorted(table.rings_by_service.items()) for zone, ring in sorted(its.ring_by_zone.items())
+        (name, zone, rank_by_number[ring.changed_at], ring.known_hosts, tuple(host.fields for host in ring.hosts))
+        for name, service_rings in sorted(table.rings_by_service.items())
+        for zone, ring in sorted(service_rings.ring_by_zone.items())
     )  # fmt: skip
     return (
-        cache.is_ready, rank[table.change_number], rings,
+        cache.is_ready, rank_by_number[table.change_number], rings,
         tuple((host.is_serving, host.fields) for _, host in sorted(table.host_by_name.items())),
-        tuple((name, rank[number]) for name, number in sorted(table.change_by_service.items())),
-        tuple((rank[number], host.is_serving, host.fields) for number, host in log.entries),
-        tuple((index - last, rank[number]) for index, number in by_index.items()),
+        tuple((name, rank_by_number[number]) for name, number in sorted(table.change_by_service.items())),
+        tuple((rank_by_number[number], host.is_serving, host.fields) for number, host in log.entries),
+        tuple((index - last, rank_by_number[number]) for index, number in by_index.items()),
         tuple(
-            (gateway, tuple((index - last, of_snapshot(each)) for index, each in sorted(its.items())))
-            for gateway, its in sorted(by_gateway.items())
+            (gateway, tuple((index - last, snapshot_key(each)) for index, each in sorted(snapshot_by_index.items())))
+            for gateway, snapshot_by_index in sorted(by_gateway.items())
         ),
     )  # fmt: skip
 
 
-# Where a search begins
+# Setups at which a search starts
 
-SMALL: Final = SubsetSizes(min_hosts=1, min_serving=1)
+SMALL_SUBSETS: Final = SubsetSizes(min_hosts=1, min_serving=1)
 
 
-def ring() -> Scene:
-    """Three hosts on one ring that two gateways share, each with two of them."""
+def make_ring_setup() -> FleetSetup:
+    """Three hosts on one ring; two gateways share it, and each uses two hosts."""
     roster = {"regions": {"r": ["z"]}, "gateways": {"g0": {"zone": "z"}, "g1": {"zone": "z"}}}
-    fewer = {"regions": {"r": ["z"]}, "gateways": {"g0": {"zone": "z"}}}  # g1 has the whole list by it
-    hosts = tuple(entry(f"h{n}", "", "z") for n in range(3))
-    return Scene((roster, fewer), hosts, (Subscriber("g0"), Subscriber("g1")), (("", "z"), ("a", "z")), SMALL).ready()
+    without_g1 = {"regions": {"r": ["z"]}, "gateways": {"g0": {"zone": "z"}}}  # then g1 gets the full list
+    hosts = tuple(make_entry(f"h{n}", "", "z") for n in range(3))
+    return FleetSetup(
+        (roster, without_g1), hosts, (Subscriber("g0"), Subscriber("g1")), (("", "z"), ("a", "z")), SMALL_SUBSETS
+    ).with_parsed_rosters()
 
 
-def spill() -> Scene:
-    """Two regions with a gateway each: where one has no host left, its gateway has the other's."""
+def make_spillover_setup() -> FleetSetup:
+    """Two regions with one gateway each; a gateway whose region has no serving host uses the other region's hosts."""
     gateways = {"g0": {"zone": "z0"}, "g1": {"zone": "z1"}}
     roster = {"regions": {"r0": ["z0"], "r1": ["z1"]}, "gateways": gateways}
-    hosts = tuple(entry(f"h{n}", "", f"z{n % 2}") for n in range(3))
-    return Scene(
-        (roster,), hosts, (Subscriber("g0"), Subscriber("g1")), (("", "z0"), ("", "z1"), ("", "far")), SMALL
-    ).ready()
-
-
-def services() -> Scene:
-    """Two services, a gateway before one of them, one before both; hosts go over from one to the other."""
+    hosts = tuple(make_entry(f"h{n}", "", f"z{n % 2}") for n in range(3))
+    return FleetSetup(
+        (roster,),
+        hosts,
+        (Subscriber("g0"), Subscriber("g1")),
+        (("", "z0"), ("", "z1"), ("", "far")),
+        SMALL_SUBSETS,
+    ).with_parsed_rosters()
+
+
+def make_services_setup() -> FleetSetup:
+    """Two services; one gateway routes to one of them, the other to both; hosts move between the services."""
     gateways = {"g0": {"zone": "z", "services": ["a"]}, "g1": {"zone": "z", "services": ["a", "b"]}}
     roster = {"regions": {"r": ["z"]}, "gateways": gateways}
-    other = {"regions": {"r": ["z"]}, "gateways": gateways | {"g0": {"zone": "z", "services": ["b"]}}}
-    hosts = tuple(entry(f"h{n}", "a" if n < 2 else "b", "z") for n in range(3))
-    return Scene(
-        (roster, other), hosts, (Subscriber("g0"), Subscriber("g1")), (("a", "z"), ("b", "z")), SMALL
-    ).ready()
+    other_roster = {"regions": {"r": ["z"]}, "gateways": gateways | {"g0": {"zone": "z", "services": ["b"]}}}
+    hosts = tuple(make_entry(f"h{n}", "a" if n < 2 else "b", "z") for n in range(3))
+    return FleetSetup(
+        (roster, other_roster), hosts, (Subscriber("g0"), Subscriber("g1")), (("a", "z"), ("b", "z")), SMALL_SUBSETS
+    ).with_parsed_rosters()
 
 
-STARTS: Final = {"ring": ring, "spill": spill, "services": services}
+SETUPS: Final = {"ring": make_ring_setup, "spill": make_spillover_setup, "services": make_services_setup}
 
 
-def begun(scene: Scene) -> State:
-    """Both relays have the list, both gateways their subset."""
-    state = State(scene)
-    for event in (("list", 0), ("list", 1), *(("ask", n) for n in range(len(scene.askers)))):
-        state.apply(event)
+def make_initial_state(setup: FleetSetup) -> FleetState:
+    """Return the state in which both relays have the list and all gateways have their subsets."""
+    state = FleetState(setup)
+    for event in (("list", 0), ("list", 1), *(("ask", n) for n in range(len(setup.subscribers)))):
+        state.apply_event(event)
     return state
 
 
 @dataclass(slots=True)
-class Found:
-    """What a search came to. `trace` is empty where nothing was found."""
+class SearchResult:
+    """Outcome of a search. Without a violation, `violation` and `trace` are empty."""
 
     states: int = 0
     depth: int = 0
-    wrong: str = ""
+    violation: str = ""
     trace: tuple[Event, ...] = ()
 
 
-def wrong_of(state: State) -> str:
-    return state.wrong or state.quiet().wrong
-
-
-def search(scene: Scene, depth: int, most: int, only: Sequence[str] = KINDS) -> Found:
-    """All states within so many events of these kinds, each once, up to so many of them."""
-    first = begun(scene)
-    seen: dict[tuple[object, ...], tuple[tuple[object, ...] | None, Event]] = {first.key(): (None, ("", 0))}
-    waiting: deque[tuple[State, tuple[object, ...], int]] = deque([(first, first.key(), 0)])
-    found = Found(1)
-    while waiting:
-        state, key, at = waiting.popleft()
-        if at >= depth:
+def find_violation(state: FleetState) -> str:
+    """Return the violation in this state or after the fleet has settled; "" if there is none."""
+    return state.violation or state.settled().violation
+
+
+def search_states(
+    setup: FleetSetup, max_depth: int, max_states: int, kinds: Sequence[str] = EVENT_KINDS
+) -> SearchResult:
+    """Search the states within `max_depth` events of these kinds breadth-first, up to `max_states` states."""
+    first = make_initial_state(setup)
+    predecessor_by_key: dict[tuple[object, ...], tuple[tuple[object, ...] | None, Event]] = {
+        first.key(): (None, ("", 0))
+    }
+    queue: deque[tuple[FleetState, tuple[object, ...], int]] = deque([(first, first.key(), 0)])
+    result = SearchResult(1)
+    while queue:
+        state, key, depth = queue.popleft()
+        if depth >= max_depth:
             continue
-        for event in state.events():
-            if event[0] not in only:
+        for event in state.possible_events():
+            if event[0] not in kinds:
                 continue
-            made = state.copy()
-            made.apply(event)
-            its = made.key()
-            if its in seen:
+            next_state = state.copy()
+            next_state.apply_event(event)
+            next_key = next_state.key()
+            if next_key in predecessor_by_key:
                 continue
-            seen[its] = (key, event)
-            found.states, found.depth = found.states + 1, at + 1
-            found.wrong = wrong_of(made)
-            if found.wrong:
-                found.trace = trace_to(seen, its)
-                return found
-            if found.states >= most:
-                return found
-            waiting.append((made, its, at + 1))
-    return found
+            predecessor_by_key[next_key] = (key, event)
+            result.states, result.depth = result.states + 1, depth + 1
+            result.violation = find_violation(next_state)
+            if result.violation:
+                result.trace = trace_to(predecessor_by_key, next_key)
+                return result
+            if result.states >= max_states:
+                return result
+            queue.append((next_state, next_key, depth + 1))
+    return result
 
 
 def trace_to(
-    seen: dict[tuple[object, ...], tuple[tuple[object, ...] | None, Event]], key: tuple[object, ...]
+    predecessor_by_key: dict[tuple[object, ...], tuple[tuple[object, ...] | None, Event]], key: tuple[object, ...]
 ) -> tuple[Event, ...]:
+    """Return the events that lead from the initial state to the state with this key."""
     events: list[Event] = []
-    at: tuple[object, ...] | None = key
-    while at is not None:
-        at, event = seen[at]
+    current: tuple[object, ...] | None = key
+    while current is not None:
+        current, event = predecessor_by_key[current]
         events.append(event)
     return tuple(reversed(events[:-1]))
 
 
-def replay(scene: Scene, trace: Iterable[Event]) -> State:
-    """The state after these events, or after the first that breaks an invariant."""
-    state = begun(scene)
+def replay_trace(setup: FleetSetup, trace: Iterable[Event]) -> FleetState:
+    """Return the state after these events, or after the first one that violates an invariant."""
+    state = make_initial_state(setup)
     for event in trace:
-        state.apply(event)
-        if state.wrong:
+        state.apply_event(event)
+        if state.violation:
             break
     return state
 
 
-def shorten(scene: Scene, trace: Sequence[Event]) -> tuple[Event, ...]:
-    """Leave out what is not needed for it to go wrong."""
+def shorten_trace(setup: FleetSetup, trace: Sequence[Event]) -> tuple[Event, ...]:
+    """Remove the events that are not needed for a violation."""
     kept = list(trace)
-    changed = True
-    while changed:
-        changed = False
-        for number in range(len(kept) - 1, -1, -1):
-            fewer = kept[:number] + kept[number + 1 :]
-            if wrong_of(replay(scene, fewer)):
-                kept, changed = fewer, True
+    is_changed = True
+    while is_changed:
+        is_changed = False
+        for index in range(len(kept) - 1, -1, -1):
+            fewer = kept[:index] + kept[index + 1 :]
+            if find_violation(replay_trace(setup, fewer)):
+                kept, is_changed = fewer, True
     return tuple(kept)
 
 
-WEIGHTS: Final = {
+WEIGHT_BY_KIND: Final = {
     "ask": 8.0, "hear": 6.0, "change": 4.0, "shift": 1.0, "lose": 2.0, "move": 1.0, "list": 0.5, "restart": 0.4,
     "roster": 0.3, "wide": 0.5,
 }  # fmt: skip
 
 
-def draw(rng: random.Random, state: State) -> Event:
-    events = list(state.events())
+def draw_event(rng: random.Random, state: FleetState) -> Event:
+    """Draw one of the possible events."""
+    events = list(state.possible_events())
     kinds = sorted({event[0] for event in events})
-    (kind,) = rng.choices(kinds, [WEIGHTS[kind] for kind in kinds])
+    (kind,) = rng.choices(kinds, [WEIGHT_BY_KIND[kind] for kind in kinds])
     return rng.choice([event for event in events if event[0] == kind])
 
 
-def walk(scene: Scene, walks: int, steps: int, seed: int) -> Found:
-    """Long traces drawn at random; what goes wrong is cut down."""
-    found = Found()
+def run_random_walks(setup: FleetSetup, walks: int, steps: int, seed: int) -> SearchResult:
+    """Apply long random traces; shorten the first one that violates an invariant."""
+    result = SearchResult()
     for number in range(walks):
-        rng, state, trace = random.Random(f"{seed}/{number}"), begun(scene), list[Event]()
-        state.used = dict.fromkeys(BUDGETS, -steps)  # no bound but the walk's own
+        rng, state, trace = random.Random(f"{seed}/{number}"), make_initial_state(setup), list[Event]()
+        state.event_counts = dict.fromkeys(MAX_EVENTS_BY_KIND, -steps)  # no kind reaches its maximum
         for step in range(steps):
-            event = draw(rng, state)
+            event = draw_event(rng, state)
             trace.append(event)
-            state.apply(event)
-            found.states += 1
-            if state.wrong or (step == steps - 1 and wrong_of(state)):
-                found.trace = shorten(scene, trace)
-                found.wrong = wrong_of(replay(scene, found.trace))
-                return found
-    return found
+            state.apply_event(event)
+            result.states += 1
+            if state.violation or (step == steps - 1 and find_violation(state)):
+                result.trace = shorten_trace(setup, trace)
+                result.violation = find_violation(replay_trace(setup, result.trace))
+                return result
+    return result
 
 
-def parse(text: str) -> tuple[Event, ...]:
+def parse_trace(text: str) -> tuple[Event, ...]:
+    """Parse a trace as given to --replay. Raises ValueError for an unknown event."""
     events = []
     for word in text.split():
-        what, _, number = word.partition(":")
-        if what not in KINDS or not (number or "0").isdigit():
+        kind, _, number = word.partition(":")
+        if kind not in EVENT_KINDS or not (number or "0").isdigit():
             raise ValueError(f"--replay: expected words such as ask:0 or change:2, found {word!r}")
-        events.append((what, int(number or 0)))
+        events.append((kind, int(number or 0)))
     return tuple(events)
 
 
-def show(scene: Scene, trace: Sequence[Event]) -> None:
-    """Print a trace, a line an event: what discovery has, what each relay has, what each gateway holds."""
-    state = begun(scene)
+def print_trace(setup: FleetSetup, trace: Sequence[Event]) -> None:
+    """Print, after each event, the lists of discovery, of each relay and of each gateway."""
+    state = make_initial_state(setup)
     for event in (("", 0), *trace):
         if event[0]:
-            state.apply(event)
-        relays = "  ".join(brief(relay.listed.values()) if relay.heard >= 0 else "-" for relay in state.relays)
-        holders = "  ".join(
-            f"{holder.asker.gateway}@{holder.relay}/{holder.index}: {brief(map(json.loads, holder.held.values()))}"
-            for holder in state.holders
+            state.apply_event(event)
+        relays = "  ".join(
+            summarize_entries(relay.entry_by_name.values()) if relay.applied_changes >= 0 else "-"
+            for relay in state.relays
+        )
+        clients = "  ".join(
+            f"{client.subscriber.gateway}@{client.relay_number}/{client.known_index}: "
+            f"{summarize_entries(map(json.loads, client.held_entry_by_name.values()))}"
+            for client in state.clients
+        )
+        print(
+            f"{event[0] or 'start':>8}:{event[1]}  [{summarize_entries(state.entry_by_name.values())}]  "
+            f"relays {relays}  {clients}"
         )
-        print(f"{event[0] or 'begun':>8}:{event[1]}  [{brief(state.listed.values())}]  relays {relays}  {holders}")
-    print("replay with: --replay '" + " ".join(f"{what}:{number}" for what, number in trace) + "'")
+    print("replay with: --replay '" + " ".join(f"{kind}:{number}" for kind, number in trace) + "'")
 
 
-def brief(entries: Iterable[Entry]) -> str:
+def summarize_entries(entries: Iterable[Entry]) -> str:
+    """Return the names of hosts; a draining host is marked with "-"."""
     marks = {"SERVING": "", "DRAINING": "-"}
     words = sorted(f"{each['name']}{marks[each['status']]}" for each in entries)
-    return ",".join(words) or "nobody"
+    return ",".join(words) or "none"
 
 
 def main() -> int:
+    """Run a search, random walks or a replay, and print the result."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--depth", type=int, default=12)
     parser.add_argument("--states", type=int, default=100_000)
-    parser.add_argument("--from", dest="start", choices=sorted(STARTS), default="ring")
-    parser.add_argument("--only", default=",".join(KINDS), metavar="KINDS")
+    parser.add_argument("--from", dest="start", choices=sorted(SETUPS), default="ring")
+    parser.add_argument("--only", default=",".join(EVENT_KINDS), metavar="KINDS")
     parser.add_argument("--walks", type=int, default=0)
     parser.add_argument("--steps", type=int, default=80)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--replay", default="", metavar="EVENTS")
     options = parser.parse_args()
-    scene, began_s = STARTS[options.start](), time.monotonic()
+    setup, start_s = SETUPS[options.start](), time.monotonic()
     try:
-        given, only = parse(options.replay), options.only.split(",")
-        if not set(only) <= set(KINDS):
-            raise ValueError(f"--only: expected words of {','.join(KINDS)}, found {options.only!r}")
+        replayed, kinds = parse_trace(options.replay), options.only.split(",")
+        if not set(kinds) <= set(EVENT_KINDS):
+            raise ValueError(f"--only: expected words of {','.join(EVENT_KINDS)}, found {options.only!r}")
     except ValueError as error:
         print(f"relay_model: {error}", file=sys.stderr)
         return 2
-    if given:
-        show(scene, given)
-        wrong = wrong_of(replay(scene, given))
-        print(wrong or "nothing is wrong")
-        return 1 if wrong else 0
-    found = (
-        walk(scene, options.walks, options.steps, options.seed)
+    if replayed:
+        print_trace(setup, replayed)
+        violation = find_violation(replay_trace(setup, replayed))
+        print(violation or "no violation")
+        return 1 if violation else 0
+    result = (
+        run_random_walks(setup, options.walks, options.steps, options.seed)
         if options.walks
-        else search(scene, options.depth, options.states, only)
+        else search_states(setup, options.depth, options.states, kinds)
     )
-    took_s = time.monotonic() - began_s
-    print(f"{found.states} states, depth {found.depth}, {took_s:.1f} s: {found.wrong or 'nothing'}")
-    if found.wrong:
-        show(scene, found.trace)
-    return 1 if found.wrong else 0
+    duration_s = time.monotonic() - start_s
+    print(f"{result.states} states, depth {result.depth}, {duration_s:.1f} s: {result.violation or 'no violation'}")
+    if result.violation:
+        print_trace(setup, result.trace)
+    return 1 if result.violation else 0
 
 
 if __name__ == "__main__":
--- a/tests/control_plane/cache_helpers.py
+++ b/tests/control_plane/cache_helpers.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from benchmarks.relay_model import Entry, entry
+from benchmarks.relay_model import Entry, make_entry
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.messages import ListResponse, Subscriber
 from cloverkeel.control_plane.roster_parser import parse_roster
@@ -16,7 +16,7 @@
 }
 
 
-HOSTS = [entry(f"h{n:02}", "st"[n % 2], "abc"[n % 3]) for n in range(60)]
+HOSTS = [make_entry(f"h{n:02}", "st"[n % 2], "abc"[n % 3]) for n in range(60)]
 
 
 G0, G2, SINGLE_SERVICE, UNNAMED = Subscriber("g0"), Subscriber("g2"), Subscriber("only"), Subscriber()
--- a/tests/control_plane/subset_helpers.py
+++ b/tests/control_plane/subset_helpers.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from benchmarks.relay_model import entry
+from benchmarks.relay_model import make_entry
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.messages import Subscriber
 from cloverkeel.control_plane.roster_parser import parse_roster
@@ -22,7 +22,7 @@
             "regions": {"r0": zones[:2], "r1": zones[2:]},
             "gateways": {f"g{n}": {"zone": zones[n % 3]} for n in range(gateways)},
         },
-        "entries": [entry(f"h{n}", service, zones[n % 3]) for n in range(hosts)],
+        "entries": [make_entry(f"h{n}", service, zones[n % 3]) for n in range(hosts)],
     } | extra
 
 
--- a/tests/control_plane/test_endpoint_cache.py
+++ b/tests/control_plane/test_endpoint_cache.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.relay_model import entry
+from benchmarks.relay_model import make_entry
 from cloverkeel.control_plane.endpoint_cache import EndpointCache
 from cloverkeel.control_plane.endpoint_table import ALL_HOSTS_KEY, MAX_CHANGED_SERVICES, MAX_HOSTS, MAX_LOGGED_CHANGES
 from cloverkeel.control_plane.errors import NotReadyError
@@ -76,7 +76,7 @@
     widened = Subscriber("only", (), 1)  # its subset has all hosts of its region
     index, full_list_index = respond(cache, widened).index, respond(cache, UNNAMED).index
     zone_hosts = [each for each in HOSTS if each["service"] == "s" and each["zone"] == "a"]
-    serving = [zone_hosts[0] | {"weight": 2.0}, entry("aa", "s", "a")]
+    serving = [zone_hosts[0] | {"weight": 2.0}, make_entry("aa", "s", "a")]
     cache.apply_list(False, [*serving, draining(zone_hosts[1]), deleted(zone_hosts[2]), draining(zone_hosts[3])])
     assert statuses(respond(cache, UNNAMED, full_list_index)) == ["DELETED", *["DRAINING"] * 2, *["SERVING"] * 2]
     delta = respond(cache, widened, index)  # also has serving hosts that moved into or out of its own window
@@ -120,7 +120,7 @@
     cache.apply_list(False, [draining(HOSTS[0]), deleted(HOSTS[1])])
     cache.apply_list(False, [HOSTS[0] | {"users": 9}])
     assert entries_of(respond(cache, UNNAMED, first.index)) == [deleted(HOSTS[1]), HOSTS[0]]
-    many = [entry(f"n{n}", "s", "a") for n in range(MAX_LOGGED_CHANGES + 1)]
+    many = [make_entry(f"n{n}", "s", "a") for n in range(MAX_LOGGED_CHANGES + 1)]
     cache.apply_list(False, many)
     assert (
         respond(cache, UNNAMED, first.index).is_snapshot and len(cache.table.change_log.entries) == MAX_LOGGED_CHANGES
@@ -202,9 +202,13 @@
 
 
 def test_deletion_of_the_last_host_of_a_zone_returns_the_keys_of_its_region() -> None:
-    cache = make_cache([entry(f"h{n}", "s", "abbccc"[n % 6]) for n in range(18)])
-    cache.apply_list(False, [deleted(entry("h0", "s", "a")), deleted(entry("h6", "s", "a"))])
-    assert cache.apply_list(False, [deleted(entry("h12", "s", "a"))]) == {("s", "r0"), (None, "r0"), ALL_HOSTS_KEY}
+    cache = make_cache([make_entry(f"h{n}", "s", "abbccc"[n % 6]) for n in range(18)])
+    cache.apply_list(False, [deleted(make_entry("h0", "s", "a")), deleted(make_entry("h6", "s", "a"))])
+    assert cache.apply_list(False, [deleted(make_entry("h12", "s", "a"))]) == {
+        ("s", "r0"),
+        (None, "r0"),
+        ALL_HOSTS_KEY,
+    }
 
 
 def test_change_of_subscribed_services_is_sent_as_a_delta() -> None:
@@ -228,7 +232,7 @@
     cache.table.change_by_service.update(
         {f"other{n}": cache.table.change_number for n in range(MAX_CHANGED_SERVICES)}
     )
-    cache.apply_list(False, [deleted(entry("none", "u", "a")), entry("new", "u", "a")])
+    cache.apply_list(False, [deleted(make_entry("none", "u", "a")), make_entry("new", "u", "a")])
     assert (
         len(cache.table.change_by_service) == MAX_CHANGED_SERVICES
         and status_by_name(respond(cache, G0, first.index))[name] == "DRAINING"
--- a/tests/control_plane/test_subsetting.py
+++ b/tests/control_plane/test_subsetting.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.capacity.plan import fleet as capacity_plan_fleet
-from benchmarks.relay_model import entry, plainly
+from benchmarks.relay_model import make_entry, reference_subset
 from cloverkeel.control_plane.entry_codec import WIDENED_USERS_FACTOR, Host
 from cloverkeel.control_plane.fleet_roster import GatewayGroup, gateway_hash
 from cloverkeel.control_plane.messages import MAX_WIDENINGS, Subscriber
@@ -75,7 +75,7 @@
     """
     cache = make_cache(
         {"regions": {"r": ["z"]}, "gateways": {f"g{n}": {"zone": "z"} for n in range(len(widenings_by_gateway))}},
-        [entry(f"h{n}", "s", "z") for n in range(hosts)],
+        [make_entry(f"h{n}", "s", "z") for n in range(hosts)],
     )
     shares: Counter[str] = Counter()
     for number, widenings in enumerate(widenings_by_gateway):
@@ -169,14 +169,16 @@
     """
     fleet = make_fleet(90, 0)
     fleet["roster"]["gateways"] = {f"g{n}": {"zone": "r0-a", "services": ["s"]} for n in range(30)}
-    cache = make_cache(fleet["roster"], [*fleet["entries"], *(entry(f"far{n}", "s", "no-zone") for n in range(40))])
+    cache = make_cache(
+        fleet["roster"], [*fleet["entries"], *(make_entry(f"far{n}", "s", "no-zone") for n in range(40))]
+    )
     users_by_host = Counter(name for n in range(30) for name in subset_of(cache, Subscriber(f"g{n}")))
     assert len(users_by_host) == 130 and min(users_by_host.values()) >= MIN_HOSTS
 
 
 def test_services_with_one_host_with_9000_hosts_and_without_a_name() -> None:
-    entries = [entry("alone", "one", "r0-a"), *(entry(f"h{n}", "many", "r0-a") for n in range(9_000))]
-    unnamed = [entry(f"bare{n}", "", "r0-a") for n in range(3)]
+    entries = [make_entry("alone", "one", "r0-a"), *(make_entry(f"h{n}", "many", "r0-a") for n in range(9_000))]
+    unnamed = [make_entry(f"bare{n}", "", "r0-a") for n in range(3)]
     for each in unnamed:
         del each["service"]
     cache = make_cache(make_fleet(0, 60)["roster"], [*entries, *unnamed])
@@ -195,16 +197,19 @@
     for name in rng.sample(sorted(listed), hosts // 4):
         listed[name] = listed[name] | {"status": "DRAINING"}
     first, second = make_cache(fleet["roster"], list(listed.values())), make_cache(fleet["roster"], [])
-    deltas = [*listed.values(), *(entry(f"gone{n}", "s", "r0-a") for n in range(5)), *fleet["entries"][:7]]
+    deltas = [*listed.values(), *(make_entry(f"gone{n}", "s", "r0-a") for n in range(5)), *fleet["entries"][:7]]
     rng.shuffle(deltas)
     for each in deltas:
         second.apply_list(False, [each])
-    second.apply_list(False, [entry(f"gone{n}", "s", "r0-a") | {"status": "DELETED"} for n in range(5)])
+    second.apply_list(False, [make_entry(f"gone{n}", "s", "r0-a") | {"status": "DELETED"} for n in range(5)])
     second.apply_list(False, rng.sample(list(listed.values()), len(listed)))
     for number in (0, 1, 2, gateways, gateways + 2):
         subscriber = Subscriber(f"g{number}", (), widenings)
         assert subset_of(first, subscriber) == subset_of(second, subscriber)
-        assert subset_of(first, subscriber).keys() == plainly(fleet["roster"], DEFAULT_SIZES, subscriber, listed)[0]
+        assert (
+            subset_of(first, subscriber).keys()
+            == reference_subset(fleet["roster"], DEFAULT_SIZES, subscriber, listed)[0]
+        )
 
 
 def test_every_host_has_gateways_in_a_tenth_of_the_capacity_plan() -> None:
