--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -58,10 +58,10 @@
 
 
 @lru_cache(maxsize=512)
-def mean_subset_hosts(share: float, before_all: bool = False) -> float:
+def mean_subset_hosts(share: float, serves_all: bool = False) -> float:
     """Return the hosts in one gateway's subset (docs/relay-design.md) at this share of the plan, mean over gateways.
 
-    With `before_all`, as if each gateway served every service.
+    With `serves_all`, as if each gateway served every service.
     """
     gateways, hosts, services = scale_plan(share)
     subset_hosts = 0.0
@@ -70,7 +70,7 @@
             gateways,
             max(min(MIN_GATEWAYS_PER_SERVICE, gateways), round(gateways * SERVICES_PER_GATEWAY / hosts * size)),
         )
-        serving_gateways = gateways if before_all else full
+        serving_gateways = gateways if serves_all else full
         gateways_per_region = max(1.0, serving_gateways / PLAN.regions)
         hosts_per_zone = size / PLAN.zones
         held_per_zone = min(
@@ -221,14 +221,14 @@
 
     role: str
     moment: str
-    what: str
+    quantity: str
     unit: str
     limit: float | None  # None where the operators named none
     value: Callable[[ScaledFleet], float]
     rows: tuple[str, ...]  # names of the measured costs that `value` uses
     cause: str
-    carried_by: str = ""  # the module that meets the requirement before the mechanism; "" is printed as 'missing'
-    carried_by_after: str = ""  # the same with the mechanism; "" if it is unchanged
+    met_by: str = ""  # the module that meets the requirement before the mechanism; "" is printed as 'missing'
+    met_by_after: str = ""  # the same with the mechanism; "" if it is unchanged
     needs_new_state: bool = False  # includes state that the program does not have yet
     only_after: bool = False  # the role exists only with the mechanism
     # Value with the mechanism, if `rows_after` were measured; otherwise `value` at the size of the subset is used.
@@ -236,7 +236,7 @@
     rows_after: tuple[str, ...] = ()
     remedy: str = ""  # what would meet the requirement if the limit is exceeded with the mechanism too
 
-    def value_and_rows(
+    def choose_value_and_rows(
         self, curves: Mapping[str, Curve], has_subsets: bool
     ) -> tuple[Callable[[ScaledFleet], float], tuple[str, ...]]:
         """Return the function that derives the value, and the names of the costs that it uses."""
@@ -434,7 +434,7 @@
     for line in lines:
         if line.only_after and not has_subsets:
             continue
-        value, rows = line.value_and_rows(curves, has_subsets)
+        value, rows = line.choose_value_and_rows(curves, has_subsets)
         if any(name not in curves for name in rows):
             figures.append(Figure(line, None, None, rows))
             continue
@@ -455,7 +455,7 @@
     if limit is None:
         return None
 
-    value, _ = line.value_and_rows(curves, has_subsets)
+    value, _ = line.choose_value_and_rows(curves, has_subsets)
 
     def is_exceeded(share: float) -> bool:
         return value(ScaledFleet(curves, share, has_subsets)) > limit
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -138,7 +138,7 @@
         sizes = sorted(service_sizes(PLAN.hosts, PLAN.services))
         held_hosts, held_hosts_of_all_services = (
             ScaledFleet({}, 1.0, has_subsets=True).held_hosts,
-            budget.mean_subset_hosts(1.0, before_all=True),
+            budget.mean_subset_hosts(1.0, serves_all=True),
         )
         fleet = ScaledFleet({}, 1.0)
         rows = [
@@ -161,7 +161,7 @@
 
     def table_other_way(self) -> str:
         """Return what a gateway's subset would cost if every gateway served every service."""
-        held_hosts = budget.mean_subset_hosts(1.0, before_all=True)
+        held_hosts = budget.mean_subset_hosts(1.0, serves_all=True)
         names = (
             "resident_mb", "whole_bytes", "whole_stop_ms", "change_1_stop_ms", "collector_ms", "quiet_p99_added_ms",
         )  # fmt: skip
@@ -198,12 +198,12 @@
             line, figure_before = figure_after.line, before_by_line.get(id(figure_after.line))
             row_names = dict.fromkeys((figure_before.rows if figure_before is not None else ()) + figure_after.rows)
             rows.append(
-                (line.moment, f"{line.what}, {line.unit}",
+                (line.moment, f"{line.quantity}, {line.unit}",
                  format_value(figure_before.value) if figure_before is not None else "",
                  format_share(figure_before.share) if figure_before is not None else "",
                  format_value(figure_after.value), format_share(figure_after.share), format_limit(line.limit),
-                 line.carried_by or "missing",
-                 line.carried_by_after or ("the same" if line.carried_by else "missing"),
+                 line.met_by or "missing",
+                 line.met_by_after or ("the same" if line.met_by else "missing"),
                  self.describe_source(figure_before or figure_after),
                  ", ".join(f"`{name}`" for name in row_names) or "the plan")
             )  # fmt: skip
@@ -261,7 +261,7 @@
     def ranking_table(self, figures: list[Figure]) -> str:
         """Return the lines in the order of the share at which their limits are exceeded."""
         rows = [
-            (str(rank), format_share(figure.share), figure.line.role, figure.line.moment, f"{figure.line.what}, "
+            (str(rank), format_share(figure.share), figure.line.role, figure.line.moment, f"{figure.line.quantity}, "
              f"{figure.line.unit}", format_value(figure.value), format_limit(figure.line.limit),
              self.describe_source(figure), figure.line.cause)
             for rank, figure in enumerate(rank_figures(figures), 1)
@@ -280,7 +280,7 @@
     def table_broken(self) -> str:
         """Return the limits that are exceeded at the plan's size even with the mechanism."""
         rows = [
-            (format_share(figure.share), figure.line.role, f"{figure.line.what}, {figure.line.unit}",
+            (format_share(figure.share), figure.line.role, f"{figure.line.quantity}, {figure.line.unit}",
              format_value(figure.value), format_limit(figure.line.limit), figure.line.remedy or "not known")
             for figure in rank_figures(self.figures_after) if (figure.share or 0.0) < 1
         ]  # fmt: skip
--- a/benchmarks/capacity/plan.py
+++ b/benchmarks/capacity/plan.py
@@ -28,7 +28,7 @@
     zones: int = 6  # total over all regions: three per region
     configurations_per_day: int = 3_200
     configuration_s: float = 4.0  # until a change of configuration is in force at every gateway
-    control_core: float = 0.026  # share of a core for control traffic, per gateway
+    control_core: float = 0.026  # share of a core for control, per gateway
     control_mb: int = 128  # per gateway
     control_bytes_per_s: int = 4_096  # per gateway
     control_machines: int = 12
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -113,7 +113,7 @@
 def test_every_line_uses_only_the_costs_that_it_names() -> None:
     for line in LINES:
         for has_subsets in (False, True):
-            value, rows = line.value_and_rows(
+            value, rows = line.choose_value_and_rows(
                 dict.fromkeys((*line.rows, *line.rows_after), LINEAR_CURVE), has_subsets
             )
             if not (line.only_after and not has_subsets):
@@ -133,14 +133,14 @@
 def test_subset_is_small_and_grows_slowly() -> None:
     assert 0 < mean_subset_hosts(1.0) < PLAN.hosts / 20
     assert mean_subset_hosts(2.0) < 1.5 * mean_subset_hosts(1.0)
-    assert mean_subset_hosts(1.0, before_all=True) > 5 * mean_subset_hosts(1.0)
+    assert mean_subset_hosts(1.0, serves_all=True) > 5 * mean_subset_hosts(1.0)
 
 
 def test_p99_with_subsets_uses_the_curve_measured_behind_relays() -> None:
     direct, relayed = Curve("constant", 9.0, 0.0, 0.0), Curve("line", 1.0, 1 / PLAN.hosts, 0.0)
     curves = {"quiet_p99_added_ms": direct, "relayed_p99_added_ms": relayed,
               "changes_p99_added_ms": direct, "relayed_changes_p99_added_ms": relayed}  # fmt: skip
-    lines = tuple(line for line in LINES if line.what.startswith("p99 added"))
+    lines = tuple(line for line in LINES if line.quantity.startswith("p99 added"))
     assert [(figure.value, figure.rows) for figure in evaluate_lines(curves, False, lines)] == [
         (9.0, ("quiet_p99_added_ms",)), (9.0, ("changes_p99_added_ms",)),
     ]  # fmt: skip
