--- a/benchmarks/capacity/run_sizes.py
+++ b/benchmarks/capacity/run_sizes.py
@@ -125,9 +125,10 @@
     return each * held * HOST_S * ZONE_SHARE  # half of the gateways, and a third of their hosts, come to the same
 
 
-def start_s(made: Size, held: float, count: int) -> float:
-    """Over how long so many hollow gateways are started: the plan's 2 s, or as long as these processes need."""
-    return max(2.0, count * held * HOST_S / (made.processes * BUSY))
+def start_s(made: Size, held: float, count: int, pace: float = 1.0) -> float:
+    """Over how long so many hollow gateways are started: the plan's 2 s at this pace, or as long as these processes
+    need."""
+    return max(2.0 * pace, count * held * HOST_S / (made.processes * BUSY))
 
 
 def size(
--- a/benchmarks/capacity/run_steps.py
+++ b/benchmarks/capacity/run_steps.py
@@ -135,7 +135,8 @@
 
 
 async def wave(world: World) -> None:
-    """7 in 10 of the hollow gateways are down, and are started within 2 s; how long until each has its list.
+    """7 in 10 of the hollow gateways are down, and are started within 2 s, times the pace; how long until each has
+    its list.
 
     Where that is more than their few processes can do, over longer: `over_s` of the row says.
     """
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -223,6 +223,7 @@
     few = size(24, 240, 2, 0, lambda count: 240.0, 4.0)
     assert (few.gateways, few.hollow, few.processes, few.bound) == (24, 22, 1, "what was asked for")
     assert start_s(few, 240.0, 22) == 2.0 < start_s(whole, 38_000.0, 700)
+    assert start_s(few, 60.0, 22, run.SMALL_PACE) == 2.0 * run.SMALL_PACE
 
 
 def test_a_rack_is_of_one_zone_and_none_is_empty() -> None:
