--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -261,7 +261,7 @@
         requested_size.limited_by,
     ) == (24, 22, 1, "the requested size")
     assert start_duration_s(requested_size, 240.0, 22) == 2.0 < start_duration_s(direct_size, 38_000.0, 700)
-    assert start_s(few, 60.0, 22, run.SMALL_PACE) == 2.0 * run.SMALL_PACE
+    assert start_duration_s(requested_size, 60.0, 22, run.SMALL_RUN_TIME_SCALE) == 2.0 * run.SMALL_RUN_TIME_SCALE
 
 
 def test_every_rack_has_hosts_of_exactly_one_zone() -> None:
