--- a/benchmarks/capacity/run_sizes.py
+++ b/benchmarks/capacity/run_sizes.py
@@ -147,8 +147,8 @@
 
 
 def start_duration_s(size: Size, held_hosts: float, gateway_count: int, time_scale: float = 1.0) -> float:
-    """The time over which the starts of simulated gateways are spread: the planned 2 s at this time scale, or what the
-    processes need."""
+    """The time over which the starts of simulated gateways are spread: the planned 2 s at this time scale, or what
+    the processes need."""
     return max(
         2.0 * time_scale,
         gateway_count * held_hosts * CPU_S_PER_LISTED_HOST / (size.worker_processes * MAX_START_CPU_SHARE),
--- a/benchmarks/capacity/run_steps.py
+++ b/benchmarks/capacity/run_steps.py
@@ -152,8 +152,8 @@
 
 
 async def restart_gateways(environment: Environment) -> None:
-    """Stop 7 in 10 of the simulated gateways, start them within 2 s at the run's time scale, and measure how long each
-    needs to get its list.
+    """Stop 7 in 10 of the simulated gateways, start them within 2 s at the run's time scale, and measure how long
+    each needs to get its list.
 
     If the few worker processes cannot start them that fast, the start takes longer; the row's `over_s` says how long.
     """
