--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,18 +1,18 @@
-"""Real gateways of two checkouts side by side, with duties and sharing on, and faults between them.
+"""Run gateways of two checkouts side by side, with leases and sharing enabled, and faults between them.
 
     .venv-dev/bin/python -m benchmarks.mixed_versions --against CHECKOUT [--seed N] [--seconds S]
 
-Every second gateway runs from the other checkout (a folder, or a commit of this repository). Its plays, one after
-another, are judged by what parties outside the gateways saw:
+Every second gateway runs from the other checkout (a folder, or a commit of this repository). There are three kinds of
+runs, one after another; all are checked by the observations of parties outside the gateways:
 
-`rules`: the scenario `duties` (stalls, kills, cuts, cold hosts that join) with sharing on as well; no rule is broken,
-and no cold host is sent more than it can take. `--seconds` is its length.
-`leases`: drawn schedules of benchmarks/duties.py; never two holders of a duty, and epochs only grow.
-`gossip`: the gateways of each checkout see a host that fails, and those of the other hear of it. Then every third
-answer of all hosts is an error while gateways are killed, stopped and cut off: over no stretch are more tokens spent
-on further attempts than were earned in it and all gateways together may save up. No datagram is refused.
+`rules`: the scenario `duties` (pauses, kills, link cuts, hosts that join and warm up) with sharing enabled as well.
+No rule may be violated, and no warming host may be sent more than its capacity. `--seconds` is the length of the run.
+`leases`: random schedules of benchmarks/duties.py. A role never has two holders, and fencing tokens only increase.
+`gossip`: gateways of one checkout observe a host that fails, and those of the other must learn of it. Then every
+third response of all hosts is an error, while gateways are killed, paused and cut off. In no period may the gateways
+spend more retry tokens than they earn in it plus what all of them may have saved. No datagram may be refused.
 
-Exit code: 0 nothing was found, 1 something was (with a time line), 2 the other checkout cannot be used.
+Exit code: 0: no violation; 1: some violation, printed with a timeline; 2: the other checkout cannot be used.
 """
 
 from __future__ import annotations
@@ -46,26 +46,26 @@
 from tests.fleet.shared import Shared, shared
 
 SCENARIO = "duties"
-LEASE_SCHEDULES = 4  # in one run; which gateways are of the other checkout alternates
+LEASE_SCHEDULES = 4  # per seed; the gateways of the other checkout alternate between the even and the odd ones
 GOSSIP_GATEWAYS = 6
 GOSSIP_VOTERS = 3
 GOSSIP_LEASE_MS = 600
 GOSSIP_FAULTS = 5
-ERROR_EVERY = 3  # answers of a host
-REQUEST_PAUSE_S = 0.01  # of each client: breakers that are open refuse at once
+RESPONSES_PER_ERROR = 3
+REQUEST_PAUSE_S = 0.01  # between a client's requests: open circuit breakers reject without delay
 SAMPLE_INTERVAL_S = 0.02
-TELLERS = 2  # of a host that fails
-REFUSED_DATAGRAMS = (
+MIN_REPORTERS = 2  # gateways that must have reported a failing host
+REFUSAL_REASONS = (
     "unreadable",
     "unlisted",
     "another number of voters",
-)  # why a gateway drops what it could not take
+)  # reasons for which a gateway drops a datagram that it cannot use
 SPREAD_TIMEOUT_S = 30.0
 
 
 @dataclass
-class PlayReport:
-    """What was found in one play."""
+class RunReport:
+    """Outcome of one run."""
 
     name: str
     violations: list[str] = field(default_factory=list)
@@ -74,68 +74,70 @@
 
 
 def runs_other_checkout(number: int, seed: int) -> bool:
-    """Whether this gateway is of the other checkout: every second one, by the seed the even or the odd ones."""
+    """Whether this gateway runs from the other checkout: the seed selects the even or the odd ones."""
     return number % 2 == seed % 2
 
 
 def mix_checkouts(gateways: Iterable[Gateway], seed: int, other: Path) -> None:
+    """Let every second gateway run from the other checkout."""
     for number, gateway in enumerate(gateways):
         if runs_other_checkout(number, seed):
             gateway.checkout = other
 
 
-async def play_rules(seed: int, seconds: float, other: Path) -> PlayReport:
-    """Play the scenario; judge the rules of the wire and the load on cold hosts."""
+async def run_rules(seed: int, seconds: float, other: Path) -> RunReport:
+    """Run the scenario; check the rules of the wire protocols and the load on warming hosts."""
 
-    def mix_world(world: Environment) -> None:
-        mix_checkouts(world.gateways, seed, other)
+    def mix_environment(environment: Environment) -> None:
+        mix_checkouts(environment.gateways, seed, other)
 
     scenario = replace(load_scenario(SCENARIO), sharing=True)
-    world = await run_scenario(scenario, seed, seconds, mix_world)
-    checker = Checker(world.event_log)
-    violations = [str(violation) for violation in checker.find_violations()] + world.logged_defects
-    answered = sum(1 for _ in world.event_log.events_of(ResponseReceived))
-    peak = max(checker.slow_start_peaks.values(), default=0.0)
-    figures = f"{answered} requests, a warming host was sent {peak:.0%} of what it can take at the most"
-    return PlayReport("rules", violations, figures)
+    environment = await run_scenario(scenario, seed, seconds, mix_environment)
+    checker = Checker(environment.event_log)
+    violations = [str(violation) for violation in checker.find_violations()] + environment.logged_defects
+    response_count = sum(1 for _ in environment.event_log.events_of(ResponseReceived))
+    peak_load = max(checker.slow_start_peaks.values(), default=0.0)
+    figures = f"{response_count} requests, a warming host was sent at most {peak_load:.0%} of its capacity"
+    return RunReport("rules", violations, figures)
 
 
-async def play_leases(seed: int, folder: Path, other: Path) -> PlayReport:
-    """Play a schedule of faults; judge who held each duty."""
+async def run_leases(seed: int, folder: Path, other: Path) -> RunReport:
+    """Run a schedule of faults; check the holders of each role."""
 
     def mix_fleet(fleet: Ground) -> None:
         mix_checkouts(fleet.gateways, seed, other)
 
-    played = await schedule(seed, folder, "peers", mix_fleet)
-    figures = f"{played.holders} holders, {played.acts} acts, faults {' '.join(played.faults)}"
-    return PlayReport("leases", played.wrong, figures, played.timeline)
+    result = await schedule(seed, folder, "peers", mix_fleet)
+    figures = f"{result.holders} holders, {result.acts} acts, faults {' '.join(result.faults)}"
+    return RunReport("leases", result.wrong, figures, result.timeline)
 
 
-async def play_gossip(seed: int, folder: Path, other: Path) -> PlayReport:
-    """Play faults under load; judge the sum of further attempts and what crosses between the checkouts."""
+async def run_gossip(seed: int, folder: Path, other: Path) -> RunReport:
+    """Apply faults under load; check the retries, and what gateways of one checkout learn from the other."""
     numbers = range(GOSSIP_GATEWAYS)
-    theirs = [number for number in numbers if runs_other_checkout(number, seed)]
-    ours = [number for number in numbers if number not in theirs]
-    checkouts = dict.fromkeys(theirs, other)
-    report = PlayReport("gossip")
+    other_numbers = [number for number in numbers if runs_other_checkout(number, seed)]
+    own_numbers = [number for number in numbers if number not in other_numbers]
+    checkouts = dict.fromkeys(other_numbers, other)
+    report = RunReport("gossip")
     async with shared(
         folder, GOSSIP_GATEWAYS, checkouts=checkouts, voters=GOSSIP_VOTERS, lease_ms=GOSSIP_LEASE_MS
     ) as fleet:
         meter = RetryMeter(fleet)
         try:
             await wait_until_all_alive(fleet)
-            await hear_of_failures(fleet, 0, ours, theirs)
-            await hear_of_failures(fleet, 1, theirs, ours)
-            await fail_answers(fleet, random.Random(f"mixed/{seed}"), meter)
-            report.violations += meter.judge()
+            await check_failure_spreads(fleet, 0, own_numbers, other_numbers)
+            await check_failure_spreads(fleet, 1, other_numbers, own_numbers)
+            await run_with_failing_hosts(fleet, random.Random(f"mixed/{seed}"), meter)
+            report.violations += meter.find_violations()
             await wait_until_all_alive(fleet)
-            report.violations += await judge_datagrams(fleet)
-        except AssertionError as error:  # the fleet's waits raise it, with a time line
+            report.violations += await find_refused_datagrams(fleet)
+        except AssertionError as error:  # raised by the waits; its first line is the message, the others a timeline
             report.violations.append(str(error).partition("\n")[0])
         report.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         report.figures = (
-            f"{fleet.asked} requests, {meter.retries} further attempts, {meter.peak:.1f} tokens spent beyond what "
-            f"was earned of {meter.allowance:g} that may be saved up, {meter.moved:.1f} moved between gateways"
+            f"{fleet.asked} requests, {meter.retries} retries, {meter.peak_excess_tokens:.1f} tokens spent in excess "
+            f"of the earned ones (limit {meter.max_saved_tokens:g}), {meter.transferred_tokens:.1f} transferred "
+            f"between gateways"
         )
         report.timeline = fleet.timeline() if report.violations else ""
     return report
@@ -143,7 +145,7 @@
 
 @asynccontextmanager
 async def under_load(fleet: Shared, numbers: Iterable[int]) -> AsyncIterator[None]:
-    """Send requests to these gateways all the while, also when one is killed and comes back."""
+    """Send requests to these gateways in the background, also while one is killed and restarted."""
 
     async def send_requests(number: int) -> None:
         while True:
@@ -162,24 +164,25 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def fail_answers(fleet: Shared, rng: random.Random, meter: RetryMeter) -> None:
-    """Let all hosts answer with errors now and then, while drawn faults come and go."""
+async def run_with_failing_hosts(fleet: Shared, rng: random.Random, meter: RetryMeter) -> None:
+    """Let all hosts respond with some errors, while random faults are applied and healed."""
     answer_count = itertools.count()
     for host in range(len(fleet.hosts)):
-        fleet.fail(host, lambda number: next(answer_count) % ERROR_EVERY == 0)
-    async with under_load(fleet, range(fleet.count)), metered(meter):
+        fleet.fail(host, lambda number: next(answer_count) % RESPONSES_PER_ERROR == 0)
+    async with under_load(fleet, range(fleet.count)), sampling(meter):
         await asyncio.sleep(1.0)
         for _ in range(GOSSIP_FAULTS):
-            await inject_fault(fleet, rng)
+            await apply_random_fault(fleet, rng)
             await asyncio.sleep(rng.uniform(0.5, 1.5))
         fleet.heal()
         await fleet.ready(*range(fleet.count))
-        await meter.count_moved()
+        await meter.read_transferred_tokens()
     for host in range(len(fleet.hosts)):
         fleet.mend(host)
 
 
-async def inject_fault(fleet: Shared, rng: random.Random) -> None:
+async def apply_random_fault(fleet: Shared, rng: random.Random) -> None:
+    """Kill, pause or cut off some gateways for a random time."""
     numbers = list(range(fleet.count))
     chosen = rng.sample(numbers, rng.randint(1, fleet.count // 2))
     rest = [number for number in numbers if number not in chosen]
@@ -201,48 +204,56 @@
 
 @dataclass
 class RetryMeter:
-    """Measures, by what hosts saw, what all gateways together spend on further attempts beyond what they earn."""
+    """Measures, at the hosts, the retry tokens that all gateways together spend in excess of those they earn."""
 
     fleet: Shared
-    asked: int = 0
+    request_count: int = 0
     retries: int = 0
-    beyond: float = 0.0  # tokens spent beyond what was earned, over the stretch that ends now
-    peak: float = 0.0
-    moved: float = 0.0  # tokens that gateways say they took from others
+    excess_tokens: float = 0.0  # spent minus earned tokens, maximum over all periods that end now
+    peak_excess_tokens: float = 0.0
+    transferred_tokens: float = 0.0  # tokens that gateways report to have taken from others
 
     @property
-    def allowance(self) -> float:
-        """Tokens that all processes so far may have saved up, at the most."""
+    def max_saved_tokens(self) -> float:
+        """Maximum number of tokens that all processes started so far can have saved."""
         return MAX_SAVED_TOKENS * sum(
             process.what == "start" for process in self.fleet.ledger.events_of(ProcessEvent)
         )
 
     def sample(self) -> None:
-        asked = self.fleet.asked
+        """Update the excess by the requests and retries since the last sample."""
+        request_count = self.fleet.asked
         _, retries = self.fleet.attempts([0] * len(self.fleet.hosts))
-        earned = RETRY_RATIO * (asked - self.asked)
-        self.beyond = max(0.0, self.beyond + ERROR_RETRY_COST * (retries - self.retries) - earned)
-        self.peak = max(self.peak, self.beyond)
-        self.asked, self.retries = asked, retries
+        earned = RETRY_RATIO * (request_count - self.request_count)
+        self.excess_tokens = max(0.0, self.excess_tokens + ERROR_RETRY_COST * (retries - self.retries) - earned)
+        self.peak_excess_tokens = max(self.peak_excess_tokens, self.excess_tokens)
+        self.request_count, self.retries = request_count, retries
 
-    async def count_moved(self) -> None:
+    async def read_transferred_tokens(self) -> None:
+        """Ask all gateways how many tokens they have taken from others."""
         shown = [await self.fleet.shown(number, "PEERS") for number in range(self.fleet.count)]
-        self.moved = sum(one["rights"]["taken"] for one in shown)
+        self.transferred_tokens = sum(status["rights"]["taken"] for status in shown)
 
-    def judge(self) -> list[str]:
-        if self.peak <= self.allowance + 1e-6:
+    def find_violations(self) -> list[str]:
+        """Return the violation if more tokens were spent than can have been earned and saved."""
+        if self.peak_excess_tokens <= self.max_saved_tokens + 1e-6:
             return []
-        return [f"{self.peak:.1f} tokens were spent beyond what was earned, {self.allowance:g} may be saved up"]
+        return [
+            f"{self.peak_excess_tokens:.1f} tokens were spent in excess of the earned ones, "
+            f"limit {self.max_saved_tokens:g}"
+        ]
 
 
 @asynccontextmanager
-async def metered(meter: RetryMeter) -> AsyncIterator[None]:
-    async def sample_often() -> None:
+async def sampling(meter: RetryMeter) -> AsyncIterator[None]:
+    """Sample the meter in the background, and once at the end."""
+
+    async def sample_periodically() -> None:
         while True:
             meter.sample()
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    task = asyncio.create_task(sample_often())
+    task = asyncio.create_task(sample_periodically())
     try:
         yield
     finally:
@@ -252,7 +263,7 @@
 
 
 async def wait_until(condition: Callable[[], Awaitable[bool]], what: str, fleet: Shared) -> None:
-    """Wait for what gateways say of themselves; raise AssertionError with a time line when it does not come."""
+    """Wait for a condition on the gateways' reports; raise AssertionError with a timeline if it does not occur."""
     try:
         async with asyncio.timeout(SPREAD_TIMEOUT_S):
             while not await condition():
@@ -262,75 +273,79 @@
 
 
 async def wait_until_all_alive(fleet: Shared) -> None:
+    """Wait until every gateway reports all others as alive."""
+
     async def all_alive() -> bool:
         shown = [await fleet.shown(number, "PEERS") for number in range(fleet.count)]
-        return all(peer["state"] == "alive" for one in shown for peer in one["peers"].values())
+        return all(peer["state"] == "alive" for status in shown for peer in status["peers"].values())
 
-    await wait_until(all_alive, "every gateway takes all others for alive", fleet)
+    await wait_until(all_alive, "every gateway reports all others as alive", fleet)
 
 
-async def hear_of_failures(fleet: Shared, host: int, tellers: Sequence[int], hearers: Sequence[int]) -> None:
-    """Let a host fail for the tellers: each hearer, which sends it nothing, hears so from several of them.
+async def check_failure_spreads(fleet: Shared, host: int, reporters: Sequence[int], receivers: Sequence[int]) -> None:
+    """Let a host fail for the reporters; check that each receiver, which sends it nothing, learns this from several.
 
-    It is a host that no teller has had trouble with before: they all send to it, and learn of its failure together.
+    The host must not have failed before, so that all reporters still send to it and observe the failure together.
     """
     host_id = f"{host_number(f's-{host}'):x}"
-    informed: set[int] = set()
+    informed_receivers: set[int] = set()
 
-    async def all_are_informed() -> bool:
-        for number in hearers:
-            for known in (await fleet.shown(number, "PEERS"))["hosts"]:
-                if known["host"] == host_id and known["tellers"] >= TELLERS:
-                    informed.add(number)
-        return informed == set(hearers)
+    async def all_receivers_know() -> bool:
+        for number in receivers:
+            for host_status in (await fleet.shown(number, "PEERS"))["hosts"]:
+                if host_status["host"] == host_id and host_status["tellers"] >= MIN_REPORTERS:
+                    informed_receivers.add(number)
+        return informed_receivers == set(receivers)
 
-    async def none_doubts() -> bool:
-        return not any([await fleet.doubting(number, host_id) for number in hearers])
+    async def no_receiver_suspects() -> bool:
+        return not any([await fleet.doubting(number, host_id) for number in receivers])
 
     fleet.fail(host)
-    async with under_load(fleet, tellers):
-        await wait_until(all_are_informed, f"{hearers} hear from {tellers} of s-{host}, which fails", fleet)
+    async with under_load(fleet, reporters):
+        await wait_until(all_receivers_know, f"{receivers} learn from {reporters} that s-{host} fails", fleet)
         fleet.mend(host)
-        await wait_until(none_doubts, f"{hearers} do not doubt s-{host}, which is well again", fleet)
+        await wait_until(no_receiver_suspects, f"{receivers} no longer suspect s-{host}, which has recovered", fleet)
 
 
-async def judge_datagrams(fleet: Shared) -> list[str]:
-    """Ask each gateway which datagrams it refused: none was spoilt on its way."""
+async def find_refused_datagrams(fleet: Shared) -> list[str]:
+    """Return the datagrams that gateways report as refused; the network of this run does not corrupt any."""
     violations = []
     for number, line in itertools.product(range(fleet.count), ("DUTIES", "PEERS")):
         dropped = (await fleet.shown(number, line))["dropped"]
-        refused = {why: count for why, count in dropped.items() if why in REFUSED_DATAGRAMS}
+        refused = {why: count for why, count in dropped.items() if why in REFUSAL_REASONS}
         if refused:
             violations.append(f"n{number} refused datagrams ({line}): {refused}")
     return violations
 
 
-def run_play(start_play: Callable[[Path], Awaitable[PlayReport]]) -> PlayReport:
-    """Run a play on a loop and in a folder of its own."""
+def run_on_own_loop(start_run: Callable[[Path], Awaitable[RunReport]]) -> RunReport:
+    """Start a run on an event loop and in a folder of its own."""
 
-    async def run() -> PlayReport:
-        return await start_play(Path(folder))
+    async def run() -> RunReport:
+        return await start_run(Path(folder))
 
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(run())
 
 
-def run_plays(seed: int, seconds: float, other: Path) -> list[PlayReport]:
-    plays: list[Callable[[Path], Awaitable[PlayReport]]] = [lambda folder: play_rules(seed, seconds, other)]
+def run_all_parts(seed: int, seconds: float, other: Path) -> list[RunReport]:
+    """Do all runs of a seed, and print each report."""
+    runs: list[Callable[[Path], Awaitable[RunReport]]] = [lambda folder: run_rules(seed, seconds, other)]
     for schedule_seed in range(seed * LEASE_SCHEDULES, (seed + 1) * LEASE_SCHEDULES):
-        plays.append(partial(play_leases, schedule_seed, other=other))
-    plays.append(lambda folder: play_gossip(seed, folder, other))
+        runs.append(partial(run_leases, schedule_seed, other=other))
+    runs.append(lambda folder: run_gossip(seed, folder, other))
     reports = []
-    for start_play in plays:
-        report = run_play(start_play)
+    for start_run in runs:
+        report = run_on_own_loop(start_run)
         print_report(report, seed)
         reports.append(report)
     return reports
 
 
-def print_report(report: PlayReport, seed: int) -> None:
-    found = f"{len(report.violations)} violations" if report.violations else "nothing found"
-    print(f"seed {seed}, {report.name}: {found}; {report.figures}", flush=True)
+def print_report(report: RunReport, seed: int) -> None:
+    """Print a run's figures, its first violations and the timeline."""
+    summary = f"{len(report.violations)} violations" if report.violations else "nothing found"
+    print(f"seed {seed}, {report.name}: {summary}; {report.figures}", flush=True)
     for violation in report.violations[:5]:
         print(f"  {violation}")
     if report.timeline:
@@ -338,6 +353,7 @@
 
 
 def main() -> int:
+    """Do all runs of one seed against another checkout."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--against", metavar="CHECKOUT", required=True)
     parser.add_argument("--seed", type=int, default=1)
@@ -347,7 +363,7 @@
         with open_checkout(options.against) as other:
             if not (other / "cloverkeel" / "__main__.py").is_file():
                 raise CheckoutError(f"--against: {other}: expected a checkout, found no cloverkeel/__main__.py")
-            reports = run_plays(options.seed, options.seconds, other)
+            reports = run_all_parts(options.seed, options.seconds, other)
     except CheckoutError as error:
         print(f"mixed_versions: {error}", file=sys.stderr)
         return 2
