--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,11 +1,12 @@
-"""CPU time for each request: the real gateway against the barest relay, same load, in turn, in one run.
+"""Compare the CPU time per request of the real gateway and of a minimal relay, under the same load and in one run.
 
     .venv-dev/bin/python -m benchmarks.relay [--rounds 7] [--requests 12000] [--clients 24] [--klass search]
 
-Both run as processes on one core that nothing else of this run uses. Their CPU time is read from the kernel
-(/proc/PID/schedstat, nanoseconds on a core) before and after each round. Printed: microseconds of CPU a request,
-for each, and the ratio of each round with median, least and most. Clients are so few, and hosts so slow, that the
-gateway's core is half idle: one that is busy all the time answers late, and the module sheds for it.
+Each runs as a process, with five or more cores on a core of its own. Its CPU time is read from the kernel
+(/proc/PID/schedstat, nanoseconds on a core) before and after each round. Printed: CPU microseconds per request for
+each process and the ratio in each round, then the median, minimum and maximum of the ratio. There are few clients and
+the hosts are slow, so that the gateway's core is about half idle: a gateway whose core is always busy responds late,
+and sheds requests because of that.
 """
 
 from __future__ import annotations
@@ -30,235 +31,259 @@
 from standins.parties.zookeeper.ensemble import Ensemble
 from standins.parties.zookeeper.jute import Create
 
-MOST_FAILED = 0.01  # share of requests that are refused; more, and it is no measurement
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\nX-Load-Report: TEXT queue=1.2, latency_ms=51.0, qps=80\r\n\r\n"
-ANSWER += b"." * 400
+MAX_FAILED_SHARE = 0.01  # of requests that are rejected; a measurement with more is invalid
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\nX-Load-Report: TEXT queue=1.2, latency_ms=51.0, qps=80\r\n\r\n"
+RESPONSE += b"." * 400
 
 
 class Host(asyncio.Protocol):
-    """Answers every piece that ends a request, after a while."""
+    """A host that sends the same response, after a delay, to all data received; each piece must end a request."""
 
-    answer_s = 0.0
+    response_delay_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        asyncio.get_running_loop().call_later(self.answer_s, self.transport.write, ANSWER)
+        asyncio.get_running_loop().call_later(self.response_delay_s, self.transport.write, RESPONSE)
 
 
 class Client(asyncio.Protocol):
-    """Asks again as soon as it is answered."""
+    """A client that sends its next request as soon as it has the response to the previous one."""
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: LoadGenerator) -> None:
         self.load = load
-        self.got = 0
+        self.received_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
-        self.got = 0
-        request = self.load.next()
+    def send_request(self) -> None:
+        """Send the next request, or close the connection if all have been sent."""
+        self.received_bytes = 0
+        request = self.load.next_request()
         if request is None:
             self.transport.close()
-            self.load.on_over()
+            self.load.on_client_finished()
         else:
             self.transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        if self.got == 0 and not data.startswith(b"HTTP/1.1 200"):
-            self.load.failed += 1
-        self.got += len(data)
+        if self.received_bytes == 0 and not data.startswith(b"HTTP/1.1 200"):
+            self.load.failed_count += 1
+        self.received_bytes += len(data)
         if data.endswith(b"." * 40) or b"Content-Length: 0" in data:
-            self.ask()
+            self.send_request()
 
 
-class Load:
-    """So many requests over so many connections."""
+class LoadGenerator:
+    """Creates a given number of requests for a number of clients."""
 
-    def __init__(self, requests: int, clients: int, klass: str, start: int) -> None:
-        self.left, self.clients, self.klass, self.count = requests, clients, klass, start
-        self.over = 0
-        self.failed = 0
-        self.done = asyncio.Event()
+    def __init__(self, request_count: int, client_count: int, request_class: str, first_id: int) -> None:
+        self.remaining_count, self.client_count, self.request_class, self.last_id = (
+            request_count,
+            client_count,
+            request_class,
+            first_id,
+        )
+        self.finished_client_count = 0
+        self.failed_count = 0
+        self.is_finished = asyncio.Event()
 
-    def next(self) -> bytes | None:
-        if not self.left:
+    def next_request(self) -> bytes | None:
+        """Return the next request; None if all have been created."""
+        if not self.remaining_count:
             return None
-        self.left -= 1
-        self.count += 1
-        method, more = "GET", ""
-        if self.klass != "search":
-            method, more = "POST", "Content-Length: 20\r\n"
-            more += f"Idempotency-Key: {self.count:032x}\r\n" if self.klass == "hold" else ""
+        self.remaining_count -= 1
+        self.last_id += 1
+        method, body_headers = "GET", ""
+        if self.request_class != "search":
+            method, body_headers = "POST", "Content-Length: 20\r\n"
+            body_headers += f"Idempotency-Key: {self.last_id:032x}\r\n" if self.request_class == "hold" else ""
         head = (
-            f"{method} /{self.klass}/{self.count % 1500:x} HTTP/1.1\r\nHost: backend.local\r\n"
-            f"X-Call-Id: {self.count:016x}\r\nX-Call-Class: {self.klass}\r\nX-Caller: central\r\n"
-            f"X-Budget-Ms: 700\r\nX-Call-Cost: 41000\r\n{more}\r\n"
+            f"{method} /{self.request_class}/{self.last_id % 1500:x} HTTP/1.1\r\nHost: backend.local\r\n"
+            f"X-Call-Id: {self.last_id:016x}\r\nX-Call-Class: {self.request_class}\r\nX-Caller: central\r\n"
+            f"X-Budget-Ms: 700\r\nX-Call-Cost: 41000\r\n{body_headers}\r\n"
         )
-        return head.encode() + (b"b" * 20 if self.klass != "search" else b"")
+        return head.encode() + (b"b" * 20 if self.request_class != "search" else b"")
 
-    def on_over(self) -> None:
-        self.over += 1
-        if self.over == self.clients:
-            self.done.set()
+    def on_client_finished(self) -> None:
+        """Count a client that has closed its connection."""
+        self.finished_client_count += 1
+        if self.finished_client_count == self.client_count:
+            self.is_finished.set()
 
 
-def cpu_us(pid: int) -> float:
-    """Time on a core of all threads of a process, in microseconds."""
-    total = 0
+def process_cpu_us(pid: int) -> float:
+    """Return the CPU time of all threads of a process, in microseconds."""
+    total_ns = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
-        total += int((task / "schedstat").read_text().split()[0])
-    return total / 1000
+        total_ns += int((task / "schedstat").read_text().split()[0])
+    return total_ns / 1000
 
 
-async def measure(gateway: Gateway, requests: int, clients: int, klass: str, start: int) -> float:
-    """Microseconds of CPU a request."""
+async def measure_request_cpu_us(
+    gateway: Gateway, request_count: int, client_count: int, request_class: str, first_id: int
+) -> float:
+    """Return the CPU time per request, in microseconds."""
     assert gateway.process is not None
-    load = Load(requests, clients, klass, start)
-    before = cpu_us(gateway.process.pid)
+    load = LoadGenerator(request_count, client_count, request_class, first_id)
+    cpu_before_us = process_cpu_us(gateway.process.pid)
     loop = asyncio.get_running_loop()
-    for _ in range(clients):
+    for _ in range(client_count):
         await loop.create_connection(lambda: Client(load), *gateway.address)
     async with asyncio.timeout(120):
-        await load.done.wait()
-    # A stall of the host may look like a crowd, and some requests are shed for it.
-    if load.failed > MOST_FAILED * requests:
-        raise RuntimeError(f"{load.failed} of {requests} requests were not served")
-    return (cpu_us(gateway.process.pid) - before) / requests
+        await load.is_finished.wait()
+    # A stall of the machine may look like an overload to the gateway, which then sheds some requests.
+    if load.failed_count > MAX_FAILED_SHARE * request_count:
+        raise RuntimeError(f"{load.failed_count} of {request_count} requests were not served")
+    return (process_cpu_us(gateway.process.pid) - cpu_before_us) / request_count
 
 
 async def run(options: argparse.Namespace, folder: Path) -> dict[str, Any]:
-    Host.answer_s = options.answer_ms / 1000
+    """Run all processes and rounds; return the figures for the JSON report."""
+    Host.response_delay_s = options.answer_ms / 1000
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 5:
-        print("fewer than five cores: the processes share them, and figures scatter", file=sys.stderr)
-    loop, ledger = asyncio.get_running_loop(), EventLog()
+        print("fewer than five cores: the processes share them, and the figures vary", file=sys.stderr)
+    loop, event_log = asyncio.get_running_loop(), EventLog()
     servers = [await loop.create_server(Host, "127.0.0.1", 0) for _ in range(3)]
-    known = [
+    entries = [
         {"name": f"s-{n}", "address": f"127.0.0.1:{server.sockets[0].getsockname()[1]}",
          "zone": "kita-room", "type": "small-2c", "group": 0, "status": "SERVING", "weight": 1.0, "since_ms": 0}
         for n, server in enumerate(servers)
     ]  # fmt: skip
-    made = settings(3, 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed"}
-    names: dict[str, tuple[str, ...]] = {
+    common_settings = settings(3, 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed"}
+    command_by_name: dict[str, tuple[str, ...]] = {
         "gateway": (sys.executable, "-m", "cloverkeel"),
         "bare": (sys.executable, "-m", "benchmarks.bare"),
     }
-    keeper: Ensemble | None = None
+    ensemble: Ensemble | None = None
     if options.ephemeral:
-        # The same gateway once more, its list from ephemeral nodes.
-        keeper = Ensemble(1)
-        await keeper.start()
+        # The same gateway, with its endpoint list from ephemeral nodes.
+        ensemble = Ensemble(1)
+        await ensemble.start()
         for path in ("/cloverkeel", "/cloverkeel/boxes"):
-            keeper.commit(keeper.tree.prepare(Create(path), 0))
-        for entry in known:
+            ensemble.commit(ensemble.tree.prepare(Create(path), 0))
+        for entry in entries:
             node = Create(f"/cloverkeel/boxes/{entry['name']}", json.dumps({"v": 1} | entry).encode())
-            keeper.commit(keeper.tree.prepare(node, 0))
-        (folder / "o.toml").write_text(f'[membership]\nprecedence = ["ephemeral"]\nhosts = "{keeper.hosts}"\n')
-        names["ephemeral"] = names["gateway"]
-    parts = [name for name in ("duties", "sharing") if getattr(options, name)]
-    for part in parts:
-        # The same with one part that speaks to other gateways: there is nothing to say.
-        (folder / f"{part}.toml").write_text(f"[{part}]\n")
-        names[part] = names["gateway"]
+            ensemble.commit(ensemble.tree.prepare(node, 0))
+        (folder / "o.toml").write_text(f'[membership]\nprecedence = ["ephemeral"]\nhosts = "{ensemble.hosts}"\n')
+        command_by_name["ephemeral"] = command_by_name["gateway"]
+    features = [name for name in ("duties", "sharing") if getattr(options, name)]
+    for feature in features:
+        # The same gateway with a feature that exchanges messages with other gateways; no other gateway runs.
+        (folder / f"{feature}.toml").write_text(f"[{feature}]\n")
+        command_by_name[feature] = command_by_name["gateway"]
     if options.plain:
-        names["plain"] = names["gateway"]
+        command_by_name["plain"] = command_by_name["gateway"]
     if options.against is not None:
-        names["other"] = ("sh", "-c", 'cd "$0" && exec "$1" -m cloverkeel', str(options.against), sys.executable)
-    gateways = {}
-    for number, (name, command) in enumerate(names.items()):
-        pinned = ("taskset", "-c", str(cores[-1 - number])) if len(cores) > 4 else ()
-        gateway = Gateway(name, 0, folder, lambda: {}, ledger, command=(*pinned, *command))
+        command_by_name["other"] = (
+            "sh", "-c", 'cd "$0" && exec "$1" -m cloverkeel', str(options.against), sys.executable
+        )  # fmt: skip
+    gateway_by_name = {}
+    for number, (name, command) in enumerate(command_by_name.items()):
+        pin_command = ("taskset", "-c", str(cores[-1 - number])) if len(cores) > 4 else ()
+        gateway = Gateway(name, 0, folder, lambda: {}, event_log, command=(*pin_command, *command))
         if name == "plain":
             gateway.environment = {PLAIN_VARIABLE: "1"}
         if name == "ephemeral":
             gateway.environment = {"CLOVERKEEL_OPTIONS": str(folder / "o.toml")}
         peers: dict[str, Any] = {}
-        told = made
-        if name in parts:
+        gateway_settings = common_settings
+        if name in features:
             gateway.environment = {"CLOVERKEEL_OPTIONS": str(folder / f"{name}.toml")}
             addresses = [free_udp_address(unique_loopback_host()) for _ in range(5)]
             peers = {"peers": [f"{host}:{port}" for host, port in addresses]}
             peers["peer_listen"] = peers["peers"][0]
-            told = made | {"balancers": 5, "index": 0, "caps": made["caps"] | {"peers": True}}
+            gateway_settings = common_settings | {
+                "balancers": 5, "index": 0, "caps": common_settings["caps"] | {"peers": True}
+            }  # fmt: skip
         gateway.configure = (
-            lambda gateway=gateway, peers=peers, told=told: configuration(  # type: ignore[misc]
-                gateway.name, f"127.0.0.1:{gateway.port}", "127.0.0.1:9", "1", known, told
+            lambda gateway=gateway, peers=peers, gateway_settings=gateway_settings: configuration(  # type: ignore[misc]
+                gateway.name, f"127.0.0.1:{gateway.port}", "127.0.0.1:9", "1", entries, gateway_settings
             )
             | peers
         )
-        gateways[name] = gateway
+        gateway_by_name[name] = gateway
     rounds: list[dict[str, float]] = []
     if len(cores) > 4:
-        os.sched_setaffinity(0, set(cores[: -len(names)]))
-    with Fleet(list(gateways.values())) as fleet:
+        os.sched_setaffinity(0, set(cores[: -len(command_by_name)]))
+    with Fleet(list(gateway_by_name.values())) as fleet:
         fleet.start()
-        if not await fleet.wait_until_ready(ledger):
+        if not await fleet.wait_until_ready(event_log):
             raise RuntimeError("not every process became ready")
-        start = 0
+        first_id = 0
         for number in range(options.rounds + 1):
-            found = {}
-            for name in sorted(gateways, reverse=bool(number % 2)):  # in turn, each first as often
-                found[name] = await measure(gateways[name], options.requests, options.clients, options.klass, start)
-                start += options.requests
-            if number:  # the first is to warm up
-                rounds.append(found)
-                ratio = found["gateway"] / found["bare"]
-                costs = "   ".join(f"{name} {found[name]:6.1f} µs" for name in gateways)
+            cpu_us_by_name = {}
+            for name in sorted(gateway_by_name, reverse=bool(number % 2)):  # in alternating order
+                cpu_us_by_name[name] = await measure_request_cpu_us(
+                    gateway_by_name[name], options.requests, options.clients, options.klass, first_id
+                )
+                first_id += options.requests
+            if number:  # the first round warms up the processes
+                rounds.append(cpu_us_by_name)
+                ratio = cpu_us_by_name["gateway"] / cpu_us_by_name["bare"]
+                costs = "   ".join(f"{name} {cpu_us_by_name[name]:6.1f} µs" for name in gateway_by_name)
                 print(f"{costs}   ratio {ratio:.2f}")
         await fleet.stop()
-    if keeper is not None:
-        keeper.close()
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.events_of(ResourceUsage)}
-        print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
-        against = [found["ephemeral"] / found["gateway"] for found in rounds]
-        print(f"with ephemeral membership: {statistics.median(against):.3f} of the CPU without it")
-    if parts:
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.events_of(ResourceUsage)}
-        print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
-    for part in parts:
-        on = [found[part] / found["gateway"] for found in rounds]
-        print(f"with {part} on: {statistics.median(on):.3f} of the CPU without ({min(on):.3f} to {max(on):.3f})")
+    if ensemble is not None:
+        ensemble.close()
+        memory_mib_by_name = {usage.gateway: usage.rss_kib / 1024 for usage in event_log.events_of(ResourceUsage)}
+        print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory_mib_by_name.items()))
+        ephemeral_ratios = [cpu_us["ephemeral"] / cpu_us["gateway"] for cpu_us in rounds]
+        print(f"with ephemeral membership: {statistics.median(ephemeral_ratios):.3f} of the CPU without it")
+    if features:
+        memory_mib_by_name = {usage.gateway: usage.rss_kib / 1024 for usage in event_log.events_of(ResourceUsage)}
+        print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory_mib_by_name.items()))
+    for feature in features:
+        feature_ratios = [cpu_us[feature] / cpu_us["gateway"] for cpu_us in rounds]
+        print(
+            f"with {feature} enabled: {statistics.median(feature_ratios):.3f} of the CPU without "
+            f"({min(feature_ratios):.3f} to {max(feature_ratios):.3f})"
+        )
     if options.plain:
-        memory = {entry.gateway: entry.rss_kib / 1024 for entry in ledger.events_of(ResourceUsage)}
-        print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory.items()))
-        plain = [found["plain"] / found["bare"] for found in rounds]
-        print(f"plain sources: ratio {statistics.median(plain):.2f} ({min(plain):.2f} to {max(plain):.2f})")
-    ratios = [found["gateway"] / found["bare"] for found in rounds]
-    others = {"other_us": statistics.median(found["other"] for found in rounds)} if options.against else {}
-    return others | {
+        memory_mib_by_name = {usage.gateway: usage.rss_kib / 1024 for usage in event_log.events_of(ResourceUsage)}
+        print("memory at the end: " + ", ".join(f"{name} {mib:.1f} MiB" for name, mib in memory_mib_by_name.items()))
+        plain_ratios = [cpu_us["plain"] / cpu_us["bare"] for cpu_us in rounds]
+        print(
+            f"plain sources: ratio {statistics.median(plain_ratios):.2f} "
+            f"({min(plain_ratios):.2f} to {max(plain_ratios):.2f})"
+        )
+    ratios = [cpu_us["gateway"] / cpu_us["bare"] for cpu_us in rounds]
+    other_figures = {"other_us": statistics.median(cpu_us["other"] for cpu_us in rounds)} if options.against else {}
+    return other_figures | {
         "klass": options.klass, "requests": options.requests, "clients": options.clients,
-        "gateway_us": statistics.median(found["gateway"] for found in rounds),
-        "bare_us": statistics.median(found["bare"] for found in rounds),
+        "gateway_us": statistics.median(cpu_us["gateway"] for cpu_us in rounds),
+        "bare_us": statistics.median(cpu_us["bare"] for cpu_us in rounds),
         "ratio": statistics.median(ratios), "least": min(ratios), "most": max(ratios),
     }  # fmt: skip
 
 
 def main() -> int:
+    """Run the comparison, print the ratio and write the JSON report."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--rounds", type=int, default=7)
     parser.add_argument("--requests", type=int, default=12_000)
     parser.add_argument("--clients", type=int, default=24)
-    parser.add_argument("--answer-ms", type=float, default=20.0, help="what a host takes for an answer")
+    parser.add_argument("--answer-ms", type=float, default=20.0, help="response time of a host")
     parser.add_argument("--klass", choices=("search", "hold", "transfer"), default="search")
-    parser.add_argument("--against", type=Path, metavar="DIR", help="another checkout of the gateway, measured too")
-    parser.add_argument("--plain", action="store_true", help="measure it on the plain sources too")
-    parser.add_argument("--ephemeral", action="store_true", help="measure it with ephemeral membership too")
-    parser.add_argument("--duties", action="store_true", help="measure it with duties on too")
-    parser.add_argument("--sharing", action="store_true", help="measure it with what gateways know together on too")
+    parser.add_argument("--against", type=Path, metavar="DIR", help="also measure the gateway of another checkout")
+    parser.add_argument("--plain", action="store_true", help="also measure the gateway without compiled modules")
+    parser.add_argument("--ephemeral", action="store_true", help="also measure the gateway with ephemeral membership")
+    parser.add_argument("--duties", action="store_true", help="also measure the gateway with duties enabled")
+    parser.add_argument("--sharing", action="store_true", help="also measure the gateway with sharing enabled")
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        found = runner.run(run(options, Path(folder)))
+        figures = runner.run(run(options, Path(folder)))
     print(
-        f"{found['klass']}: gateway {found['gateway_us']:.1f} µs, bare relay {found['bare_us']:.1f} µs, "
-        f"ratio {found['ratio']:.2f} ({found['least']:.2f} to {found['most']:.2f})"
+        f"{figures['klass']}: gateway {figures['gateway_us']:.1f} µs, bare relay {figures['bare_us']:.1f} µs, "
+        f"ratio {figures['ratio']:.2f} ({figures['least']:.2f} to {figures['most']:.2f})"
     )
     if options.json is not None:
-        options.json.write_text(json.dumps(found, indent=1) + "\n")
+        options.json.write_text(json.dumps(figures, indent=1) + "\n")
     return 0
 
 
