--- a/tests/test_overload_picture.py
+++ b/tests/test_overload_picture.py
@@ -73,48 +73,48 @@
 
 
 def test_work_of_a_good_response_is_useful_and_its_additional_core_time_is_slowed() -> None:
-    one, two = compute_rows(
+    row, next_row = compute_rows(
         [make_operation("a", 11.0, (2.0, 12.7, 200))], [make_attempt("a", 11.5, 12.5, work_s=0.8)]
     )
-    assert one.useful == pytest.approx(0.5 * 0.8 / 4) == pytest.approx(two.useful)
-    assert one.slowed == pytest.approx(0.5 * 0.2 / 4)
-    assert (one.served, one.offered, one.good, two.good) == (1.0, 0.5, 0.0, 0.5)
-    assert one.runs == 1.0 and one.idle == pytest.approx(1 - one.useful - one.slowed)
+    assert row.useful == pytest.approx(0.5 * 0.8 / 4) == pytest.approx(next_row.useful)
+    assert row.slowed == pytest.approx(0.5 * 0.2 / 4)
+    assert (row.served, row.offered, row.good, next_row.good) == (1.0, 0.5, 0.0, 0.5)
+    assert row.runs == 1.0 and row.idle == pytest.approx(1 - row.useful - row.slowed)
 
 
 def test_core_time_without_a_response_is_lost_while_the_client_waits_and_for_nobody_afterwards() -> None:
     # The client waits until 11.5, the gateway closes the connection at 11.25, the host works until 11.75.
     for abandoned_s, waited_s in ((0.0, 0.5), (11.25, 0.25)):
-        one, _ = compute_rows(
+        row, _ = compute_rows(
             [make_operation("a", 10.5, (1.0, 0.0, 0))],
             [make_attempt("a", 11.0, 11.75, "cancelled", abandoned_s=abandoned_s)],
         )
-        assert one.lost == pytest.approx(waited_s / 4) and one.nobody == pytest.approx((0.75 - waited_s) / 4)
-        assert (one.useful, one.timeouts, one.served, one.begun_for_nobody) == (0.0, 0.5, 0.0, 0.0)
+        assert row.lost == pytest.approx(waited_s / 4) and row.nobody == pytest.approx((0.75 - waited_s) / 4)
+        assert (row.useful, row.timeouts, row.served, row.begun_for_nobody) == (0.0, 0.5, 0.0, 0.0)
 
 
 def test_late_response_is_not_good_and_an_attempt_started_after_the_deadline_is_for_nobody() -> None:
-    one, _ = compute_rows([make_operation("a", 10.0, (0.5, 11.2, 200))], [make_attempt("a", 10.6, 11.1)])
-    assert (one.good, one.timeouts, one.useful, one.lost) == (0.0, 0.5, 0.0, 0.0)
-    assert one.nobody == pytest.approx(0.5 / 4) and one.begun_for_nobody == 0.5
+    row, _ = compute_rows([make_operation("a", 10.0, (0.5, 11.2, 200))], [make_attempt("a", 10.6, 11.1)])
+    assert (row.good, row.timeouts, row.useful, row.lost) == (0.0, 0.5, 0.0, 0.0)
+    assert row.nobody == pytest.approx(0.5 / 4) and row.begun_for_nobody == 0.5
 
 
 @pytest.mark.parametrize("received_s", [11.0, 11.7])  # before and after the end of the second attempt
 def test_first_completed_attempt_of_a_request_is_useful_and_the_second_is_a_copy(received_s: float) -> None:
-    one, _ = compute_rows(
+    row, _ = compute_rows(
         [make_operation("a", 10.2, (1.6, received_s, 200))],
         [make_attempt("a", 10.3, 10.9), make_attempt("a", 10.5, 11.5)],
     )
-    assert one.useful == pytest.approx(0.6 / 4, 1e-4) and one.copy == pytest.approx(1.0 / 4, 1e-4)
-    assert one.nobody == 0.0 and one.lost == 0.0
-    assert one.runs == 2.0 and one.arrived == 1.0
+    assert row.useful == pytest.approx(0.6 / 4, 1e-4) and row.copy == pytest.approx(1.0 / 4, 1e-4)
+    assert row.nobody == 0.0 and row.lost == 0.0
+    assert row.runs == 2.0 and row.arrived == 1.0
 
 
 def test_operation_is_served_once_by_any_of_its_requests_and_each_rejection_counts() -> None:
-    one, _ = compute_rows(
+    row, _ = compute_rows(
         [make_operation("a", 10.1, (0.5, 10.2, 503), (1.0, 10.9, 200))], [make_attempt("a-1", 10.4, 10.8)]
     )
-    assert (one.good, one.refused, one.timeouts, one.tries, one.served) == (0.5, 0.5, 0.0, 2.0, 1.0)
+    assert (row.good, row.refused, row.timeouts, row.tries, row.served) == (0.5, 0.5, 0.0, 2.0, 1.0)
 
 
 def test_log_records_and_samples_count_in_the_window_of_their_time() -> None:
@@ -123,11 +123,11 @@
         GatewayLogRecord(11 * S, {"none": 2}, (0.0, 0.0), 0, 6, 8, 2),
     ]
     samples = [HostSample(11 * S, 5, 1), HostSample(11 * S + 1, 5, 0), HostSample(20 * S, 9, 1)]
-    one, two = RunAccounting([], [], 2, 1, 10.0, samples, log_records).compute_rows(WINDOWS)
-    assert one.why == {"shed": 2.0, "none": 1.0} and (one.shed, one.shed_dear) == (0.2, 0.1)
-    assert (one.shed_from, one.shed_to, one.trips) == (0.0, 0.4, 1.0)
-    assert (one.host_timeouts, one.full, one.cancelled, one.choked) == (1.0, 3.0, 4.0, 0.5)
-    assert two.why == {} and two.choked == 0.0
+    row, next_row = RunAccounting([], [], 2, 1, 10.0, samples, log_records).compute_rows(WINDOWS)
+    assert row.why == {"shed": 2.0, "none": 1.0} and (row.shed, row.shed_dear) == (0.2, 0.1)
+    assert (row.shed_from, row.shed_to, row.trips) == (0.0, 0.4, 1.0)
+    assert (row.host_timeouts, row.full, row.cancelled, row.choked) == (1.0, 3.0, 4.0, 0.5)
+    assert next_row.why == {} and next_row.choked == 0.0
 
 
 TIMES_S = st.floats(10.0, 14.0)
