--- a/benchmarks/checkout_differential.py
+++ b/benchmarks/checkout_differential.py
@@ -1,7 +1,7 @@
 """Plays seeded streams of events through the decision modules of this checkout and of another one.
 
-A stream follows the actions of this checkout's module and is recorded; the recording is replayed by the other
-checkout's module in a process of its own (benchmarks/replay.py) and what comes of each event is compared.
+A stream reacts to the actions of this checkout's module and is recorded. The other checkout's module replays the
+recording in a process of its own (benchmarks/replay.py), and the results of each event are compared.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from typing import Any
 
 from benchmarks.replay import DecisionModule, encode, encode_result
-from benchmarks.streams import Stream
+from benchmarks.streams import EventStream
 
 ROOT = Path(__file__).parent.parent
 REPLAY_SCRIPT = Path(__file__).with_name("replay.py")
-REPLAY_TIMEOUT_S = 900.0  # for one process: a checkout that hangs is reported
+REPLAY_TIMEOUT_S = 900.0  # of one process; a checkout that hangs is an error
 
 
 class CheckoutError(Exception):
-    """The other checkout cannot be played; the message says why."""
+    """The other checkout cannot replay streams; the message says why."""
 
 
 @dataclass(frozen=True)
 class Difference:
-    """The first event of a stream of which the two checkouts made different things."""
+    """The first event of a stream for which the results of the two checkouts differ; `here` is this checkout's."""
 
     seed: int
     event_number: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """What came of playing some streams through both checkouts."""
+    """The differences found when some streams were played through both checkouts."""
 
     build_here: str
     build_there: str
@@ -60,23 +60,24 @@
 
 @dataclass(frozen=True)
 class Recording:
-    """A stream as JSON, and what this checkout's module made of it."""
+    """A stream as JSON, and the result of each event in this checkout's module."""
 
     stream: dict[str, Any]
     results: list[Any]
 
 
 def record_stream(seed: int, event_count: int) -> Recording:
-    stream = Stream(seed, event_count)
+    """Play a stream through this checkout's module and record it."""
+    stream = EventStream(seed, event_count)
     events, results = [], []
-    for at_us, event, result in stream.steps():
+    for at_us, event, result in stream.handle_events():
         events.append([at_us, encode(event)])
         results.append(encode_result(result))
     return Recording({"seed": seed, "settings": encode(stream.settings), "events": events}, results)
 
 
-def replay_elsewhere(checkout: Path, recordings: Sequence[Recording]) -> tuple[str, list[list[Any]]]:
-    """Play recordings through another checkout's module; its build, and the results of each recording."""
+def replay_in_checkout(checkout: Path, recordings: Sequence[Recording]) -> tuple[str, list[list[Any]]]:
+    """Replay recordings in another checkout's module; return its build and the results of each recording."""
     command = [sys.executable, "-P", "-B", str(REPLAY_SCRIPT)]
     environment = os.environ | {"PYTHONPATH": str(checkout)}
     lines = "".join(json.dumps(recording.stream) + "\n" for recording in recordings)
@@ -99,23 +100,24 @@
     return build, results
 
 
-def first_difference(recording: Recording, there: Sequence[Any]) -> Difference | None:
+def find_first_difference(recording: Recording, there: Sequence[Any]) -> Difference | None:
+    """Return the first event whose results differ; `there` are the results of the other checkout."""
     seed, events = recording.stream["seed"], recording.stream["events"]
-    for number, (_, event) in enumerate(events):
-        result_here, result_there = json.dumps(recording.results[number]), json.dumps(there[number])
+    for index, (_, event) in enumerate(events):
+        result_here, result_there = json.dumps(recording.results[index]), json.dumps(there[index])
         if result_here != result_there:
-            return Difference(seed, number, json.dumps(event), result_here, result_there)
+            return Difference(seed, index, json.dumps(event), result_here, result_there)
     return None
 
 
 def compare_streams(seeds: Sequence[int], event_count: int, checkout: Path) -> Comparison:
-    """Play these streams through both checkouts; raise CheckoutError where the other one cannot be played."""
+    """Play these streams through both checkouts; raise CheckoutError if the other one cannot replay them."""
     recordings = [record_stream(seed, event_count) for seed in seeds]
-    build_there, results = replay_elsewhere(checkout, recordings)
+    build_there, results = replay_in_checkout(checkout, recordings)
     if len(results) != len(recordings):
-        raise CheckoutError(f"{checkout}: {len(results)} of {len(recordings)} streams were played")
-    found = (first_difference(*pair) for pair in zip(recordings, results, strict=True))
-    differences = tuple(difference for difference in found if difference is not None)
+        raise CheckoutError(f"{checkout}: {len(results)} of {len(recordings)} streams were replayed")
+    differences_or_none = (find_first_difference(*pair) for pair in zip(recordings, results, strict=True))
+    differences = tuple(difference for difference in differences_or_none if difference is not None)
     return Comparison(DecisionModule().build, build_there, differences)
 
 
@@ -132,7 +134,7 @@
 
 @contextmanager
 def open_checkout(place: str) -> Iterator[Path]:
-    """The folder of another checkout, or a commit of this repository unpacked into a folder of its own."""
+    """Yield the folder of another checkout, or a temporary one with an unpacked commit of this repository."""
     if Path(place).is_dir():
         yield Path(place).resolve()
         return
--- a/tests/compiled/test_build.py
+++ b/tests/compiled/test_build.py
@@ -15,8 +15,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.differential import compare
-from benchmarks.streams import Stream, digest
+from benchmarks.differential import compare_builds
+from benchmarks.streams import EventStream, digest
 from cloverkeel.compiled import build as compiled_build
 from cloverkeel.compiled import loader
 from cloverkeel.balancing.events import ListedServer
@@ -266,8 +266,8 @@
 
 
 def test_a_stream_is_reproducible_and_its_digest_depends_on_the_seed() -> None:
-    assert digest(Stream(1, 300)) == digest(Stream(1, 300)) != digest(Stream(2, 300))
-    actions = [actions for seed in range(6) for _, actions in Stream(seed, 1000).play()]
+    assert digest(EventStream(1, 300)) == digest(EventStream(1, 300)) != digest(EventStream(2, 300))
+    actions = [actions for seed in range(6) for _, actions in EventStream(seed, 1000).describe_results()]
     for word in ("Send(", "Refuse(", "Fail(", "Cancel(", "SetTimer(", "Log(", "WatchList("):
         assert any(word in line for line in actions), word
 
@@ -277,21 +277,21 @@
         loader.read_stamp(loader.COMPILED_FOLDER)
     except loader.UnusableBuildError as error:
         pytest.skip(f"no compiled build: {error}")
-    assert compare(range(1000, 1008), 1500, workers=2) == []
+    assert compare_builds(range(1000, 1008), 1500, workers=2) == []
 
 
 LEAK_CHECK = """
-from benchmarks.streams import Stream
+from benchmarks.streams import EventStream
 def resident() -> int:
     return int(open("/proc/self/statm").read().split()[1]) * 4096
 from cloverkeel.balancing.affinity import rendezvous_rank
 for seed in range(6):
-    list(Stream(seed, 1000).play())
+    list(EventStream(seed, 1000).describe_results())
 before = resident()
 for number in range(100_000):
     rendezvous_rank(number * 0x9E3779B97F4A7C15 % 2**64, number, 1.0)
 for seed in range(6):
-    list(Stream(seed, 1000).play())
+    list(EventStream(seed, 1000).describe_results())
 print(resident() - before)
 """
 
--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -25,7 +25,7 @@
 from cloverkeel.core.ports import Endpoint
 from cloverkeel.core.list_batches import MAX_UNSPLIT_ENTRIES, MAX_GROWTH_FACTOR, BATCH_ENTRIES, ListBatches
 
-from benchmarks.streams import Stream
+from benchmarks.streams import EventStream
 from tests.sockets import Running, answers, configuration, on_loop, overhear, peer, reply, running
 
 START_US = 100_000_000
@@ -39,8 +39,8 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_incremental_ranking_and_weight_sum_match_the_complete_list(seed: int) -> None:
-    stream = Stream(seed, 1_500)
-    for event, outcome in stream.play():
+    stream = EventStream(seed, 1_500)
+    for event, outcome in stream.describe_results():
         assert not outcome.startswith("raised"), (event, outcome)
         if isinstance(event, ServerList):
             servers = stream.balancer.endpoints.by_server.values()
--- a/tests/test_checkout_differential.py
+++ b/tests/test_checkout_differential.py
@@ -1,4 +1,4 @@
-"""Streams of events through the decision modules of two checkouts: equal where they are, found where they differ."""
+"""Comparison of the decision modules of two checkouts: it finds a changed decision and reports no other change."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from benchmarks.checkout_differential import CheckoutError, compare_checkouts, compare_streams, open_checkout
 from benchmarks.differential import main
 from benchmarks.replay import DecisionModule, encode
-from benchmarks.streams import Stream
+from benchmarks.streams import EventStream
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = "cloverkeel"
@@ -20,7 +20,7 @@
 
 
 def copy_checkout(folder: Path) -> Path:
-    """A second checkout with the decision module of this one, as plain sources."""
+    """Copy the plain sources of this checkout's package into a folder, as a second checkout."""
     shutil.copytree(ROOT / PACKAGE, folder / PACKAGE, ignore=shutil.ignore_patterns("__pycache__", "_compiled"))
     return folder
 
@@ -41,7 +41,7 @@
     assert comparison.build_there == "plain"
 
 
-def test_another_text_of_a_log_line_is_no_difference(tmp_path: Path) -> None:
+def test_a_changed_log_text_is_no_difference(tmp_path: Path) -> None:
     checkout = copy_checkout(tmp_path)
     source = checkout / LOGGING_FILE
     assert 'f"circuit breaker: ' in source.read_text()
@@ -49,21 +49,21 @@
     assert compare_streams(range(4), 1_000, checkout).differences == ()
 
 
-def test_every_event_and_the_settings_are_the_same_after_encoding_and_decoding() -> None:
+def test_events_and_settings_are_equal_after_encoding_and_decoding() -> None:
     module = DecisionModule()
     for seed in range(4):
-        stream = Stream(seed, 500)
+        stream = EventStream(seed, 500)
         assert module.decode(encode(stream.settings)) == stream.settings
-        for _, event, _ in stream.steps():
+        for _, event, _ in stream.handle_events():
             assert module.decode(encode(event)) == event
 
 
-def test_a_folder_without_a_decision_module_cannot_be_compared_with(tmp_path: Path) -> None:
+def test_a_folder_without_a_decision_module_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(CheckoutError, match="none of .* is there"):
         compare_streams(range(1), 10, tmp_path)
 
 
-def test_a_place_that_is_neither_folder_nor_commit_is_reported() -> None:
+def test_a_name_that_is_neither_folder_nor_commit_is_an_error() -> None:
     with (
         pytest.raises(CheckoutError, match="expected a checkout's folder or a commit"),
         open_checkout("no-such-place"),
@@ -71,7 +71,7 @@
         pass
 
 
-def test_the_command_ends_with_1_on_a_difference_and_with_2_on_nothing_to_compare_with(
+def test_the_command_exits_with_1_on_a_difference_and_with_2_without_a_decision_module(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "empty").mkdir()
