--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -1,13 +1,14 @@
 """Replays recorded events through the decision module of whichever checkout is first on the import path.
 
-Run as a script, so that another checkout's module can be played by it: a line of JSON for each recording on standard
-input, a line with what came of each of its events on standard output. The first line says which build was loaded.
+Run as a script, so that it can load another checkout's module. Standard input has a line of JSON per recording.
+Standard output has first a line that names the loaded build, then a line per recording with the results of its
+events.
 
-A value is its class's name and the values of its fields in their order, an enumeration's member its place: so neither
-a renamed field nor a class that has moved to another module makes a difference. A class that has been renamed is
-listed in FORMER_NAMES. The text of a log line is no decision and is left out.
+A value is encoded as the name of its class and the values of its fields in order, an enumeration member as its
+position; so neither a renamed field nor a class that has moved to another module makes a difference. Renamed classes
+are listed in FORMER_NAMES. The text of a log line is not a decision and is left out.
 
-Exit code: 0 all was replayed, 2 the checkout has no decision module of a known layout.
+Exit code: 0 all recordings were replayed, 2 the checkout has no decision module of a known layout.
 """
 
 from __future__ import annotations
@@ -28,16 +29,16 @@
     "ProbesSuspended": "TrialsHeld",
     "RetryTokenGrant": "RetryRights",
     "SlowStartQuota": "ColdShare",
-}  # a class's name here -> its name in checkouts from before its renaming
+}  # name of a class in this checkout -> its name in older checkouts
 
 
 class LayoutError(Exception):
-    """The checkout's decision module is not laid out in any way that is known here."""
+    """The checkout has no decision module in any of the LAYOUTS, or lacks a class of a recording."""
 
 
 @dataclass(frozen=True)
 class Layout:
-    """Where a checkout keeps its decision module."""
+    """The modules of a checkout that contain the balancer and its data classes."""
 
     balancer_module: str
     balancer_class: str
@@ -60,7 +61,7 @@
 
 
 def encode(value: object) -> JsonValue:
-    """Make JSON of settings, an event or an action."""
+    """Encode settings, an event or an action as JSON."""
     if isinstance(value, Enum):
         return {"enum": canonical_name(type(value)), "index": list(type(value)).index(value)}
     if is_dataclass(value):
@@ -75,13 +76,14 @@
 
 
 def encode_result(result: object) -> JsonValue:
-    """Make JSON of what came of an event: the actions, or the type of the exception that was raised."""
+    """Encode the result of an event as JSON: the actions, or the type of the exception that was raised."""
     if isinstance(result, Exception):
         return {"raised": canonical_name(type(result))}
     return encode(result)
 
 
 def canonical_name(class_: type) -> str:
+    """Return the name of a class that all checkouts have in common."""
     return FORMER_NAMES.get(class_.__name__, class_.__name__)
 
 
@@ -99,7 +101,7 @@
                     self.class_by_name[canonical_name(value)] = value
 
     def decode(self, value: JsonValue) -> Any:
-        """Make this checkout's own object of what `encode` made."""
+        """Return the object of this checkout's classes for a value that `encode` returned."""
         if isinstance(value, list):
             return tuple(self.decode(item) for item in value)
         if not isinstance(value, dict):
@@ -111,13 +113,14 @@
         return self.find_class(value["class"])(*(self.decode(item) for item in value["values"]))
 
     def find_class(self, name: str) -> type:
+        """Return the class with this canonical name."""
         try:
             return self.class_by_name[name]
         except KeyError:
             raise LayoutError(f"no class {name} in {', '.join(self.layout.data_modules)}") from None
 
     def replay(self, recording: JsonValue) -> Iterator[JsonValue]:
-        """Play one recording through a balancer of its own; what came of each event, in turn."""
+        """Replay a recording in a new balancer and yield the encoded result of each event."""
         balancer = self.balancer_class(self.decode(recording["settings"]), recording["seed"])
         for at_us, encoded_event in recording["events"]:
             event = self.decode(encoded_event)
@@ -129,6 +132,7 @@
 
 
 def find_layout() -> tuple[Layout, ModuleType]:
+    """Return the first layout whose modules exist, and its balancer module."""
     for layout in LAYOUTS:
         module_names = (layout.balancer_module, *layout.data_modules)
         try:
@@ -142,6 +146,7 @@
 
 
 def main() -> int:
+    """Replay the recordings of standard input and return the exit code."""
     try:
         module = DecisionModule()
         print(json.dumps(module.build), flush=True)
