--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -480,11 +480,11 @@
 
 def part_duties(size: int, seconds: float) -> Costs:
     """COLDS hosts are cold, each in reach of three gateways: leases and reports, of all gateways together."""
-    from benchmarks.duties import cost
+    from benchmarks.duties import measure_traffic
 
-    span_s, warm_s = 5, 5  # the second is cost's own: it does not count datagrams then
+    span_s, warm_s = 5, 5  # the second is measure_traffic's own: it does not count datagrams then
     cpu = time.process_time()
-    datagrams, size_bytes = cost(size, COLDS, span_s)
+    datagrams, size_bytes = measure_traffic(size, COLDS, span_s)
     spent = (time.process_time() - cpu) * 1e3
     return {
         "duties_datagrams_per_s": datagrams * size, "duties_bytes_per_s": size_bytes * size,
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,4 +1,4 @@
-"""Duties by lease, measured: never two under drawn schedules of faults, time without a holder, and what it costs.
+"""Measures leased roles of real gateways: mutual exclusion under random faults, time without a holder, and traffic.
 
     .venv-dev/bin/python -m benchmarks.duties schedules [--count 300] [--first 1] [--workers 6] [--json FILE]
         [--store peers|ephemeral]
@@ -6,12 +6,15 @@
     .venv-dev/bin/python -m benchmarks.duties quiet [--minutes 10]
     .venv-dev/bin/python -m benchmarks.duties cost
 
-`schedules`: five to nine real gateways each, three duties; stalls, kills, cuts, datagram faults and clocks drawn by a
-seed, judged by what a party outside saw; one that fails is printed with its time line, and plays again with --first.
-`gaps`: from the last act of a holder that is killed, stopped, cut off or handed on to the first of the next one.
-`quiet`: nothing is wrong, and nothing changes. `cost`: datagrams by fleet, of the pure parts on a simulated clock.
+`schedules`: five to nine real gateways and three leased roles each. A seed draws stalls, kills, partitions, datagram
+faults and clock errors; the acts that an outside observer received are checked. A schedule with a violation is
+printed with its timeline, and can be played again with --first.
+`gaps`: the time from the last act of a holder that is killed, stalled, partitioned or terminated, or that hands the
+lease over, to the first act of the next holder.
+`quiet`: without faults the lease must not change hands.
+`cost`: datagrams and bytes by size of the fleet, measured on the pure modules with a simulated clock.
 
-Exit code 0: nothing was found; 1 otherwise.
+Exit code 0: no violation was found; 1 otherwise.
 """
 
 from __future__ import annotations
@@ -44,183 +47,192 @@
 from tests.fleet.ground import Ground, ground
 
 LEASE_MS = 600
-FAULTS = 8  # in one schedule
-SERVICE = ("no-leader", "service-down", "expire", "sever", "lost-answers")  # faults of the coordination service
-KINDS = ("stop", "stop", "kill", "kill", "cut", "cut", "one-way", "halves", "lossy", "restart-all", "hand")
+FAULTS_PER_SCHEDULE = 8
+SERVICE_FAULT_KINDS = ("no-leader", "service-down", "expire", "sever", "lost-answers")  # of the coordination service
+FAULT_KINDS = ("stop", "stop", "kill", "kill", "cut", "cut", "one-way", "halves", "lossy", "restart-all", "hand")
 
 
 @dataclass
-class Played:
-    """What came of one schedule."""
+class ScheduleResult:
+    """The outcome of one schedule of faults."""
 
     seed: int
-    wrong: list[str] = field(default_factory=list)
-    holders: int = 0  # epochs that were seen
-    acts: int = 0
+    violations: list[str] = field(default_factory=list)
+    holder_count: int = 0  # different fencing tokens that acted
+    act_count: int = 0
     faults: list[str] = field(default_factory=list)
     timeline: str = ""
 
 
-async def one_fault(fleet: Ground, dice: random.Random, kind: str) -> None:
+async def inject_fault(fleet: Ground, rng: random.Random, kind: str) -> None:
+    """Inject a fault of this kind, mostly at the lease holder, and end it."""
     numbers = list(range(fleet.count))
     act = fleet.mesh.watcher.last_act_of(fleet.duty)
-    holder = act.gateway if act is not None and act.gateway < fleet.count else dice.choice(numbers)
-    chosen = holder if dice.random() < 0.6 else dice.choice(numbers)
+    holder = act.gateway if act is not None and act.gateway < fleet.count else rng.choice(numbers)
+    target = holder if rng.random() < 0.6 else rng.choice(numbers)
     if kind == "stop":
-        few = [chosen] if dice.random() < 0.6 else dice.sample(numbers, dice.randint(1, fleet.count - 1))
-        fleet.stop(*few)
-        share = dice.choice((0.1, 0.9, 1.01, 1.3, dice.uniform(0.1, 5.0)))
-        await asyncio.sleep(share * fleet.lease_s)
-        fleet.wake(*few)
+        targets = [target] if rng.random() < 0.6 else rng.sample(numbers, rng.randint(1, fleet.count - 1))
+        fleet.stop(*targets)
+        fraction = rng.choice((0.1, 0.9, 1.01, 1.3, rng.uniform(0.1, 5.0)))
+        await asyncio.sleep(fraction * fleet.lease_s)
+        fleet.wake(*targets)
     elif kind in ("kill", "restart-all"):
-        few = numbers if kind == "restart-all" else dice.sample(numbers, dice.randint(1, 3))
-        await fleet.kill(*few)
-        await asyncio.sleep(dice.choice((0.0, 0.0, dice.uniform(0, 1.5))))
-        fleet.start(*few)
+        targets = numbers if kind == "restart-all" else rng.sample(numbers, rng.randint(1, 3))
+        await fleet.kill(*targets)
+        await asyncio.sleep(rng.choice((0.0, 0.0, rng.uniform(0, 1.5))))
+        fleet.start(*targets)
     elif kind in ("cut", "one-way"):
-        fleet.cut([chosen], [n for n in numbers if n != chosen], one_way=kind == "one-way")
-        await asyncio.sleep(dice.uniform(0.2, 2.5))
+        fleet.cut([target], [n for n in numbers if n != target], one_way=kind == "one-way")
+        await asyncio.sleep(rng.uniform(0.2, 2.5))
         fleet.heal()
     elif kind == "halves":
-        half = dice.sample(numbers, fleet.count // 2)
-        rest = [n for n in numbers if n not in half]
-        if dice.random() < 0.5:
-            rest = rest[1:]  # one that hears both
-        fleet.cut(half, rest)
-        await asyncio.sleep(dice.uniform(0.3, 2.5))
+        first_part = rng.sample(numbers, fleet.count // 2)
+        second_part = [n for n in numbers if n not in first_part]
+        if rng.random() < 0.5:
+            second_part = second_part[1:]  # one gateway still reaches both parts
+        fleet.cut(first_part, second_part)
+        await asyncio.sleep(rng.uniform(0.3, 2.5))
         fleet.heal()
     elif kind == "lossy":
         fleet.note("lossy")
         fleet.mesh.set_conditions(
             LinkConditions(
-                jitter_us=dice.randrange(100_000), loss=dice.choice((0.05, 0.3)), duplicate=0.2, delayed=0.1,
-                extra_delay_us=dice.randrange(5_000_000), truncated=0.02, corrupted=0.02,
+                jitter_us=rng.randrange(100_000), loss=rng.choice((0.05, 0.3)), duplicate=0.2, delayed=0.1,
+                extra_delay_us=rng.randrange(5_000_000), truncated=0.02, corrupted=0.02,
             )
         )  # fmt: skip
-        await asyncio.sleep(dice.uniform(0.3, 2.0))
-        if dice.random() < 0.5:
+        await asyncio.sleep(rng.uniform(0.3, 2.0))
+        if rng.random() < 0.5:
             fleet.mesh.set_conditions(LinkConditions())
-    elif kind in SERVICE:
-        await service_fault(fleet, dice, kind)
+    elif kind in SERVICE_FAULT_KINDS:
+        await inject_service_fault(fleet, rng, kind)
     else:
-        said = await fleet.call(chosen, "DUTIES")
-        if said.startswith("ACK {"):
-            for duty in json.loads(said[4:])["duties"]:
-                await fleet.call(chosen, f"HANDON {duty['duty']}")
+        response = await fleet.call(target, "DUTIES")
+        if response.startswith("ACK {"):
+            for lease in json.loads(response[4:])["duties"]:
+                await fleet.call(target, f"HANDON {lease['duty']}")
 
 
-async def service_fault(fleet: Ground, dice: random.Random, kind: str) -> None:
-    keeper = fleet.keeper
-    assert keeper is not None
-    ensemble, run = keeper.ensemble, asyncio.get_running_loop().run_in_executor
+async def inject_service_fault(fleet: Ground, rng: random.Random, kind: str) -> None:
+    """Inject a fault of the coordination service or of some of its sessions."""
+    threaded_ensemble = fleet.keeper
+    assert threaded_ensemble is not None
+    ensemble, run_in_executor = threaded_ensemble.ensemble, asyncio.get_running_loop().run_in_executor
     fleet.note(kind)
 
-    def some() -> None:
-        for session in dice.sample(sorted(ensemble.sessions), min(2, len(ensemble.sessions))):
+    def affect_sessions() -> None:
+        for session in rng.sample(sorted(ensemble.sessions), min(2, len(ensemble.sessions))):
             if kind == "expire":
                 ensemble.expire(session)
             elif kind == "sever":
-                ensemble.disrupt_session(session, dice.choice(("reset", "in", "out", "both")))
+                ensemble.disrupt_session(session, rng.choice(("reset", "in", "out", "both")))
             else:
                 ensemble.sessions[session].lose_next_reply = True
 
     if kind == "no-leader":
-        await run(None, keeper.call, lambda: ensemble.lose_leader(dice.uniform(0.2, 2.0)))
+        await run_in_executor(None, threaded_ensemble.call, lambda: ensemble.lose_leader(rng.uniform(0.2, 2.0)))
     elif kind == "service-down":
-        await run(None, keeper.call, ensemble.stop)
-        await asyncio.sleep(dice.uniform(0.2, 2.0))
-        await run(None, keeper.call, ensemble.restart)
+        await run_in_executor(None, threaded_ensemble.call, ensemble.stop)
+        await asyncio.sleep(rng.uniform(0.2, 2.0))
+        await run_in_executor(None, threaded_ensemble.call, ensemble.restart)
     else:
         if kind == "expire":
             fleet.expiries.append(now_us())
-        await run(None, keeper.call, some)
+        await run_in_executor(None, threaded_ensemble.call, affect_sessions)
 
 
-async def schedule(
+async def play_schedule(
     seed: int, folder: Path, store: str, before_start: Callable[[Ground], None] = lambda fleet: None
-) -> Played:
-    """Play the faults that a seed draws; `before_start` may change the gateways before their processes start."""
-    dice = random.Random(f"duties/{seed}")
-    count, played = dice.randint(5, 9), Played(seed)
-    voters = dice.choice((3, 5))
-    keeper = ThreadedEnsemble(servers=3, timeouts_ms=(200, 40_000)) if store == "ephemeral" else None
-    kinds = KINDS + SERVICE if keeper is not None else KINDS
+) -> ScheduleResult:
+    """Inject the faults that a seed draws; `before_start` may change the gateways before their processes start."""
+    rng = random.Random(f"duties/{seed}")
+    count, result = rng.randint(5, 9), ScheduleResult(seed)
+    voters = rng.choice((3, 5))
+    threaded_ensemble = ThreadedEnsemble(servers=3, timeouts_ms=(200, 40_000)) if store == "ephemeral" else None
+    kinds = FAULT_KINDS + SERVICE_FAULT_KINDS if threaded_ensemble is not None else FAULT_KINDS
     async with ground(
-        folder, count=count, voters=voters, lease_ms=LEASE_MS, begin=False, keeper=keeper, colds=3
+        folder, count=count, voters=voters, lease_ms=LEASE_MS, begin=False, keeper=threaded_ensemble, colds=3
     ) as fleet:  # fmt: skip
         for gateway in fleet.gateways:
-            word = dice.choice(("", "", "rate=0.999", "rate=1.001", f"wall={dice.uniform(-3600, 3600):.0f}"))
-            if word:
-                gateway.command = (sys.executable, "-m", "tests.fleet.clocks", word, *gateway.command[2:])
+            clock_argument = rng.choice(("", "", "rate=0.999", "rate=1.001", f"wall={rng.uniform(-3600, 3600):.0f}"))
+            if clock_argument:
+                gateway.command = (sys.executable, "-m", "tests.fleet.clocks", clock_argument, *gateway.command[2:])
         before_start(fleet)
         fleet.start(*range(count))
         await fleet.ready(*range(count))
         await fleet.holder()
-        for _ in range(FAULTS):
-            kind = dice.choice(kinds)
-            played.faults.append(kind)
-            await one_fault(fleet, dice, kind)
-            await asyncio.sleep(dice.choice((0.0, 0.1, dice.uniform(0, 1.0))))
+        for _ in range(FAULTS_PER_SCHEDULE):
+            kind = rng.choice(kinds)
+            result.faults.append(kind)
+            await inject_fault(fleet, rng, kind)
+            await asyncio.sleep(rng.choice((0.0, 0.1, rng.uniform(0, 1.0))))
         fleet.mesh.set_conditions(LinkConditions())
         fleet.heal()
         await fleet.ready(*range(count))
         try:
             await fleet.holder(after_us=now_us(), within_s=30.0)
         except AssertionError as error:
-            played.wrong.append(f"nobody holds after all is healed: {error}")
-        found = fleet.judged()
-        played.wrong += [f"{wrong.what}: {wrong.act} after {wrong.earlier}" for wrong in found]
-        played.wrong += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
-        played.holders, played.acts = len({(act.role, act.fencing_token) for act in fleet.acts}), len(fleet.acts)
-        if played.wrong:
-            played.timeline = fleet.timeline()
-    if keeper is not None:
-        keeper.close()
-    return played
-
-
-GAPS = ("kill", "stall", "cut", "hand-over", "planned end")
-
-
-async def gap(kind: str, seed: int, folder: Path) -> float:
-    """Seconds without a holder."""
+            result.violations.append(f"no gateway holds the lease after all faults have ended: {error}")
+        violations = fleet.judged()
+        result.violations += [
+            f"{violation.what}: {violation.act} after {violation.earlier}" for violation in violations
+        ]
+        result.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
+        result.holder_count, result.act_count = (
+            len({(act.role, act.fencing_token) for act in fleet.acts}),
+            len(fleet.acts),
+        )
+        if result.violations:
+            result.timeline = fleet.timeline()
+    if threaded_ensemble is not None:
+        threaded_ensemble.close()
+    return result
+
+
+GAP_CAUSES = ("kill", "stall", "cut", "hand-over", "planned end")
+
+
+async def measure_gap(cause: str, seed: int, folder: Path) -> float:
+    """Return the time without a holder, in seconds, after this cause."""
     async with ground(folder, count=5, voters=5, lease_ms=1_000) as fleet:
         await asyncio.sleep(0.5 + random.Random(seed).random())
-        held = await fleet.holder()
-        if kind == "kill":
-            await fleet.kill(held.gateway)
-        elif kind == "stall":
-            fleet.stop(held.gateway)
-        elif kind == "cut":
-            fleet.cut([held.gateway], [n for n in range(fleet.count) if n != held.gateway])
-        elif kind == "planned end":
+        previous_act = await fleet.holder()
+        if cause == "kill":
+            await fleet.kill(previous_act.gateway)
+        elif cause == "stall":
+            fleet.stop(previous_act.gateway)
+        elif cause == "cut":
+            fleet.cut([previous_act.gateway], [n for n in range(fleet.count) if n != previous_act.gateway])
+        elif cause == "planned end":
             import signal
 
-            fleet.signal(held.gateway, signal.SIGTERM)
+            fleet.signal(previous_act.gateway, signal.SIGTERM)
         else:
-            (duty,) = [d["duty"] for d in (await fleet.shown(held.gateway))["duties"]]
-            assert (await fleet.call(held.gateway, f"HANDON {duty}")).startswith("ACK")
-        after = await fleet.holder(but=held.gateway)
-        last = max(act.at_us for act in fleet.acts if act.fencing_token == held.fencing_token)
+            (lease_name,) = [lease["duty"] for lease in (await fleet.shown(previous_act.gateway))["duties"]]
+            assert (await fleet.call(previous_act.gateway, f"HANDON {lease_name}")).startswith("ACK")
+        next_act = await fleet.holder(but=previous_act.gateway)
+        last_us = max(act.at_us for act in fleet.acts if act.fencing_token == previous_act.fencing_token)
         assert not fleet.judged()
-        if kind == "stall":
-            fleet.wake(held.gateway)
-        first = min(act.at_us for act in fleet.acts if act.fencing_token == after.fencing_token)
-        return (first - last) / 1e6
+        if cause == "stall":
+            fleet.wake(previous_act.gateway)
+        first_us = min(act.at_us for act in fleet.acts if act.fencing_token == next_act.fencing_token)
+        return (first_us - last_us) / 1e6
 
 
-def run_schedule(seed: int, store: str) -> Played:
+def run_schedule(seed: int, store: str) -> ScheduleResult:
+    """Play a schedule in a worker process."""
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(schedule(seed, Path(folder), store))
+        return runner.run(play_schedule(seed, Path(folder), store))
 
 
-def run_gap(kind: str, seed: int) -> float:
+def run_gap(cause: str, seed: int) -> float:
+    """Measure a gap in a worker process."""
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(gap(kind, seed, Path(folder)))
+        return runner.run(measure_gap(cause, seed, Path(folder)))
 
 
-async def stay_quiet(minutes: float, folder: Path) -> int:
-    """How many epochs were seen while nothing was wrong."""
+async def count_tokens_without_faults(minutes: float, folder: Path) -> int:
+    """Return the number of fencing tokens that acted while there was no fault."""
     async with ground(folder, count=5, voters=5, lease_ms=3_000) as fleet:
         await fleet.holder()
         await asyncio.sleep(10.0)
@@ -231,44 +243,55 @@
         return len({act.fencing_token for act in fleet.acts[first:]})
 
 
-def cost(gateways: int, colds: int, seconds: int = 20) -> tuple[float, float]:
-    """Datagrams and bytes a second for each gateway: each cold host is in reach of three in `gateways` or so."""
-    dice, terms, at_us = random.Random(1), LeaseConfig(min(5, gateways), 3_000_000), REFERENCE_TIME_US + 10**12
+def measure_traffic(gateways: int, warming_host_count: int, seconds: int = 20) -> tuple[float, float]:
+    """Return datagrams and bytes per second and gateway; each warming host is listed by at most three gateways."""
+    rng, config, at_us = random.Random(1), LeaseConfig(min(5, gateways), 3_000_000), REFERENCE_TIME_US + 10**12
     managers: list[LeaseManager] = []
-    works: list[SlowStartBudgets] = []
+    budgets: list[SlowStartBudgets] = []
     for number in range(gateways):
-        counter = BallotClock(number, number)
-        work = SlowStartBudgets(lambda *told: None)
-        made = LeaseManager(ProcessId(number, number), gateways, terms, lambda line: None, dice.random, counter)
-        if number < terms.voters:
-            made.acceptor = Acceptor(at_us - 10**7, terms, counter)
-        managers.append(made)
-        works.append(work)
-    users = [dice.sample(range(gateways), min(gateways, 3)) for _ in range(colds)]
-    sent = size = 0
-    warm = 5
-    for step in range((seconds + warm) * 20):
+        ballot_clock = BallotClock(number, number)
+        budget = SlowStartBudgets(lambda *arguments: None)
+        manager = LeaseManager(
+            ProcessId(number, number), gateways, config, lambda line: None, rng.random, ballot_clock
+        )
+        if number < config.voters:
+            manager.acceptor = Acceptor(at_us - 10**7, config, ballot_clock)
+        managers.append(manager)
+        budgets.append(budget)
+    gateways_by_host = [rng.sample(range(gateways), min(gateways, 3)) for _ in range(warming_host_count)]
+    datagram_count = byte_count = 0
+    warm_up_s = 5
+    for step_index in range((seconds + warm_up_s) * 20):
         at_us += 50_000
-        for number, made in enumerate(managers):
-            if step % 2 == 0:
-                needs = [(h, 1, dice.random() < 0.5, dice.random() < 0.5) for h in range(colds) if number in users[h]]
-                works[number].update(at_us, needs, made)
-            made.tick(at_us)
-        while any(made.outbox.messages for made in managers):
-            for made in managers:
-                for mail in made.outbox.take_messages():
-                    if mail.to != made.process.gateway and step >= warm * 20:
-                        sent, size = sent + 1, size + len(encode(made.header(), mail.message))
-                    managers[mail.to].receive(at_us, made.header(), mail.message)
-    return sent / seconds / gateways, size / seconds / gateways
-
-
-def quantile(values: Sequence[float], share: float) -> float:
+        for number, manager in enumerate(managers):
+            if step_index % 2 == 0:
+                demands = [
+                    (h, 1, rng.random() < 0.5, rng.random() < 0.5)
+                    for h in range(warming_host_count)
+                    if number in gateways_by_host[h]
+                ]
+                budgets[number].update(at_us, demands, manager)
+            manager.tick(at_us)
+        while any(manager.outbox.messages for manager in managers):
+            for manager in managers:
+                for item in manager.outbox.take_messages():
+                    if item.to != manager.process.gateway and step_index >= warm_up_s * 20:
+                        datagram_count, byte_count = (
+                            datagram_count + 1,
+                            byte_count + len(encode(manager.header(), item.message)),
+                        )
+                    managers[item.to].receive(at_us, manager.header(), item.message)
+    return datagram_count / seconds / gateways, byte_count / seconds / gateways
+
+
+def quantile(values: Sequence[float], fraction: float) -> float:
+    """Return the value below which this fraction of the values lies."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def main() -> int:
+    """Run the chosen measurement and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("what", choices=("schedules", "gaps", "quiet", "cost"))
     parser.add_argument("--count", type=int, default=300)
@@ -280,37 +303,46 @@
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
     if options.what == "cost":
-        for gateways, colds in ((5, 3), (40, 20), (200, 100)):
-            rate, size = cost(gateways, colds)
-            print(f"{gateways} gateways, {colds} cold hosts: {rate:.1f} datagrams, {size:.0f} bytes a second each")
+        for gateways, warming_host_count in ((5, 3), (40, 20), (200, 100)):
+            rate, byte_count = measure_traffic(gateways, warming_host_count)
+            print(
+                f"{gateways} gateways, {warming_host_count} warming hosts: "
+                f"{rate:.1f} datagrams, {byte_count:.0f} bytes per second and gateway"
+            )
         return 0
     if options.what == "quiet":
         with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            epochs = runner.run(stay_quiet(options.minutes, Path(folder)))
-        print(f"{epochs} epoch in {options.minutes:g} minutes with nothing wrong")
-        return int(epochs != 1)
+            token_count = runner.run(count_tokens_without_faults(options.minutes, Path(folder)))
+        print(f"{token_count} fencing tokens in {options.minutes:g} minutes without faults")
+        return int(token_count != 1)
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(options.workers, context) as pool:
         if options.what == "gaps":
-            asked = {kind: [pool.submit(run_gap, kind, n) for n in range(options.each)] for kind in GAPS}
-            found = {kind: [future.result() for future in of] for kind, of in asked.items()}
-            for kind, values in found.items():
-                print(f"{kind}: {quantile(values, 0.5):.2f} s in the median, {quantile(values, 0.99):.2f} at p99, "
-                      f"{max(values):.2f} at the most, lease 1 s, {len(values)} times")  # fmt: skip
+            futures_by_cause = {
+                kind: [pool.submit(run_gap, kind, n) for n in range(options.each)] for kind in GAP_CAUSES
+            }
+            gaps_by_cause = {
+                kind: [future.result() for future in futures] for kind, futures in futures_by_cause.items()
+            }
+            for kind, values in gaps_by_cause.items():
+                print(f"{kind}: median {quantile(values, 0.5):.2f} s, p99 {quantile(values, 0.99):.2f} s, "
+                      f"maximum {max(values):.2f} s, lease 1 s, {len(values)} runs")  # fmt: skip
             if options.json is not None:
-                options.json.write_text(json.dumps(found) + "\n")
+                options.json.write_text(json.dumps(gaps_by_cause) + "\n")
             return 0
         seeds = range(options.first, options.first + options.count)
-        plays = list(pool.map(run_schedule, seeds, [options.store] * options.count))
-    wrong = [played for played in plays if played.wrong]
-    for played in wrong:
-        print(f"seed {played.seed}: {played.wrong[:3]}\n{played.timeline}")
-    holders, acts = sum(p.holders for p in plays), sum(p.acts for p in plays)
-    print(f"{len(plays) - len(wrong)} of {len(plays)} schedules: never two; {holders} holders, {acts} acts, "
-          f"{len(plays) * FAULTS} faults")  # fmt: skip
+        results = list(pool.map(run_schedule, seeds, [options.store] * options.count))
+    failed_results = [result for result in results if result.violations]
+    for result in failed_results:
+        print(f"seed {result.seed}: {result.violations[:3]}\n{result.timeline}")
+    holders, acts = sum(p.holder_count for p in results), sum(p.act_count for p in results)
+    print(f"{len(results) - len(failed_results)} of {len(results)} schedules without a violation; "
+          f"{holders} holders, {acts} acts, {len(results) * FAULTS_PER_SCHEDULE} faults")  # fmt: skip
     if options.json is not None:
-        options.json.write_text(json.dumps([{"seed": p.seed, "wrong": p.wrong, "holders": p.holders} for p in plays]))
-    return 1 if wrong else 0
+        options.json.write_text(
+            json.dumps([{"seed": p.seed, "wrong": p.violations, "holders": p.holder_count} for p in results])
+        )
+    return 1 if failed_results else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -32,7 +32,7 @@
 import uvloop
 
 from benchmarks.checkout_differential import CheckoutError, open_checkout
-from benchmarks.duties import schedule
+from benchmarks.duties import play_schedule
 from cloverkeel.balancing.retry_budget import ERROR_RETRY_COST, RETRY_RATIO
 from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
 from standins.checker import Checker
@@ -106,9 +106,9 @@
     def mix_fleet(fleet: Ground) -> None:
         mix_checkouts(fleet.gateways, seed, other)
 
-    played = await schedule(seed, folder, "peers", mix_fleet)
-    figures = f"{played.holders} holders, {played.acts} acts, faults {' '.join(played.faults)}"
-    return PlayReport("leases", played.wrong, figures, played.timeline)
+    result = await play_schedule(seed, folder, "peers", mix_fleet)
+    figures = f"{result.holder_count} holders, {result.act_count} acts, faults {' '.join(result.faults)}"
+    return PlayReport("leases", result.violations, figures, result.timeline)
 
 
 async def play_gossip(seed: int, folder: Path, other: Path) -> PlayReport:
