--- a/benchmarks/keeper_waves.py
+++ b/benchmarks/keeper_waves.py
@@ -1,9 +1,12 @@
-"""Waves of restarts while the coordination service is unreachable: is any gateway empty, does any hammer?
+"""Restarts gateways in waves during an outage of the coordination service, and measures readiness and reconnects.
 
     .venv-dev/bin/python -m benchmarks.keeper_waves [--waves 10] [--gateways 11] [--boxes 12]
 
-91% of the gateways restart in each wave, every other wave by SIGKILL. Printed: starts, how many of them became ready
-(a gateway without a box never does), the share served, connects a second to the service, and the herd at its return.
+91% of the gateways restart in each wave, every other wave by SIGKILL. Printed: the number of starts, how many
+gateways became ready (one with an empty list never does), the share of requests served, the rate of connects to the
+service, and the connects in each of the first five seconds after its return.
+
+Exit code 1: a violation was found, or a started gateway did not become ready.
 """
 
 from __future__ import annotations
@@ -22,37 +25,43 @@
 from standins.parties.network import TcpLink
 from standins.playing.scenario import Scenario, Fault
 
-SHARE, OVER_S, EVERY_S, BACK_S = 0.91, 6.0, 8.0, 6.0
+RESTART_SHARE, WAVE_DURATION_S, WAVE_INTERVAL_S, RECOVERY_S = 0.91, 6.0, 8.0, 6.0
 
 
 async def run(options: argparse.Namespace, folder: Path) -> tuple[ZooKeeperEnvironment, int, int]:
-    down_s = options.waves * EVERY_S
-    troubles = [Fault(2.0, "keeper_down", {"for": down_s})] + [
-        Fault(3.0 + n * EVERY_S, "wave", {"share": SHARE, "over": OVER_S, "at_once": 0.29, "kill": bool(n % 2)})
+    """Run the scenario; return the environment and the start and end of the outage, in microseconds."""
+    down_s = options.waves * WAVE_INTERVAL_S
+    faults = [Fault(2.0, "keeper_down", {"for": down_s})] + [
+        Fault(
+            3.0 + n * WAVE_INTERVAL_S,
+            "wave",
+            {"share": RESTART_SHARE, "over": WAVE_DURATION_S, "at_once": 0.29, "kill": bool(n % 2)},
+        )
         for n in range(options.waves)
     ]
-    seconds = 2.0 + down_s + BACK_S
+    seconds = 2.0 + down_s + RECOVERY_S
     scenario = Scenario(
         "waves", "restarts without the service", seconds, options.boxes, options.gateways, load=0.15,
-        membership="ephemeral", faults=tuple(troubles),
+        membership="ephemeral", faults=tuple(faults),
     )  # fmt: skip
-    world = ZooKeeperEnvironment(scenario, options.seed, seconds, folder)
-    moments = dict[str, int]()
+    environment = ZooKeeperEnvironment(scenario, options.seed, seconds, folder)
+    outage_times_us = dict[str, int]()
 
-    async def watch() -> None:
-        while world.ensemble.has_leader:
+    async def record_outage() -> None:
+        while environment.ensemble.has_leader:
             await asyncio.sleep(0.01)
-        moments["down"] = now_us()
-        while not world.ensemble.has_leader:
+        outage_times_us["down"] = now_us()
+        while not environment.ensemble.has_leader:
             await asyncio.sleep(0.01)
-        moments["back"] = now_us()
+        outage_times_us["back"] = now_us()
 
-    world.spawn(watch())
-    await world.run()
-    return world, moments["down"], moments["back"]
+    environment.spawn(record_outage())
+    await environment.run()
+    return environment, outage_times_us["down"], outage_times_us["back"]
 
 
 def main() -> int:
+    """Run the waves, print the figures and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--waves", type=int, default=10)
     parser.add_argument("--gateways", type=int, default=11)
@@ -60,29 +69,42 @@
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        world, down_us, back_us = runner.run(run(options, Path(folder)))
-    during = [p for p in world.event_log.events_of(ProcessEvent) if down_us < p.at_us < back_us]
-    starts = sum(p.what == "start" for p in during)
-    ready = sum(p.what == "ready" for p in during)
-    asked = [a.id for a in world.event_log.events_of(RequestSent) if down_us < a.at_us < back_us]
-    served = {a.id for a in world.event_log.events_of(ResponseReceived) if a.status == 200}
-    came = sorted(at for k in world.network.links if isinstance(k, TcpLink) and k.far.startswith("keeper")
-                  for at in k.connection_times_us)  # fmt: skip
-    by_second = Counter((at - down_us) // 1_000_000 for at in came if down_us < at < back_us)
-    herd = Counter((at - back_us) // 1_000_000 for at in came if back_us <= at < back_us + 5_000_000)
-    share = sum(id_ in served for id_ in asked) / max(1, len(asked))
-    print(f"{options.waves} waves, {starts} starts, {ready} ready, {starts - ready} empty; {share:.2%} served")
-    each_s = sum(by_second.values()) / ((back_us - down_us) / 1e6)
+        environment, down_us, back_us = runner.run(run(options, Path(folder)))
+    process_events = [
+        event for event in environment.event_log.events_of(ProcessEvent) if down_us < event.at_us < back_us
+    ]
+    start_count = sum(event.what == "start" for event in process_events)
+    ready_count = sum(event.what == "ready" for event in process_events)
+    request_ids = [
+        event.id for event in environment.event_log.events_of(RequestSent) if down_us < event.at_us < back_us
+    ]
+    served_ids = {event.id for event in environment.event_log.events_of(ResponseReceived) if event.status == 200}
+    connect_times_us = sorted(
+        at for link in environment.network.links if isinstance(link, TcpLink) and link.far.startswith("keeper")
+        for at in link.connection_times_us
+    )  # fmt: skip
+    connects_by_second = Counter((at - down_us) // 1_000_000 for at in connect_times_us if down_us < at < back_us)
+    reconnects_by_second = Counter(
+        (at - back_us) // 1_000_000 for at in connect_times_us if back_us <= at < back_us + 5_000_000
+    )
+    served_share = sum(request_id in served_ids for request_id in request_ids) / max(1, len(request_ids))
+    print(
+        f"{options.waves} waves, {start_count} starts, {ready_count} ready, "
+        f"{start_count - ready_count} with an empty list; "
+        f"{served_share:.2%} of requests served"
+    )
+    connects_per_s = sum(connects_by_second.values()) / ((back_us - down_us) / 1e6)
     print(
-        f"connects to the service: {each_s:.1f} a second, {max(by_second.values(), default=0)} at most in one, "
+        f"connects to the service: {connects_per_s:.1f} per second, "
+        f"at most {max(connects_by_second.values(), default=0)} in one second, "
         f"by {options.gateways} gateways"
     )
-    print(f"at its return, by second: {[herd[n] for n in range(5)]}")
-    breaches = find_violations(world.event_log)
-    print(f"{len(breaches)} breaches")
-    for breach in breaches[:3]:
-        print(breach)
-    return 1 if breaches or starts != ready else 0
+    print(f"connects after its return, by second: {[reconnects_by_second[n] for n in range(5)]}")
+    violations = find_violations(environment.event_log)
+    print(f"{len(violations)} violations")
+    for violation in violations[:3]:
+        print(violation)
+    return 1 if violations or start_count != ready_count else 0
 
 
 if __name__ == "__main__":
