--- a/benchmarks/overload/play.py
+++ b/benchmarks/overload/play.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from benchmarks.fleet_logs import MARK, Second, check
+from benchmarks.fleet_logs import LINE_MARKER, FleetSecond, validate_line
 from benchmarks.overload.account import (
     Account,
     Finding,
@@ -218,20 +218,21 @@
     for path in sorted(folder.glob("*.log")):
         trips = 0  # since the last line of figures
         for line in path.read_text(errors="replace").splitlines():
-            _, marked, text = line.partition(MARK)
+            _, marked, text = line.partition(LINE_MARKER)
             trips += "circuit breaker: opened, " in line
             if not marked:
                 continue
             said = json.loads(text)
-            check(said)
-            second = Second()
-            second.add(said)
+            validate_line(said)
+            second = FleetSecond()
+            second.add_line(said)
             timeouts, full, cancelled = (
-                sum(figures[place] for figures in second.hosts.values()) for place in (TIMEOUTS, FULL, CANCELLED)
+                sum(figures[place] for figures in second.row_by_host.values())
+                for place in (TIMEOUTS, FULL, CANCELLED)
             )
             shed = (float(said["shed"][0]), float(said["shed"][1]))
             at_us = int(said["ms"]) * 1000 - 500_000
-            yield Told(at_us, dict(second.why), shed, timeouts, full, cancelled, trips)
+            yield Told(at_us, dict(second.rejections_by_reason), shed, timeouts, full, cancelled, trips)
             trips = 0
 
 
--- a/tests/golden/core.py
+++ b/tests/golden/core.py
@@ -6,7 +6,7 @@
 import io
 from typing import Final
 
-from benchmarks.fleet_logs import Count, Second
+from benchmarks.fleet_logs import FleetMetrics, FleetSecond
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.core.log import log_if_read
 from cloverkeel.core.metrics import COLUMN_BY_OUTCOME, MAX_HOSTS_PER_LINE, GatewayMetrics
@@ -61,17 +61,17 @@
     return errors.getvalue().encode()
 
 
-def _read(data: bytes) -> dict[int, Second]:
+def _read(data: bytes) -> dict[int, FleetSecond]:
     """Parse a line as the command that sums the logs of a fleet does."""
-    count = Count()
-    count.read([data.decode()])
-    assert not count.unread
-    return dict(count.seconds)
+    fleet_metrics = FleetMetrics()
+    fleet_metrics.read_lines([data.decode()])
+    assert not fleet_metrics.unreadable_line_count
+    return dict(fleet_metrics.figures_by_second)
 
 
-def _second(metrics: GatewayMetrics) -> dict[int, Second]:
-    second = Second()
-    second.add({
+def _second(metrics: GatewayMetrics) -> dict[int, FleetSecond]:
+    second = FleetSecond()
+    second.add_line({
         "asked": metrics.received_by_class, "refused": metrics.rejected_by_class,
         "why": metrics.rejections_by_reason, "failed": metrics.failed_by_class,
         "shed": [0.13, 0.5], "opened": 5, "lines": 6, "door": metrics.unserved_by_reason,
--- a/tests/gossip/test_commands.py
+++ b/tests/gossip/test_commands.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from benchmarks.fleet_logs import Count, table
+from benchmarks.fleet_logs import FleetMetrics, format_table
 from cloverkeel.cli.command_line import main as run_program
 from cloverkeel.assembly import assemble
 from cloverkeel.core.clock import now_us
@@ -99,19 +99,21 @@
 
 
 def test_gossip_figures_of_metrics_lines_are_added_up() -> None:
-    count = Count()
+    fleet_metrics = FleetMetrics()
     for suspected in (1, 2):
         metrics = GatewayMetrics(1)
         metrics.received_by_class[0] = 5
         metrics.gossip = [suspected, 3, 1, 2, 40, 2_000]
         line = metrics.format_line(1_700_000_000_000_000, (0.0, 0.0), 0, 0)
         assert line is not None
-        count.read([f"0.100 cloverkeel: {line}"])
+        fleet_metrics.read_lines([f"0.100 cloverkeel: {line}"])
         metrics.reset()
         assert metrics.received_before_reset == 5
-    ((_, second),) = count.seconds.items()
-    assert second.sharing == [3, 6, 2, 4, 80, 4_000] and not count.unread
-    assert "in doubt 3, told 6, 4000 bytes so far" in "".join(table(count, False, 0, 9))
+    ((_, second),) = fleet_metrics.figures_by_second.items()
+    assert second.gossip == [3, 6, 2, 4, 80, 4_000] and not fleet_metrics.unreadable_line_count
+    assert "suspected hosts 3, unconfirmed reports 6, 4000 bytes sent so far" in "".join(
+        format_table(fleet_metrics, False, 0, 9)
+    )
 
 
 @on_loop
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -1,4 +1,4 @@
-"""The tallies of a gateway's log, and the tool that adds them up over a fleet."""
+"""The metrics lines of a gateway's log, and the command that sums them over a fleet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 
-from benchmarks.fleet_logs import Count, main
+from benchmarks.fleet_logs import FleetMetrics, main
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.core.metrics import MAX_HOSTS_PER_LINE, OTHER_HOSTS, GatewayMetrics
 from standins.parties.fleet import ROOT
@@ -21,100 +21,122 @@
 AT_US = 1_700_000_000_000_000
 
 
-def tally(sent: int, ok: int, refused: int = 0) -> str:
-    tally = GatewayMetrics(2)
+def format_log_line(sent: int, ok: int, refused: int = 0) -> str:
+    """Return a log line with the metrics of this number of attempts, successes and rejections."""
+    metrics = GatewayMetrics(2)
     for _ in range(sent):
-        tally.received_by_class[0] += 1
-        tally.record_attempt(7)
+        metrics.received_by_class[0] += 1
+        metrics.record_attempt(7)
     for _ in range(ok):
-        tally.record_outcome(7, Outcome.OK, 20_000)
+        metrics.record_outcome(7, Outcome.OK, 20_000)
     for _ in range(refused):
-        tally.received_by_class[1] += 1
-        tally.record_rejection(1, "shed")
-    line = tally.format_line(AT_US, (0.25, 0.5), opened=2, entries=3)
+        metrics.received_by_class[1] += 1
+        metrics.record_rejection(1, "shed")
+    line = metrics.format_line(AT_US, (0.25, 0.5), opened=2, entries=3)
     assert line is not None
     return f"0.100 cloverkeel: {line}\n"
 
 
 def test_a_second_without_events_has_no_line() -> None:
-    empty = GatewayMetrics(2)
-    assert empty.format_line(AT_US, (0.0, 0.0), 0, 0) is None
-    empty.record_attempt(1)
-    first = empty.format_line(AT_US, (0.0, 0.0), 0, 0)
-    empty.record_attempt(1)
-    later = empty.format_line(AT_US, (0.0, 0.0), 0, 0)
+    metrics = GatewayMetrics(2)
+    assert metrics.format_line(AT_US, (0.0, 0.0), 0, 0) is None
+    metrics.record_attempt(1)
+    first = metrics.format_line(AT_US, (0.0, 0.0), 0, 0)
+    metrics.record_attempt(1)
+    later = metrics.format_line(AT_US, (0.0, 0.0), 0, 0)
     assert first is not None and later is not None
-    assert "[1,0" in first and "[2,0" in later  # what was not written goes on
-    empty.reset()
-    assert empty.format_line(AT_US, (0.0, 0.0), 0, 0) is None
-    empty.record_rejection(0, "shed")
-    assert empty.format_line(AT_US, (0.0, 0.0), 0, 0) is not None
+    assert "[1,0" in first and "[2,0" in later  # counts that were not written are kept
+    metrics.reset()
+    assert metrics.format_line(AT_US, (0.0, 0.0), 0, 0) is None
+    metrics.record_rejection(0, "shed")
+    assert metrics.format_line(AT_US, (0.0, 0.0), 0, 0) is not None
 
 
-def test_a_line_is_bounded_however_many_hosts_there_are() -> None:
-    many = GatewayMetrics(1)
+def test_the_length_of_a_line_is_bounded_for_any_number_of_hosts() -> None:
+    metrics = GatewayMetrics(1)
     for server in range(3 * MAX_HOSTS_PER_LINE):
-        many.record_attempt(0xFFFF0000 + server)
+        metrics.record_attempt(0xFFFF0000 + server)
         for _ in range(20):
-            many.record_outcome(0xFFFF0000 + server, Outcome.OK, 900_000)
-    assert len(many.row_by_server) == MAX_HOSTS_PER_LINE + 1
-    assert many.row_by_server[OTHER_HOSTS][0] == 2 * MAX_HOSTS_PER_LINE
-    line = many.format_line(AT_US, (0.0, 0.0), 0, 0)
+            metrics.record_outcome(0xFFFF0000 + server, Outcome.OK, 900_000)
+    assert len(metrics.row_by_server) == MAX_HOSTS_PER_LINE + 1
+    assert metrics.row_by_server[OTHER_HOSTS][0] == 2 * MAX_HOSTS_PER_LINE
+    line = metrics.format_line(AT_US, (0.0, 0.0), 0, 0)
     assert line is not None and len(line) < 4000
 
 
-def test_an_attempt_that_was_never_sent_is_no_outcome() -> None:
-    moot = GatewayMetrics(1)
-    moot.record_outcome(1, Outcome.MOOT, 0)
-    assert not moot.row_by_server
+def test_an_attempt_that_was_never_sent_is_not_counted() -> None:
+    metrics = GatewayMetrics(1)
+    metrics.record_outcome(1, Outcome.MOOT, 0)
+    assert not metrics.row_by_server
 
 
-def test_two_gateways_are_added_up_and_what_is_broken_is_counted() -> None:
-    count = Count()
-    broken = [f"cloverkeel: tally {text}" for text in ("{broken", "{}", "[]", '{"ms":1}')]
-    whole = tally(1, 1)
-    for part, other in (
+def test_lines_of_two_gateways_are_summed_and_malformed_lines_are_counted() -> None:
+    fleet_metrics = FleetMetrics()
+    malformed_lines = [f"cloverkeel: tally {text}" for text in ("{broken", "{}", "[]", '{"ms":1}')]
+    line = format_log_line(1, 1)
+    for original, replacement in (
         ('"opened":2', '"opened":"2"'), ('"asked":[1,0]', '"asked":{}'), ('"hosts":{', '"hosts":[{'),
         ("[1,1,0,0,0,0,0,0,20000]", "[1,1]"), ('"shed":[0.25,0.5]', '"shed":[0.25]'), ('"why":{}', '"why":[]'),
     ):  # fmt: skip
-        assert part in whole
-        broken.append(whole.replace(part, other))
-    count.read([tally(4, 3), tally(2, 2, refused=5), *broken, "another line"])
-    ((at, second),) = count.rows()
-    assert (at, second.gateways, second.asked, second.refused, second.opened, second.lines) == (0, 2, 11, 5, 4, 6)
-    assert second.hosts["00000007"][:2] == [6, 5] and second.why["shed"] == 5 and second.spread == 1.0
-    assert count.unread == len(broken)
-
-
-def test_the_tool_tells_a_folder_without_tallies(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+        assert original in line
+        malformed_lines.append(line.replace(original, replacement))
+    fleet_metrics.read_lines(
+        [format_log_line(4, 3), format_log_line(2, 2, refused=5), *malformed_lines, "another line"]
+    )
+    ((offset_s, second),) = fleet_metrics.rows()
+    assert (
+        offset_s,
+        second.gateway_count,
+        second.received_count,
+        second.rejected_count,
+        second.opened_connection_count,
+        second.entry_count,
+    ) == (0, 2, 11, 5, 4, 6)
+    assert (
+        second.row_by_host["00000007"][:2] == [6, 5]
+        and second.rejections_by_reason["shed"] == 5
+        and second.load_imbalance == 1.0
+    )
+    assert fleet_metrics.unreadable_line_count == len(malformed_lines)
+
+
+def test_the_command_reports_a_folder_without_metrics_lines(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert main([str(tmp_path)]) == 1
-    assert "no tallies in 0 logs" in capsys.readouterr().err
-    (tmp_path / "n0.log").write_text(tally(4, 3))
+    assert "no metrics lines in 0 logs" in capsys.readouterr().err
+    (tmp_path / "n0.log").write_text(format_log_line(4, 3))
     assert main([str(tmp_path), "--hosts"]) == 0
     assert "00000007" in capsys.readouterr().out
 
 
 @on_loop
-async def test_the_real_program_writes_what_the_tool_reads(tmp_path: Path) -> None:
+async def test_the_command_reads_the_lines_of_the_real_program(tmp_path: Path) -> None:
     async with (
         peer() as host,
         peer(silent) as registry,
         program(tmp_path, configuration(host, discovery=registry.address)) as (process, port),
     ):
         assert await ask(port, request("transfer")) == 200
-        count = Count()
+        fleet_metrics = FleetMetrics()
         assert process.stderr is not None
-        while not any(second.hosts for second in count.seconds.values()):
-            line = await asyncio.wait_for(process.stderr.readline(), 5.0)
-            count.read([line.decode()])
-    assert sum(second.asked for second in count.seconds.values()) == 1
-    assert sum(figures[0] for second in count.seconds.values() for figures in second.hosts.values()) == 1
+        while not any(second.row_by_host for second in fleet_metrics.figures_by_second.values()):
+            log_line = await asyncio.wait_for(process.stderr.readline(), 5.0)
+            fleet_metrics.read_lines([log_line.decode()])
+    assert sum(second.received_count for second in fleet_metrics.figures_by_second.values()) == 1
+    assert (
+        sum(row[0] for second in fleet_metrics.figures_by_second.values() for row in second.row_by_host.values()) == 1
+    )
 
 
-@pytest.mark.parametrize("dead", [True, False])
+@pytest.mark.parametrize("is_closed", [True, False])
 @on_loop
-async def test_a_log_that_nobody_reads_stops_nothing(tmp_path: Path, dead: bool) -> None:
-    """The first tally that could not be written ended the beat, and a request with it; a full pipe stopped it all."""
+async def test_requests_are_answered_while_nobody_reads_the_log(tmp_path: Path, is_closed: bool) -> None:
+    """Guards against log lines that cannot be written.
+
+    If the pipe was closed, the first metrics line ended the periodic task and failed a request. If the pipe was full,
+    the line blocked the whole program.
+    """
     reader, writer = os.pipe()
     try:
         async with (
@@ -122,33 +144,33 @@
             peer(silent) as registry,
             program(tmp_path, configuration(host, discovery=registry.address), stderr=writer) as (_, port),
         ):
-            if dead:
+            if is_closed:
                 os.close(reader)
             else:
-                fill(writer)
-            for _ in range(24):  # two lines fall due at the least
+                fill_pipe(writer)
+            for _ in range(24):  # 2.4 s or more, so at least two metrics lines are due
                 assert await asyncio.wait_for(ask(port, request("transfer")), 3.0) == 200
                 await asyncio.sleep(0.1)
     finally:
         os.close(writer)
-        if not dead:
+        if not is_closed:
             os.close(reader)
 
 
-def test_an_ordinary_line_does_not_wait_for_a_log_that_nobody_reads() -> None:
-    """The list could not be read, that was to be said, and the program stood still for good."""
+def test_a_log_line_does_not_block_on_a_full_pipe() -> None:
+    """Guards against a program that blocks forever when it logs that its endpoint list cannot be read."""
     reader, writer = os.pipe()
-    fill(writer)
-    said = "import cloverkeel.core.log as log; log.log('x' * 100)"
+    fill_pipe(writer)
+    program_text = "import cloverkeel.core.log as log; log.log('x' * 100)"
     try:
-        subprocess.run([sys.executable, "-c", said], cwd=ROOT, stderr=writer, timeout=20, check=True)
+        subprocess.run([sys.executable, "-c", program_text], cwd=ROOT, stderr=writer, timeout=20, check=True)
     finally:
         os.close(reader)
         os.close(writer)
 
 
-def fill(pipe: int) -> None:
-    """Until it takes nothing more; both ends share the mode, so it blocks again afterwards."""
+def fill_pipe(pipe: int) -> None:
+    """Fill a pipe; both of its ends share the blocking mode, so this sets it to blocking again."""
     os.set_blocking(pipe, False)
     for size in (4096, 1):
         with contextlib.suppress(BlockingIOError):
