--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -65,7 +65,7 @@
 
 
 async def inject_fault(fleet: Ground, rng: random.Random, kind: str) -> None:
-    """Inject a fault of this kind, mostly at the lease holder, and end it."""
+    """Inject a fault of this kind, more often at the lease holder than elsewhere; most faults end before return."""
     numbers = list(range(fleet.count))
     act = fleet.mesh.watcher.last_act_of(fleet.duty)
     holder = act.gateway if act is not None and act.gateway < fleet.count else rng.choice(numbers)
