--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -510,11 +510,11 @@
 def part_duties(size: int, seconds: float) -> Costs:
     """Measure leases and reports of all gateways together while WARMING_HOSTS hosts warm up, each within reach of
     three gateways."""
-    from benchmarks.duties import cost
+    from benchmarks.duties import measure_traffic
 
     span_s, warm_up_s = 5, 5  # the second is the warm-up of `cost`, which does not count datagrams then
     cpu_start_s = time.process_time()
-    datagrams, size_bytes = cost(size, WARMING_HOSTS, span_s)
+    datagrams, size_bytes = measure_traffic(size, WARMING_HOSTS, span_s)
     spent_ms = (time.process_time() - cpu_start_s) * 1e3
     return {
         "duties_datagrams_per_s": datagrams * size, "duties_bytes_per_s": size_bytes * size,
--- a/benchmarks/overload/runner.py
+++ b/benchmarks/overload/runner.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from benchmarks.fleet_logs import MARK, Second, check
+from benchmarks.fleet_logs import LINE_MARKER, FleetSecond, validate_line
 from benchmarks.overload.account import (
     ClientRequest,
     Finding,
@@ -242,22 +242,28 @@
     for path in sorted(folder.glob("*.log")):
         breaker_trips = 0  # since the previous line of figures
         for line in path.read_text(errors="replace").splitlines():
-            _, marker, text = line.partition(MARK)
+            _, marker, text = line.partition(LINE_MARKER)
             breaker_trips += "circuit breaker: opened, " in line
             if not marker:
                 continue
             figures = json.loads(text)
-            check(figures)
-            second = Second()
-            second.add(figures)
+            validate_line(figures)
+            second = FleetSecond()
+            second.add_line(figures)
             timeouts, full_rejections, cancelled_attempts = (
-                sum(columns[index] for columns in second.hosts.values())
+                sum(columns[index] for columns in second.row_by_host.values())
                 for index in (TIMEOUTS_INDEX, FULL_INDEX, CANCELLED_INDEX)
             )
             shed_shares = (float(figures["shed"][0]), float(figures["shed"][1]))
             middle_us = int(figures["ms"]) * 1000 - 500_000
             yield GatewayLogRecord(
-                middle_us, dict(second.why), shed_shares, timeouts, full_rejections, cancelled_attempts, breaker_trips
+                middle_us,
+                dict(second.rejections_by_reason),
+                shed_shares,
+                timeouts,
+                full_rejections,
+                cancelled_attempts,
+                breaker_trips,
             )
             breaker_trips = 0
 
