--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -512,7 +512,7 @@
     three gateways."""
     from benchmarks.duties import measure_traffic
 
-    span_s, warm_up_s = 5, 5  # the second is the warm-up of `cost`, which does not count datagrams then
+    span_s, warm_up_s = 5, 5  # the second is the warm-up of `measure_traffic`, which does not count datagrams then
     cpu_start_s = time.process_time()
     datagrams, size_bytes = measure_traffic(size, WARMING_HOSTS, span_s)
     spent_ms = (time.process_time() - cpu_start_s) * 1e3
