--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -437,18 +437,18 @@
 
 
 def part_presence(size: int, seconds: float) -> Costs:
-    from benchmarks.sharing import BEGIN_US, Fleet
+    from benchmarks.sharing import START_US, Fleet
 
     before = kib("self", "VmRSS")
     told = Fleet(size, 1)
-    told.run(BEGIN_US + 2_000_000, load=False)
-    sent, sent_bytes, cpu = told.sent, told.sent_bytes, time.process_time()
+    told.run(START_US + 2_000_000, load=False)
+    sent, sent_bytes, cpu = told.sent_datagrams, told.sent_bytes, time.process_time()
     span_s = 4
-    told.run(told.at_us + span_s * 1_000_000, step_us=20_000, load=False)
+    told.run(told.now_us + span_s * 1_000_000, step_us=20_000, load=False)
     each = size * span_s
     spent = (time.process_time() - cpu) * 1e3
     return {
-        "presence_datagrams_per_s": (told.sent - sent) / each,
+        "presence_datagrams_per_s": (told.sent_datagrams - sent) / each,
         "presence_bytes_per_s": (told.sent_bytes - sent_bytes) / each,
         "presence_ms_per_s": spent / each,
         "presence_kib": (kib("self", "VmRSS") - before) / size,
@@ -460,20 +460,22 @@
 
     The plan's hosts and requests for each gateway, each request to any host: the most tellers that there could be.
     """
-    from benchmarks.sharing import BEGIN_US, Fleet
-
-    told = Fleet(size, 1, hosts=round(size * PLAN.hosts / PLAN.gateways), rate=PLAN.requests_per_gateway)
-    told.run(BEGIN_US + 1_500_000, step_us=NEWS_STEP_US)
-    told.failing[0] = 0.6
-    began_us, sent_bytes = told.at_us, told.sent_bytes
+    from benchmarks.sharing import START_US, Fleet
+
+    told = Fleet(
+        size, 1, host_count=round(size * PLAN.hosts / PLAN.gateways), requests_per_s=PLAN.requests_per_gateway
+    )
+    told.run(START_US + 1_500_000, step_us=NEWS_STEP_US)
+    told.failure_rates[0] = 0.6
+    began_us, sent_bytes = told.now_us, told.sent_bytes
     all_us = 0
-    while told.at_us < began_us + NEWS_MOST_US:
-        told.run(told.at_us + NEWS_STEP_US, step_us=NEWS_STEP_US)
-        if told.doubting(0) == size:
-            all_us = told.at_us - began_us
+    while told.now_us < began_us + NEWS_MOST_US:
+        told.run(told.now_us + NEWS_STEP_US, step_us=NEWS_STEP_US)
+        if told.count_suspecting(0) == size:
+            all_us = told.now_us - began_us
             break
-    told.run(max(told.at_us, began_us + 3_000_000), step_us=NEWS_STEP_US)
-    spent_s = (told.at_us - began_us) / 1e6
+    told.run(max(told.now_us, began_us + 3_000_000), step_us=NEWS_STEP_US)
+    spent_s = (told.now_us - began_us) / 1e6
     costs = {"news_bytes_per_s": (told.sent_bytes - sent_bytes) / size / spent_s}
     return costs | ({"news_all_ms": all_us / 1e3} if all_us else {})
 
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from benchmarks.sharing import BEGIN_US, Fleet
+from benchmarks.sharing import START_US, Fleet
 from cloverkeel.assembly import assemble
 from cloverkeel.core.config import parse
 from cloverkeel.core.datagrams import PeerSocket
@@ -59,23 +59,23 @@
 
 def test_fleet_suspects_a_failing_host_within_a_second_and_until_reports_expire() -> None:
     fleet = make_fleet(40)
-    fleet.run(BEGIN_US + 1_000_000)
-    fleet.failing[0] = 0.9
-    fleet.run(fleet.at_us + 1_000_000)
-    assert fleet.doubting(0) >= 38
-    fleet.failing.clear()
-    fleet.run(fleet.at_us + OBSERVATION_LIFETIME_US + 500_000)
-    assert fleet.doubting(0) == 0
+    fleet.run(START_US + 1_000_000)
+    fleet.failure_rates[0] = 0.9
+    fleet.run(fleet.now_us + 1_000_000)
+    assert fleet.count_suspecting(0) >= 38
+    fleet.failure_rates.clear()
+    fleet.run(fleet.now_us + OBSERVATION_LIFETIME_US + 500_000)
+    assert fleet.count_suspecting(0) == 0
 
 
 def test_gateway_for_which_every_host_fails_withholds_reports_and_causes_no_suspicion() -> None:
     fleet = make_fleet(12)
-    fleet.run(BEGIN_US + 500_000)
+    fleet.run(START_US + 500_000)
     for _ in range(200):
-        fleet.run(fleet.at_us + 10_000)
-        for host in range(fleet.hosts):
-            fleet.outcome(5, host, False)
-    suspected = {key for key, (_, assessment) in fleet.heard.items() if assessment.is_suspected_outlier}
+        fleet.run(fleet.now_us + 10_000)
+        for host in range(fleet.host_count):
+            fleet.record_outcome(5, host, False)
+    suspected = {key for key, (_, assessment) in fleet.assessments.items() if assessment.is_suspected_outlier}
     assert not suspected
     assert fleet.nodes[5].outliers.counts.withheld_reports > 100
 
@@ -83,56 +83,56 @@
 @pytest.mark.parametrize("fault", ["lossy", "late", "restarts", "stalls"])
 def test_recovered_host_is_not_suspected_for_long_despite_network_faults(fault: str) -> None:
     """Datagrams from the time of the fault must not cause a suspicion after the observations have expired."""
-    faults = {"loss": 0.3, "doubled": 0.3} | ({"late": 0.3} if fault == "late" else {})
+    faults = {"loss_rate": 0.3, "duplicate_rate": 0.3} | ({"late_rate": 0.3} if fault == "late" else {})
     fleet = make_fleet(12, **faults)
-    fleet.run(BEGIN_US + 3_000_000)  # each node knows its peers' clocks
-    fleet.failing[0] = 0.9
-    fleet.run(fleet.at_us + 2_000_000)
+    fleet.run(START_US + 3_000_000)  # each node knows its peers' clocks
+    fleet.failure_rates[0] = 0.9
+    fleet.run(fleet.now_us + 2_000_000)
     if fault == "stalls":
-        fleet.stopped = set(range(1, 12))
-        fleet.run(fleet.at_us + 5_000_000)
-        fleet.failing.clear()
-        fleet.run(fleet.at_us + 100_000)
-        fleet.stopped = set()
-        fleet.run(fleet.at_us + 100_000)  # the queued datagrams are read; all of them are old
-        assert fleet.doubting(0) <= 1
+        fleet.paused_gateways = set(range(1, 12))
+        fleet.run(fleet.now_us + 5_000_000)
+        fleet.failure_rates.clear()
+        fleet.run(fleet.now_us + 100_000)
+        fleet.paused_gateways = set()
+        fleet.run(fleet.now_us + 100_000)  # the queued datagrams are read; all of them are old
+        assert fleet.count_suspecting(0) <= 1
     else:
-        fleet.failing.clear()
+        fleet.failure_rates.clear()
         if fault == "restarts":
             for gateway in range(11):
                 fleet.restart(gateway)
-        fleet.run(fleet.at_us + OBSERVATION_LIFETIME_US + 500_000)
+        fleet.run(fleet.now_us + OBSERVATION_LIFETIME_US + 500_000)
         for _ in range(30):
-            fleet.run(fleet.at_us + 1_000_000)
-            assert fleet.doubting(0) == 0
+            fleet.run(fleet.now_us + 1_000_000)
+            assert fleet.count_suspecting(0) == 0
 
 
 def test_partitioned_gateway_drops_suspicions_when_reports_expire() -> None:
     fleet = make_fleet(8)
-    fleet.run(BEGIN_US + 1_000_000)
-    fleet.failing[0] = 0.9
-    fleet.run(fleet.at_us + 1_000_000)
-    fleet.cut = {(gateway, 7) for gateway in range(8)} | {(7, gateway) for gateway in range(8)}
-    fleet.run(fleet.at_us + OBSERVATION_LIFETIME_US + 300_000, load=False)
-    assert not fleet.doubts(7, 0)
+    fleet.run(START_US + 1_000_000)
+    fleet.failure_rates[0] = 0.9
+    fleet.run(fleet.now_us + 1_000_000)
+    fleet.blocked_links = {(gateway, 7) for gateway in range(8)} | {(7, gateway) for gateway in range(8)}
+    fleet.run(fleet.now_us + OBSERVATION_LIFETIME_US + 300_000, load=False)
+    assert not fleet.is_suspecting(7, 0)
 
 
 def test_restarted_gateway_is_sent_the_suspicions() -> None:
     fleet = make_fleet(12)
-    fleet.run(BEGIN_US + 1_000_000)
-    fleet.failing[0] = 0.9
-    fleet.run(fleet.at_us + 1_500_000)
+    fleet.run(START_US + 1_000_000)
+    fleet.failure_rates[0] = 0.9
+    fleet.run(fleet.now_us + 1_500_000)
     fleet.restart(3)
-    fleet.run(fleet.at_us + 500_000)
-    assert fleet.doubts(3, 0)
-    assert fleet.nodes[3].outliers.local.totals(fleet.clock(3), HostProcess(0, 1)) <= (1, 1)
+    fleet.run(fleet.now_us + 500_000)
+    assert fleet.is_suspecting(3, 0)
+    assert fleet.nodes[3].outliers.local.totals(fleet.clock_us(3), HostProcess(0, 1)) <= (1, 1)
 
 
 def test_bytes_sent_are_limited_by_the_token_bucket() -> None:
-    fleet = make_fleet(40, rate=30.0)
-    fleet.failing = dict.fromkeys(range(fleet.hosts), 0.45)
+    fleet = make_fleet(40, requests_per_s=30.0)
+    fleet.failure_rates = dict.fromkeys(range(fleet.host_count), 0.45)
     seconds = 12
-    fleet.run(BEGIN_US + seconds * 1_000_000)
+    fleet.run(START_US + seconds * 1_000_000)
     bytes_per_s = max(MIN_BYTES_PER_S, 0.1 * 256 * 30 * 1.5)
     for node in fleet.nodes:
         assert node.counts.sent_bytes <= MAX_SAVED_BYTES + seconds * bytes_per_s + MAX_DATAGRAM_BYTES
