--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -1,11 +1,11 @@
-"""From a session's end to the last new request at that box, and from a registration to the first one.
+"""Measures the time from the end of a backend's session to its last new request, and from registration to the first.
 
     .venv-dev/bin/python -m benchmarks.expiries [--boxes 60] [--gateways 20] [--expiries 200] [--rate 300]
 
-Real gateways under load, membership from ephemeral nodes of the stand-in service. Sessions are ended by the service
-while their boxes go on answering; two seconds later the same process registers again. A box that was sent nothing
-after the end counts as 0. The checker judges the play too: exit code 1 for a breach, or for a longest time of 1.05 s
-or more.
+Real gateways under load learn their backends from ephemeral nodes of the emulated ZooKeeper. The ensemble ends
+sessions while the backends continue to respond; two seconds later the same backend registers again. A backend that is
+sent nothing after the end of its session counts as 0 ms. The checker checks the event log as well.
+Exit code: 1 if there is a violation, or if a request is sent 1.05 s or more after the end of a session, else 0.
 """
 
 from __future__ import annotations
@@ -29,63 +29,67 @@
 from standins.parties.zookeeper.ensemble import Session
 from standins.parties.zookeeper.jute import Create, Mode
 
-TOGETHER = 5  # sessions that end at once
-GONE_S = 2.0
-LIMIT_MS = 1_050.0
+SESSIONS_PER_BATCH = 5  # end almost together
+REREGISTRATION_DELAY_S = 2.0
+MAX_LAST_REQUEST_MS = 1_050.0
 
 
-class HandWorld(ZooKeeperEnvironment):
-    """Boxes' sessions are kept here and not by agents: they end when this says so."""
+class SessionEnvironment(ZooKeeperEnvironment):
+    """Environment that holds the backends' sessions itself, without agents, so that it can end them."""
 
     def __init__(self, scenario: Scenario, seed: int, seconds: float, folder: Path, rate: float) -> None:
         super().__init__(scenario, seed, seconds, folder)
         self.clients.operations_per_s = self.request_rate = rate
         self.sessions: dict[str, Session] = {}
-        self.ended: list[tuple[str, int, int]] = []  # box, session's end, registered again
+        self.ended_sessions: list[tuple[str, int, int]] = []  # (backend, end of the session, new registration)
 
-    def register(self, box: Backend, lag_s: float | None) -> None:
-        assert box.address is not None
+    def register(self, backend: Backend, lag_s: float | None) -> None:
+        """Opens a session that never expires by itself, and registers the backend with it."""
+        assert backend.address is not None
         session = self.ensemble.open_session(40_000, 0)
         session.last_heard_s = float("inf")
         data = {
-            "v": 1, "name": box.name, "address": f"{box.address[0]}:{box.address[1]}", "zone": ZONES[box.room],
-            "type": self.backend_type.name, "group": box.idempotency_store.group, "status": "SERVING", "since_ms": 0,
+            "v": 1, "name": backend.name, "address": f"{backend.address[0]}:{backend.address[1]}",
+            "zone": ZONES[backend.room], "type": self.backend_type.name, "group": backend.idempotency_store.group,
+            "status": "SERVING", "since_ms": 0,
         }  # fmt: skip
-        request = Create(f"{REGISTRATION_PATH}/{box.name}", json.dumps(data).encode(), flags=Mode.EPHEMERAL)
+        request = Create(f"{REGISTRATION_PATH}/{backend.name}", json.dumps(data).encode(), flags=Mode.EPHEMERAL)
         self.ensemble.commit(self.ensemble.tree.prepare(request, session.id))
-        self.sessions[box.name] = session
+        self.sessions[backend.name] = session
 
     async def end_sessions(self, count: int) -> None:
+        """Ends sessions in batches until `count` have ended, and registers their backends again."""
         names = sorted(self.backends)
-        while len(self.ended) < count:
-            chosen = self.rng.sample(names, TOGETHER)
-            ends = {}
+        while len(self.ended_sessions) < count:
+            chosen = self.rng.sample(names, SESSIONS_PER_BATCH)
+            end_times_us = {}
             for name in chosen:
-                ends[name] = now_us()
+                end_times_us[name] = now_us()
                 self.ensemble.expire(self.sessions[name].id)
                 await asyncio.sleep(self.rng.uniform(0, 0.05))
-            await asyncio.sleep(GONE_S)
+            await asyncio.sleep(REREGISTRATION_DELAY_S)
             for name in chosen:
-                self.ended.append((name, ends[name], now_us()))
+                self.ended_sessions.append((name, end_times_us[name], now_us()))
                 self.register(self.backends[name], None)
             await asyncio.sleep(0.6)
 
 
-async def run(options: argparse.Namespace, folder: Path) -> HandWorld:
-    seconds = options.expiries / TOGETHER * (GONE_S + 0.75) + 4
+async def run(options: argparse.Namespace, folder: Path) -> SessionEnvironment:
+    """Runs the load; ends sessions from two seconds after the first proxy address is open."""
+    seconds = options.expiries / SESSIONS_PER_BATCH * (REREGISTRATION_DELAY_S + 0.75) + 4
     fleet = (options.boxes, options.gateways)
     scenario = Scenario("expiries", "sessions end", seconds, *fleet, membership="ephemeral")
-    world = HandWorld(scenario, options.seed, seconds, folder, options.rate)
+    environment = SessionEnvironment(scenario, options.seed, seconds, folder, options.rate)
 
-    async def ends() -> None:
-        while not any(door.is_open for door in world.proxy_addresses.targets_by_name.values()):
+    async def end_sessions() -> None:
+        while not any(address.is_open for address in environment.proxy_addresses.targets_by_name.values()):
             await asyncio.sleep(0.1)
         await asyncio.sleep(2.0)
-        await world.end_sessions(options.expiries)
+        await environment.end_sessions(options.expiries)
 
-    world.spawn(ends())
-    await world.run()
-    return world
+    environment.spawn(end_sessions())
+    await environment.run()
+    return environment
 
 
 def main() -> int:
@@ -97,38 +101,43 @@
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        world = runner.run(run(options, Path(folder)))
-    by_box: dict[str, list[int]] = {}
-    for entry in world.event_log.events_of(BackendAttempt):
-        by_box.setdefault(entry.backend, []).append(entry.at_us)
-    last_ms, first_ms, sent_before = list[float](), list[float](), 0
-    for box, end_us, again_us in world.ended:
-        after = [at_us for at_us in by_box.get(box, []) if end_us < at_us < again_us]
-        last_ms.append((max(after) - end_us) / 1e3 if after else 0.0)
-        first = [at_us for at_us in by_box.get(box, []) if at_us >= again_us]
-        if first:
-            first_ms.append((min(first) - again_us) / 1e3)
-        sent_before += any(end_us - 2_000_000 < at_us <= end_us for at_us in by_box.get(box, []))
-
-    def spread(values: list[float]) -> str:
-        shares = " ".join(f"p{int(share * 100)} {quantile(values, share):.1f}" for share in (0.5, 0.9, 0.99))
-        return f"{shares} most {max(values, default=0.0):.1f} ms"
-
-    breaches = find_violations(world.event_log)
-    asked = sum(1 for _ in world.event_log.events_of(RequestSent))
-    memory: dict[str, Any] = {entry.gateway: entry.rss_kib for entry in world.event_log.events_of(ResourceUsage)}
-    sent = sum(value > 0 for value in last_ms)
-    print(f"{options.boxes} boxes, {options.gateways} gateways, {asked} requests, {len(world.ended)} sessions ended")
+        environment = runner.run(run(options, Path(folder)))
+    attempt_times_us: dict[str, list[int]] = {}
+    for event in environment.event_log.events_of(BackendAttempt):
+        attempt_times_us.setdefault(event.backend, []).append(event.at_us)
+    last_request_ms, first_request_ms, sent_before = list[float](), list[float](), 0
+    for backend, end_us, registered_us in environment.ended_sessions:
+        late_times_us = [at_us for at_us in attempt_times_us.get(backend, []) if end_us < at_us < registered_us]
+        last_request_ms.append((max(late_times_us) - end_us) / 1e3 if late_times_us else 0.0)
+        new_times_us = [at_us for at_us in attempt_times_us.get(backend, []) if at_us >= registered_us]
+        if new_times_us:
+            first_request_ms.append((min(new_times_us) - registered_us) / 1e3)
+        sent_before += any(end_us - 2_000_000 < at_us <= end_us for at_us in attempt_times_us.get(backend, []))
+
+    def format_quantiles(values: list[float]) -> str:
+        quantiles = " ".join(f"p{int(share * 100)} {quantile(values, share):.1f}" for share in (0.5, 0.9, 0.99))
+        return f"{quantiles} max {max(values, default=0.0):.1f} ms"
+
+    violations = find_violations(environment.event_log)
+    request_count = sum(1 for _ in environment.event_log.events_of(RequestSent))
+    memory_kib: dict[str, Any] = {
+        event.gateway: event.rss_kib for event in environment.event_log.events_of(ResourceUsage)
+    }
+    sent_after = sum(value > 0 for value in last_request_ms)
     print(
-        f"last new request after a session's end: {spread(last_ms)} "
-        f"({sent} of them were sent any; {sent_before} had"
+        f"{options.boxes} backends, {options.gateways} gateways, {request_count} requests, "
+        f"{len(environment.ended_sessions)} sessions ended"
     )
-    print("  been sent one in the two seconds before)")
-    print(f"first request after a registration: {spread(first_ms)}")
-    print(f"memory of a gateway {max(memory.values()) / 1024:.1f} MiB at most; {len(breaches)} breaches")
-    for breach in breaches[:3]:
-        print(breach)
-    return 1 if breaches or max(last_ms, default=0.0) >= LIMIT_MS else 0
+    print(
+        f"last new request after the end of a session: {format_quantiles(last_request_ms)} "
+        f"({sent_after} backends were sent any; {sent_before} were"
+    )
+    print("  sent one in the two seconds before)")
+    print(f"first request after a registration: {format_quantiles(first_request_ms)}")
+    print(f"memory of a gateway {max(memory_kib.values()) / 1024:.1f} MiB at most; {len(violations)} violations")
+    for violation in violations[:3]:
+        print(violation)
+    return 1 if violations or max(last_request_ms, default=0.0) >= MAX_LAST_REQUEST_MS else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -1,13 +1,14 @@
-"""What it costs that gateways are many: one load and the same troubles before 2, 8 and 32 real gateways.
+"""Compares fleets of 2, 8 and 32 real gateways under the same load and the same faults.
 
     .venv-dev/bin/python -m benchmarks.many [--gateways 2,8,32] [--seeds 1-3] [--scenario many] [--sharing off,on]
         [--json FILE]
 
-One play at a time: it wants the machine to itself. By row: service by worth, searches in time, p99 of transfers,
-connections at a box at the most; then what boxes saw over the whole play: requests that they answered with an error,
-that were given up there (cancelled, or the box hung or crashed), and attempts a request.
+Scenario runs follow one another; nothing else should run on the machine. Each row shows service weighted by worth,
+the share of searches in time, p99 of transfers and the maximum of connections at a backend; then, as seen by the
+backends over the whole run, requests that ended with an error, requests that were given up (cancelled, or the backend
+hung or crashed) and attempts per request.
 
-Exit code 0: no rule was broken; 1 otherwise.
+Exit code: 0 without violations, 1 otherwise, 2 if an option is invalid.
 """
 
 from __future__ import annotations
@@ -35,7 +36,11 @@
 
 @dataclass(slots=True)
 class Row:
-    """One play. Shares from 0 to 1, times in milliseconds, the rest are counts."""
+    """Result of one scenario run; the field names are the keys of the JSON file.
+
+    `service` and `searches` are shares from 0 to 1, `p99_transfer` is in ms, `cpu_us` in microseconds, `attempts` is
+    per request; the others are counts.
+    """
 
     gateways: int
     sharing: bool
@@ -51,45 +56,53 @@
     breaches: int
 
 
-def lost(ledger: EventLog) -> tuple[int, int]:
-    """Runs at boxes that ended with an error, and that were given up or never ended."""
-    hows = [run.how for run in ledger.events_of(BackendAttempt) if run.received_us]
-    return hows.count("error"), sum(how in ("cancelled", "crashed", "waiting", "running") for how in hows)
+def count_failed_attempts(event_log: EventLog) -> tuple[int, int]:
+    """Counts the attempts at backends that ended with an error, and those that were given up or never ended."""
+    outcomes = [attempt.how for attempt in event_log.events_of(BackendAttempt) if attempt.received_us]
+    return outcomes.count("error"), sum(
+        outcome in ("cancelled", "crashed", "waiting", "running") for outcome in outcomes
+    )
 
 
 def measure(scenario: str, gateways: int, sharing: bool, seed: int) -> Row:
-    made = replace(load_scenario(scenario), gateways=gateways, sharing=sharing)
+    """Runs the scenario once with this number of gateways, with or without sharing, and checks its event log."""
+    variant = replace(load_scenario(scenario), gateways=gateways, sharing=sharing)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        world = runner.run(run_scenario(made, seed))
-    checker = Checker(world.event_log)
+        environment = runner.run(run_scenario(variant, seed))
+    checker = Checker(environment.event_log)
     breaches = checker.find_violations()
-    found = summarise(checker, scenario, seed, world.seconds)
-    errors, given_up = lost(world.event_log)
-    sent = sum(1 for run in world.event_log.events_of(BackendAttempt) if run.received_us)
-    requests = len({run.id for run in world.event_log.events_of(BackendAttempt) if run.received_us})
+    summary = summarise(checker, scenario, seed, environment.seconds)
+    errors, given_up = count_failed_attempts(environment.event_log)
+    attempt_count = sum(1 for attempt in environment.event_log.events_of(BackendAttempt) if attempt.received_us)
+    request_count = len(
+        {attempt.id for attempt in environment.event_log.events_of(BackendAttempt) if attempt.received_us}
+    )
     return Row(
-        gateways, sharing, seed, found.service, found.classes["search"].service, found.classes["transfer"].p99,
-        found.connections, errors, given_up, sent / max(1, requests), found.cpu_us,
-        len(breaches) + len(world.logged_defects),
+        gateways, sharing, seed, summary.service, summary.classes["search"].service, summary.classes["transfer"].p99,
+        summary.connections, errors, given_up, attempt_count / max(1, request_count), summary.cpu_us,
+        len(breaches) + len(environment.logged_defects),
     )  # fmt: skip
 
 
-def show(rows: Sequence[Row], console: Console) -> None:
-    table = Table(title="the same troubles before few gateways and many")
-    names = ("gateways", "sharing", "service", "mean", "searches", "p99 transfer", "connections", "errors",
-             "given up", "attempts", "CPU us")  # fmt: skip
-    for name in names:
-        table.add_column(name, justify="right")
+def print_table(rows: Sequence[Row], console: Console) -> None:
+    """Prints a table with a row for each number of gateways and sharing option."""
+    table = Table(title="the same faults before few and many gateways")
+    columns = ("gateways", "sharing", "service", "mean", "searches", "p99 transfer", "connections", "errors",
+               "given up", "attempts", "CPU us")  # fmt: skip
+    for column in columns:
+        table.add_column(column, justify="right")
     for key in dict.fromkeys((row.gateways, row.sharing) for row in rows):
-        of = [row for row in rows if (row.gateways, row.sharing) == key]
+        group = [row for row in rows if (row.gateways, row.sharing) == key]
         table.add_row(
-            str(key[0]), "on" if key[1] else "off", " ".join(f"{row.service:.3f}" for row in of),
-            f"{statistics.mean(row.service for row in of):.3f}",
-            f"{statistics.mean(row.searches for row in of):.1%}",
-            f"{statistics.mean(row.p99_transfer for row in of):.0f}",
-            f"{statistics.mean(row.connections for row in of):.0f}",
-            f"{statistics.mean(row.errors for row in of):.0f}", f"{statistics.mean(row.given_up for row in of):.0f}",
-            f"{statistics.mean(row.attempts for row in of):.3f}", f"{statistics.mean(row.cpu_us for row in of):.0f}",
+            str(key[0]), "on" if key[1] else "off", " ".join(f"{row.service:.3f}" for row in group),
+            f"{statistics.mean(row.service for row in group):.3f}",
+            f"{statistics.mean(row.searches for row in group):.1%}",
+            f"{statistics.mean(row.p99_transfer for row in group):.0f}",
+            f"{statistics.mean(row.connections for row in group):.0f}",
+            f"{statistics.mean(row.errors for row in group):.0f}",
+            f"{statistics.mean(row.given_up for row in group):.0f}",
+            f"{statistics.mean(row.attempts for row in group):.3f}",
+            f"{statistics.mean(row.cpu_us for row in group):.0f}",
         )  # fmt: skip
     console.print(table)
 
@@ -104,19 +117,19 @@
     options = parser.parse_args()
     console = Console()
     try:
-        counts = [int(word) for word in options.gateways.split(",")]
+        gateway_counts = [int(text) for text in options.gateways.split(",")]
         seeds = parse_seeds(options.seeds)
     except ValueError as error:
         print(f"many: {error}", file=sys.stderr)
         return 2
     rows = []
-    for seed in seeds:  # side by side in time: a machine that slows down slows them all
-        for count in counts:
-            for word in options.sharing.split(","):
-                row = measure(options.scenario, count, word == "on", seed)
+    for seed in seeds:  # the variants alternate, so that a machine that becomes slower affects all of them
+        for gateway_count in gateway_counts:
+            for text in options.sharing.split(","):
+                row = measure(options.scenario, gateway_count, text == "on", seed)
                 rows.append(row)
                 console.print(f"{row}", highlight=False)
-    show(rows, console)
+    print_table(rows, console)
     if options.json is not None:
         options.json.write_text(json.dumps([asdict(row) for row in rows], indent=1) + "\n")
     return 1 if any(row.breaches for row in rows) else 0
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -5,7 +5,7 @@
     .venv-dev/bin/python -m benchmarks.sharing state
 
 `spread`: a host begins to fail six requests in ten, in fleets of 8, 40 and 200 gateways with a datagram loss of 0, 5
-and 30%. Prints the time until half, 99% and all of the gateways suspect the host, the bytes sent in that time, and, as a
+and 30%. Prints the time until half, 99% and all of the gateways suspect the host, the bytes sent until then, and, for
 comparison, the time until a gateway has five outcomes of its own.
 `quiet`: hosts fail only by chance (one request in 500). Prints datagrams and bytes per second, the share of time in
 which a host is suspected of failing, and the number of gateways suspected of being down.
