--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Long measurements: tools, no tests."""
+"""Long-running measurements, which are not part of the test suite."""
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -1,13 +1,14 @@
-"""What a list of hosts costs a gateway: CPU and the longest stop of the loop, by hosts listed and hosts changed.
+"""Measures what an endpoint list costs a gateway: CPU time and the longest pause of the event loop.
 
     python -m benchmarks.list_cost [--hosts 200,600,2000,10000,38000] [--repeats 20] [--json FILE]
 
-The real module, core and pools on a loop of their own; nobody asks for anything and nothing goes over a network.
-A change is of hosts that start anew (what costs most), of weights, and a zone lost and back; a whole list names
-every host, all as they were. `module` is the time of the decisions alone, `cpu` that of all that follows a list in
-the core, `stop` the longest time in which the loop had no turn. Medians over the repeats, in ms. Also JSON and
-parse_list, each at one go and by steps, with the longest step.
-Exit code 0; 2 where an option cannot be used.
+Runs the real balancer, core and connection pools on an event loop, without requests and without a network. The
+changes are restarted hosts (the most expensive change), changed weights, and a zone that disappears and returns;
+`whole` is a full list in which no host has changed. `module` is the time in the balancer alone, `cpu` the time of all
+work that a list causes in the core, `stop` the longest time in which the event loop could run nothing else: medians
+over the repeats, in ms. `reading` are the times to decode the JSON and to parse the list (`parse_list`), each at once
+and incrementally ("by steps"), with the longest step.
+Exit code: 0, or 2 if an option is invalid.
 """
 
 from __future__ import annotations
@@ -43,11 +44,11 @@
         "contract": {"warmAfterUs": 10_000_000},
     },
 }  # fmt: skip
-ZONES = 6
+ZONE_COUNT = 6
 
 
-class Silence:
-    """A membership that says nothing of itself."""
+class SilentMembership:
+    """Membership source that reports nothing on its own."""
 
     def set_listener(self, on_list: Callable[[ListKind, list[Endpoint]], None]) -> None:
         pass
@@ -68,103 +69,114 @@
         pass
 
 
-def raw(number: int, since_ms: int = 0, status: str = "SERVING", weight: float = 1.0) -> dict[str, Any]:
+def host_entry(number: int, since_ms: int = 0, status: str = "SERVING", weight: float = 1.0) -> dict[str, Any]:
+    """Entry of a host in the JSON form of an endpoint list."""
     return {
         "name": f"h-{number:06d}", "address": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:80",
-        "zone": f"z{number % ZONES}", "type": "m", "group": 0, "status": status, "weight": weight,
+        "zone": f"z{number % ZONE_COUNT}", "type": "m", "group": 0, "status": status, "weight": weight,
         "since_ms": since_ms,
     }  # fmt: skip
 
 
-def changes(hosts: int, turn: int) -> dict[str, list[dict[str, Any]]]:
-    """Changes of one turn by name; each leaves as many hosts as there were."""
-    since_ms = int(time.time() * 1000) + turn
-    found = {
-        f"anew {n}": [raw((turn * n + i) % hosts, since_ms) for i in range(n)] for n in (1, 5, 500) if n <= hosts
+def make_changes(hosts: int, round_index: int) -> dict[str, list[dict[str, Any]]]:
+    """Changes of one round, by name; after all of them the number of hosts is the same as before."""
+    since_ms = int(time.time() * 1000) + round_index
+    changes = {
+        f"anew {n}": [host_entry((round_index * n + i) % hosts, since_ms) for i in range(n)]
+        for n in (1, 5, 500)
+        if n <= hosts
     }
-    found["weight 5"] = [raw((turn * 5 + i) % hosts, weight=1.0 + turn / 100) for i in range(5)]
-    found["zone gone"] = [raw(n, status="DELETED") for n in range(0, hosts, ZONES)]
-    found["zone back"] = [raw(n) for n in range(0, hosts, ZONES)]
-    return found
+    changes["weight 5"] = [
+        host_entry((round_index * 5 + i) % hosts, weight=1.0 + round_index / 100) for i in range(5)
+    ]
+    changes["zone gone"] = [host_entry(n, status="DELETED") for n in range(0, hosts, ZONE_COUNT)]
+    changes["zone back"] = [host_entry(n) for n in range(0, hosts, ZONE_COUNT)]
+    return changes
 
 
-def module_ms(hosts: int, repeats: int) -> dict[str, float]:
+def measure_balancer_ms(hosts: int, repeats: int) -> dict[str, float]:
+    """Median time of the balancer, by name of the change."""
     config = parse(CONFIG)
     balancer, now_us = Balancer(config.settings, 1), int(time.time() * 1e6)
-    taken: dict[str, list[float]] = {}
+    times_ms: dict[str, list[float]] = {}
 
-    def give(name: str, kind: ListKind, items: list[dict[str, Any]]) -> None:
-        entries = parse_endpoint_list({"index": 1, "endpoints": items}, config.names).endpoints
+    def deliver_list(name: str, kind: ListKind, changed: list[dict[str, Any]]) -> None:
+        entries = parse_endpoint_list({"index": 1, "endpoints": changed}, config.names).endpoints
         event = ServerList(kind, tuple(entry.listed for entry in entries))
         began_s = time.perf_counter()
         balancer.handle(now_us, event)
-        taken.setdefault(name, []).append((time.perf_counter() - began_s) * 1e3)
+        times_ms.setdefault(name, []).append((time.perf_counter() - began_s) * 1e3)
 
-    whole = [raw(number) for number in range(hosts)]
-    give("first", ListKind.FULL, whole)
-    for turn in range(repeats):
-        for name, items in changes(hosts, turn).items():
-            give(name, ListKind.DELTA, items)
+    whole = [host_entry(number) for number in range(hosts)]
+    deliver_list("first", ListKind.FULL, whole)
+    for round_index in range(repeats):
+        for name, changed in make_changes(hosts, round_index).items():
+            deliver_list(name, ListKind.DELTA, changed)
     for _ in range(min(repeats, 5)):
-        give("whole", ListKind.FULL, whole)
-    return {name: statistics.median(all_) for name, all_ in taken.items()}
+        deliver_list("whole", ListKind.FULL, whole)
+    return {name: statistics.median(values) for name, values in times_ms.items()}
 
 
-async def core_ms(hosts: int, repeats: int) -> tuple[dict[str, float], dict[str, float]]:
-    """CPU and longest stop, by name of the change."""
+async def measure_core_ms(hosts: int, repeats: int) -> tuple[dict[str, float], dict[str, float]]:
+    """Median CPU time and longest pause of the event loop, by name of the change."""
     config = parse(CONFIG)
     pool = ConnectionPool(config.settings)
-    gateway = Gateway(config, pool, AttemptSender(config.settings, pool), Silence())
-    cpu: dict[str, list[float]] = {}
-    stop: dict[str, list[float]] = {}
+    gateway = Gateway(config, pool, AttemptSender(config.settings, pool), SilentMembership())
+    cpu_ms: dict[str, list[float]] = {}
+    pause_ms: dict[str, list[float]] = {}
 
-    async def give(name: str, kind: ListKind, items: list[dict[str, Any]]) -> None:
-        entries = parse_endpoint_list({"index": 1, "endpoints": items}, config.names).endpoints
+    async def deliver_list(name: str, kind: ListKind, changed: list[dict[str, Any]]) -> None:
+        entries = parse_endpoint_list({"index": 1, "endpoints": changed}, config.names).endpoints
         await asyncio.sleep(0)
         gc.collect()
-        longest_s, spent_s, quiet = 0.0, 0.0, 0
+        longest_s, cpu_s, idle_turns = 0.0, 0.0, 0
         began_s = time.perf_counter()
         gateway.on_endpoint_list(kind, entries)
-        while quiet < 3:  # turns in which nothing was done any more
+        while idle_turns < 3:  # iterations of the event loop without pending work
             took_s = time.perf_counter() - began_s
-            longest_s, spent_s = max(longest_s, took_s), spent_s + took_s
+            longest_s, cpu_s = max(longest_s, took_s), cpu_s + took_s
             began_s = time.perf_counter()
             await asyncio.sleep(0)
-            quiet = quiet + 1 if not gateway.endpoint_updates.batches.pending else 0
-        cpu.setdefault(name, []).append(spent_s * 1e3)
-        stop.setdefault(name, []).append(longest_s * 1e3)
-
-    whole = [raw(number) for number in range(hosts)]
-    await give("first", ListKind.FULL, whole)
-    for turn in range(repeats):
-        for name, items in changes(hosts, turn).items():
-            await give(name, ListKind.DELTA, items)
+            idle_turns = idle_turns + 1 if not gateway.endpoint_updates.batches.pending else 0
+        cpu_ms.setdefault(name, []).append(cpu_s * 1e3)
+        pause_ms.setdefault(name, []).append(longest_s * 1e3)
+
+    whole = [host_entry(number) for number in range(hosts)]
+    await deliver_list("first", ListKind.FULL, whole)
+    for round_index in range(repeats):
+        for name, changed in make_changes(hosts, round_index).items():
+            await deliver_list(name, ListKind.DELTA, changed)
     for _ in range(min(repeats, 5)):
-        await give("whole", ListKind.FULL, whole)
+        await deliver_list("whole", ListKind.FULL, whole)
     gateway.close()
-    medians = [{name: statistics.median(all_) for name, all_ in taken.items()} for taken in (cpu, stop)]
+    medians = [{name: statistics.median(values) for name, values in times.items()} for times in (cpu_ms, pause_ms)]
     return medians[0], medians[1]
 
 
-def reading_ms(hosts: int) -> dict[str, float]:
+def measure_parsing(hosts: int) -> dict[str, float]:
+    """Times in ms to decode and parse a full list, at once and incrementally; longest step; size in bytes."""
     config = parse(CONFIG)
-    data = json.dumps({"index": 1, "endpoints": [raw(number) for number in range(hosts)]}).encode()
+    data = json.dumps({"index": 1, "endpoints": [host_entry(number) for number in range(hosts)]}).encode()
     began_s = time.perf_counter()
-    read = json.loads(data)
+    decoded = json.loads(data)
+    decoded_s = time.perf_counter()
+    parsed = parse_endpoint_list(decoded, config.names)
     parsed_s = time.perf_counter()
-    kept = parse_endpoint_list(read, config.names)
-    over_s = time.perf_counter()
-    del kept
-    costs = {"json": (parsed_s - began_s) * 1e3, "parse_list": (over_s - parsed_s) * 1e3, "bytes": float(len(data))}
+    del parsed
+    costs = {
+        "json": (decoded_s - began_s) * 1e3,
+        "parse_list": (parsed_s - decoded_s) * 1e3,
+        "bytes": float(len(data)),
+    }
     longest_s = 0.0
     for name, steps in (
         ("json by steps", decode_json(data)),
-        ("parse_list by steps", parse_endpoint_list_incrementally(read, config.names)),
+        ("parse_list by steps", parse_endpoint_list_incrementally(decoded, config.names)),
     ):
-        began_s = before_s = time.perf_counter()
+        began_s = step_began_s = time.perf_counter()
         for _ in steps:
-            longest_s, before_s = max(longest_s, time.perf_counter() - before_s), time.perf_counter()
-        longest_s = max(longest_s, time.perf_counter() - before_s)
+            longest_s, step_began_s = max(longest_s, time.perf_counter() - step_began_s), time.perf_counter()
+        longest_s = max(longest_s, time.perf_counter() - step_began_s)
         costs[name] = (time.perf_counter() - began_s) * 1e3
     return costs | {"longest step": longest_s * 1e3}
 
@@ -178,21 +190,27 @@
     try:
         sizes = [int(text) for text in options.hosts.split(",")]
     except ValueError:
-        parser.error(f"--hosts: expected numbers with commas between, found {options.hosts!r}")
+        parser.error(f"--hosts: expected numbers separated by commas, found {options.hosts!r}")
     print(f"decisions are {cloverkeel.balancing.BUILD}")
     gc.freeze()
-    found: dict[int, dict[str, dict[str, float]]] = {}
+    results: dict[int, dict[str, dict[str, float]]] = {}
     for hosts in sizes:
-        module = module_ms(hosts, options.repeats)
+        balancer_ms = measure_balancer_ms(hosts, options.repeats)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            cpu, stop = runner.run(core_ms(hosts, options.repeats))
-        found[hosts] = {"module": module, "cpu": cpu, "stop": stop, "reading": reading_ms(hosts)}
-        for name in module:
-            print(f"{hosts:6} {name:10} module {module[name]:9.3f}  cpu {cpu[name]:9.3f}  stop {stop[name]:9.3f}")
-        print(f"{hosts:6} reading    " + "  ".join(f"{k} {v:.2f}" for k, v in found[hosts]["reading"].items()))
+            cpu_ms, pause_ms = runner.run(measure_core_ms(hosts, options.repeats))
+        results[hosts] = {"module": balancer_ms, "cpu": cpu_ms, "stop": pause_ms, "reading": measure_parsing(hosts)}
+        for name in balancer_ms:
+            print(
+                f"{hosts:6} {name:10} module {balancer_ms[name]:9.3f}  cpu {cpu_ms[name]:9.3f}  "
+                f"stop {pause_ms[name]:9.3f}"
+            )
+        print(
+            f"{hosts:6} reading    "
+            + "  ".join(f"{name} {value:.2f}" for name, value in results[hosts]["reading"].items())
+        )
     if options.json:
         with open(options.json, "w") as file:
-            json.dump({"build": cloverkeel.balancing.BUILD, "ms": found}, file, indent=1)
+            json.dump({"build": cloverkeel.balancing.BUILD, "ms": results}, file, indent=1)
     return 0
 
 
--- a/benchmarks/slow_disk/sitecustomize.py
+++ b/benchmarks/slow_disk/sitecustomize.py
@@ -1,7 +1,7 @@
-"""A disk that is slow: with this folder on PYTHONPATH each change of a file or folder waits before it is carried out.
+"""Emulates a slow disk: with this folder on PYTHONPATH, each change of a file or folder is delayed.
 
-Loaded by Python itself, in a test's process and in each program that it starts. SLOW_DISK_MS says how long, in
-milliseconds (20 by default).
+Python imports this module at its start, in the test process and in each Python program that it starts. SLOW_DISK_MS
+is the delay in milliseconds (20 by default).
 """
 
 from __future__ import annotations
@@ -10,17 +10,19 @@
 import time
 from typing import Any
 
-WAIT_S = float(os.environ.get("SLOW_DISK_MS", "20")) / 1e3
-SLOWED = ("fsync", "fdatasync", "replace", "rename", "unlink", "mkdir", "rmdir", "truncate")
+DELAY_S = float(os.environ.get("SLOW_DISK_MS", "20")) / 1e3
+DELAYED_FUNCTIONS = ("fsync", "fdatasync", "replace", "rename", "unlink", "mkdir", "rmdir", "truncate")
 
 
-def slowed(call: Any) -> Any:
-    def wait_first(*arguments: Any, **named: Any) -> Any:
-        time.sleep(WAIT_S)
-        return call(*arguments, **named)
+def delay_calls(function: Any) -> Any:
+    """Wraps a function so that it sleeps before each call."""
 
-    return wait_first
+    def call_after_delay(*arguments: Any, **keywords: Any) -> Any:
+        time.sleep(DELAY_S)
+        return function(*arguments, **keywords)
 
+    return call_after_delay
 
-for _name in SLOWED:
-    setattr(os, _name, slowed(getattr(os, _name)))
+
+for _name in DELAYED_FUNCTIONS:
+    setattr(os, _name, delay_calls(getattr(os, _name)))
--- a/benchmarks/steadiness.py
+++ b/benchmarks/steadiness.py
@@ -1,16 +1,16 @@
-"""Whether each test gives the same verdict every time: N runs of the suite under stated conditions.
+"""Runs the test suite repeatedly under several conditions and reports tests that do not pass every time.
 
     .venv-dev/bin/python -m benchmarks.steadiness [--runs 20] [--under free,one,busy,disk,shuffled] [--json FILE]
         [--logs FOLDER] [--build plain|compiled] [-- words of pytest]
     .venv-dev/bin/python -m benchmarks.steadiness --guards [--runs 20] [--only NAME,...]
 
-Conditions: `free`, nothing else runs; `one`, all of it on one core; `half`, half of the cores burnt by busy
-processes; `busy`, as many busy processes as cores; `disk`, each change of a file takes 20 ms longer; `shuffled`, the
-order of tests drawn anew for each run. Without words of pytest all tests are run. The log of a run that differs is
-kept. With `--guards`: each row of benchmarks/guards, whose tests must fail without it every time.
+Conditions: `free`, nothing else runs; `one`, all tests on one core; `half`, busy loops on half of the cores; `busy`,
+as many busy loops as cores; `disk`, each change of a file takes 20 ms longer; `shuffled`, a new random order of the
+tests for each run. Without pytest arguments, all tests are run. The log of a failed run is kept. `--guards` runs
+the rows of benchmarks/guards instead: the tests of a row must fail every time when its guard is removed.
 
-Exit code: 0 every test passed in every run, every guard was found in every run; 1 otherwise; 2 an option cannot be
-used. A run that is not done in 20 minutes is ended and counts as failed.
+Exit code: 0 if every test passed, or every guard was found, in every run; 1 otherwise; 2 if an option is invalid.
+A run that takes longer than 20 minutes is killed and counts as failed.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 
 ROOT = Path(__file__).parent.parent
 CONDITIONS = ("free", "one", "half", "busy", "disk", "shuffled")
-LONGEST_S = 1200.0
-BURN = "while True: pass"
+RUN_TIMEOUT_S = 1200.0
+BUSY_LOOP = "while True: pass"
 
 
 @contextmanager
-def burning(processes: int) -> Iterator[None]:
-    """So many processes that only burn their core."""
-    started = [subprocess.Popen([sys.executable, "-c", BURN]) for _ in range(processes)]
+def busy_processes(processes: int) -> Iterator[None]:
+    """Runs this number of busy loops, each in a process of its own."""
+    started = [subprocess.Popen([sys.executable, "-c", BUSY_LOOP]) for _ in range(processes)]
     try:
         yield
     finally:
@@ -54,35 +54,35 @@
 
 
 @dataclass(slots=True)
-class Steadiness:
-    """What came of the runs under one condition."""
+class ConditionResults:
+    """Results of the runs under one condition."""
 
     condition: str
     seconds: list[float] = field(default_factory=list)
-    verdicts: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))  # by test
-    logs: list[str] = field(default_factory=list)  # of runs that were not wholly green
+    verdicts: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))  # by test name
+    logs: list[str] = field(default_factory=list)  # log files of failed runs
 
     @property
-    def odd(self) -> dict[str, Counter[str]]:
-        """Tests that did not pass every time."""
-        return {name: of for name, of in self.verdicts.items() if set(of) - {"passed", "skipped"}}
+    def unsteady(self) -> dict[str, Counter[str]]:
+        """Verdict counts of the tests that did not pass every time, by test name."""
+        return {name: counts for name, counts in self.verdicts.items() if set(counts) - {"passed", "skipped"}}
 
-    def take(self, report: Path) -> bool:
-        """Enter one run's results; whether all were well."""
-        well = True
+    def add_report(self, report: Path) -> bool:
+        """Adds the results of one run; returns whether no test failed."""
+        is_passed = True
         for case in ElementTree.parse(report).getroot().iter("testcase"):
             name = f"{case.get('classname', '').replace('.', '/')}.py::{case.get('name')}"
-            found = next((child.tag for child in case if child.tag in ("failure", "error", "skipped")), "passed")
-            self.verdicts[name][found] += 1
-            well = well and found in ("passed", "skipped")
-        return well
+            verdict = next((child.tag for child in case if child.tag in ("failure", "error", "skipped")), "passed")
+            self.verdicts[name][verdict] += 1
+            is_passed = is_passed and verdict in ("passed", "skipped")
+        return is_passed
 
 
-def run_once(condition: str, number: int, words: Sequence[str], report: Path) -> str:
-    """One run of the suite; what it printed. `report` is written by pytest."""
+def run_once(condition: str, number: int, arguments: Sequence[str], report: Path) -> str:
+    """Runs the suite once and returns its output. Pytest writes the results to the file `report`."""
     cores = len(os.sched_getaffinity(0))
     environment = os.environ | {"CLOVERKEEL_PLAIN": os.environ.get("CLOVERKEEL_PLAIN", "1")}
-    command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", f"--junitxml={report}", *words]
+    command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", f"--junitxml={report}", *arguments]
     if condition != "one":
         command[3:3] = ["-n", str(cores), "--dist", "worksteal"]
     if condition == "one":
@@ -91,87 +91,94 @@
         environment["PYTHONPATH"] = str(ROOT / "benchmarks" / "slow_disk")
     if condition == "shuffled":
         command += ["--shuffle", str(number)]
-    with burning({"half": cores // 2, "busy": cores}.get(condition, 0)):
+    with busy_processes({"half": cores // 2, "busy": cores}.get(condition, 0)):
         try:
-            done = subprocess.run(
-                command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=LONGEST_S
+            completed = subprocess.run(
+                command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=RUN_TIMEOUT_S
             )
         except subprocess.TimeoutExpired as error:
-            return f"not done in {LONGEST_S:.0f} s\n{error.stdout!r}"
-    return done.stdout + done.stderr
+            return f"not finished within {RUN_TIMEOUT_S:.0f} s\n{error.stdout!r}"
+    return completed.stdout + completed.stderr
 
 
-def measure(condition: str, runs: int, words: Sequence[str], logs: Path, console: Console) -> Steadiness:
-    found = Steadiness(condition)
+def measure(condition: str, runs: int, arguments: Sequence[str], logs: Path, console: Console) -> ConditionResults:
+    """Runs the suite this often under one condition and keeps the logs of failed runs."""
+    results = ConditionResults(condition)
     with tempfile.TemporaryDirectory() as folder:
         for number in range(1, runs + 1):
             report = Path(folder) / f"{number}.xml"
             began_s = time.monotonic()
-            said = run_once(condition, number, words, report)
-            found.seconds.append(time.monotonic() - began_s)
-            well = report.exists() and found.take(report)
-            if not well:
+            output = run_once(condition, number, arguments, report)
+            results.seconds.append(time.monotonic() - began_s)
+            is_passed = report.exists() and results.add_report(report)
+            if not is_passed:
                 logs.mkdir(parents=True, exist_ok=True)
-                kept = logs / f"{condition}-{number}.log"
-                kept.write_text(said)
-                found.logs.append(str(kept))
+                log = logs / f"{condition}-{number}.log"
+                log.write_text(output)
+                results.logs.append(str(log))
                 if not report.exists():
-                    found.verdicts["(the run itself)"]["failure"] += 1
-            console.print(f"{condition} {number}: {found.seconds[-1]:.0f} s, {'well' if well else 'NOT WELL'}")
-    return found
+                    results.verdicts["(the run itself)"]["failure"] += 1
+            console.print(f"{condition} {number}: {results.seconds[-1]:.0f} s, {'passed' if is_passed else 'FAILED'}")
+    return results
 
 
-def show(results: Sequence[Steadiness], console: Console) -> int:
-    """Print the tables; returns how many tests differ, over all conditions."""
-    table = Table(title="the same verdict every time")
-    for name in ("condition", "runs", "tests", "differ", "seconds, least to most"):
+def print_results(results: Sequence[ConditionResults], console: Console) -> int:
+    """Prints the results; returns the number of tests that did not pass every time, over all conditions."""
+    table = Table(title="tests that do not pass every time")
+    for name in ("condition", "runs", "tests", "differ", "seconds, min to max"):
         table.add_column(name)
-    for one in results:
-        spread = f"{min(one.seconds):.0f} to {max(one.seconds):.0f}"
-        table.add_row(one.condition, str(len(one.seconds)), str(len(one.verdicts)), str(len(one.odd)), spread)
+    for result in results:
+        spread = f"{min(result.seconds):.0f} to {max(result.seconds):.0f}"
+        table.add_row(
+            result.condition, str(len(result.seconds)), str(len(result.verdicts)), str(len(result.unsteady)), spread
+        )
     console.print(table)
-    for one in results:
-        for name, counts in one.odd.items():
-            said = ", ".join(f"{what} {count}" for what, count in sorted(counts.items()))
-            console.print(f"{one.condition}: {name}: {said}", highlight=False, markup=False)
-        for log in one.logs:
-            console.print(f"{one.condition}: log kept in {log}", highlight=False, markup=False)
-    return sum(len(one.odd) for one in results)
+    for result in results:
+        for name, counts in result.unsteady.items():
+            verdicts = ", ".join(f"{verdict} {count}" for verdict, count in sorted(counts.items()))
+            console.print(f"{result.condition}: {name}: {verdicts}", highlight=False, markup=False)
+        for log in result.logs:
+            console.print(f"{result.condition}: log kept in {log}", highlight=False, markup=False)
+    return sum(len(result.unsteady) for result in results)
 
 
 def measure_guards(only: str, runs: int, console: Console) -> int:
-    """Each row so many times; returns how many were not found each time."""
+    """Runs each row this often; returns the number of rows not found every time plus that of runs with an error."""
     rows = choose(only, False, None)
-    missed: Counter[str] = Counter()
-    wrong = 0
+    missed_counts: Counter[str] = Counter()
+    error_count = 0
     for number in range(1, runs + 1):
-        verdicts, said = carry_out(rows, len(os.sched_getaffinity(0)))
-        lost = [verdict for verdict in verdicts if not verdict.found]
-        missed.update(verdict.row.name for verdict in lost)
-        wrong += bool(said)
-        console.print(f"guards {number}: {len(verdicts) - len(lost)} of {len(verdicts)} found {said}")
-        for verdict in lost:
+        verdicts, error = carry_out(rows, len(os.sched_getaffinity(0)))
+        missed = [verdict for verdict in verdicts if not verdict.found]
+        missed_counts.update(verdict.row.name for verdict in missed)
+        error_count += bool(error)
+        console.print(f"guards {number}: {len(verdicts) - len(missed)} of {len(verdicts)} found {error}")
+        for verdict in missed:
             console.print(f"  {verdict.row.name}: {verdict.said or verdict.unnoticed}", markup=False)
-    for name, count in missed.most_common():
+    for name, count in missed_counts.most_common():
         console.print(f"{name}: found in {runs - count} of {runs}", markup=False)
-    console.print(f"{len(rows) - len(missed)} of {len(rows)} guards found in each of {runs} runs")
-    return len(missed) + wrong
+    console.print(f"{len(rows) - len(missed_counts)} of {len(rows)} guards found in each of {runs} runs")
+    return len(missed_counts) + error_count
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--runs", type=int, default=20)
-    parser.add_argument("--under", default="free,one,busy,disk,shuffled", help=f"of {','.join(CONDITIONS)}")
-    parser.add_argument("--guards", action="store_true", help="the rows of benchmarks/guards in place of the suite")
-    parser.add_argument("--only", default="", metavar="NAME,...", help="these rows of the guards alone")
+    parser.add_argument(
+        "--under", default="free,one,busy,disk,shuffled", help=f"conditions, from {','.join(CONDITIONS)}"
+    )
+    parser.add_argument(
+        "--guards", action="store_true", help="run the rows of benchmarks/guards instead of the suite"
+    )
+    parser.add_argument("--only", default="", metavar="NAME,...", help="with --guards, run only these rows")
     parser.add_argument("--logs", type=Path, default=Path(tempfile.gettempdir()) / "cloverkeel-steadiness")
     parser.add_argument("--json", type=Path)
-    parser.add_argument("words", nargs="*", help="for pytest, after --")
+    parser.add_argument("words", nargs="*", help="arguments for pytest, after --")
     options = parser.parse_args()
     console = Console()
     unknown = [name for name in options.under.split(",") if name not in CONDITIONS]
     if unknown or options.runs < 1:
-        print(f"steadiness: expected --under of {', '.join(CONDITIONS)} and --runs from 1", file=sys.stderr)
+        print(f"steadiness: expected --under from {', '.join(CONDITIONS)} and --runs of at least 1", file=sys.stderr)
         return 2
     if options.guards:
         try:
@@ -183,13 +190,19 @@
         measure(condition, options.runs, options.words, options.logs, console)
         for condition in options.under.split(",")
     ]
-    differ = show(results, console)
+    unsteady_count = print_results(results, console)
     if options.json is not None:
-        made = [
-            {"condition": r.condition, "seconds": r.seconds, "tests": len(r.verdicts), "odd": r.odd} for r in results
+        rows = [
+            {
+                "condition": result.condition,
+                "seconds": result.seconds,
+                "tests": len(result.verdicts),
+                "odd": result.unsteady,
+            }
+            for result in results
         ]
-        options.json.write_text(json.dumps(made, indent=1) + "\n")
-    return 1 if differ else 0
+        options.json.write_text(json.dumps(rows, indent=1) + "\n")
+    return 1 if unsteady_count else 0
 
 
 if __name__ == "__main__":
