--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -441,10 +441,10 @@
 
     before = kib("self", "VmRSS")
     told = Fleet(size, 1)
-    told.run(START_US + 2_000_000, load=False)
+    told.run(START_US + 2_000_000, has_load=False)
     sent, sent_bytes, cpu = told.sent_datagrams, told.sent_bytes, time.process_time()
     span_s = 4
-    told.run(told.now_us + span_s * 1_000_000, step_us=20_000, load=False)
+    told.run(told.now_us + span_s * 1_000_000, step_us=20_000, has_load=False)
     each = size * span_s
     spent = (time.process_time() - cpu) * 1e3
     return {
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -41,11 +41,11 @@
 )
 from cloverkeel.balancing.settings import Effect, RequestClass, Settings
 
-MEAN_WORK_US = 60_000  # of a request on one core
+MEAN_WORK_US = 60_000  # CPU time of a mean request on one core
 SLOW_START_US, WINDOW_US, COLLAPSE_MULTIPLE, START_CAPACITY = 9_000_000, 1_000_000, 3.0, 0.3
 # The new hosts start at START_US; before that, the warm hosts alone serve the load for LEAD_TIME_US.
 START_US, LEAD_TIME_US = 100_000_000, 8_000_000
-REQUESTS_PER_HOST_S = 40.0  # overload: a warm host has two cores and serves 33 requests per second
+REQUESTS_PER_S_PER_HOST = 40.0  # overload: a warm host has two cores and serves 33 requests per second
 PATTERNS = ("even", "uneven", "surge", "restarts", "late lists", "turned away")
 SETTINGS = Settings(
     classes=(RequestClass(objective_us=600_000, client_timeout_us=1_500_000, effect=Effect.SAFE),), max_attempts=6,
@@ -103,7 +103,7 @@
         self.event_count = 0
         self.requests: dict[str, tuple[int, float]] = {}  # (gateway, work) by request id
         self.pending_ends: list[tuple[int, int, int, AttemptEnded]] = []
-        self.requests_per_us = REQUESTS_PER_HOST_S * hosts / 1e6
+        self.requests_per_us = REQUESTS_PER_S_PER_HOST * hosts / 1e6
         self.idle_at_us = dict.fromkeys(range(hosts - cold), 0.0)  # time at which the warm host is idle
 
     def create_balancer(self, gateway: int, seed: int) -> Balancer:
--- a/benchmarks/list_cost.py
+++ b/benchmarks/list_cost.py
@@ -129,17 +129,17 @@
         entries = parse_endpoint_list({"index": 1, "endpoints": changed}, config.names).endpoints
         await asyncio.sleep(0)
         gc.collect()
-        longest_s, cpu_s, idle_turns = 0.0, 0.0, 0
+        max_step_s, total_s, idle_turns = 0.0, 0.0, 0
         began_s = time.perf_counter()
         gateway.on_endpoint_list(kind, entries)
         while idle_turns < 3:  # iterations of the event loop without pending work
-            took_s = time.perf_counter() - began_s
-            longest_s, cpu_s = max(longest_s, took_s), cpu_s + took_s
+            elapsed_s = time.perf_counter() - began_s
+            max_step_s, total_s = max(max_step_s, elapsed_s), total_s + elapsed_s
             began_s = time.perf_counter()
             await asyncio.sleep(0)
             idle_turns = idle_turns + 1 if not gateway.endpoint_updates.batches.pending else 0
-        cpu_ms.setdefault(name, []).append(cpu_s * 1e3)
-        pause_ms.setdefault(name, []).append(longest_s * 1e3)
+        cpu_ms.setdefault(name, []).append(total_s * 1e3)
+        pause_ms.setdefault(name, []).append(max_step_s * 1e3)
 
     whole = [host_entry(number) for number in range(hosts)]
     await deliver_list("first", ListKind.FULL, whole)
@@ -168,17 +168,17 @@
         "parse_list": (parsed_s - decoded_s) * 1e3,
         "bytes": float(len(data)),
     }
-    longest_s = 0.0
+    max_step_s = 0.0
     for name, steps in (
         ("json by steps", decode_json(data)),
         ("parse_list by steps", parse_endpoint_list_incrementally(decoded, config.names)),
     ):
         began_s = step_began_s = time.perf_counter()
         for _ in steps:
-            longest_s, step_began_s = max(longest_s, time.perf_counter() - step_began_s), time.perf_counter()
-        longest_s = max(longest_s, time.perf_counter() - step_began_s)
+            max_step_s, step_began_s = max(max_step_s, time.perf_counter() - step_began_s), time.perf_counter()
+        max_step_s = max(max_step_s, time.perf_counter() - step_began_s)
         costs[name] = (time.perf_counter() - began_s) * 1e3
-    return costs | {"longest step": longest_s * 1e3}
+    return costs | {"longest step": max_step_s * 1e3}
 
 
 def main() -> int:
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -70,7 +70,7 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         environment = runner.run(run_scenario(variant, seed))
     checker = Checker(environment.event_log)
-    breaches = checker.find_violations()
+    violations = checker.find_violations()
     summary = summarise(checker, scenario, seed, environment.seconds)
     errors, given_up = count_failed_attempts(environment.event_log)
     attempt_count = sum(1 for attempt in environment.event_log.events_of(BackendAttempt) if attempt.received_us)
@@ -80,7 +80,7 @@
     return Row(
         gateways, sharing, seed, summary.service, summary.classes["search"].service, summary.classes["transfer"].p99,
         summary.connections, errors, given_up, attempt_count / max(1, request_count), summary.cpu_us,
-        len(breaches) + len(environment.logged_defects),
+        len(violations) + len(environment.logged_defects),
     )  # fmt: skip
 
 
--- a/benchmarks/operating.py
+++ b/benchmarks/operating.py
@@ -90,7 +90,7 @@
         self.reserved_socket.bind(("127.0.0.1", 0))  # binds without listening, which reserves the port
 
     @property
-    def address(self) -> tuple[str, int]:
+    def proxy_address(self) -> tuple[str, int]:
         """Proxy address of the gateway."""
         return ("127.0.0.1", int(self.reserved_socket.getsockname()[1]))
 
@@ -104,7 +104,7 @@
         }  # fmt: skip
         gateway_settings = settings(1, 0, 0, BackendType(), Rules()) | {"membershipMode": "pushed"}
         config_path = self.folder / "config.json"
-        listen = f"127.0.0.1:{self.address[1]}"
+        listen = f"127.0.0.1:{self.proxy_address[1]}"
         rules = Rules(memory_mib=self.memory_mb)
         config_path.write_text(
             json.dumps(configuration("n0", listen, "127.0.0.1:9", "1", [entry], gateway_settings, rules))
@@ -131,7 +131,7 @@
             for is_retry in (False, True):
                 is_kept = streams is not None
                 try:
-                    streams = streams or await asyncio.open_connection(*self.address)
+                    streams = streams or await asyncio.open_connection(*self.proxy_address)
                     streams[1].write(request)
                     head = await streams[0].readuntil(b"\r\n\r\n")
                     if b"Content-Length: 2\r\n" in head:
@@ -157,7 +157,7 @@
         """Requests a large response and reads it slowly; returns whether it is complete."""
         self.request_count += 1
         request = encode_request(self.request_count, "f")
-        reader, writer = await asyncio.open_connection(*self.address, limit=READ_BYTES)
+        reader, writer = await asyncio.open_connection(*self.proxy_address, limit=READ_BYTES)
         try:
             writer.write(request)
             head = await reader.readuntil(b"\r\n\r\n")
@@ -215,7 +215,7 @@
     """Measures the time to the ACK of ops calls under overload."""
     async with open_gateway(backend_port) as gateway:
         _, ops_port = await gateway.start()
-        load = [asyncio.create_task(gateway.send_requests(number % 4 != 0)) for number in range(clients)]
+        load_tasks = [asyncio.create_task(gateway.send_requests(number % 4 != 0)) for number in range(clients)]
         loop = asyncio.get_running_loop()
         await asyncio.sleep(1.0)
         latencies_s, missed = [], 0
@@ -225,7 +225,7 @@
             latencies_s.append(loop.time() - began_s)
             await asyncio.sleep(0.02)
         gateway.is_over = True
-        await asyncio.gather(*load)
+        await asyncio.gather(*load_tasks)
         late = sum(latency_s > ACK_DEADLINE_S for latency_s in latencies_s)
         return {
             "calls": count, "median_ms": 1e3 * statistics.median(latencies_s), "most_ms": 1e3 * max(latencies_s),
@@ -237,26 +237,26 @@
     """Replaces the gateway process repeatedly under load; measures losses, times and the usage of both processes."""
     async with open_gateway(backend_port) as gateway:
         old, _ = await gateway.start()
-        load = [asyncio.create_task(gateway.send_requests(number % 2 == 0)) for number in range(clients)]
+        load_tasks = [asyncio.create_task(gateway.send_requests(number % 2 == 0)) for number in range(clients)]
         loop = asyncio.get_running_loop()
-        max_mib, max_fds, ready_s, exit_s = 0.0, 0, [], []
+        max_mib, max_fds, ready_times_s, exit_times_s = 0.0, 0, [], []
         for _ in range(count):
             began_s = loop.time()
             new, _ = await gateway.start()
-            ready_s.append(loop.time() - began_s)
+            ready_times_s.append(loop.time() - began_s)
             began_s = loop.time()
             old.send_signal(signal.SIGTERM)
             while old.returncode is None:
                 mib, fds = gateway.read_total_usage()
                 max_mib, max_fds = max(max_mib, mib), max(max_fds, fds)
                 await asyncio.sleep(0.05)
-            exit_s.append(loop.time() - began_s)
+            exit_times_s.append(loop.time() - began_s)
             old = new
         gateway.is_over = True
-        await asyncio.gather(*load)
+        await asyncio.gather(*load_tasks)
         return {
             "upgrades": count, "lost": gateway.counts.lost, "served": gateway.counts.served,
-            "refused": gateway.counts.refused, "ready_s": max(ready_s), "gone_s": max(exit_s),
+            "refused": gateway.counts.refused, "ready_s": max(ready_times_s), "gone_s": max(exit_times_s),
             "both_mib": max_mib, "both_descriptors": max_fds,
         }  # fmt: skip
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -125,7 +125,7 @@
         node.tick(self.clock_us(gateway))
         self.send_outbox(gateway)
 
-    def run(self, until_us: int, step_us: int = 5_000, load: bool = True) -> None:
+    def run(self, until_us: int, step_us: int = 5_000, has_load: bool = True) -> None:
         """Advances the time in steps: delivers datagrams, sends requests to random hosts, calls due timers."""
         while self.now_us < until_us:
             self.now_us += step_us
@@ -141,7 +141,7 @@
             for gateway, node in enumerate(self.nodes):
                 if gateway in self.dead_gateways or gateway in self.paused_gateways:
                     continue
-                if load and self.rng.random() < self.requests_per_s * step_us / 1e6:
+                if has_load and self.rng.random() < self.requests_per_s * step_us / 1e6:
                     host = self.rng.randrange(self.host_count)
                     if self.is_suspecting(gateway, host) and self.rng.random() >= SUSPECT_WEIGHT_FACTOR:
                         continue  # the balancer chooses another host; that request is not simulated
@@ -178,7 +178,7 @@
     points: float  # price of the platform during the run: messages of 256 bytes per request
 
 
-def spread(gateway_count: int, loss: float, seed: int) -> SpreadRow:
+def measure_spread(gateway_count: int, loss: float, seed: int) -> SpreadRow:
     """Lets host 0 fail and measures when the gateways suspect it and how much they send."""
     fleet = Fleet(gateway_count, seed, loss)
     fleet.run(START_US + 1_500_000)
@@ -203,7 +203,7 @@
     )
 
 
-def quiet(gateway_count: int, seed: int, seconds: int = 60) -> str:
+def measure_quiet(gateway_count: int, seed: int, seconds: int = 60) -> str:
     """Measures traffic and false suspicions while hosts fail only by chance."""
     fleet = Fleet(gateway_count, seed)
     fleet.failure_rates = dict.fromkeys(range(HOST_COUNT), 0.002)
@@ -226,7 +226,7 @@
     )
 
 
-def state() -> str:
+def measure_state() -> str:
     """Measures the memory of each of 200 gateways while all of 200 hosts fail."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -253,15 +253,15 @@
         return 2
     if options.what == "quiet":
         for gateway_count in (8, 40, 200):
-            print(quiet(gateway_count, seeds[0], 60 if gateway_count < 200 else 15))
+            print(measure_quiet(gateway_count, seeds[0], 60 if gateway_count < 200 else 15))
         return 0
     if options.what == "state":
-        print(state())
+        print(measure_state())
         return 0
     rows = []
     for gateway_count in (8, 40, 200):
         for loss in (0.0, 0.05, 0.3):
-            results = [spread(gateway_count, loss, seed) for seed in seeds]
+            results = [measure_spread(gateway_count, loss, seed) for seed in seeds]
             rows += results
             names = ("half_ms", "most_ms", "all_ms")
             medians = [statistics.median(getattr(result, name) for result in results) for name in names]
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -113,7 +113,7 @@
     fleet.failure_rates[0] = 0.9
     fleet.run(fleet.now_us + 1_000_000)
     fleet.blocked_links = {(gateway, 7) for gateway in range(8)} | {(7, gateway) for gateway in range(8)}
-    fleet.run(fleet.now_us + OBSERVATION_LIFETIME_US + 300_000, load=False)
+    fleet.run(fleet.now_us + OBSERVATION_LIFETIME_US + 300_000, has_load=False)
     assert not fleet.is_suspecting(7, 0)
 
 
