--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -465,18 +465,18 @@
 
 def part_presence(size: int, seconds: float) -> Costs:
     """Measure the datagrams, CPU time and memory by which `size` gateways watch one another."""
-    from benchmarks.sharing import BEGIN_US, Fleet
+    from benchmarks.sharing import START_US, Fleet
 
     start_kib = read_status_kib("self", "VmRSS")
     fleet = Fleet(size, 1)
-    fleet.run(BEGIN_US + 2_000_000, load=False)
-    sent, sent_bytes, cpu_start_s = fleet.sent, fleet.sent_bytes, time.process_time()
+    fleet.run(START_US + 2_000_000, has_load=False)
+    sent, sent_bytes, cpu_start_s = fleet.sent_datagrams, fleet.sent_bytes, time.process_time()
     span_s = 4
-    fleet.run(fleet.at_us + span_s * 1_000_000, step_us=20_000, load=False)
+    fleet.run(fleet.now_us + span_s * 1_000_000, step_us=20_000, has_load=False)
     gateway_seconds = size * span_s
     spent_ms = (time.process_time() - cpu_start_s) * 1e3
     return {
-        "presence_datagrams_per_s": (fleet.sent - sent) / gateway_seconds,
+        "presence_datagrams_per_s": (fleet.sent_datagrams - sent) / gateway_seconds,
         "presence_bytes_per_s": (fleet.sent_bytes - sent_bytes) / gateway_seconds,
         "presence_ms_per_s": spent_ms / gateway_seconds,
         "presence_kib": (read_status_kib("self", "VmRSS") - start_kib) / size,
@@ -489,20 +489,22 @@
     The fleet has the plan's ratio of hosts and of requests to gateways, and each request may go to any host, so the
     largest possible number of gateways reports the host.
     """
-    from benchmarks.sharing import BEGIN_US, Fleet
+    from benchmarks.sharing import START_US, Fleet
 
-    fleet = Fleet(size, 1, hosts=round(size * PLAN.hosts / PLAN.gateways), rate=PLAN.requests_per_gateway)
-    fleet.run(BEGIN_US + 1_500_000, step_us=NEWS_STEP_US)
-    fleet.failing[0] = 0.6
-    start_us, sent_bytes = fleet.at_us, fleet.sent_bytes
+    fleet = Fleet(
+        size, 1, host_count=round(size * PLAN.hosts / PLAN.gateways), requests_per_s=PLAN.requests_per_gateway
+    )
+    fleet.run(START_US + 1_500_000, step_us=NEWS_STEP_US)
+    fleet.failure_rates[0] = 0.6
+    start_us, sent_bytes = fleet.now_us, fleet.sent_bytes
     all_us = 0
-    while fleet.at_us < start_us + NEWS_TIMEOUT_US:
-        fleet.run(fleet.at_us + NEWS_STEP_US, step_us=NEWS_STEP_US)
-        if fleet.doubting(0) == size:
-            all_us = fleet.at_us - start_us
+    while fleet.now_us < start_us + NEWS_TIMEOUT_US:
+        fleet.run(fleet.now_us + NEWS_STEP_US, step_us=NEWS_STEP_US)
+        if fleet.count_suspecting(0) == size:
+            all_us = fleet.now_us - start_us
             break
-    fleet.run(max(fleet.at_us, start_us + 3_000_000), step_us=NEWS_STEP_US)
-    elapsed_s = (fleet.at_us - start_us) / 1e6
+    fleet.run(max(fleet.now_us, start_us + 3_000_000), step_us=NEWS_STEP_US)
+    elapsed_s = (fleet.now_us - start_us) / 1e6
     costs = {"news_bytes_per_s": (fleet.sent_bytes - sent_bytes) / size / elapsed_s}
     return costs | ({"news_all_ms": all_us / 1e3} if all_us else {})
 
