--- a/benchmarks/guards/__init__.py
+++ b/benchmarks/guards/__init__.py
@@ -1,1 +1,1 @@
-"""Every guard of the rules taken out in turn: does a play notice? `python -m benchmarks.guards`."""
+"""Mutation tests: remove each guard in turn; a scenario or a test must detect it. `python -m benchmarks.guards`."""
--- a/benchmarks/guards/mutants/__init__.py
+++ b/benchmarks/guards/mutants/__init__.py
@@ -1,4 +1,4 @@
-"""All mutants, a module for each package of the product: importing this registers them."""
+"""All mutants, one module for each package of the product. Importing this package registers them."""
 
 from benchmarks.guards.mutants import (
     admin,
--- a/benchmarks/guards/mutants/admin.py
+++ b/benchmarks/guards/mutants/admin.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from benchmarks.guards.patching import cut, entry, swap
+from benchmarks.guards.patching import mutant, patch_attribute, patch_source
 
 
-@entry("ban-outlives")
+@mutant("ban-outlives")
 def _() -> None:
     """A process starts without the state that its predecessor stored."""
     from cloverkeel.admin.shared_folder import SharedFolder
@@ -20,28 +20,28 @@
         original_open(self)
         return GatewayState()
 
-    swap(SharedFolder, "open", open_without_state)
+    patch_attribute(SharedFolder, "open", open_without_state)
 
 
-@entry("ban-heard")
+@mutant("ban-heard")
 def _() -> None:
     """A state change made by another process is not applied."""
     from cloverkeel.admin.state_file import StateFile
 
-    swap(StateFile, "read_if_changed", lambda self: None)
+    patch_attribute(StateFile, "read_if_changed", lambda self: None)
 
 
-@entry("two-writers")
+@mutant("two-writers")
 def _() -> None:
     """A change is applied to this process's copy of the state, ignoring what another process stored."""
     from cloverkeel.admin.state_file import StateFile
 
-    cut(StateFile, "update", ("change(self.read() or fallback)", "change(fallback)"))
+    patch_source(StateFile, "update", ("change(self.read() or fallback)", "change(fallback)"))
 
 
-@entry("successor-ready")
+@mutant("successor-ready")
 def _() -> None:
     """A draining process with a successor reports that the gateway is not ready."""
     from cloverkeel.admin.process_coordinator import ProcessCoordinator
 
-    swap(ProcessCoordinator, "begin_shutdown", lambda self: None)
+    patch_attribute(ProcessCoordinator, "begin_shutdown", lambda self: None)
--- a/benchmarks/guards/mutants/discovery.py
+++ b/benchmarks/guards/mutants/discovery.py
@@ -4,78 +4,78 @@
 
 from typing import Any
 
-from benchmarks.guards.patching import cut, entry, swap
+from benchmarks.guards.patching import mutant, patch_attribute, patch_source
 
 
-@entry("watch-silent")
+@mutant("watch-silent")
 def _() -> None:
     """A silent watch is not abandoned in time."""
     from cloverkeel.discovery import poll_schedule
 
-    swap(poll_schedule, "LONG_POLL_GRACE_S", 6.0)
+    patch_attribute(poll_schedule, "LONG_POLL_GRACE_S", 6.0)
 
 
-@entry("first-silent")
+@mutant("first-silent")
 def _() -> None:
     """A connection that is silent before its first reply is not abandoned in time."""
     from cloverkeel.discovery import poll_schedule
 
-    swap(poll_schedule, "FIRST_REPLY_TIMEOUT_S", 6.0)
+    patch_attribute(poll_schedule, "FIRST_REPLY_TIMEOUT_S", 6.0)
 
 
-@entry("failed-longer")
+@mutant("failed-longer")
 def _() -> None:
     """The timeout of the first reply is not longer after a failure."""
     from cloverkeel.discovery.poll_schedule import PollSchedule
 
-    cut(
+    patch_source(
         PollSchedule,
         "next_request",
         ("FIRST_REPLY_TIMEOUT_AFTER_FAILURE_S if self.failures else FIRST_REPLY_TIMEOUT_S", "FIRST_REPLY_TIMEOUT_S"),
     )
 
 
-@entry("leaving-odd")
+@mutant("leaving-odd")
 def _() -> None:
     """An invalid entry is skipped even if it removes its host."""
     from cloverkeel.discovery import endpoint_parser
 
-    swap(endpoint_parser, "parse_departed_endpoint", lambda raw: None)
+    patch_attribute(endpoint_parser, "parse_departed_endpoint", lambda raw: None)
 
 
-@entry("one-call")
+@mutant("one-call")
 def _() -> None:
     """A replaced call continues alongside the new one."""
     from cloverkeel.discovery.http_client import HttpEndpointSource
 
-    cut(HttpEndpointSource, "restart", ("self.stop()", "pass"))
+    patch_source(HttpEndpointSource, "restart", ("self.stop()", "pass"))
 
 
-@entry("version-back")
+@mutant("version-back")
 def _() -> None:
     """A delta of a restarted registry is applied to the list held."""
     from cloverkeel.discovery.poll_schedule import PollSchedule
 
-    cut(PollSchedule, "on_reply", ("or version >= self.version", "or True"))
+    patch_source(PollSchedule, "on_reply", ("or version >= self.version", "or True"))
 
 
-@entry("list-rests")
+@mutant("list-rests")
 def _() -> None:
     """A long poll that is answered immediately without entries is repeated without a pause."""
     from cloverkeel.discovery import polling_client
 
-    swap(polling_client, "EMPTY_REPLY_PAUSE_S", 0.0)
+    patch_attribute(polling_client, "EMPTY_REPLY_PAUSE_S", 0.0)
 
 
-@entry("list-moves")
+@mutant("list-moves")
 def _() -> None:
     """A reload does not change the address of discovery."""
     from cloverkeel.discovery.http_client import HttpEndpointSource
 
-    swap(HttpEndpointSource, "move", lambda self, address: None)
+    patch_attribute(HttpEndpointSource, "move", lambda self, address: None)
 
 
-@entry("lost-tells-nothing")
+@mutant("lost-tells-nothing")
 def _() -> None:
     """The loss of the session empties the list."""
     from cloverkeel.discovery.source_merge import ConnectionState
@@ -88,55 +88,55 @@
         if state is ConnectionState.LOST:
             self.on_nodes([])
 
-    swap(MergedEndpointSource, "on_session_state", on_session_state)
+    patch_attribute(MergedEndpointSource, "on_session_state", on_session_state)
 
 
-@entry("state-kept")
+@mutant("state-kept")
 def _() -> None:
     """The saved list is not loaded; a start without the service uses the list in the configuration."""
     from cloverkeel.discovery import snapshot_file
 
-    swap(snapshot_file, "load_snapshot", lambda path: None)
+    patch_attribute(snapshot_file, "load_snapshot", lambda path: None)
 
 
-@entry("agent-checks")
+@mutant("agent-checks")
 def _() -> None:
     """An agent keeps the node of a backend that fails its health check."""
     from cloverkeel.discovery.registration import Registration
 
-    cut(Registration, "on_health_check", ("self.is_healthy = False", "pass"))
+    patch_source(Registration, "on_health_check", ("self.is_healthy = False", "pass"))
 
 
-@entry("ban")
+@mutant("ban")
 def _() -> None:
     """An ejected host is passed on with its listed status."""
     from cloverkeel.discovery.manual_ejections import ManualEjections
 
-    cut(ManualEjections, "_overlay", ("status = ServerStatus.DRAINING", "pass"))
+    patch_source(ManualEjections, "_overlay", ("status = ServerStatus.DRAINING", "pass"))
 
 
-@entry("ban-cold")
+@mutant("ban-cold")
 def _() -> None:
     """A reinstated host keeps its listed start time."""
     from cloverkeel.discovery.manual_ejections import ManualEjections
 
-    cut(ManualEjections, "reinstate", ("self.reinstated_us_by_name[name] = now_us", "pass"))
+    patch_source(ManualEjections, "reinstate", ("self.reinstated_us_by_name[name] = now_us", "pass"))
 
 
-@entry("relay-move-anew")
+@mutant("relay-move-anew")
 def _() -> None:
     """After a move, a gateway requests changes since a version of the previous relay."""
     from cloverkeel.discovery.relay_client import RelayEndpointSource
 
-    cut(RelayEndpointSource, "_poll_next", ("self.schedule.reset()", "pass"))
+    patch_source(RelayEndpointSource, "_poll_next", ("self.schedule.reset()", "pass"))
 
 
-@entry("relay-replaced")
+@mutant("relay-replaced")
 def _() -> None:
     """The current relay stays in use after the options no longer name it."""
     from cloverkeel.discovery.relay_selection import RelaySelector
 
-    cut(
+    patch_source(
         RelaySelector,
         "replace",
         (
@@ -146,93 +146,93 @@
     )
 
 
-@entry("relay-names")
+@mutant("relay-names")
 def _() -> None:
     """A gateway does not identify itself to relays."""
     from cloverkeel.discovery import relay_client
 
-    swap(relay_client, "identify_gateway", lambda target, gateway, services, doublings: target)
+    patch_attribute(relay_client, "identify_gateway", lambda target, gateway, services, doublings: target)
 
 
-@entry("relay-old-permits")
+@mutant("relay-old-permits")
 def _() -> None:
     """A permission applies even if the relay's list may be older than a known restriction."""
     from cloverkeel.discovery.known_state import KnownState
 
-    cut(
+    patch_source(
         KnownState,
         "_may_predate_restriction",
         ("restriction.read_s > as_of_s and restriction.run != self.run", "False"),
     )
 
 
-@entry("relay-looks")
+@mutant("relay-looks")
 def _() -> None:
     """The other relays are not asked for the age of their lists."""
     from cloverkeel.discovery.relay_selection import RelaySelector
 
-    swap(RelaySelector, "next_freshness_check", lambda self, age_s: None)
+    patch_attribute(RelaySelector, "next_freshness_check", lambda self, age_s: None)
 
 
-@entry("relay-stale-permits")
+@mutant("relay-stale-permits")
 def _() -> None:
     """Replies of a stale relay are applied like those of a fresh one."""
     from cloverkeel.discovery.known_state import KnownState
 
-    cut(KnownState, "accept", ("if self.status_by_server and answer.age_s > MAX_STALENESS_S:", "if False:"))
+    patch_source(KnownState, "accept", ("if self.status_by_server and answer.age_s > MAX_STALENESS_S:", "if False:"))
 
 
-@entry("relay-wide")
+@mutant("relay-wide")
 def _() -> None:
     """A subset whose hosts fail is not widened."""
     from cloverkeel.discovery.subset_widening import SubsetWidening
 
-    swap(SubsetWidening, "update", lambda self, now_s, failing_hosts, serving_hosts: 0)
+    patch_attribute(SubsetWidening, "update", lambda self, now_s, failing_hosts, serving_hosts: 0)
 
 
-@entry("list-steps")
+@mutant("list-steps")
 def _() -> None:
     """A long list is read without suspending."""
     from cloverkeel.discovery.polling_client import PollingClient
 
-    cut(PollingClient, "_run_cooperatively", ("await asyncio.sleep(0)", "pass"))
+    patch_source(PollingClient, "_run_cooperatively", ("await asyncio.sleep(0)", "pass"))
 
 
-@entry("list-steps-bounded")
+@mutant("list-steps-bounded")
 def _() -> None:
     """Incremental reading has no time limit; other tasks of the loop can prolong it."""
     from cloverkeel.discovery.polling_client import PollingClient
 
-    cut(PollingClient, "_run_cooperatively", ("now_s < deadline_s and ", ""))
+    patch_source(PollingClient, "_run_cooperatively", ("now_s < deadline_s and ", ""))
 
 
-@entry("list-steps-superseded")
+@mutant("list-steps-superseded")
 def _() -> None:
     """A list that is being read is applied although its call was replaced."""
     from cloverkeel.discovery.polling_client import PollingClient
 
-    cut(PollingClient, "stop", ("self.poll_task.cancel()", "pass"))
+    patch_source(PollingClient, "stop", ("self.poll_task.cancel()", "pass"))
 
 
-@entry("list-steps-unread")
+@mutant("list-steps-unread")
 def _() -> None:
     """After a stall, the process does not wait for a list that is being read."""
     from cloverkeel.discovery.polling_client import PollingClient
 
-    cut(PollingClient, "_has_unread", ("self.is_reading or connection.has_unread", "connection.has_unread"))
+    patch_source(PollingClient, "_has_unread", ("self.is_reading or connection.has_unread", "connection.has_unread"))
 
 
-@entry("list-steps-hurry")
+@mutant("list-steps-hurry")
 def _() -> None:
     """Reading suspends even while requests wait for the list after a stall."""
     from cloverkeel.discovery.polling_client import PollingClient
 
-    cut(PollingClient, "_run_cooperatively", (" and not self.is_catching_up", ""))
+    patch_source(PollingClient, "_run_cooperatively", (" and not self.is_catching_up", ""))
 
 
-@entry("gzip-relays")
+@mutant("gzip-relays")
 def _() -> None:
     """Direct polls of discovery offer gzip, which is not decoded there."""
     from cloverkeel.discovery.relay_client import RelayEndpointSource
 
-    cut(RelayEndpointSource, "extra_headers", ('b"" if self.selector.current is None else ', ""))
+    patch_source(RelayEndpointSource, "extra_headers", ('b"" if self.selector.current is None else ', ""))
--- a/benchmarks/guards/mutants/frontends.py
+++ b/benchmarks/guards/mutants/frontends.py
@@ -4,19 +4,19 @@
 
 from typing import Any
 
-from benchmarks.guards.patching import cut, entry, swap
+from benchmarks.guards.patching import mutant, patch_attribute, patch_source
 
 
-@entry("answer-own")
+@mutant("answer-own")
 def _() -> None:
     """A client connection writes a response even if it belongs to another call."""
     from cloverkeel.frontends.http1.connection import ClientConnection
 
     for name in ("on_response", "on_rejected", "on_failed"):
-        cut(ClientConnection, name, ("if self.call is call:", "if True:"))
+        patch_source(ClientConnection, name, ("if self.call is call:", "if True:"))
 
 
-@entry("way-out-answers")
+@mutant("way-out-answers")
 def _() -> None:
     """On SIGTERM the program exits without answering the requests in flight."""
     from cloverkeel.frontends.http1.server import Server
@@ -24,62 +24,62 @@
     async def shut_down(self: Any) -> None:
         self.listener.close()
 
-    swap(Server, "shut_down", shut_down)
+    patch_attribute(Server, "shut_down", shut_down)
 
 
-@entry("idle-unread")
+@mutant("idle-unread")
 def _() -> None:
     """A connection counts as idle although a request waits in the kernel's buffer."""
     from cloverkeel.frontends.http1.connection import ClientConnection
 
-    cut(ClientConnection, "is_idle", ("return not self.poll.poll(0)", "return True"))
+    patch_source(ClientConnection, "is_idle", ("return not self.poll.poll(0)", "return True"))
 
 
-@entry("head-deadline")
+@mutant("head-deadline")
 def _() -> None:
     """A request that has begun to arrive never times out."""
     from cloverkeel.frontends.http1.timeouts import ConnectionTimeouts
 
-    cut(ConnectionTimeouts, "_time_out_requests", ("connection.time_out_request()", "pass"))
+    patch_source(ConnectionTimeouts, "_time_out_requests", ("connection.time_out_request()", "pass"))
 
 
-@entry("silent-deadline")
+@mutant("silent-deadline")
 def _() -> None:
     """A client connection that has sent nothing never times out."""
     from cloverkeel.frontends.http1.timeouts import ConnectionTimeouts
 
-    cut(
+    patch_source(
         ConnectionTimeouts,
         "end_expired",
         ('self._close_idle(self.accepted, FIRST_BYTE_TIMEOUT_S, "silent", now_s)', "pass"),
     )
 
 
-@entry("head-limit")
+@mutant("head-limit")
 def _() -> None:
     """The head of a request may have any length."""
     from cloverkeel.frontends.http1 import requests
 
-    swap(requests, "MAX_HEAD_BYTES", 1 << 40)
+    patch_attribute(requests, "MAX_HEAD_BYTES", 1 << 40)
 
 
-@entry("body-limit")
+@mutant("body-limit")
 def _() -> None:
     """The body of a request may have any length."""
     from cloverkeel.frontends.http1 import requests
 
-    swap(requests, "MAX_BODY_BYTES", 1 << 40)
+    patch_attribute(requests, "MAX_BODY_BYTES", 1 << 40)
 
 
-@entry("read-ahead")
+@mutant("read-ahead")
 def _() -> None:
     """Any number of pipelined requests is parsed ahead."""
     from cloverkeel.frontends.http1 import connection
 
-    swap(connection, "MAX_PIPELINED_REQUESTS", 1 << 30)
+    patch_attribute(connection, "MAX_PIPELINED_REQUESTS", 1 << 30)
 
 
-@entry("both-framings")
+@mutant("both-framings")
 def _() -> None:
     """A request with Content-Length and Transfer-Encoding is framed by the latter."""
     from cloverkeel.frontends.http1.requests import RequestReader
@@ -90,102 +90,102 @@
         old(self, *args)
         self._parser.set_dangerous_leniencies(lenient_chunked_length=True)
 
-    swap(RequestReader, "__init__", init)
+    patch_attribute(RequestReader, "__init__", init)
 
 
-@entry("repeated-headers")
+@mutant("repeated-headers")
 def _() -> None:
     """Of a repeated header, the first value is used."""
     from cloverkeel.frontends.http1 import call_reader
 
-    swap(call_reader, "UNIQUE_HEADERS", frozenset())
+    patch_attribute(call_reader, "UNIQUE_HEADERS", frozenset())
 
 
-@entry("budget-cut")
+@mutant("budget-cut")
 def _() -> None:
     """A client's time budget may exceed the limit of its class."""
     from cloverkeel.frontends.http1 import call_reader
 
-    cut(
+    patch_source(
         call_reader, "read_call",
         ("settings.client_timeout_us if budget_ms is None else min(budget_ms * 1000, settings.client_timeout_us)",
          "settings.client_timeout_us if budget_ms is None else budget_ms * 1000"),
     )  # fmt: skip
 
 
-@entry("client-share")
+@mutant("client-share")
 def _() -> None:
     """Client connections may use every descriptor."""
     from cloverkeel.frontends.http1.admission import Admission
 
-    swap(Admission, "has_room", lambda self: True)
+    patch_attribute(Admission, "has_room", lambda self: True)
 
 
-@entry("accept-error")
+@mutant("accept-error")
 def _() -> None:
     """An accept that fails for lack of descriptors raises out of the callback."""
     from cloverkeel.frontends.http1.listener import Listener
 
-    cut(Listener, "accept", ("except OSError as error:", "except MemoryError as error:"))
+    patch_source(Listener, "accept", ("except OSError as error:", "except MemoryError as error:"))
 
 
-@entry("host-room")
+@mutant("host-room")
 def _() -> None:
     """No client is closed to free a descriptor for a connection to a host."""
     from cloverkeel.frontends.http1.admission import Admission
 
-    swap(Admission, "reserve_descriptor", lambda self: True)
+    patch_attribute(Admission, "reserve_descriptor", lambda self: True)
 
 
-@entry("accept-pauses")
+@mutant("accept-pauses")
 def _() -> None:
     """An accept that fails for lack of descriptors is retried at once."""
     from cloverkeel.frontends.http1.listener import Listener
 
-    swap(Listener, "pause", lambda self: None)
+    patch_attribute(Listener, "pause", lambda self: None)
 
 
-@entry("slow-yield")
+@mutant("slow-yield")
 def _() -> None:
     """A client whose request has stalled keeps its descriptor until the request times out."""
     from cloverkeel.frontends.http1.admission import Admission
 
-    swap(Admission, "_abort_slow_client", lambda self: False)
+    patch_attribute(Admission, "_abort_slow_client", lambda self: False)
 
 
-@entry("reserve-kept")
+@mutant("reserve-kept")
 def _() -> None:
     """If no connection can be closed, connections to hosts use the reserved descriptors."""
     from cloverkeel.frontends.http1.admission import Admission
 
-    cut(
+    patch_source(
         Admission,
         "reserve_descriptor",
         ("or self.hosts.close_oldest_idle()", "or self.hosts.close_oldest_idle() or True"),
     )
 
 
-@entry("gone-unread")
+@mutant("gone-unread")
 def _() -> None:
     """A disconnect is noticed only once the loop has read it."""
     from cloverkeel.frontends.http1.client_transport import ClientTransport
 
-    swap(ClientTransport, "has_disconnected", lambda self: self.transport is None)
+    patch_attribute(ClientTransport, "has_disconnected", lambda self: self.transport is None)
 
 
-@entry("answer-all")
+@mutant("answer-all")
 def _() -> None:
     """At its deadline the process exits without answering the requests in flight."""
     from cloverkeel.frontends.http1.drain import ClientDrain
 
-    cut(ClientDrain, "on_timer", ("self.gateway.answer_all_requests()", "pass"))
+    patch_source(ClientDrain, "on_timer", ("self.gateway.answer_all_requests()", "pass"))
 
 
-@entry("value-space")
+@mutant("value-space")
 def _() -> None:
     """Trailing white space is kept as part of a header's value."""
     from cloverkeel.frontends.http1.requests import RequestReader
     from cloverkeel.protocols.http1 import ReplyReader
 
-    cut(RequestReader, "on_header", ('value = value.strip(b" \\t")', "pass"))
-    cut(ReplyReader, "on_header", ('value.strip(b" \\t")', "value"))
+    patch_source(RequestReader, "on_header", ('value = value.strip(b" \\t")', "pass"))
+    patch_source(ReplyReader, "on_header", ('value.strip(b" \\t")', "value"))
--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -5,10 +5,10 @@
 from dataclasses import replace
 from typing import Any
 
-from benchmarks.guards.patching import cut, entry, swap
+from benchmarks.guards.patching import mutant, patch_attribute, patch_source
 
 
-@entry("reporter-credibility")
+@mutant("reporter-credibility")
 def _() -> None:
     """A gateway for which all hosts fail reports failures, with full credibility."""
     from cloverkeel.gossip import outlier_gossip, outlier_reports
@@ -17,29 +17,29 @@
     outlier_gossip.MAX_COMMON_FAILURE_RATIO = 2.0  # type: ignore[misc]
 
 
-@entry("observation-age")
+@mutant("observation-age")
 def _() -> None:
     """Every received timestamp has age 0."""
     from cloverkeel.gossip.peer_clock import PeerClock
 
-    swap(PeerClock, "age_ms", lambda self, now_us, timestamp_ms: 0)
+    patch_attribute(PeerClock, "age_ms", lambda self, now_us, timestamp_ms: 0)
 
 
-@entry("observation-expiry")
+@mutant("observation-expiry")
 def _() -> None:
     """Observations and reports never expire."""
     from cloverkeel.gossip.outlier_gossip import OutlierGossip
     from cloverkeel.gossip.outlier_reports import Observation
 
-    swap(Observation, "is_live", lambda self, now_us: True)
-    swap(OutlierGossip, "refresh_assessments", lambda self, now_us: None)
+    patch_attribute(Observation, "is_live", lambda self, now_us: True)
+    patch_attribute(OutlierGossip, "refresh_assessments", lambda self, now_us: None)
     from cloverkeel.balancing.peer_reports import PeerReports
 
     unlimited = "event.until_us + 10**9 if is_suspected else 0"
-    cut(PeerReports, "apply_report", ("event.until_us if is_suspected else 0", unlimited))
+    patch_source(PeerReports, "apply_report", ("event.until_us if is_suspected else 0", unlimited))
 
 
-@entry("zone-preference")
+@mutant("zone-preference")
 def _() -> None:
     """Observations from other zones count like those from the own zone."""
     from cloverkeel.gossip import outlier_gossip
@@ -54,17 +54,17 @@
     vars(test_outlier_reports)["assess"] = assess_all_zones
 
 
-@entry("observation-newest")
+@mutant("observation-newest")
 def _() -> None:
     """The last observation received counts, regardless of incarnation and timestamp."""
     from cloverkeel.gossip import outlier_reports
     from cloverkeel.gossip.peer_clock import PeerClocks
 
     outlier_reports.is_newer = lambda item, known: True
-    swap(PeerClocks, "age_ms", lambda self, now_us, gateway, incarnation, timestamp_ms: 0)
+    patch_attribute(PeerClocks, "age_ms", lambda self, now_us, gateway, incarnation, timestamp_ms: 0)
 
 
-@entry("peer-successes")
+@mutant("peer-successes")
 def _() -> None:
     """Successes do not count in assessments."""
     from cloverkeel.gossip import outlier_gossip
@@ -73,23 +73,23 @@
     vars(outlier_gossip)["assess"] = lambda *arguments: replace(assess(*arguments), successes=0.0)
 
 
-@entry("broadcast-confirmed")
+@mutant("broadcast-confirmed")
 def _() -> None:
     """Each received failure is forwarded without a second reporter."""
     from cloverkeel.gossip.outlier_gossip import OutlierGossip
 
-    cut(OutlierGossip, "on_observation", ("if reporters >= MIN_REPORTERS:", "if True:"))
+    patch_source(OutlierGossip, "on_observation", ("if reporters >= MIN_REPORTERS:", "if True:"))
 
 
-@entry("broadcast-bytes")
+@mutant("broadcast-bytes")
 def _() -> None:
     """Datagrams do not use up bytes of the token bucket."""
     from cloverkeel.gossip.node import GossipNode
 
-    cut(GossipNode, "_send", ("bucket.spend(len(payload))", "pass"))
+    patch_source(GossipNode, "_send", ("bucket.spend(len(payload))", "pass"))
 
 
-@entry("retry-tokens-escrow")
+@mutant("retry-tokens-escrow")
 def _() -> None:
     """A gateway keeps the tokens that it grants."""
     from cloverkeel.gossip.driver import GossipDriver
@@ -99,30 +99,30 @@
         available, is_short = self.gateway.balancer.retry_token_state(self.clock())
         return 0.0 if is_short else min(max_tokens, available)
 
-    swap(GossipDriver, "withdraw", withdraw)
-    cut(RetryTokens, "grant", ("int(self.bucket.withdraw(max_tokens) * HUNDREDTHS_PER_TOKEN)",
-                               "int(max_tokens * HUNDREDTHS_PER_TOKEN)"))  # fmt: skip
+    patch_attribute(GossipDriver, "withdraw", withdraw)
+    patch_source(RetryTokens, "grant", ("int(self.bucket.withdraw(max_tokens) * HUNDREDTHS_PER_TOKEN)",
+                                        "int(max_tokens * HUNDREDTHS_PER_TOKEN)"))  # fmt: skip
 
 
-@entry("retry-tokens-once")
+@mutant("retry-tokens-once")
 def _() -> None:
     """A grant that is received twice is accepted twice."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
-    cut(RetryTokens, "accept", ("is_new = self._record_sequence(grant)", "is_new = True"))
+    patch_source(RetryTokens, "accept", ("is_new = self._record_sequence(grant)", "is_new = True"))
 
 
-@entry("retry-tokens-recipient")
+@mutant("retry-tokens-recipient")
 def _() -> None:
     """A grant is accepted by any process and at any age."""
     from cloverkeel.gossip.retry_tokens import RetryTokens
 
-    cut(RetryTokens, "accept", (" and grant.recipient_incarnation == own_incarnation", ""),
+    patch_source(RetryTokens, "accept", (" and grant.recipient_incarnation == own_incarnation", ""),
         ("if age_us is None or age_us >= GRANT_LIFETIME_US:", "if False:"),
         ("now_us + GRANT_LIFETIME_US - age_us", "now_us + GRANT_LIFETIME_US"))  # fmt: skip
 
 
-@entry("retry-tokens-start")
+@mutant("retry-tokens-start")
 def _() -> None:
     """A new process starts with tokens, and saves as many as without transfers."""
     from cloverkeel.gossip.driver import GossipDriver
@@ -130,42 +130,42 @@
     initial_grant = (
         "self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_token_state(self.clock())[0])"
     )
-    cut(GossipDriver, "start", (initial_grant, "pass"))
+    patch_source(GossipDriver, "start", (initial_grant, "pass"))
 
 
-@entry("timeout-overload")
+@mutant("timeout-overload")
 def _() -> None:
     """A timeout counts as a failure of a host that has answered other attempts since it was sent."""
     from cloverkeel.gossip.outcome_window import LocalOutcomes
 
-    swap(LocalOutcomes, "has_succeeded_since", lambda self, host, since_us: False)
+    patch_attribute(LocalOutcomes, "has_succeeded_since", lambda self, host, since_us: False)
 
 
-@entry("member-probe")
+@mutant("member-probe")
 def _() -> None:
     """An unanswered probe has no effect."""
     from cloverkeel.gossip.membership import MembershipTable
 
-    cut(MembershipTable, "suspect", ("if peer.status is MemberStatus.ALIVE:", "if False:"))
+    patch_source(MembershipTable, "suspect", ("if peer.status is MemberStatus.ALIVE:", "if False:"))
 
 
-@entry("member-suspicion")
+@mutant("member-suspicion")
 def _() -> None:
     """A suspected gateway is considered dead at once."""
     from cloverkeel.gossip.membership import MembershipTable
 
-    swap(MembershipTable, "suspicion_timeout_us", lambda self, peer: 0)
+    patch_attribute(MembershipTable, "suspicion_timeout_us", lambda self, peer: 0)
 
 
-@entry("member-refutation")
+@mutant("member-refutation")
 def _() -> None:
     """A gateway does not refute suspicions or a higher incarnation under its number."""
     from cloverkeel.gossip.membership import MembershipTable
 
-    swap(MembershipTable, "on_claim_about_self", lambda self, now_us, item: None)
+    patch_attribute(MembershipTable, "on_claim_about_self", lambda self, now_us, item: None)
 
 
-@entry("member-notice")
+@mutant("member-notice")
 def _() -> None:
     """Each datagram of a suspected gateway is answered with a notice, without a rate limit."""
     from cloverkeel.gossip import membership
@@ -173,9 +173,9 @@
     membership.SUSPICION_NOTICE_INTERVAL_US = 0  # type: ignore[misc]
 
 
-@entry("member-stall")
+@mutant("member-stall")
 def _() -> None:
     """A gateway that was stalled suspects peers whose answers it missed meanwhile."""
     from cloverkeel.gossip.failure_detector import FailureDetector
 
-    swap(FailureDetector, "on_stall", lambda self, now_us, stall_us: None)
+    patch_attribute(FailureDetector, "on_stall", lambda self, now_us, stall_us: None)
--- a/benchmarks/guards/mutants/program.py
+++ b/benchmarks/guards/mutants/program.py
@@ -2,27 +2,27 @@
 
 from __future__ import annotations
 
-from benchmarks.guards.patching import cut, entry
+from benchmarks.guards.patching import mutant, patch_source
 
 
-@entry("sighup")
+@mutant("sighup")
 def _() -> None:
     """SIGHUP ends the process."""
     from cloverkeel.cli import serving
 
-    cut(
+    patch_source(
         serving, "_handle_reloads",
         ("loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)",
          "signal.signal(signal.SIGHUP, signal.SIG_DFL)"),
     )  # fmt: skip
 
 
-@entry("early-signals")
+@mutant("early-signals")
 def _() -> None:
     """A signal during startup has its default effect and kills the process."""
     from cloverkeel.cli import gateway_process
 
-    cut(
+    patch_source(
         gateway_process, "install_early_handlers",
         ("signal.signal(signal.SIGHUP, lambda signum, _: early_reloads.append(signum))", "pass"),
         ("signal.signal(signum, exit_early)", "pass"),
--- a/benchmarks/guards/mutants/upstream.py
+++ b/benchmarks/guards/mutants/upstream.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 
-from benchmarks.guards.patching import cut, entry, swap
+from benchmarks.guards.patching import mutant, patch_attribute, patch_source
 
 
-@entry("cancel-closes")
+@mutant("cancel-closes")
 def _() -> None:
     """The connection of a cancelled attempt is kept."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
-    cut(
+    patch_source(
         AttemptSender, "cancel_attempt",
         ("connection.attempt = None\n        connection.close()",
          "connection.attempt = None\n"
@@ -19,124 +19,124 @@
     )  # fmt: skip
 
 
-@entry("unasked-closes")
+@mutant("unasked-closes")
 def _() -> None:
     """Unsolicited bytes from a host are ignored, and the connection is kept."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
     from cloverkeel.upstream.connection import HostConnection
 
-    cut(
+    patch_source(
         AttemptSender,
         "on_reply",
         ("if attempt is None:\n        connection.close()", "if attempt is None:\n        pass"),
     )
-    cut(HostConnection, "data_received", ("elif self.attempt is None:", "elif False:"))
+    patch_source(HostConnection, "data_received", ("elif self.attempt is None:", "elif False:"))
 
 
-@entry("reset-may-have-run")
+@mutant("reset-may-have-run")
 def _() -> None:
     """The request on a lost connection counts as never written."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
-    cut(
+    patch_source(
         AttemptSender,
         "on_lost",
         ("Outcome.RESET if connection.is_written() else Outcome.CONNECT_FAILED", "Outcome.CONNECT_FAILED"),
     )
 
 
-@entry("timeout-may-have-run")
+@mutant("timeout-may-have-run")
 def _() -> None:
     """A request without a response in time counts as never written."""
     from cloverkeel.upstream.attempt import Attempt
 
-    swap(Attempt, "is_written", lambda self: False)
+    patch_attribute(Attempt, "is_written", lambda self: False)
 
 
-@entry("error-may-have-run")
+@mutant("error-may-have-run")
 def _() -> None:
     """Any response but 200 counts as a rejection: the request has not run."""
     from cloverkeel.upstream import outcomes
 
-    cut(outcomes, "classify_reply", ("return Outcome.ERROR", "return Outcome.FULL"))
+    patch_source(outcomes, "classify_reply", ("return Outcome.ERROR", "return Outcome.FULL"))
 
 
-@entry("garbage-may-have-run")
+@mutant("garbage-may-have-run")
 def _() -> None:
     """After a malformed response the request counts as not run."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
-    cut(AttemptSender, "on_malformed", ("Outcome.ERROR", "Outcome.CONNECT_FAILED"))
+    patch_source(AttemptSender, "on_malformed", ("Outcome.ERROR", "Outcome.CONNECT_FAILED"))
 
 
-@entry("drain-pools")
+@mutant("drain-pools")
 def _() -> None:
     """Attempts are written to draining hosts after the grace period."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
-    cut(AttemptSender, "find_refusal", ("> self.settings.stop_sending_within_us", "> 10**15"))
+    patch_source(AttemptSender, "find_refusal", ("> self.settings.stop_sending_within_us", "> 10**15"))
 
 
-@entry("gone-pools")
+@mutant("gone-pools")
 def _() -> None:
     """Hosts that are removed from the list stay in the pool."""
     from cloverkeel.upstream.connection_pool import ConnectionPool
 
-    swap(ConnectionPool, "remove_host", lambda self, id_: None)
+    patch_attribute(ConnectionPool, "remove_host", lambda self, id_: None)
 
 
-@entry("begin-by-check")
+@mutant("begin-by-check")
 def _() -> None:
     """An attempt whose write deadline has passed is written when its connection is established."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
-    cut(AttemptSender, "find_refusal", ("at_us > attempt.write_deadline_us", "False"))
+    patch_source(AttemptSender, "find_refusal", ("at_us > attempt.write_deadline_us", "False"))
 
 
-@entry("begin-by-timer")
+@mutant("begin-by-timer")
 def _() -> None:
     """An attempt that is partly written at its deadline goes on."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
-    swap(AttemptSender, "on_write_deadline", lambda self, attempt: None)
+    patch_attribute(AttemptSender, "on_write_deadline", lambda self, attempt: None)
 
 
-@entry("host-rests")
+@mutant("host-rests")
 def _() -> None:
     """A connection is reused immediately after a response."""
     from cloverkeel.upstream import connection_pool
 
-    swap(connection_pool, "REUSE_DELAY_US", 0)
+    patch_attribute(connection_pool, "REUSE_DELAY_US", 0)
 
 
-@entry("fresh-connections")
+@mutant("fresh-connections")
 def _() -> None:
     """An idle connection is reused without a check whether its host has closed it."""
     from cloverkeel.upstream.connection import HostConnection
 
-    cut(HostConnection, "is_reusable", ("and not self.poll.poll(0)", ""))
+    patch_source(HostConnection, "is_reusable", ("and not self.poll.poll(0)", ""))
 
 
-@entry("idle-share")
+@mutant("idle-share")
 def _() -> None:
     """Connections are kept idle beyond the host's idle timeout."""
     from cloverkeel.upstream import connection_pool
 
-    swap(connection_pool, "MAX_IDLE_FRACTION", 100.0)
-    swap(connection_pool, "SPARE_IDLE_TIMEOUT_US", 3_600_000_000)
+    patch_attribute(connection_pool, "MAX_IDLE_FRACTION", 100.0)
+    patch_attribute(connection_pool, "SPARE_IDLE_TIMEOUT_US", 3_600_000_000)
 
 
-@entry("answered-late")
+@mutant("answered-late")
 def _() -> None:
     """An attempt times out although its response has arrived."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
-    cut(AttemptSender, "on_timeout", ("if not attempt.has_rechecked and", "if False and"))
+    patch_source(AttemptSender, "on_timeout", ("if not attempt.has_rechecked and", "if False and"))
 
 
-@entry("held-up")
+@mutant("held-up")
 def _() -> None:
     """A host's response is read without regard to how much its client has read."""
     from cloverkeel.upstream.attempt import Attempt
 
-    swap(Attempt, "pause_reading", lambda self: None)
+    patch_attribute(Attempt, "pause_reading", lambda self: None)
--- a/benchmarks/guards/patching.py
+++ b/benchmarks/guards/patching.py
@@ -1,7 +1,6 @@
-"""How a mutant is made: a function of the running program is replaced, or compiled anew with a line changed.
+"""Tools of the mutants: replace an attribute, or recompile a function with parts of its source replaced.
 
-A line that is to be replaced must be there just once: when the sources change, the mutant fails loudly instead of
-changing nothing.
+The text to replace must occur exactly once: if the source has changed, the mutant fails instead of changing nothing.
 """
 
 from __future__ import annotations
@@ -13,34 +12,36 @@
 from typing import Any
 
 Patch = Callable[[], None]
-GUARDS: dict[str, Patch] = {}
+PATCH_BY_MUTANT: dict[str, Patch] = {}
 
 
-def entry(name: str) -> Callable[[Patch], Patch]:
+def mutant(name: str) -> Callable[[Patch], Patch]:
+    """Register the decorated function as the patch of this mutant."""
+
     def register(patch: Patch) -> Patch:
-        assert name not in GUARDS
-        GUARDS[name] = patch
+        assert name not in PATCH_BY_MUTANT
+        PATCH_BY_MUTANT[name] = patch
         return patch
 
     return register
 
 
-def swap(owner: Any, name: str, made: Any) -> Any:
-    """Put something in the place of an attribute that is there; returns what it was."""
+def patch_attribute(owner: Any, name: str, value: Any) -> Any:
+    """Replace an existing attribute; return its previous value."""
     old = inspect.getattr_static(owner, name)
-    setattr(owner, name, made)
+    setattr(owner, name, value)
     return old
 
 
-def cut(owner: Any, name: str, *pieces: tuple[str, str]) -> None:
-    """Compile a function anew with pieces of its source replaced."""
+def patch_source(owner: Any, name: str, *replacements: tuple[str, str]) -> None:
+    """Recompile a function with texts of its source replaced; raise SystemExit if one does not occur once."""
     function = inspect.getattr_static(owner, name)
     source = textwrap.dedent(inspect.getsource(function))
-    for old, new in pieces:
+    for old, new in replacements:
         if source.count(old) != 1:
-            raise SystemExit(f"maimed: {owner.__name__}.{name}: expected {old!r} once, found {source.count(old)}")
+            raise SystemExit(f"mutant: {owner.__name__}.{name}: expected {old!r} once, found {source.count(old)}")
         source = source.replace(old, new)
     module = sys.modules[function.__module__]
-    made: dict[str, Any] = {}
-    exec(compile(source, f"<maimed {name}>", "exec"), module.__dict__, made)
-    setattr(owner, name, made[name])
+    namespace: dict[str, Any] = {}
+    exec(compile(source, f"<mutated {name}>", "exec"), module.__dict__, namespace)
+    setattr(owner, name, namespace[name])
--- a/benchmarks/guards/row.py
+++ b/benchmarks/guards/row.py
@@ -1,49 +1,50 @@
-"""A row of the table: a guard of the rules, what it holds, where, and the plays and tests that must find it gone."""
+"""A row of the table: the mutants that remove a guard, and the scenario runs and tests that must detect them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from benchmarks.guards.playing import Found, Play
+from benchmarks.guards.scenario_runs import RunResult, ScenarioRun
 
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """`by` finds the loss in plays: a rule of the checker, or "service" (share lost against the same play with the
-    guard in place). What a test finds is its own affair."""
-
-    out: tuple[str, ...]  # names in patching.GUARDS; several: each is the other's second line
-    holds: str
-    where: str
-    plays: tuple[Play, ...]
-    by: str
-    least: float = 1.0  # breaches, or share of service lost
+    """A guard. `criterion`: how a scenario run detects its removal, a rule of the checker or "service" (the share of
+    service lost against the same run with the guard in place)."""
+
+    mutants: tuple[str, ...]  # names in PATCH_BY_MUTANT; several remove guards that back each other up
+    ensures: str
+    location: str
+    runs: tuple[ScenarioRun, ...]
+    criterion: str
+    min_effect: float = 1.0  # number of violations, or share of service lost
     quick: bool = False
-    tests: tuple[str, ...] = ()  # scripted ones that must fail without it; a row has plays, tests or both
+    tests: tuple[str, ...] = ()  # must fail with the mutants applied; a row has runs, tests or both
 
     @property
     def name(self) -> str:
-        return "+".join(self.out)
+        """Return the names of the mutants, joined by "+"."""
+        return "+".join(self.mutants)
 
-    def measure(self, with_it: Found, without: Found) -> float:
-        """How much of what it looks for; the loss is found where this is at least `least`."""
-        if self.by == "service":
-            return with_it.service - without.service
-        return float(without.breaches.get(self.by, 0))
+    def measure_effect(self, reference: RunResult, mutated: RunResult) -> float:
+        """Return the effect according to the criterion; the mutants are detected if it is at least `min_effect`."""
+        if self.criterion == "service":
+            return reference.service - mutated.service
+        return float(mutated.breaches.get(self.criterion, 0))
 
 
 def row(
-    out: str, holds: str, where: str, scenario: str = "", by: str = "", least: float = 1.0, *,
+    mutants: str, ensures: str, location: str, scenarios: str = "", criterion: str = "", min_effect: float = 1.0, *,
     seeds: tuple[int, ...] = (1, 2), quick: bool = False,
     tests: str = "",
 ) -> Row:  # fmt: skip
-    """`scenario` and `tests` are lists of words; "requests::x" is tests/test_requests.py::test_x."""
-    plays = tuple(Play(name, seed) for name in scenario.split() for seed in seeds)
-    names = tuple(path_of(*test.split("::")) for test in tests.split())
-    return Row(tuple(out.split("+")), holds, where, plays, by, least, quick, names)
+    """Return a row. `scenarios` and `tests` are separated by spaces; "requests::x" is as in `pytest_id`."""
+    runs = tuple(ScenarioRun(name, seed) for name in scenarios.split() for seed in seeds)
+    test_ids = tuple(pytest_id(*test.split("::")) for test in tests.split())
+    return Row(tuple(mutants.split("+")), ensures, location, runs, criterion, min_effect, quick, test_ids)
 
 
-def path_of(file: str, name: str) -> str:
-    """ "requests", "x" is tests/test_requests.py::test_x; "fleet/leases" is in tests/fleet/."""
+def pytest_id(file: str, name: str) -> str:
+    """Return pytest's id: "fleet/leases", "x" is tests/fleet/test_leases.py::test_x."""
     folder, _, stem = file.rpartition("/")
     return f"tests/{folder}{'/' if folder else ''}test_{stem}.py::test_{name}"
--- a/benchmarks/guards/table/__init__.py
+++ b/benchmarks/guards/table/__init__.py
@@ -1,4 +1,4 @@
-"""The table of guards, a module for each package of the product."""
+"""The table of mutants and of what must detect them, one module for each package of the product."""
 
 from __future__ import annotations
 
--- a/benchmarks/guards/table/control_plane.py
+++ b/benchmarks/guards/table/control_plane.py
@@ -1,4 +1,4 @@
-"""The mutants of the control plane's relay: what each guard ensures, and the tests that must detect its removal."""
+"""Mutants of the control plane's relay: what each guard ensures, and the tests that detect its removal."""
 
 from __future__ import annotations
 
--- a/benchmarks/guards/table/gossip.py
+++ b/benchmarks/guards/table/gossip.py
@@ -1,4 +1,4 @@
-"""The mutants of gossip: what each guard ensures, and the plays and tests that must detect its removal."""
+"""Mutants of gossip: what each guard ensures, and the scenario runs and tests that detect its removal."""
 
 from __future__ import annotations
 
--- a/benchmarks/guards/table/leases.py
+++ b/benchmarks/guards/table/leases.py
@@ -1,4 +1,4 @@
-"""The guards of the leased roles: what each one ensures, and the plays and tests that must fail without it."""
+"""Mutants of the leased roles: what each guard ensures, and the scenario runs and tests that detect its removal."""
 
 from __future__ import annotations
 
--- a/benchmarks/guards/table/upstream.py
+++ b/benchmarks/guards/table/upstream.py
@@ -1,4 +1,4 @@
-"""Mutants of the upstream package: what each guard ensures, and the plays and tests that detect its removal."""
+"""Mutants of upstream: what each guard ensures, and the scenario runs and tests that detect its removal."""
 
 from __future__ import annotations
 
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -54,7 +54,7 @@
     made = ZooKeeperEnvironment if options.membership == "ephemeral" else Environment
     world = made(scenario, options.seed, seconds, folder)
     if options.unguarded:
-        world.use_gateway_command((sys.executable, "-m", "benchmarks.guards.maimed", "still"))
+        world.use_gateway_command((sys.executable, "-m", "benchmarks.guards.mutated_gateway", "still"))
     world.on_progress = lambda text: print(f"  {text}", flush=True)
     await world.run()
     return world
--- a/benchmarks/steadiness.py
+++ b/benchmarks/steadiness.py
@@ -32,8 +32,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from benchmarks.guards.__main__ import choose
-from benchmarks.guards.tested import carry_out
+from benchmarks.guards.__main__ import select_rows
+from benchmarks.guards.scripted_tests import run_tests
 
 ROOT = Path(__file__).parent.parent
 CONDITIONS = ("free", "one", "half", "busy", "disk", "shuffled")
@@ -141,17 +141,17 @@
 
 def measure_guards(only: str, runs: int, console: Console) -> int:
     """Each row so many times; returns how many were not found each time."""
-    rows = choose(only, False, None)
+    rows = select_rows(only, False, None)
     missed: Counter[str] = Counter()
     wrong = 0
     for number in range(1, runs + 1):
-        verdicts, said = carry_out(rows, len(os.sched_getaffinity(0)))
-        lost = [verdict for verdict in verdicts if not verdict.found]
+        verdicts, error = run_tests(rows, len(os.sched_getaffinity(0)))
+        lost = [verdict for verdict in verdicts if not verdict.is_detected]
         missed.update(verdict.row.name for verdict in lost)
-        wrong += bool(said)
-        console.print(f"guards {number}: {len(verdicts) - len(lost)} of {len(verdicts)} found {said}")
+        wrong += bool(error)
+        console.print(f"guards {number}: {len(verdicts) - len(lost)} of {len(verdicts)} found {error}")
         for verdict in lost:
-            console.print(f"  {verdict.row.name}: {verdict.said or verdict.unnoticed}", markup=False)
+            console.print(f"  {verdict.row.name}: {verdict.error or verdict.passed_tests}", markup=False)
     for name, count in missed.most_common():
         console.print(f"{name}: found in {runs - count} of {runs}", markup=False)
     console.print(f"{len(rows) - len(missed)} of {len(rows)} guards found in each of {runs} runs")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -29,13 +29,13 @@
 def pytest_configure(config: pytest.Config) -> None:
     without = config.getoption("--without")
     if without:
-        from benchmarks.guards.maimed import take_out
+        from benchmarks.guards.mutated_gateway import apply_mutants
 
-        take_out(without.split("+"))
+        apply_mutants(without.split("+"))
         from tests import sockets  # after that: it brings the gateway along
 
         sockets.PATIENCE_S = 8.0  # what is waited for may never come now
-        sockets.PROGRAM = (sys.executable, "-m", "benchmarks.guards.maimed", without)
+        sockets.PROGRAM = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", without)
     wanted = config.getoption("--build")
     if wanted and not BUILD.startswith(wanted):
         raise pytest.UsageError(f"--build {wanted}: the decisions are {BUILD}")
--- a/tests/fleet/clocks.py
+++ b/tests/fleet/clocks.py
@@ -33,8 +33,8 @@
     os.environ["CLOVERKEEL_PLAIN"] = "1"
     replace_clocks(arguments[0])
     rest = list(arguments[1:])
-    if rest and rest[0] == "benchmarks.guards.maimed":
-        from benchmarks.guards.maimed import main as maimed
+    if rest and rest[0] == "benchmarks.guards.mutated_gateway":
+        from benchmarks.guards.mutated_gateway import main as maimed
 
         return maimed(rest[1:])
     from cloverkeel.cli.command_line import main as program
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""The table of guards is whole: every guard can be taken out, and has a test that exists."""
+"""The mutation tests are complete: each mutant has a row, and each row has tests that exist."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 import pytest
 
-from benchmarks.guards.maimed import take_out
-from benchmarks.guards.patching import GUARDS
-from benchmarks.guards.playing import FOLDER
+from benchmarks.guards.mutated_gateway import apply_mutants
+from benchmarks.guards.patching import PATCH_BY_MUTANT
 from benchmarks.guards.row import Row
+from benchmarks.guards.scenario_runs import SCENARIO_FOLDER
+from benchmarks.guards.scripted_tests import Verdict, run_row_tests, run_tests
 from benchmarks.guards.table import ROWS
-from benchmarks.guards.tested import Verdict, carry_out, without
 
 ROOT = Path(__file__).parent.parent
 
 
-def test_every_guard_has_a_row_and_every_row_a_test_that_is_there() -> None:
-    assert {name for row in ROWS for name in row.out} == set(GUARDS)
+def test_every_mutant_has_a_row_and_every_row_has_tests_that_exist() -> None:
+    assert {name for row in ROWS for name in row.mutants} == set(PATCH_BY_MUTANT)
     assert len({row.name for row in ROWS}) == len(ROWS)
     for row in ROWS:
         assert row.tests, row.name
@@ -45,32 +45,32 @@
     return names
 
 
-def test_every_row_says_where_its_guard_stands() -> None:
+def test_locations_of_rows_name_members_that_exist() -> None:
     defined = defined_names()
     unknown = {
         f"{row.name}: {class_name}.{member}"
         for row in ROWS
-        for class_name, member in re.findall(r"\b([A-Z]\w+)\.(\w+)", row.where)
+        for class_name, member in re.findall(r"\b([A-Z]\w+)\.(\w+)", row.location)
         if member not in defined.get(class_name, set())
     }
     assert not unknown
 
 
-def test_every_play_of_the_table_is_used() -> None:
-    used = {play.scenario for row in ROWS for play in row.plays}
-    assert {path.stem for path in FOLDER.glob("*.toml")} <= used
+def test_every_scenario_file_is_used() -> None:
+    used = {run.scenario for row in ROWS for run in row.runs}
+    assert {path.stem for path in SCENARIO_FOLDER.glob("*.toml")} <= used
 
 
-def test_a_guard_that_is_not_known_is_told() -> None:
+def test_an_unknown_mutant_is_refused() -> None:
     with pytest.raises(ValueError, match="expected names of .*breaker.* found \\['moon'\\]"):
-        take_out(["moon"])
+        apply_mutants(["moon"])
 
 
-def test_a_test_that_passes_without_its_guard_is_unnoticed() -> None:
-    """The sizes of the modules are the same without the budget of cold servers."""
+def test_a_test_that_passes_with_mutants_applied_is_reported() -> None:
+    """The sizes of modules do not depend on the slow start budget. A test that does not exist is an error."""
     row = Row(("cold-budget",), "", "", (), "", tests=("tests/test_module_sizes.py",))
-    assert without(row) == Verdict(row, unnoticed=row.tests)
+    assert run_row_tests(row) == Verdict(row, passed_tests=row.tests)
     missing = Row(("cold-budget",), "", "", (), "", tests=("tests/test_module_sizes.py::test_not_there",))
-    assert without(missing).said.startswith("exit code 4")
-    verdicts, wrong = carry_out([row, missing], 2)
-    assert not any(verdict.found for verdict in verdicts) and wrong.startswith("with all guards in place")
+    assert run_row_tests(missing).error.startswith("exit code 4")
+    verdicts, error = run_tests([row, missing], 2)
+    assert not any(verdict.is_detected for verdict in verdicts) and error.startswith("with all guards in place")
