--- a/benchmarks/guards/scripted_tests.py
+++ b/benchmarks/guards/scripted_tests.py
@@ -21,6 +21,8 @@
 PYTEST_TIMEOUT_S = 120.0
 REFERENCE_OPTIONS = ("-n", "3", "--dist", "worksteal")  # the reference run of all rows' tests takes the longest
 FAILED = re.compile(r"^(?:FAILED|ERROR) (\S+)", re.MULTILINE)
+FAILURES_SECTION = re.compile(r"^=+ FAILURES =+$(.*?)^=+ ", re.MULTILINE | re.DOTALL)
+FAILURE_LINE = re.compile(r"^\S+:\d+: .*", re.MULTILINE)  # printed with --tb=line, one for each test
 PASSED, TESTS_FAILED = 0, 1  # exit codes of pytest; with any other, the tests could not be run
 
 
@@ -57,6 +59,18 @@
     return lines[-1] if lines else "no output"
 
 
+def describe_failures(output: str) -> str:
+    """Return the last line of pytest's output and, on lines of their own, the failed tests and where each failed."""
+    section = FAILURES_SECTION.search(output)
+    names = FAILED.findall(output)
+    failure_lines = FAILURE_LINE.findall(section[1]) if section else []
+    if len(names) == len(failure_lines):
+        details = [f"{name}: {line}" for name, line in zip(names, failure_lines, strict=True)]
+    else:  # an error in a fixture, or a worker that crashed, has no such line
+        details = names + failure_lines
+    return "\n  ".join([last_line(output), *details])
+
+
 def run_row_tests(row: Row) -> Verdict:
     """Run a row's tests with its mutants applied: each must fail."""
     code, output = run_pytest(row.tests, "--without", "+".join(row.mutants))
@@ -74,4 +88,6 @@
         reference = pool.submit(run_pytest, tests, *REFERENCE_OPTIONS)
         verdicts = list(pool.map(run_row_tests, rows_with_tests))
         code, output = reference.result()
-    return verdicts, "" if code == PASSED else f"with all guards in place: exit code {code}: {last_line(output)}"
+    if code == PASSED:
+        return verdicts, ""
+    return verdicts, f"with all guards in place: exit code {code}: {describe_failures(output)}"
--- a/benchmarks/steadiness.py
+++ b/benchmarks/steadiness.py
@@ -149,7 +149,7 @@
         lost = [verdict for verdict in verdicts if not verdict.is_detected]
         missed.update(verdict.row.name for verdict in lost)
         wrong += bool(error)
-        console.print(f"guards {number}: {len(verdicts) - len(lost)} of {len(verdicts)} found {error}")
+        console.print(f"guards {number}: {len(verdicts) - len(lost)} of {len(verdicts)} found {error}", markup=False)
         for verdict in lost:
             console.print(f"  {verdict.row.name}: {verdict.error or verdict.passed_tests}", markup=False)
     for name, count in missed.most_common():
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -12,7 +12,7 @@
 from benchmarks.guards.patching import PATCH_BY_MUTANT
 from benchmarks.guards.row import Row
 from benchmarks.guards.scenario_runs import SCENARIO_FOLDER
-from benchmarks.guards.scripted_tests import Verdict, run_row_tests, run_tests
+from benchmarks.guards.scripted_tests import Verdict, describe_failures, run_row_tests, run_tests
 from benchmarks.guards.table import ROWS
 
 ROOT = Path(__file__).parent.parent
@@ -74,3 +74,22 @@
     assert run_row_tests(missing).error.startswith("exit code 4")
     verdicts, error = run_tests([row, missing], 2)
     assert not any(verdict.is_detected for verdict in verdicts) and error.startswith("with all guards in place")
+
+
+def test_a_failed_reference_run_names_the_failed_tests(tmp_path: Path) -> None:
+    file = tmp_path / "test_example.py"
+    file.write_text("def test_one():\n    assert [1] == [2]\n\n\ndef test_two():\n    raise ValueError('x')\n")
+    row = Row(("cold-budget",), "", "", (), "", tests=(f"{file}::test_one", f"{file}::test_two"))
+    _, error = run_tests([row], 1)
+    assert error.startswith("with all guards in place: exit code 1: ")
+    assert re.search(r"test_example\.py::test_one: \S+test_example\.py:2: assert \[1\] == \[2\]", error)
+    assert re.search(r"test_example\.py::test_two: \S+test_example\.py:6: ValueError: x", error)
+
+
+def test_failures_without_a_line_of_their_own_are_listed_by_name() -> None:
+    output = (
+        "=== FAILURES ===\n/x/test_a.py:3: assert 0\n=== short test summary info ===\n"
+        "FAILED test_a.py::test_one - assert 0\nERROR test_a.py::test_two - fixture\n=== 2 failed ===\n"
+    )
+    expected = "=== 2 failed ===\n  test_a.py::test_one\n  test_a.py::test_two\n  /x/test_a.py:3: assert 0"
+    assert describe_failures(output) == expected
