--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -398,7 +398,7 @@
 def run(schedule: Schedule, without: str = "") -> Played:
     """`without`: the program with this guard taken out (benchmarks/guards)."""
     if without:
-        sockets.PROGRAM = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", without)
+        sockets.GATEWAY_COMMAND = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", without)
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(play(schedule, Path(folder)))
 
--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -27,12 +27,12 @@
     Exchange,
     Message,
     configuration,
+    never_respond,
     on_loop,
-    peer,
     reply,
     request,
-    silent,
-    until,
+    scripted_server,
+    wait_until,
 )
 
 
@@ -109,38 +109,38 @@
 
 @on_loop
 async def test_an_ejected_host_gets_no_requests_until_one_reinstatement(tmp_path: Path) -> None:
-    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as processes:
+    async with scripted_server() as a, scripted_server() as b, gateway(tmp_path, configuration(a, b)) as processes:
         process = await processes.start()
         assert (await process.call(b"SUSPEND s-9")).startswith("NAK s-9 was never listed")
         for _ in range(3):
             assert (await process.call(b"SUSPEND s-0")).startswith("ACK")
         for _ in range(40):
             assert await ask(processes.port, request()) == 200
-        assert not a.seen and len(b.seen) == 40
+        assert not a.exchanges and len(b.exchanges) == 40
         assert (await process.call(b"SUSPEND s-1")).startswith("ACK")
         assert await ask(processes.port, request()) == 503  # every host is ejected: rejected immediately
         assert "2 out by hand" in await process.call(b"STATUS")
         assert (await process.call(b"RESTORE s-0")).startswith("ACK")
         assert await ask(processes.port, request()) == 200
-        assert len(a.seen) == 1
+        assert len(a.exchanges) == 1
 
 
 @on_loop
 async def test_requests_in_flight_at_an_ejected_host_are_finished(tmp_path: Path) -> None:
-    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+    async with scripted_server(never_respond) as host, gateway(tmp_path, configuration(host)) as processes:
         process = await processes.start()
         client = await connect(processes.port)
         client.send(request("transfer", b"x"))
-        await until(lambda: host.seen)
+        await wait_until(lambda: host.exchanges)
         assert (await process.call(b"SUSPEND s-0")).startswith("ACK")
-        host.seen[0].answer(reply(200, b"done"))
-        assert (await client.answer()).body == b"done"
+        host.exchanges[0].respond(reply(200, b"done"))
+        assert (await client.read_response()).body == b"done"
         client.close()
 
 
 @on_loop
 async def test_misbehaving_admin_clients_do_not_delay_commands(tmp_path: Path) -> None:
-    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+    async with scripted_server() as host, gateway(tmp_path, configuration(host)) as processes:
         process = await processes.start()
         silent_clients = [await asyncio.open_connection("127.0.0.1", process.admin_port) for _ in range(60)]
         for _, writer in silent_clients[::2]:
@@ -158,12 +158,12 @@
 
 @on_loop
 async def test_a_pause_drains_the_gateway_and_a_resume_accepts_clients_again(tmp_path: Path) -> None:
-    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+    async with scripted_server(never_respond) as host, gateway(tmp_path, configuration(host)) as processes:
         process = await processes.start()
         idle, busy, fresh = [await connect(processes.port) for _ in range(3)]
-        assert (await idle.ask(READY)).status == 200
+        assert (await idle.send_request(READY)).status == 200
         busy.send(request("transfer", b"held"))
-        await until(lambda: host.seen)
+        await wait_until(lambda: host.exchanges)
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         assert (await process.call(b"PAUSE")).startswith("ACK")
@@ -171,18 +171,18 @@
         assert (await process.call(b"STATUS")).startswith("NAK paused")
         # A load balancer in front still sends clients until it sees the failing readiness check.
         fresh.send(request("transfer", b"still"))
-        await until(lambda: len(host.seen) == 2)
-        for exchange in host.seen:
-            exchange.answer(reply(200, exchange.message.body))
+        await wait_until(lambda: len(host.exchanges) == 2)
+        for exchange in host.exchanges:
+            exchange.respond(reply(200, exchange.message.body))
         for client, body in ((busy, b"held"), (fresh, b"still")):
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.body, answer.headers["connection"]) == (body, "close")
         assert await idle.reader.read() == b""
         assert loop.time() - began_s < 4
         await asyncio.sleep(max(0.0, began_s + pause_schedule().reject_from_s + 0.1 - loop.time()))
         late = await connect(processes.port)
-        answer = await late.ask(request("transfer"))
-        assert (answer.status, answer.headers["connection"], len(host.seen)) == (503, "close", 2)
+        answer = await late.send_request(request("transfer"))
+        assert (answer.status, answer.headers["connection"], len(host.exchanges)) == (503, "close", 2)
         for _ in range(2):
             assert (await process.call(b"RESUME")).startswith("ACK")
             assert await ask(processes.port, READY) == 200
@@ -193,7 +193,7 @@
 
 @on_loop
 async def test_ejections_outlive_the_process_and_are_applied_by_both(tmp_path: Path) -> None:
-    async with peer() as a, peer() as b, gateway(tmp_path, configuration(a, b)) as processes:
+    async with scripted_server() as a, scripted_server() as b, gateway(tmp_path, configuration(a, b)) as processes:
         old = await processes.start()
         assert (await old.call(b"SUSPEND s-0")).startswith("ACK")
         new = await processes.start()
@@ -208,7 +208,7 @@
         assert await old.process.wait() == 0
         for _ in range(20):
             assert await ask(processes.port, request()) == 200
-        assert len(a.seen) == 20 and not b.seen
+        assert len(a.exchanges) == 20 and not b.exchanges
         new.process.send_signal(signal.SIGKILL)
         await new.process.wait()
         last = await processes.start()
@@ -221,14 +221,14 @@
 
     async def answer_slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
-        exchange.answer(reply(200, exchange.message.body))
+        exchange.respond(reply(200, exchange.message.body))
 
     def is_served(answer: Message) -> bool:
         # On a busy machine the balancer may reject some requests; the shutdown must not fail any.
         assert answer.status == 200 or (answer.status, answer.body) == (503, b""), answer
         return answer.status == 200
 
-    async with peer(answer_slowly) as host, gateway(tmp_path, configuration(host)) as processes:
+    async with scripted_server(answer_slowly) as host, gateway(tmp_path, configuration(host)) as processes:
         old = await processes.start()
         is_load_finished = False
         load = Load(processes.port, lambda: is_load_finished, is_served)
@@ -239,7 +239,7 @@
             old.process.send_signal(signal.SIGTERM)
             assert await ask(processes.port, READY) == 200  # both processes report the gateway as ready
             assert await old.process.wait() == 0
-            await until(lambda before=served_before: load.served > before + 50)  # type: ignore[misc]
+            await wait_until(lambda before=served_before: load.served > before + 50)  # type: ignore[misc]
             old = new
         is_load_finished = True
         await load.wait()
@@ -252,32 +252,32 @@
 
     A request in flight ahead of the check keeps that connection open.
     """
-    async with peer(silent) as host, gateway(tmp_path, configuration(host)) as processes:
+    async with scripted_server(never_respond) as host, gateway(tmp_path, configuration(host)) as processes:
         old = await processes.start()
         client = await connect(processes.port)  # the successor has not started yet
         client.send(request("transfer", b"held"))
-        await until(lambda: host.seen)
+        await wait_until(lambda: host.exchanges)
         await processes.start()
         old.process.send_signal(signal.SIGTERM)
         while not (await old.call(b"STATUS")).startswith("NAK ending"):
             await asyncio.sleep(0.002)
         client.send(READY)
-        host.seen[0].answer(reply(200, b"held"))
-        assert (await client.answer()).body == b"held"
-        assert (await client.answer()).status == 200
+        host.exchanges[0].respond(reply(200, b"held"))
+        assert (await client.read_response()).body == b"held"
+        assert (await client.read_response()).status == 200
         assert await old.process.wait() == 0
         client.close()
 
 
 @on_loop
 async def test_a_successor_that_dies_before_it_serves_leaves_the_old_process_serving(tmp_path: Path) -> None:
-    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+    async with scripted_server() as host, gateway(tmp_path, configuration(host)) as processes:
         old = await processes.start()
         new = await processes.launch()
-        await until(lambda: processes.process_files(ProcessStage.STARTING))
+        await wait_until(lambda: processes.process_files(ProcessStage.STARTING))
         new.process.kill()
         await new.process.wait()
-        await until(
+        await wait_until(
             lambda: not processes.process_files(ProcessStage.STARTING)
             and len(processes.process_files(ProcessStage.SERVING)) == 1
         )  # the old process has polled
@@ -290,7 +290,7 @@
 @asynccontextmanager
 async def coordinated(folder: Path) -> AsyncIterator[tuple[ProcessCoordinator, Balancer, SharedFolder]]:
     """Yield a gateway's coordinator, its balancer, and the shared folder as another process has opened it."""
-    async with peer() as host:
+    async with scripted_server() as host:
         config = parse(configuration(host) | {"name": "shared", "ops": "127.0.0.1:1"})
         program = assemble(config)
         assert isinstance(program.discovery, EjectionFilter)
@@ -314,15 +314,15 @@
     async with coordinated(tmp_path) as (coordinator, balancer, other):
         server = coordinator.server
         total_us, max_sockets = balancer.slow_start.budget_us(), server.config.sockets
-        await until(lambda: server.admission.max_descriptors == max_sockets // 2)
+        await wait_until(lambda: server.admission.max_descriptors == max_sockets // 2)
         assert balancer.slow_start.budget_us() == total_us  # the other process does not accept clients yet
         other.process_files.announce(ProcessStage.SERVING)
-        await until(lambda: balancer.slow_start.budget_us() == total_us / 2)
+        await wait_until(lambda: balancer.slow_start.budget_us() == total_us / 2)
         other.process_files.announce(ProcessStage.DRAINING)
-        await until(lambda: balancer.slow_start.budget_us() == total_us)
+        await wait_until(lambda: balancer.slow_start.budget_us() == total_us)
         assert server.admission.max_descriptors == max_sockets // 2  # a process keeps its descriptors until it ends
         other.close()
-        await until(lambda: server.admission.max_descriptors == max_sockets)
+        await wait_until(lambda: server.admission.max_descriptors == max_sockets)
 
 
 @on_loop
@@ -338,7 +338,7 @@
 
 @on_loop
 async def test_without_an_admin_address_a_second_start_fails(tmp_path: Path) -> None:
-    async with peer() as host, gateway(tmp_path, configuration(host)) as processes:
+    async with scripted_server() as host, gateway(tmp_path, configuration(host)) as processes:
         await processes.start()
         file = tmp_path / "plain.json"
         file.write_text(json.dumps(processes.config | {"listen": f"127.0.0.1:{processes.port}"}))
--- a/tests/balancing/test_repeated_ids.py
+++ b/tests/balancing/test_repeated_ids.py
@@ -28,7 +28,7 @@
 )
 
 from tests.helpers import KEYED, SAFE, SETTINGS, START_US, UNSAFE, Driver, finals, sends
-from tests.sockets import configuration, on_loop, peer, request, running, until
+from tests.sockets import configuration, on_loop, request, running_gateway, scripted_server, wait_until
 
 
 def test_late_timer_of_an_answered_request_leaves_a_later_request_with_its_id_alone() -> None:
@@ -236,25 +236,25 @@
 @on_loop
 async def test_client_that_reuses_ids_makes_no_server_count_as_silent() -> None:
     """After a client had reused its ids, 29,950 of 30,000 requests were refused, without end."""
-    async with peer() as host_a, peer() as host_b, peer() as host_c:
+    async with scripted_server() as host_a, scripted_server() as host_b, scripted_server() as host_c:
         config = configuration(host_a, host_b, host_c)
         for lane in config["settings"]["lanes"]:
             lane["aimUs"], lane["giveUpUs"] = 100_000, 2_000_000
-        async with running(config) as run:
+        async with running_gateway(config) as run:
 
             async def send_requests(worker: int) -> None:
                 client = await run.connect()
                 for n in range(120):
-                    await client.ask(request(x_call_id=f"{worker}-{n % 3}", budget_ms=2_000))
+                    await client.send_request(request(x_call_id=f"{worker}-{n % 3}", budget_ms=2_000))
                     if n % 10 == 9:
                         await asyncio.sleep(0.03)  # lets timers of answered requests fire in between
                 client.close()
 
             await asyncio.gather(*map(send_requests, range(8)))
             for host in (host_a, host_b, host_c):
-                seen = len(host.seen)
-                while len(host.seen) == seen:  # until the host gets a request: it does not count as silent
-                    await run.ask(request(budget_ms=2_000))
-            await until(lambda: not run.gateway.requests.by_key)
+                seen = len(host.exchanges)
+                while len(host.exchanges) == seen:  # until the host gets a request: it does not count as silent
+                    await run.send_request(request(budget_ms=2_000))
+            await wait_until(lambda: not run.gateway.requests.by_key)
             assert not run.gateway.requests.by_client_id
-            assert not run.module.lifecycle.requests and not run.module.sender.in_flight
+            assert not run.balancer.lifecycle.requests and not run.balancer.sender.in_flight
--- a/tests/cli/load.py
+++ b/tests/cli/load.py
@@ -54,13 +54,13 @@
         """Return the open connection and the answer; (None, None) if the request is lost."""
         if client is not None:
             try:
-                return client, await client.ask(data)
+                return client, await client.send_request(data)
             except (OSError, asyncio.IncompleteReadError):
                 client.close()
         fresh: Client | None = None
         try:
             fresh = await connect(self.port)
-            return fresh, await fresh.ask(data)
+            return fresh, await fresh.send_request(data)
         except (OSError, asyncio.IncompleteReadError):
             if fresh is not None:
                 fresh.close()
--- a/tests/cli/process.py
+++ b/tests/cli/process.py
@@ -21,7 +21,7 @@
 async def start(environment: dict[str, str], stderr: int = asyncio.subprocess.PIPE) -> asyncio.subprocess.Process:
     """Start the gateway process."""
     return await asyncio.create_subprocess_exec(
-        *sockets.PROGRAM,
+        *sockets.GATEWAY_COMMAND,
         cwd=ROOT,
         env=os.environ | environment,
         stdout=asyncio.subprocess.PIPE,
@@ -67,7 +67,7 @@
     """Send one request on a new connection; return the HTTP status, or 0 if the connection fails."""
     try:
         client = await connect(port)
-        status = (await client.ask(data)).status
+        status = (await client.send_request(data)).status
     except OSError:
         return 0
     client.close()
--- a/tests/cli/test_gateway_process.py
+++ b/tests/cli/test_gateway_process.py
@@ -16,20 +16,20 @@
 from tests.sockets import (
     Exchange,
     Message,
-    answers,
     configuration,
+    never_respond,
     on_loop,
-    peer,
     reply,
     request,
-    silent,
-    until,
+    respond_with,
+    scripted_server,
+    wait_until,
 )
 
 
 @on_loop
 async def test_the_gateway_serves_and_exits_with_0(tmp_path: Path) -> None:
-    async with peer() as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server() as host, program(tmp_path, configuration(host)) as (process, port):
         assert await ask(port, request("transfer", b"x")) == 200
         process.send_signal(signal.SIGTERM)
         _, errors = await process.communicate()
@@ -38,11 +38,11 @@
 
 @on_loop
 async def test_a_shutdown_finishes_requests_in_flight_and_accepts_new_ones(tmp_path: Path) -> None:
-    async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server(never_respond) as host, program(tmp_path, configuration(host)) as (process, port):
         idle, busy = await connect(port), await connect(port)
-        assert (await idle.ask(READY)).status == 200
+        assert (await idle.send_request(READY)).status == 200
         busy.send(request("transfer", b"held"))
-        await until(lambda: host.seen)
+        await wait_until(lambda: host.exchanges)
         process.send_signal(signal.SIGTERM)
         while (status := await ask(port, READY)) == 200:  # until the signal is handled
             await asyncio.sleep(0.01)
@@ -50,12 +50,12 @@
         process.send_signal(signal.SIGTERM)  # a second signal changes nothing
         late = await connect(port)
         late.send(request("transfer", b"late"))
-        await until(lambda: len(host.seen) == 2)
+        await wait_until(lambda: len(host.exchanges) == 2)
         assert await idle.reader.read() == b""  # idle connections are closed; others close after their response
-        for exchange in host.seen:
-            exchange.answer(reply(200, exchange.message.body))
+        for exchange in host.exchanges:
+            exchange.respond(reply(200, exchange.message.body))
         for client, body in ((busy, b"held"), (late, b"late")):
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.status, answer.body) == (200, body)
             assert answer.headers["connection"] == "close"
         assert await process.wait() == 0
@@ -65,16 +65,16 @@
 
 @on_loop
 async def test_pipelined_requests_are_answered_during_shutdown(tmp_path: Path) -> None:
-    async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server(never_respond) as host, program(tmp_path, configuration(host)) as (process, port):
         idle, client = await connect(port), await connect(port)
-        assert (await idle.ask(READY)).status == 200
+        assert (await idle.send_request(READY)).status == 200
         client.send(request("transfer", b"1") + request("transfer", b"2"))
-        await until(lambda: host.seen)
+        await wait_until(lambda: host.exchanges)
         process.send_signal(signal.SIGTERM)
         assert await idle.reader.read() == b""
-        host.script = answers(reply(200, b"2"))
-        host.seen[0].answer(reply(200, b"1"))
-        assert [(await client.answer()).body for _ in range(2)] == [b"1", b"2"]
+        host.script = respond_with(reply(200, b"2"))
+        host.exchanges[0].respond(reply(200, b"1"))
+        assert [(await client.read_response()).body for _ in range(2)] == [b"1", b"2"]
         assert await process.wait() == 0
         idle.close()
         client.close()
@@ -82,14 +82,14 @@
 
 @on_loop
 async def test_a_request_without_an_end_does_not_delay_shutdown(tmp_path: Path) -> None:
-    async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server(never_respond) as host, program(tmp_path, configuration(host)) as (process, port):
         client = await connect(port)
         client.send(request("transfer", budget_ms=8_000))
-        await until(lambda: host.seen)
+        await wait_until(lambda: host.exchanges)
         began_s = time.monotonic()
         process.send_signal(signal.SIGTERM)
         # The request may have run, so the response is an error; it must precede a kill 3.7 s after the signal.
-        assert (await client.answer()).status == 502
+        assert (await client.read_response()).status == 502
         _, errors = await process.communicate()
         assert process.returncode == 0 and b"unanswered" not in errors
         assert time.monotonic() - began_s < 3.7
@@ -146,7 +146,7 @@
 
 @on_loop
 async def test_an_address_in_use_prints_one_line_and_exits_with_1(tmp_path: Path) -> None:
-    async with peer() as host:
+    async with scripted_server() as host:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(host) | {"listen": host.address}))
         process = await start({"LB_CONFIG": str(file)})
@@ -161,18 +161,18 @@
 
     async def answer_slowly(exchange: Exchange) -> None:
         await asyncio.sleep(0.005)
-        exchange.answer(reply(200, exchange.message.body))
+        exchange.respond(reply(200, exchange.message.body))
 
     def is_served(answer: Message) -> bool:
         assert answer.status in (200, 503)
         return True
 
-    async with peer(answer_slowly) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server(answer_slowly) as host, program(tmp_path, configuration(host)) as (process, port):
         loop = asyncio.get_running_loop()
         end_s: list[float] = []
         load = Load(port, lambda: bool(end_s) and loop.time() >= end_s[0], is_served)
         load.start()
-        await until(lambda: load.served > 50)
+        await wait_until(lambda: load.served > 50)
         process.send_signal(signal.SIGTERM)
         end_s.append(loop.time() + 0.4)
         served_before = load.served
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,8 +34,8 @@
         apply_mutants(without.split("+"))
         from tests import sockets  # after that: it brings the gateway along
 
-        sockets.PATIENCE_S = 8.0  # what is waited for may never come now
-        sockets.PROGRAM = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", without)
+        sockets.TEST_TIMEOUT_S = 8.0  # what is waited for may never come now
+        sockets.GATEWAY_COMMAND = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", without)
     wanted = config.getoption("--build")
     if wanted and not BUILD.startswith(wanted):
         raise pytest.UsageError(f"--build {wanted}: the decisions are {BUILD}")
--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -30,7 +30,17 @@
 from standins.parties.network import Address, Network, TcpLink
 from standins.parties.registry import Entry, Registry, RegistryListener
 from tests import sockets
-from tests.sockets import Client, Exchange, Peer, configuration, endpoint, hosts_list, peer, reply, request
+from tests.sockets import (
+    Client,
+    Exchange,
+    ScriptedServer,
+    configuration,
+    endpoint,
+    hosts_list,
+    reply,
+    request,
+    scripted_server,
+)
 
 GATEWAYS = 3
 CLIENTS = 4  # per gateway
@@ -49,7 +59,7 @@
 
     folder: Path
     network: Network
-    hosts: list[Peer]
+    hosts: list[ScriptedServer]
     discoveries: list[Registry]
     discovery_by_relay: tuple[int, ...]  # by relay: the number of the discovery that it polls
     is_spread: bool  # gateways poll different relays first; otherwise all poll relay-0 first
@@ -131,7 +141,7 @@
                 call_id = f"{gateway:02x}{len(self.client_requests):014x}"
                 client_request = ClientRequest(now_us(), gateway)
                 self.client_requests.append(client_request)
-                answer = await client.ask(request("search", x_call_id=call_id))
+                answer = await client.send_request(request("search", x_call_id=call_id))
                 client_request.answered_us, client_request.status = now_us(), answer.status
                 client_request.is_own = answer.status != 200 or answer.body == call_id.encode()
                 self.statuses[answer.status] += 1
@@ -285,12 +295,12 @@
             await asyncio.sleep(RESPONSE_DELAY_S)
             fleet.responses_in_progress -= 1
             if not exchange.writer.transport.is_closing():
-                exchange.answer(reply(body=call_id.encode()))
+                exchange.respond(reply(body=call_id.encode()))
 
         return answer
 
     network, ledger = Network(1), EventLog()
-    peers = [peer(script(n)) for n in range(hosts)]
+    peers = [scripted_server(script(n)) for n in range(hosts)]
     listening = [await each.__aenter__() for each in peers]
     tasks: list[asyncio.Task[None]] = []
 
@@ -370,7 +380,7 @@
     link.open()
     fleet.to_discovery.append(link)
     file = fleet.folder / f"{name}.toml"
-    relay = Gateway(name, 0, fleet.folder, dict, fleet.ledger, command=(*sockets.PROGRAM, "relay", str(file)))
+    relay = Gateway(name, 0, fleet.folder, dict, fleet.ledger, command=(*sockets.GATEWAY_COMMAND, "relay", str(file)))
     file.write_text(
         f'name = "{name}"\nlisten = "127.0.0.1:{relay.port}"\nroster = "roster-{number}.json"\n'
         f'discovery = "127.0.0.1:{link.address[1]}"\n'
@@ -403,6 +413,6 @@
     options.write_text(f"[relays]\naddresses = [{named}]\ndirect_per_s = {DIRECT_PER_S}\n")
     environment = {"CLOVERKEEL_OPTIONS": str(options)}
     gateway = Gateway(
-        name, 0, fleet.folder, configure, fleet.ledger, environment=environment, command=sockets.PROGRAM
+        name, 0, fleet.folder, configure, fleet.ledger, environment=environment, command=sockets.GATEWAY_COMMAND
     )
     return gateway
--- a/tests/control_plane/relay_harness.py
+++ b/tests/control_plane/relay_harness.py
@@ -16,7 +16,7 @@
 from cloverkeel.core.clock import now_us
 from standins.event_log import EventLog
 from standins.parties.registry import Entry, Registry
-from tests.sockets import Client, Message, Peer, list_reply, peer, until
+from tests.sockets import Client, Message, ScriptedServer, list_reply, scripted_server, wait_until
 
 ROSTER = json.dumps({
     "regions": {"r0": ["a", "b"]},
@@ -41,7 +41,7 @@
     async def get(self, target: str, client: Client | None = None, *headers: str) -> Message:
         connection = client or await self.client()
         lines = (f"GET {target} HTTP/1.1", "Host: r", *headers)
-        return await connection.ask("\r\n".join(lines).encode() + b"\r\n\r\n")
+        return await connection.send_request("\r\n".join(lines).encode() + b"\r\n\r\n")
 
     async def listed(self, query: str, client: Client | None = None) -> dict[str, Any]:
         answer = await self.get(f"/registry/instances?{query}", client)
@@ -58,7 +58,7 @@
 
     async def has(self, count: int) -> None:
         server = self.server
-        await until(
+        await wait_until(
             lambda: server.cache.is_ready
             and len(server.cache.table.host_by_name) == count
             and server.long_polls.notify_task is None
@@ -114,10 +114,10 @@
 
 
 @asynccontextmanager
-async def scripted_discovery() -> AsyncIterator[tuple[list[bytes], Peer]]:
+async def scripted_discovery() -> AsyncIterator[tuple[list[bytes], ScriptedServer]]:
     """Run a discovery that answers every request with the last item of the yielded list."""
     answers: list[bytes] = []
-    async with peer(lambda exchange: exchange.answer(answers[-1])) as discovery:
+    async with scripted_server(lambda exchange: exchange.respond(answers[-1])) as discovery:
         yield answers, discovery
 
 
--- a/tests/control_plane/test_command.py
+++ b/tests/control_plane/test_command.py
@@ -68,7 +68,7 @@
     file.write_text(text + "[limits]\nconnections = 100\n")
 
     def command(*words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([*sockets.PROGRAM, "relay", *words], capture_output=True, text=True, timeout=20)
+        return subprocess.run([*sockets.GATEWAY_COMMAND, "relay", *words], capture_output=True, text=True, timeout=20)
 
     before_us = now_us()
     missing = await asyncio.to_thread(command, str(file))
@@ -76,7 +76,7 @@
     assert (await asyncio.to_thread(command, "show")).returncode == 2
     roster.write_bytes(ROSTER)
     process = await asyncio.create_subprocess_exec(
-        *sockets.PROGRAM, "relay", str(file), stderr=asyncio.subprocess.PIPE
+        *sockets.GATEWAY_COMMAND, "relay", str(file), stderr=asyncio.subprocess.PIPE
     )
     try:
         assert process.stderr is not None
--- a/tests/control_plane/test_connection.py
+++ b/tests/control_plane/test_connection.py
@@ -13,7 +13,7 @@
 from cloverkeel.control_plane.encoding import MIN_GZIP_BYTES
 from cloverkeel.control_plane.messages import ListResponse, Subscriber
 from tests.control_plane.relay_harness import HOLD, relay_with_registry
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
     async with relay_with_registry() as harness:
         client = await harness.client()
         client.send(sent)
-        assert (await client.answer()).status == status
+        assert (await client.read_response()).status == status
         assert await client.reader.read() == b""
 
 
@@ -86,8 +86,8 @@
         held = await harness.listed("gateway=g0", client)
         poll = f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\nHost: r\r\n\r\n".encode()
         client.send(poll + poll)
-        assert (await client.answer()).status == 400
-        await until(lambda: not harness.server.long_polls.connections_by_key and not harness.server.connections)
+        assert (await client.read_response()).status == 400
+        await wait_until(lambda: not harness.server.long_polls.connections_by_key and not harness.server.connections)
 
 
 @on_loop
@@ -99,9 +99,9 @@
         held = [await harness.listed(f"gateway=g{n}&services=s", client) for n, client in enumerate(clients)]
         targets = [f"/registry/instances?gateway=g{n}&services=s&from={held[n]['index']}{HOLD}" for n in range(2)]
         clients[0].send(f"GET {targets[0]} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
-        await until(lambda: any(connection.pending_request for connection in harness.server.connections))
+        await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
         poll = asyncio.create_task(harness.get(targets[1], clients[1]))
-        await until(
+        await wait_until(
             lambda: sum(connection.pending_request is not None for connection in harness.server.connections) == 2
         )
         original = harness.server.cache.respond
--- a/tests/control_plane/test_discovery_source.py
+++ b/tests/control_plane/test_discovery_source.py
@@ -18,7 +18,7 @@
     snapshot_reply,
     status_by_name,
 )
-from tests.sockets import list_reply, on_loop, reply, until
+from tests.sockets import list_reply, on_loop, reply, wait_until
 
 MAX_SLICE_S = 0.005  # for which requests may wait while a long list is applied
 
@@ -46,15 +46,15 @@
             harness = RelayHarness(Registry(EventLog()), server)
             await harness.has(2)
             answers.append(invalid_reply)
-            await until(lambda: not server.is_ready)
+            await wait_until(lambda: not server.is_ready)
             listed = await harness.listed("gateway=g0")
             assert set(status_by_name(listed)) == {"s-0", "s-1"} and listed["age_ms"] > 1_000
             state = await harness.state()
             if state["discovery_rubbish"]:  # changes may have been lost: a snapshot is requested
-                assert "from=" not in discovery.seen[-1].message.first
+                assert "from=" not in discovery.exchanges[-1].message.start_line
             assert state["ready"] is False and (state["discovery_rubbish"] or state["discovery_failures"])
             answers.append(snapshot_reply(1, "s-1", "s-2"))  # discovery restarts with a lower index
-            await until(lambda: server.is_ready)
+            await wait_until(lambda: server.is_ready)
             sent = await harness.listed(f"gateway=g0&from={listed['index']}")
             assert status_by_name(sent) == {"s-0": "DELETED", "s-2": "SERVING"}
 
@@ -65,8 +65,8 @@
         answers.append(list_reply(5, snapshot=False))
         async with running_relay(discovery.address) as server:
             harness = RelayHarness(Registry(EventLog()), server)
-            await until(lambda: len(discovery.seen) > 2)
-            assert not any("from=" in exchange.message.first for exchange in discovery.seen)
+            await wait_until(lambda: len(discovery.exchanges) > 2)
+            assert not any("from=" in exchange.message.start_line for exchange in discovery.exchanges)
             assert (await harness.get("/registry/instances?gateway=g0")).status == 503
             answers.append(snapshot_reply(5, "s-0"))
             await harness.has(1)
@@ -76,12 +76,12 @@
 async def test_age_of_a_response_includes_the_stall_that_delayed_it() -> None:
     async with relay_with_registry() as harness:
         source = harness.server.source
-        await until(lambda: source.age_ms(now_us()) < 1_500)
+        await wait_until(lambda: source.age_ms(now_us()) < 1_500)
         # As after a stall of 5 s that began after the open request was sent and after the last clock check.
         source.request_sent_us = source.last_clock_check_us = now_us() - 5_000_000
         source.handle_body_at_once(b'{"index": 1, "snapshot": false, "endpoints": []}')
         assert source.age_ms(now_us()) >= 5_000
-        await until(lambda: source.stalls == 1 and source.age_ms(now_us()) < 1_500)
+        await wait_until(lambda: source.stalls == 1 and source.age_ms(now_us()) < 1_500)
 
 
 @on_loop
@@ -117,7 +117,7 @@
                 await asyncio.sleep(0)  # checks at each iteration of the loop, so that no step is missed
             assert server.source.discovery_index == 5
             server.source.restart(watches=True)
-            requests_before = len(discovery.seen)
-            await until(lambda: server.source.discovery_index == 6)
-            assert "from=" not in discovery.seen[requests_before].message.first
+            requests_before = len(discovery.exchanges)
+            await wait_until(lambda: server.source.discovery_index == 6)
+            assert "from=" not in discovery.exchanges[requests_before].message.start_line
             assert len(server.cache.table.host_by_name) == 3_000
--- a/tests/control_plane/test_http_server.py
+++ b/tests/control_plane/test_http_server.py
@@ -6,7 +6,7 @@
 
 from cloverkeel.control_plane.connection import ClientConnection
 from tests.control_plane.relay_harness import HOLD, relay_with_registry, status_by_name
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 
 @on_loop
@@ -59,14 +59,14 @@
             for sent in (b"GET /health/ready HTTP/1.1", b"GET /registry/instances HTTP/1.1", b"x"):
                 client = await harness.client()
                 client.send(sent + b"\r\n\r\n")
-                await client.answer()
+                await client.read_response()
                 client.close()
             held = await harness.listed("gateway=g0")
             client = await harness.client()
             client.send(f"GET /registry/instances?gateway=g0&from={held['index']}{HOLD} HTTP/1.1\r\n\r\n".encode())
-            await until(lambda: any(connection.pending_request for connection in harness.server.connections))
+            await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
             client.close()
-            await until(lambda: not harness.server.connections)
-            await until(lambda: connections() == before)
+            await wait_until(lambda: not harness.server.connections)
+            await wait_until(lambda: connections() == before)
         finally:
             gc.enable()
--- a/tests/control_plane/test_long_poll.py
+++ b/tests/control_plane/test_long_poll.py
@@ -11,7 +11,7 @@
 from cloverkeel.control_plane import long_poll
 from cloverkeel.control_plane.messages import ListResponse, Subscriber
 from tests.control_plane.relay_harness import HOLD, relay_with_registry, status_by_name
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 
 @on_loop
@@ -23,7 +23,7 @@
             asyncio.create_task(harness.listed(f"gateway={name}&from={held['index']}{HOLD}", client))
             for name, held, client in (("g0", first, mine), ("g1", second, other))
         ]
-        await until(
+        await wait_until(
             lambda: sum(connection.pending_request is not None for connection in harness.server.connections) == 2
         )
         harness.change(("s-1", "DRAINING"))
@@ -57,7 +57,7 @@
         client = await harness.client()
         held = await harness.listed("gateway=g0", client)
         poll = asyncio.create_task(harness.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(connection.pending_request for connection in harness.server.connections))
+        await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
         passed = harness.server.counters.notification_rounds
         for number in range(3):  # three lists from discovery, one batch
             harness.server.apply_list(False, [{
@@ -75,7 +75,7 @@
         client = await harness.client()
         held = await harness.listed("gateway=g0", client)
         poll = asyncio.create_task(harness.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(connection.pending_request for connection in harness.server.connections))
+        await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
         (connection,) = (
             connection for connection in harness.server.connections if connection.pending_request is not None
         )
@@ -116,6 +116,6 @@
         for client, query in zip(clients, queries, strict=True):
             client.send(f"GET /registry/instances?{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
         for number, client in enumerate(clients):
-            sent: dict[str, Any] = json.loads((await client.answer()).body)
+            sent: dict[str, Any] = json.loads((await client.read_response()).body)
             assert status_by_name(sent) == ({} if number == 1 else {"s-0": "DELETED"})
         assert len(turns) == len(set(turns)) == 8
--- a/tests/control_plane/test_reload.py
+++ b/tests/control_plane/test_reload.py
@@ -14,7 +14,7 @@
 from cloverkeel.control_plane.reload import RosterReloader
 from cloverkeel.control_plane.roster_parser import parse_roster
 from tests.control_plane.relay_harness import HOLD, ROSTER, relay_with_registry, status_by_name
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 
 @on_loop
@@ -26,11 +26,11 @@
         client, reloader = await harness.client(), RosterReloader(str(file), harness.server)
         held = await harness.listed("gateway=g0", client)
         poll = asyncio.create_task(harness.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(connection.pending_request for connection in harness.server.connections))
+        await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
         digest = harness.server.cache.roster.digest
         file.write_bytes(b"{}")
         reloader.request_reload()
-        await until(lambda: reloader.is_idle)
+        await wait_until(lambda: reloader.is_idle)
         assert harness.server.cache.roster.digest == digest and "stays as it is" in capsys.readouterr().err
         file.write_bytes(ROSTER.replace(b'["s"]', b'["s", "t"]'))
         reloader.request_reload()
@@ -53,7 +53,9 @@
             asyncio.create_task(harness.listed(f"gateway=g{n}&from={held[n]['index']}{long_hold}", clients[n]))
             for n in range(2)
         ]
-        await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
+        await wait_until(
+            lambda: sum(connection.pending_request is not None for connection in server.connections) == 2
+        )
         observed: list[dict[str, str]] = []  # gateway by host name, once the change was applied
 
         def prepare(roster: FleetRoster) -> Generator[None, None, GroupsByService]:
@@ -75,7 +77,7 @@
         monkeypatch.setattr(cache, "prepare_roster", prepare)
         file.write_bytes(ROSTER.replace(b'["t"]', b'["s"]'))
         reloader.request_reload()
-        await until(lambda: observed and reloader.is_idle)
+        await wait_until(lambda: observed and reloader.is_idle)
         assert observed[0] == {f"s-{n}": "g0" for n in range(4)} | {f"t-{n}": "g1" for n in range(1, 4)}
         last = parse_roster(file.read_bytes(), "roster")
         assert cache.roster.digest == last.digest
@@ -86,8 +88,10 @@
             polls[n] = asyncio.create_task(
                 harness.listed(f"gateway=g{n}&from={sent['index']}{long_hold}", clients[n])
             )
-        await until(lambda: sum(connection.pending_request is not None for connection in server.connections) == 2)
-        await until(lambda: server.long_polls.notify_task is None)
+        await wait_until(
+            lambda: sum(connection.pending_request is not None for connection in server.connections) == 2
+        )
+        await wait_until(lambda: server.long_polls.notify_task is None)
         harness.change(("t-1", "DRAINING"))
         assert [status_by_name(await poll) for poll in polls] == [
             {"t-1": "DRAINING"}
--- a/tests/control_plane/test_snapshot_queue.py
+++ b/tests/control_plane/test_snapshot_queue.py
@@ -24,7 +24,7 @@
     run_turn_by_turn,
     status_by_name,
 )
-from tests.sockets import Message, on_loop, until
+from tests.sockets import Message, on_loop, wait_until
 
 
 def add_hosts(harness: RelayHarness, count: int = 3_000) -> None:
@@ -48,11 +48,11 @@
         client = await harness.client()
         held = await harness.listed("gateway=g0", client)
         long_poll = asyncio.create_task(harness.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
-        await until(lambda: any(connection.pending_request for connection in harness.server.connections))
+        await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         requests = [asyncio.create_task(harness.get("/registry/instances?gateway=g1")) for _ in range(4 * rate)]
-        await until(lambda: harness.server.counters.rejected_snapshots > 0)
+        await wait_until(lambda: harness.server.counters.rejected_snapshots > 0)
         harness.change(("s-0", "DRAINING"))
         await long_poll
         assert harness.server.snapshots.queue, "the delta was not sent while snapshots were queued"
@@ -118,13 +118,13 @@
             disconnecting, other_client = await harness.client(), await harness.client()
             disconnecting.writer.transport.pause_reading()  # type: ignore[attr-defined]
             disconnecting.send(f"GET {ALL} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
-            await until(condition)
+            await wait_until(condition)
             request = asyncio.create_task(harness.get(ALL, other_client, "Accept-Encoding: gzip"))
             disconnecting.writer.transport.abort()
             assert len(decode_body(await request)["endpoints"]) == 20_008
-            await until(lambda: not harness.server.sender.unsent_bytes and len(harness.server.connections) == 1)
+            await wait_until(lambda: not harness.server.sender.unsent_bytes and len(harness.server.connections) == 1)
             other_client.close()
-            await until(lambda: not harness.server.connections)
+            await wait_until(lambda: not harness.server.connections)
             harness.server.snapshots.encoded_lists.clear()
             harness.server.cache.full_list.entries_change = -1
 
@@ -186,10 +186,10 @@
         slow_client = await harness.client()
         slow_client.writer.transport.pause_reading()  # type: ignore[attr-defined]
         slow_client.send(b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n")
-        await until(lambda: harness.server.sender.unsent_bytes > 1 << 20)
+        await wait_until(lambda: harness.server.sender.unsent_bytes > 1 << 20)
         assert (
             await harness.get("/registry/instances?gateway=g0")
         ).status == 503, "the snapshot was sent despite too many unsent bytes"
-        await until(lambda: harness.server.counters.closed_slow == 1 and not harness.server.sender.unsent_bytes)
+        await wait_until(lambda: harness.server.counters.closed_slow == 1 and not harness.server.sender.unsent_bytes)
         assert len((await harness.listed("gateway=g0"))["endpoints"]) == 4
         slow_client.close()
--- a/tests/core/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -31,8 +31,8 @@
     SILENT_WATCH_DETECTION_S,
 )
 from tests.sockets import (
-    Exchange, Running, answers, configuration, endpoint, host_id, list_reply, on_loop, overhear, peer, reply, request,
-    running, silent, until,
+    Exchange, RunningGateway, configuration, endpoint, host_id, list_reply, never_respond, observe_events, on_loop,
+    reply, request, respond_with, running_gateway, scripted_server, wait_until,
 )  # fmt: skip
 from tests.cli.process import connect, program
 
@@ -79,7 +79,7 @@
 # Endpoint lists
 
 
-def is_draining(run: Running, number: int = 0) -> bool:
+def is_draining(run: RunningGateway, number: int = 0) -> bool:
     return run.pool.hosts[host_id(number)].draining_since_us is not None
 
 
@@ -92,20 +92,20 @@
     def script(exchange: Exchange) -> None:
         if exchange.connection > 1:
             entry = endpoint("s-0", host.address, status="DRAINING")
-            exchange.answer(list_reply(8, entry, snapshot=False))
-            registry.script = silent
-        elif b"hold_ms=0" in exchange.message.first.encode():
-            exchange.answer(list_reply(7, snapshot=False))
+            exchange.respond(list_reply(8, entry, snapshot=False))
+            registry.script = never_respond
+        elif b"hold_ms=0" in exchange.message.start_line.encode():
+            exchange.respond(list_reply(7, snapshot=False))
         else:
             silent_since.append(time.monotonic())
 
-    async with peer() as host, peer(script) as registry:
+    async with scripted_server() as host, scripted_server(script) as registry:
         config = configuration(host, discovery=registry.address)
         config["settings"]["membershipMode"] = mode
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             run.gateway.dispatcher.carry_out(WatchList())
-            await until(lambda: silent_since)
-            await until(lambda: is_draining(run))
+            await wait_until(lambda: silent_since)
+            await wait_until(lambda: is_draining(run))
             assert time.monotonic() - silent_since[0] < SILENT_WATCH_DETECTION_S < MAX_NOTIFICATION_DELAY_S
 
 
@@ -117,15 +117,15 @@
         if exchange.connection == 1:
             begun.append(time.monotonic())
         else:
-            exchange.answer(list_reply(8, endpoint("s-0", host.address, status="DRAINING"), snapshot=False))
-            registry.script = silent
+            exchange.respond(list_reply(8, endpoint("s-0", host.address, status="DRAINING"), snapshot=False))
+            registry.script = never_respond
 
     async with (
-        peer() as host,
-        peer(script) as registry,
-        running(configuration(host, discovery=registry.address)) as run,
+        scripted_server() as host,
+        scripted_server(script) as registry,
+        running_gateway(configuration(host, discovery=registry.address)) as run,
     ):
-        await until(lambda: begun and is_draining(run))
+        await wait_until(lambda: begun and is_draining(run))
         assert time.monotonic() - begun[0] < SILENT_CONNECTION_DETECTION_S < MAX_NOTIFICATION_DELAY_S
         assert "discovery: TimeoutError\n" in capsys.readouterr().err
 
@@ -134,17 +134,20 @@
 async def test_the_reply_to_a_superseded_poll_is_ignored() -> None:
     """The old reply has arrived but is not read yet when the list is requested again."""
     old = list_reply(8, endpoint("s-0", "127.0.0.1:1", status="DRAINING"))
-    async with peer(silent) as registry, running(configuration("127.0.0.1:1", discovery=registry.address)) as run:
-        await until(lambda: registry.seen)
+    async with (
+        scripted_server(never_respond) as registry,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+    ):
+        await wait_until(lambda: registry.exchanges)
         events: list[object] = []
-        overhear(run, events.append)
-        os.write(registry.seen[0].writer.get_extra_info("socket").fileno(), old)
+        observe_events(run, events.append)
+        os.write(registry.exchanges[0].writer.get_extra_info("socket").fileno(), old)
         run.gateway.dispatcher.carry_out(FetchList())
-        await until(lambda: len(registry.seen) == 2)
-        registry.seen[1].answer(list_reply(9, endpoint("s-0", "127.0.0.1:1")))
-        await until(lambda: run.discovery.schedule.version == 9)
+        await wait_until(lambda: len(registry.exchanges) == 2)
+        registry.exchanges[1].respond(list_reply(9, endpoint("s-0", "127.0.0.1:1")))
+        await wait_until(lambda: run.discovery.schedule.version == 9)
         assert not is_draining(run) and len([event for event in events if isinstance(event, ServerList)]) == 1
-        await until(lambda: registry.ended == 1)
+        await wait_until(lambda: registry.closed_count == 1)
 
 
 @on_loop
@@ -153,27 +156,30 @@
     listed = [endpoint("s-1", "127.0.0.1:1")]
 
     def script(exchange: Exchange) -> None:
-        if "from=" not in exchange.message.first:
-            exchange.answer(list_reply(2, *listed))
-        elif "from=7" in exchange.message.first:
-            exchange.answer(list_reply(1, endpoint("s-0", "127.0.0.1:1", status="SERVING"), snapshot=False))
+        if "from=" not in exchange.message.start_line:
+            exchange.respond(list_reply(2, *listed))
+        elif "from=7" in exchange.message.start_line:
+            exchange.respond(list_reply(1, endpoint("s-0", "127.0.0.1:1", status="SERVING"), snapshot=False))
 
-    async with peer(script) as registry, running(configuration("127.0.0.1:1", discovery=registry.address)) as run:
-        await until(lambda: set(run.pool.hosts) == {host_id(1)})
+    async with (
+        scripted_server(script) as registry,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)) as run,
+    ):
+        await wait_until(lambda: set(run.pool.hosts) == {host_id(1)})
         assert run.discovery.schedule.version == 2
-        await until(lambda: any("from=2" in exchange.message.first for exchange in registry.seen))
+        await wait_until(lambda: any("from=2" in exchange.message.start_line for exchange in registry.exchanges))
 
 
 @on_loop
 async def test_immediate_empty_replies_to_a_watch_do_not_cause_a_poll_loop() -> None:
     async with (
-        peer(answers(list_reply(7, snapshot=False))) as registry,
-        running(configuration("127.0.0.1:1", discovery=registry.address)),
+        scripted_server(respond_with(list_reply(7, snapshot=False))) as registry,
+        running_gateway(configuration("127.0.0.1:1", discovery=registry.address)),
     ):
-        await until(lambda: len(registry.seen) >= 3)
-        before, begun_s = len(registry.seen), time.monotonic()
-        await until(lambda: time.monotonic() - begun_s > LONG_POLL_HOLD_S / 2)
-        assert len(registry.seen) - before <= LONG_POLL_HOLD_S / 2 / EMPTY_REPLY_PAUSE_S + 1
+        await wait_until(lambda: len(registry.exchanges) >= 3)
+        before, begun_s = len(registry.exchanges), time.monotonic()
+        await wait_until(lambda: time.monotonic() - begun_s > LONG_POLL_HOLD_S / 2)
+        assert len(registry.exchanges) - before <= LONG_POLL_HOLD_S / 2 / EMPTY_REPLY_PAUSE_S + 1
 
 
 @pytest.mark.parametrize("status", ["DRAINING", "DELETED"])
@@ -184,13 +190,13 @@
     if extra:
         entry = endpoint("s-0", "127.0.0.1:1", status=status) | extra
     async with (
-        peer(silent) as registry,
-        running(configuration("127.0.0.1:1", "127.0.0.1:2", discovery=registry.address)) as run,
+        scripted_server(never_respond) as registry,
+        running_gateway(configuration("127.0.0.1:1", "127.0.0.1:2", discovery=registry.address)) as run,
     ):
-        await until(lambda: registry.seen)
-        registry.seen[0].answer(list_reply(8, entry, {"status": status}, {"name": "s-1"}, snapshot=False))
-        await until(lambda: set(run.pool.hosts) == {host_id(1)})
-        assert set(run.module.endpoints.by_server) == {host_id(1)}
+        await wait_until(lambda: registry.exchanges)
+        registry.exchanges[0].respond(list_reply(8, entry, {"status": status}, {"name": "s-1"}, snapshot=False))
+        await wait_until(lambda: set(run.pool.hosts) == {host_id(1)})
+        assert set(run.balancer.endpoints.by_server) == {host_id(1)}
 
 
 @pytest.mark.parametrize("first", ["silent", "503", "reset", "garbage"])
@@ -200,26 +206,26 @@
     first: str, known: dict[str, object]
 ) -> None:
     """Of gateways that restart together 90% must be ready within 10 s; a failed poll must leave time for another."""
-    failing = {"silent": silent, "503": answers(reply(503)), "garbage": answers(b"\x00\x01\r\n\r\n")}
+    failing = {"silent": never_respond, "503": respond_with(reply(503)), "garbage": respond_with(b"\x00\x01\r\n\r\n")}
 
     def script(exchange: Exchange) -> None:
-        if len(registry.seen) > 1:
-            exchange.answer(list_reply(3, endpoint("s-0", host.address)))
-            registry.script = silent
+        if len(registry.exchanges) > 1:
+            exchange.respond(list_reply(3, endpoint("s-0", host.address)))
+            registry.script = never_respond
         elif first == "reset":
             exchange.reset()
         else:
             failing[first](exchange)
 
-    async with peer() as host, peer(script) as registry:
+    async with scripted_server() as host, scripted_server(script) as registry:
         config = configuration(discovery=registry.address) | {"known": known}
         config["settings"]["membershipMode"] = "on_request"
         begun_s = time.monotonic()
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             assert not run.server.is_ready
-            await until(lambda: run.server.is_ready)
+            await wait_until(lambda: run.server.is_ready)
             assert time.monotonic() - begun_s < 5.0
-            assert (await run.ask(request())).status == 200
+            assert (await run.send_request(request())).status == 200
 
 
 # Attempts
@@ -234,7 +240,7 @@
 async def test_an_attempt_with_a_write_deadline_is_written_by_then_or_never(write_deadline_s: float) -> None:
     """A retry is safe only while its host drops repeated requests; its connection may be established after that."""
     with full_backlog_host() as backlog_host:
-        async with running(configuration(backlog_host.address)) as run:
+        async with running_gateway(configuration(backlog_host.address)) as run:
             ended: list[Outcome] = []
             by_us = now_us() + int(write_deadline_s * 1e6)
             run.attempt_sender.start_attempt(
@@ -242,9 +248,9 @@
                 discard_response, None, by_us,
             )  # fmt: skip
             if write_deadline_s < 1.0:
-                await until(lambda: ended)
+                await wait_until(lambda: ended)
                 assert ended == [Outcome.MOOT] and now_us() >= by_us
-                await until(lambda: run.pool.open_connections == 0)
+                await wait_until(lambda: run.pool.open_connections == 0)
             else:
                 backlog_host.open()
                 assert b"POST /hold" in await asyncio.get_running_loop().sock_recv(
@@ -256,10 +262,10 @@
 @on_loop
 async def test_a_host_is_sent_the_time_remaining_when_its_connection_is_established() -> None:
     with full_backlog_host() as backlog_host:
-        async with running(configuration(backlog_host.address)) as run:
+        async with running_gateway(configuration(backlog_host.address)) as run:
             client = await run.connect()
             client.send(request("search"))
-            await until(lambda: run.pool.open_connections)
+            await wait_until(lambda: run.pool.open_connections)
             (held,) = run.gateway.requests.by_key.values()
             opened_us = now_us()
             backlog_host.open()
@@ -273,7 +279,7 @@
 async def test_a_large_retry_not_fully_written_by_its_deadline_is_aborted() -> None:
     """Without its last byte the request has not run; a host that reads it later must not receive the rest."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with running(configuration(f"127.0.0.1:{listener.getsockname()[1]}")) as run:
+        async with running_gateway(configuration(f"127.0.0.1:{listener.getsockname()[1]}")) as run:
             ended: list[Outcome] = []
             head = request("hold").replace(b"content-length: 0", b"Content-Length: 20000000")
             body = [b"x" * 65_536] * 305
@@ -282,7 +288,7 @@
                 host_id(0), lambda _: [head, *body], 20_000_000, lambda result: ended.append(result.outcome),
                 discard_response, None, by_us,
             )  # fmt: skip
-            await until(lambda: ended)  # the host has not read any of it
+            await wait_until(lambda: ended)  # the host has not read any of it
             assert ended == [Outcome.MOOT] and now_us() >= by_us
 
 
@@ -293,16 +299,16 @@
     may_cancel: bool, client_leaves: bool
 ) -> None:
     with full_backlog_host() as backlog_host:
-        async with running(configuration(backlog_host.address, mayCancel=may_cancel)) as run:
+        async with running_gateway(configuration(backlog_host.address, mayCancel=may_cancel)) as run:
             client = await run.connect()
             client.send(request("transfer"))
-            await until(lambda: run.pool.open_connections)
+            await wait_until(lambda: run.pool.open_connections)
             if client_leaves:
                 client.close()
-                await until(lambda: not run.server.connections)
+                await wait_until(lambda: not run.server.connections)
             if client_leaves and may_cancel:
                 # The count changes one loop iteration after the cancellation.
-                await until(lambda: not run.pool.open_connections)
+                await wait_until(lambda: not run.pool.open_connections)
                 assert not run.pool.counts.failed  # the connection attempt was cancelled, and did not time out
                 backlog_host.open()
                 assert not run.pool.open_connections and run.pool.counts.opened == 1
@@ -311,7 +317,7 @@
             sock = await backlog_host.accept()
             received = await asyncio.get_running_loop().sock_recv(sock, 65_536)
             assert received == b"" if client_leaves else b"POST /transfer" in received
-            await until(lambda: not run.gateway.requests.by_key or not client_leaves)
+            await wait_until(lambda: not run.gateway.requests.by_key or not client_leaves)
             sock.close()
 
 
@@ -319,19 +325,19 @@
 @on_loop
 async def test_pipelined_requests_of_a_disconnected_client_are_not_forwarded(end: str) -> None:
     """With so many pipelined requests the gateway pauses reading, so that it does not read the close either."""
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         with socket.create_connection(("127.0.0.1", run.port)) as client:
             client.sendall(b"".join(request("search") for _ in range(200)))
-            await until(lambda: host.seen)
+            await wait_until(lambda: host.exchanges)
             (connection,) = run.server.connections
             assert connection.reader.unparsed
             if end == "RST":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         async with asyncio.timeout(2.0):
-            await until(lambda: not run.server.connections)
-        host.script = answers(reply())
-        assert (await run.ask(request())).status == 200
-        assert len(host.seen) == 2 and not run.gateway.requests.by_key
+            await wait_until(lambda: not run.server.connections)
+        host.script = respond_with(reply())
+        assert (await run.send_request(request())).status == 200
+        assert len(host.exchanges) == 2 and not run.gateway.requests.by_key
 
 
 @pytest.mark.parametrize("end", ["FIN", "RST"])
@@ -345,42 +351,45 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
 
-        rejection = answers(reply(503, b"", "X-Rejected: 1"))
+        rejection = respond_with(reply(503, b"", "X-Rejected: 1"))
         async with (
-            peer(rejection) as host_a,
-            peer(rejection) as host_b,
-            running(configuration(host_a, host_b)) as run,
+            scripted_server(rejection) as host_a,
+            scripted_server(rejection) as host_b,
+            running_gateway(configuration(host_a, host_b)) as run,
         ):
             run.gateway.dispatcher.on_attempt_outcome = disconnect
             client.connect(("127.0.0.1", run.port))
             client.sendall(request("search"))
-            await until(lambda: host_a.seen or host_b.seen)
-            await until(lambda: not run.gateway.requests.by_key and not run.server.connections)
-            assert len(host_a.seen) + len(host_b.seen) == 1
+            await wait_until(lambda: host_a.exchanges or host_b.exchanges)
+            await wait_until(lambda: not run.gateway.requests.by_key and not run.server.connections)
+            assert len(host_a.exchanges) + len(host_b.exchanges) == 1
             run.gateway.dispatcher.on_attempt_outcome = None
             # The request of a client that stays connected is tried at both hosts.
-            assert (await run.ask(request())).status == 503
-            assert len(host_a.seen) + len(host_b.seen) == 3
+            assert (await run.send_request(request())).status == 503
+            assert len(host_a.exchanges) + len(host_b.exchanges) == 3
 
 
 @pytest.mark.parametrize("late", [True, False])
 @on_loop
 async def test_a_late_second_response_is_not_used_for_the_next_request(late: bool) -> None:
     """The next request comes between the two responses or after both; in either order it gets its own response."""
-    async with peer(answers(reply(200, b"first"))) as host, running(configuration(host)) as run:
-        assert (await run.ask(request())).body == b"first"
-        host.script = silent
+    async with (
+        scripted_server(respond_with(reply(200, b"first"))) as host,
+        running_gateway(configuration(host)) as run,
+    ):
+        assert (await run.send_request(request())).body == b"first"
+        host.script = never_respond
         if late:
-            asked = asyncio.create_task(run.ask(request()))
-            await until(lambda: len(host.seen) == 2)
-            host.seen[0].answer(reply(200, b"first"))
+            asked = asyncio.create_task(run.send_request(request()))
+            await wait_until(lambda: len(host.exchanges) == 2)
+            host.exchanges[0].respond(reply(200, b"first"))
         else:
-            host.seen[0].answer(reply(200, b"first"))
-            await until(lambda: run.pool.open_connections == 0)
-            asked = asyncio.create_task(run.ask(request()))
-            await until(lambda: len(host.seen) == 2)
-        host.seen[1].answer(reply(200, b"second"))
-        assert (await asked).body == b"second" and host.opened == 2
+            host.exchanges[0].respond(reply(200, b"first"))
+            await wait_until(lambda: run.pool.open_connections == 0)
+            asked = asyncio.create_task(run.send_request(request()))
+            await wait_until(lambda: len(host.exchanges) == 2)
+        host.exchanges[1].respond(reply(200, b"second"))
+        assert (await asked).body == b"second" and host.connection_count == 2
 
 
 # Descriptors
@@ -388,16 +397,16 @@
 
 @on_loop
 async def test_a_stalled_request_is_dropped_in_favour_of_a_new_client() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         slow = [await run.connect() for _ in range(3)]
         for client in slow:
             client.send(request("transfer", b"body")[:40])
-        await until(lambda: len(run.server.timeouts.reading) == 3)
+        await wait_until(lambda: len(run.server.timeouts.reading) == 3)
         for connection in run.server.timeouts.reading:
             connection.last_read_s -= 60  # no data for a long time
         run.server.admission.max_clients = 3
-        assert (await run.ask(request())).status == 200
-        await until(lambda: len(run.server.timeouts.reading) == 2)
+        assert (await run.send_request(request())).status == 200
+        await wait_until(lambda: len(run.server.timeouts.reading) == 2)
         for client in slow:
             client.close()
 
@@ -405,23 +414,23 @@
 @on_loop
 async def test_attempts_do_not_use_reserved_descriptors() -> None:
     """Waiting clients and attempts use all descriptors; the next attempt is not sent, and the others continue."""
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         clients = [await run.connect() for _ in range(3)]
-        await until(lambda: len(run.server.connections) == 3 and not run.server.admission.accepting)
+        await wait_until(lambda: len(run.server.connections) == 3 and not run.server.admission.accepting)
         run.server.admission.max_descriptors = RESERVED_DESCRIPTORS + 5
         for client in clients[:2]:
             client.send(request())
-        await until(lambda: len(host.seen) == 2)
+        await wait_until(lambda: len(host.exchanges) == 2)
         clients[2].send(request())  # three clients and two attempts: only reserved descriptors are left
-        assert (await clients[2].answer()).status == 503
+        assert (await clients[2].read_response()).status == 503
         assert (
             run.server.client_count + run.pool.open_connections + RESERVED_DESCRIPTORS
             <= run.server.admission.max_descriptors
         )
-        for exchange in host.seen:
-            exchange.answer(reply())
+        for exchange in host.exchanges:
+            exchange.respond(reply())
         for client in clients[:2]:
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             client.close()
         clients[2].close()
 
@@ -429,11 +438,11 @@
 @on_loop
 async def test_without_free_descriptors_the_gateway_waits_and_recovers(tmp_path: Path) -> None:
     """Waiting clients use all descriptors; further connections wait in the kernel and are accepted later."""
-    async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server(never_respond) as host, program(tmp_path, configuration(host)) as (process, port):
         numbers = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(numbers) + 9, max(numbers) + 9))
         clients = []
-        while len(host.seen) < 3:
+        while len(host.exchanges) < 3:
             clients.append(await connect(port))
             clients[-1].send(request())
             await asyncio.sleep(0.01)
@@ -445,8 +454,8 @@
         assert cpu_ticks(process.pid) - ticks < 50  # less than half of that second: the loop does not spin
         for client in clients + more[:-1]:
             client.close()
-        host.script = answers(reply())
-        assert (await (await connect(port)).ask(request())).status == 200
+        host.script = respond_with(reply())
+        assert (await (await connect(port)).send_request(request())).status == 200
         more[-1].close()
 
 
@@ -467,20 +476,20 @@
 @on_loop
 async def test_a_failed_accept_without_descriptors_is_retried_only_after_a_pause() -> None:
     """Counts attempts to accept, not CPU time: on a busy machine even a spinning loop gets little of that."""
-    async with peer(answers(reply())) as host, running(configuration(host)) as run:
+    async with scripted_server(respond_with(reply())) as host, running_gateway(configuration(host)) as run:
         listener = run.server.listener.socket
         assert listener is not None
         exhausted = ExhaustedListener(listener)
         run.server.listener.socket = cast(socket.socket, exhausted)
         client = await run.connect()
-        await until(lambda: exhausted.accept_count)
+        await wait_until(lambda: exhausted.accept_count)
         first, since_s = exhausted.accept_count, time.monotonic()
         for _ in range(500):
             await asyncio.sleep(0)
         pauses = (time.monotonic() - since_s) / ACCEPT_RETRY_INTERVAL_S
         assert exhausted.accept_count - first <= 1 + pauses
         run.server.listener.socket = listener
-        assert (await client.ask(request())).status == 200
+        assert (await client.send_request(request())).status == 200
         client.close()
 
 
--- a/tests/core/test_draining.py
+++ b/tests/core/test_draining.py
@@ -15,7 +15,16 @@
     pause_schedule,
     shutdown_schedule,
 )
-from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
+from tests.sockets import (
+    configuration,
+    never_respond,
+    on_loop,
+    reply,
+    request,
+    running_gateway,
+    scripted_server,
+    wait_until,
+)
 
 MAX_CLIENT_TIMEOUTS_S = (0.4, 1.0, 3.0)
 SCHEDULES = [
@@ -71,13 +80,13 @@
 async def test_during_shutdown_an_open_connection_is_served_for_a_while() -> None:
     """Another gateway may be down at the same time: a client that is turned away might find no gateway."""
     schedule = shutdown_schedule(3.0)
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         run.server.start_drain(schedule)
         for _ in range(3):
-            assert "connection" not in (await client.ask(request())).headers
+            assert "connection" not in (await client.send_request(request())).headers
         run.server.drain_state.started_s -= schedule.keep_alive_until_s + 0.1
-        assert (await client.ask(request())).headers["connection"] == "close"
+        assert (await client.send_request(request())).headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
 
@@ -85,25 +94,25 @@
 @on_loop
 async def test_a_stalled_request_does_not_delay_shutdown() -> None:
     schedule = shutdown_schedule(3.0)
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         data = request("transfer", b"slow")
         stalled_client = await run.connect()
         stalled_client.send(data[:20])
-        await until(lambda: run.server.timeouts.reading)
+        await wait_until(lambda: run.server.timeouts.reading)
         (stalled_connection,) = run.server.timeouts.reading
         slow_client = await run.connect()
         slow_client.send(data[:-4])
-        await until(lambda: len(run.server.timeouts.reading) == 2)
+        await wait_until(lambda: len(run.server.timeouts.reading) == 2)
         (slow_connection,) = set(run.server.timeouts.reading) - {stalled_connection}
         # One request has received no data for a minute, the other has just received some.
         stalled_connection.last_read_s -= 60
         slow_connection.last_read_s += 60
         run.server.start_drain(schedule)
         run.server.drain_state.started_s -= schedule.abort_stalled_from_s + 0.1
-        assert (await stalled_client.answer()).status == 408
+        assert (await stalled_client.read_response()).status == 408
         slow_client.send(data[-4:])
-        await until(lambda: host.seen)
-        host.seen[0].answer(reply(200, b"slow"))
-        assert (await slow_client.answer()).body == b"slow"
+        await wait_until(lambda: host.exchanges)
+        host.exchanges[0].respond(reply(200, b"slow"))
+        assert (await slow_client.read_response()).body == b"slow"
         stalled_client.close()
         slow_client.close()
--- a/tests/core/test_reload.py
+++ b/tests/core/test_reload.py
@@ -7,7 +7,7 @@
 
 from cloverkeel.core.config import ConfigError
 from cloverkeel.core.reload import FileReloader
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 
 class Recorder:
@@ -39,11 +39,11 @@
 async def test_requests_during_a_reload_are_combined_into_one_more() -> None:
     recorder = Recorder()
     recorder.reloader.request_reload()
-    await until(lambda: recorder.read_count == 1)
+    await wait_until(lambda: recorder.read_count == 1)
     for _ in range(3):
         recorder.reloader.request_reload()
     recorder.gate.set()
-    await until(lambda: recorder.applied == [1, 2])
+    await wait_until(lambda: recorder.applied == [1, 2])
     assert recorder.read_count == 2
 
 
@@ -52,7 +52,7 @@
     recorder = Recorder()
     recorder.gate.set()
     recorder.reloader.request_reload()
-    await until(lambda: recorder.applied == [1])
+    await wait_until(lambda: recorder.applied == [1])
     assert threading.get_ident() not in recorder.reader_threads
 
 
@@ -62,11 +62,11 @@
     recorder.gate.set()
     recorder.is_invalid = True
     recorder.reloader.request_reload()
-    await until(lambda: recorder.errors == ["cannot be used"])
+    await wait_until(lambda: recorder.errors == ["cannot be used"])
     assert recorder.applied == []
     recorder.is_invalid = False
     recorder.reloader.request_reload()
-    await until(lambda: recorder.applied == [2])
+    await wait_until(lambda: recorder.applied == [2])
 
 
 @on_loop
@@ -74,9 +74,9 @@
     recorder = Recorder()
     recorder.is_invalid = True
     recorder.reloader.request_reload()
-    await until(lambda: recorder.read_count == 1)
+    await wait_until(lambda: recorder.read_count == 1)
     recorder.is_invalid = False
     recorder.reloader.request_reload()
     recorder.gate.set()
-    await until(lambda: recorder.applied == [2])
+    await wait_until(lambda: recorder.applied == [2])
     assert recorder.errors == ["cannot be used"]
--- a/tests/core/test_stall_detector.py
+++ b/tests/core/test_stall_detector.py
@@ -21,8 +21,18 @@
 from cloverkeel.core import clock
 from cloverkeel.core.stall_detector import HEARTBEAT_INTERVAL_US, STALL_THRESHOLD_US, MAX_HOLD_US, StallDetector
 
-from tests.sockets import Message, Running, configuration, endpoint, hosts_list, on_loop, read_message, reply, request
-from tests.sockets import running, until
+from tests.sockets import (
+    Message,
+    RunningGateway,
+    configuration,
+    endpoint,
+    hosts_list,
+    on_loop,
+    read_message,
+    reply,
+    request,
+)
+from tests.sockets import running_gateway, wait_until
 
 GRACE_US = 200_000
 STALL_S = 0.45
@@ -177,7 +187,7 @@
 class Environment:
     """A gateway with one host and one registry, both plain sockets."""
 
-    run: Running
+    run: RunningGateway
     host: socket.socket
     registry: PlainSocket
     listener: socket.socket  # the registry's
@@ -189,7 +199,7 @@
         """Return a client connection that the gateway has accepted."""
         client = self.client()
         before = len(self.run.server.connections)
-        await until(lambda: len(self.run.server.connections) > before)
+        await wait_until(lambda: len(self.run.server.connections) > before)
         return client
 
     def notify(self, status: str, index: int = 8) -> None:
@@ -219,7 +229,7 @@
     with socket.create_server(("127.0.0.1", 0)) as host, socket.create_server(("127.0.0.1", 0)) as listener:
         config = configuration("{}:{}".format(*host.getsockname()), discovery="{}:{}".format(*listener.getsockname()))
         config["settings"]["contract"]["stopSendingWithinUs"] = GRACE_US
-        async with running(config) as run:
+        async with running_gateway(config) as run:
             listener.setblocking(False)
             sock, _ = await asyncio.get_running_loop().sock_accept(listener)
             registry = PlainSocket(sock)
@@ -332,7 +342,7 @@
         clients[0].send(request(budget_ms=100))  # handled first, which detects the stall
         env.registry.send(b"HTTP/1.1 200 X\r\nContent-Length: 100\r\n\r\n{")
         stall_loop()
-        await until(lambda: env.run.gateway.stall_detector.is_holding)
+        await wait_until(lambda: env.run.gateway.stall_detector.is_holding)
         clients[1].send(request(budget_ms=60))
         started_s = time.monotonic()
         answers = await asyncio.gather(*(env.answer(client) for client in clients))
@@ -370,7 +380,7 @@
             pass  # at most one poll, sent before the stall was detected; then the connection ends
         assert env.run.pool.counts.opened == 0
         assert env.run.gateway.stall_detector.is_holding
-        await until(lambda: not env.run.gateway.stall_detector.is_holding)
+        await wait_until(lambda: not env.run.gateway.stall_detector.is_holding)
         host_connection = await env.accept()
         host_connection.send(reply(200))
         assert (await env.answer(client)).status == 200
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -40,8 +40,8 @@
     SILENT_WATCH_DETECTION_S,
 )
 from tests.sockets import (
-    Exchange, Peer, Running, answers, configuration, endpoint, host_id, hosts_list, on_loop, overhear, peer, reply,
-    request, until,
+    Exchange, RunningGateway, ScriptedServer, configuration, endpoint, host_id, hosts_list, observe_events, on_loop,
+    reply, request, respond_with, scripted_server, wait_until,
 )  # fmt: skip
 from tests.discovery.test_list_cost import make_endpoints
 
@@ -200,8 +200,8 @@
     original = {n: ("SERVING", 1.0, 0) for n in range(700)}
     await gateway.discovery.handle_reply(Reply(200, [], encode_list(1, True, original), True))
     lists: list[ServerList] = []
-    run = Running(gateway.gateway, gateway.program.server, gateway.program.pool, gateway.discovery, 0)
-    overhear(run, lambda event: lists.append(event) if isinstance(event, ServerList) else None)
+    run = RunningGateway(gateway.gateway, gateway.program.server, gateway.program.pool, gateway.discovery, 0)
+    observe_events(run, lambda event: lists.append(event) if isinstance(event, ServerList) else None)
     assert isinstance(gateway.discovery, RelayEndpointSource)
     gateway.discovery.requested_s += 1.0
     changed = {n: ("SERVING", 0.5, 0) for n in range(50, 690)}
@@ -307,15 +307,17 @@
 
     async def __call__(self, exchange: Exchange) -> None:
         if self.answers:
-            exchange.answer(self.answers.pop(0))
+            exchange.respond(self.answers.pop(0))
             return
         await asyncio.sleep(RELAY_HOLD_S / 2)
-        index = exchange.message.first.partition("from=")[2].split("&")[0]
-        exchange.answer(reply(200, encode_list(int(index or 0), False, {})))
+        index = exchange.message.start_line.partition("from=")[2].split("&")[0]
+        exchange.respond(reply(200, encode_list(int(index or 0), False, {})))
 
 
 @asynccontextmanager
-async def serving_gateway(host: Peer, source: Peer, by_relay: bool = True) -> AsyncIterator[Running]:
+async def serving_gateway(
+    host: ScriptedServer, source: ScriptedServer, by_relay: bool = True
+) -> AsyncIterator[RunningGateway]:
     """Run a serving gateway that polls this relay or this discovery."""
     options = Options(relays=RelayOptions((("127.0.0.1", int(source.address.split(":")[1])),)))
     program = assemble(parse(configuration(host, discovery=source.address)), options if by_relay else None)
@@ -323,13 +325,13 @@
     assert program.server.listener.socket is not None and isinstance(program.discovery, HttpEndpointSource)
     port = program.server.listener.socket.getsockname()[1]
     try:
-        yield Running(program.gateway, program.server, program.pool, program.discovery, port)
+        yield RunningGateway(program.gateway, program.server, program.pool, program.discovery, port)
     finally:
         program.server.close()
         program.close()
 
 
-async def wait_until_reading(run: Running) -> None:
+async def wait_until_reading(run: RunningGateway) -> None:
     """Wait until a long reply is partly read."""
     while not run.discovery.is_reading:
         await asyncio.sleep(0)
@@ -339,26 +341,34 @@
 
 @on_loop
 async def test_requests_are_served_while_a_long_gzip_list_is_read() -> None:
-    async with peer(answers(reply())) as host, peer() as relay, serving_gateway(host, relay) as run:
+    async with (
+        scripted_server(respond_with(reply())) as host,
+        scripted_server() as relay,
+        serving_gateway(host, relay) as run,
+    ):
         relay.script = ScriptedSource(gzip_reply(long_list(5, host.address)))
         client = await run.connect()
         run.gateway.start()
         responses = 0
         while host_id(LONG_LIST_HOSTS - 1) not in run.pool.hosts:
-            assert (await client.ask(request())).status == 200
+            assert (await client.send_request(request())).status == 200
             responses += run.discovery.is_reading
         assert responses > 3 and run.pool.host_count() == LONG_LIST_HOSTS
-        assert relay.seen[0].message.headers["accept-encoding"] == "gzip"
+        assert relay.exchanges[0].message.headers["accept-encoding"] == "gzip"
         client.close()
 
 
 @on_loop
 async def test_direct_requests_to_discovery_have_no_extra_headers() -> None:
-    async with peer(answers(reply())) as host, peer() as discovery, serving_gateway(host, discovery, False) as run:
+    async with (
+        scripted_server(respond_with(reply())) as host,
+        scripted_server() as discovery,
+        serving_gateway(host, discovery, False) as run,
+    ):
         discovery.script = ScriptedSource(long_list(5, host.address, count=3))
         run.gateway.start()
-        await until(lambda: len(discovery.seen) >= 3)
-        assert all(exchange.message.headers.keys() == {"host"} for exchange in discovery.seen)
+        await wait_until(lambda: len(discovery.exchanges) >= 3)
+        assert all(exchange.message.headers.keys() == {"host"} for exchange in discovery.exchanges)
 
 
 @on_loop
@@ -375,7 +385,11 @@
 
 @on_loop
 async def test_a_drain_in_the_next_reply_overtakes_a_pending_long_list() -> None:
-    async with peer(answers(reply())) as host, peer() as relay, serving_gateway(host, relay) as run:
+    async with (
+        scripted_server(respond_with(reply())) as host,
+        scripted_server() as relay,
+        serving_gateway(host, relay) as run,
+    ):
         drain = reply(200, encode_list(7, False, {LONG_LIST_HOSTS - 1: ("DRAINING", 0.5, 0)}, host.address))
         relay.script = ScriptedSource(
             long_list(5, host.address), gzip_reply(long_list(6, host.address, weight=0.5)), drain
@@ -386,26 +400,27 @@
             if isinstance(event, ServerList) and any(e.status is ServerStatus.DRAINING for e in event.servers):
                 pending_counts.append(len(run.gateway.endpoint_updates.batches.pending))
 
-        overhear(run, on_event)
+        observe_events(run, on_event)
         run.gateway.start()
-        await until(lambda: pending_counts and not run.gateway.endpoint_updates.batches.pending)
+        await wait_until(lambda: pending_counts and not run.gateway.endpoint_updates.batches.pending)
         assert pending_counts[0] > 0
         assert run.pool.hosts[host_id(LONG_LIST_HOSTS - 1)].draining_since_us is not None
-        assert run.module.endpoints.by_server[host_id(0)].entry.weight == 0.5
+        assert run.balancer.endpoints.by_server[host_id(0)].entry.weight == 0.5
 
 
 @pytest.mark.parametrize("cause", ["move", "fetch", "stop", "close", "invalid"])
 @on_loop
 async def test_a_list_that_is_superseded_while_being_read_is_never_applied(cause: str) -> None:
     async with (
-        peer(answers(reply())) as host, peer() as first, peer() as other, serving_gateway(host, first, False) as run,
+        scripted_server(respond_with(reply())) as host, scripted_server() as first, scripted_server() as other,
+        serving_gateway(host, first, False) as run,
     ):  # fmt: skip
         long, short = long_list(8, host.address), long_list(9, host.address, count=2)
         if cause == "invalid":
             long = reply(200, long.partition(b"\r\n\r\n")[2][:-1])
         first.script, other.script = ScriptedSource(long, short), ScriptedSource(short)
         counts: set[int] = set()
-        overhear(run, lambda event: counts.add(run.pool.host_count()))
+        observe_events(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
         await wait_until_reading(run)
         if cause == "move":
@@ -417,23 +432,28 @@
                 await asyncio.sleep(0)
             assert run.pool.host_count() == 1 and run.discovery.schedule.version == 7  # the initial list
         else:
-            await until(lambda: run.discovery.schedule.version == 9)
+            await wait_until(lambda: run.discovery.schedule.version == 9)
             assert run.pool.host_count() == 2
         if cause in ("move", "fetch"):
-            next_request = (other.seen if cause == "move" else first.seen[1:])[0]
-            assert "from=" not in next_request.message.first
+            next_request = (other.exchanges if cause == "move" else first.exchanges[1:])[0]
+            assert "from=" not in next_request.message.start_line
         assert not run.discovery.is_reading and max(counts) <= 2
 
 
 @on_loop
 async def test_a_list_of_a_relay_that_is_left_while_reading_it_is_never_applied() -> None:
-    async with peer(answers(reply())) as host, peer() as first, peer() as other, serving_gateway(host, first) as run:
+    async with (
+        scripted_server(respond_with(reply())) as host,
+        scripted_server() as first,
+        scripted_server() as other,
+        serving_gateway(host, first) as run,
+    ):
         first.script, other.script = (
             ScriptedSource(gzip_reply(long_list(8, host.address))),
             ScriptedSource(long_list(9, host.address, count=2)),
         )
         counts: set[int] = set()
-        overhear(run, lambda event: counts.add(run.pool.host_count()))
+        observe_events(run, lambda event: counts.add(run.pool.host_count()))
         run.gateway.start()
         await wait_until_reading(run)
         assert isinstance(run.discovery, RelayEndpointSource)
@@ -443,13 +463,17 @@
             # The next relay is polled only after reading has ended
             assert run.discovery.requested_s == requested_s
             await asyncio.sleep(0)
-        await until(lambda: run.discovery.schedule.version == 9)
-        assert max(counts) <= 2 and "from=" not in other.seen[0].message.first
+        await wait_until(lambda: run.discovery.schedule.version == 9)
+        assert max(counts) <= 2 and "from=" not in other.exchanges[0].message.start_line
 
 
 @on_loop
 async def test_a_list_being_read_during_a_stall_is_applied_before_requests_are_sent() -> None:
-    async with peer(answers(reply())) as host, peer() as relay, serving_gateway(host, relay) as run:
+    async with (
+        scripted_server(respond_with(reply())) as host,
+        scripted_server() as relay,
+        serving_gateway(host, relay) as run,
+    ):
         order: list[str] = []
 
         def on_event(event: object) -> None:
@@ -458,13 +482,13 @@
             elif isinstance(event, RequestArrived):
                 order.append("request")
 
-        overhear(run, on_event)
+        observe_events(run, on_event)
         relay.script = ScriptedSource(gzip_reply(long_list(5, host.address)))
         run.gateway.start()
         client = await run.connect()
         await wait_until_reading(run)
         run.gateway.check_stall(run.gateway.stall_detector.last_check_us + 1_000_000)
         client.send(request())
-        assert (await client.answer()).status == 200
+        assert (await client.read_response()).status == 200
         assert order == ["list", "request"]
         client.close()
--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -26,7 +26,16 @@
 from cloverkeel.core.list_batches import MAX_UNSPLIT_ENTRIES, MAX_GROWTH_FACTOR, BATCH_ENTRIES, ListBatches
 
 from benchmarks.streams import Stream
-from tests.sockets import Running, answers, configuration, on_loop, overhear, peer, reply, running
+from tests.sockets import (
+    RunningGateway,
+    configuration,
+    observe_events,
+    on_loop,
+    reply,
+    respond_with,
+    running_gateway,
+    scripted_server,
+)
 
 START_US = 100_000_000
 SETTINGS = BalancerSettings(
@@ -182,7 +191,7 @@
     assert applied.hosts == expected.hosts
 
 
-def record_lists(run: Running) -> list[ServerList]:
+def record_lists(run: RunningGateway) -> list[ServerList]:
     lists: list[ServerList] = []
 
     def on_event(event: object) -> None:
@@ -190,7 +199,7 @@
         if isinstance(event, ServerList) and event.kind is not ListKind.ERROR:
             lists.append(event)
 
-    overhear(run, on_event)
+    observe_events(run, on_event)
     return lists
 
 
@@ -200,11 +209,11 @@
 
 @on_loop
 async def test_the_event_loop_runs_between_the_batches_of_a_long_list() -> None:
-    async with running(configuration("127.0.0.1:9")) as run:
+    async with running_gateway(configuration("127.0.0.1:9")) as run:
         # Nearly all hosts are new: applied at once
         run.gateway.on_endpoint_list(ListKind.FULL, make_endpoints(range(500)))
         lists = record_lists(run)
-        removed_servers = {*range(20), *range(491, 499), *run.module.endpoints.by_server} - {*range(20, 491), 499}
+        removed_servers = {*range(20), *range(491, 499), *run.balancer.endpoints.by_server} - {*range(20, 491), 499}
         restarted, draining = make_endpoint(490, started_us=START_US), make_endpoint(499, ServerStatus.DRAINING)
         listed = [*make_endpoints(range(20, 490), weight=0.5), *make_endpoints(range(500, 600)), restarted, draining]
         run.gateway.on_endpoint_list(ListKind.FULL, listed)
@@ -223,13 +232,13 @@
             assert len(lists) <= before + 1
             turns += 1
         assert turns >= 569 / BATCH_ENTRIES and all(len(event.servers) <= BATCH_ENTRIES for event in lists)
-        assert set(run.module.endpoints.by_server) == {entry.listed.server for entry in listed if entry is not last}
+        assert set(run.balancer.endpoints.by_server) == {entry.listed.server for entry in listed if entry is not last}
         assert run.pool.host_count() == len(listed) - 1
 
 
 @on_loop
 async def test_a_list_up_to_the_unsplit_limit_is_applied_at_once() -> None:
-    async with running(configuration("127.0.0.1:9")) as run:
+    async with running_gateway(configuration("127.0.0.1:9")) as run:
         lists = record_lists(run)
         for listed in (
             make_endpoints(range(MAX_UNSPLIT_ENTRIES)),
@@ -242,7 +251,7 @@
 @on_loop
 async def test_after_a_stall_the_complete_list_is_applied_before_requests_are_sent() -> None:
     """Includes entries that were pending before the stall."""
-    async with peer(answers(reply())) as host, running(configuration(host)) as run:
+    async with scripted_server(respond_with(reply())) as host, running_gateway(configuration(host)) as run:
         run.gateway.on_endpoint_list(ListKind.DELTA, make_endpoints(range(300)))
         run.gateway.on_endpoint_list(ListKind.DELTA, make_endpoints(range(300), weight=0.5))
         assert run.gateway.endpoint_updates.batches.pending
@@ -251,10 +260,10 @@
         await asyncio.sleep(0)
         assert not run.gateway.endpoint_updates.batches.pending and run.gateway.stall_detector.is_holding
         run.gateway.on_endpoint_list(ListKind.DELTA, [make_endpoint(7, weight=0.25)])
-        weights = {number: run.module.endpoints.by_server[number].entry.weight for number in range(300)}
+        weights = {number: run.balancer.endpoints.by_server[number].entry.weight for number in range(300)}
         assert weights.pop(7) == 0.25 and set(weights.values()) == {0.5}
         run.gateway.on_endpoint_list(ListKind.DELTA, make_endpoints(range(300), weight=0.75))
-        assert {run.module.endpoints.by_server[number].entry.weight for number in range(300)} == {0.75}
+        assert {run.balancer.endpoints.by_server[number].entry.weight for number in range(300)} == {0.75}
 
 
 # Garbage collection
@@ -272,7 +281,7 @@
 @on_loop
 async def test_frozen_endpoints_are_not_scanned_again_and_are_freed_after_removal() -> None:
     """After 40 lists with different hosts, the number of frozen objects is no larger than after the first few."""
-    async with peer(answers(reply())) as host, running(configuration(host)) as run:
+    async with scripted_server(respond_with(reply())) as host, running_gateway(configuration(host)) as run:
         freezer = EndpointFreezer(asyncio.get_running_loop().call_soon)
         run.gateway.endpoint_updates.on_applied = freezer.on_entries_added
         with unfreeze_afterwards():
--- a/tests/discovery/test_zookeeper_source.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -25,7 +25,7 @@
 from standins.parties.zookeeper.jute import Acl, Create, Delete, Multi, SetAcl, SetData
 
 from tests.discovery.coordination import FOLDER, Service
-from tests.sockets import configuration, on_loop, peer, until
+from tests.sockets import configuration, on_loop, scripted_server, wait_until
 
 
 def make_config(
@@ -59,7 +59,7 @@
 
 
 async def until_listed(program: Any, *names: str) -> None:
-    await until(lambda: sorted(listed_servers(program)) == sorted(names))
+    await wait_until(lambda: sorted(listed_servers(program)) == sorted(names))
     assert sorted(host.name for host in program.pool.hosts.values()) == sorted(names)
 
 
@@ -75,7 +75,7 @@
         await until_listed(program, "s-0", "s-1")
         data = encode_backend(Backend("s-1", ("127.0.0.1", 9002), BackendStatus.DRAINING))
         service.commit_request(SetData(f"{FOLDER}/s-1", data))
-        await until(lambda: listed_servers(program)["s-1"].entry.status.value == "draining")
+        await wait_until(lambda: listed_servers(program)["s-1"].entry.status.value == "draining")
         service.expire("s-0")
         await until_listed(program, "s-1")
     service.close()
@@ -112,7 +112,7 @@
         data = encode_backend(Backend("s-0", ("127.0.0.1", 9009), since_ms=2))
         # Replaced in one transaction, so the list of names is unchanged.
         service.commit_request(Multi((Delete(f"{FOLDER}/s-0"), Create(f"{FOLDER}/s-0", data))))
-        await until(lambda: listed_servers(program)["s-0"].entry.started_us == 2_000)
+        await wait_until(lambda: listed_servers(program)["s-0"].entry.started_us == 2_000)
         assert program.discovery.merge.backend_by_name["s-0"].address == ("127.0.0.1", 9009)
         again = encode_backend(Backend("s-9", ("127.0.0.1", 9009), since_ms=3))  # same address, another name
         service.commit_request(Multi((Delete(f"{FOLDER}/s-0"), Create(f"{FOLDER}/s-9", again))))
@@ -172,7 +172,7 @@
         program.discovery.catch_up(
             1_000_000, lambda: names_after_catch_up.append(sorted(program.discovery.merge.backend_by_name))
         )
-        await until(lambda: names_after_catch_up)
+        await wait_until(lambda: names_after_catch_up)
         assert names_after_catch_up == [["s-19"]]
     service.close()
 
@@ -187,7 +187,7 @@
         service.expire("s-0")
         await until_listed(program, "s-1", "s-2")
         service.call(service.ensemble.stop)
-        await until(lambda: program.discovery.merge.counters.suspended)
+        await wait_until(lambda: program.discovery.merge.counters.suspended)
         await asyncio.sleep(0.1)
         assert sorted(listed_servers(program)) == ["s-1", "s-2"]
         # lost=0 restores the whole log: s-0 has expired and stays removed.
@@ -205,7 +205,7 @@
         await until_listed(program, "s-0")
         (gateway_session,) = service.gateway_sessions()
         service.call(lambda: service.ensemble.expire(gateway_session.id))
-        await until(lambda: program.discovery.merge.counters.lost)
+        await wait_until(lambda: program.discovery.merge.counters.lost)
         assert sorted(listed_servers(program)) == ["s-0"]
         service.register("s-1", "127.0.0.1:9002")
         await until_listed(program, "s-0", "s-1")
@@ -236,10 +236,10 @@
     for n in range(3):
         service.register(f"s-{n}", f"127.0.0.1:900{n + 1}", zone="b", kind="m", since_ms=7)
     async with running_gateway(service, make_config(known), state=str(file)) as program:
-        await until(lambda: program.discovery.zookeeper.counters.list_reads)
+        await wait_until(lambda: program.discovery.zookeeper.counters.list_reads)
         service.expire("s-1")
         await until_listed(program, "s-0", "s-2")
-        await until(lambda: file.exists() and len(json.loads(file.read_text())["boxes"]) == 2)
+        await wait_until(lambda: file.exists() and len(json.loads(file.read_text())["boxes"]) == 2)
     service.call(service.ensemble.stop)
     async with running_gateway(service, make_config(known), state=str(file)) as program:
         assert sorted(listed_servers(program)) == ["s-0", "s-2"]
@@ -281,7 +281,7 @@
     service.register("s-3", "127.0.0.1:9004", data=json.dumps({"v": 9}).encode())
     async with running_gateway(service) as program:
         await until_listed(program, "s-0")
-        await until(lambda: program.discovery.zookeeper.counters.unusable_nodes == 3)
+        await wait_until(lambda: program.discovery.zookeeper.counters.unusable_nodes == 3)
         service.commit_request(SetData(f"{FOLDER}/s-1", encode_backend(Backend("s-1", ("127.0.0.1", 9002)))))
         await until_listed(program, "s-0", "s-1")
     stderr = capfd.readouterr().err
@@ -302,16 +302,16 @@
         await until_listed(program, "s-0")
     service.commit_request(SetAcl(FOLDER, (Acl(31, "digest", "x:y"),)))
     async with running_gateway(service, make_config(known)) as program:
-        await until(lambda: program.discovery.zookeeper.counters.connects)
+        await wait_until(lambda: program.discovery.zookeeper.counters.connects)
         await asyncio.sleep(0.1)
         assert sorted(listed_servers(program)) == ["s-7"]
     async with running_gateway(service, make_config(known), path="/elsewhere/boxes") as program:
-        await until(lambda: program.discovery.zookeeper.counters.connects)
+        await wait_until(lambda: program.discovery.zookeeper.counters.connects)
         await asyncio.sleep(0.1)
         assert sorted(listed_servers(program)) == ["s-7"]
         service.commit_request(Create("/elsewhere"))
         service.commit_request(Create("/elsewhere/boxes"))
-        await until(lambda: program.discovery.zookeeper.counters.list_reads)
+        await wait_until(lambda: program.discovery.zookeeper.counters.list_reads)
         await until_listed(program)  # the folder now exists and is empty
     service.close()
 
@@ -326,23 +326,23 @@
         await until_listed(program, "s-0")
         assert program.discovery.merge.backend_by_name["s-0"].address == ("127.0.0.1", 9001)
         service.expire("s-0")
-        await until(lambda: program.discovery.merge.backend_by_name["s-0"].address == ("127.0.0.1", 9009))
+        await wait_until(lambda: program.discovery.merge.backend_by_name["s-0"].address == ("127.0.0.1", 9009))
     service.close()
 
 
 @on_loop
 async def test_the_registry_supplies_backends_that_have_no_node() -> None:
-    from tests.sockets import answers, endpoint, list_reply
+    from tests.sockets import endpoint, list_reply, respond_with
 
     service = Service()
     service.register("s-0", "127.0.0.1:9001", weight=0.5)
     rows = [endpoint("s-0", "127.0.0.1:9001"), endpoint("s-1", "127.0.0.1:9002", zone="b")]
-    async with peer(answers(list_reply(7, *rows))) as registry:
+    async with scripted_server(respond_with(list_reply(7, *rows))) as registry:
         config = make_config(discovery=registry.address)
         async with running_gateway(service, config, precedence=("ephemeral", "registry")) as program:
             await until_listed(program, "s-0", "s-1")
             assert listed_servers(program)["s-1"].entry.zone == 1
-            await until(lambda: listed_servers(program)["s-0"].entry.weight == 0.5)
+            await wait_until(lambda: listed_servers(program)["s-0"].entry.weight == 0.5)
             service.expire("s-0")  # removed although the registry still lists it
             await until_listed(program, "s-1")
     service.close()
@@ -354,7 +354,7 @@
     for n in range(64):
         service.register(f"s-{n}", f"127.0.0.1:{9001 + n}")
     async with running_gateway(service) as program:
-        await until(lambda: len(listed_servers(program)) == 64)
+        await wait_until(lambda: len(listed_servers(program)) == 64)
         reads = program.discovery.zookeeper.counters.node_reads
         for n in range(0, 60):
             service.expire(f"s-{n}")
@@ -372,9 +372,11 @@
         merge = program.discovery.merge
         await until_listed(program, "s-0")
         before = merge.state_by_source[Source.EPHEMERAL].confirmed_us
-        await until(lambda: merge.state_by_source[Source.EPHEMERAL].confirmed_us > before)  # confirmed every second
+        await wait_until(
+            lambda: merge.state_by_source[Source.EPHEMERAL].confirmed_us > before
+        )  # confirmed every second
         service.call(service.ensemble.stop)
-        await until(lambda: merge.counters.suspended)
+        await wait_until(lambda: merge.counters.suspended)
         confirmed_before_us = merge.state_by_source[Source.EPHEMERAL].confirmed_us
         await asyncio.sleep(1.2)
         assert merge.state_by_source[Source.EPHEMERAL].confirmed_us == confirmed_before_us
--- a/tests/fleet/ground.py
+++ b/tests/fleet/ground.py
@@ -25,7 +25,7 @@
 from standins.parties.network import Network
 from standins.parties.zookeeper.threaded import ThreadedEnsemble
 from tests import sockets
-from tests.sockets import Peer, configuration, endpoint, hosts_list, peer
+from tests.sockets import ScriptedServer, configuration, endpoint, hosts_list, scripted_server
 
 WARM_S = 14_400  # the cold host stays cold for all of a test, by a clock that is an hour ahead too
 LINES = 400  # of a time line
@@ -39,7 +39,7 @@
     count: int
     voters: int
     lease_ms: int
-    host: Peer
+    host: ScriptedServer
     network: Network
     mesh: Mesh
     duty: int
@@ -48,7 +48,7 @@
     gateways: list[Gateway] = field(default_factory=list)
     notes: list[tuple[int, str]] = field(default_factory=list)
     keeper: ThreadedEnsemble | None = None  # the coordination service, where it decides who holds
-    warm: list[Peer] = field(default_factory=list)  # further hosts, which are warm: s-1 and so on
+    warm: list[ScriptedServer] = field(default_factory=list)  # further hosts, which are warm: s-1 and so on
     colds: int = 1  # cold hosts: s-0, and c-1 and so on at its address
     blanks: list[int] = field(default_factory=list)  # moments at which no gateway's process lived
     expiries: list[int] = field(default_factory=list)  # moments at which sessions were ended before their time
@@ -91,7 +91,7 @@
         options.write_text(self.options())
         made = Gateway(
             f"n{number}", 0, self.folder, self.configure(number), self.ledger,
-            environment={"CLOVERKEEL_OPTIONS": str(options)}, command=sockets.PROGRAM, has_ops_address=True,
+            environment={"CLOVERKEEL_OPTIONS": str(options)}, command=sockets.GATEWAY_COMMAND, has_ops_address=True,
         )  # fmt: skip
         self.gateways.append(made)
         return made
@@ -230,10 +230,10 @@
 @asynccontextmanager
 async def ground(
     folder: Path, count: int = 3, voters: int = 3, lease_ms: int = 600, begin: bool = True,
-    keeper: ThreadedEnsemble | None = None, warm: Sequence[Peer] = (), colds: int = 1,
+    keeper: ThreadedEnsemble | None = None, warm: Sequence[ScriptedServer] = (), colds: int = 1,
 ) -> AsyncIterator[Ground]:  # fmt: skip
     """Gateways that run and are ready; all ended after. `begin`: they are started."""
-    async with peer() as host:
+    async with scripted_server() as host:
         network = Network(1)
         mesh = Mesh(network, count)
         mesh.watcher.voters = voters
--- a/tests/fleet/shared.py
+++ b/tests/fleet/shared.py
@@ -16,7 +16,17 @@
 from standins.parties.mesh import Mesh
 from standins.parties.network import Network, TcpLink
 from tests.fleet.ground import Ground
-from tests.sockets import Client, Exchange, Peer, configuration, endpoint, hosts_list, peer, reply, request
+from tests.sockets import (
+    Client,
+    Exchange,
+    ScriptedServer,
+    configuration,
+    endpoint,
+    hosts_list,
+    reply,
+    request,
+    scripted_server,
+)
 
 TOOK_S = 0.003  # of a host for an answer
 
@@ -25,7 +35,7 @@
 class Shared(Ground):
     """What hosts saw says which gateway it came from: a request's id begins with its number."""
 
-    hosts: list[Peer] = field(default_factory=list)
+    hosts: list[ScriptedServer] = field(default_factory=list)
     links: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # gateway, host
     zones: tuple[int, ...] = ()  # of gateways; all in the first by default
     failing: dict[int, Callable[[int], bool]] = field(default_factory=dict)  # by host: for which gateways
@@ -64,7 +74,7 @@
         data = request("search", x_call_id=f"{number:02x}{self.asked:014x}")
         client = Client(*await asyncio.open_connection("127.0.0.1", self.gateways[number].port))
         try:
-            status = (await client.ask(data)).status
+            status = (await client.send_request(data)).status
         finally:
             client.close()
         self.statuses[status] += 1
@@ -92,20 +102,20 @@
 
     def seen(self, host: int, since: int = 0) -> Counter[int]:
         """Requests by gateway, from the n-th that came to this host on."""
-        ids = [exchange.message.headers["x-call-id"] for exchange in self.hosts[host].seen[since:]]
+        ids = [exchange.message.headers["x-call-id"] for exchange in self.hosts[host].exchanges[since:]]
         return Counter(int(id_[:2], 16) for id_ in ids)
 
     def attempts(self, since: list[int]) -> tuple[int, int]:
         """Requests that hosts saw since those marks, and attempts of them beyond the first."""
         ids = [
             exchange.message.headers["x-call-id"]
-            for n, host in enumerate(self.hosts) for exchange in host.seen[since[n] :]
+            for n, host in enumerate(self.hosts) for exchange in host.exchanges[since[n] :]
         ]  # fmt: skip
         return len(set(ids)), len(ids) - len(set(ids))
 
     def marks(self) -> list[int]:
         """How much each host has seen by now."""
-        return [len(host.seen) for host in self.hosts]
+        return [len(host.exchanges) for host in self.hosts]
 
     def sent(self, numbers: Iterable[int], since: list[int]) -> list[int]:
         """By host: what these gateways sent since those marks."""
@@ -153,13 +163,13 @@
             fails = made.failing.get(n)
             bad = fails is not None and fails(int(exchange.message.headers["x-call-id"][:2], 16))
             if not exchange.writer.transport.is_closing():
-                exchange.answer(reply(500 if bad else 200))
+                exchange.respond(reply(500 if bad else 200))
 
         return answer
 
     network = Network(1)
     mesh = Mesh(network, count, has_watcher=False)
-    peers = [peer(script(n)) for n in range(hosts)]
+    peers = [scripted_server(script(n)) for n in range(hosts)]
     opened = [await one.__aenter__() for one in peers]
     try:
         await mesh.open()
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -20,7 +20,7 @@
 from standins.parties.network import LinkConditions
 from tests import sockets
 from tests.fleet.shared import Shared, shared
-from tests.sockets import on_loop, rested
+from tests.sockets import on_loop, wait_for_reuse_delay
 
 FAILING_HOST = f"{stable_id('s-0', 4):x}"  # id of host 0 in the answer to PEERS
 LAST_GATEWAY = 5  # in most tests, sends the failing host no requests before others report it
@@ -62,7 +62,7 @@
     """The gateway has no own outcomes of the host. With `clocks`, two clocks are an hour off and one runs fast."""
     clock_arguments = {0: "wall=3600", 1: "wall=-3600", LAST_GATEWAY: "rate=1.001"} if clocks else {}
     start = (sys.executable, "-m", "tests.fleet.clocks")
-    commands = {n: (*start, argument, *sockets.PROGRAM[2:]) for n, argument in clock_arguments.items()}
+    commands = {n: (*start, argument, *sockets.GATEWAY_COMMAND[2:]) for n, argument in clock_arguments.items()}
     async with shared(tmp_path, commands=commands) as fleet:
         await fail_host_for_others(fleet)
         marks = fleet.marks()
@@ -245,7 +245,7 @@
     while requests < 400 or retries < 100 or (await fleet.shown(0, "PEERS"))["rights"]["taken"] < min_accepted:
         for _ in range(50):
             await fleet.load([0], 1)
-            await rested()  # otherwise waiting for a new connection counts as overload
+            await wait_for_reuse_delay()  # otherwise waiting for a new connection counts as overload
             previous, (_, retries) = retries, fleet.attempts(marks)
             overdraft = max(0.0, overdraft + ERROR_RETRY_COST * (retries - previous) - RETRY_RATIO)
             max_seen = max(max_seen, overdraft)
--- a/tests/fleet/test_probe_election.py
+++ b/tests/fleet/test_probe_election.py
@@ -9,15 +9,20 @@
 from typing import Any
 
 from tests.fleet.ground import Ground, ground
-from tests.sockets import Client, Peer, answers, on_loop, peer, reply, request
+from tests.sockets import Client, ScriptedServer, on_loop, reply, request, respond_with, scripted_server
 
-FAILING, RECOVERED = answers(reply(500, b"")), answers(reply())
+FAILING, RECOVERED = respond_with(reply(500, b"")), respond_with(reply())
 
 
 @asynccontextmanager
-async def under_load(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, Peer]]:
+async def under_load(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, ScriptedServer]]:
     """Send each gateway up to fifty requests a second from two clients each; the second of three warm hosts fails."""
-    async with peer() as one, peer() as bad, peer() as two, ground(folder, count, warm=(one, bad, two)) as fleet:
+    async with (
+        scripted_server() as one,
+        scripted_server() as bad,
+        scripted_server() as two,
+        ground(folder, count, warm=(one, bad, two)) as fleet,
+    ):
         is_over = False
 
         async def send_requests(number: int) -> None:
@@ -25,7 +30,7 @@
                 try:
                     client = Client(*await asyncio.open_connection(*fleet.gateways[number].address))
                     while not is_over:
-                        await client.ask(request())
+                        await client.send_request(request())
                         await asyncio.sleep(0.02)
                 except (OSError, asyncio.IncompleteReadError):
                     await asyncio.sleep(0.05)
--- a/tests/frontends/test_clients.py
+++ b/tests/frontends/test_clients.py
@@ -9,16 +9,16 @@
 from cloverkeel.core.config import stable_id
 from cloverkeel.core.draining import shutdown_schedule
 from tests.sockets import (
-    overhear,
-    answers,
     configuration,
+    never_respond,
+    observe_events,
     on_loop,
-    peer,
     reply,
     request,
-    running,
-    silent,
-    until,
+    respond_with,
+    running_gateway,
+    scripted_server,
+    wait_until,
 )
 
 
@@ -26,22 +26,22 @@
 async def test_request_headers_reach_the_balancer() -> None:
     from cloverkeel.balancing.events import RequestArrived
 
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         events: list[RequestArrived] = []
 
         def record(event: object) -> None:
             if isinstance(event, RequestArrived):
                 events.append(event)
 
-        overhear(run, record)
+        observe_events(run, record)
         data = request("hold", b"x", budget_ms=480, x_call_cost="61000", x_again="1", x_caller="zeta")
-        assert (await run.ask(data)).status == 200
+        assert (await run.send_request(data)).status == 200
         (event,) = events
         assert (event.class_index, event.client_timeout_us, event.work_us) == (1, 480_000, 61_000)
         assert event.is_retry and event.tenant == 1
         assert event.key == stable_id("7f3a9c21e0b4d655", 8)
         data = b"GET /search HTTP/1.1\r\nHost: b\r\nX-Call-Id: bare\r\n\r\n"
-        assert (await run.ask(data)).status == 200
+        assert (await run.send_request(data)).status == 200
         assert events[1].key is None and events[1].client_timeout_us == 20_000_000 and not events[1].is_retry
 
 
@@ -72,61 +72,61 @@
 )
 @on_loop
 async def test_invalid_request_gets_an_error_and_the_gateway_goes_on(data: bytes, status: int) -> None:
-    async with peer() as host, running(configuration(host)) as run:
-        answer = await run.ask(data)
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
+        answer = await run.send_request(data)
         assert answer.status == status
         assert answer.status not in (429, 503)
         assert ("allow" in answer.headers) is (status == 405)
-        assert not host.seen and not run.gateway.requests.by_key
-        assert (await run.ask(request())).status == 200
+        assert not host.exchanges and not run.gateway.requests.by_key
+        assert (await run.send_request(request())).status == 200
 
 
 @on_loop
 async def test_body_arrives_in_parts_or_chunks() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
         for at in range(len(data)):
             client.send(data[at : at + 1])
             await asyncio.sleep(0)
-        assert (await client.answer()).status == 200
+        assert (await client.read_response()).status == 200
         head = request("transfer", content_length="", transfer_encoding="chunked")
         client.send(head + b"3\r\nabc\r\n")
         client.send(b"2\r\nde\r\n0\r\n\r\n")
-        assert (await client.answer()).status == 200
-        assert [exchange.message.body for exchange in host.seen] == [b"in many pieces", b"abcde"]
-        assert "transfer-encoding" not in host.seen[1].message.headers
+        assert (await client.read_response()).status == 200
+        assert [exchange.message.body for exchange in host.exchanges] == [b"in many pieces", b"abcde"]
+        assert "transfer-encoding" not in host.exchanges[1].message.headers
         client.close()
 
 
 @on_loop
 async def test_body_of_the_largest_buffered_size_is_forwarded_both_ways() -> None:
     body = bytes(range(256)) * 256
-    async with peer(answers(reply(200, body))) as host, running(configuration(host)) as run:
-        answer = await run.ask(request("transfer", body))
-        assert answer.body == body == host.seen[0].message.body
+    async with scripted_server(respond_with(reply(200, body))) as host, running_gateway(configuration(host)) as run:
+        answer = await run.send_request(request("transfer", body))
+        assert answer.body == body == host.exchanges[0].message.body
 
 
 @on_loop
 async def test_pipelined_requests_are_answered_in_order() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
         for _ in range(40):
-            assert (await client.answer()).status == 200
-        assert [exchange.message.body for exchange in host.seen] == [b"%d" % n for n in range(40)]
+            assert (await client.read_response()).status == 200
+        assert [exchange.message.body for exchange in host.exchanges] == [b"%d" % n for n in range(40)]
         client.close()
 
 
 @on_loop
 async def test_valid_request_before_a_malformed_one_is_answered_first() -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer") + b"rubbish\r\n\r\n")
-        await until(lambda: host.seen)
-        host.seen[0].answer(reply())
-        assert (await client.answer()).status == 200
-        answer = await client.answer()
+        await wait_until(lambda: host.exchanges)
+        host.exchanges[0].respond(reply())
+        assert (await client.read_response()).status == 200
+        answer = await client.read_response()
         assert answer.status == 400 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
@@ -134,9 +134,9 @@
 
 @on_loop
 async def test_connection_close_from_the_client_ends_the_connection() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
-        answer = await client.ask(request(connection="close"))
+        answer = await client.send_request(request(connection="close"))
         assert answer.status == 200 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
         client.close()
@@ -144,34 +144,34 @@
 
 @on_loop
 async def test_call_id_in_use_is_rejected() -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         data = request("transfer")
         first = await run.connect()
         first.send(data)
-        await until(lambda: host.seen)
-        assert (await run.ask(data)).status == 400
-        host.seen[0].answer(reply())
-        assert (await first.answer()).status == 200
-        assert len(host.seen) == 1
+        await wait_until(lambda: host.exchanges)
+        assert (await run.send_request(data)).status == 400
+        host.exchanges[0].respond(reply())
+        assert (await first.read_response()).status == 200
+        assert len(host.exchanges) == 1
         first.close()
 
 
 @on_loop
 async def test_readiness_depends_on_drain_and_known_hosts() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
-    async with peer() as host:
-        async with running(configuration(host)) as run:
-            assert (await run.ask(ready)).status == 200
+    async with scripted_server() as host:
+        async with running_gateway(configuration(host)) as run:
+            assert (await run.send_request(ready)).status == 200
             run.server.start_drain(shutdown_schedule(3.0))
-            assert (await run.ask(ready)).status == 503
-        async with running(configuration()) as run:
-            assert (await run.ask(ready)).status == 503  # no host is known
+            assert (await run.send_request(ready)).status == 503
+        async with running_gateway(configuration()) as run:
+            assert (await run.send_request(ready)).status == 503  # no host is known
 
 
 @on_loop
 async def test_rejection_has_retry_after_if_configured() -> None:
-    async with running(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
-        answer = await run.ask(request())
+    async with running_gateway(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
+        answer = await run.send_request(request())
         assert answer.status == 503
         assert 0 < float(answer.headers["retry-after"]) <= 2
 
@@ -179,17 +179,17 @@
 @on_loop
 async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
     """The request may be a retry after the close of an older connection crossed it, and clients retry only once."""
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
-        await until(lambda: run.server.connections)
+        await wait_until(lambda: run.server.connections)
         (connection,) = run.server.connections
         run.server.start_drain(shutdown_schedule(3.0))
         assert not connection.ignores_input
-        answer = await client.ask(request("transfer"))
+        answer = await client.send_request(request("transfer"))
         assert answer.status == 200
         assert await client.reader.read() == b""
         silent_client = await run.connect()
-        await until(lambda: run.server.connections)
+        await wait_until(lambda: run.server.connections)
         (connection,) = run.server.connections
         connection.accepted_s -= 60
         run.server.client_drain.on_timer()
@@ -203,9 +203,9 @@
     """The socket is polled, as a request may have arrived while the loop was busy."""
     import socket
 
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         with socket.create_connection(("127.0.0.1", run.port)) as client:
-            await until(lambda: run.server.connections)
+            await wait_until(lambda: run.server.connections)
             (connection,) = run.server.connections
             connection.has_responded = True
             client.sendall(request("transfer"))  # the loop does not run between this and on_timer
--- a/tests/frontends/test_large_bodies.py
+++ b/tests/frontends/test_large_bodies.py
@@ -17,14 +17,14 @@
     Client,
     Exchange,
     Message,
-    answers,
     configuration,
     on_loop,
-    peer,
     reply,
     request,
-    running,
-    until,
+    respond_with,
+    running_gateway,
+    scripted_server,
+    wait_until,
 )
 
 MB = 1024 * 1024
@@ -65,15 +65,15 @@
 
 @on_loop
 async def test_large_responses_arrive_unchanged_in_every_framing() -> None:
-    async with peer() as host, running(configuration(host)) as run:
-        for script in (answers(reply(200, LARGE)), answers(chunked(LARGE)), close_delimited):
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
+        for script in (respond_with(reply(200, LARGE)), respond_with(chunked(LARGE)), close_delimited):
             host.script = script
             client = await run.connect()
             client.send(request())
             response, is_complete = await read_response(client)
             assert is_complete and response.status == 200 and response.body == LARGE
-            host.script = answers(reply(200, b"next"))
-            assert (await client.ask(request())).body == b"next"  # on the same connection
+            host.script = respond_with(reply(200, b"next"))
+            assert (await client.send_request(request())).body == b"next"  # on the same connection
             client.close()
 
 
@@ -85,7 +85,7 @@
         exchange.writer.write(LARGE[MB : 2 * MB])
 
     send_rest = asyncio.Event()
-    async with peer(send_halves) as host, running(configuration(host)) as run:
+    async with scripted_server(send_halves) as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
@@ -98,7 +98,11 @@
 @on_loop
 async def test_client_can_detect_a_truncated_response() -> None:
     """It is not retried even for a repeatable class, as the client already has part of the response."""
-    async with peer() as first, peer() as second, running(configuration(first, second)) as run:
+    async with (
+        scripted_server() as first,
+        scripted_server() as second,
+        running_gateway(configuration(first, second)) as run,
+    ):
         for head, framed in ((b"Content-Length: 2000000", LARGE[:MB]), (b"Transfer-Encoding: chunked", None)):
             data = framed if framed is not None else chunked(LARGE).partition(b"\r\n\r\n")[2][:MB]
 
@@ -107,18 +111,21 @@
                 exchange.writer.close()
 
             first.script = second.script = break_off
-            before = len(first.seen) + len(second.seen)
+            before = len(first.exchanges) + len(second.exchanges)
             client = await run.connect()
             client.send(request("search"))
             _, is_complete = await read_response(client)
-            await until(lambda: not run.gateway.requests.by_key)
-            assert not is_complete and len(first.seen) + len(second.seen) == before + 1
+            await wait_until(lambda: not run.gateway.requests.by_key)
+            assert not is_complete and len(first.exchanges) + len(second.exchanges) == before + 1
             client.close()
 
 
 @on_loop
 async def test_slow_client_pauses_only_its_own_response_and_uses_little_memory() -> None:
-    async with peer(answers(reply(200, LARGE * 8))) as host, running(configuration(host)) as run:
+    async with (
+        scripted_server(respond_with(reply(200, LARGE * 8))) as host,
+        running_gateway(configuration(host)) as run,
+    ):
         slow = await run.connect()
         slow.send(request())
         await slow.reader.readuntil(b"\r\n\r\n")
@@ -126,39 +133,42 @@
         (connection,) = run.server.connections
         assert connection.transport is not None
         assert connection.transport.get_write_buffer_size() < MB
-        host.script = answers(reply(200, b"quick"))
-        assert (await run.ask(request())).body == b"quick"
+        host.script = respond_with(reply(200, b"quick"))
+        assert (await run.send_request(request())).body == b"quick"
         assert await slow.reader.readexactly(len(LARGE) * 8) == LARGE * 8
         slow.close()
 
 
 @on_loop
 async def test_client_disconnect_ends_a_streamed_response() -> None:
-    async with peer(answers(reply(200, LARGE * 8))) as host, running(configuration(host)) as run:
+    async with (
+        scripted_server(respond_with(reply(200, LARGE * 8))) as host,
+        running_gateway(configuration(host)) as run,
+    ):
         client = await run.connect()
         client.send(request())
         await client.reader.readuntil(b"\r\n\r\n")
         client.close()
         while run.gateway.requests.by_key or run.pool.open_connections:
             await asyncio.sleep(0.002)
-        assert len(host.seen) == 1
+        assert len(host.exchanges) == 1
 
 
 @on_loop
 async def test_large_requests_arrive_unchanged_in_every_framing() -> None:
     def send_digest(exchange: Exchange) -> None:
-        exchange.answer(reply(200, hashlib.sha256(exchange.message.body).hexdigest().encode()))
+        exchange.respond(reply(200, hashlib.sha256(exchange.message.body).hexdigest().encode()))
 
     expected = hashlib.sha256(LARGE).hexdigest().encode()
-    async with peer(send_digest) as host, running(configuration(host)) as run:
+    async with scripted_server(send_digest) as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
-        assert (await client.ask(request("transfer", LARGE))).body == expected
+        assert (await client.send_request(request("transfer", LARGE))).body == expected
         framed = chunked(LARGE).partition(b"\r\n\r\n")[2]
         head = request("transfer", content_length="", transfer_encoding="chunked")
-        assert (await client.ask(head + framed)).body == expected
+        assert (await client.send_request(head + framed)).body == expected
         client.send(request("transfer", content_length=str(len(LARGE)), expect="100-continue"))
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-        assert (await client.ask(LARGE)).body == expected
+        assert (await client.send_request(LARGE)).body == expected
         assert run.server.context.body_budget.used_bytes == 0
         client.close()
 
@@ -166,32 +176,36 @@
 @on_loop
 async def test_large_request_is_retried_at_another_host() -> None:
     def reject_first(exchange: Exchange) -> None:
-        is_first = len(a.seen) + len(b.seen) == 1
-        exchange.answer(reply(503, b"", "X-Rejected: 1") if is_first else reply(200, b"done"))
-
-    async with peer(reject_first) as a, peer(reject_first) as b, running(configuration(a, b)) as run:
-        assert (await run.ask(request("transfer", LARGE))).body == b"done"
-        assert [exchange.message.body for exchange in (*a.seen, *b.seen)] == [LARGE, LARGE]
-        assert len(a.seen) == len(b.seen) == 1
+        is_first = len(a.exchanges) + len(b.exchanges) == 1
+        exchange.respond(reply(503, b"", "X-Rejected: 1") if is_first else reply(200, b"done"))
+
+    async with (
+        scripted_server(reject_first) as a,
+        scripted_server(reject_first) as b,
+        running_gateway(configuration(a, b)) as run,
+    ):
+        assert (await run.send_request(request("transfer", LARGE))).body == b"done"
+        assert [exchange.message.body for exchange in (*a.exchanges, *b.exchanges)] == [LARGE, LARGE]
+        assert len(a.exchanges) == len(b.exchanges) == 1
         assert run.server.context.body_budget.used_bytes == 0
 
 
 @on_loop
 async def test_body_above_the_limit_gets_413_before_it_arrives() -> None:
-    async with peer() as host, running(configuration(host)) as run:
-        answer = await run.ask(request("transfer", content_length=str(MAX_BODY_BYTES + 1)))
-        assert answer.status == 413 and not host.seen
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
+        answer = await run.send_request(request("transfer", content_length=str(MAX_BODY_BYTES + 1)))
+        assert answer.status == 413 and not host.exchanges
 
 
 @on_loop
 async def test_pipelined_request_with_expect_gets_100_continue_in_order() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer", b"one"))
         client.send(request("transfer", content_length="3", expect="100-continue"))
-        assert (await client.answer()).body == b"fine"
+        assert (await client.read_response()).body == b"fine"
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-        assert (await client.ask(b"two")).body == b"fine"
+        assert (await client.send_request(b"two")).body == b"fine"
         client.close()
 
 
@@ -200,15 +214,15 @@
     """Guards against 400 for a class with a trailing space, and against taking a rejection for an error."""
 
     def send_rejection(exchange: Exchange) -> None:
-        exchange.answer(b"HTTP/1.1 503 X\r\nContent-Length:  0 \t\r\nX-Rejected:\t1 \r\n\r\n")
+        exchange.respond(b"HTTP/1.1 503 X\r\nContent-Length:  0 \t\r\nX-Rejected:\t1 \r\n\r\n")
 
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         spaced = request("transfer", content_length="", transfer_encoding=" chunked ", x_call_class="transfer \t")
         spaced = spaced.replace(b"20000", b"  20000 ") + b"2\r\nab\r\n0\r\n\r\n"
-        assert (await run.ask(spaced)).status == 200
-        assert host.seen[0].message.body == b"ab"
+        assert (await run.send_request(spaced)).status == 200
+        assert host.exchanges[0].message.body == b"ab"
         host.script = send_rejection
-        assert (await run.ask(request("transfer"))).status == 503  # rejected without running, so not 502
+        assert (await run.send_request(request("transfer"))).status == 503  # rejected without running, so not 502
 
 
 # Without sockets
--- a/tests/frontends/test_limits.py
+++ b/tests/frontends/test_limits.py
@@ -10,7 +10,17 @@
 import pytest
 
 from cloverkeel.frontends.http1 import client_transport, timeouts
-from tests.sockets import configuration, on_loop, peer, reply, request, rested, running, silent, until
+from tests.sockets import (
+    configuration,
+    never_respond,
+    on_loop,
+    reply,
+    request,
+    running_gateway,
+    scripted_server,
+    wait_for_reuse_delay,
+    wait_until,
+)
 from tests.cli.process import READY, connect, program
 
 TRANSFER = b"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: i\r\n"
@@ -27,21 +37,21 @@
 async def test_silent_and_idle_connections_time_out_and_a_busy_one_does_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         busy, silent_client, idle_client = [await run.connect() for _ in range(3)]
         busy.send(request("transfer"))
-        assert (await idle_client.ask(READY)).status == 200
-        await until(lambda: host.seen)
+        assert (await idle_client.send_request(READY)).status == 200
+        await wait_until(lambda: host.exchanges)
         shorten_timeouts(
             monkeypatch, timeouts, "FIRST_BYTE_TIMEOUT_S", "KEEP_ALIVE_TIMEOUT_S", "CROWDED_KEEP_ALIVE_TIMEOUT_S"
         )
         assert await silent_client.reader.read() == b"" and await idle_client.reader.read() == b""
-        await until(lambda: len(run.server.connections) == 1)
-        host.seen[0].answer(reply(200, b"late"))
-        assert (await busy.answer()).body == b"late"
+        await wait_until(lambda: len(run.server.connections) == 1)
+        host.exchanges[0].respond(reply(200, b"late"))
+        assert (await busy.read_response()).body == b"late"
         limits = run.server.timeouts
         for phase in (limits.accepted, limits.reading, limits.keep_alive, limits.closing):
-            await until(lambda phase=phase: not phase)  # type: ignore[misc]
+            await wait_until(lambda phase=phase: not phase)  # type: ignore[misc]
         for client in (busy, silent_client, idle_client):
             client.close()
 
@@ -60,13 +70,13 @@
 async def test_request_that_does_not_arrive_in_time_gets_408(begun: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     shorten_timeouts(monkeypatch, timeouts, "REQUEST_TIMEOUT_S")
     shorten_timeouts(monkeypatch, client_transport, "LINGER_TIMEOUT_S")
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
-        answer = await client.ask(begun)
+        answer = await client.send_request(begun)
         assert answer.status == 408 and answer.headers["connection"] == "close"
         assert await client.reader.read() == b""
-        await until(lambda: not run.server.connections)
-        assert not host.seen
+        await wait_until(lambda: not run.server.connections)
+        assert not host.exchanges
         client.close()
 
 
@@ -74,23 +84,23 @@
 async def test_silent_clients_leave_descriptors_to_hosts_and_other_clients(tmp_path: Path) -> None:
     """Runs the real program with 80 descriptors and 300 connections that send nothing."""
     config = configuration("127.0.0.1:1") | {"limits": {"sockets": 80}}
-    async with peer() as host:
+    async with scripted_server() as host:
         config["known"]["endpoints"][0]["address"] = host.address
         async with program(tmp_path, config) as (process, port):
             client = await connect(port)
-            assert (await client.ask(request("transfer"))).status == 200
+            assert (await client.send_request(request("transfer"))).status == 200
             crowd = await asyncio.gather(*(connect(port) for _ in range(300)))
             other = await connect(port)
             for sender in (client, other):
-                await rested()
+                await wait_for_reuse_delay()
                 sender.send(request("transfer"))
                 try:
-                    assert (await sender.answer()).status == 200
+                    assert (await sender.read_response()).status == 200
                 except (ConnectionError, asyncio.IncompleteReadError):  # crossed the close: sent again
                     again = await connect(port)
-                    assert (await again.ask(request("transfer"))).status == 200
+                    assert (await again.send_request(request("transfer"))).status == 200
                     again.close()
-            assert host.opened == 1  # the connection to the host is reused
+            assert host.connection_count == 1  # the connection to the host is reused
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
             for connected_client in (*crowd, client, other):
@@ -132,24 +142,24 @@
 )
 @on_loop
 async def test_invalid_request_is_rejected_and_does_not_reach_a_host(data: bytes, status: int) -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         client.send(data)
-        answer = await client.answer()
+        answer = await client.read_response()
         assert answer.status == status
-        assert (await run.ask(request())).status == 200
-        assert len(host.seen) == 1 and "search" in host.seen[0].message.first
+        assert (await run.send_request(request())).status == 200
+        assert len(host.exchanges) == 1 and "search" in host.exchanges[0].message.start_line
         client.close()
 
 
 @on_loop
 async def test_pipelined_requests_beyond_the_limit_wait_unparsed_and_are_answered() -> None:
-    async with peer() as host, running(configuration(host)) as run:
+    async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n" * 1000)
         max_completed = 0
         for _ in range(1000):
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             max_completed = max(
                 max_completed, *(len(connection.reader.completed) for connection in run.server.connections)
             )
@@ -159,13 +169,13 @@
 
 @on_loop
 async def test_budget_is_limited_to_the_class_timeout_and_zero_fails_at_once() -> None:
-    async with peer(silent) as host, running(configuration(host)) as run:
+    async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         clients = [await run.connect() for _ in range(2)]
         for client, klass in zip(clients, ("transfer", "search"), strict=True):
             client.send(request(klass, budget_ms=10**14))
-        await until(lambda: len(host.seen) == 2)
-        assert all(int(exchange.message.headers["x-budget-ms"]) <= 20_000 for exchange in host.seen)
-        assert (await run.ask(request("transfer", budget_ms=0))).status in (502, 503, 504)
+        await wait_until(lambda: len(host.exchanges) == 2)
+        assert all(int(exchange.message.headers["x-budget-ms"]) <= 20_000 for exchange in host.exchanges)
+        assert (await run.send_request(request("transfer", budget_ms=0))).status in (502, 503, 504)
         for client in clients:
             client.close()
 
@@ -173,7 +183,7 @@
 @on_loop
 async def test_accept_without_a_free_descriptor_closes_an_idle_client(tmp_path: Path) -> None:
     """Runs the real program with fewer descriptors than its configuration says."""
-    async with peer() as host, program(tmp_path, configuration(host)) as (process, port):
+    async with scripted_server() as host, program(tmp_path, configuration(host)) as (process, port):
         numbers = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(numbers) + 1, max(numbers) + 1))
         free = max(numbers) + 1 - len(numbers)
@@ -181,7 +191,7 @@
         for _ in range(free + 3):
             client = await connect(port)
             clients.append(client)
-            assert (await client.ask(READY)).status == 200
+            assert (await client.send_request(READY)).status == 200
         assert await clients[0].reader.read() == b""  # it was idle for the longest time
         for client in clients:
             client.close()
--- a/tests/golden/control_plane.py
+++ b/tests/golden/control_plane.py
@@ -27,7 +27,7 @@
 from cloverkeel.core.incremental_gzip import decompress_gzip
 from cloverkeel.discovery.endpoint_parser import parse_endpoint_list
 from tests.golden.store import Sample, SamplesByName
-from tests.sockets import PATIENCE_S
+from tests.sockets import TEST_TIMEOUT_S
 
 NOW_US: Final = 1_796_119_613_761_000
 CONFIRMED_US: Final = NOW_US - 250_000
@@ -134,7 +134,7 @@
     async def run() -> bytes:
         relay = _Relay(is_ready)
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 return cast(bytes, await use(relay))
         finally:
             relay.server.close()
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -35,7 +35,7 @@
 from cloverkeel.gossip.peer_clock import timestamp_ms_of
 from cloverkeel.gossip.token_bucket import MAX_SAVED_BYTES, MIN_BYTES_PER_S
 from tests.gossip.helpers import HOST, NOW_US, constant_rng, observe
-from tests.sockets import configuration, on_loop, until
+from tests.sockets import configuration, on_loop, wait_until
 
 
 def ignore(host: HostProcess, assessment: Assessment) -> None:
@@ -211,7 +211,7 @@
         stack.callback(driver.close)
         datagrams.register(MAGIC, driver)
         datagrams.start()
-        await until(lambda: driver.check_timer is not None)
+        await wait_until(lambda: driver.check_timer is not None)
         assert datagrams.transport is not None
         gateway_address = datagrams.transport.get_extra_info("sockname")
 
@@ -221,11 +221,11 @@
 
         for reporter in (1, 2):
             send(reporter)  # read at once, so that the minimum delay of each peer is known
-        await until(lambda: driver.node.counts.received == 2)
+        await wait_until(lambda: driver.node.counts.received == 2)
         for reporter in (1, 2):
             send(reporter, observe(reporter, at_us=clock_us))
         clock_us += read_after_us  # the event loop has not run since, so the reports are still in the socket
-        await until(lambda: driver.node.counts.received == 4)
+        await wait_until(lambda: driver.node.counts.received == 4)
         assessment = driver.node.outliers.assessment_by_host.get(HOST)
         if assessment is None or not assessment.is_suspected_outlier:
             return 0
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback ports, and the real gateway between them."""
+"""Scripted servers and clients on loopback ports, and a real gateway in this process between them."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from cloverkeel.upstream.attempt_sender import AttemptSender
 from cloverkeel.upstream.connection_pool import REUSE_DELAY_US, ConnectionPool
 
-PROGRAM: tuple[str, ...] = (sys.executable, "-m", "cloverkeel")  # what is started as a process
-PATIENCE_S = 30.0  # for anything that should happen: how long a broken test takes, never how long a good one
+GATEWAY_COMMAND: tuple[str, ...] = (sys.executable, "-m", "cloverkeel")  # starts a gateway process
+TEST_TIMEOUT_S = 30.0  # ends a test that waits for what never happens; tests that pass take much less
 
 
 def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test on the loop that the program runs on."""
+    """Run an asynchronous test on uvloop, as the gateway does, for at most TEST_TIMEOUT_S."""
 
     @functools.wraps(test)
-    def run(*args: Any, **named: Any) -> None:
+    def run(*args: Any, **kwargs: Any) -> None:
         async def bounded() -> None:
-            async with asyncio.timeout(PATIENCE_S):
-                await test(*args, **named)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await test(*args, **kwargs)
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(bounded())
@@ -42,138 +42,149 @@
     return run
 
 
-async def until(condition: Callable[[], object]) -> None:
-    """Wait until something holds that no event tells of."""
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Poll a condition until it is true."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 @dataclass
 class Message:
-    """A request or an answer, as it was read."""
+    """A request or a response as read."""
 
-    first: str
+    start_line: str
     headers: dict[str, str]
     body: bytes = b""
 
     @property
     def status(self) -> int:
-        return int(self.first.split(" ")[1])
+        """Return the status code of a response."""
+        return int(self.start_line.split(" ")[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """One message with a Content-Length; IncompleteReadError if it is not whole."""
+    """Read one message with a Content-Length; raise IncompleteReadError if the connection ends within it."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-    first, *lines = head[:-4].split("\r\n")
+    start_line, *lines = head[:-4].split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Message(first, headers, body)
+    return Message(start_line, headers, body)
 
 
 def reply(status: int = 200, body: bytes = b"fine", *headers: str) -> bytes:
+    """Return a response with these header lines."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 @dataclass
 class Exchange:
-    """One request at a scripted peer, and the connection that it came on."""
+    """A request received by a scripted server; `connection` counts its connections from 1."""
 
     message: Message
     writer: asyncio.StreamWriter
     connection: int
 
-    def answer(self, data: bytes) -> None:
+    def respond(self, data: bytes) -> None:
+        """Write to the connection."""
         self.writer.write(data)
 
     def reset(self) -> None:
+        """Reset the connection."""
         self.writer.transport.abort()
 
 
 Script = Callable[[Exchange], Awaitable[None] | None]
 
 
-def answers(data: bytes) -> Script:
-    return lambda exchange: exchange.answer(data)
+def respond_with(data: bytes) -> Script:
+    """Return a script that responds to each request with these bytes."""
+    return lambda exchange: exchange.respond(data)
 
 
-def silent(exchange: Exchange) -> None:
-    """Take the request and say nothing."""
+def never_respond(exchange: Exchange) -> None:
+    """Accept the request and send no response."""
 
 
 @dataclass
-class Peer:
-    """A server that does with each request what its script says."""
+class ScriptedServer:
+    """A server that calls its script for each request."""
 
     script: Script
-    seen: list[Exchange] = field(default_factory=list)
-    opened: int = 0
-    ended: int = 0  # connections that the other side has closed
+    exchanges: list[Exchange] = field(default_factory=list)
+    connection_count: int = 0
+    closed_count: int = 0  # connections closed by the client
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
-    server: asyncio.Server | None = None
+    listener: asyncio.Server | None = None
     address: str = ""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
-        connection = self.opened
+        """Read the requests of a connection until the client closes it."""
+        self.connection_count += 1
+        connection = self.connection_count
         self.writers.append(writer)
         try:
             while True:
                 exchange = Exchange(await read_message(reader), writer, connection)
-                self.seen.append(exchange)
-                done = self.script(exchange)
-                if done is not None:
-                    await done
+                self.exchanges.append(exchange)
+                awaitable = self.script(exchange)
+                if awaitable is not None:
+                    await awaitable
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.ended += 1
+            self.closed_count += 1
             writer.close()
 
     def close(self) -> None:
-        if self.server is not None:
-            self.server.close()
+        """Close the listener and all connections."""
+        if self.listener is not None:
+            self.listener.close()
         for writer in self.writers:
             writer.close()
 
 
 @asynccontextmanager
-async def peer(script: Script = answers(reply())) -> AsyncIterator[Peer]:  # noqa: B008
-    made = Peer(script)
-    made.server = await asyncio.start_server(made.serve, "127.0.0.1", 0)
-    host, port = made.server.sockets[0].getsockname()
-    made.address = f"{host}:{port}"
+async def scripted_server(script: Script = respond_with(reply())) -> AsyncIterator[ScriptedServer]:  # noqa: B008
+    """Listen on a loopback port while in the context."""
+    server = ScriptedServer(script)
+    server.listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
+    host, port = server.listener.sockets[0].getsockname()
+    server.address = f"{host}:{port}"
     try:
-        yield made
+        yield server
     finally:
-        made.close()
+        server.close()
 
 
-def endpoint(name: str, address: str, **extra: object) -> dict[str, object]:
+def endpoint(name: str, address: str, **fields: object) -> dict[str, object]:
+    """Return an entry of an endpoint list; `fields` are added or replace the defaults."""
     entry: dict[str, object] = {
         "name": name, "address": address, "zone": "a", "type": "m", "group": 0,
         "status": "SERVING", "weight": 1.0, "since_ms": 0,
     }  # fmt: skip
-    return entry | extra
+    return entry | fields
 
 
 def hosts_list(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> dict[str, object]:
+    """Return an endpoint list: a snapshot, or a delta."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
 
 
 def list_reply(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> bytes:
+    """Return a response with an endpoint list."""
     return reply(200, json.dumps(hosts_list(index, *endpoints, snapshot=snapshot)).encode())
 
 
-def configuration(*hosts: Peer | str, discovery: str = "127.0.0.1:9", **caps: object) -> dict[str, Any]:
-    """A configuration for these hosts; no list is asked for unless `membershipMode` is changed."""
+def configuration(*hosts: ScriptedServer | str, discovery: str = "127.0.0.1:9", **caps: object) -> dict[str, Any]:
+    """Return a configuration with these hosts. Discovery is not polled unless `membershipMode` is changed."""
     addresses = [host if isinstance(host, str) else host.address for host in hosts]
-    lane = {"aimUs": 20_000_000, "giveUpUs": 20_000_000, "lateValue": 0.5}
+    class_settings = {"aimUs": 20_000_000, "giveUpUs": 20_000_000, "lateValue": 0.5}
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": discovery,
         "seed": "5eed",
         "limits": {"sockets": 1024},
-        "known": hosts_list(7, *(endpoint(f"s-{n}", a) for n, a in enumerate(addresses))),
+        "known": hosts_list(7, *(endpoint(f"s-{index}", address) for index, address in enumerate(addresses))),
         "settings": {
             "zones": ["a", "b"],
             "shapes": ["m"],
@@ -186,21 +197,22 @@
             } | caps,
             "contract": {"stopSendingWithinUs": 1_000_000, "mustAskInUs": 400_000},
             "lanes": [
-                lane | {"name": "search", "effect": "free", "value": 1.0},
-                lane | {"name": "hold", "effect": "guarded", "group": "all", "windowUs": 15_000_000},
-                lane | {"name": "transfer", "effect": "single_shot"},
+                class_settings | {"name": "search", "effect": "free", "value": 1.0},
+                class_settings | {"name": "hold", "effect": "guarded", "group": "all", "windowUs": 15_000_000},
+                class_settings | {"name": "transfer", "effect": "single_shot"},
             ],
         },
     }  # fmt: skip
 
 
-def host_id(number: int) -> int:
-    return stable_id(f"s-{number}", 4)
+def host_id(index: int) -> int:
+    """Return the id of the host that `configuration` names s-<index>."""
+    return stable_id(f"s-{index}", 4)
 
 
 @dataclass
-class Running:
-    """The gateway in this process, listening on a port of its own."""
+class RunningGateway:
+    """A gateway in this process, listening on a free port."""
 
     gateway: Gateway
     server: Server
@@ -210,68 +222,78 @@
 
     @property
     def attempt_sender(self) -> AttemptSender:
-        """What carries attempts to hosts, to look into."""
+        """Return the sender of attempts to hosts, for inspection."""
         upstream = self.gateway.upstream
         assert isinstance(upstream, AttemptSender)
         return upstream
 
     @property
-    def module(self) -> Balancer:
-        """The decision module itself, to look into."""
+    def balancer(self) -> Balancer:
+        """Return the balancer itself, without a wrapper such as ObservedBalancer."""
         balancer = self.gateway.balancer
-        return balancer if isinstance(balancer, Balancer) else cast(Balancer, cast(Any, balancer).module)
+        return balancer if isinstance(balancer, Balancer) else cast(Balancer, cast(Any, balancer).balancer)
 
     async def connect(self) -> Client:
+        """Open a client connection."""
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
-    async def ask(self, data: bytes) -> Message:
+    async def send_request(self, data: bytes) -> Message:
+        """Send a request on a connection of its own; return the response."""
         client = await self.connect()
         try:
-            return await client.ask(data)
+            return await client.send_request(data)
         finally:
             client.close()
 
 
-class Overheard:
-    """The decision module behind a listener. Compiled, it takes no replacement of a method."""
+class ObservedBalancer:
+    """A balancer that reports each event to a callback first. Methods of compiled classes cannot be replaced."""
 
-    def __init__(self, module: Any, hear: Callable[[object], None]) -> None:
-        self.module, self.hear = module, hear
+    def __init__(self, balancer: Any, on_event: Callable[[object], None]) -> None:
+        self.balancer, self.on_event = balancer, on_event
 
     def handle(self, now_us: int, event: object) -> Any:
-        self.hear(event)
-        return self.module.handle(now_us, event)
+        """Report and handle an event."""
+        self.on_event(event)
+        return self.balancer.handle(now_us, event)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.module, name)
+        return getattr(self.balancer, name)
 
 
-def overhear(run: Running, hear: Callable[[object], None]) -> None:
-    """Call this with each event, before the module is told it; what it raises is the module's error."""
-    run.gateway.balancer = Overheard(run.gateway.balancer, hear)
+def observe_events(run: RunningGateway, on_event: Callable[[object], None]) -> None:
+    """Call `on_event` with each event before the balancer handles it; its exceptions count as the balancer's."""
+    run.gateway.balancer = ObservedBalancer(run.gateway.balancer, on_event)
 
 
 @dataclass
 class Client:
+    """A client connection to the gateway."""
+
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     def send(self, data: bytes) -> None:
+        """Write to the connection."""
         self.writer.write(data)
 
-    async def answer(self) -> Message:
+    async def read_response(self) -> Message:
+        """Read the next response."""
         return await read_message(self.reader)
 
-    async def ask(self, data: bytes) -> Message:
+    async def send_request(self, data: bytes) -> Message:
+        """Send a request and read the next response."""
         self.send(data)
-        return await self.answer()
+        return await self.read_response()
 
     def close(self) -> None:
+        """Reset the connection."""
         self.writer.transport.abort()
 
 
 @asynccontextmanager
-async def running(config: dict[str, Any]) -> AsyncIterator[Running]:
+async def running_gateway(config: dict[str, Any]) -> AsyncIterator[RunningGateway]:
+    """Run a gateway with this configuration while in the context."""
     parsed = parse(config)
     program = assemble(parsed)
     gateway, server = program.gateway, program.server
@@ -279,35 +301,37 @@
     assert server.listener.socket is not None
     try:
         assert isinstance(program.discovery, HttpEndpointSource)
-        yield Running(gateway, server, program.pool, program.discovery, server.listener.socket.getsockname()[1])
+        yield RunningGateway(
+            gateway, server, program.pool, program.discovery, server.listener.socket.getsockname()[1]
+        )
     finally:
         server.close()
         gateway.close()
 
 
-async def rested() -> None:
-    """Connections to hosts that are free now may be used again."""
+async def wait_for_reuse_delay() -> None:
+    """Wait until connections to hosts that are idle now may be reused."""
     since_us = now_us()
-    await until(lambda: now_us() - since_us > REUSE_DELAY_US)
+    await wait_until(lambda: now_us() - since_us > REUSE_DELAY_US)
 
 
-_count = 0
+_request_count = 0
 
 
-def request(klass: str = "search", body: bytes = b"", budget_ms: int = 20_000, **headers: str) -> bytes:
-    """A client's request in full; a header's name is given with _ for -, and None for its value drops it."""
-    global _count
-    _count += 1
+def request(request_class: str = "search", body: bytes = b"", budget_ms: int = 20_000, **headers: str) -> bytes:
+    """Return a client's request. A header is named with _ for -; an empty value removes it."""
+    global _request_count
+    _request_count += 1
     fields: dict[str, str] = {
-        "host": "backend.local", "x_call_id": f"{_count:016x}", "x_call_class": klass,
+        "host": "backend.local", "x_call_id": f"{_request_count:016x}", "x_call_class": request_class,
         "x_caller": "acme", "x_budget_ms": str(budget_ms),
     }  # fmt: skip
-    if klass == "hold":
-        fields["idempotency_key"] = f"key{_count}"
-    if klass != "search":
+    if request_class == "hold":
+        fields["idempotency_key"] = f"key{_request_count}"
+    if request_class != "search":
         fields["content_length"] = str(len(body))
     fields |= headers
-    method = "GET" if klass == "search" else "POST"
-    lines = [f"{method} /{klass}/7f3a9c21e0b4d655 HTTP/1.1"]
+    method = "GET" if request_class == "search" else "POST"
+    lines = [f"{method} /{request_class}/7f3a9c21e0b4d655 HTTP/1.1"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in fields.items() if value]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity.slopes import Measured, measure, read, rows_of, run_part
 from benchmarks.capacity.world import Discovery, entries
 
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 SIZES = (200.0, 2_000.0, 10_000.0, 38_000.0)
 NOISE = (1.04, 0.97, 1.03, 0.98)
@@ -177,7 +177,7 @@
 async def test_hosts_of_the_measured_world_restart_one_after_another() -> None:
     discovery = Discovery(entries(20, []))
     discovery.restart(0.001)
-    await until(lambda: len(discovery.history) >= 6)
+    await wait_until(lambda: len(discovery.history) >= 6)
     discovery.restart(0.0)
     count = len(discovery.history)
     told = [json.loads(data.partition(b"\r\n\r\n")[2])["endpoints"][0] for _, data in discovery.history[:6]]
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -30,7 +30,7 @@
 from standins.parties.partitioned_registry import HostChange, PartitionedRegistry
 from standins.parties.registry import ResponseCache, Entry, Registry, RegistryListener
 
-from tests.sockets import Client, on_loop, until
+from tests.sockets import Client, on_loop, wait_until
 
 
 # The whole run
@@ -310,7 +310,7 @@
 async def fetch_instances(view: RegistryListener, query: str = "") -> dict[str, Any]:
     assert view.address is not None
     client = Client(*await asyncio.open_connection(*view.address))
-    response = await client.ask(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+    response = await client.send_request(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
     client.close()
     body: dict[str, Any] = json.loads(response.body)
     return body
@@ -333,7 +333,7 @@
 async def test_change_completes_all_watches_with_the_latest_entry_of_each_host() -> None:
     async with open_shared_registry() as (registry, view, bodies):
         watches = [asyncio.create_task(fetch_instances(view, "?from=1&hold_ms=20000")) for _ in range(20)]
-        await until(lambda: len(registry.waiting_watches) == 20)
+        await wait_until(lambda: len(registry.waiting_watches) == 20)
         entry = registry.entries["s-1"]
         entry.weight = 2.0
         registry.apply_changes([(entry, "DRAINING"), (registry.entries["s-0"], "DELETED"), (entry, "SERVING")])
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -15,7 +15,7 @@
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.core.metrics import MAX_HOSTS_PER_LINE, OTHER_HOSTS, GatewayMetrics
 from standins.parties.fleet import ROOT
-from tests.sockets import configuration, on_loop, peer, request, silent
+from tests.sockets import configuration, never_respond, on_loop, request, scripted_server
 from tests.cli.process import ask, program
 
 AT_US = 1_700_000_000_000_000
@@ -97,8 +97,8 @@
 @on_loop
 async def test_the_real_program_writes_what_the_tool_reads(tmp_path: Path) -> None:
     async with (
-        peer() as host,
-        peer(silent) as registry,
+        scripted_server() as host,
+        scripted_server(never_respond) as registry,
         program(tmp_path, configuration(host, discovery=registry.address)) as (process, port),
     ):
         assert await ask(port, request("transfer")) == 200
@@ -118,8 +118,8 @@
     reader, writer = os.pipe()
     try:
         async with (
-            peer() as host,
-            peer(silent) as registry,
+            scripted_server() as host,
+            scripted_server(never_respond) as registry,
             program(tmp_path, configuration(host, discovery=registry.address), stderr=writer) as (_, port),
         ):
             if dead:
--- a/tests/test_standin_backend.py
+++ b/tests/test_standin_backend.py
@@ -17,7 +17,7 @@
 from standins.parties.overload_model import OverloadModel, OverloadState
 from standins.site import BackendType
 
-from tests.sockets import Client, on_loop, request, until
+from tests.sockets import Client, on_loop, request, wait_until
 
 KIND = BackendType(cores=1, queue=1, handshake_us=0, report_us=20_000, report_late_us=0)
 SHORT_WORK: dict[str, Any] = {"x_call_cost": "1000"}  # work hint in microseconds
@@ -58,26 +58,28 @@
     async with running_backend() as backend:
         client = await connect(backend)
         before_us = now_us()
-        answer = await client.ask(request(x_call_id="abc", **SHORT_WORK))
+        answer = await client.send_request(request(x_call_id="abc", **SHORT_WORK))
         assert answer.status == 200 and answer.body.startswith(b"abc s-0 ")
         (attempt,) = attempts_of(backend)
         assert (attempt.id, attempt.request_class, attempt.how, attempt.backend) == ("abc", "search", "ok", "s-0")
         assert before_us <= attempt.at_us <= attempt.received_us <= attempt.started_us < attempt.ended_us <= now_us()
         assert attempt.ended_us - attempt.started_us >= 28_000  # includes the wait for dependencies
-        assert (await client.ask(request(x_call_id="def", **SHORT_WORK))).status == 200  # on the same connection
+        assert (
+            await client.send_request(request(x_call_id="def", **SHORT_WORK))
+        ).status == 200  # on the same connection
 
 
 @on_loop
 async def test_load_reports_in_responses_and_probes() -> None:
     async with running_backend() as backend:
         client = await connect(backend)
-        answer = await client.ask(request(**SHORT_WORK))
+        answer = await client.send_request(request(**SHORT_WORK))
         assert answer.headers["x-load-report"].startswith("TEXT queue=")
         for path in ("/stats", "/health/live"):
             client.send(f"GET {path} HTTP/1.1\r\nHost: b\r\n\r\n".encode())
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
         client.send(b"GET /nothing HTTP/1.1\r\nHost: b\r\n\r\n")
-        assert (await client.answer()).status == 404
+        assert (await client.read_response()).status == 404
 
 
 @on_loop
@@ -86,8 +88,8 @@
         clients = [await connect(backend) for _ in range(3)]
         for n, client in enumerate(clients[:2]):
             client.send(request(x_call_id=f"r{n}", x_call_cost="200000"))
-            await until(lambda n=n: len(backend.jobs) == n + 1)  # type: ignore[misc]
-        answer = await clients[2].ask(request(x_call_id="r2", **SHORT_WORK))
+            await wait_until(lambda n=n: len(backend.jobs) == n + 1)  # type: ignore[misc]
+        answer = await clients[2].send_request(request(x_call_id="r2", **SHORT_WORK))
         assert answer.status == 503 and answer.headers["x-rejected"] == "1"
         assert [attempt.how for attempt in attempts_of(backend)] == ["running", "waiting", "rejected"]
         assert not attempts_of(backend)[2].may_have_run
@@ -98,8 +100,8 @@
     async with running_backend() as backend:
         first, second = await connect(backend), await connect(backend)
         first.send(request(x_call_cost="150000"))
-        await until(lambda: backend.busy_cores)
-        answer = await second.ask(request(budget_ms=30))
+        await wait_until(lambda: backend.busy_cores)
+        answer = await second.send_request(request(budget_ms=30))
         assert answer.status == 504 and answer.headers["x-rejected"] == "1"
 
 
@@ -108,9 +110,9 @@
     async with running_backend() as backend:
         client = await connect(backend)
         client.send(request(x_call_cost="5000000"))
-        await until(lambda: backend.busy_cores == 1)
+        await wait_until(lambda: backend.busy_cores == 1)
         client.close()
-        await until(lambda: backend.busy_cores == 0)
+        await wait_until(lambda: backend.busy_cores == 0)
         assert attempts_of(backend)[0].how == "cancelled" and attempts_of(backend)[0].may_have_run
 
 
@@ -121,11 +123,11 @@
         await twin.start(needs_warmup=False)
         client, twin_client = await connect(backend), await connect(twin)
         repeated_request: dict[str, Any] = {"idempotency_key": "k", **SHORT_WORK}
-        await client.ask(request("hold", **repeated_request))
+        await client.send_request(request("hold", **repeated_request))
         first_started_us = attempts_of(backend)[0].started_us
-        assert (await twin_client.ask(request("hold", **repeated_request))).status == 200
+        assert (await twin_client.send_request(request("hold", **repeated_request))).status == 200
         await asyncio.sleep(max(0.0, (first_started_us + 1_020_000 - now_us()) / 1e6))
-        await twin_client.ask(request("hold", **repeated_request))
+        await twin_client.send_request(request("hold", **repeated_request))
         assert [attempt.how for attempt in attempts_of(backend)] == ["ok", "duplicate", "ok"]
         twin.crash()
 
@@ -135,7 +137,7 @@
     async with running_backend(BackendType(cores=1, handshake_us=0, key_saves=0.9)) as backend:
         client = await connect(backend)
         for _ in range(2):
-            await client.ask(request(x_call_cost="150000"))
+            await client.send_request(request(x_call_cost="150000"))
         first, second = attempts_of(backend)
         assert second.ended_us - second.started_us < (first.ended_us - first.started_us) / 2
 
@@ -152,10 +154,10 @@
         clients = [await connect(backend) for _ in range(5)]
         for n, client in enumerate(clients[:3]):  # the backend collapses beyond 3 x 0.3 s of work within a second
             client.send(request(x_call_cost="240000"))
-            await until(lambda n=n: len(backend.jobs) == n + 1 or backend.has_collapsed)  # type: ignore[misc]
+            await wait_until(lambda n=n: len(backend.jobs) == n + 1 or backend.has_collapsed)  # type: ignore[misc]
         assert not backend.has_collapsed
         clients[3].send(request(x_call_cost="400000"))
-        await until(lambda: backend.has_collapsed)
+        await wait_until(lambda: backend.has_collapsed)
         assert [stopped_event.how for stopped_event in backend.event_log.events_of(BackendStopped)] == ["fell"]
         with pytest.raises(ConnectionRefusedError):
             await connect(backend)
@@ -166,16 +168,16 @@
     async with running_backend() as backend:
         client = await connect(backend)
         client.send(request(x_call_cost="5000000"))
-        await until(lambda: backend.busy_cores == 1)
+        await wait_until(lambda: backend.busy_cores == 1)
         assert backend.address is not None
         port = backend.address[1]
         backend.crash()
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
-            await client.answer()
-        await until(lambda: backend.busy_cores == 0)
+            await client.read_response()
+        await wait_until(lambda: backend.busy_cores == 0)
         await backend.start(needs_warmup=True, port=port)
         assert backend.incarnation == 2 and backend.address == ("127.0.0.1", port)
-        assert (await (await connect(backend)).ask(request(**SHORT_WORK))).status == 200
+        assert (await (await connect(backend)).send_request(request(**SHORT_WORK))).status == 200
         assert [attempt.how for attempt in attempts_of(backend)] == ["crashed", "ok"]
 
 
@@ -183,11 +185,11 @@
 async def test_connections_above_the_limit_are_closed() -> None:
     async with running_backend(BackendType(connections=2, handshake_us=0)) as backend:
         kept_clients = [await connect(backend) for _ in range(2)]
-        await until(lambda: len(backend.connections) == 2)
+        await wait_until(lambda: len(backend.connections) == 2)
         extra_client = await connect(backend)
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await extra_client.reader.readexactly(1)
-        assert (await kept_clients[0].ask(request(**SHORT_WORK))).status == 200
+        assert (await kept_clients[0].send_request(request(**SHORT_WORK))).status == 200
 
 
 @on_loop
@@ -195,19 +197,19 @@
     async with running_backend() as backend:
         client = await connect(backend)
         backend.faults.error_share = 1.0
-        answer = await client.ask(request(**SHORT_WORK))
+        answer = await client.send_request(request(**SHORT_WORK))
         assert (
             answer.status == 500 and attempts_of(backend)[-1].how == "error" and attempts_of(backend)[-1].may_have_run
         )
         backend.faults.error_share, backend.faults.drain = 0.0, True
-        assert (await client.ask(request(**SHORT_WORK))).headers["x-rejected"] == "1"
+        assert (await client.send_request(request(**SHORT_WORK))).headers["x-rejected"] == "1"
         backend.faults.drain, backend.faults.slowdown_factor = False, 100.0
         started_us = now_us()
-        await client.ask(request(**SHORT_WORK))
+        await client.send_request(request(**SHORT_WORK))
         assert now_us() - started_us >= 80_000
         backend.faults.slowdown_factor, backend.faults.hang = 1.0, True
         client.send(request(x_call_id="hung", **SHORT_WORK))
-        await until(
+        await wait_until(
             lambda: attempts_of(backend)[-1].id == "hung"
             and attempts_of(backend)[-1].started_us
             and not backend.busy_cores
@@ -215,16 +217,16 @@
         assert await is_silent(client)
         assert attempts_of(backend)[-1].ended_us == 0
         client.close()
-        await until(lambda: attempts_of(backend)[-1].how == "cancelled")
+        await wait_until(lambda: attempts_of(backend)[-1].how == "cancelled")
         backend.faults.hang = False
         silent_client = await connect(backend)
-        await until(lambda: len(backend.connections) == 1)
+        await wait_until(lambda: len(backend.connections) == 1)
         backend.set_silent(True)
         silent_client.send(request(x_call_id="unheard", **SHORT_WORK))
         await asyncio.sleep(0.05)
         assert all(attempt.id != "unheard" for attempt in attempts_of(backend))
         backend.set_silent(False)
-        assert (await silent_client.answer()).status == 200
+        assert (await silent_client.read_response()).status == 200
 
 
 @on_loop
@@ -233,7 +235,7 @@
         backend.faults.late_share = 1.0
         client = await connect(backend)
         started_us = now_us()
-        await client.ask(request(budget_ms=100, **SHORT_WORK))
+        await client.send_request(request(budget_ms=100, **SHORT_WORK))
         assert now_us() - started_us >= 125_000
 
 
@@ -265,7 +267,7 @@
             assert data.count(b"abc s-0 ") >= 1 and valid_start in data
         else:
             assert kind == "short" or not data.startswith(valid_start) or b": -" in data
-        await until(lambda: attempts_of(backend)[0].ended_us)
+        await wait_until(lambda: attempts_of(backend)[0].ended_us)
         assert attempts_of(backend)[0].how == ("spoilt" if kind in MALFORMED_KINDS else "ok")
 
 
@@ -329,20 +331,20 @@
         ended_ids: list[str] = []
         backend.on_job_end = lambda job: ended_ids.append(job.attempt.id)
         first.send(request(x_call_id="left", x_call_cost="60000000"))
-        await until(lambda: backend.busy_cores)
+        await wait_until(lambda: backend.busy_cores)
         (job,) = backend.jobs
         first.close()
-        await until(lambda: job.abandoned_us)
+        await wait_until(lambda: job.abandoned_us)
         assert backend.busy_cores == 1 and job.attempt.how == "running" and not ended_ids
         second.send(request(x_call_id="waits", budget_ms=30, **SHORT_WORK))
-        await until(lambda: len(backend.jobs) == 2)
+        await wait_until(lambda: len(backend.jobs) == 2)
         (waiting_job,) = backend.jobs - {job}
-        await until(lambda: now_us() > waiting_job.deadline_us)
+        await wait_until(lambda: now_us() > waiting_job.deadline_us)
         assert waiting_job.attempt.how == "waiting" and job.timer is not None
         job.timer.cancel()
         job.wait_for_dependencies()  # as when its time on the core is over
-        assert (await second.answer()).status == 200  # started although its deadline had passed
-        await until(lambda: sorted(ended_ids) == ["left", "waits"])
+        assert (await second.read_response()).status == 200  # started although its deadline had passed
+        await wait_until(lambda: sorted(ended_ids) == ["left", "waits"])
         assert (
             job.attempt.how == "cancelled"
             and job.core_released_us <= waiting_job.attempt.started_us < waiting_job.attempt.ended_us
@@ -355,14 +357,14 @@
         backend.set_overload_model(OverloadModel(heeds=True))
         first, second = await connect(backend), await connect(backend)
         first.send(request(x_call_cost="60000000"))
-        await until(lambda: backend.busy_cores)
+        await wait_until(lambda: backend.busy_cores)
         (job,) = backend.jobs
         second.send(request(budget_ms=30))
-        await until(lambda: len(backend.jobs) == 2)
+        await wait_until(lambda: len(backend.jobs) == 2)
         (waiting_job,) = backend.jobs - {job}
-        await until(lambda: now_us() > waiting_job.deadline_us)
+        await wait_until(lambda: now_us() > waiting_job.deadline_us)
         job.release_core()
-        assert (await second.answer()).status == 504 and not waiting_job.attempt.started_us
+        assert (await second.read_response()).status == 504 and not waiting_job.attempt.started_us
 
 
 @on_loop
@@ -372,7 +374,7 @@
         clients = [await connect(backend) for _ in range(2)]
         for n, client in enumerate(clients):
             client.send(request(x_call_id=f"r{n}", x_call_cost="60000000"))
-            await until(lambda n=n: len(backend.jobs) == n + 1)  # type: ignore[misc]
+            await wait_until(lambda n=n: len(backend.jobs) == n + 1)  # type: ignore[misc]
         assert backend.work_factor() == 3.0  # one request above `easy`: 1.5, and choked: 2.0
         for job in list(backend.jobs):
             job.end("ok")
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -40,16 +40,26 @@
 from standins.parties.network import Address
 from standins.site import CLASSES
 
-from tests.sockets import Exchange, Peer, configuration, on_loop, peer, reply, request, silent, until
+from tests.sockets import (
+    Exchange,
+    ScriptedServer,
+    configuration,
+    never_respond,
+    on_loop,
+    reply,
+    request,
+    scripted_server,
+    wait_until,
+)
 
 
-def target_of(peer_gateway: Peer, name: str = "n0", room: int = 0) -> GatewayTarget:
+def target_of(peer_gateway: ScriptedServer, name: str = "n0", room: int = 0) -> GatewayTarget:
     host, _, port = peer_gateway.address.partition(":")
     return GatewayTarget(name, room, (host, int(port)))
 
 
 def echo(exchange: Exchange) -> None:
-    exchange.answer(reply(200, exchange.message.headers["x-call-id"].encode() + b" s-0 ..."))
+    exchange.respond(reply(200, exchange.message.headers["x-call-id"].encode() + b" s-0 ..."))
 
 
 def load_generator_of(*targets: GatewayTarget, **profile_options: Any) -> LoadGenerator:
@@ -69,7 +79,7 @@
 
 @on_loop
 async def test_request_classes_follow_their_shares_and_responses_are_logged() -> None:
-    async with peer(echo) as gateway:
+    async with scripted_server(echo) as gateway:
         generator = load_generator_of(target_of(gateway))
         await generator.run(1.0)
         operations = list(generator.event_log.events_of(OperationStarted))
@@ -79,14 +89,14 @@
             assert abs(shares[request_class.name] / len(operations) - request_class.share) < 0.12
         responses = list(generator.event_log.events_of(ResponseReceived))
         assert len(responses) == len(operations) and all(a.status == 200 and a.echoed_id == a.id for a in responses)
-        post_messages = [x.message for x in gateway.seen if x.message.first.startswith("POST /hold")]
+        post_messages = [x.message for x in gateway.exchanges if x.message.start_line.startswith("POST /hold")]
         assert post_messages and all("idempotency-key" in message.headers for message in post_messages)
 
 
 @on_loop
 async def test_same_seed_draws_the_same_operations() -> None:
     async def drawn_classes(seed: int) -> list[str]:
-        async with peer(echo) as gateway:
+        async with scripted_server(echo) as gateway:
             generator = load_generator_of(target_of(gateway))
             generator.rng = random.Random(seed)
             for _ in range(30):
@@ -100,9 +110,9 @@
 @on_loop
 async def test_retries_follow_rejections_but_not_failed_unsafe_requests() -> None:
     def reject(exchange: Exchange) -> None:
-        exchange.answer(reply(503, b"", "Retry-After: 0.001"))
+        exchange.respond(reply(503, b"", "Retry-After: 0.001"))
 
-    async with peer(reject) as gateway:
+    async with scripted_server(reject) as gateway:
         generator = load_generator_of(target_of(gateway))
         await generator.run_operation(CLASSES["transfer"])
         assert [request_event.id for request_event in generator.event_log.events_of(RequestSent)] == [
@@ -112,11 +122,11 @@
         ]
         assert {request_event.first_id for request_event in generator.event_log.events_of(RequestSent)} == {"1.1"}
         assert next(iter(generator.event_log.events_of(ResponseReceived))).retry_after_us == 1000
-        gateway.script = lambda exchange: exchange.answer(reply(502, b""))
+        gateway.script = lambda exchange: exchange.respond(reply(502, b""))
         await generator.run_operation(CLASSES["transfer"])
         assert [request_event.id for request_event in generator.event_log.events_of(RequestSent)][3:] == ["1.2"]
         await generator.run_operation(CLASSES["hold"])
-        keys = [x.message.headers["idempotency-key"] for x in gateway.seen[4:]]
+        keys = [x.message.headers["idempotency-key"] for x in gateway.exchanges[4:]]
         assert len(keys) == 3 and len(set(keys)) == 1  # all attempts of an operation carry the same key
 
 
@@ -126,12 +136,12 @@
     """A close of a new connection is a lost request, since an idle timeout cannot have crossed it."""
 
     def script(exchange: Exchange) -> None:
-        if len(gateway.seen) == (2 if on_kept_connection else 1):
+        if len(gateway.exchanges) == (2 if on_kept_connection else 1):
             exchange.reset()
         else:
             echo(exchange)
 
-    async with peer(script) as gateway:
+    async with scripted_server(script) as gateway:
         generator, request_class = load_generator_of(target_of(gateway)), CLASSES["search"]
 
         async def send(request_id: str) -> object:
@@ -145,7 +155,9 @@
         result = await send("two")
         sent_requests = [(event.id, event.is_resend) for event in generator.event_log.events_of(RequestSent)]
         if on_kept_connection:
-            assert isinstance(result, ResponseReceived) and result.echoed_id == "two" and gateway.opened == 2
+            assert (
+                isinstance(result, ResponseReceived) and result.echoed_id == "two" and gateway.connection_count == 2
+            )
             assert sent_requests == [("one", False), ("two", False), ("two", True)]
         else:
             assert (
@@ -160,7 +172,7 @@
 
 @on_loop
 async def test_missing_responses_and_unexpected_bytes_are_logged() -> None:
-    async with peer(lambda exchange: None) as gateway:
+    async with scripted_server(lambda exchange: None) as gateway:
         generator = load_generator_of(
             target_of(gateway), max_retries=0, attempt_timeout_share=0.05, early_disconnect_share=0.0
         )
@@ -169,11 +181,11 @@
 
         def respond_twice(exchange: Exchange) -> None:
             echo(exchange)
-            asyncio.get_running_loop().call_later(0.02, exchange.answer, b"HTTP/1.1 200 OK\r\n")
+            asyncio.get_running_loop().call_later(0.02, exchange.respond, b"HTTP/1.1 200 OK\r\n")
 
         gateway.script = respond_twice
         await generator.run_operation(CLASSES["search"])
-        await until(lambda: list(generator.event_log.events_of(UnexpectedBytes)))
+        await wait_until(lambda: list(generator.event_log.events_of(UnexpectedBytes)))
 
 
 @on_loop
@@ -191,7 +203,7 @@
         "n1",
         "n3",
     }  # not yet detected
-    await until(lambda: not targets[1].is_open)
+    await wait_until(lambda: not targets[1].is_open)
     assert {target.name for target in (balancer.pick_target(1) for _ in range(4)) if target} == {"n3"}
     balancer.schedule_close_after_failure("n3")
     balancer.add(targets[3])  # ready again before the failure was detected
@@ -207,27 +219,27 @@
 @on_loop
 async def test_misbehaving_clients_get_an_error_or_a_close(kind: str) -> None:
     """The real gateway in this process ends each kind with an error or a close, and forwards none to a host."""
-    from tests.sockets import running
+    from tests.sockets import running_gateway
 
-    async with peer() as backend, running(configuration(backend)) as run:
+    async with scripted_server() as backend, running_gateway(configuration(backend)) as run:
         event_log = EventLog()
         target = GatewayTarget("n0", 0, ("127.0.0.1", run.port))
         if kind == "the id of an open request":
             assert (
                 await send_misbehaving_request(event_log, target, random.Random(1), kind) is None
             )  # no request is open
-            backend.script = silent
+            backend.script = never_respond
             other_client = await run.connect()
             other_client.send(request(x_call_id="mine"))
-            await until(lambda: backend.seen)
+            await wait_until(lambda: backend.exchanges)
         client = await send_misbehaving_request(event_log, target, random.Random(1), kind, lambda gateway: "mine")
         assert client is not None and list(event_log.events_of(MisbehavingClient)) == [client]
         assert client.ended_us - client.at_us < 3_000_000 and client.ended_us
         assert client.status == 0 or client.status >= 400 or kind in MAY_BE_SERVED_KINDS
-        assert kind in MAY_BE_SERVED_KINDS or len(backend.seen) == (kind == "the id of an open request")
+        assert kind in MAY_BE_SERVED_KINDS or len(backend.exchanges) == (kind == "the id of an open request")
 
 
-def gateway_process_of(folder: Path, backend: Peer, **changes: Any) -> tuple[Gateway, EventLog]:
+def gateway_process_of(folder: Path, backend: ScriptedServer, **changes: Any) -> tuple[Gateway, EventLog]:
     event_log = EventLog()
     gateway = Gateway("n0", 0, folder, dict, event_log)
     config = configuration(backend) | {"listen": f"127.0.0.1:{gateway.port}"} | changes
@@ -237,7 +249,7 @@
 
 @on_loop
 async def test_gateway_process_through_restarts(tmp_path: Path) -> None:
-    async with peer() as backend:
+    async with scripted_server() as backend:
         gateway, event_log = gateway_process_of(tmp_path, backend)
         ready_names, exited_names = list[str](), list[str]()
         gateway.on_ready = lambda process: ready_names.append(process.name)
@@ -250,9 +262,9 @@
             assert usage is not None and usage[0] > 5_000 and usage[1] >= 3
             gateway.send_signal(signal.SIGHUP)
             await gateway.restart(down_s=0.0)
-            await until(lambda: len(ready_names) == 2)
+            await wait_until(lambda: len(ready_names) == 2)
             await gateway.restart(kill=True, down_s=0.0)
-            await until(lambda: len(ready_names) == 3)
+            await wait_until(lambda: len(ready_names) == 3)
             await fleet.stop()
         assert gateway.exit_codes == [0, -9, 0] and exited_names == ["n0"] * 3
         event_kinds = [event.what for event in event_log.events_of(ProcessEvent)]
@@ -263,11 +275,11 @@
 
 @on_loop
 async def test_unrequested_exit_is_logged_as_such(tmp_path: Path) -> None:
-    async with peer() as backend:
+    async with scripted_server() as backend:
         gateway, event_log = gateway_process_of(tmp_path, backend, settings={"lanes": []})
         with Fleet([gateway]) as fleet:
             fleet.start()
-            await until(lambda: gateway.exit_codes)
+            await wait_until(lambda: gateway.exit_codes)
         (exit_event,) = [event for event in event_log.events_of(ProcessEvent) if event.what == "exit"]
         assert exit_event.code == 2 and not exit_event.was_requested
 
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -9,7 +9,7 @@
 from standins.checker.leases import LeadershipGap, ObservedAct, check_leases, leadership_gaps
 from standins.parties.mesh import Mesh, free_udp_address, role_number, unique_loopback_host
 from standins.parties.network import BACK, FORWARD, Address, LinkConditions, Network, UdpLink
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 
 class RecordingEndpoint(asyncio.DatagramProtocol):
@@ -59,9 +59,9 @@
         link: UdpLink, near: RecordingEndpoint, far: RecordingEndpoint, send: Callable[[int, bytes], None]
     ) -> None:
         send(BACK, b"first")
-        await until(lambda: near.received)
+        await wait_until(lambda: near.received)
         send(FORWARD, b"second")
-        await until(lambda: far.received)
+        await wait_until(lambda: far.received)
         assert near.received == [(b"first", link.address)] and far.received == [(b"second", link.address)]
 
     await check_link(check)
@@ -75,17 +75,17 @@
         link.cut((FORWARD,))
         send(FORWARD, b"lost")
         send(BACK, b"heard")
-        await until(lambda: near.received and link.lost_count)
+        await wait_until(lambda: near.received and link.lost_count)
         assert not far.received
         link.heal()
         link.conditions = (LinkConditions(duplicate=1.0), LinkConditions(loss=1.0))
         send(FORWARD, b"twice")
         send(BACK, b"lost")
-        await until(lambda: len(far.received) == 2 and link.lost_count == 2)
+        await wait_until(lambda: len(far.received) == 2 and link.lost_count == 2)
         link.conditions = (LinkConditions(truncated=1.0), LinkConditions(corrupted=1.0))
         send(FORWARD, b"a long one")
         send(BACK, b"\0" * 64)
-        await until(lambda: len(far.received) == 3 and len(near.received) == 2)
+        await wait_until(lambda: len(far.received) == 3 and len(near.received) == 2)
         assert len(far.received[-1][0]) < 10 and len(near.received[-1][0]) == 64
 
     await check_link(check)
@@ -98,10 +98,10 @@
     ) -> None:
         link.conditions = (LinkConditions(delayed=1.0, extra_delay_us=50_000), LinkConditions())
         send(FORWARD, b"late")
-        await until(lambda: link.received_count == 1)
+        await wait_until(lambda: link.received_count == 1)
         link.conditions = (LinkConditions(), LinkConditions())
         send(FORWARD, b"later")
-        await until(lambda: len(far.received) == 2)
+        await wait_until(lambda: len(far.received) == 2)
         assert [data for data, _ in far.received] == [b"later", b"late"]
 
     await check_link(check)
--- a/tests/test_standin_network.py
+++ b/tests/test_standin_network.py
@@ -14,7 +14,7 @@
 from standins.event_log import now_us
 from standins.parties.network import BACK, FORWARD, Flow, Network, TcpLink, UdpLink, reserve_port
 
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 
 @asynccontextmanager
@@ -59,7 +59,7 @@
         writer.write(data)
         writer.write_eof()
         assert await reader.read(-1) == data + b"-end"
-        await until(lambda: not link.flows)
+        await wait_until(lambda: not link.flows)
 
 
 @on_loop
@@ -108,7 +108,7 @@
         assert [conditions.is_cut for conditions in link.conditions] == [False, True]
         writer.write(b"2")
         flow = next(iter(link.flows))
-        await until(lambda: flow.in_transit[BACK])  # the echo waits at the cut
+        await wait_until(lambda: flow.in_transit[BACK])  # the echo waits at the cut
         assert await is_silent(reader)
         server_writers[0].write(b"x")
         network.heal()
@@ -176,7 +176,7 @@
             sock.setblocking(False)
             await loop.sock_connect(sock, target)
             await loop.create_connection(lambda flow=flow: flow.ends[BACK], sock=sock)  # type: ignore[misc]
-        await until(lambda: len(server_writers) == len(other_writers) == 1)
+        await wait_until(lambda: len(server_writers) == len(other_writers) == 1)
         assert [network.flow_of(writer.transport) for writer in (*server_writers, *other_writers)] == flows
         for flow in flows:
             flow.abort()
@@ -269,17 +269,17 @@
         caller.transport.sendto(data, link.address)
 
     send(b"1")
-    await until(lambda: caller.received == [b"re:1"])
+    await wait_until(lambda: caller.received == [b"re:1"])
     link.conditions[FORWARD].duplicate = 1.0
     send(b"2")
-    await until(lambda: target.received == [b"1", b"2", b"2"] and len(caller.received) == 3)
+    await wait_until(lambda: target.received == [b"1", b"2", b"2"] and len(caller.received) == 3)
     link.conditions[FORWARD].duplicate, link.conditions[FORWARD].loss = 0.0, 1.0
     send(b"3")
-    await until(lambda: link.lost_count == 1)
+    await wait_until(lambda: link.lost_count == 1)
     link.conditions[FORWARD].loss = 0.0
     network.partition(["b"], ["a"], one_way=True)
     send(b"4")
-    await until(lambda: link.lost_count == 2 and target.received[-1] == b"4")
+    await wait_until(lambda: link.lost_count == 2 and target.received[-1] == b"4")
     assert caller.received == [b"re:1", b"re:2", b"re:2"]
     network.close()
     caller.transport.close()
