--- a/tests/test_standin_registry.py
+++ b/tests/test_standin_registry.py
@@ -15,7 +15,7 @@
 from standins.parties.network import Address
 from standins.parties.registry import Entry, Registry, RegistryListener
 
-from tests.sockets import Client, Message, on_loop, until
+from tests.sockets import Client, Message, on_loop, wait_until
 
 
 @dataclass
@@ -33,7 +33,7 @@
 
     async def request_list(self, query: str = "", client: Client | None = None) -> Message:
         connection = client or await self.connect()
-        return await connection.ask(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+        return await connection.send_request(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
 
     async def fetch_list(self, query: str = "") -> dict[str, Any]:
         parsed: dict[str, Any] = json.loads((await self.request_list(query)).body)
@@ -83,7 +83,7 @@
 async def test_watch_waits_for_changes_and_returns_only_them() -> None:
     async with registry_harness() as harness:
         watch = asyncio.create_task(harness.fetch_list("?from=1&hold_ms=20000"))
-        await until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
+        await wait_until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
         assert not watch.done()
         harness.registry.schedule_change(harness.registry.entries["s-1"], "DRAINING", lag_s=0.02)
         response = await watch
@@ -108,7 +108,7 @@
     async with registry_harness() as harness:
         await harness.fetch_list()
         harness.registry.schedule_change(harness.registry.entries["s-0"], "DELETED", lag_s=0.0)
-        await until(lambda: harness.registry.index == 2)
+        await wait_until(lambda: harness.registry.index == 2)
         await harness.fetch_list()
         assert (
             harness.delivered_statuses()[-2:] == [("s-1", "SERVING"), ("s-0", "DELETED")]
@@ -121,9 +121,9 @@
     async with registry_harness() as harness:
         first_entry = harness.registry.entries["s-0"]
         harness.registry.schedule_change(make_entry("s-0"), "SERVING", lag_s=0.0)
-        await until(lambda: harness.registry.index == 2)
+        await wait_until(lambda: harness.registry.index == 2)
         harness.registry.schedule_change(first_entry, "DELETED", lag_s=0.0)
-        await until(lambda: not harness.registry.tasks)
+        await wait_until(lambda: not harness.registry.tasks)
         assert [record["name"] for record in (await harness.fetch_list())["endpoints"]] == ["s-0", "s-1"]
         assert (await harness.fetch_list("?from=2&hold_ms=10"))["endpoints"] == []
 
@@ -133,7 +133,7 @@
     async with registry_harness() as harness:
         for status in ("DRAINING", "SERVING"):
             harness.registry.schedule_change(harness.registry.entries["s-0"], status, lag_s=0.0)
-            await until(lambda status=status: harness.registry.entries["s-0"].status == status)  # type: ignore[misc]
+            await wait_until(lambda status=status: harness.registry.entries["s-0"].status == status)  # type: ignore[misc]
         harness.registry.roll_back_index(2)
         response = await harness.fetch_list("?from=3&hold_ms=20000")
         assert response["snapshot"] is True and response["index"] == 1
@@ -145,7 +145,7 @@
     async with registry_harness() as harness:
         client = await harness.connect()
         watch = asyncio.create_task(harness.request_list("?from=1&hold_ms=60000", client))
-        await until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
+        await wait_until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
         await harness.registry.set_outage_mode(mode)
         if mode == "503":
             assert (await watch).status == 503
@@ -189,7 +189,7 @@
     async with registry_harness() as harness:
         harness.network_open.clear()
         pending = asyncio.create_task(harness.fetch_list())
-        await until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
+        await wait_until(lambda: list(harness.registry.event_log.events_of(DiscoveryPoll)))
         done, _ = await asyncio.wait((pending,), timeout=0.05)
         assert not done and not harness.delivered_statuses()
         harness.network_open.set()
@@ -209,5 +209,5 @@
     async with registry_harness() as harness:
         await harness.fetch_list("?from=1&hold_ms=40")
         (poll,) = harness.registry.event_log.events_of(DiscoveryPoll)
-        await until(lambda: poll.until_us)
+        await wait_until(lambda: poll.until_us)
         assert poll.until_us - poll.at_us >= 38_000 and poll.gateway == "n0"
