--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.helpers import Driver, sends, trip
+from tests.helpers import Driver, send_actions, trip_breaker
 from cloverkeel.balancing.events import ListKind, ListedServer, Outcome, RequestGone
 from cloverkeel.balancing.load_shedding import SHED_STEP
 from cloverkeel.balancing.subset import MIN_SUBSET_SIZE
@@ -22,7 +22,7 @@
 
 def open_breaker() -> CircuitBreaker:
     breaker = CircuitBreaker()
-    trip(breaker, 0)
+    trip_breaker(breaker, 0)
     return breaker
 
 
@@ -105,30 +105,30 @@
 def test_the_breaker_of_a_failing_server_opens_and_it_gets_nothing() -> None:
     driver = Driver(servers=3)
     for _ in range(200):
-        name, actions = driver.arrive()
-        server = sends(actions)[0].server
-        actions = driver.end(name, server, Outcome.RESET if server == 0 else Outcome.OK)
-        for again in sends(actions):
-            driver.end(name, again.server, attempt=1)
+        name, actions = driver.start_request()
+        server = send_actions(actions)[0].server
+        actions = driver.end_attempt(name, server, Outcome.RESET if server == 0 else Outcome.OK)
+        for again in send_actions(actions):
+            driver.end_attempt(name, again.server, attempt=1)
     assert driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN
     for _ in range(50):
-        name, actions = driver.arrive()
-        assert sends(actions)[0].server != 0
-        driver.end(name, sends(actions)[0].server)
+        name, actions = driver.start_request()
+        assert send_actions(actions)[0].server != 0
+        driver.end_attempt(name, send_actions(actions)[0].server)
 
 
 def test_weight_rises_after_good_answers_and_is_cut_after_failures() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.endpoints.by_server[0]
     server.weight = 0.5
-    name, _ = driver.arrive()
-    driver.end(name, 0)
+    name, _ = driver.start_request()
+    driver.end_attempt(name, 0)
     assert server.weight == 0.5 + WEIGHT_STEP
-    name, _ = driver.arrive(class_index=2)
-    driver.end(name, 0, Outcome.RESET)
+    name, _ = driver.start_request(class_index=2)
+    driver.end_attempt(name, 0, Outcome.RESET)
     assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
-    name, _ = driver.arrive(class_index=2)
-    driver.end(name, 0, Outcome.ERROR)  # counts for this class only: the other class's last answer was good
+    name, _ = driver.start_request(class_index=2)
+    driver.end_attempt(name, 0, Outcome.ERROR)  # counts for this class only: the other class's last answer was good
     assert (
         server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT and server.class_health(2).weight == MAX_WEIGHT * WEIGHT_CUT
     )
@@ -137,8 +137,8 @@
 def test_an_answer_slower_than_twice_the_smoothed_latency_cuts_the_weight() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.endpoints.by_server[0]
-    name, _ = driver.arrive()
-    driver.end(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
+    name, _ = driver.start_request()
+    driver.end_attempt(name, 0, latency_us=int(driver.balancer.latency.smoothed_us[0] * 2.2))
     assert server.weight == MAX_WEIGHT * WEIGHT_CUT
 
 
@@ -166,16 +166,16 @@
     driver = Driver(servers=1)
     server = driver.balancer.endpoints.by_server[0]
     for _ in range(MIN_OUTCOMES):
-        name, actions = driver.arrive(class_index=2)
-        assert sends(actions)
-        driver.end(name, 0, Outcome.RESET)
+        name, actions = driver.start_request(class_index=2)
+        assert send_actions(actions)
+        driver.end_attempt(name, 0, Outcome.RESET)
     assert server.breaker.state is BreakerState.OPEN
     weight = server.weight
     driver.now_us += INITIAL_COOLDOWN_US
     for _ in range(HALF_OPEN_PROBES):
-        name, actions = driver.arrive()
-        assert sends(actions)
-        driver.end(name, 0)
+        name, actions = driver.start_request()
+        assert send_actions(actions)
+        driver.end_attempt(name, 0)
     assert server.breaker.state.value == "closed"
     assert server.weight == max(MIN_WEIGHT, weight)
 
@@ -183,13 +183,13 @@
 def test_a_failed_connect_of_a_probe_reopens_the_breaker_at_once_for_longer() -> None:
     """Guards against two more requests to a full connection table after each cooldown."""
     driver = Driver(servers=1)
-    name, _ = driver.arrive()
-    driver.end(name, 0, Outcome.CONNECT_FAILED)
+    name, _ = driver.start_request()
+    driver.end_attempt(name, 0, Outcome.CONNECT_FAILED)
     breaker = driver.balancer.endpoints.by_server[0].breaker
     driver.now_us = breaker.open_until_us
-    name, actions = driver.arrive()
-    assert sends(actions) and breaker.state is BreakerState.HALF_OPEN
-    driver.end(name, 0, Outcome.CONNECT_FAILED)
+    name, actions = driver.start_request()
+    assert send_actions(actions) and breaker.state is BreakerState.HALF_OPEN
+    driver.end_attempt(name, 0, Outcome.CONNECT_FAILED)
     assert breaker.state.value == "open"
     assert breaker.open_until_us == driver.now_us + 2 * INITIAL_COOLDOWN_US
 
@@ -202,13 +202,13 @@
     driver, rng, open_breakers, count = Driver(servers=10, seed=seed), random.Random(seed), 0, 3000
     for number in range(count):
         driver.now_us += 3_000
-        name, actions = driver.arrive(class_index=number % 3, client_timeout_us=1_000_000)
+        name, actions = driver.start_request(class_index=number % 3, client_timeout_us=1_000_000)
         attempt = 0
-        while sent := sends(actions):
+        while sent := send_actions(actions):
             driver.now_us += 1_000
             failed = rng.random() < failure_ratio or sent[0].server == dead_server
             outcome = Outcome.RESET if failed else Outcome.OK
-            actions = driver.end(name, sent[0].server, outcome, attempt=attempt)
+            actions = driver.end_attempt(name, sent[0].server, outcome, attempt=attempt)
             attempt += 1
         open_breakers += sum(
             s.breaker.state is BreakerState.OPEN for s in driver.balancer.endpoints.by_server.values()
@@ -231,8 +231,8 @@
     for server in driver.balancer.endpoints.ranked[:MIN_SUBSET_SIZE]:
         server.breaker.open(driver.now_us)
     driver.now_us += INITIAL_COOLDOWN_US
-    _, actions = driver.arrive(class_index=2, client_timeout_us=1_000_000)
-    assert sends(actions)
+    _, actions = driver.start_request(class_index=2, client_timeout_us=1_000_000)
+    assert send_actions(actions)
 
 
 def test_a_retry_after_a_reset_costs_less_and_is_sent_while_little_is_shed() -> None:
@@ -242,10 +242,10 @@
         SHED_STEP,
     )
     driver.balancer.rng.seed(1)
-    name, actions = driver.arrive(class_index=1, client_timeout_us=800_000)
-    again = sends(driver.end(name, sends(actions)[0].server, Outcome.RESET))
+    name, actions = driver.start_request(class_index=1, client_timeout_us=800_000)
+    again = send_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.RESET))
     assert again and driver.balancer.retry_budget.tokens == 0
-    assert not sends(driver.end(name, again[0].server, Outcome.RESET, attempt=1))
+    assert not send_actions(driver.end_attempt(name, again[0].server, Outcome.RESET, attempt=1))
 
 
 def test_a_server_that_never_answers_one_class_is_avoided_for_that_class_only() -> None:
@@ -256,13 +256,13 @@
         driver.now_us += 3_000
         class_index = int(number % 4 == 1)
         driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
-        name, actions = driver.arrive(class_index=class_index, client_timeout_us=400_000)
-        (sent,) = sends(actions)
+        name, actions = driver.start_request(class_index=class_index, client_timeout_us=400_000)
+        (sent,) = send_actions(actions)
         if sent.server == 2 and class_index == 1:
             timed_out += 1
             driver.now_us += 150_000
-            driver.end(name, 2, Outcome.TIMEOUT, latency_us=150_000)
+            driver.end_attempt(name, 2, Outcome.TIMEOUT, latency_us=150_000)
             driver.handle(RequestGone(name))
         else:
-            driver.end(name, sent.server)
+            driver.end_attempt(name, sent.server)
     assert timed_out <= 12
--- a/tests/balancing/test_latency_by_size.py
+++ b/tests/balancing/test_latency_by_size.py
@@ -17,7 +17,7 @@
 from cloverkeel.balancing.events import AttemptEnded, ListKind, ListedServer, Outcome, RequestArrived, ServerList
 from cloverkeel.balancing.settings import RequestClass, Settings
 
-from tests.helpers import Driver, sends
+from tests.helpers import Driver, send_actions
 
 WAIT_US, WORK_US = 40_000, 50_000  # of an answer: part independent of the size, and part proportional to it
 CLASS = RequestClass(objective_us=600_000, client_timeout_us=1_500_000)
@@ -66,10 +66,10 @@
 
 def serve_request(driver: Driver, work_us: int, latency_us: int) -> None:
     driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
-    name, actions = driver.arrive(work_us=work_us, client_timeout_us=1_500_000)
+    name, actions = driver.start_request(work_us=work_us, client_timeout_us=1_500_000)
     driver.now_us += 5_000
-    for send in sends(actions):
-        driver.end(name, send.server, latency_us=latency_us)
+    for send in send_actions(actions):
+        driver.end_attempt(name, send.server, latency_us=latency_us)
 
 
 def test_requests_of_almost_no_work_do_not_distort_the_smoothed_latency() -> None:
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -10,7 +10,7 @@
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.balancing.settings import Effect, RequestClass, Scope, Settings
 
-from tests.helpers import Driver, finals, sends, trip
+from tests.helpers import Driver, final_actions, send_actions, trip_breaker
 
 DEPOSIT = RequestClass(objective_us=400_000, client_timeout_us=800_000, priority_weight=10.0, effect=Effect.UNSAFE)
 RESERVE = RequestClass(
@@ -27,7 +27,7 @@
 
 def open_all_breakers(driver: Driver) -> None:
     for server in driver.balancer.endpoints.by_server.values():
-        trip(server.breaker, driver.now_us)
+        trip_breaker(server.breaker, driver.now_us)
 
 
 def test_an_unsafe_request_may_be_a_probe_if_no_breaker_is_closed() -> None:
@@ -35,12 +35,12 @@
     driver = Driver(SETTINGS, servers=2)
     open_all_breakers(driver)
     # All cooldowns are running.
-    assert finals(driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])[1])
+    assert final_actions(driver.start_request(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])[1])
     driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.endpoints.by_server.values())
     for _ in range(20):
-        name, actions = driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])
-        assert len(sends(actions)) == 1
-        driver.end(name, sends(actions)[0].server)
+        name, actions = driver.start_request(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])
+        assert len(send_actions(actions)) == 1
+        driver.end_attempt(name, send_actions(actions)[0].server)
     assert any(server.breaker.state is BreakerState.CLOSED for server in driver.balancer.endpoints.by_server.values())
 
 
@@ -50,9 +50,9 @@
     driver.balancer.endpoints.by_server[1].breaker.close()
     driver.now_us = max(server.breaker.open_until_us for server in driver.balancer.endpoints.by_server.values())
     for _ in range(60):
-        name, actions = driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])
-        assert sends(actions)[0].server == 1
-        driver.end(name, 1)
+        name, actions = driver.start_request(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])
+        assert send_actions(actions)[0].server == 1
+        driver.end_attempt(name, 1)
 
 
 def test_some_requests_of_each_class_are_admitted_at_the_maximum_shed_ratio() -> None:
@@ -64,11 +64,13 @@
         driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
             MAX_SHED_RATIO
         )
-        name, actions = driver.arrive(class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index])
+        name, actions = driver.start_request(
+            class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index]
+        )
         driver.now_us += 5_000
-        for send in sends(actions):
+        for send in send_actions(actions):
             sent[class_index] += 1
-            driver.end(name, send.server)
+            driver.end_attempt(name, send.server)
     assert all(10 < count < 200 for count in sent)
 
 
@@ -76,8 +78,8 @@
     """One class was shed completely and the other could not probe, so no answer ever lowered the shed ratios."""
     driver = Driver(SETTINGS, servers=4)
     for number in range(200):  # learns the latencies, and so the priorities, of both classes
-        name, actions = driver.arrive(class_index=number % 2, client_timeout_us=CLIENT_TIMEOUTS_US[number % 2])
-        driver.end(name, sends(actions)[0].server, latency_us=60_000 if number % 2 == 0 else 150_000)
+        name, actions = driver.start_request(class_index=number % 2, client_timeout_us=CLIENT_TIMEOUTS_US[number % 2])
+        driver.end_attempt(name, send_actions(actions)[0].server, latency_us=60_000 if number % 2 == 0 else 150_000)
         driver.now_us += 5_000
     driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
         MAX_SHED_RATIO
@@ -87,9 +89,11 @@
     for number in range(2000):  # ten seconds at a load within the servers' capacity
         driver.now_us += 5_000
         class_index = number % 2
-        name, actions = driver.arrive(class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index])
-        for send in sends(actions):
-            driver.end(name, send.server, latency_us=60_000 if class_index == 0 else 150_000)
+        name, actions = driver.start_request(
+            class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index]
+        )
+        for send in send_actions(actions):
+            driver.end_attempt(name, send.server, latency_us=60_000 if class_index == 0 else 150_000)
             served += number >= 1800
     assert served > 190
 
@@ -100,14 +104,14 @@
     driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = (
         0.0  # the request is admitted
     )
-    name, actions = driver.arrive(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
-    server = sends(actions)[0].server
+    name, actions = driver.start_request(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
+    server = send_actions(actions)[0].server
     driver.now_us += latency_us
     if answered:
         driver.balancer.endpoints.by_server[server].answered_at_us = driver.now_us - 1
     driver.balancer.load_shedder.adjusted_at_us = driver.now_us - 100_000
     driver.balancer.load_shedder.high_priority_ratio = 0.5
-    driver.end(name, server, outcome, latency_us=latency_us)
+    driver.end_attempt(name, server, outcome, latency_us=latency_us)
     return driver.balancer.load_shedder.high_priority_ratio - 0.5
 
 
@@ -134,13 +138,13 @@
     for answered, state in ((True, BreakerState.CLOSED), (False, BreakerState.OPEN)):
         driver = Driver(SETTINGS, servers=1)
         driver.balancer.endpoints.by_server[0].concurrency.limit = 100.0
-        names = [driver.arrive(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])[0] for _ in range(9)]
+        names = [driver.start_request(class_index=0, client_timeout_us=CLIENT_TIMEOUTS_US[0])[0] for _ in range(9)]
         driver.now_us += 300_000
         if answered:
-            driver.end(names.pop(), 0, latency_us=300_000)
+            driver.end_attempt(names.pop(), 0, latency_us=300_000)
         driver.now_us += 92_000
         for name in names[:6]:
-            driver.end(name, 0, Outcome.TIMEOUT, latency_us=392_000)
+            driver.end_attempt(name, 0, Outcome.TIMEOUT, latency_us=392_000)
         assert driver.balancer.endpoints.by_server[0].breaker.state is state
 
 
@@ -148,8 +152,10 @@
     """Send requests until one is refused; return the names of those sent."""
     sent = []
     for _ in range(1_000):
-        name, actions = driver.arrive(class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index])
-        if not sends(actions):
+        name, actions = driver.start_request(
+            class_index=class_index, client_timeout_us=CLIENT_TIMEOUTS_US[class_index]
+        )
+        if not send_actions(actions):
             break
         sent.append(name)
     return sent
@@ -174,13 +180,13 @@
         for name in send_until_refused(driver, 1):
             driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
             driver.now_us += unloaded_us
-            driver.end(name, 0, latency_us=3 * unloaded_us)
+            driver.end_attempt(name, 0, latency_us=3 * unloaded_us)
     assert server.concurrency.limit == MIN_LIMIT
     for _ in range(40):
         for name in send_until_refused(driver, 1):
             driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.high_priority_ratio = 0.0
             driver.now_us += unloaded_us // 8
-            driver.end(name, 0, latency_us=unloaded_us)
+            driver.end_attempt(name, 0, latency_us=unloaded_us)
     assert server.concurrency.limit > 4 * MIN_LIMIT
 
 
@@ -188,9 +194,9 @@
     """Otherwise the limit would grow without bound at low load, and admit any overload after it."""
     driver = Driver(SETTINGS, servers=1)
     for _ in range(200):
-        name, actions = driver.arrive(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
+        name, actions = driver.start_request(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
         driver.now_us += 10_000
-        driver.end(name, sends(actions)[0].server, latency_us=10_000)
+        driver.end_attempt(name, send_actions(actions)[0].server, latency_us=10_000)
     assert driver.balancer.endpoints.by_server[0].concurrency.limit == INITIAL_LIMIT
 
 
@@ -201,7 +207,7 @@
         driver = Driver(SETTINGS, servers=8, seed=seed)
         driver.balancer.subset.size = 20.0
         for _ in range(64):
-            driver.arrive(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
+            driver.start_request(class_index=1, client_timeout_us=CLIENT_TIMEOUTS_US[1])
         in_flight = [len(server.in_flight) for server in driver.balancer.endpoints.by_server.values()]
         assert sum(in_flight) == 64
         total_spread += max(in_flight) - min(in_flight)
@@ -213,6 +219,8 @@
     same_server = 0
     for seed in range(300):
         driver = Driver(replace(SETTINGS, servers_know_keys=True), servers=3, seed=seed)
-        first, second = (sends(driver.arrive(1, CLIENT_TIMEOUTS_US[1], key=9)[1])[0].server for _ in range(2))
+        first, second = (
+            send_actions(driver.start_request(1, CLIENT_TIMEOUTS_US[1], key=9)[1])[0].server for _ in range(2)
+        )
         same_server += first == second
     assert same_server > 180
--- a/tests/balancing/test_peer_reports.py
+++ b/tests/balancing/test_peer_reports.py
@@ -9,7 +9,7 @@
 from cloverkeel.balancing.peer_reports import MAX_PROBE_DELAY_US
 from cloverkeel.gossip.outcome_window import OBSERVATION_LIFETIME_US
 from cloverkeel.gossip.retry_tokens import GRANT_LIFETIME_US, MAX_SAVED_TOKENS
-from tests.helpers import Driver, sends, trip
+from tests.helpers import Driver, send_actions, trip_breaker
 
 
 # Retry tokens
@@ -23,7 +23,7 @@
     until_us = driver.now_us + GRANT_LIFETIME_US
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, until_us))
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, until_us))
-    driver.arrive()
+    driver.start_request()
     assert balancer.retry_token_state(until_us - 1)[0] == 2.0  # deposits add nothing above the cap
     assert balancer.retry_token_state(until_us)[0] == MAX_SAVED_TOKENS
 
@@ -32,14 +32,14 @@
     driver = Driver()
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, -10.0))
     for _ in range(2):
-        name, actions = driver.arrive()
-        actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
-        assert not sends(actions)
+        name, actions = driver.start_request()
+        actions = driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR)
+        assert not send_actions(actions)
     assert driver.balancer.retry_token_state(driver.now_us)[1]
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, 1.0, driver.now_us + GRANT_LIFETIME_US))
-    name, actions = driver.arrive()
-    actions = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
-    assert len(sends(actions)) == 1
+    name, actions = driver.start_request()
+    actions = driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR)
+    assert len(send_actions(actions)) == 1
 
 
 # Health reports
@@ -53,10 +53,10 @@
     """Return the share of requests sent to each server; all are answered at once."""
     counts = [0] * len(driver.balancer.endpoints.by_server)
     for _ in range(requests):
-        name, actions = driver.arrive()
-        (sent,) = sends(actions)
+        name, actions = driver.start_request()
+        (sent,) = send_actions(actions)
         counts[sent.server] += 1
-        driver.end(name, sent.server)
+        driver.end_attempt(name, sent.server)
     return [count / requests for count in counts]
 
 
@@ -91,8 +91,8 @@
         driver = Driver(servers=1)
         if is_suspected:
             report(driver, 0, 0.0, 3.0)
-        name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server, Outcome.ERROR)
+        name, actions = driver.start_request()
+        driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR)
         assert (driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN) is is_suspected
     assert MIN_OUTCOMES > 1
 
@@ -101,11 +101,11 @@
     """Under overload each server fails for every proxy, and no single server is the cause."""
     driver = Driver(servers=5)
     for _ in range(60):
-        name, actions = driver.arrive(class_index=2)
-        sent = sends(actions)
+        name, actions = driver.start_request(class_index=2)
+        sent = send_actions(actions)
         if not sent:
             break
-        driver.end(name, sent[0].server, Outcome.TIMEOUT, latency_us=300_000)
+        driver.end_attempt(name, sent[0].server, Outcome.TIMEOUT, latency_us=300_000)
         driver.now_us += 10_000
     report(driver, 0, 1.0, 3.0)
     assert driver.balancer.endpoints.by_server[0].suspected_until_us == 0
@@ -113,7 +113,7 @@
 
 def open_first_breaker(driver: Driver) -> Any:
     breaker = driver.balancer.endpoints.by_server[0].breaker
-    trip(breaker, driver.now_us)
+    trip_breaker(breaker, driver.now_us)
     return breaker
 
 
@@ -131,7 +131,7 @@
 def test_probes_do_not_wait_for_other_proxies_while_most_breakers_are_open() -> None:
     driver = Driver(servers=3)
     breaker = open_first_breaker(driver)
-    trip(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
+    trip_breaker(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
     report(driver, 0, 0.0, 3.0)
     assert driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
@@ -153,6 +153,6 @@
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(3, started_us=9))
     assert driver.balancer.started_at_us(3) == 9 and driver.balancer.started_at_us(4) == -1
-    driver.arrive()
+    driver.start_request()
     assert driver.balancer.silent_servers(driver.now_us) == []
     assert driver.balancer.silent_servers(driver.now_us + 10_000_000) == [3]
--- a/tests/balancing/test_repeated_ids.py
+++ b/tests/balancing/test_repeated_ids.py
@@ -27,64 +27,64 @@
     TimerFired,
 )
 
-from tests.helpers import KEYED, SAFE, SETTINGS, START_US, UNSAFE, Driver, finals, sends
+from tests.helpers import KEYED, SAFE, SETTINGS, START_US, UNSAFE, Driver, final_actions, send_actions
 from tests.sockets import configuration, on_loop, request, running_gateway, scripted_server, wait_until
 
 
 def test_late_timer_of_an_answered_request_leaves_a_later_request_with_its_id_alone() -> None:
     driver = Driver()
-    (first,) = sends(driver.handle(RequestArrived("r", 0, 400_000)))
+    (first,) = send_actions(driver.handle(RequestArrived("r", 0, 400_000)))
     request_timers = [timer for timer in driver.timers if timer.token != 1]  # 1 is the expiry scan's token
     driver.now_us += 20_000
-    driver.end("r", first.server)
-    (second,) = sends(driver.handle(RequestArrived("r", 0, 400_000)))
+    driver.end_attempt("r", first.server)
+    (second,) = send_actions(driver.handle(RequestArrived("r", 0, 400_000)))
     for timer in request_timers:
         driver.now_us = max(driver.now_us, timer.due_us)
         driver.handle(TimerFired(timer.token))
     assert "r" in driver.balancer.lifecycle.requests
-    driver.end("r", second.server)
+    driver.end_attempt("r", second.server)
     assert not driver.balancer.lifecycle.requests and not driver.balancer.sender.in_flight
     assert not any(server.in_flight for server in driver.balancer.endpoints.by_server.values())
 
 
 def test_attempt_without_an_end_expires_and_is_logged_as_a_defect() -> None:
     driver = Driver()
-    name, actions = driver.arrive(2, 400_000)
-    (sent,) = sends(actions)
+    name, actions = driver.start_request(2, 400_000)
+    (sent,) = send_actions(actions)
     scan_actions: list[Action] = []
-    while not finals(scan_actions) and driver.now_us < START_US + 10 * (EXPIRED_AFTER_US + SCAN_INTERVAL_US):
+    while not final_actions(scan_actions) and driver.now_us < START_US + 10 * (EXPIRED_AFTER_US + SCAN_INTERVAL_US):
         driver.now_us += SCAN_INTERVAL_US
         scan_actions += driver.handle(TimerFired(1))
     assert START_US + sent.timeout_us + EXPIRED_AFTER_US < driver.now_us
-    assert finals(scan_actions) == [Fail(name)]  # not refused: the request is unsafe and may have run
+    assert final_actions(scan_actions) == [Fail(name)]  # not refused: the request is unsafe and may have run
     assert any(isinstance(action, Log) and "DEFECT" in action.line for action in scan_actions)
     assert not driver.balancer.sender.in_flight and not driver.balancer.endpoints.by_server[sent.server].in_flight
     assert not driver.balancer.expiry_scan.due_at_us  # no scan is scheduled while nothing is in flight
-    driver.end(name, sent.server)  # an end after the expiry changes nothing
+    driver.end_attempt(name, sent.server)  # an end after the expiry changes nothing
     assert not driver.balancer.sender.in_flight
 
 
 def test_expiry_scan_does_not_expire_attempts_in_time_or_streaming_requests() -> None:
     driver = Driver()
-    name, actions = driver.arrive(0, 400_000)
-    (sent,) = sends(actions)
+    name, actions = driver.start_request(0, 400_000)
+    (sent,) = send_actions(actions)
     driver.now_us += sent.timeout_us + EXPIRED_AFTER_US  # the last microsecond before the attempt expires
-    assert not finals(driver.handle(TimerFired(1))) and driver.balancer.sender.in_flight == 1
+    assert not final_actions(driver.handle(TimerFired(1))) and driver.balancer.sender.in_flight == 1
     driver.handle(StreamStarted(name, 0))
     driver.now_us += 10 * EXPIRED_AFTER_US
-    assert not finals(driver.handle(TimerFired(1))) and driver.balancer.sender.in_flight == 1
+    assert not final_actions(driver.handle(TimerFired(1))) and driver.balancer.sender.in_flight == 1
 
 
 def test_late_expiry_scan_expires_nothing_until_the_next_one() -> None:
     driver = Driver()
-    name, actions = driver.arrive(2, 400_000)
-    (sent,) = sends(actions)
+    name, actions = driver.start_request(2, 400_000)
+    (sent,) = send_actions(actions)
     driver.now_us += sent.timeout_us + 2 * EXPIRED_AFTER_US  # the process stalled, and with it the attempt
     scan_actions = driver.handle(TimerFired(1))
-    assert not finals(scan_actions) and driver.balancer.sender.in_flight == 1
+    assert not final_actions(scan_actions) and driver.balancer.sender.in_flight == 1
     (next_scan,) = [action for action in scan_actions if isinstance(action, SetTimer)]
     driver.now_us = next_scan.due_us
-    assert finals(driver.handle(TimerFired(1))) == [Fail(name)]
+    assert final_actions(driver.handle(TimerFired(1))) == [Fail(name)]
 
 
 IN_ORDER = replace(UNSAFE, in_order=True)
@@ -224,7 +224,7 @@
         self.handle(ServerList(ListKind.FULL, fresh))
         # The drawn outcomes may have raised the shed ratios, and the request below must not be shed.
         balancer.load_shedder.low_priority_ratio = balancer.load_shedder.high_priority_ratio = 0.0
-        assert sends(self.handle(RequestArrived("fresh", 0, 400_000)))
+        assert send_actions(self.handle(RequestArrived("fresh", 0, 400_000)))
 
 
 RepeatedIds.TestCase.settings = hypothesis_settings(
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -10,7 +10,17 @@
 
 import pytest
 
-from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, finals, sends, timers, trip
+from tests.helpers import (
+    KEYED,
+    SAFE,
+    SETTINGS,
+    UNSAFE,
+    Driver,
+    final_actions,
+    request_timers,
+    send_actions,
+    trip_breaker,
+)
 from cloverkeel.balancing.actions import Cancel, Fail, Log, Refuse, WatchList
 from cloverkeel.balancing.events import (
     AnswerAll,
@@ -35,56 +45,56 @@
 
 def test_unsafe_request_that_may_have_run_fails_without_retry() -> None:
     driver = Driver()
-    name, actions = driver.arrive(class_index=2)
-    answer = driver.end(name, sends(actions)[0].server, Outcome.RESET)
-    assert finals(answer) == [Fail(name)] and not sends(answer)
+    name, actions = driver.start_request(class_index=2)
+    answer = driver.end_attempt(name, send_actions(actions)[0].server, Outcome.RESET)
+    assert final_actions(answer) == [Fail(name)] and not send_actions(answer)
 
 
 def test_unsafe_request_that_did_not_run_is_retried_at_another_server() -> None:
     driver = Driver()
-    name, actions = driver.arrive(class_index=2)
-    first = sends(actions)[0].server
-    again = sends(driver.end(name, first, Outcome.CONNECT_FAILED))
+    name, actions = driver.start_request(class_index=2)
+    first = send_actions(actions)[0].server
+    again = send_actions(driver.end_attempt(name, first, Outcome.CONNECT_FAILED))
     assert len(again) == 1 and again[0].server != first
 
 
 def test_keyed_request_is_retried_in_its_group_and_window() -> None:
     driver = Driver(servers=6)
-    name, actions = driver.arrive(class_index=1)
-    first = sends(actions)[0].server
-    again = sends(driver.end(name, first, Outcome.RESET))
+    name, actions = driver.start_request(class_index=1)
+    first = send_actions(actions)[0].server
+    again = send_actions(driver.end_attempt(name, first, Outcome.RESET))
     assert again[0].server % 2 == first % 2
-    name, actions = driver.arrive(class_index=1)
+    name, actions = driver.start_request(class_index=1)
     driver.now_us += KEYED.window_us
-    assert finals(driver.end(name, sends(actions)[0].server, Outcome.RESET)) == [Fail(name)]
+    assert final_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.RESET)) == [Fail(name)]
 
 
 def test_keyed_request_with_scope_all_is_refused_instead_of_failed() -> None:
     anywhere = replace(KEYED, scope=Scope.ALL)
     driver = Driver(replace(SETTINGS, classes=(anywhere,), max_attempts=1))
-    name, actions = driver.arrive()
-    assert finals(driver.end(name, sends(actions)[0].server, Outcome.ERROR)) == [Refuse(name)]
+    name, actions = driver.start_request()
+    assert final_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR)) == [Refuse(name)]
 
 
 def test_attempts_are_limited_by_max_attempts() -> None:
     driver = Driver(replace(SETTINGS, max_attempts=2), servers=5)
-    name, actions = driver.arrive()
-    again = sends(driver.end(name, sends(actions)[0].server, Outcome.ERROR))
-    assert finals(driver.end(name, again[0].server, Outcome.ERROR, attempt=1)) == [Refuse(name)]
+    name, actions = driver.start_request()
+    again = send_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR))
+    assert final_actions(driver.end_attempt(name, again[0].server, Outcome.ERROR, attempt=1)) == [Refuse(name)]
 
 
 def test_overdue_attempt_is_hedged_and_cancelled_when_the_hedge_is_answered() -> None:
     driver = Driver()
     driver.balancer.latency.smoothed_us[0] = 20_000.0
-    name, actions = driver.arrive()
-    first = sends(actions)[0].server
-    (timer,) = timers(actions)
+    name, actions = driver.start_request()
+    first = send_actions(actions)[0].server
+    (timer,) = request_timers(actions)
     assert timer.due_us == driver.now_us + int(OVERDUE_FACTOR * 20_000)
     driver.now_us = timer.due_us
-    hedge = sends(driver.handle(TimerFired(timer.token)))[0]
+    hedge = send_actions(driver.handle(TimerFired(timer.token)))[0]
     assert hedge.server != first
-    assert driver.end(name, hedge.server, attempt=1) == [Cancel(name, 0)]
-    driver.end(name, first, Outcome.CANCELLED)
+    assert driver.end_attempt(name, hedge.server, attempt=1) == [Cancel(name, 0)]
+    driver.end_attempt(name, first, Outcome.CANCELLED)
     assert driver.balancer.endpoints.by_server[first].breaker.failures == 1  # cancelled after it was overdue
     assert not driver.balancer.lifecycle.requests
 
@@ -92,35 +102,35 @@
 def test_no_hedged_request_if_hedging_is_disabled() -> None:
     driver = Driver(replace(SETTINGS, may_hedge=False))
     driver.balancer.latency.smoothed_us[0] = 20_000.0
-    _, actions = driver.arrive()
-    (timer,) = timers(actions)
+    _, actions = driver.start_request()
+    (timer,) = request_timers(actions)
     driver.now_us = timer.due_us
-    assert not sends(driver.handle(TimerFired(timer.token)))
+    assert not send_actions(driver.handle(TimerFired(timer.token)))
 
 
 def test_unsafe_request_is_not_sent_as_a_half_open_probe() -> None:
     driver = Driver(servers=2)
     breaker = driver.balancer.endpoints.by_server[0].breaker
-    trip(breaker, driver.now_us)
+    trip_breaker(breaker, driver.now_us)
     driver.now_us = breaker.open_until_us
     for _ in range(2):
-        assert sends(driver.arrive(class_index=2)[1])[0].server == 1
+        assert send_actions(driver.start_request(class_index=2)[1])[0].server == 1
 
 
 def test_silent_server_gets_no_further_attempts() -> None:
     driver = Driver(servers=1)
-    driver.arrive(class_index=2)
+    driver.start_request(class_index=2)
     driver.now_us += int(OVERDUE_FACTOR * max(driver.balancer.latency.smoothed_us)) + 1
-    assert not sends(driver.arrive(class_index=2)[1])
+    assert not send_actions(driver.start_request(class_index=2)[1])
 
 
 def test_refusal_has_the_shortest_cooldown_as_retry_after_if_all_breakers_are_open() -> None:
     driver = Driver(servers=2)
     for number, server in driver.balancer.endpoints.by_server.items():
-        trip(server.breaker, driver.now_us + number * 100_000)
+        trip_breaker(server.breaker, driver.now_us + number * 100_000)
     driver.now_us += 400_000
-    name, actions = driver.arrive()
-    assert finals(actions) == [Refuse(name, 600_000)]
+    name, actions = driver.start_request()
+    assert final_actions(actions) == [Refuse(name, 600_000)]
 
 
 IN_ORDER = replace(SETTINGS, classes=(replace(UNSAFE, in_order=True),), key_rest_us=50_000)
@@ -128,58 +138,58 @@
 
 def test_in_order_requests_of_a_key_run_one_at_a_time() -> None:
     driver = Driver(IN_ORDER)
-    first, actions = driver.arrive(key=7, client_timeout_us=900_000)
-    server = sends(actions)[0].server
-    second, actions = driver.arrive(key=7, client_timeout_us=900_000)
-    assert not sends(actions) and not finals(actions)
-    assert sends(driver.arrive(key=8)[1])
-    (send,) = sends(driver.end(first, server))
+    first, actions = driver.start_request(key=7, client_timeout_us=900_000)
+    server = send_actions(actions)[0].server
+    second, actions = driver.start_request(key=7, client_timeout_us=900_000)
+    assert not send_actions(actions) and not final_actions(actions)
+    assert send_actions(driver.start_request(key=8)[1])
+    (send,) = send_actions(driver.end_attempt(first, server))
     assert send.request == second
-    third = driver.arrive(key=7, client_timeout_us=900_000)[0]
+    third = driver.start_request(key=7, client_timeout_us=900_000)[0]
     driver.now_us += 10_000
-    assert finals(driver.end(second, send.server, Outcome.RESET)) == [Fail(second)]
+    assert final_actions(driver.end_attempt(second, send.server, Outcome.RESET)) == [Fail(second)]
     rest_timer = driver.timers[-1]
     assert rest_timer.due_us == driver.now_us + 50_000
     driver.now_us = rest_timer.due_us
-    (send,) = sends(driver.handle(TimerFired(rest_timer.token)))
+    (send,) = send_actions(driver.handle(TimerFired(rest_timer.token)))
     assert send.request == third
-    driver.end(third, send.server)
+    driver.end_attempt(third, send.server)
     assert not driver.balancer.lifecycle.key_queues.queue_by_key.get(7)
 
 
 def test_requests_are_refused_if_the_queue_of_their_key_is_too_long_to_be_served_in_time() -> None:
     """A request that could not be served in time was refused a place in the queue, but sent out of order."""
     driver = Driver(IN_ORDER)
-    arrivals = [driver.arrive(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
-    refused = [actions for actions in arrivals if finals(actions)]
-    assert len(refused) > 20 and sum(len(sends(actions)) for actions in arrivals) == 1
+    arrivals = [driver.start_request(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
+    refused = [actions for actions in arrivals if final_actions(actions)]
+    assert len(refused) > 20 and sum(len(send_actions(actions)) for actions in arrivals) == 1
     wait_timer = driver.timers[-1]
     driver.now_us = wait_timer.due_us
-    assert finals(driver.handle(TimerFired(wait_timer.token)))
+    assert final_actions(driver.handle(TimerFired(wait_timer.token)))
 
 
 def test_full_counts_as_may_have_run_if_full_unproven_is_set() -> None:
     for unproven in (True, False):
         driver = Driver(replace(SETTINGS, full_unproven=unproven))
-        name, actions = driver.arrive(class_index=2)
-        answer = driver.end(name, sends(actions)[0].server, Outcome.FULL)
-        assert (finals(answer) == [Fail(name)]) == unproven
-        assert bool(sends(answer)) != unproven
+        name, actions = driver.start_request(class_index=2)
+        answer = driver.end_attempt(name, send_actions(actions)[0].server, Outcome.FULL)
+        assert (final_actions(answer) == [Fail(name)]) == unproven
+        assert bool(send_actions(answer)) != unproven
 
 
 def test_server_failing_for_one_class_keeps_serving_other_classes() -> None:
     """Half of the servers rejected one class; opening their breakers for all classes lost half of the fleet."""
     driver = Driver(servers=2)
-    name, actions = driver.arrive(class_index=2)
-    bad = sends(actions)[0].server
-    driver.end(name, bad)
+    name, actions = driver.start_request(class_index=2)
+    bad = send_actions(actions)[0].server
+    driver.end_attempt(name, bad)
     server = driver.balancer.endpoints.by_server[bad]
     while server.breaker.state is BreakerState.CLOSED and server.class_health(0).breaker.state is BreakerState.CLOSED:
-        name, actions = driver.arrive(class_index=0)
-        first = sends(actions)[0].server
+        name, actions = driver.start_request(class_index=0)
+        first = send_actions(actions)[0].server
         outcome = Outcome.FULL if first == bad else Outcome.OK
-        for again in sends(driver.end(name, first, outcome)):
-            driver.end(name, again.server, attempt=1)
+        for again in send_actions(driver.end_attempt(name, first, outcome)):
+            driver.end_attempt(name, again.server, attempt=1)
     assert server.breaker.state is BreakerState.CLOSED and server.breaker.failures == 0
     assert server not in driver.balancer.subset.candidates(
         driver.balancer.now_us, 0
@@ -190,9 +200,9 @@
 def test_failures_of_all_classes_count_for_the_servers_breaker() -> None:
     driver = Driver(servers=1)
     for class_index in (2, 1, 0, 2, 1):
-        name, actions = driver.arrive(class_index=class_index)
-        if sends(actions):
-            driver.end(name, 0, Outcome.ERROR)
+        name, actions = driver.start_request(class_index=class_index)
+        if send_actions(actions):
+            driver.end_attempt(name, 0, Outcome.ERROR)
     assert driver.balancer.endpoints.by_server[0].breaker.failures >= 3
 
 
@@ -207,10 +217,10 @@
         (cut_short, Outcome.OK, 10_000),
     ):
         driver = Driver(replace(SETTINGS, classes=(class_index,)))
-        name, actions = driver.arrive()
+        name, actions = driver.start_request()
         driver.balancer.latency.smoothed_us[0] = driver.balancer.latency.unloaded_us[0] = 50_000.0
         driver.balancer.load_shedder.adjusted_at_us = driver.now_us
-        driver.end(name, sends(actions)[0].server, outcome, latency_us=latency_us)
+        driver.end_attempt(name, send_actions(actions)[0].server, outcome, latency_us=latency_us)
         shed_ratios.append(driver.balancer.load_shedder.high_priority_ratio)
     assert shed_ratios[0] == shed_ratios[1] > shed_ratios[2] > shed_ratios[3] == 0.0
 
@@ -219,12 +229,12 @@
 @pytest.mark.parametrize("class_index", [0, 1, 2])
 def test_request_with_a_tiny_timeout_gets_one_answer(class_index: int, client_timeout_us: int) -> None:
     driver = Driver()
-    name, actions = driver.arrive(class_index=class_index, client_timeout_us=client_timeout_us)
-    answers = finals(actions)
-    for send in sends(actions):
+    name, actions = driver.start_request(class_index=class_index, client_timeout_us=client_timeout_us)
+    answers = final_actions(actions)
+    for send in send_actions(actions):
         assert 0 < send.timeout_us <= max(1, client_timeout_us)
         driver.now_us += send.timeout_us
-        answers += finals(driver.end(name, send.server, Outcome.TIMEOUT))
+        answers += final_actions(driver.end_attempt(name, send.server, Outcome.TIMEOUT))
     assert len(answers) == 1 and not driver.balancer.lifecycle.requests
 
 
@@ -235,10 +245,10 @@
         class_index = replace(KEYED, scope=scope)
         driver = Driver(replace(SETTINGS, classes=(class_index,)), servers=0)
         driver.list_servers(*(ListedServer(n, zone=n % 2, group=n % 3) for n in range(12)))
-        name, actions = driver.arrive(client_timeout_us=700_000)
-        first = sends(actions)[0].server
+        name, actions = driver.start_request(client_timeout_us=700_000)
+        first = send_actions(actions)[0].server
         driver.now_us += KEYED.window_us - 1 + late
-        again = sends(driver.end(name, first, Outcome.RESET))
+        again = send_actions(driver.end_attempt(name, first, Outcome.RESET))
         assert len(again) == 1 - late
         if again and scope is Scope.ZONE:
             assert again[0].server % 2 == first % 2
@@ -256,10 +266,10 @@
             n > 200
         )
         tenant = int(n % 10 == 0)
-        name, actions = driver.arrive(class_index=0, tenant=tenant)
-        refused[tenant] += bool(finals(actions))
-        for send in sends(actions):
-            driver.end(name, send.server)
+        name, actions = driver.start_request(class_index=0, tenant=tenant)
+        refused[tenant] += bool(final_actions(actions))
+        for send in send_actions(actions):
+            driver.end_attempt(name, send.server)
     assert refused[0] > 60 and refused[1] <= 20
     assert (
         driver.balancer.lifecycle.tenant_fairness.record(1)
@@ -271,42 +281,42 @@
 
 def test_requests_are_refused_without_servers() -> None:
     driver = Driver(servers=0)
-    name, actions = driver.arrive(class_index=2)
-    assert finals(actions) == [Refuse(name)]
+    name, actions = driver.start_request(class_index=2)
+    assert final_actions(actions) == [Refuse(name)]
 
 
 def test_client_disconnect_cancels_the_request() -> None:
     driver = Driver()
-    name, actions = driver.arrive()
+    name, actions = driver.start_request()
     assert driver.handle(RequestGone(name)) == [Cancel(name, 0)]
-    assert not finals(driver.end(name, sends(actions)[0].server, Outcome.CANCELLED))
+    assert not final_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.CANCELLED))
     assert not driver.balancer.lifecycle.requests
 
 
 def test_streaming_request_ignores_its_timers() -> None:
     driver = Driver()
-    name, actions = driver.arrive()
+    name, actions = driver.start_request()
     driver.handle(StreamStarted(name, 0))
-    for timer in timers(actions):
+    for timer in request_timers(actions):
         driver.now_us = timer.due_us
         assert not driver.handle(TimerFired(timer.token))
-    driver.end(name, sends(actions)[0].server)
+    driver.end_attempt(name, send_actions(actions)[0].server)
     assert not driver.balancer.lifecycle.requests
 
 
 def test_request_with_an_id_in_use_is_ignored() -> None:
     driver = Driver()
-    driver.arrive()
-    driver.count = 0
-    _, actions = driver.arrive()
-    assert not sends(actions) and not finals(actions)
+    driver.start_request()
+    driver.request_count = 0
+    _, actions = driver.start_request()
+    assert not send_actions(actions) and not final_actions(actions)
 
 
 def test_log_lines_are_rate_limited() -> None:
     driver = Driver()
-    first, second = driver.arrive(class_index=7)[1], driver.arrive(class_index=7)[1]
+    first, second = driver.start_request(class_index=7)[1], driver.start_request(class_index=7)[1]
     driver.now_us += MIN_LOG_INTERVAL_US
-    third = driver.arrive(class_index=7)[1]
+    third = driver.start_request(class_index=7)[1]
     assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
 
 
@@ -315,9 +325,9 @@
     driver.list_servers(ListedServer(1, zone=0), ListedServer(2, zone=1))
     own_zone = 0
     for _ in range(200):
-        name, actions = driver.arrive()
-        own_zone += sends(actions)[0].server == 1
-        driver.end(name, sends(actions)[0].server)
+        name, actions = driver.start_request()
+        own_zone += send_actions(actions)[0].server == 1
+        driver.end_attempt(name, send_actions(actions)[0].server)
     assert 130 < own_zone < 190
 
 
@@ -325,17 +335,17 @@
     driver = Driver(replace(SETTINGS, servers_know_keys=True), servers=8)
     count_by_server: dict[int, int] = {}
     for _ in range(100):
-        name, actions = driver.arrive(key=77)
-        server = sends(actions)[0].server
+        name, actions = driver.start_request(key=77)
+        server = send_actions(actions)[0].server
         count_by_server[server] = count_by_server.get(server, 0) + 1
-        driver.end(name, server)
+        driver.end_attempt(name, server)
     assert max(count_by_server.values()) > 50 and len(count_by_server) > 1
 
 
 def test_request_of_an_unknown_class_fails() -> None:
     driver = Driver()
-    name, actions = driver.arrive(class_index=7)
-    assert finals(actions) == [Fail(name)]
+    name, actions = driver.start_request(class_index=7)
+    assert final_actions(actions) == [Fail(name)]
 
 
 def test_draining_or_removed_server_gets_no_requests() -> None:
@@ -344,7 +354,7 @@
         ListedServer(0, ServerStatus.DRAINING), ListedServer(1, ServerStatus.GONE), kind=ListKind.DELTA
     )
     for _ in range(4):
-        assert sends(driver.arrive()[1])[0].server == 2
+        assert send_actions(driver.start_request()[1])[0].server == 2
 
 
 def test_full_list_removes_missing_servers_and_a_restart_resets_the_breaker() -> None:
@@ -357,13 +367,13 @@
 
 def test_server_list_is_polled_and_polled_again_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, list_is_pushed=False), servers=0)
-    (timer,) = timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
+    (timer,) = request_timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
     # The first poll has a random delay, so that proxies which start together do not poll at the same time.
     assert 0 <= timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us / 5
     driver.now_us = timer.due_us
     assert driver.handle(TimerFired(timer.token)) == [WatchList()]
     for _ in range(8):
-        (timer,) = timers(driver.handle(ServerList(ListKind.ERROR)))
+        (timer,) = request_timers(driver.handle(ServerList(ListKind.ERROR)))
         assert 0 < timer.due_us - driver.now_us < SETTINGS.max_poll_interval_us
         driver.now_us = timer.due_us
         assert driver.handle(TimerFired(timer.token)) == [WatchList()]
@@ -373,15 +383,15 @@
 def test_finished_requests_leave_no_state() -> None:
     driver = Driver(servers=4)
     for n in range(3_000):
-        name, actions = driver.arrive(class_index=n % 3)
-        for send in sends(actions):
-            driver.end(name, send.server, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
+        name, actions = driver.start_request(class_index=n % 3)
+        for send in send_actions(actions):
+            driver.end_attempt(name, send.server, Outcome.OK if n % 7 else Outcome.CONNECT_FAILED)
         if n % 100 == 0:
             driver.list_servers(*(ListedServer(n + i) for i in range(4)))
         for request in list(driver.balancer.lifecycle.requests):
             driver.handle(RequestGone(request))
             for i in range(3):
-                driver.end(request, 0, Outcome.CANCELLED, attempt=i)
+                driver.end_attempt(request, 0, Outcome.CANCELLED, attempt=i)
         driver.now_us += 10_000
     for timer in driver.timers:
         driver.handle(TimerFired(timer.token))
@@ -440,10 +450,10 @@
     shed = []
     for gap_us in (100_000, 1_500_000):
         driver = Driver()
-        name, actions = driver.arrive(class_index=2)
+        name, actions = driver.start_request(class_index=2)
         driver.balancer.load_shedder.adjusted_at_us = driver.now_us
         driver.now_us += gap_us
-        driver.end(name, sends(actions)[0].server, latency_us=290_000)
+        driver.end_attempt(name, send_actions(actions)[0].server, latency_us=290_000)
         shed.append(driver.balancer.load_shedder.low_priority_ratio)
     assert shed[1] >= 2 * shed[0] > 0
 
@@ -457,9 +467,9 @@
     used: set[int] = set()
     driver = Driver(replace(SETTINGS, proxies=300, proxy=5), servers=60)
     for _ in range(300):
-        name, actions = driver.arrive()
-        used.add(sends(actions)[0].server)
-        driver.end(name, sends(actions)[0].server)
+        name, actions = driver.start_request()
+        used.add(send_actions(actions)[0].server)
+        driver.end_attempt(name, send_actions(actions)[0].server)
     assert len(used) <= MIN_SUBSET_SIZE + 1
 
 
@@ -477,14 +487,14 @@
 def test_proxy_with_more_in_flight_has_a_larger_subset() -> None:
     """A proxy with a fifth of all traffic would overload the few servers of a subset of fixed size."""
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
-    used = {sends(driver.arrive(class_index=2)[1])[0].server for _ in range(40)}
+    used = {send_actions(driver.start_request(class_index=2)[1])[0].server for _ in range(40)}
     assert len(used) > 3 * MIN_SUBSET_SIZE
 
 
 def test_server_with_an_open_breaker_is_replaced_in_the_subset_by_the_next_in_rank() -> None:
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
     subset = driver.balancer.subset.candidates(driver.balancer.now_us, 0)
-    trip(subset[0].breaker, driver.now_us)
+    trip_breaker(subset[0].breaker, driver.now_us)
     after = driver.balancer.subset.candidates(driver.balancer.now_us, 0)
     assert subset[0] not in after and after[: len(subset) - 1] == subset[1:] and len(after) == len(subset)
 
@@ -492,9 +502,9 @@
 def test_one_failed_connect_opens_the_breaker() -> None:
     """Every proxy kept connecting to a server with a full connection table until five attempts had failed."""
     driver = Driver()
-    name, actions = driver.arrive()
-    first = sends(actions)[0].server
-    driver.end(name, first, Outcome.CONNECT_FAILED)
+    name, actions = driver.start_request()
+    first = send_actions(actions)[0].server
+    driver.end_attempt(name, first, Outcome.CONNECT_FAILED)
     assert not driver.balancer.endpoints.by_server[first].breaker.can_admit(driver.now_us)
 
 
@@ -515,10 +525,10 @@
         driver = Driver(replace(SLOW_START, proxy=proxy), servers=0, seed=proxy)
         driver.list_servers(ListedServer(1, started_us=driver.now_us))
         for step in range(1_000):
-            name, actions = driver.arrive()
-            if sends(actions):
+            name, actions = driver.start_request()
+            if send_actions(actions):
                 work_us[step // 50] += driver.balancer.latency.unloaded_us[0]
-                driver.end(name, 1, latency_us=30_000)
+                driver.end_attempt(name, 1, latency_us=30_000)
             driver.now_us += 10_000
     for first, second in pairwise(work_us):
         assert first + second <= 3.0 * 0.6 * 1_000_000
@@ -533,10 +543,10 @@
         driver.handle(ProcessesChanged(processes))
         driver.list_servers(ListedServer(1, started_us=driver.now_us))
         for _ in range(1_000):
-            name, actions = driver.arrive()
-            if sends(actions):
+            name, actions = driver.start_request()
+            if send_actions(actions):
                 work_us += driver.balancer.latency.unloaded_us[0]
-                driver.end(name, 1, latency_us=30_000)
+                driver.end_attempt(name, 1, latency_us=30_000)
             driver.now_us += 10_000
     return work_us
 
@@ -563,11 +573,11 @@
     driver.balancer.endpoints.by_server[2].weight = driver.balancer.endpoints.by_server[1].weight
     count = dict.fromkeys((1, 2), 0)
     for _ in range(2_000):  # the clock stands still, and no two requests are in flight at the same time
-        name, actions = driver.arrive()
-        (send,) = sends(actions)
+        name, actions = driver.start_request()
+        (send,) = send_actions(actions)
         count[send.server] += 1
         driver.balancer.endpoints.by_server[2].slow_start.bucket_us = 0.0
-        driver.end(name, send.server, latency_us=30_000)
+        driver.end_attempt(name, send.server, latency_us=30_000)
     share = SLOW_START.start_capacity
     assert count[2] / count[1] == pytest.approx(share, rel=0.2)
 
@@ -583,7 +593,7 @@
         """Return the work, in microseconds, that the server is sent while the clock stands still."""
         driver.balancer.endpoints.by_server[1].concurrency.limit = 10_000.0  # disables the concurrency limit
         cost_us, count = driver.balancer.latency.unloaded_us[0], 0
-        while count < 1_000 and sends(driver.arrive()[1]):
+        while count < 1_000 and send_actions(driver.start_request()[1]):
             count += 1
         return count * cost_us
 
@@ -600,7 +610,7 @@
     driver = Driver(replace(SLOW_START, proxies=300), servers=60)
     last = driver.balancer.endpoints.ranked[-1].entry.server
     for server in driver.balancer.endpoints.ranked[:-1]:
-        trip(server.breaker, driver.now_us)
+        trip_breaker(server.breaker, driver.now_us)
     driver.list_servers(ListedServer(last, started_us=driver.now_us - 1), kind=ListKind.DELTA)
     assert driver.balancer.subset.candidates(driver.balancer.now_us, 0) == []
 
@@ -608,8 +618,8 @@
 def test_attempt_without_late_weight_times_out_at_the_objective() -> None:
     """Attempts that waited until the client's timeout filled all queues with work whose answers were worthless."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_weight=0.0), SAFE)))
-    assert sends(driver.arrive(class_index=0)[1])[0].timeout_us < SAFE.objective_us
-    assert sends(driver.arrive(class_index=1)[1])[0].timeout_us > SAFE.objective_us
+    assert send_actions(driver.start_request(class_index=0)[1])[0].timeout_us < SAFE.objective_us
+    assert send_actions(driver.start_request(class_index=1)[1])[0].timeout_us > SAFE.objective_us
 
 
 def test_slow_answers_shed_low_priority_first_and_prompt_answers_end_the_shedding() -> None:
@@ -621,17 +631,17 @@
         driver.balancer.load_shedder.served[number % 2] += 1
     for latency_us, shed in ((390_000, [True, False]), (5_000, [False, False])):
         for _ in range(round(0.3 / SHED_STEP)):
-            name, actions = driver.arrive(class_index=1)
+            name, actions = driver.start_request(class_index=1)
             driver.balancer.load_shedder.adjusted_at_us = driver.now_us - 200_000
-            driver.end(name, sends(actions)[0].server, latency_us=latency_us)
+            driver.end_attempt(name, send_actions(actions)[0].server, latency_us=latency_us)
             driver.now_us += 4_000_000
         refused = []
         for class_index in (0, 1):
-            name, actions = driver.arrive(class_index=class_index)
-            refused.append(bool(finals(actions)))
-            if sends(actions):
+            name, actions = driver.start_request(class_index=class_index)
+            refused.append(bool(final_actions(actions)))
+            if send_actions(actions):
                 driver.handle(RequestGone(name))
-                driver.end(name, sends(actions)[0].server, Outcome.CANCELLED)
+                driver.end_attempt(name, send_actions(actions)[0].server, Outcome.CANCELLED)
         assert refused == shed
 
 
@@ -640,11 +650,11 @@
     driver = Driver()
     driver.balancer.load_shedder.low_priority_ratio = SHED_STEP
     driver.balancer.rng.seed(1)
-    name, actions = driver.arrive(class_index=0)
-    while not sends(actions):
-        name, actions = driver.arrive(class_index=0)
+    name, actions = driver.start_request(class_index=0)
+    while not send_actions(actions):
+        name, actions = driver.start_request(class_index=0)
     driver.balancer.load_shedder.low_priority_ratio = SHED_STEP * 3
-    assert not sends(driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT))
+    assert not send_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.TIMEOUT))
 
 
 def test_last_try_with_a_longer_timeout_does_not_make_first_tries_late() -> None:
@@ -654,40 +664,42 @@
         driver = Driver(replace(SETTINGS, classes=(worthless_late,), marks_retry=marks_retry))
         for n in range(30):
             client_timeout_us = 330_000 if n % 5 == 4 else 220_000
-            name, actions = driver.arrive(client_timeout_us=client_timeout_us, is_retry=marks_retry and n % 5 == 4)
-            (send,) = sends(actions)
+            name, actions = driver.start_request(
+                client_timeout_us=client_timeout_us, is_retry=marks_retry and n % 5 == 4
+            )
+            (send,) = send_actions(actions)
             if n > 4:
                 assert (send.timeout_us < 150_000) == (n % 5 == 4)
-            driver.end(name, send.server)
+            driver.end_attempt(name, send.server)
 
 
 def test_server_keeps_its_weight_while_its_breaker_is_open() -> None:
     """Late outcomes and failed probes reduced the weight with which a recovering server resumed."""
     driver = Driver(servers=1)
     server = driver.balancer.endpoints.by_server[0]
-    names = [driver.arrive(class_index=2)[0] for _ in range(2)]
-    trip(server.breaker, driver.now_us)
+    names = [driver.start_request(class_index=2)[0] for _ in range(2)]
+    trip_breaker(server.breaker, driver.now_us)
     weight = server.weight
-    driver.end(names[0], 0, Outcome.ERROR)  # sent before the breaker opened
+    driver.end_attempt(names[0], 0, Outcome.ERROR)  # sent before the breaker opened
     assert server.weight == weight
     driver.now_us = server.breaker.open_until_us
-    driver.end(names[1], 0, Outcome.ERROR)
+    driver.end_attempt(names[1], 0, Outcome.ERROR)
     assert server.weight == weight
 
 
 def test_at_a_high_answer_rate_a_few_slow_answers_shed_little_and_a_second_of_them_nearly_all() -> None:
     """A restarted gateway refused 90% of requests because its first answers had waited for new connections."""
     driver = Driver(Settings(classes=(replace(SAFE, priority_weight=10.0),)))
-    name, actions = driver.arrive()
-    driver.end(name, sends(actions)[0].server, latency_us=5_000)
+    name, actions = driver.start_request()
+    driver.end_attempt(name, send_actions(actions)[0].server, latency_us=5_000)
     sheds = []
     for _ in range(300):
         driver.now_us += 3_300
         driver.balancer.load_shedder.high_priority_ratio = 0.0  # admits the request whatever the present ratios are
         ratio, driver.balancer.load_shedder.low_priority_ratio = driver.balancer.load_shedder.low_priority_ratio, 0.0
-        name, actions = driver.arrive()
+        name, actions = driver.start_request()
         driver.balancer.load_shedder.low_priority_ratio = ratio
-        driver.end(name, sends(actions)[0].server, latency_us=390_000)
+        driver.end_attempt(name, send_actions(actions)[0].server, latency_us=390_000)
         sheds.append(driver.balancer.load_shedder.low_priority_ratio)
     assert sheds[9] <= 0.3 and sheds[-1] >= 0.9
 
@@ -700,10 +712,10 @@
     driver.balancer.subset.size = 10.0
     crossed = 0
     for key in range(400):
-        name, actions = driver.arrive(key=key * 7919)
-        (sent,) = sends(actions)
+        name, actions = driver.start_request(key=key * 7919)
+        (sent,) = send_actions(actions)
         crossed += sent.server % 2
-        driver.end(name, sent.server)
+        driver.end_attempt(name, sent.server)
         driver.now_us += 10_000
         driver.balancer.subset.size = 10.0
     assert crossed < 50
@@ -715,22 +727,22 @@
     driver.balancer.latency.unloaded_us[0] = driver.balancer.latency.smoothed_us[0] = 10_000.0
     sent = 0
     for number in range(200):
-        name, actions = driver.arrive(client_timeout_us=20_000 + number * 7919 % 60_000)
-        sent += len(sends(actions))
-        if sends(actions):
-            driver.end(name, sends(actions)[0].server, latency_us=10_000)
+        name, actions = driver.start_request(client_timeout_us=20_000 + number * 7919 % 60_000)
+        sent += len(send_actions(actions))
+        if send_actions(actions):
+            driver.end_attempt(name, send_actions(actions)[0].server, latency_us=10_000)
         driver.now_us += 20_000
     assert sent > 150
     # A request whose timeout is too short for any answer is still refused.
-    assert not sends(driver.arrive(client_timeout_us=2_000)[1])
+    assert not send_actions(driver.start_request(client_timeout_us=2_000)[1])
 
 
 def test_timeout_shorter_than_the_usual_latency_is_no_failure_of_the_server() -> None:
     driver = Driver(servers=1)
     for _ in range(MIN_OUTCOMES * 3):
         driver.balancer.client_timeouts.regular_ratio[0] = 0.0  # clients give each try a timeout of its own
-        name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
+        name, actions = driver.start_request()
+        driver.end_attempt(name, send_actions(actions)[0].server, Outcome.TIMEOUT, latency_us=30_000)
     assert (
         driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.CLOSED
         and driver.balancer.load_shedder.low_priority_ratio == 0
@@ -744,16 +756,16 @@
         (INITIAL_COOLDOWN_US * 2, BreakerState.OPEN),
     ):
         driver = Driver(servers=1)
-        name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server)
+        name, actions = driver.start_request()
+        driver.end_attempt(name, send_actions(actions)[0].server)
         driver.now_us += quiet_us
-        name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server, Outcome.CONNECT_FAILED)
+        name, actions = driver.start_request()
+        driver.end_attempt(name, send_actions(actions)[0].server, Outcome.CONNECT_FAILED)
         assert driver.balancer.endpoints.by_server[0].breaker.state is state
     driver = Driver(servers=1)
     for outcome in (Outcome.OK, Outcome.CONNECT_FAILED, Outcome.CONNECT_FAILED):
-        name, actions = driver.arrive()
-        driver.end(name, sends(actions)[0].server, outcome)
+        name, actions = driver.start_request()
+        driver.end_attempt(name, send_actions(actions)[0].server, outcome)
     # The second consecutive connection failure opens the breaker.
     assert driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN
 
@@ -764,27 +776,27 @@
     The window begins when the first attempt that may have run is sent.
     """
     driver = Driver(servers=8)
-    name, actions = driver.arrive(1, 800_000)
-    (first,) = sends(actions)
+    name, actions = driver.start_request(1, 800_000)
+    (first,) = send_actions(actions)
     first_sent_us = driver.now_us
     assert first.write_deadline_us == 0
     driver.now_us += 10_000
-    (second,) = sends(driver.end(name, first.server, Outcome.CONNECT_FAILED, 0))
+    (second,) = send_actions(driver.end_attempt(name, first.server, Outcome.CONNECT_FAILED, 0))
     assert second.write_deadline_us == 0  # the first attempt did not run
     driver.now_us += 20_000
-    (third,) = sends(driver.end(name, second.server, Outcome.RESET, 1))
+    (third,) = send_actions(driver.end_attempt(name, second.server, Outcome.RESET, 1))
     assert third.write_deadline_us == first_sent_us + 10_000 + KEYED.window_us
-    name, actions = driver.arrive(0)
-    (first,) = sends(actions)
-    (second,) = sends(driver.end(name, first.server, Outcome.RESET))
+    name, actions = driver.start_request(0)
+    (first,) = send_actions(actions)
+    (second,) = send_actions(driver.end_attempt(name, first.server, Outcome.RESET))
     assert second.write_deadline_us == 0  # a safe request may run any number of times
 
 
 def test_shutdown_answers_every_request_according_to_its_effect() -> None:
     driver = Driver()
-    safe, keyed, unsafe = (driver.arrive(class_index, 10_000_000)[0] for class_index in range(3))
-    done, actions = driver.arrive(0, 10_000_000)
-    driver.end(done, sends(actions)[0].server)
-    answered = finals(driver.handle(AnswerAll()))
+    safe, keyed, unsafe = (driver.start_request(class_index, 10_000_000)[0] for class_index in range(3))
+    done, actions = driver.start_request(0, 10_000_000)
+    driver.end_attempt(done, send_actions(actions)[0].server)
+    answered = final_actions(driver.handle(AnswerAll()))
     assert [(type(a), a.request) for a in answered] == [(Refuse, safe), (Fail, keyed), (Fail, unsafe)]
-    assert not finals(driver.handle(AnswerAll()))  # each request is answered only once
+    assert not final_actions(driver.handle(AnswerAll()))  # each request is answered only once
--- a/tests/balancing/test_slow_start_quotas.py
+++ b/tests/balancing/test_slow_start_quotas.py
@@ -9,7 +9,7 @@
 
 from cloverkeel.balancing.events import ListedServer, SlowStartQuota
 from cloverkeel.balancing.settings import Settings
-from tests.helpers import SAFE, Driver, sends
+from tests.helpers import SAFE, Driver, send_actions
 
 SERVER, PROXIES = 1, 20
 SETTINGS = Settings(
@@ -30,10 +30,10 @@
     """Submit requests all at once; return how many are sent."""
     sent = 0
     for _ in range(requests):
-        name, actions = driver.arrive(work_us=WORK_US)
-        if sends(actions):
+        name, actions = driver.start_request(work_us=WORK_US)
+        if send_actions(actions):
             sent += 1
-            driver.end(name, SERVER, latency_us=30_000)
+            driver.end_attempt(name, SERVER, latency_us=30_000)
     return sent
 
 
--- a/tests/discovery/test_poll_schedule.py
+++ b/tests/discovery/test_poll_schedule.py
@@ -25,7 +25,7 @@
     SILENT_WATCH_DETECTION_S,
     PollSchedule,
 )
-from tests.helpers import SAFE, Driver, timers
+from tests.helpers import SAFE, Driver, request_timers
 
 
 def test_detection_times_fit_within_the_notification_delay() -> None:
@@ -45,7 +45,7 @@
     settings = Settings((SAFE,), list_is_pushed=False, max_poll_interval_us=max_poll_interval_us)
     driver = Driver(settings, servers=0, seed=seed)
     for _ in range(failures):
-        (timer,) = timers(driver.handle(ServerList(ListKind.ERROR)))
+        (timer,) = request_timers(driver.handle(ServerList(ListKind.ERROR)))
         assert 0 <= timer.due_us - driver.now_us <= min(MAX_RETRY_POLL_US, max_poll_interval_us / 20)
         driver.now_us += 1_000
 
@@ -55,7 +55,7 @@
     driver = Driver(
         Settings((SAFE,), list_is_pushed=False, max_poll_interval_us=max_poll_interval_us), servers=0, seed=seed
     )
-    (timer,) = timers(driver.handle(ServerList(ListKind.DISK)))
+    (timer,) = request_timers(driver.handle(ServerList(ListKind.DISK)))
     waited_s = (timer.due_us - driver.now_us) / 1e6
     assert waited_s >= 0 and waited_s + CONNECT_TIMEOUT_S + FIRST_REPLY_TIMEOUT_S < MAX_NOTIFICATION_DELAY_S
 
--- a/tests/leases/test_probe_election.py
+++ b/tests/leases/test_probe_election.py
@@ -14,13 +14,13 @@
     ProbeElection,
     lease_name,
 )
-from tests.helpers import Driver, trip
+from tests.helpers import Driver, trip_breaker
 from tests.leases.helpers import NOW_US, make_manager
 
 
 def make_tripped(servers: int = 4) -> Driver:
     driver = Driver(servers=servers)
-    trip(driver.balancer.endpoints.by_server[0].breaker, driver.now_us)
+    trip_breaker(driver.balancer.endpoints.by_server[0].breaker, driver.now_us)
     return driver
 
 
@@ -48,7 +48,7 @@
 
 def test_probes_are_not_suspended_when_most_servers_are_ejected() -> None:
     driver = make_tripped(servers=3)
-    trip(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
+    trip_breaker(driver.balancer.endpoints.by_server[1].breaker, driver.now_us)
     driver.now_us += INITIAL_COOLDOWN_US
     driver.handle(ProbesSuspended(0, driver.now_us + SUSPEND_US))
     assert is_probed(driver)
