--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""One suite for both builds of the decisions: --build says which must be running. --without takes guards out.
+"""Options of the test suite.
 
---shuffle draws the order of tests from a seed. A test marked `alone` wants the machine to itself: ./test.sh runs
-those at the end, one after another.
+--build fails the run unless that build of the balancer is loaded. --without applies mutants (benchmarks.guards).
+--shuffle shuffles the tests with a seed. A test marked `alone` needs the whole machine: ./test.sh runs these at the
+end, one after another.
 """
 
 from __future__ import annotations
@@ -14,31 +15,33 @@
 
 from cloverkeel.balancing import BUILD
 
-# Examples are drawn from the test's own text, and no database carries one run's finds into the next: the same verdict
-# every time. What wants more seeds is a command under benchmarks/.
+# The examples depend on the test's source alone, and no database keeps failures of earlier runs: every run has the
+# same result. Searches with further seeds are commands in benchmarks/.
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--build", choices=("plain", "compiled"), help="fail unless this build of the decisions runs")
-    parser.addoption("--without", metavar="NAME+NAME", help="take these guards out (benchmarks.guards --list)")
-    parser.addoption("--shuffle", metavar="SEED", help="run the tests in an order drawn from this")
+    parser.addoption(
+        "--build", choices=("plain", "compiled"), help="fail unless this build of the balancer is loaded"
+    )
+    parser.addoption("--without", metavar="NAME+NAME", help="apply these mutants (benchmarks.guards --list)")
+    parser.addoption("--shuffle", metavar="SEED", help="shuffle the tests with this seed")
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    without = config.getoption("--without")
-    if without:
+    mutants = config.getoption("--without")
+    if mutants:
         from benchmarks.guards.mutated_gateway import apply_mutants
 
-        apply_mutants(without.split("+"))
-        from tests import sockets  # after that: it brings the gateway along
+        apply_mutants(mutants.split("+"))
+        from tests import sockets  # imports the gateway, which must be patched first
 
-        sockets.TEST_TIMEOUT_S = 8.0  # what is waited for may never come now
-        sockets.GATEWAY_COMMAND = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", without)
-    wanted = config.getoption("--build")
-    if wanted and not BUILD.startswith(wanted):
-        raise pytest.UsageError(f"--build {wanted}: the decisions are {BUILD}")
+        sockets.TEST_TIMEOUT_S = 8.0  # without its guard, a test may wait for what never happens
+        sockets.GATEWAY_COMMAND = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", mutants)
+    build = config.getoption("--build")
+    if build and not BUILD.startswith(build):
+        raise pytest.UsageError(f"--build {build}: the balancer that is loaded is {BUILD}")
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -343,7 +343,7 @@
 def test_the_checker_reports_a_gateway_that_repeats_unsafe_requests() -> None:
     def on_environment(environment: Environment) -> None:
         for gateway in environment.gateways:
-            gateway.command = (sys.executable, "-m", "tests.careless")
+            gateway.command = (sys.executable, "-m", "tests.unsafe_gateway")
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         environment = runner.run(
