--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -41,7 +41,7 @@
 from standins.event_log import now_us
 from standins.parties.network import LinkConditions
 from standins.parties.zookeeper.threaded import ThreadedEnsemble
-from tests.fleet.ground import Ground, ground
+from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
 
 LEASE_MS = 600
 FAULTS = 8  # in one schedule
@@ -61,24 +61,24 @@
     timeline: str = ""
 
 
-async def one_fault(fleet: Ground, dice: random.Random, kind: str) -> None:
+async def one_fault(fleet: LeaseFleet, dice: random.Random, kind: str) -> None:
     numbers = list(range(fleet.count))
-    act = fleet.mesh.watcher.last_act_of(fleet.duty)
+    act = fleet.mesh.watcher.last_act_of(fleet.role)
     holder = act.gateway if act is not None and act.gateway < fleet.count else dice.choice(numbers)
     chosen = holder if dice.random() < 0.6 else dice.choice(numbers)
     if kind == "stop":
         few = [chosen] if dice.random() < 0.6 else dice.sample(numbers, dice.randint(1, fleet.count - 1))
-        fleet.stop(*few)
+        fleet.pause(*few)
         share = dice.choice((0.1, 0.9, 1.01, 1.3, dice.uniform(0.1, 5.0)))
         await asyncio.sleep(share * fleet.lease_s)
-        fleet.wake(*few)
+        fleet.resume(*few)
     elif kind in ("kill", "restart-all"):
         few = numbers if kind == "restart-all" else dice.sample(numbers, dice.randint(1, 3))
         await fleet.kill(*few)
         await asyncio.sleep(dice.choice((0.0, 0.0, dice.uniform(0, 1.5))))
         fleet.start(*few)
     elif kind in ("cut", "one-way"):
-        fleet.cut([chosen], [n for n in numbers if n != chosen], one_way=kind == "one-way")
+        fleet.partition([chosen], [n for n in numbers if n != chosen], one_way=kind == "one-way")
         await asyncio.sleep(dice.uniform(0.2, 2.5))
         fleet.heal()
     elif kind == "halves":
@@ -86,7 +86,7 @@
         rest = [n for n in numbers if n not in half]
         if dice.random() < 0.5:
             rest = rest[1:]  # one that hears both
-        fleet.cut(half, rest)
+        fleet.partition(half, rest)
         await asyncio.sleep(dice.uniform(0.3, 2.5))
         fleet.heal()
     elif kind == "lossy":
@@ -103,14 +103,14 @@
     elif kind in SERVICE:
         await service_fault(fleet, dice, kind)
     else:
-        said = await fleet.call(chosen, "DUTIES")
+        said = await fleet.send_command(chosen, "DUTIES")
         if said.startswith("ACK {"):
             for duty in json.loads(said[4:])["duties"]:
-                await fleet.call(chosen, f"HANDON {duty['duty']}")
+                await fleet.send_command(chosen, f"HANDON {duty['duty']}")
 
 
-async def service_fault(fleet: Ground, dice: random.Random, kind: str) -> None:
-    keeper = fleet.keeper
+async def service_fault(fleet: LeaseFleet, dice: random.Random, kind: str) -> None:
+    keeper = fleet.zookeeper
     assert keeper is not None
     ensemble, run = keeper.ensemble, asyncio.get_running_loop().run_in_executor
     fleet.note(kind)
@@ -132,12 +132,12 @@
         await run(None, keeper.call, ensemble.restart)
     else:
         if kind == "expire":
-            fleet.expiries.append(now_us())
+            fleet.forced_expiries_us.append(now_us())
         await run(None, keeper.call, some)
 
 
 async def schedule(
-    seed: int, folder: Path, store: str, before_start: Callable[[Ground], None] = lambda fleet: None
+    seed: int, folder: Path, store: str, before_start: Callable[[LeaseFleet], None] = lambda fleet: None
 ) -> Played:
     """Play the faults that a seed draws; `before_start` may change the gateways before their processes start."""
     dice = random.Random(f"duties/{seed}")
@@ -145,8 +145,8 @@
     voters = dice.choice((3, 5))
     keeper = ThreadedEnsemble(servers=3, timeouts_ms=(200, 40_000)) if store == "ephemeral" else None
     kinds = KINDS + SERVICE if keeper is not None else KINDS
-    async with ground(
-        folder, count=count, voters=voters, lease_ms=LEASE_MS, begin=False, keeper=keeper, colds=3
+    async with running_lease_fleet(
+        folder, count=count, voters=voters, lease_ms=LEASE_MS, starts=False, zookeeper=keeper, slow_start_host_count=3
     ) as fleet:  # fmt: skip
         for gateway in fleet.gateways:
             word = dice.choice(("", "", "rate=0.999", "rate=1.001", f"wall={dice.uniform(-3600, 3600):.0f}"))
@@ -154,8 +154,8 @@
                 gateway.command = (sys.executable, "-m", "tests.fleet.clocks", word, *gateway.command[2:])
         before_start(fleet)
         fleet.start(*range(count))
-        await fleet.ready(*range(count))
-        await fleet.holder()
+        await fleet.wait_until_ready(*range(count))
+        await fleet.wait_for_holder()
         for _ in range(FAULTS):
             kind = dice.choice(kinds)
             played.faults.append(kind)
@@ -163,12 +163,12 @@
             await asyncio.sleep(dice.choice((0.0, 0.1, dice.uniform(0, 1.0))))
         fleet.mesh.set_conditions(LinkConditions())
         fleet.heal()
-        await fleet.ready(*range(count))
+        await fleet.wait_until_ready(*range(count))
         try:
-            await fleet.holder(after_us=now_us(), within_s=30.0)
+            await fleet.wait_for_holder(after_us=now_us(), within_s=30.0)
         except AssertionError as error:
             played.wrong.append(f"nobody holds after all is healed: {error}")
-        found = fleet.judged()
+        found = fleet.find_violations()
         played.wrong += [f"{wrong.what}: {wrong.act} after {wrong.earlier}" for wrong in found]
         played.wrong += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         played.holders, played.acts = len({(act.role, act.fencing_token) for act in fleet.acts}), len(fleet.acts)
@@ -184,27 +184,27 @@
 
 async def gap(kind: str, seed: int, folder: Path) -> float:
     """Seconds without a holder."""
-    async with ground(folder, count=5, voters=5, lease_ms=1_000) as fleet:
+    async with running_lease_fleet(folder, count=5, voters=5, lease_ms=1_000) as fleet:
         await asyncio.sleep(0.5 + random.Random(seed).random())
-        held = await fleet.holder()
+        held = await fleet.wait_for_holder()
         if kind == "kill":
             await fleet.kill(held.gateway)
         elif kind == "stall":
-            fleet.stop(held.gateway)
+            fleet.pause(held.gateway)
         elif kind == "cut":
-            fleet.cut([held.gateway], [n for n in range(fleet.count) if n != held.gateway])
+            fleet.partition([held.gateway], [n for n in range(fleet.count) if n != held.gateway])
         elif kind == "planned end":
             import signal
 
-            fleet.signal(held.gateway, signal.SIGTERM)
+            fleet.send_signal(held.gateway, signal.SIGTERM)
         else:
-            (duty,) = [d["duty"] for d in (await fleet.shown(held.gateway))["duties"]]
-            assert (await fleet.call(held.gateway, f"HANDON {duty}")).startswith("ACK")
-        after = await fleet.holder(but=held.gateway)
+            (duty,) = [d["duty"] for d in (await fleet.read_state(held.gateway))["duties"]]
+            assert (await fleet.send_command(held.gateway, f"HANDON {duty}")).startswith("ACK")
+        after = await fleet.wait_for_holder(excluding=held.gateway)
         last = max(act.at_us for act in fleet.acts if act.fencing_token == held.fencing_token)
-        assert not fleet.judged()
+        assert not fleet.find_violations()
         if kind == "stall":
-            fleet.wake(held.gateway)
+            fleet.resume(held.gateway)
         first = min(act.at_us for act in fleet.acts if act.fencing_token == after.fencing_token)
         return (first - last) / 1e6
 
@@ -221,8 +221,8 @@
 
 async def stay_quiet(minutes: float, folder: Path) -> int:
     """How many epochs were seen while nothing was wrong."""
-    async with ground(folder, count=5, voters=5, lease_ms=3_000) as fleet:
-        await fleet.holder()
+    async with running_lease_fleet(folder, count=5, voters=5, lease_ms=3_000) as fleet:
+        await fleet.wait_for_holder()
         await asyncio.sleep(10.0)
         first = len(fleet.acts)
         end = time.monotonic() + minutes * 60
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -42,8 +42,8 @@
 from standins.playing.environment import Environment
 from standins.playing.scenario import load_scenario
 from standins.playing.runner import run_scenario
-from tests.fleet.ground import Ground
-from tests.fleet.shared import Shared, shared
+from tests.fleet.lease_fleet import LeaseFleet
+from tests.fleet.gossip_fleet import GossipFleet, running_gossip_fleet
 
 SCENARIO = "duties"
 LEASE_SCHEDULES = 4  # in one run; which gateways are of the other checkout alternates
@@ -103,7 +103,7 @@
 async def play_leases(seed: int, folder: Path, other: Path) -> PlayReport:
     """Play a schedule of faults; judge who held each duty."""
 
-    def mix_fleet(fleet: Ground) -> None:
+    def mix_fleet(fleet: LeaseFleet) -> None:
         mix_checkouts(fleet.gateways, seed, other)
 
     played = await schedule(seed, folder, "peers", mix_fleet)
@@ -118,7 +118,7 @@
     ours = [number for number in numbers if number not in theirs]
     checkouts = dict.fromkeys(theirs, other)
     report = PlayReport("gossip")
-    async with shared(
+    async with running_gossip_fleet(
         folder, GOSSIP_GATEWAYS, checkouts=checkouts, voters=GOSSIP_VOTERS, lease_ms=GOSSIP_LEASE_MS
     ) as fleet:
         meter = RetryMeter(fleet)
@@ -134,21 +134,21 @@
             report.violations.append(str(error).partition("\n")[0])
         report.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         report.figures = (
-            f"{fleet.asked} requests, {meter.retries} further attempts, {meter.peak:.1f} tokens spent beyond what "
-            f"was earned of {meter.allowance:g} that may be saved up, {meter.moved:.1f} moved between gateways"
+            f"{fleet.request_count} requests, {meter.retries} further attempts, {meter.peak:.1f} tokens spent beyond "
+            f"what was earned of {meter.allowance:g} that may be saved up, {meter.moved:.1f} moved between gateways"
         )
         report.timeline = fleet.timeline() if report.violations else ""
     return report
 
 
 @asynccontextmanager
-async def under_load(fleet: Shared, numbers: Iterable[int]) -> AsyncIterator[None]:
+async def under_load(fleet: GossipFleet, numbers: Iterable[int]) -> AsyncIterator[None]:
     """Send requests to these gateways all the while, also when one is killed and comes back."""
 
     async def send_requests(number: int) -> None:
         while True:
             try:
-                await fleet.ask(number)
+                await fleet.send_request(number)
                 await asyncio.sleep(REQUEST_PAUSE_S)
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.05)
@@ -162,7 +162,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def fail_answers(fleet: Shared, rng: random.Random, meter: RetryMeter) -> None:
+async def fail_answers(fleet: GossipFleet, rng: random.Random, meter: RetryMeter) -> None:
     """Let all hosts answer with errors now and then, while drawn faults come and go."""
     answer_count = itertools.count()
     for host in range(len(fleet.hosts)):
@@ -173,13 +173,13 @@
             await inject_fault(fleet, rng)
             await asyncio.sleep(rng.uniform(0.5, 1.5))
         fleet.heal()
-        await fleet.ready(*range(fleet.count))
+        await fleet.wait_until_ready(*range(fleet.count))
         await meter.count_moved()
     for host in range(len(fleet.hosts)):
-        fleet.mend(host)
+        fleet.recover(host)
 
 
-async def inject_fault(fleet: Shared, rng: random.Random) -> None:
+async def inject_fault(fleet: GossipFleet, rng: random.Random) -> None:
     numbers = list(range(fleet.count))
     chosen = rng.sample(numbers, rng.randint(1, fleet.count // 2))
     rest = [number for number in numbers if number not in chosen]
@@ -188,13 +188,13 @@
         await fleet.kill(*chosen)
         await asyncio.sleep(rng.uniform(0.0, 1.0))
         fleet.start(*chosen)
-        await fleet.ready(*chosen)
+        await fleet.wait_until_ready(*chosen)
     elif kind == "stop":
-        fleet.stop(*chosen)
+        fleet.pause(*chosen)
         await asyncio.sleep(rng.uniform(0.1, 3.0) * fleet.lease_s)
-        fleet.wake(*chosen)
+        fleet.resume(*chosen)
     else:
-        fleet.cut(chosen, rest, one_way=kind == "one-way cut")
+        fleet.partition(chosen, rest, one_way=kind == "one-way cut")
         await asyncio.sleep(rng.uniform(0.3, 2.0))
         fleet.heal()
 
@@ -203,7 +203,7 @@
 class RetryMeter:
     """Measures, by what hosts saw, what all gateways together spend on further attempts beyond what they earn."""
 
-    fleet: Shared
+    fleet: GossipFleet
     asked: int = 0
     retries: int = 0
     beyond: float = 0.0  # tokens spent beyond what was earned, over the stretch that ends now
@@ -214,19 +214,19 @@
     def allowance(self) -> float:
         """Tokens that all processes so far may have saved up, at the most."""
         return MAX_SAVED_TOKENS * sum(
-            process.what == "start" for process in self.fleet.ledger.events_of(ProcessEvent)
+            process.what == "start" for process in self.fleet.event_log.events_of(ProcessEvent)
         )
 
     def sample(self) -> None:
-        asked = self.fleet.asked
-        _, retries = self.fleet.attempts([0] * len(self.fleet.hosts))
+        asked = self.fleet.request_count
+        _, retries = self.fleet.request_and_retry_counts([0] * len(self.fleet.hosts))
         earned = RETRY_RATIO * (asked - self.asked)
         self.beyond = max(0.0, self.beyond + ERROR_RETRY_COST * (retries - self.retries) - earned)
         self.peak = max(self.peak, self.beyond)
         self.asked, self.retries = asked, retries
 
     async def count_moved(self) -> None:
-        shown = [await self.fleet.shown(number, "PEERS") for number in range(self.fleet.count)]
+        shown = [await self.fleet.read_state(number, "PEERS") for number in range(self.fleet.count)]
         self.moved = sum(one["rights"]["taken"] for one in shown)
 
     def judge(self) -> list[str]:
@@ -251,7 +251,7 @@
         meter.sample()
 
 
-async def wait_until(condition: Callable[[], Awaitable[bool]], what: str, fleet: Shared) -> None:
+async def wait_until(condition: Callable[[], Awaitable[bool]], what: str, fleet: GossipFleet) -> None:
     """Wait for what gateways say of themselves; raise AssertionError with a time line when it does not come."""
     try:
         async with asyncio.timeout(SPREAD_TIMEOUT_S):
@@ -261,15 +261,15 @@
         raise AssertionError(f"not within {SPREAD_TIMEOUT_S:g} s: {what}\n{fleet.timeline()}") from None
 
 
-async def wait_until_all_alive(fleet: Shared) -> None:
+async def wait_until_all_alive(fleet: GossipFleet) -> None:
     async def all_alive() -> bool:
-        shown = [await fleet.shown(number, "PEERS") for number in range(fleet.count)]
+        shown = [await fleet.read_state(number, "PEERS") for number in range(fleet.count)]
         return all(peer["state"] == "alive" for one in shown for peer in one["peers"].values())
 
     await wait_until(all_alive, "every gateway takes all others for alive", fleet)
 
 
-async def hear_of_failures(fleet: Shared, host: int, tellers: Sequence[int], hearers: Sequence[int]) -> None:
+async def hear_of_failures(fleet: GossipFleet, host: int, tellers: Sequence[int], hearers: Sequence[int]) -> None:
     """Let a host fail for the tellers: each hearer, which sends it nothing, hears so from several of them.
 
     It is a host that no teller has had trouble with before: they all send to it, and learn of its failure together.
@@ -279,26 +279,26 @@
 
     async def all_are_informed() -> bool:
         for number in hearers:
-            for known in (await fleet.shown(number, "PEERS"))["hosts"]:
+            for known in (await fleet.read_state(number, "PEERS"))["hosts"]:
                 if known["host"] == host_id and known["tellers"] >= TELLERS:
                     informed.add(number)
         return informed == set(hearers)
 
     async def none_doubts() -> bool:
-        return not any([await fleet.doubting(number, host_id) for number in hearers])
+        return not any([await fleet.suspects(number, host_id) for number in hearers])
 
     fleet.fail(host)
     async with under_load(fleet, tellers):
         await wait_until(all_are_informed, f"{hearers} hear from {tellers} of s-{host}, which fails", fleet)
-        fleet.mend(host)
+        fleet.recover(host)
         await wait_until(none_doubts, f"{hearers} do not doubt s-{host}, which is well again", fleet)
 
 
-async def judge_datagrams(fleet: Shared) -> list[str]:
+async def judge_datagrams(fleet: GossipFleet) -> list[str]:
     """Ask each gateway which datagrams it refused: none was spoilt on its way."""
     violations = []
     for number, line in itertools.product(range(fleet.count), ("DUTIES", "PEERS")):
-        dropped = (await fleet.shown(number, line))["dropped"]
+        dropped = (await fleet.read_state(number, line))["dropped"]
         refused = {why: count for why, count in dropped.items() if why in REFUSED_DATAGRAMS}
         if refused:
             violations.append(f"n{number} refused datagrams ({line}): {refused}")
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -19,7 +19,7 @@
 from standins.parties.fleet import ROOT
 from standins.parties.network import LinkConditions
 from tests import sockets
-from tests.fleet.shared import Shared, shared
+from tests.fleet.gossip_fleet import GossipFleet, running_gossip_fleet
 from tests.sockets import on_loop, wait_for_reuse_delay
 
 FAILING_HOST = f"{stable_id('s-0', 4):x}"  # id of host 0 in the answer to PEERS
@@ -27,18 +27,18 @@
 OTHER_GATEWAYS = range(5)
 
 
-async def wait_until_suspected(fleet: Shared, gateway: int, is_suspected: bool = True) -> None:
-    while await fleet.doubting(gateway, FAILING_HOST) is not is_suspected:
+async def wait_until_suspected(fleet: GossipFleet, gateway: int, is_suspected: bool = True) -> None:
+    while await fleet.suspects(gateway, FAILING_HOST) is not is_suspected:
         await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def loaded(fleet: Shared, gateways: Iterable[int]) -> AsyncIterator[None]:
+async def loaded(fleet: GossipFleet, gateways: Iterable[int]) -> AsyncIterator[None]:
     """Keep sending requests to these gateways."""
 
     async def send_requests(gateway: int) -> None:
         while True:
-            await fleet.ask(gateway)
+            await fleet.send_request(gateway)
 
     tasks = [asyncio.create_task(send_requests(gateway)) for gateway in gateways]
     try:
@@ -49,7 +49,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def fail_host_for_others(fleet: Shared) -> None:
+async def fail_host_for_others(fleet: GossipFleet) -> None:
     """Make host 0 fail, and wait until the last gateway suspects it because of reports, without own requests."""
     fleet.fail(0)
     async with loaded(fleet, OTHER_GATEWAYS):
@@ -63,11 +63,11 @@
     clock_arguments = {0: "wall=3600", 1: "wall=-3600", LAST_GATEWAY: "rate=1.001"} if clocks else {}
     start = (sys.executable, "-m", "tests.fleet.clocks")
     commands = {n: (*start, argument, *sockets.GATEWAY_COMMAND[2:]) for n, argument in clock_arguments.items()}
-    async with shared(tmp_path, commands=commands) as fleet:
+    async with running_gossip_fleet(tmp_path, commands=commands) as fleet:
         await fail_host_for_others(fleet)
-        marks = fleet.marks()
-        await fleet.load([LAST_GATEWAY], 30)
-        attempts = fleet.sent([LAST_GATEWAY], marks)[0]
+        marks = fleet.attempt_counts()
+        await fleet.send_requests([LAST_GATEWAY], 30)
+        attempts = fleet.attempts_by_host([LAST_GATEWAY], marks)[0]
         # About 10 without gossip; the breaker of a suspected host opens after a single own failure.
         assert attempts <= 1, f"{attempts} of 30\n{fleet.timeline()}"
         fleet.check()
@@ -76,14 +76,14 @@
 @on_loop
 async def test_partitioned_gateway_detects_a_failing_host_itself(tmp_path: Path) -> None:
     """Without its peers it works as without gossip; when the links are back, it receives reports of the fault."""
-    async with shared(tmp_path) as fleet:
-        fleet.cut([LAST_GATEWAY], list(OTHER_GATEWAYS))
+    async with running_gossip_fleet(tmp_path) as fleet:
+        fleet.partition([LAST_GATEWAY], list(OTHER_GATEWAYS))
         fleet.fail(0)
         async with loaded(fleet, OTHER_GATEWAYS):
             await wait_until_suspected(fleet, 0)
-            marks = fleet.marks()
-            await fleet.load([LAST_GATEWAY], 60)
-        attempts = fleet.sent([LAST_GATEWAY], marks)[0]
+            marks = fleet.attempt_counts()
+            await fleet.send_requests([LAST_GATEWAY], 60)
+        attempts = fleet.attempts_by_host([LAST_GATEWAY], marks)[0]
         # Limited by the gateway's own circuit breaker, as without gossip.
         assert 2 <= attempts <= 20, f"{attempts} of 60\n{fleet.timeline()}"
         fleet.heal()
@@ -95,23 +95,23 @@
 @on_loop
 async def test_reports_expire_when_nothing_more_is_received(tmp_path: Path) -> None:
     """A gateway suspects a host and is cut off: no datagram tells it that the host has recovered."""
-    async with shared(tmp_path) as fleet:
+    async with running_gossip_fleet(tmp_path) as fleet:
         await fail_host_for_others(fleet)
-        fleet.cut([LAST_GATEWAY], list(OTHER_GATEWAYS))
-        fleet.mend(0)
+        fleet.partition([LAST_GATEWAY], list(OTHER_GATEWAYS))
+        fleet.recover(0)
         await wait_until_suspected(fleet, LAST_GATEWAY, is_suspected=False)
-        marks = fleet.marks()
-        await fleet.load([LAST_GATEWAY], 60)
-        assert fleet.sent([LAST_GATEWAY], marks)[0] >= 6, fleet.timeline()  # its fair share is a third
+        marks = fleet.attempt_counts()
+        await fleet.send_requests([LAST_GATEWAY], 60)
+        assert fleet.attempts_by_host([LAST_GATEWAY], marks)[0] >= 6, fleet.timeline()  # its fair share is a third
         fleet.check()
 
 
-async def check_others_use_all_hosts(fleet: Shared, others: list[int], cut_off: list[int]) -> None:
+async def check_others_use_all_hosts(fleet: GossipFleet, others: list[int], cut_off: list[int]) -> None:
     """Check that the other gateways use all hosts while every host is dead for the gateways in `cut_off`."""
-    marks = fleet.marks()
+    marks = fleet.attempt_counts()
     async with loaded(fleet, cut_off):
-        await fleet.load(others, 1200 // len(others))
-    counts = fleet.sent(others, marks)
+        await fleet.send_requests(others, 1200 // len(others))
+    counts = fleet.attempts_by_host(others, marks)
     assert sum(counts) >= 0.95 * 1200, f"{counts}\n{fleet.timeline()}"  # rejected requests reach no host
     assert min(counts) >= 0.8 * sum(counts) / len(counts), f"{counts}\n{fleet.timeline()}"
 
@@ -122,8 +122,8 @@
     tmp_path: Path, cut_off: list[int]
 ) -> None:
     """One reporter is not enough; two are not credible, as they report that all other hosts fail for them too."""
-    async with shared(tmp_path) as fleet:
-        fleet.cut_from_hosts(*cut_off)
+    async with running_gossip_fleet(tmp_path) as fleet:
+        fleet.refuse_host_connections(*cut_off)
         others = [gateway for gateway in range(6) if gateway not in cut_off]
         await check_others_use_all_hosts(fleet, others, cut_off)
         assert fleet.statuses[500] == 0
@@ -132,70 +132,70 @@
 
 @on_loop
 async def test_host_that_fails_from_one_zone_stays_in_use_in_the_other_zone(tmp_path: Path) -> None:
-    async with shared(tmp_path, zones=(0, 0, 0, 1, 1, 1)) as fleet:
-        await fleet.load(range(6), 10)
+    async with running_gossip_fleet(tmp_path, zones=(0, 0, 0, 1, 1, 1)) as fleet:
+        await fleet.send_requests(range(6), 10)
         fleet.fail(0, lambda number: number >= 3)
-        marks = fleet.marks()
+        marks = fleet.attempt_counts()
         async with loaded(fleet, (3, 4, 5)):
-            await fleet.load((0, 1, 2), 400)
-        counts = fleet.sent((0, 1, 2), marks)
+            await fleet.send_requests((0, 1, 2), 400)
+        counts = fleet.attempts_by_host((0, 1, 2), marks)
         assert counts[0] >= 0.93 * sum(counts) / len(counts), f"{counts}\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
 async def test_datagrams_late_by_seconds_cause_no_suspicion_of_a_recovered_host(tmp_path: Path) -> None:
-    async with shared(tmp_path) as fleet:
-        await fleet.wait(
+    async with running_gossip_fleet(tmp_path) as fleet:
+        await fleet.wait_for(
             lambda: all(link.received_count > 3 for link in fleet.mesh.links.values()),
             "datagrams were sent over all links",
         )
         fleet.mesh.set_conditions(LinkConditions(delayed=1.0, extra_delay_us=4_000_000))
         fleet.fail(0)
-        await fleet.until(
+        await fleet.send_until(
             OTHER_GATEWAYS,
-            lambda: all(fleet.seen(0)[gateway] >= 2 for gateway in OTHER_GATEWAYS),
+            lambda: all(fleet.attempts_by_gateway(0)[gateway] >= 2 for gateway in OTHER_GATEWAYS),
             "the other gateways sent requests to the failing host",
         )
-        fleet.mend(0)
+        fleet.recover(0)
         fleet.mesh.set_conditions(LinkConditions())
-        marks = fleet.marks()
+        marks = fleet.attempt_counts()
         received = {pair: link.received_count for pair, link in fleet.mesh.links.items()}
         await asyncio.sleep(3.5)  # the reports sent during the fault are still in transit
-        late_marks = fleet.marks()
+        late_marks = fleet.attempt_counts()
         async with loaded(fleet, [LAST_GATEWAY]):
             # This gateway saw no failure: the host gets a third of its requests, even while late reports arrive.
             await asyncio.sleep(2.0)
-        counts = fleet.sent([LAST_GATEWAY], late_marks)
+        counts = fleet.attempts_by_host([LAST_GATEWAY], late_marks)
         assert counts[0] >= 0.7 * sum(counts) / 3, f"{counts} {marks} {received}\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
 async def test_resumed_gateway_treats_queued_reports_as_old(tmp_path: Path) -> None:
-    async with shared(tmp_path) as fleet:
-        await fleet.wait(
+    async with running_gossip_fleet(tmp_path) as fleet:
+        await fleet.wait_for(
             lambda: all(link.received_count > 3 for link in fleet.mesh.links.values()),
             "datagrams were sent over all links",
         )
-        fleet.stop(LAST_GATEWAY)
+        fleet.pause(LAST_GATEWAY)
         fleet.fail(0)
         async with loaded(fleet, OTHER_GATEWAYS):
             await wait_until_suspected(fleet, 0)
             await asyncio.sleep(0.5)
-        fleet.mend(0)
+        fleet.recover(0)
         await asyncio.sleep(2.5)  # all reports have expired
-        fleet.wake(LAST_GATEWAY)
-        marks = fleet.marks()
-        await fleet.load([LAST_GATEWAY], 150)
-        counts = fleet.sent([LAST_GATEWAY], marks)
+        fleet.resume(LAST_GATEWAY)
+        marks = fleet.attempt_counts()
+        await fleet.send_requests([LAST_GATEWAY], 150)
+        counts = fleet.attempts_by_host([LAST_GATEWAY], marks)
         assert counts[0] >= 0.5 * sum(counts) / 3, f"{counts}\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
 async def test_reports_spread_despite_lost_repeated_truncated_and_corrupt_datagrams(tmp_path: Path) -> None:
-    async with shared(tmp_path) as fleet:
+    async with running_gossip_fleet(tmp_path) as fleet:
         fleet.mesh.set_conditions(
             LinkConditions(
                 jitter_us=20_000,
@@ -208,7 +208,9 @@
             )
         )
         await fail_host_for_others(fleet)
-        while not (await fleet.shown(LAST_GATEWAY, "PEERS"))["dropped"].get("unreadable"):  # probes are corrupted too
+        while not (await fleet.read_state(LAST_GATEWAY, "PEERS"))["dropped"].get(
+            "unreadable"
+        ):  # probes are corrupted too
             await asyncio.sleep(0.05)
         fleet.check()
 
@@ -216,37 +218,37 @@
 @on_loop
 async def test_restarted_majority_is_sent_reports_by_the_remaining_gateway(tmp_path: Path) -> None:
     """Five of six gateways are killed while a host fails; one of them suspects it again without own requests."""
-    async with shared(tmp_path) as fleet:
+    async with running_gossip_fleet(tmp_path) as fleet:
         await fail_host_for_others(fleet)
         await fleet.kill(1, 2, 3, 4, LAST_GATEWAY)
         fleet.start(1, 2, 3, 4, LAST_GATEWAY)
-        await fleet.ready(1, 2, 3, 4, LAST_GATEWAY)
+        await fleet.wait_until_ready(1, 2, 3, 4, LAST_GATEWAY)
         async with loaded(fleet, (0, 1, 2, 3)):
             await wait_until_suspected(fleet, LAST_GATEWAY)
-        marks = fleet.marks()
-        await fleet.load([LAST_GATEWAY], 30)
-        assert fleet.sent([LAST_GATEWAY], marks)[0] <= 1, fleet.timeline()
+        marks = fleet.attempt_counts()
+        await fleet.send_requests([LAST_GATEWAY], 30)
+        assert fleet.attempts_by_host([LAST_GATEWAY], marks)[0] <= 1, fleet.timeline()
         fleet.check()
 
 
-async def max_overdraft(fleet: Shared, min_accepted: float) -> float:
+async def max_overdraft(fleet: GossipFleet, min_accepted: float) -> float:
     """Return the maximum of tokens spent minus tokens earned by gateway 0, over any interval of its requests.
 
     Every second response is an error, and the other gateways are idle. Runs until gateway 0 has accepted
     `min_accepted` tokens from others, for at least 400 requests, and until it has made 100 retries: while its circuit
     breakers are open it makes none for seconds, but still earns tokens.
     """
-    await fleet.load(range(1, fleet.count), 10)  # each saves the maximum
-    await fleet.load([0], 60)
+    await fleet.send_requests(range(1, fleet.count), 10)  # each saves the maximum
+    await fleet.send_requests([0], 60)
     count = itertools.count()
     for host in range(len(fleet.hosts)):
         fleet.fail(host, lambda number: next(count) % 2 == 0)
-    marks, requests, retries, overdraft, max_seen = fleet.marks(), 0, 0, 0.0, 0.0
-    while requests < 400 or retries < 100 or (await fleet.shown(0, "PEERS"))["rights"]["taken"] < min_accepted:
+    marks, requests, retries, overdraft, max_seen = fleet.attempt_counts(), 0, 0, 0.0, 0.0
+    while requests < 400 or retries < 100 or (await fleet.read_state(0, "PEERS"))["rights"]["taken"] < min_accepted:
         for _ in range(50):
-            await fleet.load([0], 1)
+            await fleet.send_requests([0], 1)
             await wait_for_reuse_delay()  # otherwise waiting for a new connection counts as overload
-            previous, (_, retries) = retries, fleet.attempts(marks)
+            previous, (_, retries) = retries, fleet.request_and_retry_counts(marks)
             overdraft = max(0.0, overdraft + ERROR_RETRY_COST * (retries - previous) - RETRY_RATIO)
             max_seen = max(max_seen, overdraft)
         requests += 50
@@ -259,7 +261,7 @@
     tmp_path: Path, doubled: bool
 ) -> None:
     """One gateway spends at most what all gateways together may save, though most tokens moved to it."""
-    async with shared(tmp_path, count=4) as fleet:
+    async with running_gossip_fleet(tmp_path, count=4) as fleet:
         if doubled:
             fleet.mesh.set_conditions(LinkConditions(duplicate=1.0, jitter_us=5_000))
         spent = await max_overdraft(fleet, 2 * MAX_SAVED_TOKENS)
@@ -269,8 +271,8 @@
 
 @on_loop
 async def test_partitioned_gateway_spends_only_its_own_tokens(tmp_path: Path) -> None:
-    async with shared(tmp_path, count=4) as fleet:
-        fleet.cut([0], [1, 2, 3])
+    async with running_gossip_fleet(tmp_path, count=4) as fleet:
+        fleet.partition([0], [1, 2, 3])
         spent = await max_overdraft(fleet, 0.0)
         assert spent <= MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
         fleet.check()
@@ -278,21 +280,21 @@
 
 @on_loop
 async def test_only_one_process_of_a_gateway_gossips_after_an_upgrade(tmp_path: Path) -> None:
-    async with shared(tmp_path, count=3) as fleet:
+    async with running_gossip_fleet(tmp_path, count=3) as fleet:
         async with loaded(fleet, (0, 1, 2)):
             await fleet.gateways[1].upgrade()
             fleet.fail(0)
-            while not (await fleet.doubting(1, FAILING_HOST) or fleet.seen(0)[1] >= 5):
+            while not (await fleet.suspects(1, FAILING_HOST) or fleet.attempts_by_gateway(0)[1] >= 5):
                 await asyncio.sleep(0.01)
         fleet.check()
 
 
 @on_loop
 async def test_killed_gateway_is_dead_for_its_peers_until_it_restarts(tmp_path: Path) -> None:
-    async with shared(tmp_path, count=4) as fleet:
+    async with running_gossip_fleet(tmp_path, count=4) as fleet:
 
         async def states(gateway: int) -> set[str]:
-            statuses = [await fleet.shown(n, "PEERS") for n in range(fleet.count) if n != gateway]
+            statuses = [await fleet.read_state(n, "PEERS") for n in range(fleet.count) if n != gateway]
             return {status["peers"][str(gateway)]["state"] for status in statuses}
 
         while await states(2) != {"alive"}:
@@ -301,7 +303,7 @@
         while await states(2) != {"gone"}:
             await asyncio.sleep(0.05)
         fleet.start(2)
-        await fleet.ready(2)
+        await fleet.wait_until_ready(2)
         while await states(2) != {"alive"}:
             await asyncio.sleep(0.05)
         fleet.check()
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -14,80 +14,80 @@
 
 from standins.event_log import now_us
 from standins.parties.network import LinkConditions
-from tests.fleet.ground import Ground, ground
+from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
 from tests.sockets import on_loop
 
 
-def others(fleet: Ground, *excluded: int) -> list[int]:
+def others(fleet: LeaseFleet, *excluded: int) -> list[int]:
     return [number for number in range(fleet.count) if number not in excluded]
 
 
 @on_loop
 async def test_one_gateway_holds_a_lease_and_another_after_it_was_killed(tmp_path: Path) -> None:
-    async with ground(tmp_path) as fleet:
-        held = await fleet.holder()
-        await fleet.goes_on(held, 2 * fleet.lease_s)
+    async with running_lease_fleet(tmp_path) as fleet:
+        held = await fleet.wait_for_holder()
+        await fleet.check_holder_continues(held, 2 * fleet.lease_s)
         await fleet.kill(held.gateway)
-        after = await fleet.holder(but=held.gateway)
+        after = await fleet.wait_for_holder(excluding=held.gateway)
         assert after.fencing_token > held.fencing_token
         fleet.start(held.gateway)
-        await fleet.ready(held.gateway)
-        await fleet.goes_on(after, 2 * fleet.lease_s)
+        await fleet.wait_until_ready(held.gateway)
+        await fleet.check_holder_continues(after, 2 * fleet.lease_s)
         fleet.check()
 
 
 @on_loop
 async def test_a_holder_that_stalled_for_longer_than_a_lease_stops_acting(tmp_path: Path) -> None:
     """When the holder resumes, its socket buffer is full of reports that it must not answer as the holder."""
-    async with ground(tmp_path) as fleet:
+    async with running_lease_fleet(tmp_path) as fleet:
         for _ in range(3):
-            held = await fleet.holder()
-            fleet.stop(held.gateway)
-            after = await fleet.holder(but=held.gateway)
+            held = await fleet.wait_for_holder()
+            fleet.pause(held.gateway)
+            after = await fleet.wait_for_holder(excluding=held.gateway)
             assert after.fencing_token > held.fencing_token
-            fleet.wake(held.gateway)
-            await fleet.goes_on(after, fleet.lease_s)
+            fleet.resume(held.gateway)
+            await fleet.check_holder_continues(after, fleet.lease_s)
         fleet.check()
 
 
 @on_loop
 async def test_a_holder_that_stalled_for_a_third_of_a_lease_keeps_it(tmp_path: Path) -> None:
-    async with ground(tmp_path, lease_ms=3_000) as fleet:
-        held = await fleet.holder()
-        fleet.stop(held.gateway)
-        await fleet.nobody(0.5)
-        fleet.wake(held.gateway)
-        await fleet.goes_on(held, 1.0)
+    async with running_lease_fleet(tmp_path, lease_ms=3_000) as fleet:
+        held = await fleet.wait_for_holder()
+        fleet.pause(held.gateway)
+        await fleet.check_no_acts(0.5)
+        fleet.resume(held.gateway)
+        await fleet.check_holder_continues(held, 1.0)
         fleet.check()
 
 
 @on_loop
 async def test_a_holder_stops_in_time_when_all_other_gateways_stall(tmp_path: Path) -> None:
-    async with ground(tmp_path) as fleet:
-        held = await fleet.holder()
-        fleet.stop(*others(fleet, held.gateway))
+    async with running_lease_fleet(tmp_path) as fleet:
+        held = await fleet.wait_for_holder()
+        fleet.pause(*others(fleet, held.gateway))
         stopped_us = now_us()
-        await fleet.wait(
+        await fleet.wait_for(
             lambda: now_us() - fleet.acts[-1].at_us > 200_000, "the holder stops acting", 4 * fleet.lease_s
         )
         # The limit is one lease by the holder's clock, plus an allowance for the watcher's report and its reply.
         assert fleet.acts[-1].at_us - stopped_us < fleet.lease_ms * 1000 + 100_000
-        await fleet.nobody(fleet.lease_s)
-        fleet.wake(*others(fleet, held.gateway))
-        after = await fleet.holder(after_us=now_us())
+        await fleet.check_no_acts(fleet.lease_s)
+        fleet.resume(*others(fleet, held.gateway))
+        after = await fleet.wait_for_holder(after_us=now_us())
         assert after.fencing_token > held.fencing_token
         fleet.check()
 
 
 @on_loop
 async def test_a_holder_that_is_cut_off_stops_and_another_gateway_takes_over(tmp_path: Path) -> None:
-    async with ground(tmp_path, count=5, voters=5) as fleet:
-        held = await fleet.holder()
-        fleet.cut([held.gateway], others(fleet, held.gateway))
-        after = await fleet.holder(but=held.gateway)
-        await fleet.goes_on(after, fleet.lease_s)
+    async with running_lease_fleet(tmp_path, count=5, voters=5) as fleet:
+        held = await fleet.wait_for_holder()
+        fleet.partition([held.gateway], others(fleet, held.gateway))
+        after = await fleet.wait_for_holder(excluding=held.gateway)
+        await fleet.check_holder_continues(after, fleet.lease_s)
         fleet.heal()
-        await fleet.goes_on(after, 2 * fleet.lease_s)
+        await fleet.check_holder_continues(after, 2 * fleet.lease_s)
         fleet.check()
 
 
@@ -95,40 +95,40 @@
 @on_loop
 async def test_a_holder_that_is_cut_off_one_way_stops(tmp_path: Path, can_receive: bool) -> None:
     """The holder can send but not receive, or receive but not send."""
-    async with ground(tmp_path, count=5, voters=5) as fleet:
-        held = await fleet.holder()
+    async with running_lease_fleet(tmp_path, count=5, voters=5) as fleet:
+        held = await fleet.wait_for_holder()
         rest = others(fleet, held.gateway)
         if can_receive:
-            fleet.cut([held.gateway], rest, one_way=True)
+            fleet.partition([held.gateway], rest, one_way=True)
         else:
-            fleet.cut(rest, [held.gateway], one_way=True)
-        after = await fleet.holder(but=held.gateway)
-        await fleet.goes_on(after, fleet.lease_s)
+            fleet.partition(rest, [held.gateway], one_way=True)
+        after = await fleet.wait_for_holder(excluding=held.gateway)
+        await fleet.check_holder_continues(after, fleet.lease_s)
         fleet.heal()
-        await fleet.goes_on(after, fleet.lease_s)
+        await fleet.check_holder_continues(after, fleet.lease_s)
         fleet.check()
 
 
 @on_loop
 async def test_the_holder_is_in_the_partition_with_a_majority_of_voters(tmp_path: Path) -> None:
-    async with ground(tmp_path, count=6, voters=5) as fleet:
-        await fleet.holder()
+    async with running_lease_fleet(tmp_path, count=6, voters=5) as fleet:
+        await fleet.wait_for_holder()
         minority, majority = [0, 1, 5], [2, 3, 4]
         for first, second in ((minority, majority), ([0, 3, 4], [1, 2, 5])):
-            fleet.cut(first, second)
+            fleet.partition(first, second)
             voters = {number for number in first if number < fleet.voters}
             winners = first if len(voters) >= 3 else second
-            await fleet.wait(
+            await fleet.wait_for(
                 lambda winners=winners: (  # type: ignore[misc]
-                    (act := fleet.mesh.watcher.last_act_of(fleet.duty)) is not None
+                    (act := fleet.mesh.watcher.last_act_of(fleet.role)) is not None
                     and act.gateway in winners and now_us() - act.at_us < 50_000
                 ),
                 f"one of {winners} holds",
             )  # fmt: skip
             # Voters may have promised higher ballots to the other partition, so that a renewal needs a new token.
-            held = await fleet.holder(after_us=now_us() + 2 * fleet.lease_ms * 1000)
+            held = await fleet.wait_for_holder(after_us=now_us() + 2 * fleet.lease_ms * 1000)
             assert held.gateway in winners
-            await fleet.goes_on(held, 2 * fleet.lease_s)
+            await fleet.check_holder_continues(held, 2 * fleet.lease_s)
             fleet.heal()
         fleet.check()
 
@@ -136,10 +136,10 @@
 @on_loop
 async def test_a_bridge_between_two_partitions_makes_no_second_holder(tmp_path: Path) -> None:
     """Gateway 2 reaches both halves, which do not reach each other; each half has a majority together with it."""
-    async with ground(tmp_path, count=5, voters=5) as fleet:
-        await fleet.holder()
-        fleet.cut([0, 1], [3, 4])
-        await fleet.holder(after_us=now_us() + 2 * fleet.lease_ms * 1000)
+    async with running_lease_fleet(tmp_path, count=5, voters=5) as fleet:
+        await fleet.wait_for_holder()
+        fleet.partition([0, 1], [3, 4])
+        await fleet.wait_for_holder(after_us=now_us() + 2 * fleet.lease_ms * 1000)
         fleet.check()
         fleet.heal()
         fleet.check()
@@ -148,24 +148,24 @@
 @on_loop
 async def test_voters_that_are_killed_in_turn_within_a_lease_do_not_vote_twice(tmp_path: Path) -> None:
     """A restarted voter has lost the leases that it had accepted. Two of the five gateways are not voters."""
-    async with ground(tmp_path, count=5, voters=3) as fleet:
-        await fleet.holder()
+    async with running_lease_fleet(tmp_path, count=5, voters=3) as fleet:
+        await fleet.wait_for_holder()
         for voter in (0, 1, 2, 0, 1, 2):
             await fleet.kill(voter)
             fleet.start(voter)
-        await fleet.ready(0, 1, 2)
-        await fleet.holder(after_us=now_us())
+        await fleet.wait_until_ready(0, 1, 2)
+        await fleet.wait_for_holder(after_us=now_us())
         fleet.check()
 
 
 @on_loop
 async def test_tokens_increase_when_every_gateway_is_restarted_at_once(tmp_path: Path) -> None:
-    async with ground(tmp_path) as fleet:
-        held = await fleet.holder()
+    async with running_lease_fleet(tmp_path) as fleet:
+        held = await fleet.wait_for_holder()
         await fleet.kill(0, 1, 2)
         fleet.start(0, 1, 2)
-        await fleet.ready(0, 1, 2)
-        after = await fleet.holder(after_us=held.at_us + fleet.lease_ms * 1000)
+        await fleet.wait_until_ready(0, 1, 2)
+        after = await fleet.wait_for_holder(after_us=held.at_us + fleet.lease_ms * 1000)
         assert after.fencing_token > held.fencing_token
         fleet.check()
 
@@ -176,20 +176,20 @@
 
     The notice of the rejected reply carries the newest token, and the holder continues above it.
     """
-    async with ground(tmp_path) as fleet:
-        held = await fleet.holder()
+    async with running_lease_fleet(tmp_path) as fleet:
+        held = await fleet.wait_for_holder()
         await fleet.kill(0, 1, 2)
         for gateway in fleet.gateways:
             gateway.command = (sys.executable, "-m", "tests.fleet.clocks", "wall=-3600", *gateway.command[2:])
         fleet.start(0, 1, 2)
-        await fleet.ready(0, 1, 2)
-        first = await fleet.holder(after_us=fleet.blanks[-1])
+        await fleet.wait_until_ready(0, 1, 2)
+        first = await fleet.wait_for_holder(after_us=fleet.all_down_at_us[-1])
         assert first.fencing_token < held.fencing_token  # otherwise the test exercises nothing
-        await fleet.wait(
-            lambda: (act := fleet.mesh.watcher.last_act_of(fleet.duty)) and act.fencing_token > held.fencing_token,
+        await fleet.wait_for(
+            lambda: (act := fleet.mesh.watcher.last_act_of(fleet.role)) and act.fencing_token > held.fencing_token,
             "a token above the rejected one",
         )
-        await fleet.goes_on(await fleet.holder(after_us=now_us()), fleet.lease_s)
+        await fleet.check_holder_continues(await fleet.wait_for_holder(after_us=now_us()), fleet.lease_s)
         fleet.check()
 
 
@@ -197,8 +197,8 @@
 async def test_datagrams_that_are_lost_duplicated_late_truncated_and_corrupted_make_no_second_holder(
     tmp_path: Path,
 ) -> None:
-    async with ground(tmp_path, count=5, voters=5) as fleet:
-        await fleet.holder()
+    async with running_lease_fleet(tmp_path, count=5, voters=5) as fleet:
+        await fleet.wait_for_holder()
         fleet.mesh.set_conditions(
             LinkConditions(
                 delay_us=1_000, jitter_us=30_000, loss=0.3, duplicate=0.2, delayed=0.1, extra_delay_us=1_500_000,
@@ -207,65 +207,65 @@
         )  # fmt: skip
         rng = random.Random(5)
         for _ in range(4):
-            held = await fleet.holder(after_us=now_us())
+            held = await fleet.wait_for_holder(after_us=now_us())
             number = rng.choice([held.gateway, rng.randrange(fleet.count)])
-            fleet.stop(number)
-            await fleet.wait(
+            fleet.pause(number)
+            await fleet.wait_for(
                 lambda number=number: (  # type: ignore[misc]
-                    (act := fleet.mesh.watcher.last_act_of(fleet.duty)) is not None and act.gateway != number
+                    (act := fleet.mesh.watcher.last_act_of(fleet.role)) is not None and act.gateway != number
                 ),
                 f"a gateway other than n{number} holds",
             )  # fmt: skip
-            fleet.wake(number)
+            fleet.resume(number)
         fleet.mesh.set_conditions(LinkConditions())
-        await fleet.holder(after_us=now_us())
+        await fleet.wait_for_holder(after_us=now_us())
         fleet.check()
 
 
 @on_loop
 async def test_operators_hand_a_lease_over_at_once_and_exclude_a_gateway(tmp_path: Path) -> None:
-    async with ground(tmp_path, lease_ms=10_000) as fleet:
-        held = await fleet.holder(within_s=28.0)
-        shown = await fleet.shown(held.gateway)
+    async with running_lease_fleet(tmp_path, lease_ms=10_000) as fleet:
+        held = await fleet.wait_for_holder(within_s=28.0)
+        shown = await fleet.read_state(held.gateway)
         (name,) = [lease["duty"] for lease in shown["duties"]]
-        assert (await fleet.call(held.gateway, f"HANDON {name}")).startswith("ACK handed on to gateway")
-        after = await fleet.holder(but=held.gateway, within_s=7.0)  # before the lease expires
+        assert (await fleet.send_command(held.gateway, f"HANDON {name}")).startswith("ACK handed on to gateway")
+        after = await fleet.wait_for_holder(excluding=held.gateway, within_s=7.0)  # before the lease expires
         assert after.fencing_token > held.fencing_token
-        assert (await fleet.call(held.gateway, f"HANDON {name}")).startswith("NAK")
-        assert (await fleet.call(after.gateway, "KEEPOFF")).startswith("ACK")
-        last = await fleet.holder(but=after.gateway, within_s=7.0)
-        await fleet.goes_on(last, 0.5)
-        assert (await fleet.shown(after.gateway))["kept_off"]
+        assert (await fleet.send_command(held.gateway, f"HANDON {name}")).startswith("NAK")
+        assert (await fleet.send_command(after.gateway, "KEEPOFF")).startswith("ACK")
+        last = await fleet.wait_for_holder(excluding=after.gateway, within_s=7.0)
+        await fleet.check_holder_continues(last, 0.5)
+        assert (await fleet.read_state(after.gateway))["kept_off"]
         fleet.check()
 
 
 @on_loop
 async def test_a_handover_to_an_unresponsive_successor_leaves_the_lease_to_others(tmp_path: Path) -> None:
     """The handover is aborted: there is at most one holder at any time, and soon another gateway is the holder."""
-    async with ground(tmp_path, count=5, voters=3, lease_ms=1_000) as fleet:
-        held = await fleet.holder()
-        shown = await fleet.shown(held.gateway)
+    async with running_lease_fleet(tmp_path, count=5, voters=3, lease_ms=1_000) as fleet:
+        held = await fleet.wait_for_holder()
+        shown = await fleet.read_state(held.gateway)
         (name,) = [lease["duty"] for lease in shown["duties"]]
-        fleet.cut([held.gateway], [number for number in others(fleet, held.gateway) if number >= 3])
-        answer = await fleet.call(held.gateway, f"HANDON {name}")
+        fleet.partition([held.gateway], [number for number in others(fleet, held.gateway) if number >= 3])
+        answer = await fleet.send_command(held.gateway, f"HANDON {name}")
         assert answer.startswith("ACK")
         successor = int(answer.split()[-1])
         if successor < fleet.count:
-            fleet.stop(successor)
-        await fleet.holder(but=held.gateway, after_us=now_us())
+            fleet.pause(successor)
+        await fleet.wait_for_holder(excluding=held.gateway, after_us=now_us())
         if successor < fleet.count:
-            fleet.wake(successor)
+            fleet.resume(successor)
         fleet.heal()
-        await fleet.holder(after_us=now_us())
+        await fleet.wait_for_holder(after_us=now_us())
         fleet.check()
 
 
 @on_loop
 async def test_a_graceful_shutdown_frees_the_lease_before_it_expires(tmp_path: Path) -> None:
-    async with ground(tmp_path, lease_ms=5_000) as fleet:
-        held = await fleet.holder()
-        fleet.signal(held.gateway, signal.SIGTERM)
-        after = await fleet.holder(but=held.gateway)
+    async with running_lease_fleet(tmp_path, lease_ms=5_000) as fleet:
+        held = await fleet.wait_for_holder()
+        fleet.send_signal(held.gateway, signal.SIGTERM)
+        after = await fleet.wait_for_holder(excluding=held.gateway)
         acted = [act for act in fleet.acts if act.gateway == held.gateway]
         assert after.at_us - acted[-1].at_us < 2_500_000  # half a lease: its release was received
         fleet.check()
@@ -274,10 +274,10 @@
 @on_loop
 async def test_an_upgrade_has_one_voter_and_one_holder_at_a_time(tmp_path: Path) -> None:
     """Two processes of the same gateway run at once; the old one keeps the socket until it exits."""
-    async with ground(tmp_path) as fleet:
-        held = await fleet.holder()
+    async with running_lease_fleet(tmp_path) as fleet:
+        held = await fleet.wait_for_holder()
         await fleet.gateways[held.gateway].upgrade()
-        await fleet.holder(after_us=now_us())
+        await fleet.wait_for_holder(after_us=now_us())
         fleet.check()
 
 
@@ -285,42 +285,42 @@
 @on_loop
 async def test_a_gateway_restarted_with_its_clock_an_hour_off_uses_no_older_token(tmp_path: Path, hours: int) -> None:
     """The restarted gateway becomes the holder, then another one: neither may act under an older token."""
-    async with ground(tmp_path) as fleet:
-        held = await fleet.holder()
+    async with running_lease_fleet(tmp_path) as fleet:
+        held = await fleet.wait_for_holder()
         restarted = held.gateway
         await fleet.kill(restarted)
         gateway = fleet.gateways[restarted]
         gateway.command = (sys.executable, "-m", "tests.fleet.clocks", f"wall={hours * 3600}", *gateway.command[2:])
-        after = await fleet.holder(but=restarted)
+        after = await fleet.wait_for_holder(excluding=restarted)
         fleet.start(restarted)
-        await fleet.ready(restarted)
+        await fleet.wait_until_ready(restarted)
         for number in others(fleet, restarted):
-            assert (await fleet.call(number, "KEEPOFF")).startswith("ACK")
+            assert (await fleet.send_command(number, "KEEPOFF")).startswith("ACK")
         # The first excluded gateway may hand over to the second one before that is excluded, too.
-        second = await fleet.wait(
-            lambda: act if (act := fleet.mesh.watcher.last_act_of(fleet.duty)) and act.gateway == restarted else None,
+        second = await fleet.wait_for(
+            lambda: act if (act := fleet.mesh.watcher.last_act_of(fleet.role)) and act.gateway == restarted else None,
             f"n{restarted} holds",
         )  # fmt: skip
         assert second.fencing_token > after.fencing_token
         for number in others(fleet, restarted):
-            assert (await fleet.call(number, "KEEPON")).startswith("ACK")
-        assert (await fleet.call(restarted, "KEEPOFF")).startswith("ACK")
-        last = await fleet.holder(but=restarted)
+            assert (await fleet.send_command(number, "KEEPON")).startswith("ACK")
+        assert (await fleet.send_command(restarted, "KEEPOFF")).startswith("ACK")
+        last = await fleet.wait_for_holder(excluding=restarted)
         assert last.fencing_token > second.fencing_token
         fleet.check()
 
 
 @on_loop
 async def test_clocks_that_run_fast_and_slow_make_no_second_holder(tmp_path: Path) -> None:
-    async with ground(tmp_path, begin=False) as fleet:
+    async with running_lease_fleet(tmp_path, starts=False) as fleet:
         for number, rate in enumerate((0.999, 1.001, 1.0)):
             gateway = fleet.gateways[number]
             gateway.command = (sys.executable, "-m", "tests.fleet.clocks", f"rate={rate}", *gateway.command[2:])
         fleet.start(0, 1, 2)
-        await fleet.ready(0, 1, 2)
+        await fleet.wait_until_ready(0, 1, 2)
         for _ in range(2):
-            held = await fleet.holder(after_us=now_us())
-            fleet.stop(held.gateway)
-            await fleet.holder(but=held.gateway)
-            fleet.wake(held.gateway)
+            held = await fleet.wait_for_holder(after_us=now_us())
+            fleet.pause(held.gateway)
+            await fleet.wait_for_holder(excluding=held.gateway)
+            fleet.resume(held.gateway)
         fleet.check()
--- a/tests/fleet/test_leases_zookeeper.py
+++ b/tests/fleet/test_leases_zookeeper.py
@@ -14,18 +14,18 @@
 from standins.event_log import now_us
 from standins.parties.zookeeper.ensemble import Session
 from standins.parties.zookeeper.threaded import ThreadedEnsemble
-from tests.fleet.ground import Ground, ground
+from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
 from tests.sockets import on_loop
 
 LEASE_MS = 1_000
 
 
 @asynccontextmanager
-async def zookeeper_fleet(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, ThreadedEnsemble]]:
+async def zookeeper_fleet(folder: Path, count: int = 3) -> AsyncIterator[tuple[LeaseFleet, ThreadedEnsemble]]:
     """Run gateways and the service that stores their leases."""
     keeper = ThreadedEnsemble(servers=3, timeouts_ms=(200, 40_000))
     try:
-        async with ground(folder, count=count, lease_ms=LEASE_MS, keeper=keeper) as fleet:
+        async with running_lease_fleet(folder, count=count, lease_ms=LEASE_MS, zookeeper=keeper) as fleet:
             yield fleet, keeper
     finally:
         keeper.close()
@@ -36,9 +36,9 @@
     return await asyncio.get_running_loop().run_in_executor(None, keeper.call, function)
 
 
-def owner(fleet: Ground, keeper: ThreadedEnsemble) -> Session:
+def owner(fleet: LeaseFleet, keeper: ThreadedEnsemble) -> Session:
     """Return the session that owns the lease's node."""
-    node = keeper.ensemble.tree.nodes[f"/cloverkeel/duties/{fleet.duty:015x}"]
+    node = keeper.ensemble.tree.nodes[f"/cloverkeel/duties/{fleet.role:015x}"]
     found: Session = keeper.ensemble.sessions[node.stat.ephemeral_owner]
     return found
 
@@ -46,14 +46,14 @@
 @on_loop
 async def test_one_gateway_owns_the_node_and_another_after_it_was_killed_or_stalled(tmp_path: Path) -> None:
     async with zookeeper_fleet(tmp_path) as (fleet, _):
-        held = await fleet.holder()
-        await fleet.goes_on(held, 2 * fleet.lease_s)
+        held = await fleet.wait_for_holder()
+        await fleet.check_holder_continues(held, 2 * fleet.lease_s)
         await fleet.kill(held.gateway)
-        second = await fleet.holder(but=held.gateway)
-        fleet.stop(second.gateway)
-        third = await fleet.holder(but=second.gateway)
-        fleet.wake(second.gateway)
-        await fleet.goes_on(third, fleet.lease_s)
+        second = await fleet.wait_for_holder(excluding=held.gateway)
+        fleet.pause(second.gateway)
+        third = await fleet.wait_for_holder(excluding=second.gateway)
+        fleet.resume(second.gateway)
+        await fleet.check_holder_continues(third, fleet.lease_s)
         assert held.fencing_token < second.fencing_token < third.fencing_token
         fleet.check()
 
@@ -62,13 +62,13 @@
 async def test_another_gateway_takes_over_when_a_session_expires_while_its_owner_acts(tmp_path: Path) -> None:
     """The service expires the session; the owner learns of it by the session state LOST or by its next write."""
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
-        held = await fleet.holder()
+        held = await fleet.wait_for_holder()
         session = await call(keeper, lambda: owner(fleet, keeper))
         # The service's responses are lost.
         await call(keeper, lambda: keeper.ensemble.disrupt_session(session.id, "out"))
-        after = await fleet.holder(but=held.gateway)
+        after = await fleet.wait_for_holder(excluding=held.gateway)
         assert after.fencing_token > held.fencing_token
-        await fleet.goes_on(after, fleet.lease_s)
+        await fleet.check_holder_continues(after, fleet.lease_s)
         fleet.check()
 
 
@@ -76,30 +76,30 @@
 @on_loop
 async def test_a_holder_that_is_cut_off_from_the_service_stops(tmp_path: Path, direction: str) -> None:
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
-        held = await fleet.holder()
+        held = await fleet.wait_for_holder()
         session = await call(keeper, lambda: owner(fleet, keeper))
         await call(keeper, lambda: keeper.ensemble.disrupt_session(session.id, direction))
         # The next holder has another session and a newer token; it may be the same gateway after it reconnected.
-        after = await fleet.wait(
+        after = await fleet.wait_for(
             lambda: (
                 act
-                if (act := fleet.mesh.watcher.last_act_of(fleet.duty)) and act.fencing_token > held.fencing_token
+                if (act := fleet.mesh.watcher.last_act_of(fleet.role)) and act.fencing_token > held.fencing_token
                 else None
             ),
             "a newer token",
         )  # fmt: skip
-        await fleet.goes_on(after, fleet.lease_s)
+        await fleet.check_holder_continues(after, fleet.lease_s)
         fleet.check()
 
 
 @on_loop
 async def test_a_holder_keeps_the_lease_when_its_connection_is_reset(tmp_path: Path) -> None:
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
-        held = await fleet.holder()
+        held = await fleet.wait_for_holder()
         for _ in range(3):
             session = await call(keeper, lambda: owner(fleet, keeper))
             await call(keeper, lambda session=session: keeper.ensemble.disrupt_session(session.id))  # type: ignore[misc]
-            await fleet.goes_on(held, fleet.lease_s / 2)
+            await fleet.check_holder_continues(held, fleet.lease_s / 2)
         fleet.check()
 
 
@@ -107,7 +107,7 @@
 async def test_a_lease_is_acquired_after_responses_to_executed_requests_were_lost(tmp_path: Path) -> None:
     """For three leases the service executes writes of all gateways, but the connection ends before the response."""
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
-        held = await fleet.holder()
+        held = await fleet.wait_for_holder()
 
         def lose_responses() -> None:
             for session in keeper.ensemble.sessions.values():
@@ -118,9 +118,9 @@
         while now_us() < end_us:
             await call(keeper, lose_responses)
             await asyncio.sleep(0.05)
-        after = await fleet.holder(after_us=end_us)
+        after = await fleet.wait_for_holder(after_us=end_us)
         assert after.fencing_token > held.fencing_token
-        await fleet.goes_on(after, fleet.lease_s)
+        await fleet.check_holder_continues(after, fleet.lease_s)
         fleet.check()
 
 
@@ -130,13 +130,13 @@
 ) -> None:
     """No gateway holds the lease during the outage; the service's last changes, including the node, are lost."""
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
-        held = await fleet.holder()
+        held = await fleet.wait_for_holder()
         changes = len(keeper.ensemble.log)
         await call(keeper, keeper.ensemble.stop)
-        await fleet.wait(lambda: now_us() - fleet.acts[-1].at_us > LEASE_MS * 1000, "the holder stops", 10.0)
-        await fleet.nobody(fleet.lease_s)
+        await fleet.wait_for(lambda: now_us() - fleet.acts[-1].at_us > LEASE_MS * 1000, "the holder stops", 10.0)
+        await fleet.check_no_acts(fleet.lease_s)
         await call(keeper, lambda: keeper.ensemble.restart(lost_changes=changes - 4))
-        after = await fleet.holder(after_us=now_us(), within_s=25.0)
+        after = await fleet.wait_for_holder(after_us=now_us(), within_s=25.0)
         assert after.gateway < fleet.count and held.fencing_token > 0
 
         # Receivers reject a token below the newest one they have seen, so a new holder must get above it; the same
@@ -148,23 +148,23 @@
             )
             return act is not None and (same or act.fencing_token > held.fencing_token)
 
-        await fleet.wait(
-            lambda: is_above(fleet.mesh.watcher.last_act_of(fleet.duty)), "a newer token, or the same holder", 25.0
+        await fleet.wait_for(
+            lambda: is_above(fleet.mesh.watcher.last_act_of(fleet.role)), "a newer token, or the same holder", 25.0
         )
 
 
 @on_loop
 async def test_a_lease_is_acquired_after_a_leaderless_phase_and_after_all_sessions_expired(tmp_path: Path) -> None:
     async with zookeeper_fleet(tmp_path) as (fleet, keeper):
-        held = await fleet.holder()
+        held = await fleet.wait_for_holder()
         await call(keeper, lambda: keeper.ensemble.lose_leader(2.0))
-        after = await fleet.holder(after_us=now_us() + 2_000_000)
+        after = await fleet.wait_for_holder(after_us=now_us() + 2_000_000)
 
         def expire_all() -> None:
             for session in list(keeper.ensemble.sessions):
                 keeper.ensemble.expire(session)
 
         await call(keeper, expire_all)
-        last = await fleet.holder(after_us=now_us() + 500_000)
+        last = await fleet.wait_for_holder(after_us=now_us() + 500_000)
         assert last.fencing_token > held.fencing_token and last.fencing_token >= after.fencing_token
         fleet.check()
--- a/tests/fleet/test_probe_election.py
+++ b/tests/fleet/test_probe_election.py
@@ -8,20 +8,20 @@
 from pathlib import Path
 from typing import Any
 
-from tests.fleet.ground import Ground, ground
+from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
 from tests.sockets import Client, ScriptedServer, on_loop, reply, request, respond_with, scripted_server
 
 FAILING, RECOVERED = respond_with(reply(500, b"")), respond_with(reply())
 
 
 @asynccontextmanager
-async def under_load(folder: Path, count: int = 3) -> AsyncIterator[tuple[Ground, ScriptedServer]]:
+async def under_load(folder: Path, count: int = 3) -> AsyncIterator[tuple[LeaseFleet, ScriptedServer]]:
     """Send each gateway up to fifty requests a second from two clients each; the second of three warm hosts fails."""
     async with (
         scripted_server() as one,
         scripted_server() as bad,
         scripted_server() as two,
-        ground(folder, count, warm=(one, bad, two)) as fleet,
+        running_lease_fleet(folder, count, warm_hosts=(one, bad, two)) as fleet,
     ):
         is_over = False
 
@@ -52,11 +52,11 @@
     ]  # fmt: skip
 
 
-async def all_shown(fleet: Ground, numbers: list[int]) -> list[dict[str, Any]]:
-    return [await fleet.shown(number) for number in numbers]
+async def all_shown(fleet: LeaseFleet, numbers: list[int]) -> list[dict[str, Any]]:
+    return [await fleet.read_state(number) for number in numbers]
 
 
-async def until_one_probes(fleet: Ground, numbers: list[int], but: int = -1) -> int:
+async def until_one_probes(fleet: LeaseFleet, numbers: list[int], but: int = -1) -> int:
     """Wait until one of these gateways is the prober and the others have suspended probes; return its number."""
     before = {s["gateway"]: s["held_back"] for s in await all_shown(fleet, numbers)}
     while True:
@@ -68,7 +68,7 @@
         await asyncio.sleep(0.05)
 
 
-async def until_recovered(fleet: Ground, numbers: list[int]) -> None:
+async def until_recovered(fleet: LeaseFleet, numbers: list[int]) -> None:
     """Wait until the host's circuit is closed at each of these gateways."""
     while any(any(not out["well"] for out in s["outs"]) for s in await all_shown(fleet, numbers)):
         await asyncio.sleep(0.05)
@@ -90,11 +90,11 @@
         await fleet.kill(first)
         rest = [number for number in range(3) if number != first]
         second = await until_one_probes(fleet, rest, but=first)
-        fleet.stop(second)
+        fleet.pause(second)
         (last,) = [number for number in rest if number != second]
         bad.script = RECOVERED
         await until_recovered(fleet, [last])  # the only live gateway probes for itself
-        fleet.wake(second)
+        fleet.resume(second)
         await until_recovered(fleet, [second])
         fleet.check()
 
@@ -103,8 +103,8 @@
 async def test_gateways_cut_off_from_each_other_probe_for_themselves(tmp_path: Path) -> None:
     async with under_load(tmp_path) as (fleet, bad):
         await until_one_probes(fleet, [0, 1, 2])
-        fleet.cut([0], [1, 2])
-        fleet.cut([1], [2])
+        fleet.partition([0], [1, 2])
+        fleet.partition([1], [2])
         bad.script = RECOVERED
         await until_recovered(fleet, [0, 1, 2])
         fleet.check()
