--- a/tests/compiled/test_build.py
+++ b/tests/compiled/test_build.py
@@ -1,4 +1,4 @@
-"""The choice between the compiled build and the plain sources, and the equivalence of both."""
+"""The choice between the compiled build and the plain sources, and their equivalence."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def write_build(folder: Path, library: bytes = b"no library at all", **changed: object) -> Path:
-    """Write a folder as a build leaves it, with one library that cannot be loaded."""
+    """Write the folder of a finished build, with one library that cannot be loaded."""
     folder.mkdir(exist_ok=True)
     (folder / "x.so").write_bytes(library)
     stamp = {
@@ -42,6 +42,7 @@
 
 
 def unusable_reason(folder: Path) -> str:
+    """Return why a build is not used."""
     with pytest.raises(loader.UnusableBuildError) as raised:
         loader.read_stamp(str(folder))
     return str(raised.value)
@@ -78,13 +79,13 @@
     assert loader.install(str(folder), {}).startswith("plain: ")
 
 
-def test_an_unloadable_library_makes_the_sources_run(tmp_path: Path) -> None:
+def test_the_sources_run_if_a_library_cannot_be_loaded(tmp_path: Path) -> None:
     before, finders = set(sys.modules), list(sys.meta_path)
     assert "plain: " in loader.install(str(write_build(tmp_path)), {})
     assert sys.meta_path == finders and "cloverkeel.balancing.nothing" not in set(sys.modules) - before
 
 
-def test_one_unloadable_module_makes_its_whole_package_run_from_source(tmp_path: Path) -> None:
+def test_a_package_runs_from_source_if_one_module_cannot_be_loaded(tmp_path: Path) -> None:
     (tmp_path / "x.so").write_bytes(b"no library at all")
     files = {"cloverkeel.nothing": str(tmp_path / "x.so"), "cloverkeel.balancing.other": "kept"}
     finder, before = loader.CompiledFinder(files), dict(sys.modules)
@@ -119,7 +120,7 @@
     assert plain == "0" or completed.stdout.strip() == "[True]"
 
 
-def test_the_environment_variable_makes_the_sources_run(tmp_path: Path) -> None:
+def test_the_sources_run_if_the_environment_variable_is_set(tmp_path: Path) -> None:
     finders = list(sys.meta_path)
     assert (
         loader.install(str(write_build(tmp_path)), {loader.PLAIN_VARIABLE: "1"})
@@ -154,7 +155,7 @@
 
 
 def test_a_failing_compiler_prints_one_line_and_leaves_no_stamp(tmp_path: Path) -> None:
-    folder = tmp_path / "made"
+    folder = tmp_path / "compiled"
     completed = subprocess.run(
         [sys.executable, "-m", "cloverkeel.compiled.build", "--folder", str(folder)], cwd=ROOT,
         env=os.environ | {"CC": "false", loader.PLAIN_VARIABLE: "1"}, capture_output=True, text=True, check=False,
@@ -174,7 +175,7 @@
         raise KeyboardInterrupt
 
     monkeypatch.setattr(compiled_build, "run_mypyc", write_empty_libraries)
-    folder = write_build(tmp_path / "made")  # from an earlier build
+    folder = write_build(tmp_path / "compiled")  # from an earlier build
     monkeypatch.setattr(Path, "write_text", interrupt)
     with pytest.raises(KeyboardInterrupt):
         compiled_build.compile_all(folder)
@@ -209,7 +210,7 @@
     assert (tmp_path / ".venv/built").exists() and not (tmp_path / ".venv-compile/built").exists()
 
 
-# Type errors: compiled code raises on values of wrong types
+# Types of values: compiled code raises on a value of a wrong type
 
 
 JSON = st.recursive(
@@ -231,11 +232,11 @@
 
 def mistyped_fields(value: object) -> list[str]:
     """Return fields whose value is not of the annotated type: plain Python accepts them, compiled code raises."""
-    bad = []
+    names = []
     for name, hint in get_type_hints(type(value)).items():
         if hint in (int, float, bool, str) and not isinstance(getattr(value, name), hint):
-            bad.append(f"{type(value).__name__}.{name}")
-    return bad
+            names.append(f"{type(value).__name__}.{name}")
+    return names
 
 
 @settings(max_examples=300, deadline=None)
@@ -244,7 +245,7 @@
     try:
         entry = parse_endpoint(ENDPOINT | changes, Names({}, {}, {"a": 0}, {"m": 0}))
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
-        return  # such an entry is skipped and logged
+        return  # the product skips and logs such an entry
     assert isinstance(entry.listed, ListedServer) and not mistyped_fields(entry.listed)
 
 
@@ -257,7 +258,7 @@
     try:
         parsed = parse_settings(json.dumps(SETTINGS | {"lanes": [REQUEST_CLASS | class_changes]} | changes))
     except WireError:
-        return  # printed in one line at startup, exit code 2
+        return  # the gateway prints it in one line at startup and exits with 2
     assert isinstance(parsed, Settings)
     assert not mistyped_fields(parsed) + [field for class_ in parsed.classes for field in mistyped_fields(class_)]
 
@@ -268,11 +269,11 @@
 def test_a_stream_is_reproducible_and_its_digest_depends_on_the_seed() -> None:
     assert digest(Stream(1, 300)) == digest(Stream(1, 300)) != digest(Stream(2, 300))
     actions = [actions for seed in range(6) for _, actions in Stream(seed, 1000).play()]
-    for word in ("Send(", "Refuse(", "Fail(", "Cancel(", "SetTimer(", "Log(", "WatchList("):
-        assert any(word in line for line in actions), word
+    for name in ("Send(", "Refuse(", "Fail(", "Cancel(", "SetTimer(", "Log(", "WatchList("):
+        assert any(name in line for line in actions), name
 
 
-def test_compiled_and_plain_builds_take_the_same_actions() -> None:
+def test_compiled_and_plain_builds_return_the_same_actions() -> None:
     try:
         loader.read_stamp(loader.COMPILED_FOLDER)
     except loader.UnusableBuildError as error:
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -1,4 +1,4 @@
-"""All samples, by the kind that names their data file."""
+"""All samples by kind. The kind is the name of the data file."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 SAMPLES_BY_KIND: Final[dict[str, SamplesByName]] = {
     kind: samples
-    for package in (core, leases, discovery, admin, control_plane, gossip, simulator)
-    for kind, samples in package.SAMPLES_BY_KIND.items()
+    for module in (core, leases, discovery, admin, control_plane, gossip, simulator)
+    for kind, samples in module.SAMPLES_BY_KIND.items()
 }
--- a/tests/golden/store.py
+++ b/tests/golden/store.py
@@ -1,4 +1,4 @@
-"""Samples of wire messages and stored data, and the data files that keep their bytes."""
+"""Samples of wire messages and stored data, and the data files with their expected bytes."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 
 
 class FileExistsAlreadyError(Exception):
-    """A data file is there and would be overwritten."""
+    """A data file exists and would be overwritten."""
 
 
-def unchanged(data: bytes) -> bytes:
-    """Return the bytes as they are."""
+def identity(data: bytes) -> bytes:
+    """Return the bytes unchanged."""
     return data
 
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """One message: how the product writes it, and what the product reads from it.
+    """A message: functions that write and read it with the product's code, and the value expected from `read`.
 
-    `read` is None where the product has no reader. `canonical` maps written and kept bytes to what is compared: the
-    bytes themselves, unless a library outside the product may write them in several forms (gzip).
+    `read` is None if the product has no reader. `canonical` converts written and stored bytes before they are
+    compared, for formats that a library may write in several forms (gzip).
     """
 
     write: Callable[[], bytes]
     read: Callable[[bytes], object] | None = None
     expected: object = None
-    canonical: Callable[[bytes], bytes] = unchanged
+    canonical: Callable[[bytes], bytes] = identity
 
 
 SamplesByName = dict[str, Sample]
 
 
-def path_of(kind: str) -> Path:
-    """Return the data file of a kind."""
+def data_path(kind: str) -> Path:
+    """Return the path of the data file of a kind."""
     return DATA_FOLDER / f"{kind}.json"
 
 
 def load(kind: str) -> BytesByName:
-    """Read the kept bytes of a kind, by the sample's name."""
-    raw = json.loads(path_of(kind).read_text(encoding="utf-8"))
+    """Read the stored bytes of a kind, by sample name."""
+    raw = json.loads(data_path(kind).read_text(encoding="utf-8"))
     return {name: _decode(entry) for name, entry in raw.items()}
 
 
 def save(kind: str, messages: BytesByName, replace: bool) -> None:
-    """Write the data file of a kind; raise FileExistsAlreadyError if it is there and `replace` is not set."""
-    path = path_of(kind)
+    """Write the data file of a kind; raise FileExistsAlreadyError if it exists and `replace` is false."""
+    path = data_path(kind)
     if path.exists() and not replace:
         raise FileExistsAlreadyError(f"{path}: exists; expected --replace to overwrite it")
     raw = {name: _encode(data) for name, data in messages.items()}
@@ -61,12 +61,12 @@
 
 
 def _encode(data: bytes) -> dict[str, str]:
-    """Keep printable UTF-8 as text, which a reviewer can read, and everything else as hexadecimal digits."""
+    """Encode printable UTF-8 as text, which a reviewer can read, and all other bytes as hexadecimal digits."""
     try:
         text = data.decode()
     except UnicodeDecodeError:
         return {"hex": data.hex()}
-    is_readable = all(letter.isprintable() or letter in "\r\n" for letter in text)
+    is_readable = all(character.isprintable() or character in "\r\n" for character in text)
     return {"text": text} if is_readable else {"hex": data.hex()}
 
 
--- a/tests/golden/test_bytes.py
+++ b/tests/golden/test_bytes.py
@@ -1,4 +1,4 @@
-"""Every message is written as the kept bytes have it, and the kept bytes are read as what they were written from."""
+"""Messages are written as the stored bytes, and the stored bytes are read as the values they were written from."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     "simulator_dialogue",
     "simulator_events",
 ]
-KEPT = {kind: load(kind) for kind in KINDS}
-CASES = [(kind, name) for kind in KINDS for name in KEPT[kind]]
+STORED = {kind: load(kind) for kind in KINDS}
+CASES = [(kind, name) for kind in KINDS for name in STORED[kind]]
 
 
 def test_every_kind_has_a_data_file_and_samples() -> None:
@@ -41,18 +41,18 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_every_sample_has_kept_bytes(kind: str) -> None:
-    assert list(SAMPLES_BY_KIND[kind]) == list(KEPT[kind])
+def test_every_sample_has_stored_bytes(kind: str) -> None:
+    assert list(SAMPLES_BY_KIND[kind]) == list(STORED[kind])
 
 
 @pytest.mark.parametrize(("kind", "name"), CASES)
-def test_what_is_written_is_what_is_kept(kind: str, name: str) -> None:
+def test_written_bytes_equal_the_stored_bytes(kind: str, name: str) -> None:
     sample = SAMPLES_BY_KIND[kind][name]
-    assert sample.canonical(sample.write()) == sample.canonical(KEPT[kind][name])
+    assert sample.canonical(sample.write()) == sample.canonical(STORED[kind][name])
 
 
 @pytest.mark.parametrize(("kind", "name"), [case for case in CASES if SAMPLES_BY_KIND[case[0]][case[1]].read])
-def test_what_is_kept_is_read(kind: str, name: str) -> None:
+def test_stored_bytes_are_read_as_the_expected_value(kind: str, name: str) -> None:
     sample = SAMPLES_BY_KIND[kind][name]
     assert sample.read is not None
-    assert sample.read(KEPT[kind][name]) == sample.expected
+    assert sample.read(STORED[kind][name]) == sample.expected
--- a/tests/golden/test_coverage.py
+++ b/tests/golden/test_coverage.py
@@ -1,4 +1,4 @@
-"""A codec has no kind of message without kept bytes."""
+"""Each codec has stored bytes for all its kinds of messages."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
     assert known == sampled
 
 
-def test_every_kind_of_sharing_datagram_has_kept_bytes() -> None:
-    kept = {name.removeprefix("empty_") for name in load("sharing_datagrams") if name.startswith("empty_")}
-    assert kept == gossip.DATAGRAM_KINDS
+def test_every_kind_of_gossip_datagram_has_stored_bytes() -> None:
+    kinds = {name.removeprefix("empty_") for name in load("sharing_datagrams") if name.startswith("empty_")}
+    assert kinds == gossip.DATAGRAM_KINDS
 
 
-def test_kept_duties_datagrams_have_every_kind_number() -> None:
+def test_stored_lease_datagrams_have_every_kind_number() -> None:
     kinds = {data[2] for data in load("duties_datagrams").values()}
     assert len(kinds) == len(leases.MESSAGE_CLASSES)
 
@@ -48,5 +48,5 @@
 @pytest.mark.parametrize("name", sorted(FULL_SAMPLES))
 def test_a_full_sample_sets_every_field(name: str) -> None:
     sample = FULL_SAMPLES[name]
-    left_as_they_are = [field.name for field in fields(sample) if getattr(sample, field.name) == field.default]
-    assert left_as_they_are == []
+    defaulted_fields = [field.name for field in fields(sample) if getattr(sample, field.name) == field.default]
+    assert defaulted_fields == []
--- a/tests/golden/test_write.py
+++ b/tests/golden/test_write.py
@@ -12,12 +12,12 @@
 
 @pytest.fixture
 def data_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Return an empty folder that stands for the one with the data files."""
+    """Return an empty folder that replaces the folder of data files."""
     monkeypatch.setattr(store, "DATA_FOLDER", tmp_path)
     return tmp_path
 
 
-def test_an_existing_file_is_overwritten_only_when_asked(
+def test_an_existing_file_is_overwritten_only_with_the_replace_option(
     data_folder: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = data_folder / "ops_lines.json"
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.usefixtures("data_folder")
-def test_bytes_are_kept_as_they_are() -> None:
+def test_loaded_bytes_equal_the_saved_bytes() -> None:
     messages = {"text": "höst\r\n".encode(), "control": b"a\x00", "binary": b"\xff\xfe", "empty": b""}
     store.save("kind", messages, replace=False)
     assert store.load("kind") == messages
--- a/tests/golden/write.py
+++ b/tests/golden/write.py
@@ -1,7 +1,7 @@
-"""Write the data files of golden bytes from the code as it is: python -m tests.golden.write [--replace] [KIND ...].
+"""Write the data files of golden bytes with the current code: python -m tests.golden.write [--replace] [KIND ...].
 
-An existing file is left alone and the exit code is 1, unless --replace is given. Replacing bytes changes what
-processes of an older version can read: it is right only where a page of the protocol changes with it.
+Without --replace, existing files are not changed and the exit code is 1. Other bytes may be unreadable for processes
+of an older version: replace a file only together with a change of the protocol's page.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Return the exit code."""
+    """Run the command and return its exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m tests.golden.write", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("kinds", nargs="*", metavar="KIND", help="kinds to write; all, if none is named")
-    parser.add_argument("--replace", action="store_true", help="overwrite data files that exist")
+    parser.add_argument("kinds", nargs="*", metavar="KIND", help="kinds to write; default: all")
+    parser.add_argument("--replace", action="store_true", help="overwrite existing data files")
     options = parser.parse_args(arguments)
     unknown = [kind for kind in options.kinds if kind not in SAMPLES_BY_KIND]
     if unknown:
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -10,13 +10,13 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
-CODE_NAME = re.compile(r"`([A-Z][A-Za-z]+(?:\.[a-z_]+)?)`")  # a class, or a method or attribute of one
+CODE_NAME = re.compile(r"`([A-Z][A-Za-z]+(?:\.[a-z_]+)?)`")  # a class, or a class and its method
 MODULE_NAME = re.compile(r"`((?:[a-z0-9_]+/)*[a-z0-9_]+\.(?:py|md|toml))`")
-NOT_IN_THE_PROGRAM = {"DEFECT"}  # the mark of a log line
+NOT_CODE_NAMES = {"DEFECT"}  # marks a log line
 
 
 def names_by_class() -> dict[str, set[str]]:
-    """Return the functions and attributes that each class of the product defines, by the class's name."""
+    """Return the methods that each class of the product defines, by class name."""
     names: dict[str, set[str]] = {}
     for path in (ROOT / "cloverkeel").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -28,7 +28,7 @@
     return names
 
 
-@pytest.mark.parametrize("name", sorted(set(CODE_NAME.findall(PAGE)) - NOT_IN_THE_PROGRAM))
+@pytest.mark.parametrize("name", sorted(set(CODE_NAME.findall(PAGE)) - NOT_CODE_NAMES))
 def test_class_or_method_exists(name: str) -> None:
     class_name, _, member = name.partition(".")
     defined = names_by_class()
--- a/tests/test_commit_hook.py
+++ b/tests/test_commit_hook.py
@@ -1,4 +1,4 @@
-"""The commit-msg hook that ./test.sh sets up: titles under 90 characters, and a body."""
+"""The commit-msg hook that ./test.sh installs: a title under 90 characters and a body are required."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("message", "code", "said"),
+    ("message", "code", "error"),
     [
         ("A title\n\nCause, change, result.\n", 0, ""),
         ("A" * 89 + "\n\nCause.\n", 0, ""),
@@ -23,9 +23,9 @@
         ("Merge " + "a" * 90 + "\n", 1, "96 characters"),
     ],
 )
-def test_titles_are_short_and_commits_have_a_body(tmp_path: Path, message: str, code: int, said: str) -> None:
+def test_long_titles_and_missing_bodies_are_refused(tmp_path: Path, message: str, code: int, error: str) -> None:
     file = tmp_path / "message"
     file.write_text(message, encoding="utf-8")
     environment = {"PATH": "/usr/bin:/bin", "LC_ALL": "C.UTF-8"}
-    done = subprocess.run([str(HOOK), str(file)], capture_output=True, text=True, env=environment)
-    assert done.returncode == code and said in done.stderr
+    completed = subprocess.run([str(HOOK), str(file)], capture_output=True, text=True, env=environment)
+    assert completed.returncode == code and error in completed.stderr
--- a/tests/test_log_page.py
+++ b/tests/test_log_page.py
@@ -8,11 +8,11 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "logs.md").read_text()
-MIN_EVENT_CHARS = 8  # a line that begins with a placeholder is told apart by what follows it
+MIN_EVENT_CHARS = 8  # a shorter text, such as that before a placeholder, does not identify a line
 
 
 def logged_texts(source: str) -> Iterator[str]:
-    """Yield the longest fixed text, up to a key's `=`, of each call of `log` whose argument is written there."""
+    """Yield the longest literal text, up to the `=` of a key, of each call of `log` with a string or an f-string."""
     for node in ast.walk(ast.parse(source)):
         if not (
             isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "log" and node.args
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -1,4 +1,4 @@
-"""Modules of the product stay small and their functions short."""
+"""Limits on the sizes of the product's modules and functions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def product_modules() -> Iterator[tuple[str, str]]:
-    """Yield the path below the root, and the source, of each module of the product."""
+    """Yield the path relative to the root, and the source, of each module of the product."""
     for path in sorted((ROOT / "cloverkeel").rglob("*.py")):
         name = path.relative_to(ROOT).as_posix()
         if "/_compiled/" not in name and "/." not in name:
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(("name", "source"), [pytest.param(*module, id=module[0]) for module in product_modules()])
-def test_module_and_its_functions_are_within_their_sizes(name: str, source: str) -> None:
+def test_module_and_its_functions_are_within_the_limits(name: str, source: str) -> None:
     assert len(source.splitlines()) <= MAX_MODULE_LINES
     too_long = {function: length for function, length in function_lengths(source) if length > MAX_FUNCTION_LINES}
     assert too_long == {}
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -9,8 +9,8 @@
 def test_the_example_runs() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (code,) = re.findall(r"```python\n(.*?)```", text, flags=re.S)
-    names: dict[str, object] = {}
-    exec(code, names)
-    send = names["send"]
+    namespace: dict[str, object] = {}
+    exec(code, namespace)
+    send = namespace["send"]
     assert isinstance(send, Send) and send.server in (1, 2)
-    assert not names["balancer"].lifecycle.requests  # type: ignore[attr-defined]
+    assert not namespace["balancer"].lifecycle.requests  # type: ignore[attr-defined]
