--- a/setup.py
+++ b/setup.py
@@ -1,4 +1,4 @@
-"""Wheel builds: with compiled modules if compilation succeeds, else plain. Other settings are in pyproject.toml."""
+"""Builds wheels with compiled modules, or without if compilation fails. Other settings are in pyproject.toml."""
 
 from __future__ import annotations
 
@@ -21,19 +21,21 @@
 
 @cache
 def compile_once() -> Path | None:
-    """Compile; return the folder of the compiled modules, or None on failure. Print the outcome in one line."""
+    """Return the folder of the compiled modules, or None if compilation failed. Print the outcome in one line."""
     folder = Path(tempfile.mkdtemp(prefix="cloverkeel-")) / "_compiled"
     atexit.register(shutil.rmtree, folder.parent, ignore_errors=True)
     try:
         compiled_build.compile_all(folder)
     except (compiled_build.CompileError, OSError) as error:
-        print(f"cloverkeel: a plain wheel, not compiled: {str(error)[:300]}", file=sys.stderr)
+        print(f"cloverkeel: wheel without compiled modules: {str(error)[:300]}", file=sys.stderr)
         return None
-    print("cloverkeel: a wheel with compiled decisions", file=sys.stderr)
+    print("cloverkeel: wheel with compiled modules", file=sys.stderr)
     return folder
 
 
 class BuildWithCompiledModules(build_py):
+    """Adds the compiled modules to the build."""
+
     def run(self) -> None:
         super().run()
         folder = compile_once()
@@ -44,9 +46,11 @@
 
 
 class PlatformWheel(bdist_wheel):
+    """Names the platform of a wheel that has compiled modules."""
+
     def finalize_options(self) -> None:
         super().finalize_options()
-        self.root_is_pure = compile_once() is None  # a compiled wheel fits only this Python and platform
+        self.root_is_pure = compile_once() is None  # compiled modules work only with this Python version and platform
 
 
 setup(cmdclass={"build_py": BuildWithCompiledModules, "bdist_wheel": PlatformWheel})
