--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -44,7 +44,7 @@
 from standins.event_log import now_us
 from standins.parties.network import LinkConditions
 from standins.parties.zookeeper.threaded import ThreadedEnsemble
-from tests.fleet.ground import Ground, ground
+from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
 
 LEASE_MS = 600
 FAULTS_PER_SCHEDULE = 8
@@ -64,25 +64,25 @@
     timeline: str = ""
 
 
-async def inject_fault(fleet: Ground, rng: random.Random, kind: str) -> None:
+async def inject_fault(fleet: LeaseFleet, rng: random.Random, kind: str) -> None:
     """Inject a fault of this kind, more often at the lease holder than elsewhere; most faults end before return."""
     numbers = list(range(fleet.count))
-    act = fleet.mesh.watcher.last_act_of(fleet.duty)
+    act = fleet.mesh.watcher.last_act_of(fleet.role)
     holder = act.gateway if act is not None and act.gateway < fleet.count else rng.choice(numbers)
     target = holder if rng.random() < 0.6 else rng.choice(numbers)
     if kind == "stop":
         targets = [target] if rng.random() < 0.6 else rng.sample(numbers, rng.randint(1, fleet.count - 1))
-        fleet.stop(*targets)
+        fleet.pause(*targets)
         fraction = rng.choice((0.1, 0.9, 1.01, 1.3, rng.uniform(0.1, 5.0)))
         await asyncio.sleep(fraction * fleet.lease_s)
-        fleet.wake(*targets)
+        fleet.resume(*targets)
     elif kind in ("kill", "restart-all"):
         targets = numbers if kind == "restart-all" else rng.sample(numbers, rng.randint(1, 3))
         await fleet.kill(*targets)
         await asyncio.sleep(rng.choice((0.0, 0.0, rng.uniform(0, 1.5))))
         fleet.start(*targets)
     elif kind in ("cut", "one-way"):
-        fleet.cut([target], [n for n in numbers if n != target], one_way=kind == "one-way")
+        fleet.partition([target], [n for n in numbers if n != target], one_way=kind == "one-way")
         await asyncio.sleep(rng.uniform(0.2, 2.5))
         fleet.heal()
     elif kind == "halves":
@@ -90,7 +90,7 @@
         second_part = [n for n in numbers if n not in first_part]
         if rng.random() < 0.5:
             second_part = second_part[1:]  # one gateway still reaches both parts
-        fleet.cut(first_part, second_part)
+        fleet.partition(first_part, second_part)
         await asyncio.sleep(rng.uniform(0.3, 2.5))
         fleet.heal()
     elif kind == "lossy":
@@ -107,15 +107,15 @@
     elif kind in SERVICE_FAULT_KINDS:
         await inject_service_fault(fleet, rng, kind)
     else:
-        response = await fleet.call(target, "DUTIES")
+        response = await fleet.send_command(target, "DUTIES")
         if response.startswith("ACK {"):
             for lease in json.loads(response[4:])["duties"]:
-                await fleet.call(target, f"HANDON {lease['duty']}")
+                await fleet.send_command(target, f"HANDON {lease['duty']}")
 
 
-async def inject_service_fault(fleet: Ground, rng: random.Random, kind: str) -> None:
+async def inject_service_fault(fleet: LeaseFleet, rng: random.Random, kind: str) -> None:
     """Inject a fault of the coordination service or of some of its sessions."""
-    threaded_ensemble = fleet.keeper
+    threaded_ensemble = fleet.zookeeper
     assert threaded_ensemble is not None
     ensemble, run_in_executor = threaded_ensemble.ensemble, asyncio.get_running_loop().run_in_executor
     fleet.note(kind)
@@ -137,12 +137,12 @@
         await run_in_executor(None, threaded_ensemble.call, ensemble.restart)
     else:
         if kind == "expire":
-            fleet.expiries.append(now_us())
+            fleet.forced_expiries_us.append(now_us())
         await run_in_executor(None, threaded_ensemble.call, affect_sessions)
 
 
 async def play_schedule(
-    seed: int, folder: Path, store: str, before_start: Callable[[Ground], None] = lambda fleet: None
+    seed: int, folder: Path, store: str, before_start: Callable[[LeaseFleet], None] = lambda fleet: None
 ) -> ScheduleResult:
     """Inject the faults that a seed draws; `before_start` may change the gateways before their processes start."""
     rng = random.Random(f"duties/{seed}")
@@ -150,8 +150,9 @@
     voters = rng.choice((3, 5))
     threaded_ensemble = ThreadedEnsemble(servers=3, timeouts_ms=(200, 40_000)) if store == "ephemeral" else None
     kinds = FAULT_KINDS + SERVICE_FAULT_KINDS if threaded_ensemble is not None else FAULT_KINDS
-    async with ground(
-        folder, count=count, voters=voters, lease_ms=LEASE_MS, begin=False, keeper=threaded_ensemble, colds=3
+    async with running_lease_fleet(
+        folder, count=count, voters=voters, lease_ms=LEASE_MS, starts=False, zookeeper=threaded_ensemble,
+        slow_start_host_count=3,
     ) as fleet:  # fmt: skip
         for gateway in fleet.gateways:
             clock_argument = rng.choice(("", "", "rate=0.999", "rate=1.001", f"wall={rng.uniform(-3600, 3600):.0f}"))
@@ -159,8 +160,8 @@
                 gateway.command = (sys.executable, "-m", "tests.fleet.clocks", clock_argument, *gateway.command[2:])
         before_start(fleet)
         fleet.start(*range(count))
-        await fleet.ready(*range(count))
-        await fleet.holder()
+        await fleet.wait_until_ready(*range(count))
+        await fleet.wait_for_holder()
         for _ in range(FAULTS_PER_SCHEDULE):
             kind = rng.choice(kinds)
             result.faults.append(kind)
@@ -168,12 +169,12 @@
             await asyncio.sleep(rng.choice((0.0, 0.1, rng.uniform(0, 1.0))))
         fleet.mesh.set_conditions(LinkConditions())
         fleet.heal()
-        await fleet.ready(*range(count))
+        await fleet.wait_until_ready(*range(count))
         try:
-            await fleet.holder(after_us=now_us(), within_s=30.0)
+            await fleet.wait_for_holder(after_us=now_us(), within_s=30.0)
         except AssertionError as error:
             result.violations.append(f"no gateway holds the lease after all faults have ended: {error}")
-        violations = fleet.judged()
+        violations = fleet.find_violations()
         result.violations += [
             f"{violation.what}: {violation.act} after {violation.earlier}" for violation in violations
         ]
@@ -194,27 +195,27 @@
 
 async def measure_gap(cause: str, seed: int, folder: Path) -> float:
     """Return the time without a holder, in seconds, after this cause."""
-    async with ground(folder, count=5, voters=5, lease_ms=1_000) as fleet:
+    async with running_lease_fleet(folder, count=5, voters=5, lease_ms=1_000) as fleet:
         await asyncio.sleep(0.5 + random.Random(seed).random())
-        previous_act = await fleet.holder()
+        previous_act = await fleet.wait_for_holder()
         if cause == "kill":
             await fleet.kill(previous_act.gateway)
         elif cause == "stall":
-            fleet.stop(previous_act.gateway)
+            fleet.pause(previous_act.gateway)
         elif cause == "cut":
-            fleet.cut([previous_act.gateway], [n for n in range(fleet.count) if n != previous_act.gateway])
+            fleet.partition([previous_act.gateway], [n for n in range(fleet.count) if n != previous_act.gateway])
         elif cause == "planned end":
             import signal
 
-            fleet.signal(previous_act.gateway, signal.SIGTERM)
+            fleet.send_signal(previous_act.gateway, signal.SIGTERM)
         else:
-            (lease_name,) = [lease["duty"] for lease in (await fleet.shown(previous_act.gateway))["duties"]]
-            assert (await fleet.call(previous_act.gateway, f"HANDON {lease_name}")).startswith("ACK")
-        next_act = await fleet.holder(but=previous_act.gateway)
+            (lease_name,) = [lease["duty"] for lease in (await fleet.read_state(previous_act.gateway))["duties"]]
+            assert (await fleet.send_command(previous_act.gateway, f"HANDON {lease_name}")).startswith("ACK")
+        next_act = await fleet.wait_for_holder(excluding=previous_act.gateway)
         last_us = max(act.at_us for act in fleet.acts if act.fencing_token == previous_act.fencing_token)
-        assert not fleet.judged()
+        assert not fleet.find_violations()
         if cause == "stall":
-            fleet.wake(previous_act.gateway)
+            fleet.resume(previous_act.gateway)
         first_us = min(act.at_us for act in fleet.acts if act.fencing_token == next_act.fencing_token)
         return (first_us - last_us) / 1e6
 
@@ -233,8 +234,8 @@
 
 async def count_tokens_without_faults(minutes: float, folder: Path) -> int:
     """Return the number of fencing tokens that acted while there was no fault."""
-    async with ground(folder, count=5, voters=5, lease_ms=3_000) as fleet:
-        await fleet.holder()
+    async with running_lease_fleet(folder, count=5, voters=5, lease_ms=3_000) as fleet:
+        await fleet.wait_for_holder()
         await asyncio.sleep(10.0)
         first = len(fleet.acts)
         end = time.monotonic() + minutes * 60
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -42,8 +42,8 @@
 from standins.playing.environment import Environment
 from standins.playing.scenario import load_scenario
 from standins.playing.runner import run_scenario
-from tests.fleet.ground import Ground
-from tests.fleet.shared import Shared, shared
+from tests.fleet.lease_fleet import LeaseFleet
+from tests.fleet.gossip_fleet import GossipFleet, running_gossip_fleet
 
 SCENARIO = "duties"
 LEASE_SCHEDULES = 4  # per seed; the gateways of the other checkout alternate between the even and the odd ones
@@ -104,7 +104,7 @@
 async def run_leases(seed: int, folder: Path, other: Path) -> RunReport:
     """Run a schedule of faults; check the holders of each role."""
 
-    def mix_fleet(fleet: Ground) -> None:
+    def mix_fleet(fleet: LeaseFleet) -> None:
         mix_checkouts(fleet.gateways, seed, other)
 
     result = await play_schedule(seed, folder, "peers", mix_fleet)
@@ -119,7 +119,7 @@
     own_numbers = [number for number in numbers if number not in other_numbers]
     checkouts = dict.fromkeys(other_numbers, other)
     report = RunReport("gossip")
-    async with shared(
+    async with running_gossip_fleet(
         folder, GOSSIP_GATEWAYS, checkouts=checkouts, voters=GOSSIP_VOTERS, lease_ms=GOSSIP_LEASE_MS
     ) as fleet:
         meter = RetryMeter(fleet)
@@ -135,8 +135,8 @@
             report.violations.append(str(error).partition("\n")[0])
         report.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         report.figures = (
-            f"{fleet.asked} requests, {meter.retries} retries, {meter.peak_excess_tokens:.1f} tokens spent in excess "
-            f"of the earned ones (limit {meter.max_saved_tokens:g}), {meter.transferred_tokens:.1f} transferred "
+            f"{fleet.request_count} requests, {meter.retries} retries, {meter.peak_excess_tokens:.1f} tokens spent "
+            f"in excess of the earned ones (limit {meter.max_saved_tokens:g}), {meter.transferred_tokens:.1f} transferred "
             f"between gateways"
         )
         report.timeline = fleet.timeline() if report.violations else ""
@@ -144,13 +144,13 @@
 
 
 @asynccontextmanager
-async def under_load(fleet: Shared, numbers: Iterable[int]) -> AsyncIterator[None]:
+async def under_load(fleet: GossipFleet, numbers: Iterable[int]) -> AsyncIterator[None]:
     """Send requests to these gateways in the background, also while one is killed and restarted."""
 
     async def send_requests(number: int) -> None:
         while True:
             try:
-                await fleet.ask(number)
+                await fleet.send_request(number)
                 await asyncio.sleep(REQUEST_PAUSE_S)
             except (OSError, asyncio.IncompleteReadError):
                 await asyncio.sleep(0.05)
@@ -164,7 +164,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def run_with_failing_hosts(fleet: Shared, rng: random.Random, meter: RetryMeter) -> None:
+async def run_with_failing_hosts(fleet: GossipFleet, rng: random.Random, meter: RetryMeter) -> None:
     """Let all hosts respond with some errors, while random faults are applied and healed."""
     answer_count = itertools.count()
     for host in range(len(fleet.hosts)):
@@ -175,13 +175,13 @@
             await apply_random_fault(fleet, rng)
             await asyncio.sleep(rng.uniform(0.5, 1.5))
         fleet.heal()
-        await fleet.ready(*range(fleet.count))
+        await fleet.wait_until_ready(*range(fleet.count))
         await meter.read_transferred_tokens()
     for host in range(len(fleet.hosts)):
-        fleet.mend(host)
+        fleet.recover(host)
 
 
-async def apply_random_fault(fleet: Shared, rng: random.Random) -> None:
+async def apply_random_fault(fleet: GossipFleet, rng: random.Random) -> None:
     """Kill, pause or cut off some gateways for a random time."""
     numbers = list(range(fleet.count))
     chosen = rng.sample(numbers, rng.randint(1, fleet.count // 2))
@@ -191,13 +191,13 @@
         await fleet.kill(*chosen)
         await asyncio.sleep(rng.uniform(0.0, 1.0))
         fleet.start(*chosen)
-        await fleet.ready(*chosen)
+        await fleet.wait_until_ready(*chosen)
     elif kind == "stop":
-        fleet.stop(*chosen)
+        fleet.pause(*chosen)
         await asyncio.sleep(rng.uniform(0.1, 3.0) * fleet.lease_s)
-        fleet.wake(*chosen)
+        fleet.resume(*chosen)
     else:
-        fleet.cut(chosen, rest, one_way=kind == "one-way cut")
+        fleet.partition(chosen, rest, one_way=kind == "one-way cut")
         await asyncio.sleep(rng.uniform(0.3, 2.0))
         fleet.heal()
 
@@ -206,7 +206,7 @@
 class RetryMeter:
     """Measures, at the hosts, the retry tokens that all gateways together spend in excess of those they earn."""
 
-    fleet: Shared
+    fleet: GossipFleet
     request_count: int = 0
     retries: int = 0
     excess_tokens: float = 0.0  # spent minus earned tokens, maximum over all periods that end now
@@ -217,13 +217,13 @@
     def max_saved_tokens(self) -> float:
         """Maximum number of tokens that all processes started so far can have saved."""
         return MAX_SAVED_TOKENS * sum(
-            process.what == "start" for process in self.fleet.ledger.events_of(ProcessEvent)
+            process.what == "start" for process in self.fleet.event_log.events_of(ProcessEvent)
         )
 
     def sample(self) -> None:
         """Update the excess by the requests and retries since the last sample."""
-        request_count = self.fleet.asked
-        _, retries = self.fleet.attempts([0] * len(self.fleet.hosts))
+        request_count = self.fleet.request_count
+        _, retries = self.fleet.request_and_retry_counts([0] * len(self.fleet.hosts))
         earned = RETRY_RATIO * (request_count - self.request_count)
         self.excess_tokens = max(0.0, self.excess_tokens + ERROR_RETRY_COST * (retries - self.retries) - earned)
         self.peak_excess_tokens = max(self.peak_excess_tokens, self.excess_tokens)
@@ -231,7 +231,7 @@
 
     async def read_transferred_tokens(self) -> None:
         """Ask all gateways how many tokens they have taken from others."""
-        shown = [await self.fleet.shown(number, "PEERS") for number in range(self.fleet.count)]
+        shown = [await self.fleet.read_state(number, "PEERS") for number in range(self.fleet.count)]
         self.transferred_tokens = sum(status["rights"]["taken"] for status in shown)
 
     def find_violations(self) -> list[str]:
@@ -262,7 +262,7 @@
         meter.sample()
 
 
-async def wait_until(condition: Callable[[], Awaitable[bool]], what: str, fleet: Shared) -> None:
+async def wait_until(condition: Callable[[], Awaitable[bool]], what: str, fleet: GossipFleet) -> None:
     """Wait for a condition on the gateways' reports; raise AssertionError with a timeline if it does not occur."""
     try:
         async with asyncio.timeout(SPREAD_TIMEOUT_S):
@@ -272,17 +272,19 @@
         raise AssertionError(f"not within {SPREAD_TIMEOUT_S:g} s: {what}\n{fleet.timeline()}") from None
 
 
-async def wait_until_all_alive(fleet: Shared) -> None:
+async def wait_until_all_alive(fleet: GossipFleet) -> None:
     """Wait until every gateway reports all others as alive."""
 
     async def all_alive() -> bool:
-        shown = [await fleet.shown(number, "PEERS") for number in range(fleet.count)]
+        shown = [await fleet.read_state(number, "PEERS") for number in range(fleet.count)]
         return all(peer["state"] == "alive" for status in shown for peer in status["peers"].values())
 
     await wait_until(all_alive, "every gateway reports all others as alive", fleet)
 
 
-async def check_failure_spreads(fleet: Shared, host: int, reporters: Sequence[int], receivers: Sequence[int]) -> None:
+async def check_failure_spreads(
+    fleet: GossipFleet, host: int, reporters: Sequence[int], receivers: Sequence[int]
+) -> None:
     """Let a host fail for the reporters; check that each receiver, which sends it nothing, learns this from several.
 
     The host must not have failed before, so that all reporters still send to it and observe the failure together.
@@ -292,26 +294,26 @@
 
     async def all_receivers_know() -> bool:
         for number in receivers:
-            for host_status in (await fleet.shown(number, "PEERS"))["hosts"]:
+            for host_status in (await fleet.read_state(number, "PEERS"))["hosts"]:
                 if host_status["host"] == host_id and host_status["tellers"] >= MIN_REPORTERS:
                     informed_receivers.add(number)
         return informed_receivers == set(receivers)
 
     async def no_receiver_suspects() -> bool:
-        return not any([await fleet.doubting(number, host_id) for number in receivers])
+        return not any([await fleet.suspects(number, host_id) for number in receivers])
 
     fleet.fail(host)
     async with under_load(fleet, reporters):
         await wait_until(all_receivers_know, f"{receivers} learn from {reporters} that s-{host} fails", fleet)
-        fleet.mend(host)
+        fleet.recover(host)
         await wait_until(no_receiver_suspects, f"{receivers} no longer suspect s-{host}, which has recovered", fleet)
 
 
-async def find_refused_datagrams(fleet: Shared) -> list[str]:
+async def find_refused_datagrams(fleet: GossipFleet) -> list[str]:
     """Return the datagrams that gateways report as refused; the network of this run does not corrupt any."""
     violations = []
     for number, line in itertools.product(range(fleet.count), ("DUTIES", "PEERS")):
-        dropped = (await fleet.shown(number, line))["dropped"]
+        dropped = (await fleet.read_state(number, line))["dropped"]
         refused = {why: count for why, count in dropped.items() if why in REFUSAL_REASONS}
         if refused:
             violations.append(f"n{number} refused datagrams ({line}): {refused}")
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -56,7 +56,7 @@
     environment_type = ZooKeeperEnvironment if options.membership == "ephemeral" else Environment
     environment = environment_type(scenario, options.seed, seconds, folder)
     if options.unguarded:
-        environment.use_gateway_command((sys.executable, "-m", "benchmarks.guards.maimed", "still"))
+        environment.use_gateway_command((sys.executable, "-m", "benchmarks.guards.mutated_gateway", "still"))
     environment.on_progress = lambda text: print(f"  {text}", flush=True)
     await environment.run()
     return environment
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -436,7 +436,7 @@
 def run_in_process(schedule: Schedule, without: str = "") -> ScheduleResult:
     """Run a schedule in this process. `without`: the program without this guard (benchmarks/guards)."""
     if without:
-        sockets.PROGRAM = (sys.executable, "-m", "benchmarks.guards.maimed", without)
+        sockets.GATEWAY_COMMAND = (sys.executable, "-m", "benchmarks.guards.mutated_gateway", without)
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(run_schedule(schedule, Path(folder)))
 
--- a/benchmarks/steadiness.py
+++ b/benchmarks/steadiness.py
@@ -32,8 +32,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from benchmarks.guards.__main__ import choose
-from benchmarks.guards.tested import carry_out
+from benchmarks.guards.__main__ import select_rows
+from benchmarks.guards.scripted_tests import run_tests
 
 ROOT = Path(__file__).parent.parent
 CONDITIONS = ("free", "one", "half", "busy", "disk", "shuffled")
@@ -144,17 +144,19 @@
 
 def measure_guards(only: str, runs: int, console: Console) -> int:
     """Runs each row this often; returns the number of rows not found every time plus that of runs with an error."""
-    rows = choose(only, False, None)
+    rows = select_rows(only, False, None)
     missed_counts: Counter[str] = Counter()
     error_count = 0
     for number in range(1, runs + 1):
-        verdicts, error = carry_out(rows, len(os.sched_getaffinity(0)))
-        missed = [verdict for verdict in verdicts if not verdict.found]
+        verdicts, error = run_tests(rows, len(os.sched_getaffinity(0)))
+        missed = [verdict for verdict in verdicts if not verdict.is_detected]
         missed_counts.update(verdict.row.name for verdict in missed)
         error_count += bool(error)
-        console.print(f"guards {number}: {len(verdicts) - len(missed)} of {len(verdicts)} found {error}")
+        console.print(
+            f"guards {number}: {len(verdicts) - len(missed)} of {len(verdicts)} found {error}", markup=False
+        )
         for verdict in missed:
-            console.print(f"  {verdict.row.name}: {verdict.said or verdict.unnoticed}", markup=False)
+            console.print(f"  {verdict.row.name}: {verdict.error or verdict.passed_tests}", markup=False)
     for name, count in missed_counts.most_common():
         console.print(f"{name}: found in {runs - count} of {runs}", markup=False)
     console.print(f"{len(rows) - len(missed_counts)} of {len(rows)} guards found in each of {runs} runs")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -25,7 +25,7 @@
 from benchmarks.capacity.rows import PARTS, SPECS, Part
 from benchmarks.capacity.slopes import Measurements, make_rows, measure_parts, read_rows, run_part
 from benchmarks.capacity.stub_environment import StubDiscovery, host_entries
-from tests.sockets import on_loop, until
+from tests.sockets import on_loop, wait_until
 
 SIZES = (200.0, 2_000.0, 10_000.0, 38_000.0)
 NOISE_FACTORS = (1.04, 0.97, 1.03, 0.98)
@@ -197,7 +197,7 @@
 async def test_stub_discovery_restarts_one_host_after_another() -> None:
     discovery = StubDiscovery(host_entries(20, []))
     discovery.restart_next_host(0.001)
-    await until(lambda: len(discovery.history) >= 6)
+    await wait_until(lambda: len(discovery.history) >= 6)
     discovery.restart_next_host(0.0)
     count = len(discovery.history)
     changed_hosts = [json.loads(data.partition(b"\r\n\r\n")[2])["endpoints"][0] for _, data in discovery.history[:6]]
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -15,7 +15,7 @@
 from cloverkeel.balancing.events import Outcome
 from cloverkeel.core.metrics import MAX_HOSTS_PER_LINE, OTHER_HOSTS, GatewayMetrics
 from standins.parties.fleet import ROOT
-from tests.sockets import configuration, on_loop, peer, request, silent
+from tests.sockets import configuration, never_respond, on_loop, request, scripted_server
 from tests.cli.process import ask, program
 
 AT_US = 1_700_000_000_000_000
@@ -113,8 +113,8 @@
 @on_loop
 async def test_the_command_reads_the_lines_of_the_real_program(tmp_path: Path) -> None:
     async with (
-        peer() as host,
-        peer(silent) as registry,
+        scripted_server() as host,
+        scripted_server(never_respond) as registry,
         program(tmp_path, configuration(host, discovery=registry.address)) as (process, port),
     ):
         assert await ask(port, request("transfer")) == 200
@@ -140,8 +140,8 @@
     reader, writer = os.pipe()
     try:
         async with (
-            peer() as host,
-            peer(silent) as registry,
+            scripted_server() as host,
+            scripted_server(never_respond) as registry,
             program(tmp_path, configuration(host, discovery=registry.address), stderr=writer) as (_, port),
         ):
             if is_closed:
