--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -136,8 +136,8 @@
         report.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         report.figures = (
             f"{fleet.request_count} requests, {meter.retries} retries, {meter.peak_excess_tokens:.1f} tokens spent "
-            f"in excess of the earned ones (limit {meter.max_saved_tokens:g}), {meter.transferred_tokens:.1f} transferred "
-            f"between gateways"
+            f"in excess of the earned ones (limit {meter.max_saved_tokens:g}), {meter.transferred_tokens:.1f} "
+            f"transferred between gateways"
         )
         report.timeline = fleet.timeline() if report.violations else ""
     return report
