--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -172,7 +172,7 @@
     """Compile unless the existing build is usable, or only check it; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--folder", type=Path, default=Path(loader.COMPILED_FOLDER))
-    parser.add_argument("--check", action="store_true", help="only tell whether there is a compiled build to be used")
+    parser.add_argument("--check", action="store_true", help="do not compile; only check for a usable build")
     options = parser.parse_args(arguments)
     try:
         missing = set(MODULES) - set(loader.read_stamp(str(options.folder)))
--- a/cloverkeel/control_plane/command.py
+++ b/cloverkeel/control_plane/command.py
@@ -18,7 +18,7 @@
     from cloverkeel.control_plane.http_server import RelayServer
 
 USAGE: Final = """python -m cloverkeel relay FILE          run a control-plane relay; FILE is TOML (deploy/relay.toml)
-python -m cloverkeel relay show ADDRESS  what a relay says of itself, as JSON; ADDRESS is host:port"""
+python -m cloverkeel relay show ADDRESS  print the state of a running relay as JSON; ADDRESS is host:port"""
 SHOW_TIMEOUT_S: Final = 2.0
 MAX_SHOW_BYTES: Final = 1_000_000
 OTHER_OPEN_FILES: Final = 32  # open files other than connections
--- a/cloverkeel/discovery/registration_agent.py
+++ b/cloverkeel/discovery/registration_agent.py
@@ -185,21 +185,23 @@
 
 
 def _parse_options(arguments: Sequence[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="cloverkeel register", description="Keep the node of one box.")
-    parser.add_argument("--hosts", required=True, help="of the coordination service: host:port,host:port")
+    parser = argparse.ArgumentParser(prog="cloverkeel register", description="Maintain one backend's registry node.")
+    parser.add_argument("--hosts", required=True, help="ZooKeeper ensemble: host:port,host:port")
     parser.add_argument("--path", default="/cloverkeel/boxes")
-    parser.add_argument("--name", required=True, help="of the box, the same at every gateway")
-    parser.add_argument("--address", required=True, help="where gateways reach it: host:port")
+    parser.add_argument("--name", required=True, help="name of the backend, the same at every gateway")
+    parser.add_argument("--address", required=True, help="address where gateways connect: host:port")
     parser.add_argument("--zone", default="")
-    parser.add_argument("--type", default="", help="of the box")
-    parser.add_argument("--group", default="0", help="boxes of one group drop each other's repeats")
+    parser.add_argument("--type", default="", help="type of the backend")
+    parser.add_argument("--group", default="0", help="backends of one group drop repeats of each other's requests")
     parser.add_argument("--weight", type=float, default=1.0)
-    parser.add_argument("--since-ms", type=int, help="when the box started, Unix ms; now, if not given")
-    parser.add_argument("--health", default="/health/live", help="path that answers 200 while the box is well")
-    parser.add_argument("--every-ms", type=int, default=500, help="between checks, and the time that one may take")
-    parser.add_argument("--fails", type=int, default=3, help="checks in a row after which the box counts as gone")
-    parser.add_argument("--session-ms", type=int, default=2000, help="after which a dead agent's node goes")
-    parser.add_argument("--drain-s", type=float, default=2.0, help="from DRAINING to the node's deletion")
+    parser.add_argument("--since-ms", type=int, help="start of the backend, Unix ms; default: now")
+    parser.add_argument("--health", default="/health/live", help="path that answers 200 if the backend is healthy")
+    parser.add_argument(
+        "--every-ms", type=int, default=500, help="interval of health checks, and the timeout of each"
+    )
+    parser.add_argument("--fails", type=int, default=3, help="consecutive failed checks until the node is deleted")
+    parser.add_argument("--session-ms", type=int, default=2000, help="time until a dead agent's node expires")
+    parser.add_argument("--drain-s", type=float, default=2.0, help="time from DRAINING to the node's deletion")
     return parser.parse_args(arguments)
 
 
--- a/cloverkeel/gossip/commands.py
+++ b/cloverkeel/gossip/commands.py
@@ -106,7 +106,7 @@
         prog="python -m cloverkeel peers", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    show = commands.add_parser("show", help="who hears whom, hosts in doubt, and what it costs")
+    show = commands.add_parser("show", help="show members, suspected hosts, differences and traffic")
     show.add_argument("--json", action="store_true")
     show.add_argument("--at", default=os.environ.get("CLOVERKEEL_OPS", ""), metavar="HOST:PORT,...")
     return parser
--- a/cloverkeel/leases/commands.py
+++ b/cloverkeel/leases/commands.py
@@ -1,11 +1,13 @@
-"""python -m cloverkeel duties: who holds what, by asking gateways at their second addresses.
+"""python -m cloverkeel duties: the leases (duties) of gateways, read and moved through their admin addresses.
 
-    duties show [--json]            who holds what, epoch, age, what is lent and granted, and where gateways differ
-    duties hand-on DUTY             its holder hands it on
-    duties keep-off GATEWAY         that gateway (its number) holds no duty from now on; keep-on GATEWAY ends it
+    duties show [--json]       holder, age and epoch (fencing token) of each lease, slow-start quota lent and taken,
+                               and differences between the gateways' answers
+    duties hand-on DUTY        ask the lease's holder to hand it over to another gateway
+    duties keep-off GATEWAY    exclude the gateway with this number from holding leases from now on
+    duties keep-on GATEWAY     let that gateway hold leases again
 
-`--at HOST:PORT,...` names the second addresses, or CLOVERKEEL_OPS does. Exit code 0: done; 1: it was not, or a
-gateway did not answer; 2: the options cannot be used.
+`--at HOST:PORT,...` lists the admin addresses; the default is CLOVERKEEL_OPS. Exit code 0: done; 1: not done, or a
+gateway did not answer; 2: invalid options.
 """
 
 from __future__ import annotations
@@ -127,12 +129,12 @@
         prog="python -m cloverkeel duties", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    show_parser = commands.add_parser("show", help="who holds what")
+    show_parser = commands.add_parser("show", help="show leases, their holders, and differences between gateways")
     show_parser.add_argument("--json", action="store_true")
-    hand_on_parser = commands.add_parser("hand-on", help="let a duty's holder hand it on")
+    hand_on_parser = commands.add_parser("hand-on", help="ask the holder of a lease to hand it over")
     hand_on_parser.add_argument("duty")
     for name in ("keep-off", "keep-on"):
-        keep_parser = commands.add_parser(name, help="whether a gateway may hold duties")
+        keep_parser = commands.add_parser(name, help="keep-off excludes a gateway from leases; keep-on ends this")
         keep_parser.add_argument("gateway", type=int)
     for command in commands.choices.values():
         command.add_argument("--at", default=os.environ.get("CLOVERKEEL_OPS", ""), metavar="HOST:PORT,...")
