--- a/tests/control_plane/test_subsetting.py
+++ b/tests/control_plane/test_subsetting.py
@@ -69,7 +69,7 @@
 def test_shares_of_a_host_stay_within_its_budget_for_any_widenings(
     hosts: int, widenings_by_gateway: list[int]
 ) -> None:
-    """Each gateway uses 1 / `users` of a cold host's budget.
+    """Each gateway uses 1 / `users` of the budget of a host in slow start.
 
     The shares of all gateways may exceed the budget by at most 8 / WIDENED_USERS_FACTOR.
     """
--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -90,12 +90,15 @@
 def test_the_quotas_of_all_gateways_never_exceed_a_warming_servers_budget(
     fleet: list[tuple[int, float]],
 ) -> None:
-    """For any list and subset size; derived from these alone, 20 of 40 gateways with 60 hosts took 10 times it."""
+    """The bound holds for any list and subset size.
+
+    Quotas derived from these alone let 20 of 40 gateways with 60 hosts use 10 times the budget.
+    """
     total_us = 0.0
     for number, (hosts, subset_size) in enumerate(fleet):
         balancer = Balancer(replace(SETTINGS, proxies=40, proxy=number), seed=number)
-        cold = ListedServer(10_000, started_us=START_US, users=len(fleet))
-        listed = (cold, *(ListedServer(n * 17 + number) for n in range(hosts)))
+        warming = ListedServer(10_000, started_us=START_US, users=len(fleet))
+        listed = (warming, *(ListedServer(n * 17 + number) for n in range(hosts)))
         balancer.handle(START_US, ServerList(ListKind.FULL, listed))
         balancer.subset.size = subset_size
         endpoint = balancer.endpoints.by_server[10_000]
--- a/tests/discovery/test_session_stall.py
+++ b/tests/discovery/test_session_stall.py
@@ -48,7 +48,8 @@
         for t in world.event_log.events_of(NotificationDelivered)
         if t.gateway == stop_event.gateway and t.at_us > continue_event.at_us
     ]
-    # The session expired during the stop: the complete list is read again, without the box that crashed meanwhile.
+    # The session expired during the stop: the complete list is read again.
+    # It lacks the backend that crashed meanwhile.
     assert {t.backend for t in later_notifications if t.status == "SERVING"} >= set(world.backends) - {
         b for b in world.faulted_backends
     }
