--- a/tests/core/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -380,16 +380,16 @@
         assert (await run.send_request(request())).body == b"first"
         host.script = never_respond
         if late:
-            asked = asyncio.create_task(run.send_request(request()))
+            response_task = asyncio.create_task(run.send_request(request()))
             await wait_until(lambda: len(host.exchanges) == 2)
             host.exchanges[0].respond(reply(200, b"first"))
         else:
             host.exchanges[0].respond(reply(200, b"first"))
             await wait_until(lambda: run.pool.open_connections == 0)
-            asked = asyncio.create_task(run.send_request(request()))
+            response_task = asyncio.create_task(run.send_request(request()))
             await wait_until(lambda: len(host.exchanges) == 2)
         host.exchanges[1].respond(reply(200, b"second"))
-        assert (await asked).body == b"second" and host.connection_count == 2
+        assert (await response_task).body == b"second" and host.connection_count == 2
 
 
 # Descriptors
