--- a/benchmarks/capacity/run_environment.py
+++ b/benchmarks/capacity/run_environment.py
@@ -233,9 +233,9 @@
             result = self.gateway_configuration(index, fleet_gateway, targets)
             return result | {"listen": f"127.0.0.1:{gateway.port}"}
 
-        room = index % 2  # clients use two rooms, and each room needs a gateway
+        zone_index = index % 2  # clients use two zones, and each zone needs a gateway
         gateway = Gateway(
-            fleet_gateway.name, room, self.folder, configure, self.load.event_log, environment=environment
+            fleet_gateway.name, zone_index, self.folder, configure, self.load.event_log, environment=environment
         )
         return gateway
 
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -235,7 +235,7 @@
         self.fleet = Fleet(gateways)
         for gateway in gateways:
             gateway.on_ready = lambda ready_gateway: self.proxy_addresses.add(
-                GatewayTarget(ready_gateway.name, ready_gateway.room, ready_gateway.address)
+                GatewayTarget(ready_gateway.name, ready_gateway.zone_index, ready_gateway.address)
             )
         self.fleet.start()
         if not await self.fleet.wait_until_ready(self.event_log):
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -50,8 +50,8 @@
         session.last_heard_s = float("inf")
         data = {
             "v": 1, "name": backend.name, "address": f"{backend.address[0]}:{backend.address[1]}",
-            "zone": ZONES[backend.room], "type": self.backend_type.name, "group": backend.idempotency_store.group,
-            "status": "SERVING", "since_ms": 0,
+            "zone": ZONES[backend.zone_index], "type": self.backend_type.name,
+            "group": backend.idempotency_store.group, "status": "SERVING", "since_ms": 0,
         }  # fmt: skip
         request = Create(f"{REGISTRATION_PATH}/{backend.name}", json.dumps(data).encode(), flags=Mode.EPHEMERAL)
         self.ensemble.commit(self.ensemble.tree.prepare(request, session.id))
--- a/standins/parties/backend.py
+++ b/standins/parties/backend.py
@@ -66,13 +66,13 @@
     """One back-end server. `start`, `crash`, `set_silent` and `faults` may be used while the event loop runs."""
 
     def __init__(
-        self, name: str, room: int, idempotency_store: IdempotencyStore, event_log: EventLog, network: Network,
+        self, name: str, zone_index: int, idempotency_store: IdempotencyStore, event_log: EventLog, network: Network,
         kind: BackendType | None = None, rules: Rules | None = None, seed: int = 0,
         on_listening: Callable[[bool], None] = lambda up: None, overload_model: OverloadModel | None = None,
     ) -> None:  # fmt: skip
-        self.name, self.room, self.idempotency_store, self.event_log, self.network = (
+        self.name, self.zone_index, self.idempotency_store, self.event_log, self.network = (
             name,
-            room,
+            zone_index,
             idempotency_store,
             event_log,
             network,
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -1,6 +1,6 @@
 """Clients of the emulator: an open-loop load generator with retries, and clients that violate the protocol.
 
-A connection balancer assigns their connections to the gateways of a room, and detects a failed gateway only after a
+A connection balancer assigns their connections to the gateways of a zone, and detects a failed gateway only after a
 delay.
 """
 
@@ -38,13 +38,13 @@
     """One gateway in the connection balancer's table; new connections are assigned to it while it is open."""
 
     name: str
-    room: int
+    zone_index: int
     address: Address
     is_open: bool = False
 
 
 class ConnectionBalancer:
-    """Assigns connections round-robin to the open gateways of a room."""
+    """Assigns connections round-robin to the open gateways of a zone."""
 
     def __init__(self, seed: int = 0, detection_delay_s: tuple[float, float] = (0.82, 3.9)) -> None:
         self.targets_by_name: dict[str, GatewayTarget] = {}
@@ -81,10 +81,10 @@
         if target is not None:
             target.is_open = False
 
-    def pick_target(self, room: int) -> GatewayTarget | None:
-        """The next open gateway of the room, or of all rooms if the room has none; None if all are closed."""
+    def pick_target(self, zone_index: int) -> GatewayTarget | None:
+        """The next open gateway of the zone, or of all zones if the zone has none; None if all are closed."""
         targets = [target for target in self.targets_by_name.values() if target.is_open]
-        targets = [target for target in targets if target.room == room] or targets
+        targets = [target for target in targets if target.zone_index == zone_index] or targets
         if not targets:
             return None
         self.pick_count += 1
@@ -203,7 +203,9 @@
 
     def __post_init__(self) -> None:
         self.rng = random.Random(f"{self.seed}/clients")
-        self.idle_connections_by_room: dict[int, list[ClientConnection]] = {room: [] for room in range(len(ZONES))}
+        self.idle_connections_by_zone: dict[int, list[ClientConnection]] = {
+            zone_index: [] for zone_index in range(len(ZONES))
+        }
         self.operation_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.open_connections: set[ClientConnection] = set()
@@ -240,7 +242,7 @@
     async def run_operation(self, request_class: RequestClass) -> None:
         """Run one operation of a client: a request and its retries."""
         rng, profile = self.rng, self.profile
-        room = rng.randrange(len(ZONES))
+        zone_index = rng.randrange(len(ZONES))
         self.operation_count += 1
         operation_id = f"{self.seed:x}.{self.operation_count:x}"
         resource_number = (
@@ -250,7 +252,7 @@
         idempotency_key = f"k{operation_id}" if request_class.effect == "keyed" else ""
         tenant = rng.choice(TENANTS)
         end_us = now_us() + request_class.give_up_us
-        self.event_log.add(OperationStarted(now_us(), operation_id, request_class.name, ZONES[room]))
+        self.event_log.add(OperationStarted(now_us(), operation_id, request_class.name, ZONES[zone_index]))
         for attempt_index in range(profile.max_retries + 1):
             budget_us = min(int(request_class.give_up_us * profile.attempt_timeout_share), end_us - now_us())
             if budget_us < 1_000:
@@ -267,7 +269,7 @@
                 int(work_us * profile.work_hint_factor),
             )
             result = await self.send_attempt(
-                room,
+                zone_index,
                 request_class,
                 request_id,
                 request_bytes,
@@ -317,13 +319,13 @@
     # Attempts
 
     async def send_attempt(
-        self, room: int, request_class: RequestClass, request_id: str, data: bytes, budget_us: int,
+        self, zone_index: int, request_class: RequestClass, request_id: str, data: bytes, budget_us: int,
         idempotency_key: str, tenant: str, operation_id: str, disconnects_early: bool,
     ) -> ResponseReceived | ResponseMissing | None:  # fmt: skip
         """Send one attempt and wait for its result; None if no gateway accepted a connection."""
         is_resend = False
         while True:
-            connection, is_new = await self.get_connection(room, needs_new=is_resend)
+            connection, is_new = await self.get_connection(zone_index, needs_new=is_resend)
             if connection is None:
                 return None
             sent_us = now_us()
@@ -362,17 +364,17 @@
                 continue
             self.event_log.add(result)
             if isinstance(result, ResponseReceived) and connection.should_keep_alive and connection.is_open:
-                self.idle_connections_by_room[room].append(connection)
+                self.idle_connections_by_zone[zone_index].append(connection)
             return result
 
-    async def get_connection(self, room: int, needs_new: bool) -> tuple[ClientConnection | None, bool]:
+    async def get_connection(self, zone_index: int, needs_new: bool) -> tuple[ClientConnection | None, bool]:
         """An idle connection or a new one, and whether it is new; None if the connection attempt fails."""
-        idle_connections = self.idle_connections_by_room[room]
+        idle_connections = self.idle_connections_by_zone[zone_index]
         while idle_connections and not needs_new:
             connection = idle_connections.pop(self.rng.randrange(len(idle_connections)))
             if connection.is_open:
                 return connection, False
-        target = self.balancer.pick_target(room)
+        target = self.balancer.pick_target(zone_index)
         if target is None:
             return None, True
         new_connection = ClientConnection(
--- a/standins/parties/fleet.py
+++ b/standins/parties/fleet.py
@@ -43,7 +43,7 @@
     """One gateway and its process; name and address stay the same across restarts."""
 
     name: str
-    room: int
+    zone_index: int
     folder: Path
     configure: Callable[[], dict[str, Any]]  # returns the configuration for the next start
     event_log: EventLog
--- a/standins/playing/environment.py
+++ b/standins/playing/environment.py
@@ -155,7 +155,7 @@
         """List a backend in the registry after `lag_s`, or at once if that is None."""
         since_ms = backend.started_us // 1000 if backend.needs_warmup else 0
         entry = Entry(
-            backend.name, ZONES[backend.room], self.backend_type.name, backend.idempotency_store.group, since_ms
+            backend.name, ZONES[backend.zone_index], self.backend_type.name, backend.idempotency_store.group, since_ms
         )
         self.registry_entries[backend.name] = entry
         if lag_s is None:
@@ -201,7 +201,7 @@
                 if address is not None:
                     known.append({"address": f"{address[0]}:{address[1]}"} | self.registry.to_record(entry))
             gateway_settings = settings(
-                len(self.gateways), index, gateway.room, self.backend_type, self.rules, self.classes
+                len(self.gateways), index, gateway.zone_index, self.backend_type, self.rules, self.classes
             )
             result = configuration(
                 name, f"127.0.0.1:{gateway.port}", f"{discovery[0]}:{discovery[1]}",
@@ -219,7 +219,7 @@
 
     def on_ready(self, gateway: Gateway) -> None:
         """Let clients connect to a gateway."""
-        self.proxy_addresses.add(GatewayTarget(gateway.name, gateway.room, gateway.address))
+        self.proxy_addresses.add(GatewayTarget(gateway.name, gateway.zone_index, gateway.address))
 
     def on_exit(self, gateway: Gateway) -> None:
         """Keep clients away from a gateway whose process exited, after the time that they take to notice it."""
@@ -322,8 +322,8 @@
         for party in parties:
             if party in ZONES:
                 zone_index = ZONES.index(party)
-                names += [backend.name for backend in self.backends.values() if backend.room == zone_index]
-                names += [gateway.name for gateway in self.gateways if gateway.room == zone_index]
+                names += [backend.name for backend in self.backends.values() if backend.zone_index == zone_index]
+                names += [gateway.name for gateway in self.gateways if gateway.zone_index == zone_index]
             elif party == REGISTRY or party in self.backends or party in {g.name for g in self.gateways}:
                 names.append(party)
             else:
@@ -346,7 +346,9 @@
         """Start a stopped backend, which warms up again, or with `renamed` one of a new name."""
         lag_s = self.rng.uniform(0.2, 2.0)
         if renamed:
-            await self.add_backend(f"{backend.name}r{backend.incarnation}", backend.room, warms_up=True, lag_s=lag_s)
+            await self.add_backend(
+                f"{backend.name}r{backend.incarnation}", backend.zone_index, warms_up=True, lag_s=lag_s
+            )
             return
         await backend.start(needs_warmup=True)
         self.register(backend, lag_s)
@@ -466,7 +468,7 @@
             self.registry.schedule_change(self.registry_entries[backend.name], "DELETED")
             successor = f"{backend.name}h"
             lag_s = self.rng.uniform(0.2, 1.0)
-            await self.add_backend(successor, backend.room, warms_up=True, lag_s=lag_s, port=address[1])
+            await self.add_backend(successor, backend.zone_index, warms_up=True, lag_s=lag_s, port=address[1])
             for gateway in self.gateways:
                 # Gateways reach backends by links: the address that a gateway knows must lead to the successor.
                 self.links[gateway.name, successor].swap_address_with(self.links[gateway.name, backend.name])
--- a/standins/playing/zookeeper_environment.py
+++ b/standins/playing/zookeeper_environment.py
@@ -44,7 +44,7 @@
             [
                 *command, "register", "--hosts", connect_string, "--path", REGISTRATION_PATH,
                 "--name", backend.name, "--address", f"{backend.address[0]}:{backend.address[1]}",
-                "--zone", ZONES[backend.room], "--type", backend_type,
+                "--zone", ZONES[backend.zone_index], "--type", backend_type,
                 "--group", str(backend.idempotency_store.group),
                 "--since-ms", str(since_ms), "--every-ms", str(HEALTH_CHECK_INTERVAL_MS),
                 "--session-ms", str(SESSION_TIMEOUT_MS), "--drain-s", str(DRAIN_DURATION_S - 1),
@@ -144,13 +144,13 @@
             addresses = {backend: self.links[gateway.name, backend].address for backend in self.backends}
             known = [
                 {"name": backend.name, "address": "{}:{}".format(*addresses[backend.name]),
-                 "zone": ZONES[backend.room], "type": self.backend_type.name,
+                 "zone": ZONES[backend.zone_index], "type": self.backend_type.name,
                  "group": backend.idempotency_store.group, "status": "SERVING", "weight": 1.0, "since_ms": 0}
                 for backend in self.backends.values()
                 if backend.address is not None and backend.incarnation == 1 and not backend.needs_warmup
             ]  # fmt: skip
             gateway_settings = settings(
-                len(self.gateways), index, gateway.room, self.backend_type, self.rules, self.classes
+                len(self.gateways), index, gateway.zone_index, self.backend_type, self.rules, self.classes
             )
             return configuration(
                 gateway.name, f"127.0.0.1:{gateway.port}", "127.0.0.1:9",
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -53,9 +53,9 @@
 )
 
 
-def target_of(peer_gateway: ScriptedServer, name: str = "n0", room: int = 0) -> GatewayTarget:
+def target_of(peer_gateway: ScriptedServer, name: str = "n0", zone_index: int = 0) -> GatewayTarget:
     host, _, port = peer_gateway.address.partition(":")
-    return GatewayTarget(name, room, (host, int(port)))
+    return GatewayTarget(name, zone_index, (host, int(port)))
 
 
 def echo(exchange: Exchange) -> None:
@@ -189,7 +189,7 @@
 
 
 @on_loop
-async def test_balancer_assigns_by_room_and_detects_failures_late() -> None:
+async def test_balancer_assigns_by_zone_and_detects_failures_late() -> None:
     addresses: list[Address] = [("127.0.0.1", n) for n in range(1, 5)]
     targets = [GatewayTarget(f"n{n}", n % 2, address) for n, address in enumerate(addresses)]
     balancer = ConnectionBalancer(1, detection_delay_s=(0.05, 0.06))
@@ -208,8 +208,8 @@
     await asyncio.sleep(0.08)
     assert targets[3].is_open
     balancer.close("n3")
-    # No gateway is open in the room.
-    assert {target.room for target in (balancer.pick_target(1) for _ in range(4)) if target} == {0}
+    # No gateway is open in the zone.
+    assert {target.zone_index for target in (balancer.pick_target(1) for _ in range(4)) if target} == {0}
 
 
 @pytest.mark.parametrize("kind", sorted(build_misbehaving_requests(random.Random(1))))
