--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -41,7 +41,12 @@
 # Share of the request class's work: a host computes for about a millisecond, and its waits are as usual.
 COST_HINT_SHARE: Final = 0.02
 BACKEND_KIND: Final = BackendType(
-    cores=64, queue=4_000, connections=4_000, cold_share=1.0, handshake_us=0, report_us=8_000_000
+    cores=64,
+    max_queued_requests=4_000,
+    max_connections=4_000,
+    cold_share=1.0,
+    handshake_us=0,
+    report_interval_us=8_000_000,
 )
 GATEWAY_SOCKETS: Final = 4_096  # file descriptors of a real gateway
 # Share of a request's time budget: a host that takes longer was starved of the processor, as it computes for 1 ms.
--- a/benchmarks/overload/runner.py
+++ b/benchmarks/overload/runner.py
@@ -147,7 +147,7 @@
         super().__init__(scenario, settings.seed, seconds, folder)
         self.settings, self.folder = settings, folder
         # Cached results of idempotency keys would save work and make the capacity of the hosts unknown.
-        self.backend_type = replace(self.backend_type, key_saves=0.0)
+        self.backend_type = replace(self.backend_type, key_saved_work_share=0.0)
         self.capacity_per_s = settings.hosts * settings.cores * 1e6 / MEAN_WORK_US
         self.clients.profile = ClientProfile(
             max_retries=settings.retries, retry_after_share=settings.honour, early_disconnect_share=0.0
--- a/standins/parties/backend.py
+++ b/standins/parties/backend.py
@@ -120,7 +120,7 @@
         self.address = self.server.sockets[0].getsockname()
         share = self.kind.cold_share if needs_warmup else 1.0
         self.event_log.add(
-            BackendStarted(self.started_us, self.name, self.incarnation, self.kind.cores, share, self.kind.warm_us)
+            BackendStarted(self.started_us, self.name, self.incarnation, self.kind.cores, share, self.kind.warm_up_us)
         )
         self.on_listening(True)
         self.refresh_load_report()
@@ -176,7 +176,7 @@
         """Share of the warm capacity, which rises linearly during slow start."""
         if not self.needs_warmup:
             return 1.0
-        age = (now_us() - self.started_us) / self.kind.warm_us
+        age = (now_us() - self.started_us) / self.kind.warm_up_us
         return min(1.0, self.kind.cold_share + (1 - self.kind.cold_share) * age)
 
     def set_overload_model(self, overload_model: OverloadModel | None) -> None:
@@ -212,7 +212,7 @@
         # The work hint of a client is inexact.
         hint_error = self.rng.uniform(0.8, 1.25)
         attempt.work_us = (
-            int(job.work_hint_us / self.kind.hint * hint_error)
+            int(job.work_hint_us / self.kind.work_hint_factor * hint_error)
             if job.work_hint_us
             else draw_uniform(self.rng, job.request_class.work_us)
         )
@@ -221,7 +221,7 @@
             self.has_collapsed = True
             self.crash("fell")
             return
-        is_full = self.busy_cores >= self.kind.cores and len(self.queued_jobs) >= self.kind.queue
+        is_full = self.busy_cores >= self.kind.cores and len(self.queued_jobs) >= self.kind.max_queued_requests
         if self.faults.drain or is_full:
             job.reject(503)
         else:
@@ -252,23 +252,29 @@
         now = now_us()
         last_seen_us = self.recent_paths.pop(path, 0)
         self.recent_paths[path] = now
-        if len(self.recent_paths) > self.kind.keys:
+        if len(self.recent_paths) > self.kind.max_keys:
             self.recent_paths.popitem(last=False)
-        return self.kind.key_saves if last_seen_us and now - last_seen_us <= self.kind.key_us else 0.0
+        return (
+            self.kind.key_saved_work_share
+            if last_seen_us and now - last_seen_us <= self.kind.key_retention_us
+            else 0.0
+        )
 
     # Load reports
 
     def refresh_load_report(self) -> None:
         """Close idle connections, refresh the load report and log the load; runs four times per report interval."""
         now = now_us()
-        self.report_timer = asyncio.get_running_loop().call_later(self.kind.report_us / 4e6, self.refresh_load_report)
+        self.report_timer = asyncio.get_running_loop().call_later(
+            self.kind.report_interval_us / 4e6, self.refresh_load_report
+        )
         for connection in list(self.connections):
-            connection.close_if_idle(now - self.kind.idle_us)
+            connection.close_if_idle(now - self.kind.idle_timeout_us)
         noise = self.rng.gauss(1.0, self.kind.report_noise)
         recent = [ms for at, ms in self.recent_service_times if at > now - 1_000_000]
         latency = sum(recent) / len(recent) if recent else 0.0
         fields = f"queue={len(self.queued_jobs) * noise:.1f}, latency_ms={latency * noise:.1f}, qps={len(recent)}"
-        if not self.load_reports or now - self.load_reports[-1][0] >= self.kind.report_us:
+        if not self.load_reports or now - self.load_reports[-1][0] >= self.kind.report_interval_us:
             self.load_reports.append((now, fields))
         self.event_log.add(
             BackendLoad(
@@ -284,7 +290,7 @@
 
     def latest_load_report(self) -> str:
         """The newest report older than a random delay, since reports become visible late."""
-        delay_us = int(self.rng.random() * self.kind.report_late_us)
+        delay_us = int(self.rng.random() * self.kind.max_report_age_us)
         known = [text for at, text in self.load_reports if at <= now_us() - delay_us]
         return known[-1] if known else "queue=0, latency_ms=0, qps=0"
 
@@ -447,7 +453,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if len(self.backend.connections) >= self.backend.kind.connections:
+        if len(self.backend.connections) >= self.backend.kind.max_connections:
             self.transport.abort()
             return
         self.backend.connections.add(self)
--- a/standins/playing/environment.py
+++ b/standins/playing/environment.py
@@ -54,9 +54,9 @@
         self.classes = CLASSES | {"hold": replace(CLASSES["hold"], window_us=int(scenario.window_s * 1e6))}
         self.event_log.add(rule_overrides(self.rules, self.classes))
         self.backend_type = BackendType(
-            cores=scenario.cores, cold_share=scenario.cold_share, warm_us=int(scenario.warm_s * 1e6),
-            warm_told_us=int(scenario.warm_told_s * 1e6), hint=scenario.hint,
-            idle_us=int(scenario.idle_s * 1e6),
+            cores=scenario.cores, cold_share=scenario.cold_share, warm_up_us=int(scenario.warm_s * 1e6),
+            configured_warm_up_us=int(scenario.warm_told_s * 1e6), work_hint_factor=scenario.hint,
+            idle_timeout_us=int(scenario.idle_s * 1e6),
         )  # fmt: skip
         self.network = Network(seed)
         self.registry = Registry(self.event_log, seed)
--- a/standins/site.py
+++ b/standins/site.py
@@ -62,20 +62,20 @@
 
     name: str = "small-2c"
     cores: int = 2
-    queue: int = 40  # maximum of waiting requests; further ones are rejected
-    connections: int = 100  # maximum of open connections; a further one is closed at once
+    max_queued_requests: int = 40  # maximum of waiting requests; further ones are rejected
+    max_connections: int = 100  # maximum of open connections; a further one is closed at once
     cold_share: float = 0.35  # initial capacity, as a share of that after warm-up
-    warm_us: int = 6_000_000  # duration of the warm-up
-    warm_told_us: int = 0  # duration of the warm-up in the gateways' configuration; 0: `warm_us`
-    hint: float = 1.0  # cost that clients announce for a request, as a share of its actual work
-    key_us: int = 8_000_000  # a key is remembered for so long after its last request
-    key_saves: float = 0.5  # share of a request's work that a remembered key saves
-    keys: int = 400  # maximum of remembered keys
+    warm_up_us: int = 6_000_000  # duration of the warm-up
+    configured_warm_up_us: int = 0  # duration of the warm-up in the gateways' configuration; 0: `warm_up_us`
+    work_hint_factor: float = 1.0  # cost that clients announce for a request, as a share of its actual work
+    key_retention_us: int = 8_000_000  # a key is remembered for so long after its last request
+    key_saved_work_share: float = 0.5  # share of a request's work that a remembered key saves
+    max_keys: int = 400  # maximum of remembered keys
     handshake_us: int = 10_000  # work for a new connection
-    report_us: int = 800_000  # interval of load reports
-    report_late_us: int = 400_000  # maximum age of a load report when it is sent
+    report_interval_us: int = 800_000  # interval of load reports
+    max_report_age_us: int = 400_000  # maximum age of a load report when it is sent
     report_noise: float = 0.05  # relative error of a load report
-    idle_us: int = 60_000_000  # idle timeout of a connection
+    idle_timeout_us: int = 60_000_000  # idle timeout of a connection
 
 
 def rule_overrides(rules: Rules, classes: Mapping[str, RequestClass]) -> RuleOverrides:
@@ -126,13 +126,13 @@
         "familyInfo": {"warmKeys": True},
         "caps": {
             "maxAttempts": rules.attempts, "mayCancel": True, "secondCopies": rules.second_copies, "probes": True,
-            "retryAfter": True, "maxRetryAfterUs": 1_000_000, "keepaliveUs": backend_type.idle_us,
+            "retryAfter": True, "maxRetryAfterUs": 1_000_000, "keepaliveUs": backend_type.idle_timeout_us,
             "connectTimeoutUs": 250_000,
         },
         "contract": {
             "answerSlackUs": 0, "stopSendingWithinUs": rules.grace_us, "mustAskInUs": rules.ask_us,
             "startCapacity": backend_type.cold_share,
-            "warmAfterUs": backend_type.warm_told_us or backend_type.warm_us,
+            "warmAfterUs": backend_type.configured_warm_up_us or backend_type.warm_up_us,
             "tipMultiple": rules.multiple, "fallUs": rules.fall_us,
         },
         "lanes": [
--- a/tests/test_standin_backend.py
+++ b/tests/test_standin_backend.py
@@ -19,7 +19,7 @@
 
 from tests.sockets import Client, on_loop, request, wait_until
 
-KIND = BackendType(cores=1, queue=1, handshake_us=0, report_us=20_000, report_late_us=0)
+KIND = BackendType(cores=1, max_queued_requests=1, handshake_us=0, report_interval_us=20_000, max_report_age_us=0)
 SHORT_WORK: dict[str, Any] = {"x_call_cost": "1000"}  # work hint in microseconds
 
 
@@ -134,7 +134,7 @@
 
 @on_loop
 async def test_recently_requested_path_takes_less_work() -> None:
-    async with running_backend(BackendType(cores=1, handshake_us=0, key_saves=0.9)) as backend:
+    async with running_backend(BackendType(cores=1, handshake_us=0, key_saved_work_share=0.9)) as backend:
         client = await connect(backend)
         for _ in range(2):
             await client.send_request(request(x_call_cost="150000"))
@@ -144,7 +144,7 @@
 
 @on_loop
 async def test_backend_in_slow_start_collapses_under_too_much_work() -> None:
-    kind = BackendType(cores=1, queue=50, handshake_us=0, cold_share=0.3, warm_us=60_000_000)
+    kind = BackendType(cores=1, max_queued_requests=50, handshake_us=0, cold_share=0.3, warm_up_us=60_000_000)
     async with running_backend(kind, needs_warmup=True) as backend:
         (started_event,) = backend.event_log.events_of(BackendStarted)
         assert started_event.initial_capacity == 0.3 and backend.capacity() < 0.31 and backend.state == "cold"
@@ -183,7 +183,7 @@
 
 @on_loop
 async def test_connections_above_the_limit_are_closed() -> None:
-    async with running_backend(BackendType(connections=2, handshake_us=0)) as backend:
+    async with running_backend(BackendType(max_connections=2, handshake_us=0)) as backend:
         kept_clients = [await connect(backend) for _ in range(2)]
         await wait_until(lambda: len(backend.connections) == 2)
         extra_client = await connect(backend)
