--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -92,10 +92,10 @@
 class Fleet:
     """Gateways that send to the same hosts and exchange nothing with one another."""
 
-    def __init__(self, gateways: int, hosts: int, cold: int, pattern: str, seed: int) -> None:
+    def __init__(self, gateways: int, hosts: int, new_host_count: int, pattern: str, seed: int) -> None:
         self.rng = random.Random(f"{seed}/{pattern}")
-        self.pattern, self.new_hosts = pattern, tuple(range(1000, 1000 + cold))
-        self.warm_hosts = tuple(ListedServer(n) for n in range(hosts - cold))
+        self.pattern, self.new_hosts = pattern, tuple(range(1000, 1000 + new_host_count))
+        self.warm_hosts = tuple(ListedServer(n) for n in range(hosts - new_host_count))
         self.settings = replace(SETTINGS, proxies=gateways)
         self.gateway_weights = [10.0 if pattern == "uneven" and n % 5 == 0 else 1.0 for n in range(gateways)]
         self.gateways = [self.create_balancer(n, seed) for n in range(gateways)]
@@ -104,7 +104,7 @@
         self.requests: dict[str, tuple[int, float]] = {}  # (gateway, work) by request id
         self.pending_ends: list[tuple[int, int, int, AttemptEnded]] = []
         self.requests_per_us = REQUESTS_PER_S_PER_HOST * hosts / 1e6
-        self.idle_at_us = dict.fromkeys(range(hosts - cold), 0.0)  # time at which the warm host is idle
+        self.idle_at_us = dict.fromkeys(range(hosts - new_host_count), 0.0)  # time at which the warm host is idle
 
     def create_balancer(self, gateway: int, seed: int) -> Balancer:
         """Creates the balancer of a gateway that knows only the warm hosts."""
@@ -206,11 +206,11 @@
     used: float
 
 
-def measure(gateways: int, hosts: int, cold: int, pattern: str, seeds: Sequence[int]) -> Row:
+def measure(gateways: int, hosts: int, new_host_count: int, pattern: str, seeds: Sequence[int]) -> Row:
     """Runs the pattern once for each seed."""
     worst, excess, used_shares = -math.inf, -math.inf, []
     for seed in seeds:
-        fleet = Fleet(gateways, hosts, cold, pattern, seed)
+        fleet = Fleet(gateways, hosts, new_host_count, pattern, seed)
         fleet.run()
         for sent in fleet.sent.values():
             host_worst = find_worst_window(sent)
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -8,7 +8,7 @@
 
 `schedules`: five to nine real gateways and three leased roles each. A seed draws stalls, kills, partitions, datagram
 faults and clock errors; the acts that an outside observer received are checked. A schedule with a violation is
-printed with its timeline, and can be played again with --first.
+printed with its timeline, and can be run again with --first.
 `gaps`: the time from the last act of a holder that is killed, stalled, partitioned or terminated, or that hands the
 lease over, to the first act of the next holder.
 `quiet`: without faults the lease must not change hands.
@@ -141,7 +141,7 @@
         await run_in_executor(None, threaded_ensemble.call, affect_sessions)
 
 
-async def play_schedule(
+async def run_lease_schedule(
     seed: int, folder: Path, store: str, before_start: Callable[[LeaseFleet], None] = lambda fleet: None
 ) -> ScheduleResult:
     """Inject the faults that a seed draws; `before_start` may change the gateways before their processes start."""
@@ -221,9 +221,9 @@
 
 
 def run_schedule(seed: int, store: str) -> ScheduleResult:
-    """Play a schedule in a worker process."""
+    """Run a schedule in a worker process."""
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(play_schedule(seed, Path(folder), store))
+        return runner.run(run_lease_schedule(seed, Path(folder), store))
 
 
 def run_gap(cause: str, seed: int) -> float:
--- a/benchmarks/duties_model.py
+++ b/benchmarks/duties_model.py
@@ -1,4 +1,4 @@
-"""Model check of quorum leases: plays orders of events of a small fleet on the pure modules, looking for two holders.
+"""Model check of quorum leases: runs orders of events of a small fleet on the pure modules and looks for two holders.
 
     .venv-dev/bin/python -m benchmarks.duties_model [--depth 12] [--states 400000] [--from START] [--coarse]
     .venv-dev/bin/python -m benchmarks.duties_model --walks 2000 [--steps 80] [--seed 1]
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -32,7 +32,7 @@
 import uvloop
 
 from benchmarks.checkout_differential import CheckoutError, open_checkout
-from benchmarks.duties import play_schedule
+from benchmarks.duties import run_lease_schedule
 from cloverkeel.balancing.retry_budget import ERROR_RETRY_COST, RETRY_RATIO
 from cloverkeel.gossip.retry_tokens import MAX_SAVED_TOKENS
 from standins.checker import Checker
@@ -107,7 +107,7 @@
     def mix_fleet(fleet: LeaseFleet) -> None:
         mix_checkouts(fleet.gateways, seed, other)
 
-    result = await play_schedule(seed, folder, "peers", mix_fleet)
+    result = await run_lease_schedule(seed, folder, "peers", mix_fleet)
     figures = f"{result.holder_count} holders, {result.act_count} acts, faults {' '.join(result.faults)}"
     return RunReport("leases", result.violations, figures, result.timeline)
 
--- a/standins/playing/environment.py
+++ b/standins/playing/environment.py
@@ -63,10 +63,10 @@
         self.proxy_addresses = ConnectionBalancer(seed)
         capacity = scenario.boxes * scenario.cores * 1e6 / MEAN_WORK_US
         self.request_rate = scenario.load * capacity
-        habits = ClientProfile(
+        client_profile = ClientProfile(
             key_count=scenario.keys, popular_key_share=scenario.popular, work_hint_factor=scenario.hint
         )
-        self.clients = LoadGenerator(self.event_log, self.proxy_addresses, seed, self.request_rate, habits)
+        self.clients = LoadGenerator(self.event_log, self.proxy_addresses, seed, self.request_rate, client_profile)
         self.idempotency_stores = [
             IdempotencyStore(n, self.classes["hold"].window_us) for n in range(scenario.shelves)
         ]
--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -63,7 +63,7 @@
     discoveries: list[Registry]
     discovery_by_relay: tuple[int, ...]  # by relay: the number of the discovery that it polls
     is_spread: bool  # gateways poll different relays first; otherwise all poll relay-0 first
-    ledger: EventLog = field(default_factory=EventLog)
+    event_log: EventLog = field(default_factory=EventLog)
     views: dict[str, RegistryListener] = field(default_factory=dict)
     to_relay: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # by gateway, relay
     to_discovery: list[TcpLink] = field(default_factory=list)  # by relay
@@ -174,7 +174,7 @@
     def record(self) -> RunRecord:
         end_us = now_us()
         open_outages = [Outage(begin_us, end_us, part) for part, begin_us in self.open_outages.items()]
-        exits = [p for p in self.ledger.events_of(ProcessEvent) if p.what == "exit" and not p.was_requested]
+        exits = [p for p in self.event_log.events_of(ProcessEvent) if p.what == "exit" and not p.was_requested]
         return RunRecord(
             self.begun_us, end_us, GATEWAYS, len(self.hosts), self.discovery_by_relay,
             GATEWAYS * 1_000_000 // DIRECT_PER_S,
@@ -182,7 +182,7 @@
             [BackendArrival(*seen) for seen in self.requests_seen], self.client_requests, self.outages + open_outages,
             [
                 DirectPoll(poll.at_us, int(poll.gateway[1:]))
-                for poll in self.ledger.events_of(DiscoveryPoll) if poll.gateway[0] == "n"
+                for poll in self.event_log.events_of(DiscoveryPoll) if poll.gateway[0] == "n"
             ],
             [UnaskedExit(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
@@ -242,7 +242,7 @@
 
     def direct_polls(self) -> int:
         """Return the number of direct polls of discovery by gateways."""
-        return sum(poll.gateway.startswith("n") for poll in self.ledger.events_of(DiscoveryPoll))
+        return sum(poll.gateway.startswith("n") for poll in self.event_log.events_of(DiscoveryPoll))
 
     def faults(self) -> list[str]:
         return [fault for process in self.gateways + self.relays for fault in process.defect_lines()]
@@ -256,7 +256,9 @@
         assert not self.faults(), f"{self.faults()}\n{self.timeline()}"
 
     def timeline(self) -> str:
-        lines = list(self.notes) + [(p.at_us, f"{p.gateway}: {p.what}") for p in self.ledger.events_of(ProcessEvent)]
+        lines = list(self.notes) + [
+            (p.at_us, f"{p.gateway}: {p.what}") for p in self.event_log.events_of(ProcessEvent)
+        ]
         begun = min((at_us for at_us, _ in lines), default=0)
         text_lines = [f"{(at_us - begun) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
         for n in range(len(self.hosts)):
@@ -299,7 +301,7 @@
 
         return answer
 
-    network, ledger = Network(1), EventLog()
+    network, event_log = Network(1), EventLog()
     peers = [scripted_server(script(n)) for n in range(hosts)]
     listening = [await each.__aenter__() for each in peers]
     tasks: list[asyncio.Task[None]] = []
@@ -311,8 +313,8 @@
     async def allow_all() -> None:
         return None
 
-    discoveries = [Registry(ledger) for _ in range(max(discovery_by_relay) + 1)]
-    fleet = RelayFleet(folder, network, listening, discoveries, discovery_by_relay, is_spread, ledger)
+    discoveries = [Registry(event_log) for _ in range(max(discovery_by_relay) + 1)]
+    fleet = RelayFleet(folder, network, listening, discoveries, discovery_by_relay, is_spread, event_log)
     try:
         for discovery in discoveries:
             discovery.index = FIRST_INDEX
@@ -380,7 +382,9 @@
     link.open()
     fleet.to_discovery.append(link)
     file = fleet.folder / f"{name}.toml"
-    relay = Gateway(name, 0, fleet.folder, dict, fleet.ledger, command=(*sockets.GATEWAY_COMMAND, "relay", str(file)))
+    relay = Gateway(
+        name, 0, fleet.folder, dict, fleet.event_log, command=(*sockets.GATEWAY_COMMAND, "relay", str(file))
+    )
     file.write_text(
         f'name = "{name}"\nlisten = "127.0.0.1:{relay.port}"\nroster = "roster-{number}.json"\n'
         f'discovery = "127.0.0.1:{link.address[1]}"\n'
@@ -413,6 +417,6 @@
     options.write_text(f"[relays]\naddresses = [{named}]\ndirect_per_s = {DIRECT_PER_S}\n")
     environment = {"CLOVERKEEL_OPTIONS": str(options)}
     gateway = Gateway(
-        name, 0, fleet.folder, configure, fleet.ledger, environment=environment, command=sockets.GATEWAY_COMMAND
+        name, 0, fleet.folder, configure, fleet.event_log, environment=environment, command=sockets.GATEWAY_COMMAND
     )
     return gateway
--- a/tests/control_plane/test_roster_switch.py
+++ b/tests/control_plane/test_roster_switch.py
@@ -94,21 +94,21 @@
 @given(st.lists(st.tuples(st.integers(0, 59), st.sampled_from(("SERVING", "DRAINING", "DELETED"))), max_size=30))
 def test_incremental_full_list_shows_the_state_at_its_start(changes: list[tuple[int, str]]) -> None:
     cache = make_cache(HOSTS[:40])
-    steps, made = cache.full_list.snapshot_incrementally(), None
+    steps, full_list = cache.full_list.snapshot_incrementally(), None
     next(steps)
     for number, status in changes:
         cache.apply_list(False, [HOSTS[number] | {"status": status}])
         next(steps)
-    while made is None:
+    while full_list is None:
         try:
             next(steps)
         except StopIteration as stop:
-            made = stop.value
-    assert sorted(entries_of(made), key=lambda raw: raw["name"]) == HOSTS[:40]
-    after = cache.respond(UNNAMED, made.index)
-    sent = {raw["name"]: raw for raw in entries_of(made)} | {
+            full_list = stop.value
+    assert sorted(entries_of(full_list), key=lambda raw: raw["name"]) == HOSTS[:40]
+    after = cache.respond(UNNAMED, full_list.index)
+    sent = {raw["name"]: raw for raw in entries_of(full_list)} | {
         raw["name"]: raw for raw in (entries_of(after) if after else ())
     }
     left = {name: raw for name, raw in sent.items() if raw["status"] != "DELETED"}
     assert left == {raw["name"]: raw for raw in entries_of(respond(cache, UNNAMED))}
-    assert after is None or after.index > made.index
+    assert after is None or after.index > full_list.index
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -104,8 +104,8 @@
 
 def gzip_reply(plain_reply: bytes) -> bytes:
     head, _, body = plain_reply.partition(b"\r\n\r\n")
-    made = gzip.compress(body)
-    return reply(200, made, *(["Content-Encoding: gzip"] if head else []))
+    compressed_body = gzip.compress(body)
+    return reply(200, compressed_body, *(["Content-Encoding: gzip"] if head else []))
 
 
 def encode_list(
--- a/tests/discovery/test_list_cost.py
+++ b/tests/discovery/test_list_cost.py
@@ -94,8 +94,8 @@
     total_us = 0.0
     for number, (hosts, subset_size) in enumerate(fleet):
         balancer = Balancer(replace(SETTINGS, proxies=40, proxy=number), seed=number)
-        cold = ListedServer(10_000, started_us=START_US, users=len(fleet))
-        listed = (cold, *(ListedServer(n * 17 + number) for n in range(hosts)))
+        warming_server = ListedServer(10_000, started_us=START_US, users=len(fleet))
+        listed = (warming_server, *(ListedServer(n * 17 + number) for n in range(hosts)))
         balancer.handle(START_US, ServerList(ListKind.FULL, listed))
         balancer.subset.size = subset_size
         endpoint = balancer.endpoints.by_server[10_000]
--- a/tests/discovery/test_session_stall.py
+++ b/tests/discovery/test_session_stall.py
@@ -36,21 +36,23 @@
 
 @pytest.mark.alone
 def test_a_gateway_reads_the_complete_list_again_after_a_stop_beyond_its_session_timeout() -> None:
-    worlds: list[Environment] = []
+    environments: list[Environment] = []
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        world = runner.run(run_scenario(parse_scenario(SCENARIO, "pause", "pause"), 2, None, worlds.append))
+        environment = runner.run(
+            run_scenario(parse_scenario(SCENARIO, "pause", "pause"), 2, None, environments.append)
+        )
     (stop_event,) = [
-        p for p in world.event_log.events_of(ProcessEvent) if p.what == signal.SIGSTOP.name.removeprefix("SIG")
+        p for p in environment.event_log.events_of(ProcessEvent) if p.what == signal.SIGSTOP.name.removeprefix("SIG")
     ]
-    (continue_event,) = [p for p in world.event_log.events_of(ProcessEvent) if p.what == "CONT"]
+    (continue_event,) = [p for p in environment.event_log.events_of(ProcessEvent) if p.what == "CONT"]
     later_notifications = [
         t
-        for t in world.event_log.events_of(NotificationDelivered)
+        for t in environment.event_log.events_of(NotificationDelivered)
         if t.gateway == stop_event.gateway and t.at_us > continue_event.at_us
     ]
-    # The session expired during the stop: the complete list is read again, without the box that crashed meanwhile.
-    assert {t.backend for t in later_notifications if t.status == "SERVING"} >= set(world.backends) - {
-        b for b in world.faulted_backends
+    # The session expired during the stop, so the complete list is read again; it lacks the backend that crashed then.
+    assert {t.backend for t in later_notifications if t.status == "SERVING"} >= set(environment.backends) - {
+        b for b in environment.faulted_backends
     }
-    assert all(gateway.exit_codes == [0] for gateway in world.gateways)
-    assert not find_violations(world.event_log)
+    assert all(gateway.exit_codes == [0] for gateway in environment.gateways)
+    assert not find_violations(environment.event_log)
--- a/tests/frontends/test_limits.py
+++ b/tests/frontends/test_limits.py
@@ -171,8 +171,8 @@
 async def test_budget_is_limited_to_the_class_timeout_and_zero_fails_at_once() -> None:
     async with scripted_server(never_respond) as host, running_gateway(configuration(host)) as run:
         clients = [await run.connect() for _ in range(2)]
-        for client, klass in zip(clients, ("transfer", "search"), strict=True):
-            client.send(request(klass, budget_ms=10**14))
+        for client, request_class in zip(clients, ("transfer", "search"), strict=True):
+            client.send(request(request_class, budget_ms=10**14))
         await wait_until(lambda: len(host.exchanges) == 2)
         assert all(int(exchange.message.headers["x-budget-ms"]) <= 20_000 for exchange in host.exchanges)
         assert (await run.send_request(request("transfer", budget_ms=0))).status in (502, 503, 504)
--- a/tests/leases/test_quorum_lease.py
+++ b/tests/leases/test_quorum_lease.py
@@ -62,10 +62,10 @@
 
 
 def make_fleet(count: int = 2) -> Fleet:
-    made = Fleet([QuorumLease(7, CONFIG, BallotClock(n + 10, n), 0.0, lambda: 0.5) for n in range(count)])
-    for lease in made.proposers:
+    fleet = Fleet([QuorumLease(7, CONFIG, BallotClock(n + 10, n), 0.0, lambda: 0.5) for n in range(count)])
+    for lease in fleet.proposers:
         lease.set_wanted(NOW_US, True)
-    return made
+    return fleet
 
 
 def test_a_lease_is_valid_from_the_start_of_its_round() -> None:
--- a/tests/leases/test_slow_start_budget.py
+++ b/tests/leases/test_slow_start_budget.py
@@ -67,9 +67,9 @@
     count = rng.randint(2, 6)
 
     def start_process(number: int, real_us: int) -> Process:
-        made = Process(number, rng.randrange(10**12), 1 + rng.uniform(-1e-3, 1e-3), real_us)
-        made.budget = SlowStartBudget() if number < 2 else None
-        return made
+        process = Process(number, rng.randrange(10**12), 1 + rng.uniform(-1e-3, 1e-3), real_us)
+        process.budget = SlowStartBudget() if number < 2 else None
+        return process
 
     real_us = 10_000_000
     processes = [start_process(number, real_us - LOAN_US * 2) for number in range(count)]
--- a/tests/leases/test_zookeeper_lease.py
+++ b/tests/leases/test_zookeeper_lease.py
@@ -12,9 +12,9 @@
 
 
 def make_lease() -> ZookeeperLease:
-    made = ZookeeperLease(7, LEASE_US, 0.0, lambda: 0.5)
-    made.set_wanted(NOW_US, True)
-    return made
+    lease = ZookeeperLease(7, LEASE_US, 0.0, lambda: 0.5)
+    lease.set_wanted(NOW_US, True)
+    return lease
 
 
 def requests_in(actions: list[Action]) -> list[tuple[NodeOperation, int]]:
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -153,9 +153,9 @@
         client.close()
 
 
-@pytest.mark.parametrize(("klass", "is_retried"), [("search", True), ("hold", True), ("transfer", False)])
+@pytest.mark.parametrize(("request_class", "is_retried"), [("search", True), ("hold", True), ("transfer", False)])
 @on_loop
-async def test_only_repeatable_requests_are_retried_after_a_reset(klass: str, is_retried: bool) -> None:
+async def test_only_repeatable_requests_are_retried_after_a_reset(request_class: str, is_retried: bool) -> None:
     exchanges: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -170,16 +170,16 @@
         scripted_server(script) as two,
         running_gateway(configuration(one, two)) as run,
     ):
-        answer = await run.send_request(request(klass))
+        answer = await run.send_request(request(request_class))
         assert answer.status == (200 if is_retried else 502)
         assert len(exchanges) == (2 if is_retried else 1)
         keys = {exchange.message.headers.get("idempotency-key") for exchange in exchanges}
         assert len(keys) == 1  # the retry has the key of the first attempt
 
 
-@pytest.mark.parametrize("klass", ["search", "hold", "transfer"])
+@pytest.mark.parametrize("request_class", ["search", "hold", "transfer"])
 @on_loop
-async def test_every_class_is_retried_elsewhere_when_a_host_is_full(klass: str) -> None:
+async def test_every_class_is_retried_elsewhere_when_a_host_is_full(request_class: str) -> None:
     rejected: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -194,7 +194,7 @@
         scripted_server(script) as two,
         running_gateway(configuration(one, two)) as run,
     ):
-        assert (await run.send_request(request(klass))).status == 200
+        assert (await run.send_request(request(request_class))).status == 200
         assert len(one.exchanges) == len(two.exchanges) == 1
 
 
