--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -38,11 +38,11 @@
 
 Costs = dict[str, float]
 ROOT = Path(__file__).resolve().parents[2]
-READY_TIMEOUT_S = 30.0  # until a process is ready; a broken run takes as long
+READY_TIMEOUT_S = 30.0  # time limit for the start of a process; a broken run lasts this long
 REQUEST_TIMEOUT_S = 5.0
-MAX_IDLE_CONNECTIONS = 256  # of the load generator, per port
+MAX_IDLE_CONNECTIONS = 256  # idle connections that the load generator keeps open per port
 LIST_REPEATS, CHANGE_REPEATS, START_REPEATS = 3, 15, 3  # measurements; CPU and start times are their median
-RATE_HOSTS, RATE_LOAD_S = 200, 4.0  # of part_rate
+RATE_HOSTS, RATE_LOAD_S = 200, 4.0  # hosts of part_rate, and the maximum duration of its load
 RELAYED_LOAD_S = 5.0  # duration of each load of part_relayed, which runs in several rounds
 WARM_UP_S = 1.0  # duration of requests that are not counted
 IDLE_S = 2.0  # duration over which the CPU time of an idle gateway is measured
@@ -50,12 +50,12 @@
 NEWS_STEP_US, NEWS_TIMEOUT_US = 5_000, 10_000_000
 WARMING_HOSTS = 8  # hosts that warm up at a time; 9,800 starts a day of 6 s each are fewer than one on average
 MB_PER_KIB = 1024 / 1e6
-RELAY_MIN_GZIP_BYTES, RELAY_GZIP_LEVEL = 1 << 10, 6  # smallest response that a relay compresses, and the level
+RELAY_MIN_GZIP_BYTES, RELAY_GZIP_LEVEL = 1 << 10, 6  # smallest response that a relay compresses, and the gzip level
 SUBSET_COSTS = (
     "whole_first_stop_ms",
     *(f"{name}_{unit}" for name in ("whole", "change_zone") for unit in ("cpu_ms", "stop_ms", "bytes")),
 )
-TICK_INTERVAL_S = 0.001  # of the timer that detects stalls of the event loop
+TICK_INTERVAL_S = 0.001  # interval of the timer that detects stalls of the event loop
 # Start times of hosts: the current Unix time, the period over which starts are spread, and the same for a zone that
 # returns.
 NOW_MS, START_SPREAD_MS, ZONE_START_SPREAD_MS = 1_796_119_613_761, 4 * 86_400_000, 4_000
@@ -122,7 +122,7 @@
         assert isinstance(discovery, HttpEndpointSource)
         if isinstance(discovery, RelayEndpointSource):
             discovery.selector.choose(0.0)  # no relay is called: responses are handed to the client
-        # As the program does (cloverkeel/__main__.py).
+        # The program sets up garbage collection in the same way (cloverkeel/__main__.py).
         gc.collect()
         gc.freeze()
         gc.set_threshold(5_000, 10, 10)
@@ -514,7 +514,7 @@
     three gateways."""
     from benchmarks.duties import measure_traffic
 
-    span_s, warm_up_s = 5, 5  # the second is the warm-up of `measure_traffic`, which does not count datagrams then
+    span_s, warm_up_s = 5, 5  # `measure_traffic` counts no datagrams during its warm-up
     cpu_start_s = time.process_time()
     datagrams, size_bytes = measure_traffic(size, WARMING_HOSTS, span_s)
     spent_ms = (time.process_time() - cpu_start_s) * 1e3
@@ -557,7 +557,7 @@
     cache = EndpointCache(parse_roster(json.dumps(fleet.to_roster()), "the plan"), 1)
     gc.collect()
     gc.freeze()
-    gc.disable()  # as the program does
+    gc.disable()  # the program disables it as well
     index_by_gateway: dict[str, int] = {}
     keys_by_subscriber = {subscriber: frozenset(cache.subscription_keys(subscriber)) for subscriber in subscribers}
     costs: Costs = {}
@@ -714,7 +714,7 @@
 
 
 def _allocated_kib(make: Callable[[], object]) -> float:
-    """Return the memory that stays allocated for the made object."""
+    """Return the memory that stays allocated for the object that `make` returns."""
     gc.collect()
     tracemalloc.start()
     state = make()
@@ -824,7 +824,7 @@
     parser.add_argument("size", type=int)
     parser.add_argument("--seconds", type=float, default=10.0)
     options = parser.parse_args()
-    loader.load("cloverkeel")  # before any of its packages is imported from its source
+    loader.load("cloverkeel")  # must precede any import of its packages, which would load their source
     print(json.dumps(PARTS[options.part](options.size, options.seconds)))
     return 0
 
--- a/benchmarks/capacity/run_environment.py
+++ b/benchmarks/capacity/run_environment.py
@@ -377,10 +377,11 @@
     async def wait_for_changes(
         self, change_ids: Sequence[str], within_s: float = CHANGE_TIMEOUT_S, since_us: int = 0, half: str = ""
     ) -> None:
-        """Wait until every gateway that must receive these changes has them, or for `within_s` at most, and record
-        the delays. They count from the change, or from `since_us` if that is later.
+        """Wait until every gateway that must receive these changes has them, for at most `within_s`, and record
+        the delays. A delay counts from the change, or from `since_us` if that is later.
 
-        `half`: does not wait for gateways that call the other half's relays by now, and counts them as moved.
+        `half`: the half of a partitioned registry at which the changes were made. Gateways that call a relay of
+        the other half by now are not waited for, and count as moved.
         """
         deadline_s = time.monotonic() + within_s
         while True:
@@ -405,12 +406,14 @@
         await asyncio.sleep(seconds * self.time_scale)
 
     def mark_leaving(self, names: Iterable[str], at_us: int) -> None:
-        """Discovery reports from then on that these hosts' racks leave; attempts that reach them too late are
-        counted."""
+        """Record that discovery reports from this time on that the racks of these hosts leave.
+
+        Attempts that reach the racks too late are counted.
+        """
         self.load.mark_leaving(sorted({self.rack_by_host[name] for name in names}), at_us)
 
     def mark_returned(self, names: Iterable[str]) -> None:
-        """These hosts' racks are back and may receive requests again."""
+        """Record that the racks of these hosts are back and may receive requests again."""
         self.load.process_events()
         self.load.mark_returned(sorted({self.rack_by_host[name] for name in names}))
 
@@ -518,8 +521,10 @@
         }
 
     def compare_bytes(self) -> dict[str, Any]:
-        """The bytes that a simulated gateway transfers in all, relative to a real one, for steps that send both large
-        updates."""
+        """Return the ratio of the bytes per simulated gateway of the group COMPARED to the bytes per real gateway.
+
+        It covers all their traffic, in steps that send large updates to gateways of both kinds.
+        """
         bytes_per_gateway = (
             self.traffic_by_kind[COMPARED].byte_count / min(COMPARED_GATEWAYS, self.size.simulated),
             self.traffic_by_kind[REAL].byte_count / self.size.real,
@@ -556,7 +561,7 @@
 
 
 def delayed_change_id(name: str) -> str:
-    """The ID under which a change at one half is tracked for gateways that do not call that half's relays."""
+    """Return the ID under which a change at one half is tracked for gateways that do not call that half's relays."""
     return f"{name}-later"
 
 
--- a/benchmarks/guards/row.py
+++ b/benchmarks/guards/row.py
@@ -38,7 +38,10 @@
     seeds: tuple[int, ...] = (1, 2), quick: bool = False,
     tests: str = "",
 ) -> Row:  # fmt: skip
-    """Return a row. `scenarios` and `tests` are separated by spaces; "requests::x" is as in `pytest_id`."""
+    """Return a row. `scenarios` and `tests` are lists separated by spaces.
+
+    A test is written as "file::name": `pytest_id` completes both parts.
+    """
     runs = tuple(ScenarioRun(name, seed) for name in scenarios.split() for seed in seeds)
     test_ids = tuple(pytest_id(*test.split("::")) for test in tests.split())
     return Row(tuple(mutants.split("+")), ensures, location, runs, criterion, min_effect, quick, test_ids)
--- a/standins/checker/duplicates.py
+++ b/standins/checker/duplicates.py
@@ -128,5 +128,5 @@
 
 
 def was_rejected(attempt: BackendAttempt, by_us: int) -> bool:
-    """Tell whether the sender had been told by then that the attempt did not run."""
+    """Tell whether the backend had told the sender by `by_us` that the attempt did not run."""
     return attempt.how == "rejected" and 0 < attempt.ended_us <= by_us
--- a/standins/event_log/request_events.py
+++ b/standins/event_log/request_events.py
@@ -10,7 +10,7 @@
     """Record that a client starts an operation, which takes one request, or several if the client retries."""
 
     at_us: int
-    id: str  # of the operation's first request
+    id: str  # id of the operation's first request
     request_class: str
     zone: str
 
@@ -24,7 +24,7 @@
     request_class: str
     gateway: str
     budget_us: int
-    idempotency_key: str = ""  # Idempotency-Key
+    idempotency_key: str = ""  # value of the Idempotency-Key header
     tenant: str = ""
     first_id: str = ""  # id of the first request of the same operation
     is_resend: bool = False  # sent again: its first connection was closed before the request was read
@@ -63,7 +63,7 @@
     """Record bytes on a client's connection when no response was due."""
 
     at_us: int
-    id: str  # of the last request on the connection
+    id: str  # id of the last request on the connection
     data: str
 
 
@@ -71,12 +71,12 @@
 class MisbehavingClient:
     """Record what a client that breaks the protocol received."""
 
-    at_us: int  # when it had connected
-    what: str  # what it sent
+    at_us: int  # time at which the client was connected
+    what: str  # what the client sent, such as "half a request"
     gateway: str
-    ended_us: int = 0  # when a response or a close arrived; 0: neither
-    status: int = 0  # 0: a close
-    may_be_served: bool = False  # what it sent is valid, though unusual
+    ended_us: int = 0  # time at which a response or a close arrived; 0: neither arrived
+    status: int = 0  # status of the response; 0: the connection was closed
+    may_be_served: bool = False  # the request is valid, though unusual
 
 
 @dataclass(slots=True, eq=False)
@@ -84,11 +84,11 @@
     """Record one attempt of a request at a backend, from its first byte on; its fields are filled in as it proceeds.
 
     `how` is "coming" (not received completely), "waiting", "running", "ok", "duplicate" (dropped, and answered from
-    the idempotency store), "rejected" (before work began, and the gateway was told), "error", "spoilt" (corrupted
+    the idempotency store), "rejected" (before work began, and the gateway was notified), "error", "spoilt" (corrupted
     response), "cancelled" or "crashed".
     """
 
-    at_us: int  # when its first byte was sent
+    at_us: int  # time at which its first byte was sent
     backend: str
     incarnation: int
     group: int
@@ -96,13 +96,13 @@
     request_class: str = ""
     idempotency_key: str = ""
     gateway: str = ""
-    received_us: int = 0  # when its last byte arrived; 0: never
-    started_us: int = 0  # when work began; 0: never
-    ended_us: int = 0  # when the last byte of the response was written, or it ended otherwise
+    received_us: int = 0  # time at which its last byte arrived; 0: never
+    started_us: int = 0  # time at which work began; 0: never
+    ended_us: int = 0  # time at which the last byte of the response was written, or the attempt ended otherwise
     how: str = "coming"
-    work_us: int = 0  # on a standard core, without what a remembered key saves
+    work_us: int = 0  # work on a standard core, without the share that a remembered key saves
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether a gateway must assume that it ran: it was received completely and not rejected."""
+        """Tell whether a gateway must assume that the attempt ran: it was received completely and not rejected."""
         return self.received_us > 0 and self.how != "rejected"
