--- a/benchmarks/capacity/run_environment.py
+++ b/benchmarks/capacity/run_environment.py
@@ -120,8 +120,8 @@
         self.workers: list[WorkerProcess] = []
         self.relays: list[RelayProcess] = []
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.relay_ports_by_region: dict[str, list[int]] = {}  # where simulated gateways call its relays
-        self.ports_by_relay: dict[str, list[int]] = {}  # where simulated gateways call it
+        self.relay_ports_by_region: dict[str, list[int]] = {}  # ports at which simulated gateways call them
+        self.ports_by_relay: dict[str, list[int]] = {}  # ports at which simulated gateways call it
         self.discovery_address: Address = ("127.0.0.1", 0)  # for simulated gateways
         self.start_ms_by_host: dict[str, int] = {}  # start times of restarted hosts
         self.last_id = 0
--- a/standins/event_log/environment_events.py
+++ b/standins/event_log/environment_events.py
@@ -73,7 +73,7 @@
     at_us: int
     gateway: str
     backend: str
-    until_us: int = 0  # when it was reinstated; 0: not yet
+    until_us: int = 0  # time at which it was reinstated; 0: not yet
 
 
 @dataclass(slots=True, eq=False)
@@ -101,8 +101,8 @@
     at_us: int
     gateway: str
     what: str  # "start", "ready", "TERM", "KILL", "HUP", "STOP", "CONT", "exit"
-    code: int = 0  # of an exit
-    was_requested: bool = True  # of an exit: the process had been signalled to exit
+    code: int = 0  # exit code, for an exit
+    was_requested: bool = True  # for an exit: the process had been signalled to exit
 
 
 @dataclass(slots=True, eq=False)
--- a/standins/parties/backend.py
+++ b/standins/parties/backend.py
@@ -305,10 +305,10 @@
         self.work_hint_us = 0  # 0: the client sent none
         self.handshake_us = 0
         self.path = ""
-        self.deadline_us = 0  # when the gateway stops waiting; 0: unknown
+        self.deadline_us = 0  # time at which the gateway stops waiting; 0: unknown
         self.timer: asyncio.TimerHandle | None = None
         self.has_core = False
-        self.abandoned_us = 0  # when the sender went while the work continued
+        self.abandoned_us = 0  # time at which the sender disconnected while the work continued
         self.core_time_us = 0  # planned time on a core, computed at the start
         self.core_released_us = 0
 
--- a/standins/playing/scenario.py
+++ b/standins/playing/scenario.py
@@ -150,7 +150,7 @@
     boxes: int = DEFAULT_BACKEND_COUNT  # number of backends
     gateways: int = 3  # number of gateways
     shelves: int = 2  # number of idempotency stores, each shared by some of the backends
-    cores: int = 2  # of a backend
+    cores: int = 2  # number of cores of a backend
     load: float = 0.5  # offered, as a share of the capacity of all backends after warm-up
     cold_share: float = 0.35  # capacity of a backend at its start, as a share of that after warm-up
     warm_s: float = 6.0  # duration of the warm-up
--- a/standins/playing/zookeeper_environment.py
+++ b/standins/playing/zookeeper_environment.py
@@ -23,7 +23,7 @@
 from standins.parties.zookeeper.tree import Created, Deleted, Node
 
 REGISTRATION_PATH = "/cloverkeel/boxes"
-SESSION_TIMEOUT_MS = 1_000  # of registration agents
+SESSION_TIMEOUT_MS = 1_000  # session timeout of registration agents
 HEALTH_CHECK_INTERVAL_MS = 200
 
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -19,7 +19,7 @@
 
     name: str
     effect: str  # "safe", "keyed" or "unsafe"
-    share: float  # of all requests
+    share: float  # share of all requests
     work_us: tuple[int, int]  # minimum and maximum of the work on a core
     waits_us: tuple[int, int]  # minimum and maximum of the time that a request waits without a core
     aim_us: int  # latency objective
