--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -6,6 +6,7 @@
 import json
 import os
 import signal
+import socket
 import unittest.mock
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -21,8 +22,9 @@
 from cloverkeel.core.config import parse
 from cloverkeel.core.draining import pause_schedule
 from cloverkeel.discovery.ejection_filter import EjectionFilter
+from standins.parties.network import reserve_port
 from tests.cli.load import Load
-from tests.cli.process import READY, ask, connect, free_port, start
+from tests.cli.process import READY, ask, connect, start
 from tests.sockets import (
     Exchange,
     Message,
@@ -69,15 +71,21 @@
 
 @dataclass
 class Gateway:
-    """One gateway: successive processes on the same listening address."""
+    """One gateway: successive processes on the same listening address. Its ports are reserved until the test ends."""
 
     folder: Path
     config: dict[str, Any]
-    port: int = field(default_factory=free_port)
+    listen_socket: socket.socket = field(default_factory=reserve_port)
+    admin_sockets: list[socket.socket] = field(default_factory=list)
     processes: list[Process] = field(default_factory=list)
 
+    @property
+    def port(self) -> int:
+        return int(self.listen_socket.getsockname()[1])
+
     async def launch(self) -> Process:
-        admin_port = free_port()
+        self.admin_sockets.append(reserve_port())
+        admin_port = int(self.admin_sockets[-1].getsockname()[1])
         file = self.folder / f"config-{admin_port}.json"
         listen = f"127.0.0.1:{self.port}"
         file.write_text(json.dumps(self.config | {"listen": listen, "ops": f"127.0.0.1:{admin_port}"}))
@@ -105,6 +113,8 @@
             if process.process.returncode is None:
                 process.process.kill()
                 await process.process.wait()
+        for reserved in (processes.listen_socket, *processes.admin_sockets):
+            reserved.close()
 
 
 @on_loop
--- a/tests/cli/process.py
+++ b/tests/cli/process.py
@@ -5,12 +5,12 @@
 import asyncio
 import json
 import os
-import socket
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any, Final
 
+from standins.parties.network import reserve_port
 from tests import sockets
 from tests.sockets import Client
 
@@ -29,33 +29,25 @@
     )
 
 
-def free_port() -> int:
-    """Return an unused port of the loopback address."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        port = probe.getsockname()[1]
-        assert isinstance(port, int)
-        return port
-
-
 @asynccontextmanager
 async def program(
     folder: Path, config: dict[str, Any], stderr: int = asyncio.subprocess.PIPE, **environment: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
     """Yield the gateway process, once it is ready, and its port."""
-    port = free_port()
-    file = folder / "config.json"
-    file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
-    process = await start({"LB_CONFIG": str(file)} | environment, stderr)
-    try:
-        while (await ask(port, READY)) != 200:
-            assert process.returncode is None
-            await asyncio.sleep(0.01)
-        yield process, port
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
+    with reserve_port() as reserved:
+        port: int = reserved.getsockname()[1]
+        file = folder / "config.json"
+        file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
+        process = await start({"LB_CONFIG": str(file)} | environment, stderr)
+        try:
+            while (await ask(port, READY)) != 200:
+                assert process.returncode is None
+                await asyncio.sleep(0.01)
+            yield process, port
+        finally:
+            if process.returncode is None:
+                process.kill()
+                await process.wait()
 
 
 async def connect(port: int) -> Client:
