--- a/benchmarks/guards/mutants/balancing.py
+++ b/benchmarks/guards/mutants/balancing.py
@@ -32,7 +32,7 @@
 
 @mutant("free-by-identity")
 def _() -> None:
-    """Forgetting a finished request also forgets a newer request with the same id."""
+    """Removing a finished request also removes a newer request with the same id."""
     from cloverkeel.balancing.request_lifecycle import RequestLifecycle
 
     same = "if self.requests.get(request.id_) is request:"
@@ -61,7 +61,9 @@
     """Server selection offers servers for the retry of an unsafe request that may have run."""
     from cloverkeel.balancing.server_selection import ServerSelection
 
-    patch_source(ServerSelection, "retry_candidates", ("if ran and class_.effect is Effect.UNSAFE:", "if False:"))
+    patch_source(
+        ServerSelection, "retry_candidates", ("if may_have_run and class_.effect is Effect.UNSAFE:", "if False:")
+    )
 
 
 @mutant("keyed-group")
@@ -78,7 +80,7 @@
     from cloverkeel.balancing.server_selection import ServerSelection
 
     patch_source(
-        ServerSelection, "retry_candidates", ("if now_us - ran[0].sent_us >= class_.window_us:", "if False:")
+        ServerSelection, "retry_candidates", ("if now_us - may_have_run[0].sent_us >= class_.window_us:", "if False:")
     )
 
 
@@ -87,7 +89,7 @@
     """A request that may have run is refused, as if a retry were harmless."""
     from cloverkeel.balancing.final_answers import FinalAnswers
 
-    refusable = "if not request.may_have_run() or class_.effect is Effect.SAFE or is_dropped_anywhere:"
+    refusable = "if not request.may_have_run() or class_.effect is Effect.SAFE or all_servers_drop_repeats:"
     patch_source(FinalAnswers, "give", (refusable, "if True:"))
 
 
@@ -227,7 +229,7 @@
     """Each process of a gateway uses the gateway's whole quota of a warming server's budget."""
     from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
-    patch_source(SlowStartBudget, "budget_us", (" / sharers / self.processes", " / sharers"))
+    patch_source(SlowStartBudget, "budget_us", (" / quota_count / self.processes", " / quota_count"))
 
 
 @mutant("breaker")
@@ -316,7 +318,7 @@
     """Added quotas allow a full burst at once."""
     from cloverkeel.balancing.slow_start import SlowStart
 
-    patch_attribute(SlowStart, "add_quotas", lambda self, had, burst_us: None)
+    patch_attribute(SlowStart, "add_quotas", lambda self, held_before, burst_us: None)
 
 
 @mutant("share-lent")
@@ -372,7 +374,7 @@
 
 @mutant("hearsay-common")
 def _() -> None:
-    """Failures common to all servers here are not allowed for in other proxies' reports."""
+    """Other proxies' reports are applied without allowing for failures that all servers have in common."""
     from cloverkeel.balancing.peer_reports import PeerReports
 
     patch_source(
--- a/benchmarks/guards/mutants/upstream.py
+++ b/benchmarks/guards/mutants/upstream.py
@@ -95,7 +95,7 @@
 
 @mutant("begin-by-timer")
 def _() -> None:
-    """An attempt that is partly written at its deadline goes on."""
+    """An attempt that is only partly written at its write deadline is not cancelled."""
     from cloverkeel.upstream.attempt_sender import AttemptSender
 
     patch_attribute(AttemptSender, "on_write_deadline", lambda self, attempt: None)
@@ -111,7 +111,7 @@
 
 @mutant("fresh-connections")
 def _() -> None:
-    """An idle connection is reused without a check whether its host has closed it."""
+    """An idle connection is reused without checking whether its host has closed it."""
     from cloverkeel.upstream.connection import HostConnection
 
     patch_source(HostConnection, "is_reusable", ("and not self.poll.poll(0)", ""))
@@ -136,7 +136,7 @@
 
 @mutant("held-up")
 def _() -> None:
-    """A host's response is read without regard to how much its client has read."""
+    """A host's response is read even if its client does not read it."""
     from cloverkeel.upstream.attempt import Attempt
 
     patch_attribute(Attempt, "pause_reading", lambda self: None)
--- a/benchmarks/guards/table/balancing.py
+++ b/benchmarks/guards/table/balancing.py
@@ -4,7 +4,7 @@
 
 from benchmarks.guards.row import row
 
-COLD = "cold cold-fleet cold-firsts cold-popular cold-room cold-wave cold-slow cold-hint"
+SLOW_START_SCENARIOS = "cold cold-fleet cold-firsts cold-popular cold-room cold-wave cold-slow cold-hint"
 
 ROWS = (
     row("answers-failed", "a failed request gets a final answer", "FinalAnswers.give", "hang", "missing",
@@ -50,7 +50,7 @@
     row("list-again", "a failed poll of the server list is retried", "EndpointUpdates.on_error",
         tests="discovery/http_client::a_failed_call_is_reported_and_repeated_by_the_balancer"),
     row("cold-budget", "a gateway keeps to its quota of a warming server's budget",
-        "SlowStartBudget.has_headroom", COLD, "cold",
+        "SlowStartBudget.has_headroom", SLOW_START_SCENARIOS, "cold",
         seeds=(1,), tests="balancing/requests::all_proxies_together_keep_to_the_collapse_budget_of_a_warming_server"
         " balancing/slow_start_fleet::a_warming_server_does_not_collapse"
         " balancing/latency_by_size::a_warming_server_is_never_sent_its_collapse_multiple_within_one_second"),
--- a/benchmarks/guards/table/upstream.py
+++ b/benchmarks/guards/table/upstream.py
@@ -8,7 +8,7 @@
     row("cancel-closes", "a late response is not taken for another request's", "AttemptSender.cancel_attempt",
         tests="upstream/outcomes::timeout_closes_the_connection_and_fails_a_request_that_may_have_run "
               "upstream/outcomes::client_disconnect_cancels_the_attempt"),
-    row("unasked-closes", "unsolicited bytes are not a response", "HostConnection",
+    row("unasked-closes", "unsolicited bytes are not taken for a response", "HostConnection",
         tests="upstream/connection_pool::connection_with_unsolicited_bytes_is_closed"),
     row("held-up", "a slow client uses little memory", "Attempt.pause_reading",
         tests="frontends/large_bodies::slow_client_pauses_only_its_own_response_and_uses_little_memory"),
--- a/cloverkeel/balancing/affinity.py
+++ b/cloverkeel/balancing/affinity.py
@@ -8,7 +8,7 @@
 from cloverkeel.balancing.events import ListedServer
 from cloverkeel.balancing.settings import Settings
 
-HOME_WEIGHT_FACTOR: Final = 20.0  # on the weight of a key's home: it gets most of the key's requests, not all
+HOME_WEIGHT_FACTOR: Final = 20.0  # on the weight of a key's home server: it gets most of the key's requests, not all
 CROSS_ZONE_PENALTY: Final = 80.0  # per unit of the cross-zone price; lowers the weight of servers in other zones
 # 2**64 over the golden ratio (Fibonacci hashing) spreads consecutive numbers. Typed Any because int arithmetic
 # compiled by mypyc leaks memory above 62 bits.
@@ -28,5 +28,5 @@
 
 
 def zone_preference(settings: Settings, entry: ListedServer) -> float:
-    """Return the factor on a server's weight: 1 in this proxy's zone, else lower the higher the cross-zone price."""
+    """Return the factor on a server's weight: 1 in this proxy's zone; in others, the cross-zone price lowers it."""
     return 1.0 / (1.0 + CROSS_ZONE_PENALTY * settings.prices.cross_zone * (entry.zone != settings.zone))
--- a/cloverkeel/balancing/attempt_sender.py
+++ b/cloverkeel/balancing/attempt_sender.py
@@ -14,7 +14,7 @@
 from cloverkeel.balancing.server_selection import ServerSelection
 from cloverkeel.balancing.settings import Effect, Settings
 
-OBJECTIVE_TIMEOUT_RATIO: Final = 0.98  # timeout over the time left to the objective, for classes with late_weight 0
+OBJECTIVE_TIMEOUT_RATIO: Final = 0.98  # timeout, as part of the time until the objective, if late_weight is 0
 
 
 class AttemptSender:
@@ -78,13 +78,13 @@
         return sent_us[0] + class_.window_us if sent_us else 0
 
     def attempt_deadline_us(self, now_us: int, request: Request) -> int:
-        """Return when an attempt times out: with its client, or before the objective if late_weight is 0."""
+        """Return when an attempt times out: when its client does, or before the objective if late_weight is 0."""
         if self.settings.classes[request.class_index].late_weight > 0.0:
             return request.deadline_us
         return min(request.deadline_us, now_us + int(OBJECTIVE_TIMEOUT_RATIO * (request.objective_us - now_us)))
 
     def record_end(self, request: Request, attempt: Attempt) -> None:
-        """Mark an attempt as ended, and count it as in flight no more."""
+        """Mark an attempt as ended, and stop counting it as in flight."""
         attempt.has_ended = True
         request.in_flight -= 1
         attempt.server.in_flight.pop(attempt, None)
--- a/cloverkeel/balancing/attempts.py
+++ b/cloverkeel/balancing/attempts.py
@@ -25,7 +25,7 @@
         self.server = server
         self.sent_us = sent_us
         self.deadline_us = deadline_us  # the caller ends the attempt by this time
-        self.probe_episode = probe_episode  # half-open episode of the server's breaker; 0 if it is no probe
+        self.probe_episode = probe_episode  # half-open episode of the server's breaker; 0 if the attempt is no probe
         self.class_probe_episode = class_probe_episode  # the same for the breaker of the class at the server
         self.has_ended = False
         self.may_have_run = True
@@ -69,7 +69,7 @@
         self.objective_us = objective_us  # end of the latency objective (absolute)
         self.size = size  # expected work, as a multiple of its class's mean
         self.is_first_try = is_first_try
-        self.overuse = overuse  # probability of being shed as its tenant exceeds its share; negative if it does not
+        self.overuse = overuse  # probability of shedding because the tenant exceeds its share; negative if within
         self.attempts: list[Attempt] = []
         self.in_flight = 0  # number of attempts that have not ended
         self.is_answered = False  # True also if the client has disconnected
--- a/cloverkeel/balancing/balancer.py
+++ b/cloverkeel/balancing/balancer.py
@@ -172,6 +172,6 @@
             breaker = endpoint.breaker
             if breaker.state is BreakerState.CLOSED or endpoint.entry.status is not ServerStatus.READY:
                 continue
-            is_idle = breaker.state is BreakerState.OPEN and now_us > breaker.open_until_us + INITIAL_COOLDOWN_US
-            found.append((server, not is_idle))
+            is_unprobed = breaker.state is BreakerState.OPEN and now_us > breaker.open_until_us + INITIAL_COOLDOWN_US
+            found.append((server, not is_unprobed))
         return found
--- a/cloverkeel/balancing/circuit_breaker.py
+++ b/cloverkeel/balancing/circuit_breaker.py
@@ -2,8 +2,8 @@
 
 A breaker counts the most recent outcomes. It opens when too many of them failed, allowing for failures that all
 servers have in common. After a cooldown it is half-open: a few requests probe the server, and their outcomes close
-it or reopen it for twice as long. The states are those of Nygard, Release It! (2007), and of Envoy's outlier
-detection.
+the breaker or reopen it for twice as long. The states are those of Nygard, Release It! (2007), and of Envoy's
+outlier detection.
 
 Invariants: a closed breaker admits every request, an open one none until its cooldown ends, and a half-open one at
 most `HALF_OPEN_PROBES` probes in an episode; outcomes of attempts sent before an episode don't affect it.
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Final
 
-MAX_OUTCOMES: Final = 10  # most recent ones counted: a second or less of one proxy's traffic to one server
+MAX_OUTCOMES: Final = 10  # only the most recent ones count: a second or less of one proxy's traffic to a server
 MIN_OUTCOMES: Final = 5  # counted before a breaker may open; with fewer, chance failures would open it
 MIN_CLASS_OUTCOMES: Final = 2  # for one class at one server: a proxy sees only a few such outcomes a minute
 FAILURE_THRESHOLD: Final = 0.5  # failure ratio that opens a breaker while no other server fails
@@ -33,7 +33,7 @@
 
 
 def failure_limit(fleet_failure_ratio: float) -> float:
-    """Return the failure ratio that opens a breaker while this ratio of all servers' outcomes fails.
+    """Return the failure ratio that opens a breaker, given the ratio of failures among other servers' outcomes.
 
     The fleet's success ratio is squared to raise the limit further, as the ratio of a few outcomes varies by chance.
     """
--- a/cloverkeel/balancing/client_timeouts.py
+++ b/cloverkeel/balancing/client_timeouts.py
@@ -1,9 +1,10 @@
 """Usual client timeout of each class, and detection of retries that clients do not mark.
 
 Clients give all first tries of a class the same timeout, which is found by majority vote (Boyer and Moore, 1981). A
-request with a different timeout is taken for a retry with the rest of it left. Learning the timeout guards against
-taking first tries for late retries where clients give their last try more time than the others. Where clients give
-each try a timeout of its own, none is taken for a retry; otherwise most first tries would be refused.
+request with a different timeout is taken for a retry, whose timeout is what earlier tries left of the client's time.
+Learning the timeout guards against taking first tries for late retries where clients give their last try more time
+than the others. Where the timeouts of first tries vary, no request is taken for a retry; otherwise most first tries
+would be refused.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from cloverkeel.balancing.settings import Settings
 
 SAME_TIMEOUT_TOLERANCE: Final = 0.02  # relative difference up to which two timeouts count as equal
-MIN_REGULAR_RATIO: Final = 0.5  # ratio of tries with the usual timeout below which other timeouts indicate no retry
+MIN_REGULAR_RATIO: Final = 0.5  # of tries with the usual timeout; below it, another timeout indicates no retry
 
 
 class ClientTimeouts:
--- a/cloverkeel/balancing/concurrency_limit.py
+++ b/cloverkeel/balancing/concurrency_limit.py
@@ -14,7 +14,7 @@
 RELATIVE_LATENCY_GAIN: Final = 0.1  # weight of the newest answer in the moving average
 MAX_RELATIVE_LATENCY: Final = 4.0  # cap for a single answer
 OVERLOAD_RELATIVE_LATENCY: Final = 1.5  # above it the server is overloaded, and its limit shrinks
-MIN_SLACK_RATIO: Final = 0.1  # of the slack before the objective: minimum scale for queueing delays
+MIN_SLACK_RATIO: Final = 0.1  # of the slack before the objective: delays are divided by at least this
 LIMIT_CUT: Final = 0.85  # factor of the multiplicative decrease
 LOW_PRIORITY_LIMIT_RATIO: Final = 0.6  # part of the limit that requests of low priority may use
 
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
-        self.relative_latency = 1.0  # moving average over the unloaded latency
+        self.relative_latency = 1.0  # moving average of the latency, as a multiple of the unloaded one
         self.cut_at_us = 0  # time of the last decrease
 
     def record(
@@ -42,9 +42,9 @@
         """Adjust the limit by one answer.
 
         `in_flight` counts the attempts still unanswered. `unloaded_us` is the latency of such an answer without
-        queueing. `slack_us` is the time left from there to the latency objective: while delays take only a small
-        part of it, a short pause of the proxy or the server is not overload. The limit is cut at most once in
-        `cut_interval_us`.
+        queueing, and `slack_us` the latency objective minus the unloaded latency. A delay that is only a small part
+        of the slack, such as a short pause of the proxy or the server, does not count as overload. The limit is cut
+        at most once in `cut_interval_us`.
         """
         scale_us = max(1.0, unloaded_us, MIN_SLACK_RATIO * slack_us)
         newest = min(MAX_RELATIVE_LATENCY, 1.0 + (latency_us - unloaded_us) / scale_us)
--- a/cloverkeel/balancing/endpoint_updates.py
+++ b/cloverkeel/balancing/endpoint_updates.py
@@ -14,9 +14,9 @@
 from cloverkeel.balancing.settings import Settings
 from cloverkeel.balancing.slow_start_budget import SlowStartBudget
 
-FIRST_POLL_RATIO: Final = 0.1  # of max_poll_interval_us: the first poll of the list takes place within it
+FIRST_POLL_RATIO: Final = 0.1  # the first poll of the list takes place within this part of max_poll_interval_us
 MAX_FIRST_POLL_US: Final = 2_000_000  # the first poll takes place within this time, whatever the settings
-RETRY_POLLS: Final = 20  # retries of a failed poll in each max_poll_interval_us
+POLL_RETRIES_PER_INTERVAL: Final = 20  # of a poll that keeps failing, in each max_poll_interval_us
 MAX_RETRY_POLL_US: Final = 400_000  # longest wait before a failed poll is retried
 
 
@@ -54,14 +54,14 @@
         self.endpoints.rank_all()
 
     def on_error(self, now_us: int) -> None:
-        """Schedule a retry after a failed poll, unless the list is pushed: then its subscriber retries.
+        """Schedule a retry after a failed poll, unless the list is pushed: then the subscriber retries.
 
         The wait doesn't grow with the number of failures, as a change must be known within seconds after discovery
         is back. It is random, so that proxies whose polls failed together don't retry together.
         """
         if self.settings.list_is_pushed:
             return
-        max_us = min(self.settings.max_poll_interval_us / RETRY_POLLS, MAX_RETRY_POLL_US)
+        max_us = min(self.settings.max_poll_interval_us / POLL_RETRIES_PER_INTERVAL, MAX_RETRY_POLL_US)
         wait_us = max_us * self.rng.uniform(0.5, 1.0)
         self.buffer.log(now_us, "server list: poll failed, asking again")
         self.buffer.actions.append(SetTimer(now_us + int(wait_us), LIST_TOKEN))
--- a/cloverkeel/balancing/endpoints.py
+++ b/cloverkeel/balancing/endpoints.py
@@ -72,7 +72,7 @@
         self.health_by_class: dict[int, ClassHealth] = {}
         self.in_flight: dict[Attempt, int] = {}  # send times by attempt, oldest first
         self.concurrency = ConcurrencyLimit()
-        self.good_at_us = 0  # time of the last answer; 0 if the last outcome was a failure
+        self.good_at_us = 0  # time of the last outcome if it was good; 0 if it was a failure
         self.answered_at_us = 0  # time of the last good answer, even if failures followed it
         self.probes_suspended_until_us = 0  # another proxy probes it until then; used while the breaker is not closed
         self.suspected_until_us = 0  # suspected outlier until then, as it fails for other proxies
--- a/cloverkeel/balancing/events.py
+++ b/cloverkeel/balancing/events.py
@@ -179,7 +179,8 @@
     """Transfer of quotas of a warming server's collapse budget between proxies.
 
     This proxy has lent its own quota to another proxy until `lent_us`, and holds `granted` quotas of other proxies
-    until `granted_us`; both expire without another event. `server` is -1 to use no warming server until `lent_us`.
+    until `granted_us`; both expire without another event. If `server` is -1, no warming server is used until
+    `lent_us`.
     """
 
     server: int
--- a/cloverkeel/balancing/expiry_scan.py
+++ b/cloverkeel/balancing/expiry_scan.py
@@ -14,7 +14,7 @@
 from cloverkeel.balancing.request_timers import EXPIRY_TOKEN
 
 SCAN_INTERVAL_US: Final = 1_000_000  # scans are scheduled only while an attempt is in flight
-EXPIRED_AFTER_US: Final = 2_000_000  # past its timeout an attempt without an outcome counts as lost
+EXPIRED_AFTER_US: Final = 2_000_000  # after an attempt's timeout; without an outcome by then it counts as lost
 
 
 class ExpiryScan:
--- a/cloverkeel/balancing/final_answers.py
+++ b/cloverkeel/balancing/final_answers.py
@@ -21,8 +21,8 @@
     def give(self, now_us: int, request: Request, reason: str) -> None:
         """Refuse a request if a retry by the client is harmless, else fail it; `reason` is counted in metrics."""
         class_ = self.settings.classes[request.class_index]
-        is_dropped_anywhere = class_.effect is Effect.KEYED and class_.scope is Scope.ALL
-        if not request.may_have_run() or class_.effect is Effect.SAFE or is_dropped_anywhere:
+        all_servers_drop_repeats = class_.effect is Effect.KEYED and class_.scope is Scope.ALL
+        if not request.may_have_run() or class_.effect is Effect.SAFE or all_servers_drop_repeats:
             self.buffer.actions.append(Refuse(request.id_, self.retry_after_us(now_us), reason))
         else:
             self.buffer.actions.append(Fail(request.id_))
--- a/cloverkeel/balancing/load_shedding.py
+++ b/cloverkeel/balancing/load_shedding.py
@@ -1,10 +1,10 @@
 """Load shedding: which requests are refused before they use any server time.
 
-There are two shed ratios of the requested work, one for classes of low priority and one for all others. Both rise
-after an answer that waited too long and fall after a prompt one. Classes of low priority are shed at shorter
-waits, the others only at waits that leave too little of the latency objective.
+A shed ratio is the part of the requested work that is refused. There are two, one for classes of low priority and
+one for all others. Both rise after an answer that waited too long and fall after a prompt one. Classes of low
+priority are shed at shorter waits, the others only at waits that leave too little of the latency objective.
 
-Guards against queues that grow until no request meets its objective: the classes with the least gain for the
+Guards against queues that grow until no request meets its objective. The classes with the least gain for the
 operator's goal per unit of work are shed first.
 """
 
@@ -90,8 +90,8 @@
     def _draw_shed(self, class_index: int) -> bool:
         """Draw whether to shed a request of a class.
 
-        All requested work is ordered by priority, lowest first. The request gets a random position in the range of
-        its class, from 0 to 1, and is shed if that position is below the shed ratio.
+        All requested work is ordered by priority, lowest first, on a scale from 0 to 1. The request gets a random
+        position in the range of its class, and is shed if that position is below the shed ratio.
         """
         weights = self.priority_weights()
         own_weight = weights[class_index]
@@ -101,7 +101,8 @@
         position = below + work[class_index] / total * self.rng.random()
         mean = sum(share * weight for share, weight in zip(work, weights, strict=True)) / total
         if self.rng.random() > MAX_SHED_RATIO:
-            return False  # some of each class are admitted: else a class could no longer probe recovering servers
+            # Some requests of each class are admitted: otherwise a class could no longer probe recovering servers.
+            return False
         return position < (
             self.low_priority_ratio if own_weight < LOW_PRIORITY_WEIGHT_RATIO * mean else self.high_priority_ratio
         )
@@ -134,7 +135,7 @@
         return weights
 
     def record_outcome(self, now_us: int, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Adjust both ratios by an answer, a timeout or a rejection of an overloaded server."""
+        """Adjust both ratios by an answer, a timeout or a rejection by an overloaded server."""
         if event.outcome not in (Outcome.OK, Outcome.TIMEOUT, Outcome.FULL):
             return
         class_ = self.settings.classes[request.class_index]
@@ -169,7 +170,8 @@
     ) -> bool:
         """Return whether a timeout is as likely due to a lost connection as to overload.
 
-        It is if the attempt ended before it was overdue and its server has not answered since it was sent.
+        True if the attempt timed out at its objective before it was overdue, and its server has not answered
+        anything since the attempt was sent.
         """
         overdue_us = OVERDUE_FACTOR * self.latency.expected_us(request.class_index, request.size)
         is_cut_short = class_.late_weight <= 0.0 and event.latency_us < overdue_us
--- a/cloverkeel/balancing/outlier_detection.py
+++ b/cloverkeel/balancing/outlier_detection.py
@@ -57,8 +57,8 @@
             return
         is_failure = outcome is not Outcome.OK
         # A timeout at a server that answered other attempts meanwhile is due to overload: it opens a breaker only if
-        # all counted outcomes failed. Guards against overload that opens one server after the other, each time
-        # overloading the rest.
+        # all counted outcomes failed. Guards against overload that opens the breaker of one server after the
+        # other, each time overloading the rest.
         is_overload = outcome is Outcome.TIMEOUT and server.answered_at_us >= attempt.sent_us
         self.fleet_outcomes.record(server.entry.server, request.class_index, is_failure)
         is_slow = not is_failure and event.latency_us / max(1.0, expected_us) > SLOW_FACTOR
@@ -117,8 +117,8 @@
         new_state = breaker.record_outcome(now_us, is_failure, attempt.probe_episode, ratio)
         was_recently_good = now_us - server.good_at_us <= INITIAL_COOLDOWN_US
         if outcome is Outcome.CONNECT_FAILED and breaker.state is not BreakerState.OPEN and not was_recently_good:
-            # Guards against repeated connects to a dead process or a full connection table: one such outcome
-            # opens the breaker, also that of a probe, unless the server's last answer was good and is recent.
+            # Guards against repeated connects to a dead process or a full connection table: a single failed connect
+            # opens the breaker, even if it is a probe's, unless the server's last outcome was good and is recent.
             new_state = breaker.reopen(now_us)
         elif is_failure and not is_overload and now_us < server.suspected_until_us and not new_state:
             new_state = breaker.reopen(now_us)  # reported by other proxies, and now failed here too
--- a/cloverkeel/balancing/peer_reports.py
+++ b/cloverkeel/balancing/peer_reports.py
@@ -1,7 +1,7 @@
 """Reports of other proxies: suspected outliers, and half-open probes that one proxy sends for all.
 
-A report alone never opens or closes a breaker. A suspected server is selected rarely, the subset takes in another
-server for it, and a single failure at this proxy opens its breaker.
+A report alone never opens or closes a breaker. A suspected server is selected rarely, the subset includes one more
+server in its place, and a single failure at this proxy opens its breaker.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cloverkeel.balancing.fleet_outcomes import FleetOutcomes
 
 MIN_REPORTERS: Final = 2  # a single other proxy may have a faulty network
-MAX_PROBE_DELAY_US: Final = 2_000_000  # beyond the cooldown, while other proxies probe
+MAX_PROBE_DELAY_US: Final = 2_000_000  # longest wait after the cooldown while other proxies probe
 
 
 class PeerReports:
@@ -44,9 +44,10 @@
             endpoint.breaker.end_cooldown(now_us)
 
     def apply_report(self, now_us: int, event: PeerHealthReport) -> None:
-        """Mark a server as suspected or not by other proxies' outcomes, allowing for failures common to all servers.
+        """Suspect a server, or end its suspicion, according to the outcomes at other proxies.
 
-        If its breaker is open here too, probes wait until other proxies' probes succeed, for a limited time.
+        Failures common to all servers are allowed for. If the server's breaker is open here too, probes wait until
+        other proxies' probes succeed, for a limited time.
         """
         endpoint = self.endpoints.by_server.get(event.server)
         if endpoint is None or endpoint.entry.started_us != event.started_us:
--- a/cloverkeel/balancing/request_lifecycle.py
+++ b/cloverkeel/balancing/request_lifecycle.py
@@ -108,7 +108,9 @@
         return True
 
     def remove(self, now_us: int, request: Request) -> None:
-        """Remove a request that is over; if in order, send the next request of its key once the key's rest is over.
+        """Remove a finished request; if its class is `in_order`, send the next request of its key.
+
+        The next request is not sent before this request's `key_blocked_until_us`.
 
         The id alone does not identify the request: its timer may fire after a client has reused the id for another.
         """
@@ -154,7 +156,8 @@
     def on_stream_started(self, now_us: int, event: StreamStarted) -> None:
         """Cancel other attempts, and stop counting the streaming attempt as in flight at its server.
 
-        The server has answered: it is neither silent nor crowded, however long the rest of the response takes.
+        The server has answered. However long the rest of the response takes, the attempt must not make the server
+        count as silent or use up its concurrency limit.
         """
         request = self.requests.get(event.request)
         if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
@@ -167,7 +170,7 @@
         self.sender.cancel_attempts(request, event.attempt)
 
     def on_timer_fired(self, now_us: int, token: int) -> None:
-        """Handle a request's timer: its attempt is overdue, its key's rest is over, or it was queued for too long."""
+        """Handle a request's timer: an attempt is overdue, its key is unblocked, or it was queued for too long."""
         request = self.timers.pop(token)
         if request is None:
             return
@@ -233,15 +236,15 @@
 
     def retry(self, now_us: int, request: Request, outcome: Outcome) -> None:
         """Retry a request after its last attempt in flight has failed, or give its final answer."""
-        has_run = request.may_have_run()
+        may_have_run = request.may_have_run()
         cost = FULL_RETRY_COST if outcome is Outcome.TIMEOUT else ERROR_RETRY_COST
-        if self.can_retry(now_us, request, outcome, has_run, cost) and self.sender.send(now_us, request):
-            if has_run:
+        if self.can_retry(now_us, request, outcome, may_have_run, cost) and self.sender.send(now_us, request):
+            if may_have_run:
                 self.retry_budget.withdraw(cost)
         else:
             self.answer_unserved(now_us, request, outcome.value)
 
-    def can_retry(self, now_us: int, request: Request, outcome: Outcome, has_run: bool, cost: float) -> bool:
+    def can_retry(self, now_us: int, request: Request, outcome: Outcome, may_have_run: bool, cost: float) -> bool:
         """Return whether to retry a request; if it may have run, it must not be unsafe and needs retry tokens."""
         # Evaluated first, so that whether should_shed draws random numbers does not depend on the other conditions.
         if outcome is Outcome.TIMEOUT:
@@ -253,7 +256,7 @@
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
-        if not has_run:
+        if not may_have_run:
             return True
         if is_shed or self.settings.classes[request.class_index].effect is Effect.UNSAFE:
             return False
--- a/cloverkeel/balancing/retry_budget.py
+++ b/cloverkeel/balancing/retry_budget.py
@@ -14,7 +14,7 @@
 MAX_RETRY_TOKENS: Final = 2.0  # low, as hundreds of proxies may spend their saved tokens at the same time
 FULL_RETRY_COST: Final = 1.0  # tokens for a retry after a timeout, or for a hedged request
 ERROR_RETRY_COST: Final = 0.5  # tokens for a retry after an error or a reset, which do not indicate overload
-SHORTAGE_MEMORY_US: Final = 1_000_000  # how long a retry denied for lack of tokens counts as a shortage
+SHORTAGE_LIFETIME_US: Final = 1_000_000  # how long a retry denied for lack of tokens counts as a shortage
 
 
 class RetryTokenState(NamedTuple):
@@ -31,7 +31,7 @@
         self.tokens = MAX_RETRY_TOKENS
         self.cap = MAX_RETRY_TOKENS
         self.expires_at_us = 0  # when tokens above the cap, which other proxies granted, expire
-        self.denied_at_us = -SHORTAGE_MEMORY_US  # when a retry was last denied for lack of tokens
+        self.denied_at_us = -SHORTAGE_LIFETIME_US  # when a retry was last denied for lack of tokens
 
     def available(self, now_us: int) -> float:
         """Return the available tokens, after removing those granted by other proxies that have expired."""
@@ -64,4 +64,4 @@
 
     def is_short(self, now_us: int) -> bool:
         """Return whether a retry was recently denied for lack of tokens."""
-        return now_us - self.denied_at_us < SHORTAGE_MEMORY_US
+        return now_us - self.denied_at_us < SHORTAGE_LIFETIME_US
--- a/cloverkeel/balancing/server_selection.py
+++ b/cloverkeel/balancing/server_selection.py
@@ -81,7 +81,7 @@
         if now_us < endpoint.suspected_until_us:
             weight *= SUSPECT_WEIGHT_FACTOR
         load_factor = (1 + len(endpoint.in_flight)) ** 2
-        # If servers cache keys, a home server with attempts in flight must still outweigh its idle neighbours.
+        # If servers cache keys, a key's home server with attempts in flight must still outweigh idle servers.
         divisor = load_factor if self.settings.servers_know_keys else load_factor * load_factor
         return weight * endpoint.zone_preference * capacity_ratio / divisor
 
@@ -89,28 +89,28 @@
         """Return the servers that another attempt of a request may be sent to."""
         class_index = request.class_index
         class_ = self.settings.classes[class_index]
-        ran = [attempt for attempt in request.attempts if attempt.may_have_run]
+        may_have_run = [attempt for attempt in request.attempts if attempt.may_have_run]
         tried = [attempt.server for attempt in request.attempts]
-        # Evaluated in any case, as it makes breakers half-open whose cooldown is over.
+        # Evaluated in any case, because it also makes each breaker whose cooldown is over half-open.
         untried = [s for s in self.subset.candidates(now_us, class_index) if s not in tried]
-        if ran and class_.effect is Effect.UNSAFE:
+        if may_have_run and class_.effect is Effect.UNSAFE:
             return []
-        if not ran or class_.effect is not Effect.KEYED:
+        if not may_have_run or class_.effect is not Effect.KEYED:
             return untried
-        if now_us - ran[0].sent_us >= class_.window_us:
+        if now_us - may_have_run[0].sent_us >= class_.window_us:
             return []
-        return self._keyed_candidates(now_us, class_index, class_.scope, ran, tried)
+        return self._keyed_candidates(now_us, class_index, class_.scope, may_have_run, tried)
 
     def _keyed_candidates(
-        self, now_us: int, class_index: int, scope: Scope, ran: list[Attempt], tried: list[Endpoint]
+        self, now_us: int, class_index: int, scope: Scope, may_have_run: list[Attempt], tried: list[Endpoint]
     ) -> list[Endpoint]:
-        """Return the untried servers in whose scope repeats of a keyed request are dropped."""
+        """Return the untried servers that drop repeats of a keyed request, according to its scope."""
         ranked = self.endpoints.ranked
         servers = [s for s in ranked if s not in tried and self.subset.is_eligible(now_us, s, class_index)]
         reachable = self.subset.reachable()
         servers = [s for s in servers if self.slow_start.capacity_ratio(now_us, s) >= 1.0 or s in reachable]
         if scope is Scope.ZONE:
-            return [s for s in servers if all(s.entry.zone == a.server.entry.zone for a in ran)]
+            return [s for s in servers if all(s.entry.zone == a.server.entry.zone for a in may_have_run)]
         if scope is Scope.GROUP:
-            return [s for s in servers if all(s.entry.group == a.server.entry.group for a in ran)]
+            return [s for s in servers if all(s.entry.group == a.server.entry.group for a in may_have_run)]
         return servers
--- a/cloverkeel/balancing/slow_start_budget.py
+++ b/cloverkeel/balancing/slow_start_budget.py
@@ -35,7 +35,7 @@
     server: int
     started_us: int
     is_wanted: bool  # the quota recently had no headroom for a request
-    is_idle: bool  # the quota may be lent
+    is_idle: bool  # the quota was not used lately, and may be lent
 
 
 class SlowStartBudget:
@@ -50,7 +50,8 @@
         self.latency = latency
         self.work = work
         self.processes = 1  # of this proxy; each has a balancer of its own
-        self.suspended_until_us = 0  # no warming server is used before: an earlier process may have lent its quota
+        # No warming server is used until then: an earlier process may have lent its quota.
+        self.suspended_until_us = 0
 
     def start(self, now_us: int, entry: ListedServer) -> SlowStart:
         """Return the initial slow start of a server process that is new to this proxy.
@@ -180,16 +181,18 @@
         All quotas add up to the budget; a burst plus the work drained in a window stays within it. `users` is the
         maximum number of proxies that know the server, 0 if the list doesn't state it. With it, each proxy takes one
         part of `users`: no other proxy sends to the server, so the quotas stay within the budget whatever each
-        proxy's list and subset. Without it, the number is estimated from the size of the subset, which holds on
-        average over many proxies but is left to chance with few.
+        proxy's list and subset. Without it, the number is estimated from the size of the subset, which is
+        right on average over many proxies but may be far off with few.
         """
         ratio = min(1.0, self.subset.size / max(1, len(self.subset.endpoints.ranked)))
         expected_users = max(1.0, self.settings.proxies * ratio)
-        sharers = float(users or expected_users)
-        return self.settings.collapse_multiple * self.settings.collapse_window_us / sharers / self.processes
+        quota_count = float(users or expected_users)
+        return self.settings.collapse_multiple * self.settings.collapse_window_us / quota_count / self.processes
 
     def cost_us(self, now_us: int, endpoint: Endpoint, request: Request) -> float:
-        """Return the work of a request: as stated, else from the unloaded latency, and more in slow start.
+        """Return the work of a request: as stated by clients, else estimated from latencies.
+
+        The estimate is the unloaded latency; in slow start, the mean of the unloaded and the smoothed latency.
 
         Guards against leaving warming servers idle under overload: charged at the current latency of other servers,
         requests cost far more than their work, and one of many proxies sent its next request half a minute later.
@@ -206,7 +209,7 @@
         return max(min_us, mean_us * request.size)
 
     def capacity_ratio(self, now_us: int, endpoint: Endpoint) -> float:
-        """Return the share of its capacity that a server has at least by now."""
+        """Return the minimum share of its full capacity that a server has reached by now."""
         if now_us >= endpoint.slow_start.ends_at_us:
             return 1.0
         age_us = max(0, now_us - endpoint.entry.started_us)
--- a/cloverkeel/balancing/subset.py
+++ b/cloverkeel/balancing/subset.py
@@ -15,7 +15,7 @@
 from cloverkeel.balancing.latency_model import LatencyModel
 from cloverkeel.balancing.settings import Effect, Settings
 
-MIN_SUBSET_SIZE: Final = 3  # few enough to fill the breakers' counts, enough to go on when one in three is bad
+MIN_SUBSET_SIZE: Final = 3  # small, so that each server gets many outcomes; enough to go on if one in three fails
 SIZE_DECAY: Final = 0.98  # factor per request on the size above MIN_SUBSET_SIZE
 
 
@@ -78,7 +78,8 @@
         health = endpoint.health_by_class.get(class_index)
         if health is not None and not health.breaker.can_admit(now_us):
             return False
-        # A server is silent while its oldest attempt in flight is overdue; it gets nothing until that one ends.
+        # A server is silent while its oldest attempt in flight is overdue; it gets no more attempts until that
+        # attempt ends.
         in_flight = endpoint.in_flight
         return not in_flight or now_us - next(iter(in_flight.values())) <= self.latency.silence_timeout_us
 
--- a/cloverkeel/balancing/tenant_fairness.py
+++ b/cloverkeel/balancing/tenant_fairness.py
@@ -22,9 +22,10 @@
         self.request_counts = [tenant.share / (1.0 - REQUEST_COUNT_DECAY) for tenant in settings.tenants]
 
     def record(self, tenant: int) -> float:
-        """Count a request; return its tenant's overuse: the fraction of its requests beyond its share, weighted.
+        """Count a request; return its tenant's overuse.
 
-        Negative if the tenant is within its share; 0.0 for an unknown tenant.
+        It is the fraction of the tenant's requests beyond its share, times 1 - `overuse_weight`. Negative if the
+        tenant is within its share; 0.0 for an unknown tenant.
         """
         if not 0 <= tenant < len(self.request_counts):
             return 0.0
--- a/cloverkeel/compiled/build.py
+++ b/cloverkeel/compiled/build.py
@@ -125,7 +125,7 @@
             command, cwd=folder / "tree", env=environment, capture_output=True, text=True, timeout=COMPILE_TIMEOUT_S
         )
     except subprocess.TimeoutExpired:
-        raise CompileError(f"not done in {COMPILE_TIMEOUT_S:.0f} s") from None
+        raise CompileError(f"not finished after {COMPILE_TIMEOUT_S:.0f} s") from None
     if completed.returncode:
         lines = [line for line in (completed.stdout + completed.stderr).splitlines() if line.strip()]
         raise CompileError(lines[-1] if lines else f"exit code {completed.returncode}")
@@ -158,7 +158,7 @@
         libraries = find_libraries(work / "lib")
         missing = set(modules) - set(libraries)
         if missing:
-            raise CompileError(f"no library came of {', '.join(sorted(missing))}")
+            raise CompileError(f"mypyc built no library for {', '.join(sorted(missing))}")
         shutil.rmtree(folder, ignore_errors=True)
         (work / "lib").rename(folder)
     sizes = {name: (str(path), (folder / path).stat().st_size) for name, path in libraries.items()}
@@ -178,7 +178,7 @@
         missing = set(MODULES) - set(loader.read_stamp(str(options.folder)))
         if missing:
             raise loader.UnusableBuildError(f"{', '.join(sorted(missing))} not compiled")
-        print("cloverkeel: compiled already, from these sources")
+        print("cloverkeel: already compiled from these sources")
         return 0
     except loader.UnusableBuildError as error:
         if options.check:
--- a/cloverkeel/compiled/loader.py
+++ b/cloverkeel/compiled/loader.py
@@ -67,7 +67,7 @@
             raise UnusableBuildError(f"{STAMP_NAME} names no module")
         for name, (_, size) in stamp["modules"].items():
             if os.path.getsize(files[name]) != size:
-                raise UnusableBuildError(f"{files[name]} is not whole")
+                raise UnusableBuildError(f"{files[name]} has the wrong size")
         return files
     except FileNotFoundError as error:
         if os.path.basename(str(error.filename)) == STAMP_NAME:
@@ -110,7 +110,7 @@
         return "plain: no compiled build is in use"
     names = [name for name in finder.files if is_loaded_with(name, package)]
     if not names:
-        return f"plain: nothing of {package} was compiled"
+        return f"plain: no module of {package} was compiled"
     loaded_before = set(sys.modules)
     try:
         for name in names:
--- a/cloverkeel/protocols/http1.py
+++ b/cloverkeel/protocols/http1.py
@@ -31,7 +31,7 @@
 BODY_TOO_LONG: Final = "the body is too long"
 UNSUPPORTED_VERSION: Final = "unsupported HTTP version"
 UNKNOWN_BODY_END: Final = "the end of the body is unknown"
-TOO_MANY_INTERIM_REPLIES: Final = "too many interim answers"
+TOO_MANY_INTERIM_REPLIES: Final = "too many interim responses"
 
 
 class ReplyError(ValueError):
@@ -71,7 +71,7 @@
     def feed(self, data: bytes) -> Reply | None:
         """Parse bytes; return the response that they complete, if any.
 
-        Bytes after it clear its `keep_alive`. Raises ReplyError if the bytes are malformed or exceed a limit.
+        Bytes after the response clear its `keep_alive`. Raises ReplyError if bytes are malformed or exceed a limit.
         """
         self._bytes_since_callback += len(data)
         try:
--- a/cloverkeel/simulator/codec.py
+++ b/cloverkeel/simulator/codec.py
@@ -69,7 +69,7 @@
     "409": Outcome.MOOT,
 }
 REPORT_FIELDS = frozenset(LoadReport.__dataclass_fields__)
-TEXT_FIELDS = {"launch": " bootInfo="}
+TEXT_FIELDS = {"launch": " bootInfo="}  # by message: a field whose value is the rest of the line
 
 
 def split_line(line: str) -> tuple[str, dict[str, str]]:
--- a/cloverkeel/upstream/attempt.py
+++ b/cloverkeel/upstream/attempt.py
@@ -33,7 +33,7 @@
         self.host = host
         self.build_payload: PayloadBuilder = build_payload
         self.may_start: MayStart = may_start or _always_may_start
-        self.write_deadline_us = write_deadline_us  # cancelled unless fully written by then; 0: no deadline
+        self.write_deadline_us = write_deadline_us  # an attempt not fully written by then is cancelled; 0: never
         self.on_end: OnAttemptEnd = on_end
         self.on_response_start: OnResponseStart = on_response_start or _discard_response
         self.stream: ResponseStream | None = None  # receives the body of a streamed response once it has begun
--- a/cloverkeel/upstream/attempt_sender.py
+++ b/cloverkeel/upstream/attempt_sender.py
@@ -208,7 +208,8 @@
         """Write the attempt for which a connection was opened."""
         attempt = connection.attempt
         if attempt is None or attempt.has_ended:
-            # Cancelled in the loop iteration that established it; the cancelled connect task closes it next.
+            # The attempt was cancelled in the loop iteration that established its connection; the cancelled
+            # connect task ends next, and on_connect_done discards the connection.
             connection.attempt = None
             connection.close()
             return
--- a/cloverkeel/upstream/connection.py
+++ b/cloverkeel/upstream/connection.py
@@ -14,7 +14,7 @@
 
 
 class ConnectionHandler:
-    """Receives a connection's events. A base class, not a typing.Protocol: compiled calls to it stay direct."""
+    """Receives a connection's events. A base class, not a typing.Protocol, so that compiled calls are direct."""
 
     def on_connected(self, connection: HostConnection) -> None:
         """Handle an established connection."""
@@ -68,8 +68,9 @@
     def is_reusable(self) -> bool:
         """Return whether the host has neither closed the connection nor sent unsolicited bytes.
 
-        Polls the socket, as the loop may not have read these yet. Guards against writing a request to a connection
-        that the host has closed: it would end as a reset, which leaves unknown whether the request has run.
+        Polls the socket, as the loop may not have seen the close or the bytes yet. Guards against writing a request
+        to a connection that the host has closed: it would end as a reset, which leaves unknown whether the request
+        has run.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self.poll.poll(0)
@@ -131,9 +132,10 @@
             attempt.stream.on_chunk(data)
 
     def eof_received(self) -> None:
-        """Handle asyncio's event: the host has closed its sending side, which ends some responses.
+        """Handle asyncio's event: the host has closed its sending side.
 
-        Returns None, so that asyncio closes the connection: it never stays half open.
+        This completes a response whose body lasts until the connection ends. Returns None, so that asyncio closes
+        the connection: it never stays half open.
         """
         reply = self.replies.finish()
         if reply is not None:
--- a/cloverkeel/upstream/connection_pool.py
+++ b/cloverkeel/upstream/connection_pool.py
@@ -114,7 +114,7 @@
         return self.counts.opened
 
     def acquire_idle(self, host: Host) -> HostConnection | None:
-        """Take the most recently used connection that was idle for REUSE_DELAY_US, so that older ones expire.
+        """Take the most recently used connection idle for at least REUSE_DELAY_US, so that older ones expire.
 
         The delay guards against taking a duplicate response, sent some milliseconds after the first, for the response
         to the next request: once that is sent, HTTP/1.1 cannot tell them apart.
--- a/tests/compiled/test_build.py
+++ b/tests/compiled/test_build.py
@@ -62,7 +62,7 @@
     assert unusable_reason(tmp_path) == "stamp.json names no module"
     write_build(tmp_path)
     (tmp_path / "x.so").write_bytes(b"cut off")
-    assert "is not whole" in unusable_reason(tmp_path)
+    assert "has the wrong size" in unusable_reason(tmp_path)
     (tmp_path / "x.so").unlink()
     assert "x.so is missing" in unusable_reason(tmp_path)
 
@@ -93,7 +93,7 @@
     try:
         assert loader.load("cloverkeel").startswith("plain: ")
         assert finder.files == {"cloverkeel.balancing.other": "kept"} and finder in sys.meta_path
-        assert loader.load("cloverkeel") == "plain: nothing of cloverkeel was compiled"
+        assert loader.load("cloverkeel") == "plain: no module of cloverkeel was compiled"
     finally:
         sys.meta_path.remove(finder)
     assert sys.modules == before
