--- a/tests/balancing/test_circuit_breaker.py
+++ b/tests/balancing/test_circuit_breaker.py
@@ -102,14 +102,14 @@
     assert breaker.state is BreakerState.CLOSED
 
 
-def test_the_breaker_of_a_failing_server_opens_and_it_gets_nothing() -> None:
+def test_the_breaker_of_a_failing_server_opens_and_it_gets_no_requests() -> None:
     driver = Driver(servers=3)
     for _ in range(200):
         name, actions = driver.start_request()
         server = send_actions(actions)[0].server
         actions = driver.end_attempt(name, server, Outcome.RESET if server == 0 else Outcome.OK)
-        for again in send_actions(actions):
-            driver.end_attempt(name, again.server, attempt=1)
+        for retry in send_actions(actions):
+            driver.end_attempt(name, retry.server, attempt=1)
     assert driver.balancer.endpoints.by_server[0].breaker.state is BreakerState.OPEN
     for _ in range(50):
         name, actions = driver.start_request()
@@ -243,9 +243,9 @@
     )
     driver.balancer.rng.seed(1)
     name, actions = driver.start_request(class_index=1, client_timeout_us=800_000)
-    again = send_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.RESET))
-    assert again and driver.balancer.retry_budget.tokens == 0
-    assert not send_actions(driver.end_attempt(name, again[0].server, Outcome.RESET, attempt=1))
+    retries = send_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.RESET))
+    assert retries and driver.balancer.retry_budget.tokens == 0
+    assert not send_actions(driver.end_attempt(name, retries[0].server, Outcome.RESET, attempt=1))
 
 
 def test_a_server_that_never_answers_one_class_is_avoided_for_that_class_only() -> None:
--- a/tests/balancing/test_invariants.py
+++ b/tests/balancing/test_invariants.py
@@ -96,15 +96,15 @@
         assert not request.is_done, "attempt sent after the final answer"
         assert self.status[action.server] is ServerStatus.READY
         assert len(request.attempts) < self.settings.max_attempts
-        assert self.settings.may_hedge or all(t.outcome is not None for t in request.attempts)
+        assert self.settings.may_hedge or all(a.outcome is not None for a in request.attempts)
         self.check_in_order(action.request, request)
         assert action.timeout_us > 0
         class_ = self.settings.classes[request.class_index]
-        may_have_run = [t for t in request.attempts if self.may_have_run(t)]
+        may_have_run = [a for a in request.attempts if self.may_have_run(a)]
         if class_.effect is Effect.UNSAFE:
             assert not may_have_run, "an unsafe request that may have run was sent again"
         if class_.effect is Effect.KEYED and may_have_run:
-            assert all(GROUP_BY_SERVER[t.server] == GROUP_BY_SERVER[action.server] for t in may_have_run)
+            assert all(GROUP_BY_SERVER[a.server] == GROUP_BY_SERVER[action.server] for a in may_have_run)
             assert self.now_us - may_have_run[0].sent_us < class_.window_us
         request.attempts.append(TrackedAttempt(action.server, self.now_us, action.timeout_us))
 
@@ -112,7 +112,10 @@
         return attempt.outcome not in NEVER_RAN or (attempt.outcome is Outcome.FULL and self.settings.full_unproven)
 
     def check_in_order(self, name: str, request: TrackedRequest) -> None:
-        """Check that, if in order, earlier requests of the key are over and the key's rest has passed."""
+        """Check that earlier in-order requests of the same key have finished, and `key_rest_us` has passed.
+
+        The wait applies only after an attempt that may still be running. Requests of other classes are not checked.
+        """
         if request.key is None or not self.settings.classes[request.class_index].in_order:
             return
         for other_name, other in self.requests.items():
@@ -120,16 +123,16 @@
                 break
             if other.key != request.key or not self.settings.classes[other.class_index].in_order:
                 continue
-            assert other.is_done, "sent before an earlier request of its key was over"
-            assert all(t.outcome is not None for t in other.attempts), "an earlier request has an attempt in flight"
-            ended_us = [t.ended_us for t in other.attempts if t.outcome in MAY_STILL_RUN]
+            assert other.is_done, "sent before an earlier request of its key had finished"
+            assert all(a.outcome is not None for a in other.attempts), "an earlier request has an attempt in flight"
+            ended_us = [a.ended_us for a in other.attempts if a.outcome in MAY_STILL_RUN]
             assert (
                 self.now_us >= max(ended_us, default=0) + self.settings.key_rest_us
-            ), "sent before the key's rest was over"
+            ), "sent before key_rest_us had passed"
 
     def check_refusal(self, request: TrackedRequest) -> None:
         class_ = self.settings.classes[request.class_index]
-        may_have_run = [t for t in request.attempts if self.may_have_run(t)]
+        may_have_run = [a for a in request.attempts if self.may_have_run(a)]
         if may_have_run:
             is_repeat_dropped = class_.effect is Effect.KEYED and class_.scope is Scope.ALL
             assert class_.effect is Effect.SAFE or is_repeat_dropped
@@ -141,7 +144,7 @@
         self.handle(RequestArrived(name, class_index, client_timeout_us, key))
 
     def end_any(self, pick: int, outcome: Outcome) -> None:
-        in_flight = [(n, i) for n, c in self.requests.items() for i, t in enumerate(c.attempts) if t.outcome is None]
+        in_flight = [(n, i) for n, r in self.requests.items() for i, a in enumerate(r.attempts) if a.outcome is None]
         if in_flight:
             self.end(*in_flight[pick % len(in_flight)], outcome)
 
@@ -156,7 +159,7 @@
         self.handle(event)
 
     def disconnect(self, pick: int) -> None:
-        open_requests = [n for n, c in self.requests.items() if not c.is_done]
+        open_requests = [n for n, r in self.requests.items() if not r.is_done]
         if open_requests:
             name = open_requests[pick % len(open_requests)]
             self.requests[name].is_done = True
@@ -171,7 +174,7 @@
         target_us = self.now_us + by_us
         while True:
             due_times_us = [due for due, _ in self.timers] + [
-                t.sent_us + t.timeout_us for c in self.requests.values() for t in c.attempts if t.outcome is None
+                a.sent_us + a.timeout_us for r in self.requests.values() for a in r.attempts if a.outcome is None
             ]
             due = min(due_times_us, default=target_us + 1)
             if due > target_us:
--- a/tests/balancing/test_latency_by_size.py
+++ b/tests/balancing/test_latency_by_size.py
@@ -19,7 +19,7 @@
 
 from tests.helpers import Driver, send_actions
 
-WAIT_US, WORK_US = 40_000, 50_000  # of an answer: part independent of the size, and part proportional to it
+WAIT_US, WORK_US = 40_000, 50_000  # parts of a latency: independent of the size, and proportional to it
 CLASS = RequestClass(objective_us=600_000, client_timeout_us=1_500_000)
 
 
@@ -73,7 +73,7 @@
 
 
 def test_requests_of_almost_no_work_do_not_distort_the_smoothed_latency() -> None:
-    """Latency over size rated these answers as fifty times slower; a class's smoothed latency reached 2.8 s."""
+    """Latency divided by size rated these answers as fifty times slower; a class's smoothed latency reached 2.8 s."""
     driver, rng = Driver(Settings(classes=(CLASS,))), random.Random(3)
     for _ in range(600):
         size = 0.02 if rng.random() < 0.3 else 1.4
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -116,7 +116,10 @@
 
 
 def test_a_wait_that_uses_up_the_slack_raises_shedding_even_at_a_long_unloaded_latency() -> None:
-    """2.75 times an unloaded 200 ms is past an objective of 500 ms: only timeouts raised shedding, too late."""
+    """At an unloaded latency of 200 ms, the threshold of 2.75 times that was past the objective of 500 ms.
+
+    So only timeouts raised shedding, and too late.
+    """
     driver = Driver(SETTINGS, servers=1)
     driver.balancer.latency.unloaded_us[1] = driver.balancer.latency.smoothed_us[1] = 200_000.0
     assert ratio_change(driver, Outcome.OK, 240_000) < 0
@@ -124,7 +127,7 @@
 
 
 def test_a_timeout_counts_in_full_if_its_server_answered_other_attempts_meanwhile() -> None:
-    """Each timeout counted as a quarter, like a lost connection; four in five had to time out to raise shedding."""
+    """Each timeout counted a quarter, like a lost connection: shedding rose only if four in five tries timed out."""
     for class_ in (RESERVE, replace(RESERVE, objective_us=450_000)):
         driver = Driver(Settings(classes=(DEPOSIT, class_)), servers=1)
         driver.balancer.latency.unloaded_us[1] = driver.balancer.latency.smoothed_us[1] = 200_000.0
@@ -162,7 +165,7 @@
 
 
 def test_a_server_has_a_concurrency_limit_and_a_lower_one_for_low_priority() -> None:
-    """Hosts removed by an operator left the rest overloaded and slow: result 0.00 on two of four seeds."""
+    """After an operator removed hosts, the rest was overloaded and slow: on two of four seeds the result was 0.00."""
     settings = Settings(classes=(replace(DEPOSIT, priority_weight=1.0), RESERVE))
     high_priority, low_priority = Driver(settings, servers=1), Driver(settings, servers=1)
     for driver in (high_priority, low_priority):
@@ -201,7 +204,7 @@
 
 
 def test_selection_avoids_servers_with_many_attempts_in_flight() -> None:
-    """Few gateways with many requests each filled some servers while others were free."""
+    """A few gateways, each with many requests, filled some servers while others were idle."""
     total_spread = 0
     for seed in range(20):
         driver = Driver(SETTINGS, servers=8, seed=seed)
@@ -215,7 +218,7 @@
 
 
 def test_a_key_stays_at_its_home_server_while_that_has_attempts_in_flight() -> None:
-    """A single attempt in flight at the home sent requests to servers that did not have their key cached."""
+    """With one attempt in flight at its home, a key's requests were sent to servers that did not have it cached."""
     same_server = 0
     for seed in range(300):
         driver = Driver(replace(SETTINGS, servers_know_keys=True), servers=3, seed=seed)
--- a/tests/balancing/test_peer_reports.py
+++ b/tests/balancing/test_peer_reports.py
@@ -28,7 +28,7 @@
     assert balancer.retry_token_state(until_us)[0] == MAX_SAVED_TOKENS
 
 
-def test_retry_tokens_are_wanted_after_a_retry_without_one() -> None:
+def test_a_retry_denied_for_lack_of_tokens_is_reported_as_a_shortage() -> None:
     driver = Driver()
     driver.handle(RetryTokenGrant(MAX_SAVED_TOKENS, -10.0))
     for _ in range(2):
@@ -45,8 +45,12 @@
 # Health reports
 
 
-def report(driver: Driver, server: int, good: float, bad: float, reporters: int = 2, well: int = 0) -> None:
-    driver.handle(PeerHealthReport(server, 0, good, bad, reporters, well, driver.now_us + OBSERVATION_LIFETIME_US))
+def report(
+    driver: Driver, server: int, good: float, bad: float, reporters: int = 2, success_reporters: int = 0
+) -> None:
+    driver.handle(
+        PeerHealthReport(server, 0, good, bad, reporters, success_reporters, driver.now_us + OBSERVATION_LIFETIME_US)
+    )
 
 
 def request_shares(driver: Driver, requests: int = 300) -> list[float]:
@@ -63,13 +67,13 @@
 def test_a_server_that_fails_for_other_proxies_is_selected_rarely_until_the_report_expires() -> None:
     driver = Driver(servers=6)
     before = request_shares(driver)
-    worst = max(range(6), key=lambda n: before[n])
-    report(driver, worst, 0.0, 3.0)
-    assert request_shares(driver)[worst] < before[worst] / 4
+    reported = max(range(6), key=lambda n: before[n])
+    report(driver, reported, 0.0, 3.0)
+    assert request_shares(driver)[reported] < before[reported] / 4
     # A report alone opens no breaker.
-    assert driver.balancer.endpoints.by_server[worst].breaker.state is BreakerState.CLOSED
+    assert driver.balancer.endpoints.by_server[reported].breaker.state is BreakerState.CLOSED
     driver.now_us += OBSERVATION_LIFETIME_US
-    assert request_shares(driver)[worst] > before[worst] / 2
+    assert request_shares(driver)[reported] > before[reported] / 2
 
 
 def test_no_suspicion_from_one_reporter_or_good_outcomes_or_for_another_process() -> None:
@@ -140,9 +144,9 @@
 def test_good_answers_at_two_other_proxies_make_a_breaker_half_open() -> None:
     driver = Driver(servers=4)
     breaker = open_first_breaker(driver)
-    report(driver, 0, 3.0, 0.0, reporters=0, well=1)
+    report(driver, 0, 3.0, 0.0, reporters=0, success_reporters=1)
     assert not driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
-    report(driver, 0, 3.0, 0.0, reporters=0, well=2)
+    report(driver, 0, 3.0, 0.0, reporters=0, success_reporters=2)
     assert (
         driver.balancer.subset.is_eligible(driver.balancer.now_us, driver.balancer.endpoints.by_server[0], 0)
         and breaker.state is BreakerState.HALF_OPEN
--- a/tests/balancing/test_repeated_ids.py
+++ b/tests/balancing/test_repeated_ids.py
@@ -101,7 +101,7 @@
         self.now_us = START_US
         self.timers: list[SetTimer] = []
         self.in_flight: list[tuple[str, int, int]] = []  # request, attempt number, server
-        self.ended: list[tuple[str, int, int]] = []  # the same of attempts whose end may be reported again
+        self.ended: list[tuple[str, int, int]] = []  # the same for ended attempts, whose end may be reported again
         self.attempts: dict[str, int] = {}  # number of attempts of each id's present request
         self.unanswered: set[str] = set()
         self.handle(ServerList(ListKind.FULL, tuple(ListedServer(n, group=n % 2) for n in range(3))))
--- a/tests/balancing/test_requests.py
+++ b/tests/balancing/test_requests.py
@@ -54,24 +54,24 @@
     driver = Driver()
     name, actions = driver.start_request(class_index=2)
     first = send_actions(actions)[0].server
-    again = send_actions(driver.end_attempt(name, first, Outcome.CONNECT_FAILED))
-    assert len(again) == 1 and again[0].server != first
+    retries = send_actions(driver.end_attempt(name, first, Outcome.CONNECT_FAILED))
+    assert len(retries) == 1 and retries[0].server != first
 
 
 def test_keyed_request_is_retried_in_its_group_and_window() -> None:
     driver = Driver(servers=6)
     name, actions = driver.start_request(class_index=1)
     first = send_actions(actions)[0].server
-    again = send_actions(driver.end_attempt(name, first, Outcome.RESET))
-    assert again[0].server % 2 == first % 2
+    retries = send_actions(driver.end_attempt(name, first, Outcome.RESET))
+    assert retries[0].server % 2 == first % 2
     name, actions = driver.start_request(class_index=1)
     driver.now_us += KEYED.window_us
     assert final_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.RESET)) == [Fail(name)]
 
 
 def test_keyed_request_with_scope_all_is_refused_instead_of_failed() -> None:
-    anywhere = replace(KEYED, scope=Scope.ALL)
-    driver = Driver(replace(SETTINGS, classes=(anywhere,), max_attempts=1))
+    keyed_everywhere = replace(KEYED, scope=Scope.ALL)
+    driver = Driver(replace(SETTINGS, classes=(keyed_everywhere,), max_attempts=1))
     name, actions = driver.start_request()
     assert final_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR)) == [Refuse(name)]
 
@@ -79,8 +79,8 @@
 def test_attempts_are_limited_by_max_attempts() -> None:
     driver = Driver(replace(SETTINGS, max_attempts=2), servers=5)
     name, actions = driver.start_request()
-    again = send_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR))
-    assert final_actions(driver.end_attempt(name, again[0].server, Outcome.ERROR, attempt=1)) == [Refuse(name)]
+    retries = send_actions(driver.end_attempt(name, send_actions(actions)[0].server, Outcome.ERROR))
+    assert final_actions(driver.end_attempt(name, retries[0].server, Outcome.ERROR, attempt=1)) == [Refuse(name)]
 
 
 def test_overdue_attempt_is_hedged_and_cancelled_when_the_hedge_is_answered() -> None:
@@ -158,7 +158,7 @@
 
 
 def test_requests_are_refused_if_the_queue_of_their_key_is_too_long_to_be_served_in_time() -> None:
-    """A request that could not be served in time was refused a place in the queue, but sent out of order."""
+    """A request that could not be served in time was not queued, but sent at once and so out of order."""
     driver = Driver(IN_ORDER)
     arrivals = [driver.start_request(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
     refused = [actions for actions in arrivals if final_actions(actions)]
@@ -188,8 +188,8 @@
         name, actions = driver.start_request(class_index=0)
         first = send_actions(actions)[0].server
         outcome = Outcome.FULL if first == bad else Outcome.OK
-        for again in send_actions(driver.end_attempt(name, first, outcome)):
-            driver.end_attempt(name, again.server, attempt=1)
+        for retry in send_actions(driver.end_attempt(name, first, outcome)):
+            driver.end_attempt(name, retry.server, attempt=1)
     assert server.breaker.state is BreakerState.CLOSED and server.breaker.failures == 0
     assert server not in driver.balancer.subset.candidates(
         driver.balancer.now_us, 0
@@ -207,16 +207,16 @@
 
 
 def test_timeout_sheds_like_a_slow_answer_but_less_if_cut_short_at_the_objective() -> None:
-    """Timeouts on dropped connections caused shedding; the connections that became idle by it were dropped too."""
+    """Timeouts on dropped connections caused shedding; connections that became idle through it were dropped too."""
     shed_ratios = []
     cut_short = replace(SAFE, late_weight=0.0)
-    for class_index, outcome, latency_us in (
+    for class_, outcome, latency_us in (
         (SAFE, Outcome.TIMEOUT, 390_000),
         (SAFE, Outcome.OK, 390_000),
         (cut_short, Outcome.TIMEOUT, 190_000),
         (cut_short, Outcome.OK, 10_000),
     ):
-        driver = Driver(replace(SETTINGS, classes=(class_index,)))
+        driver = Driver(replace(SETTINGS, classes=(class_,)))
         name, actions = driver.start_request()
         driver.balancer.latency.smoothed_us[0] = driver.balancer.latency.unloaded_us[0] = 50_000.0
         driver.balancer.load_shedder.adjusted_at_us = driver.now_us
@@ -242,18 +242,18 @@
 def test_keyed_retry_stays_within_its_scope_and_window(scope: Scope) -> None:
     """The window begins when the first attempt that may have run is sent, and is exact to the microsecond."""
     for late in (0, 1):
-        class_index = replace(KEYED, scope=scope)
-        driver = Driver(replace(SETTINGS, classes=(class_index,)), servers=0)
+        class_ = replace(KEYED, scope=scope)
+        driver = Driver(replace(SETTINGS, classes=(class_,)), servers=0)
         driver.list_servers(*(ListedServer(n, zone=n % 2, group=n % 3) for n in range(12)))
         name, actions = driver.start_request(client_timeout_us=700_000)
         first = send_actions(actions)[0].server
         driver.now_us += KEYED.window_us - 1 + late
-        again = send_actions(driver.end_attempt(name, first, Outcome.RESET))
-        assert len(again) == 1 - late
-        if again and scope is Scope.ZONE:
-            assert again[0].server % 2 == first % 2
-        if again and scope is Scope.GROUP:
-            assert again[0].server % 3 == first % 3
+        retries = send_actions(driver.end_attempt(name, first, Outcome.RESET))
+        assert len(retries) == 1 - late
+        if retries and scope is Scope.ZONE:
+            assert retries[0].server % 2 == first % 2
+        if retries and scope is Scope.GROUP:
+            assert retries[0].server % 3 == first % 3
 
 
 def test_tenant_beyond_its_share_is_shed_first() -> None:
@@ -447,15 +447,15 @@
 
 def test_proxy_with_few_answers_sheds_as_soon_as_a_busy_one() -> None:
     """In a fleet of 850 proxies that became overloaded within 5 s, each proxy saw only 3 answers in that time."""
-    shed = []
+    shed_ratios = []
     for gap_us in (100_000, 1_500_000):
         driver = Driver()
         name, actions = driver.start_request(class_index=2)
         driver.balancer.load_shedder.adjusted_at_us = driver.now_us
         driver.now_us += gap_us
         driver.end_attempt(name, send_actions(actions)[0].server, latency_us=290_000)
-        shed.append(driver.balancer.load_shedder.low_priority_ratio)
-    assert shed[1] >= 2 * shed[0] > 0
+        shed_ratios.append(driver.balancer.load_shedder.low_priority_ratio)
+    assert shed_ratios[1] >= 2 * shed_ratios[0] > 0
 
 
 def test_unsafe_is_the_default_effect() -> None:
@@ -567,7 +567,7 @@
 
 
 def test_warming_server_is_drawn_in_proportion_to_its_capacity() -> None:
-    """At a low request rate its collapse budget alone would allow it as many requests as a warm server."""
+    """At a low request rate, the collapse budget alone would let a warming server get as many requests as others."""
     driver = Driver(replace(SLOW_START, proxies=1), servers=0)
     driver.list_servers(ListedServer(1), ListedServer(2, started_us=driver.now_us))
     driver.balancer.endpoints.by_server[2].weight = driver.balancer.endpoints.by_server[1].weight
@@ -692,7 +692,7 @@
     driver = Driver(Settings(classes=(replace(SAFE, priority_weight=10.0),)))
     name, actions = driver.start_request()
     driver.end_attempt(name, send_actions(actions)[0].server, latency_us=5_000)
-    sheds = []
+    shed_ratios = []
     for _ in range(300):
         driver.now_us += 3_300
         driver.balancer.load_shedder.high_priority_ratio = 0.0  # admits the request whatever the present ratios are
@@ -700,8 +700,8 @@
         name, actions = driver.start_request()
         driver.balancer.load_shedder.low_priority_ratio = ratio
         driver.end_attempt(name, send_actions(actions)[0].server, latency_us=390_000)
-        sheds.append(driver.balancer.load_shedder.low_priority_ratio)
-    assert sheds[9] <= 0.3 and sheds[-1] >= 0.9
+        shed_ratios.append(driver.balancer.load_shedder.low_priority_ratio)
+    assert shed_ratios[9] <= 0.3 and shed_ratios[-1] >= 0.9
 
 
 def test_home_server_of_a_key_is_mostly_in_the_proxys_zone() -> None:
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -72,9 +72,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_many_gateways_use_a_warming_server_under_overload(seed: int) -> None:
-    """Charged at the latency of overloaded servers, the whole fleet sent a warming server one request per second."""
+    """Work was charged at overloaded servers' latency, so the fleet sent a warming server one request per second."""
     sent = work_sent_to_warming_server(SETTINGS, stated_work_us=WORK_US, seed=seed)
-    # It has at least 0.3 to 0.7 of a core in these seconds, and may be sent three times that.
+    # The server has at least 0.3 to 0.7 of a core in these seconds, and may be sent three times that work.
     assert sum(sent[1:]) > 1.1 * sum(0.3 + 0.07 * second for second in range(1, 6))
 
 
--- a/tests/balancing/test_slow_start_quotas.py
+++ b/tests/balancing/test_slow_start_quotas.py
@@ -43,7 +43,7 @@
 
 
 def sent_in_three_seconds(is_lent: bool, granted: float) -> int:
-    """Return the requests sent in three seconds by one proxy that has far more."""
+    """Return the number of requests sent in three seconds by one proxy that receives far more."""
     driver, sent = proxy(0), 0
     driver.now_us += 5_000_000
     send_requests(driver, 20)
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -268,7 +268,7 @@
 
 @on_loop
 async def test_answered_requests_leave_no_reference_cycles() -> None:
-    """Cycles would wait for the garbage collector, which runs seldom and scans all live objects."""
+    """Reference cycles are freed only by the garbage collector, which runs seldom and scans all live objects."""
     async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         for _ in range(3):
