--- a/benchmarks/guards/mutants/frontends.py
+++ b/benchmarks/guards/mutants/frontends.py
@@ -84,13 +84,13 @@
     """A request with Content-Length and Transfer-Encoding is framed by the latter."""
     from cloverkeel.frontends.http1.requests import RequestReader
 
-    old = RequestReader.__init__
+    original_init = RequestReader.__init__
 
-    def init(self: Any, *args: Any) -> None:
-        old(self, *args)
+    def init_leniently(self: Any, *args: Any) -> None:
+        original_init(self, *args)
         self._parser.set_dangerous_leniencies(lenient_chunked_length=True)
 
-    patch_attribute(RequestReader, "__init__", init)
+    patch_attribute(RequestReader, "__init__", init_leniently)
 
 
 @mutant("repeated-headers")
--- a/benchmarks/guards/table/core.py
+++ b/benchmarks/guards/table/core.py
@@ -18,7 +18,7 @@
         "RequestTable.add, RequestLifecycle.remove",
         tests="balancing/repeated_ids::late_timer_of_an_answered_request_leaves_a_later_request_with_its_id_alone"),
     row("way-out-ends+way-out-bound", "a shutdown ends", "DrainSchedule, MAX_SHUTDOWN_S",
-        tests="cli/gateway_process::a_request_without_an_end_does_not_delay_shutdown "
+        tests="cli/gateway_process::a_request_that_is_never_answered_does_not_delay_shutdown "
               "cli/gateway_process::a_shutdown_finishes_requests_in_flight_and_accepts_new_ones"),
     row("way-out-keeps", "open connections are served for a while, as other gateways may be down",
         "DrainState.closes_connections",
@@ -35,7 +35,7 @@
         tests="frontends/large_bodies::body_budget_is_released_with_the_last_reference_to_a_body"),
     row("room-returns", "the reservation of a body is released", "BodyReservation",
         tests="frontends/large_bodies::large_requests_arrive_unchanged_in_every_framing"),
-    row("pause-empties", "a paused gateway has no idle connections in time", "DrainSchedule.can_close_idle",
+    row("pause-empties", "a paused gateway closes its idle connections in time", "DrainSchedule.can_close_idle",
         tests="admin/operations::a_pause_drains_the_gateway_and_a_resume_accepts_clients_again"),
     row("wanted", "nothing is sent for a client that left during connection setup", "RequestAttempt.may_start",
         tests="core/crossings::nothing_is_written_for_a_client_that_left_during_connection_setup"),
@@ -47,7 +47,8 @@
         tests="discovery/list_cost::the_event_loop_runs_between_the_batches_of_a_long_list"),
     row("list-parts-restrict", "restricting entries are applied immediately", "ListBatches.split",
         tests="discovery/list_cost::the_event_loop_runs_between_the_batches_of_a_long_list"),
-    row("list-parts-known", "a list is batched by known hosts, as when a zone returns", "ListBatches.split",
+    row("list-parts-known", "a gateway that knows many hosts also splits a shorter list, as after a zone recovers",
+        "ListBatches.split",
         tests="discovery/incremental_reading::a_list_is_split_depending_on_the_number_of_known_hosts"),
     row("gzip-limit", "decompressed data is no longer than the longest list", "decompress_gzip",
         tests="discovery/incremental_reading::work_per_decompression_step_is_bounded"
--- a/cloverkeel/admin/state.py
+++ b/cloverkeel/admin/state.py
@@ -6,7 +6,7 @@
 them to the names in the code. An invalid text raises StateError with the expected value.
 
 Invariants:
-- at most MAX_EJECTIONS ejections, MAX_EJECTIONS reinstatements and MAX_KNOWN_IDS known ids are read;
+- a text with more than MAX_EJECTIONS ejections or reinstatements, or more than MAX_KNOWN_IDS known ids, is invalid;
 - at most MAX_EJECTIONS reinstatements are kept, the oldest are discarded first.
 """
 
--- a/cloverkeel/cli/gateway_process.py
+++ b/cloverkeel/cli/gateway_process.py
@@ -39,7 +39,7 @@
 
 
 def install_early_handlers() -> list[int]:
-    """Handle signals before the event loop runs; return the list to which SIGHUPs until then are appended.
+    """Handle signals until the event loop handles them; return the list that records each SIGHUP until then.
 
     A SIGHUP that arrives after the configuration was read needs a reload later, so it is recorded. SIGTERM and SIGINT
     end the process immediately: there is no request to finish yet.
--- a/cloverkeel/cli/serving.py
+++ b/cloverkeel/cli/serving.py
@@ -38,7 +38,7 @@
 def run_until_terminated(config: Config, options: Options, build: str, early_reloads: Sequence[int]) -> int:
     """Run the gateway on a new event loop; return the exit code.
 
-    `build`: which build of the modules outside `cloverkeel.balancing` runs. `early_reloads`: SIGHUPs received before.
+    `build`: which build of the modules outside `cloverkeel.balancing` runs. `early_reloads`: SIGHUPs received so far.
     """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(serve(config, options, build, early_reloads))
@@ -109,7 +109,7 @@
 
 
 def _log_build(build: str) -> None:
-    """Log which build of `cloverkeel.balancing` runs, and why the other modules run from source if only they do."""
+    """Log which build of `cloverkeel.balancing` runs; if it is compiled and the other modules are not, log why."""
     log(f"gateway: started, decisions={BUILD}")
     if BUILD == "compiled" != build:
         log(f"gateway: other modules are not compiled, build={build}")
--- a/cloverkeel/core/config.py
+++ b/cloverkeel/core/config.py
@@ -44,7 +44,7 @@
     @classmethod
     def not_an_address(cls, key: str) -> ConfigError:
         """Return the error for a value that is not an address."""
-        return cls(f"{key} is no address of the form host:port", key=key, expected="host:port")
+        return cls(f"{key} is not an address of the form host:port", key=key, expected="host:port")
 
 
 @dataclass(slots=True, frozen=True)
--- a/cloverkeel/core/dispatcher.py
+++ b/cloverkeel/core/dispatcher.py
@@ -69,7 +69,7 @@
         return head_and_body if call.body_chunks is None else head_and_body + call.body_chunks
 
     def on_response_start(self, reply: Reply, length: int | None, _latency_us: int) -> ResponseStream | None:
-        """Stream a large response to the client; the first attempt whose successful response starts wins."""
+        """Stream a large successful response to the client, unless another attempt's response started earlier."""
         request = self.request
         attempt = request.attempts[self.index]
         if not request.awaits_response() or attempt is None:
@@ -167,8 +167,8 @@
     def _end_abandoned(self, request: InFlightRequest) -> Event:
         """Return the event of an abandoned request.
 
-        The request is marked as responded only when the event is handled, so that attempts started before then can
-        still report their outcome.
+        The request stays in the table until the event is handled: until then the balancer may start further attempts
+        of it, which end with the outcome MOOT.
         """
         self.requests.mark_responded(request)
         return RequestGone(request.key)
--- a/cloverkeel/core/draining.py
+++ b/cloverkeel/core/draining.py
@@ -18,7 +18,7 @@
 KILL_GRACE_S: Final = 0.7  # SIGKILL follows SIGTERM after at least the longest client timeout (up to 3 s) plus this
 KILL_SAFETY_S: Final = 0.2  # margin between the latest exit of the process and SIGKILL
 RESPONSE_DELIVERY_S: Final = 0.2  # time for the last responses to reach their clients
-READ_STALL_TIMEOUT_S: Final = 0.4  # maximum gap between two chunks of a request; a slow client keeps sending
+READ_STALL_TIMEOUT_S: Final = 0.4  # maximum gap between two chunks of a request; even a slow client sends sooner
 MAX_SHUTDOWN_S = 3.4  # limit after SIGTERM: the longest client timeout plus the time in which clients still connect
 
 
@@ -58,7 +58,7 @@
     """Return the schedule for SIGTERM without a successor.
 
     New connections keep arriving for 0.4 s, and clients keep using open ones. Both are served for a while: another
-    gateway may be down at the same time, and a client that is turned away may then find no gateway. A stalled request
+    gateway may be down at the same time, and a client that is rejected may then find no gateway. A stalled request
     does not delay the exit: the sooner the process exits, the sooner its replacement serves.
     """
     return DrainSchedule(
--- a/cloverkeel/core/endpoint_updates.py
+++ b/cloverkeel/core/endpoint_updates.py
@@ -40,15 +40,15 @@
             removed_servers = self.hosts.retain_hosts({entry.listed.server for entry in entries})
             self.batches.clear()
         self.received_entries += len(entries) if kind is not ListKind.DISK else 0
-        usable = [entry for entry in entries if not self._has_taken_number(entry)]
-        if kind is ListKind.DISK:  # the first list of all: there is no host to send to yet
+        usable = [entry for entry in entries if not self._is_number_taken(entry)]
+        if kind is ListKind.DISK:  # the first list after startup: no host is known, so no request is delayed
             immediate = self.batches.take_all(usable)
         else:
             immediate = self.batches.split(usable, self.hosts.host_count(), self._has_changed)
         if len(immediate) == len(usable):
             return self._apply(kind, immediate)
         if self.iteration_handle is None:
-            # Scheduled while entries are pending: after a stall it runs before callbacks that became ready during it.
+            # Scheduled while entries are pending: a batch precedes all callbacks that become ready during a stall.
             self.iteration_handle = self.loop.call_soon(self.on_loop_iteration)
         if kind is not ListKind.DELTA and len(usable) < len(entries):
             removed_servers += {entry.listed.server for entry in entries} - {entry.listed.server for entry in usable}
@@ -96,7 +96,7 @@
         """Return whether the host is known with another address or process start time."""
         return self.hosts.has_host_changed(entry.listed.server, entry.address, entry.listed.started_us)
 
-    def _has_taken_number(self, entry: Endpoint) -> bool:
+    def _is_number_taken(self, entry: Endpoint) -> bool:
         """Return whether another host has the same number; numbers are hashes of names, so they may collide."""
         name = self.hosts.host_name(entry.listed.server) or self.batches.name_of(entry.listed.server)
         if name is None or name == entry.name:
--- a/cloverkeel/core/gateway.py
+++ b/cloverkeel/core/gateway.py
@@ -1,4 +1,4 @@
-"""Drives the balancer: passes it events, carries out its actions, runs the heartbeat and holds after stalls.
+"""Drives the balancer: passes it events and carries out its actions. Runs the heartbeat, and the holds after stalls.
 
 This module makes no balancing decisions. The actions of an event are carried out before the next event is handled;
 events that occur meanwhile wait in the event queue.
@@ -32,7 +32,7 @@
 from cloverkeel.core.dispatcher import ActionDispatcher
 from cloverkeel.core.endpoint_updates import EndpointUpdates
 from cloverkeel.core.event_queue import EventProcessor, EventQueue
-from cloverkeel.core.log import log, log_if_read
+from cloverkeel.core.log import log, try_log
 from cloverkeel.core.loop_timers import LoopTimers
 from cloverkeel.core.metrics import METRICS_INTERVAL_US, GatewayMetrics
 from cloverkeel.core.ports import LoadBalancer, Endpoint, EndpointSource, HostTable, Upstream
@@ -130,11 +130,18 @@
     def set_slow_start_quota(
         self, server: int, started_us: int, lent_until_us: int, granted: float, granted_until_us: int
     ) -> None:
-        """Set the quotas of a warming server's slow-start budget that are lent and granted, and until when (µs)."""
+        """Report a transfer of quotas of a warming server's slow-start budget between gateways.
+
+        This gateway has lent its own quota until `lent_until_us`, and holds `granted` quotas of other gateways until
+        `granted_until_us`.
+        """
         self.queue.post_urgent(lambda: SlowStartQuota(server, started_us, lent_until_us, granted, granted_until_us))
 
     def suspend_probes(self, server: int, until_us: int) -> None:
-        """Suspend probes of a server, which another gateway probes until `until_us`; 0: it answered, probe it now."""
+        """Suspend probes of a server, because another gateway probes it until `until_us`.
+
+        `until_us` is 0 if the server answered the other gateway's probes: this gateway probes it at once.
+        """
         self.queue.post_urgent(lambda: ProbesSuspended(server, until_us))
 
     def report_peer_health(
@@ -147,7 +154,7 @@
         success_reporters: int,
         until_us: int,
     ) -> None:
-        """Set what the gateways together observed of a server, which is valid until `until_us`."""
+        """Set the combined observations of a server by all gateways; they are valid until `until_us`."""
         self.queue.post_urgent(
             lambda: PeerHealthReport(
                 server, started_us, successes, failures, failure_reporters, success_reporters, until_us
@@ -233,7 +240,7 @@
             opened - self.opened_at_last_line,
             self.endpoint_updates.received_entries,
         )
-        if line is not None and log_if_read(line):
+        if line is not None and try_log(line):
             self.opened_at_last_line = opened
             self.endpoint_updates.received_entries = 0
             self.metrics.reset()
@@ -260,7 +267,7 @@
             log(f"gateway: stalled, duration_s={stall_us / 1e6:.2f} count={self.stall_detector.stall_count}")
 
         def on_caught_up() -> None:
-            # Otherwise a further stall began a new hold.
+            # After a further stall, `end_hold` would end the hold of that stall too early.
             if self.stall_detector.hold_started_us == hold_started_us:
                 self.end_hold(caught_up=True)
 
--- a/cloverkeel/core/list_batches.py
+++ b/cloverkeel/core/list_batches.py
@@ -10,11 +10,11 @@
   immediately;
 - a list of up to MAX_UNSPLIT_ENTRIES is applied in one piece if no more hosts than that are known, and a list of up
   to BATCH_ENTRIES always;
-- so is the list of a gateway that knows few hosts yet: otherwise it would send all requests to the few hosts of the
-  first batch, as would every other gateway that starts at the same time. The first list delays no requests, as none
-  can be served without it;
+- a list that is much longer than the number of known hosts is also applied in one piece: otherwise a gateway that
+  has just started would send all requests to the few hosts of the first batch, as would every other gateway that
+  starts at the same time. The first list delays no requests, as none can be served without it;
 - memory is bounded by one entry for each host in the last snapshot and the changes since then.
-The module must not depend on the balancer's caller or on the clock.
+This module must not depend on the gateway (gateway.py) or on the clock.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_UNSPLIT_ENTRIES: Final = 200  # also limits the known hosts; the platform's complete list is no longer than this
+# Compared with the entries of a list and with the known hosts. The platform's complete list is no longer than this.
+MAX_UNSPLIT_ENTRIES: Final = 200
 BATCH_ENTRIES: Final = 50  # takes under 1 ms even if all entries are new and the machine is busy
 MAX_GROWTH_FACTOR: Final = 4  # a list of more than this many times the known hosts is applied in one piece
 
--- a/cloverkeel/core/log.py
+++ b/cloverkeel/core/log.py
@@ -16,10 +16,10 @@
     If no process reads the log, its pipe fills up, and a blocking write would stop the program. No line is logged per
     request.
     """
-    log_if_read(line)
+    try_log(line)
 
 
-def log_if_read(line: str) -> bool:
+def try_log(line: str) -> bool:
     """Write a line; return False and write nothing if the log's reader is too slow or has exited.
 
     A line of up to PIPE_BUF bytes (4 KiB) is either written completely or not at all.
--- a/cloverkeel/core/metrics.py
+++ b/cloverkeel/core/metrics.py
@@ -36,14 +36,14 @@
         self.rejected_by_class = [0] * class_count
         self.failed_by_class = [0] * class_count
         self.rejections_by_reason: dict[str, int] = {}
-        self.unserved_by_reason: dict[str, int] = {}  # connections refused or closed before a complete request
+        self.unserved_by_reason: dict[str, int] = {}  # refused or closed connections; the frontend's error responses
         self.row_by_server: dict[int, list[int]] = {}
         self.leases: list[int] = []  # figures in the order of docs/fleet.md; empty if leases are off
         self.gossip: list[int] = []  # figures in the order of docs/fleet.md; empty if gossip is off
         self.received_before_reset = 0  # requests in the lines written so far
 
     def record_unserved(self, reason: str) -> None:
-        """Count a connection, or bytes of one, that was refused or closed before a request was read."""
+        """Count a connection that the frontend refused or closed, or a request that it answered with an error."""
         self.unserved_by_reason[reason] = self.unserved_by_reason.get(reason, 0) + 1
 
     def record_rejection(self, class_index: int, reason: str) -> None:
--- a/cloverkeel/core/options.py
+++ b/cloverkeel/core/options.py
@@ -1,4 +1,4 @@
-"""Options of this program beside the platform's settings: a TOML file that CLOVERKEEL_OPTIONS names.
+"""Options of this program in addition to the platform's settings: a TOML file that CLOVERKEEL_OPTIONS names.
 
 Without the file all optional parts are disabled; disabled parts are not imported. Errors name the file, the key and
 the expected value. The keys of the file must stay compatible; this module maps them to the names in the code:
@@ -25,7 +25,7 @@
 MAX_SESSION_MS: Final = 60_000
 MAX_SPREAD_MS: Final = 10_000
 MAX_RELAYS: Final = 64  # a gateway may connect to each, and tries all of them before it starts over
-# Service names are part of each request, of which a relay reads 64 KiB; a byte takes up to three characters.
+# Service names are part of each request. A relay reads requests of up to 64 KiB; percent-encoding may triple a byte.
 MAX_SERVICES: Final = 256
 MAX_SERVICE_NAME_BYTES: Final = 128  # in UTF-8
 MAX_SERVICE_NAMES_BYTES: Final = 16 << 10  # all names together
@@ -141,7 +141,7 @@
 
 def _read_precedence(table: ConfigTable) -> tuple[str, ...]:
     sources = table.values.get("precedence", list(SOURCES))
-    error = table.error("precedence", "a list of 'ephemeral' and perhaps 'registry'", repr(sources))
+    error = table.error("precedence", "a list of 'ephemeral' and optionally 'registry'", repr(sources))
     if not isinstance(sources, list) or "ephemeral" not in sources:
         raise error
     if not all(source in SOURCES for source in sources) or len(set(sources)) != len(sources):
--- a/cloverkeel/core/reload.py
+++ b/cloverkeel/core/reload.py
@@ -1,7 +1,7 @@
 """Reloads files on SIGHUP while requests are served.
 
-`FileReloader` reads and applies any files. `ConfigReloader` reloads a gateway's: the address of discovery, and the
-relays and services, may change.
+`FileReloader` reads and applies any files. `ConfigReloader` reloads the files of a gateway: it applies changes of the
+address of discovery, the relays and the services.
 """
 
 from __future__ import annotations
--- a/cloverkeel/core/request_table.py
+++ b/cloverkeel/core/request_table.py
@@ -3,7 +3,7 @@
 Invariants:
 - request keys are unique, while clients may reuse ids: the balancer identifies a request by its key;
 - a request gets at most one response: `claim_response` returns each request at most once;
-- a request is removed once it is responded and none of its attempts is in flight; a later request with the same id is
+- a request is removed once it is answered and none of its attempts is in flight; a later request with the same id is
   not removed with it.
 """
 
--- a/cloverkeel/core/stall_detector.py
+++ b/cloverkeel/core/stall_detector.py
@@ -8,8 +8,8 @@
 - a hold begins before the first send after a stall, whether the heartbeat, an event or a write checks first;
 - a hold ends when the endpoint source has caught up, or after `max_hold_us`, and only after a check for a further
   stall;
-- what reached this machine `threshold_us` plus one heartbeat interval before a send, or earlier, has been read by
-  then, unless the hold expired.
+- before a send, all notifications have been read that reached this machine at least `threshold_us` plus one heartbeat
+  interval earlier, unless the hold expired.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
         self.next_check_due_us = self.last_check_us + self.threshold_us
 
     def check(self, now_us: int) -> bool:
-        """Process a reading of the clock; return True if it ends a stall, which begins or restarts a hold."""
+        """Process a reading of the clock; if it ends a stall, begin or restart a hold and return True."""
         elapsed_us = now_us - self.last_check_us
         self.last_check_us = max(now_us, self.last_check_us)
         if elapsed_us <= self.threshold_us:
--- a/cloverkeel/frontends/http1/admission.py
+++ b/cloverkeel/frontends/http1/admission.py
@@ -1,9 +1,9 @@
-"""Division of descriptors between clients and hosts, and the choice of clients to close when they run short.
+"""Division of descriptors between clients and hosts, and the choice of clients to close when descriptors run short.
 
 Invariants:
 - `RESERVED_DESCRIPTORS` are left for other uses, and a fraction of the rest for hosts; clients never take these;
-- to free a descriptor, no connection is closed while it has a complete request to answer, nor as idle while it has
-  bytes to read.
+- a connection is not closed to free a descriptor while it has a complete request to answer, and not closed as idle
+  while it has bytes to read.
 """
 
 from __future__ import annotations
--- a/cloverkeel/frontends/http1/connection.py
+++ b/cloverkeel/frontends/http1/connection.py
@@ -66,8 +66,8 @@
     def is_idle(self) -> bool:
         """Return whether it may be closed: no response is due, no request has begun, no bytes wait to be read.
 
-        Guards against losing a request that the kernel has received and the loop has not read, and a request that a
-        client repeats on a new connection because the first try crossed the close of the old one.
+        Guards against losing a request that the kernel has received and the loop has not read. It may be the only
+        retry of a client whose first try was on its way when the gateway closed the previous connection.
         """
         if self.ignores_input or self.request is not None or self.reader.completed or self.reader.has_begun:
             return False
--- a/cloverkeel/frontends/http1/requests.py
+++ b/cloverkeel/frontends/http1/requests.py
@@ -46,7 +46,7 @@
         self.header_lines: list[tuple[bytes, bytes, bytes]] = []  # name in lower case, name as received, value
         self.body: list[bytes] = []
         self.body_size = 0
-        self.body_reservation: BodyReservation | None = None  # what a large body holds of the shared budget
+        self.body_reservation: BodyReservation | None = None  # bytes of the shared budget that a large body uses
         self.keep_alive = False
         self.is_http10 = False  # the client does not understand chunks
         self.error = error
--- a/cloverkeel/frontends/http1/server.py
+++ b/cloverkeel/frontends/http1/server.py
@@ -39,7 +39,8 @@
 
     async def start(self) -> None:
         """Listen; clients are accepted only after the gateway has started with a list of hosts."""
-        # With an admin address a successor may bind the port while this one serves; else a second start must fail.
+        # With an admin address, a successor may bind the port while this process serves; without one, a second start
+        # must fail.
         self.listener.open(self.config.listen, reuse_port=self.config.admin_listen is not None)
         self.gateway.start()
         self.listener.start()
@@ -82,7 +83,7 @@
         self.client_drain.stop()
 
     async def shut_down(self, schedule: DrainSchedule | None = None) -> None:
-        """Drain and stop: every request received, or waiting to be accepted, is answered first."""
+        """Drain and stop: first answer every request, including those on connections that wait to be accepted."""
         self.client_drain.is_shutdown = True
         self.start_drain(schedule or shutdown_schedule(self.max_client_timeout_s))
         while self.listener.socket is not None or self.connections or self.admission.accepting:
--- a/cloverkeel/frontends/http1/stream_progress.py
+++ b/cloverkeel/frontends/http1/stream_progress.py
@@ -1,4 +1,4 @@
-"""How much of its streamed responses a client has received, according to the kernel's send queue."""
+"""Tracks how much of the streamed responses a client has received, according to the kernel's send queue."""
 
 from __future__ import annotations
 
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,21 +1,22 @@
 #!/bin/sh
-# All that `run` and `sim` need, inside this folder: the libraries, and the decisions compiled where that can be done.
-# A marker file, written last, tells a finished environment from one that was cut off half-way.
+# Creates inside this folder what `run` and `sim` need: the libraries, and the compiled modules if compilation succeeds.
+# A marker file, written last, shows that the installation of an environment was not interrupted.
 set -eu
 cd "$(dirname "$0")/.."
 
-environment() { # folder, requirements
-    # Chained: where this is a condition, `set -e` does not act in it, and a failure must not be marked as finished.
+install_environment() { # arguments: folder, requirements file
+    # The commands are chained: in a function that is called as a condition, `set -e` has no effect, and a failed
+    # installation must not be marked as finished.
     cmp -s "$2" "$1/built" ||
         { rm -rf "$1" && python3 -m venv "$1" && "$1/bin/pip" -q install -r "$2" && cp "$2" "$1/built"; }
 }
 
-environment .venv requirements.txt
-# mypy is needed to compile, never to run: it has an environment of its own, and nothing fails for want of it.
+install_environment .venv requirements.txt
+# Only compilation needs mypy, so it has its own environment; without mypy the gateway runs from source.
 if ! .venv/bin/python -m cloverkeel.compiled.build --check; then
-    if ! { environment .venv-compile deploy/compile.txt && .venv-compile/bin/python -m cloverkeel.compiled.build; }; then
+    if ! { install_environment .venv-compile deploy/compile.txt && .venv-compile/bin/python -m cloverkeel.compiled.build; }; then
         echo "cloverkeel: the plain sources run"
     fi
 fi
-# At the start there is nowhere to keep what would be compiled then.
+# Compile to bytecode now: bytecode compiled when the gateway starts cannot be stored.
 .venv/bin/python -m compileall -q cloverkeel
--- a/tests/cli/test_gateway_process.py
+++ b/tests/cli/test_gateway_process.py
@@ -81,7 +81,7 @@
 
 
 @on_loop
-async def test_a_request_without_an_end_does_not_delay_shutdown(tmp_path: Path) -> None:
+async def test_a_request_that_is_never_answered_does_not_delay_shutdown(tmp_path: Path) -> None:
     async with scripted_server(never_respond) as host, program(tmp_path, configuration(host)) as (process, port):
         client = await connect(port)
         client.send(request("transfer", budget_ms=8_000))
@@ -101,10 +101,10 @@
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)  # the process blocks while it reads its configuration
     process = await start({"LB_CONFIG": str(pipe)})
-    end = await asyncio.get_running_loop().run_in_executor(None, os.open, pipe, os.O_WRONLY)
+    write_end = await asyncio.get_running_loop().run_in_executor(None, os.open, pipe, os.O_WRONLY)
     process.send_signal(signal.SIGTERM)
     assert await process.wait() == 0
-    os.close(end)
+    os.close(write_end)
 
 
 INVALID_CONFIGURATIONS: list[tuple[str | None, str]] = [
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -35,7 +35,7 @@
     os.replace(new, file)
 
 
-def lists_once(*endpoints: dict[str, object]) -> Any:
+def snapshot_script(*endpoints: dict[str, object]) -> Any:
     """Answer requests for the whole list; leave a watch unanswered."""
 
     def script(exchange: Exchange) -> None:
@@ -55,7 +55,7 @@
         scripted_server(never_respond) as old_host,
         scripted_server() as new_host,
         scripted_server(never_respond) as old,
-        scripted_server(lists_once(endpoint("s-9", new_host.address))) as new,
+        scripted_server(snapshot_script(endpoint("s-9", new_host.address))) as new,
         program(tmp_path, configuration(old_host, discovery=old.address)) as (process, port),
     ):
         await wait_until(lambda: old.exchanges)
@@ -196,14 +196,14 @@
     ):
         process = await start({"LB_CONFIG": str(pipe)})
         loop = asyncio.get_running_loop()
-        end = await loop.run_in_executor(None, os.open, pipe, os.O_WRONLY)
+        write_end = await loop.run_in_executor(None, os.open, pipe, os.O_WRONLY)
         process.send_signal(signal.SIGHUP)
         config = configuration(host, discovery=old.address)
         replaced = tmp_path / "new.json"
         replaced.write_text(json.dumps(config | {"discovery": new.address}))
         os.replace(replaced, pipe)
-        os.write(end, json.dumps(config).encode())
-        os.close(end)
+        os.write(write_end, json.dumps(config).encode())
+        os.close(write_end)
         await wait_until(lambda: new.exchanges)
         process.kill()
         await process.wait()
--- a/tests/core/test_config_errors.py
+++ b/tests/core/test_config_errors.py
@@ -28,7 +28,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1", "settings": {}}))
     error = load_config_error(path)
-    assert str(error) == "listen is no address of the form host:port"
+    assert str(error) == "listen is not an address of the form host:port"
     assert (error.file, error.key, error.expected) == (str(path), "listen", "host:port")
 
 
--- a/tests/core/test_crossings.py
+++ b/tests/core/test_crossings.py
@@ -111,11 +111,11 @@
 
 @on_loop
 async def test_a_connection_silent_from_the_start_is_closed_in_time(capsys: Any) -> None:
-    begun: list[float] = []
+    first_poll_s: list[float] = []
 
     def script(exchange: Exchange) -> None:
         if exchange.connection == 1:
-            begun.append(time.monotonic())
+            first_poll_s.append(time.monotonic())
         else:
             exchange.respond(list_reply(8, endpoint("s-0", host.address, status="DRAINING"), snapshot=False))
             registry.script = never_respond
@@ -125,8 +125,8 @@
         scripted_server(script) as registry,
         running_gateway(configuration(host, discovery=registry.address)) as run,
     ):
-        await wait_until(lambda: begun and is_draining(run))
-        assert time.monotonic() - begun[0] < SILENT_CONNECTION_DETECTION_S < MAX_NOTIFICATION_DELAY_S
+        await wait_until(lambda: first_poll_s and is_draining(run))
+        assert time.monotonic() - first_poll_s[0] < SILENT_CONNECTION_DETECTION_S < MAX_NOTIFICATION_DELAY_S
         assert "discovery: TimeoutError\n" in capsys.readouterr().err
 
 
@@ -177,8 +177,8 @@
         running_gateway(configuration("127.0.0.1:1", discovery=registry.address)),
     ):
         await wait_until(lambda: len(registry.exchanges) >= 3)
-        before, begun_s = len(registry.exchanges), time.monotonic()
-        await wait_until(lambda: time.monotonic() - begun_s > LONG_POLL_HOLD_S / 2)
+        before, started_s = len(registry.exchanges), time.monotonic()
+        await wait_until(lambda: time.monotonic() - started_s > LONG_POLL_HOLD_S / 2)
         assert len(registry.exchanges) - before <= LONG_POLL_HOLD_S / 2 / EMPTY_REPLY_PAUSE_S + 1
 
 
@@ -220,11 +220,11 @@
     async with scripted_server() as host, scripted_server(script) as registry:
         config = configuration(discovery=registry.address) | {"known": known}
         config["settings"]["membershipMode"] = "on_request"
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         async with running_gateway(config) as run:
             assert not run.server.is_ready
             await wait_until(lambda: run.server.is_ready)
-            assert time.monotonic() - begun_s < 5.0
+            assert time.monotonic() - started_s < 5.0
             assert (await run.send_request(request())).status == 200
 
 
@@ -238,18 +238,18 @@
 @pytest.mark.parametrize("write_deadline_s", [0.3, 20.0])
 @on_loop
 async def test_an_attempt_with_a_write_deadline_is_written_by_then_or_never(write_deadline_s: float) -> None:
-    """A retry is safe only while its host drops repeated requests; its connection may be established after that."""
+    """A retry is safe only while its host detects repeated requests; the connection may be established after that."""
     with full_backlog_host() as backlog_host:
         async with running_gateway(configuration(backlog_host.address)) as run:
             ended: list[Outcome] = []
-            by_us = now_us() + int(write_deadline_s * 1e6)
+            deadline_us = now_us() + int(write_deadline_s * 1e6)
             run.attempt_sender.start_attempt(
                 host_id(0), lambda _: [request("hold")], 20_000_000, lambda result: ended.append(result.outcome),
-                discard_response, None, by_us,
+                discard_response, None, deadline_us,
             )  # fmt: skip
             if write_deadline_s < 1.0:
                 await wait_until(lambda: ended)
-                assert ended == [Outcome.MOOT] and now_us() >= by_us
+                assert ended == [Outcome.MOOT] and now_us() >= deadline_us
                 await wait_until(lambda: run.pool.open_connections == 0)
             else:
                 backlog_host.open()
@@ -266,12 +266,12 @@
             client = await run.connect()
             client.send(request("search"))
             await wait_until(lambda: run.pool.open_connections)
-            (held,) = run.gateway.requests.by_key.values()
+            (in_flight,) = run.gateway.requests.by_key.values()
             opened_us = now_us()
             backlog_host.open()
             received = await asyncio.get_running_loop().sock_recv(await backlog_host.accept(), 65_536)
             budget_ms = int(received.partition(b"X-Budget-Ms: ")[2].split(b"\r\n")[0])
-            assert 0 < budget_ms * 1000 <= held.deadline_us - opened_us
+            assert 0 < budget_ms * 1000 <= in_flight.deadline_us - opened_us
             client.close()
 
 
@@ -283,13 +283,13 @@
             ended: list[Outcome] = []
             head = request("hold").replace(b"content-length: 0", b"Content-Length: 20000000")
             body = [b"x" * 65_536] * 305
-            by_us = now_us() + 300_000
+            deadline_us = now_us() + 300_000
             run.attempt_sender.start_attempt(
                 host_id(0), lambda _: [head, *body], 20_000_000, lambda result: ended.append(result.outcome),
-                discard_response, None, by_us,
+                discard_response, None, deadline_us,
             )  # fmt: skip
             await wait_until(lambda: ended)  # the host has not read any of it
-            assert ended == [Outcome.MOOT] and now_us() >= by_us
+            assert ended == [Outcome.MOOT] and now_us() >= deadline_us
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -460,24 +460,24 @@
 async def test_without_free_descriptors_the_gateway_waits_and_recovers(tmp_path: Path) -> None:
     """Waiting clients use all descriptors; further connections wait in the kernel and are accepted later."""
     async with scripted_server(never_respond) as host, program(tmp_path, configuration(host)) as (process, port):
-        numbers = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
-        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(numbers) + 9, max(numbers) + 9))
+        descriptors = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
+        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(descriptors) + 9, max(descriptors) + 9))
         clients = []
         while len(host.exchanges) < 3:
             clients.append(await connect(port))
             clients[-1].send(request())
             await asyncio.sleep(0.01)
-        more = [await connect(port) for _ in range(20)]
-        for client in more:
+        waiting_clients = [await connect(port) for _ in range(20)]
+        for client in waiting_clients:
             client.send(request("transfer", b"half")[:30])
         ticks = cpu_ticks(process.pid)
         await asyncio.sleep(1.0)
         assert cpu_ticks(process.pid) - ticks < 50  # less than half of that second: the loop does not spin
-        for client in clients + more[:-1]:
+        for client in clients + waiting_clients[:-1]:
             client.close()
         host.script = respond_with(reply())
         assert (await (await connect(port)).send_request(request())).status == 200
-        more[-1].close()
+        waiting_clients[-1].close()
 
 
 class ExhaustedListener:
--- a/tests/core/test_draining.py
+++ b/tests/core/test_draining.py
@@ -78,7 +78,7 @@
 
 @on_loop
 async def test_during_shutdown_an_open_connection_is_served_for_a_while() -> None:
-    """Another gateway may be down at the same time: a client that is turned away might find no gateway."""
+    """Another gateway may be down at the same time: a client that is rejected might find no gateway."""
     schedule = shutdown_schedule(3.0)
     async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
--- a/tests/core/test_stall_detector.py
+++ b/tests/core/test_stall_detector.py
@@ -354,7 +354,7 @@
 @pytest.mark.parametrize("first", ["request", "list"])
 @on_loop
 async def test_after_a_long_stall_the_list_is_requested_again(first: str) -> None:
-    """Guards against a stall that is detected when a list is handled: no newer list was requested then."""
+    """Guards against a fault: after a stall detected while a list was handled, no newer list was requested."""
     async with environment() as env:
         client = await env.connected_client()
         if first == "request":
--- a/tests/frontends/test_clients.py
+++ b/tests/frontends/test_clients.py
@@ -178,7 +178,7 @@
 
 @on_loop
 async def test_shutdown_waits_for_the_first_request_of_a_new_connection() -> None:
-    """The request may be a retry after the close of an older connection crossed it, and clients retry only once."""
+    """The request may be a client's only retry, after the gateway closed the connection of the first try."""
     async with scripted_server() as host, running_gateway(configuration(host)) as run:
         client = await run.connect()
         await wait_until(lambda: run.server.connections)
--- a/tests/frontends/test_large_bodies.py
+++ b/tests/frontends/test_large_bodies.py
@@ -97,7 +97,7 @@
 
 @on_loop
 async def test_client_can_detect_a_truncated_response() -> None:
-    """It is not retried even for a repeatable class, as the client already has part of the response."""
+    """The request is not retried even in a repeatable class, as the client already has part of the response."""
     async with (
         scripted_server() as first,
         scripted_server() as second,
@@ -106,11 +106,11 @@
         for head, framed in ((b"Content-Length: 2000000", LARGE[:MB]), (b"Transfer-Encoding: chunked", None)):
             data = framed if framed is not None else chunked(LARGE).partition(b"\r\n\r\n")[2][:MB]
 
-            def break_off(exchange: Exchange, head: bytes = head, data: bytes = data) -> None:
+            def send_truncated(exchange: Exchange, head: bytes = head, data: bytes = data) -> None:
                 exchange.writer.write(b"HTTP/1.1 200 X\r\n" + head + b"\r\n\r\n" + data)
                 exchange.writer.close()
 
-            first.script = second.script = break_off
+            first.script = second.script = send_truncated
             before = len(first.exchanges) + len(second.exchanges)
             client = await run.connect()
             client.send(request("search"))
--- a/tests/frontends/test_limits.py
+++ b/tests/frontends/test_limits.py
@@ -24,7 +24,7 @@
 from tests.cli.process import READY, connect, program
 
 TRANSFER = b"POST /transfer/1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: i\r\n"
-HIDDEN = b"0\r\n\r\n" + request("transfer")
+SMUGGLED = b"0\r\n\r\n" + request("transfer")
 
 
 def shorten_timeouts(monkeypatch: pytest.MonkeyPatch, module: ModuleType, *names: str) -> None:
@@ -89,39 +89,39 @@
         async with program(tmp_path, config) as (process, port):
             client = await connect(port)
             assert (await client.send_request(request("transfer"))).status == 200
-            crowd = await asyncio.gather(*(connect(port) for _ in range(300)))
+            silent_clients = await asyncio.gather(*(connect(port) for _ in range(300)))
             other = await connect(port)
             for sender in (client, other):
                 await wait_for_reuse_delay()
                 sender.send(request("transfer"))
                 try:
                     assert (await sender.read_response()).status == 200
-                except (ConnectionError, asyncio.IncompleteReadError):  # crossed the close: sent again
-                    again = await connect(port)
-                    assert (await again.send_request(request("transfer"))).status == 200
-                    again.close()
+                except (ConnectionError, asyncio.IncompleteReadError):  # closed before the request arrived
+                    retry_client = await connect(port)
+                    assert (await retry_client.send_request(request("transfer"))).status == 200
+                    retry_client.close()
             assert host.connection_count == 1  # the connection to the host is reused
             count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
             assert count <= 80
-            for connected_client in (*crowd, client, other):
+            for connected_client in (*silent_clients, client, other):
                 connected_client.close()
 
 
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (TRANSFER + b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n" % len(HIDDEN) + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: 0, 0\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: +0\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Content-Length: \r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: gzip\r\n\r\n" + HIDDEN, 501),
-        (TRANSFER + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + HIDDEN, 501),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: \x0bchunked\r\n\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n" + HIDDEN, 400),
-        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n" + b"f" * 17 + b"\r\n" + HIDDEN, 400),
+        (TRANSFER + b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n" % len(SMUGGLED) + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: 0, 0\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: +0\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Content-Length: \r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: gzip\r\n\r\n" + SMUGGLED, 501),
+        (TRANSFER + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + SMUGGLED, 501),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: \x0bchunked\r\n\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n" + SMUGGLED, 400),
+        (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n" + b"f" * 17 + b"\r\n" + SMUGGLED, 400),
         (TRANSFER + b"Transfer-Encoding: chunked\r\n\r\n1;" + b"x" * 40_000, 431),
         (TRANSFER + b"Content-Length: 60000000\r\n\r\n" + b"x" * 500_000, 413),
         (TRANSFER + b"Expect: miracles\r\nContent-Length: 1\r\n\r\n", 417),
@@ -184,9 +184,9 @@
 async def test_accept_without_a_free_descriptor_closes_an_idle_client(tmp_path: Path) -> None:
     """Runs the real program with fewer descriptors than its configuration says."""
     async with scripted_server() as host, program(tmp_path, configuration(host)) as (process, port):
-        numbers = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
-        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(numbers) + 1, max(numbers) + 1))
-        free = max(numbers) + 1 - len(numbers)
+        descriptors = [int(entry.name) for entry in Path(f"/proc/{process.pid}/fd").iterdir()]
+        resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (max(descriptors) + 1, max(descriptors) + 1))
+        free = max(descriptors) + 1 - len(descriptors)
         clients = []
         for _ in range(free + 3):
             client = await connect(port)
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Golden bytes: everything that leaves a process or outlives one, byte for byte as it was first written."""
+"""Golden bytes: everything that a process sends, stores or prints, byte for byte as it was first written."""
--- a/tests/golden/core.py
+++ b/tests/golden/core.py
@@ -8,7 +8,7 @@
 
 from benchmarks.fleet_logs import FleetMetrics, FleetSecond
 from cloverkeel.balancing.events import Outcome
-from cloverkeel.core.log import log_if_read
+from cloverkeel.core.log import try_log
 from cloverkeel.core.metrics import COLUMN_BY_OUTCOME, MAX_HOSTS_PER_LINE, GatewayMetrics
 from tests.golden.store import Sample, SamplesByName
 
@@ -57,7 +57,7 @@
     assert line is not None
     errors = io.StringIO()
     with contextlib.redirect_stderr(errors):
-        assert log_if_read(line)
+        assert try_log(line)
     return errors.getvalue().encode()
 
 
--- a/tests/golden/write.py
+++ b/tests/golden/write.py
@@ -1,7 +1,7 @@
 """Write the data files of golden bytes with the current code: python -m tests.golden.write [--replace] [KIND ...].
 
-Without --replace, existing files are not changed and the exit code is 1. Other bytes may be unreadable for processes
-of an older version: replace a file only together with a change of the protocol's page.
+Without --replace, existing files are not changed and the exit code is 1. Processes of an older version may be unable
+to read changed bytes: replace a file only together with the page that documents its format.
 """
 
 from __future__ import annotations
--- a/tests/unsafe_gateway.py
+++ b/tests/unsafe_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway that breaks the rules: it retries any request after any failure, and does not know of drains.
+"""A gateway that violates the checker's rules: it retries any request after any failure, and ignores drains of hosts.
 
 It replaces the real gateway in a scenario run, to show that the checker then finds violations.
 """
