--- a/benchmarks/guards/mutants/discovery.py
+++ b/benchmarks/guards/mutants/discovery.py
@@ -93,7 +93,7 @@
 
 @mutant("state-kept")
 def _() -> None:
-    """The saved list is not loaded; a start without the service uses the list in the configuration."""
+    """The saved list is not loaded; a gateway that starts without ZooKeeper uses the list in its configuration."""
     from cloverkeel.discovery import snapshot_file
 
     patch_attribute(snapshot_file, "load_snapshot", lambda path: None)
--- a/cloverkeel/discovery/ejection_filter.py
+++ b/cloverkeel/discovery/ejection_filter.py
@@ -41,7 +41,7 @@
         self.on_list(kind, self.ejections.apply(kind, endpoints))
 
     def synchronize(self, ejected_us_by_name: dict[str, int], reinstated_us_by_name: dict[str, int]) -> None:
-        """Adopt ejections that an operator, or another process of this gateway, stored; in force on return."""
+        """Adopt ejections that an operator or another process of this gateway stored; they apply on return."""
         endpoints = self.ejections.synchronize(ejected_us_by_name, reinstated_us_by_name)
         if endpoints:
             self.on_list(ListKind.DELTA, endpoints)
--- a/cloverkeel/discovery/endpoint_parser.py
+++ b/cloverkeel/discovery/endpoint_parser.py
@@ -70,7 +70,7 @@
 
 
 def parse_departed_endpoint(raw: object) -> Endpoint | None:
-    """Return the host that an otherwise invalid entry drains or deletes as GONE; None for any other entry.
+    """Return, as GONE, the host that an otherwise invalid entry drains or deletes; None for any other entry.
 
     Without this, a host is used forever if the only entry that removes it has no address or an invalid weight.
     """
--- a/cloverkeel/discovery/errors.py
+++ b/cloverkeel/discovery/errors.py
@@ -104,4 +104,4 @@
     """The order of precedence of the sources is invalid."""
 
     def __init__(self) -> None:
-        super().__init__("precedence names sources other than the known list, each once")
+        super().__init__("expected a precedence of one or more sources, each once, without the known list")
--- a/cloverkeel/discovery/known_state.py
+++ b/cloverkeel/discovery/known_state.py
@@ -4,10 +4,10 @@
 This must not undo a drain that the gateway already knows. A restriction is an entry with status DRAINING or DELETED,
 or a host's absence from a snapshot; a permission is an entry with status SERVING.
 
-Why this holds: a reply requested at time q that reports age a shows a state that discovery had at q - a or later. The
-relay counts the age from a time at which discovery had this state or a newer one, and made the reply after q. A
-restriction read at time r belongs to a state that discovery had by r. So a reply with q - a >= r includes that
-restriction, and its permissions are valid; any other reply may be older.
+Why no known restriction is undone: a reply requested at time q that reports age a shows a state that discovery had at
+q - a or later. The relay counts the age from a time at which discovery had this state or a newer one, and made the
+reply after q. A restriction read at time r belongs to a state that discovery had by r. So a reply with q - a >= r
+includes that restriction, and its permissions are valid; any other reply may be older.
 
 Invariants:
 - restrictions from a relay that is not stale apply immediately; from a stale relay, only DRAINING and DELETED of
@@ -18,8 +18,8 @@
   restrictions;
 - with a known list, permissions from a reply older than MAX_STALENESS_S do not apply; once that relay's list is fresh
   again, a snapshot is requested. Without a known list, any list is accepted;
-- so restrictions are kept only for RESTRICTION_RETENTION_S before q, because a reply that is not stale has
-  q - a >= q - MAX_STALENESS_S;
+- a restriction that was read more than RESTRICTION_RETENTION_S before q is forgotten: a reply that is not stale has
+  q - a >= q - MAX_STALENESS_S, so it includes that restriction;
 - the known list stays in use until a snapshot arrives that may replace it.
 """
 
@@ -33,10 +33,10 @@
 
 from cloverkeel.core.ports import Endpoint
 
-MAX_STALENESS_S: Final = 3.0  # a healthy relay's list is at worst little over 1 s old; a drain must apply within 6 s
+MAX_STALENESS_S: Final = 3.0  # a healthy relay's list is at most slightly over 1 s old; a drain must apply within 6 s
 CLOCK_RATE_SLACK_S: Final = 0.05  # error from different clock rates over the longest age
 RESTRICTION_RETENTION_S: Final = MAX_STALENESS_S + CLOCK_RATE_SLACK_S
-NO_RUN: Final = 0  # a restriction was read in two runs, and either may refer to an earlier restriction
+NO_RUN: Final = 0  # for a host restricted in two runs: a permission of either may predate the other's restriction
 RANK_BY_STATUS: Final = {ServerStatus.READY: 2, ServerStatus.DRAINING: 1, ServerStatus.GONE: 0}
 
 
--- a/cloverkeel/discovery/merged_source.py
+++ b/cloverkeel/discovery/merged_source.py
@@ -32,7 +32,7 @@
 
 
 class MergedEndpointSource:
-    """Merge other endpoint sources (implements `EndpointSource` in core/ports.py, `Movable` in core/reload.py)."""
+    """Merge endpoint sources (implements `EndpointSource` in core/ports.py, `MovableSource` in core/reload.py)."""
 
     def __init__(self, options: ZooKeeperOptions, registry: HttpEndpointSource | None, names: Names) -> None:
         self.names, self.registry = names, registry
--- a/cloverkeel/discovery/node_codec.py
+++ b/cloverkeel/discovery/node_codec.py
@@ -38,9 +38,9 @@
         status=_read_status(raw),
         weight=_read_weight(raw),
         since_ms=_read_since_ms(raw),
-        zone=_read_field(raw, "zone", (str,), "a text", ""),
-        kind=_read_field(raw, "type", (str,), "a text", ""),
-        group=_read_field(raw, "group", (int, str), "a number or a text", 0),
+        zone=_read_field(raw, "zone", (str,), "a string", ""),
+        kind=_read_field(raw, "type", (str,), "a string", ""),
+        group=_read_field(raw, "group", (int, str), "a number or a string", 0),
         czxid=czxid,
     )
 
@@ -75,7 +75,7 @@
 
 
 def _read_name(raw: dict[str, Any]) -> str:
-    name: str = _read_field(raw, "name", (str,), "a text")
+    name: str = _read_field(raw, "name", (str,), "a string")
     if not 0 < len(name) <= MAX_NAME_LENGTH:
         raise NodeDataError("name", f"1 to {MAX_NAME_LENGTH} characters")
     return name
--- a/cloverkeel/discovery/poll_schedule.py
+++ b/cloverkeel/discovery/poll_schedule.py
@@ -4,8 +4,8 @@
 version that is held. Hence no list is delayed by another reply, and none is replaced by an older one. A snapshot of a
 restarted registry is accepted at any version.
 
-Invariants: a gateway applies each change that discovery can serve within MAX_NOTIFICATION_DELAY_S.
-- A silent watch is abandoned and the next call answered within that time (SILENT_WATCH_DETECTION_S).
+Invariants: a gateway applies a change at most MAX_NOTIFICATION_DELAY_S after discovery is able to send it.
+- If a watch is silent, it is abandoned and the next call is answered within that time (SILENT_WATCH_DETECTION_S).
 - The same holds for a connection that is silent before its first reply (SILENT_CONNECTION_DETECTION_S) and for one
   that is never established (UNREACHABLE_DETECTION_S).
 - The first call on a connection is not a long poll: a call that may queue at the server never also waits for changes.
@@ -13,7 +13,7 @@
   arrives. An overloaded registry rejects some callers and queues the others; a caller that repeatedly gives up just
   before its turn would never get a reply.
 - A long reply that has arrived is parsed incrementally for at most MAX_INCREMENTAL_READ_S, then the rest without
-  suspending; this is in addition to the times above.
+  suspending. The times above do not include this.
 Where the balancer starts the retry (lists are not pushed), its own delay is also at most MAX_RETRY_DELAY_S.
 """
 
--- a/cloverkeel/discovery/polling_client.py
+++ b/cloverkeel/discovery/polling_client.py
@@ -201,7 +201,7 @@
         if self.is_closed:
             done()
             return
-        # Counts the replies handled when the stall was detected, not when the task first runs.
+        # Reads handled_replies now, when the stall has just been detected, and not when the task first runs.
         catching_up = self._catch_up(stall_us, self.handled_replies, done)
         self.catch_up_task = asyncio.get_running_loop().create_task(catching_up)
 
@@ -221,7 +221,7 @@
         rounds = 0
         while self._has_unread(connection) and rounds < MAX_CATCH_UP_ROUNDS:
             rounds += 1
-            # The loop reads the socket in between; later rounds wait, as the reply is partly in transit.
+            # The loop reads the socket in between. Later rounds have a delay: the rest of the reply is in transit.
             await asyncio.sleep(0 if rounds < IMMEDIATE_CATCH_UP_ROUNDS else CATCH_UP_INTERVAL_S)
 
     async def _refresh(self) -> None:
@@ -279,7 +279,7 @@
         if not reply.keep_alive:
             connection.close()
         has_entries = await self.handle_reply(reply)
-        self.handled_replies += 1  # after handling: if the core detects a stall meanwhile, this reply belongs to it
+        self.handled_replies += 1  # after handling: a catch-up that starts meanwhile counts this reply as its own
         if request.is_long_poll and not has_entries and loop.time() - sent_s < EMPTY_REPLY_PAUSE_S:
             # Limits the poll rate if a server answers long polls immediately without entries.
             await asyncio.sleep(EMPTY_REPLY_PAUSE_S)
--- a/cloverkeel/discovery/relay_client.py
+++ b/cloverkeel/discovery/relay_client.py
@@ -1,9 +1,9 @@
 """Endpoint source of a gateway that uses relays, selected by relay_selection.py. Imported only with [relays].
 
-It always watches, whatever the core requests, because relays hold long polls; and it alone sets the poll rate: a call
-that the core requests between two moves is replaced by the next move. Replies from a relay that was left are ignored:
-its call is cancelled and its connection closed before the next relay is polled. Only requests to relays accept gzip;
-direct requests to discovery are the same with and without relays.
+It always watches, whatever the core requests, because relays hold long polls. It alone determines the poll rate: a
+call that the core requests while a move is scheduled is not made, because the move makes one. Replies from a relay
+that was left are ignored: its call is cancelled and its connection closed before the next relay is polled. Only
+requests to relays accept gzip; direct requests to discovery are the same with and without relays.
 """
 
 from __future__ import annotations
@@ -109,7 +109,7 @@
         self.address = address
 
     def use(self, options: RelayOptions) -> None:
-        """Use other relays and services from the next call on; leave a relay that is not among them now."""
+        """Use other relays and services from the next call on; leave the current relay if it is not among them."""
         self.services = options.services
         now_s = asyncio.get_running_loop().time()
         delay_s = self.selector.replace(
@@ -224,7 +224,7 @@
 
 
 def _filter_by_service(entries: list[Any], services: Collection[str]) -> HintedIncremental[list[Any]]:
-    """Return the entries of these services, which were configured when the list arrived and may change meanwhile."""
+    """Return the entries of these services. A reload during the iteration does not change which services are used."""
     chosen: list[Any] = []
     for first in range(0, len(entries), ENTRIES_PER_STEP):
         yield None
--- a/cloverkeel/discovery/relay_requests.py
+++ b/cloverkeel/discovery/relay_requests.py
@@ -38,7 +38,7 @@
 
 
 def parse_state_age_s(body: bytes) -> float:
-    """Return the age of a relay's list in seconds, from its state; raise NoListYetError or ValueError without one."""
+    """Return the age in seconds that a relay's state reports; raise NoListYetError or ValueError if it has none."""
     raw = json.loads(body)
     if not isinstance(raw, dict) or raw.get("version") is None or raw.get("age_ms") is None:
         raise NoListYetError
--- a/cloverkeel/discovery/relay_selection.py
+++ b/cloverkeel/discovery/relay_selection.py
@@ -45,7 +45,7 @@
 # Freshness checks
 STALE_MOVE_JITTER_S: Final = 1.0  # all gateways of a relay see it become stale at the same time
 FRESHNESS_CHECK_AGE_S: Final = 1.5  # below MAX_STALENESS_S, so that a fresher relay is known in time
-MIN_FRESHNESS_GAIN_S: Final = 0.5  # lists of one discovery normally differ by less, which is not worth a move
+MIN_FRESHNESS_GAIN_S: Final = 0.5  # the ages of relays' lists normally differ by less, which is not worth a move
 RELAY_HASH_BYTES: Final = 8
 
 
@@ -206,7 +206,7 @@
         return True
 
     def _plan_return_move(self, relay: RelayStatus, now_s: float) -> bool:
-        """Decide whether to move to a better-ranked relay that has cooled down; no jitter, as cool-downs have it."""
+        """Decide whether to move to a better-ranked relay that has cooled down. Cool-downs already have jitter."""
         self.stale_move_due_s, relay.cools_down_until_s = None, -inf
         if now_s - self.chosen_s >= COOLDOWN_RESET_AFTER_S:
             relay.cooldowns = 0
--- a/cloverkeel/discovery/zookeeper_source.py
+++ b/cloverkeel/discovery/zookeeper_source.py
@@ -26,7 +26,7 @@
 from cloverkeel.discovery.source_merge import ConnectionState, deduplicate_by_name
 from cloverkeel.discovery.zookeeper_session import STATE_BY_KAZOO_NAME, ZookeeperSessionOptions, create_client
 
-DELETION_DELAY_S: Final = 0.2  # from a watch event to its report without a new list; the drain rule allows 1 s
+DELETION_DELAY_S: Final = 0.2  # from a watch event to its report without a new list; requests must stop within 1 s
 CALLBACK_FLUSH_TIMEOUT_S: Final = 1.0  # for pending callbacks on kazoo's threads
 CONFIRM_INTERVAL_S: Final = 1.0  # between checks that the list is still current
 ACL_RETRY_DELAY_S: Final = 5.0  # before the next read after an ACL denied one
@@ -76,7 +76,9 @@
         self.has_read_list = False
         self.is_closed = False
         self.backend_by_node: dict[str, Backend] = {}  # last reported list, by node
-        self.notified_backends: dict[str, Backend] | None = None  # the same by backend name; None before the first
+        self.notified_backends: dict[str, Backend] | None = (
+            None  # the same, by backend name; None before the first list
+        )
         self.must_notify = False  # report the next list even if it is unchanged
         self.client = create_client(options.hosts, options.session_ms, CONNECTION_RETRY_OPTIONS)
         self.client.add_listener(self._on_session_state)
@@ -242,7 +244,7 @@
             self._post(done)
 
     def _confirm(self) -> None:
-        """Send a request without use for its result: a reply shows that the session and its watches are alive."""
+        """Send a request whose result is not used: the reply shows that the session and its watches are alive."""
         if self.notified_backends is not None:
             self.client.exists(self.path)
             self._post(self.listener.on_confirmed)
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -303,12 +303,12 @@
 class ScriptedSource:
     """A scripted relay or discovery: sends the given replies in order, then empty deltas."""
 
-    def __init__(self, *answers_: bytes) -> None:
-        self.answers = list(answers_)
+    def __init__(self, *replies: bytes) -> None:
+        self.replies = list(replies)
 
     async def __call__(self, exchange: Exchange) -> None:
-        if self.answers:
-            exchange.respond(self.answers.pop(0))
+        if self.replies:
+            exchange.respond(self.replies.pop(0))
             return
         await asyncio.sleep(RELAY_HOLD_S / 2)
         index = exchange.message.start_line.partition("from=")[2].split("&")[0]
--- a/tests/discovery/test_known_state.py
+++ b/tests/discovery/test_known_state.py
@@ -35,7 +35,9 @@
     known_state, now_s, run_relay, version = KnownState(), 2.0, -1, 0  # version: index in `history`
     relay_state: dict[int, ServerStatus] = {}
     core: dict[int, ServerStatus] = {}
-    restricted_at = dict.fromkeys(range(HOSTS), -1)  # the latest version in which a restriction of a host was read
+    restricted_version = dict.fromkeys(
+        range(HOSTS), -1
+    )  # the latest version in which a restriction of a host was read
     relay = 0
     while now_s < 55.0:
         relay = rng.randrange(3) if rng.random() < 0.3 else relay
@@ -61,10 +63,10 @@
         assert core == known_state.status_by_server
         for n in range(HOSTS):
             if core.get(n) is ServerStatus.READY and before.get(n) is not ServerStatus.READY:
-                assert version >= restricted_at[n]
+                assert version >= restricted_version[n]
             is_restricted = n in updated and sent.get(n) in (ServerStatus.DRAINING, ServerStatus.GONE)
             if is_restricted or (n in before and n not in core):
-                restricted_at[n] = max(restricted_at[n], version)
+                restricted_version[n] = max(restricted_version[n], version)
         if age_s <= MAX_STALENESS_S and not requires_snapshot:  # each deferred permission contradicts a restriction
             assert all(
                 known_state.restriction_by_server[n].read_s > requested_s - age_s - CLOCK_RATE_SLACK_S
--- a/tests/discovery/test_node_codec.py
+++ b/tests/discovery/test_node_codec.py
@@ -38,12 +38,12 @@
     [
         ({"v": 2}, "v: expected 1, found 2"), ({"v": None}, "v: expected a whole number"),
         ({"v": True}, "v: expected"),
-        ({"name": ""}, "name: expected 1 to 255"), ({"name": 3}, "name: expected a text, found '3'"),
+        ({"name": ""}, "name: expected 1 to 255"), ({"name": 3}, "name: expected a string, found '3'"),
         ({"address": "10.0.0.1"}, "address: expected host:port"), ({"address": "h:99999"}, "address: expected host"),
         ({"address": "h:0"}, "address: expected host"), ({"status": "GONE"}, "status: expected SERVING or DRAINING"),
         ({"weight": 0}, "weight: expected a number above 0"), ({"weight": "1"}, "weight: expected a number above 0"),
         ({"since_ms": -1}, "since_ms: expected Unix milli"), ({"since_ms": 1.5}, "since_ms: expected Unix milli"),
-        ({"group": []}, "group: expected a number or a text"), ({"zone": 1}, "zone: expected a text"),
+        ({"group": []}, "group: expected a number or a string"), ({"zone": 1}, "zone: expected a string"),
     ],
 )  # fmt: skip
 def test_invalid_data_is_reported_with_field_and_expected_value(
--- a/tests/discovery/test_registration_agent.py
+++ b/tests/discovery/test_registration_agent.py
@@ -61,9 +61,9 @@
 
 
 def wait_for(condition: Callable[[], object]) -> None:
-    end = time.monotonic() + 20
+    deadline_s = time.monotonic() + 20
     while not condition():
-        assert time.monotonic() < end, "condition not met within 20 s"
+        assert time.monotonic() < deadline_s, "condition not met within 20 s"
         time.sleep(0.005)
 
 
@@ -119,8 +119,8 @@
 
 
 def test_invalid_options_of_the_agent_are_reported() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "cloverkeel", "register", "--hosts", "h:1", "--name", "s", "--address", "nowhere"],
         cwd=ROOT, capture_output=True, text=True,
     )  # fmt: skip
-    assert done.returncode == 2 and "--address: expected host:port, found 'nowhere'" in done.stderr
+    assert completed.returncode == 2 and "--address: expected host:port, found 'nowhere'" in completed.stderr
--- a/tests/discovery/test_relay_selection.py
+++ b/tests/discovery/test_relay_selection.py
@@ -31,16 +31,20 @@
 
 
 def test_gateways_spread_over_relays_and_removing_one_keeps_the_order() -> None:
-    firsts = Counter(rank_relays(f"g{n}", RELAYS)[0] for n in range(4_600))
-    assert len(firsts) == 12 and max(firsts.values()) < 1.25 * 4_600 / 12 and min(firsts.values()) > 0.75 * 4_600 / 12
+    first_choices = Counter(rank_relays(f"g{n}", RELAYS)[0] for n in range(4_600))
+    assert (
+        len(first_choices) == 12
+        and max(first_choices.values()) < 1.25 * 4_600 / 12
+        and min(first_choices.values()) > 0.75 * 4_600 / 12
+    )
     for n in range(50):
         ranked = rank_relays(f"g{n}", RELAYS)
         assert ranked == rank_relays(f"g{n}", RELAYS[::-1])
         assert rank_relays(f"g{n}", [a for a in RELAYS if a != ranked[0]]) == ranked[1:]
-    seconds = Counter(
+    second_choices = Counter(
         rank_relays(f"g{n}", RELAYS)[1] for n in range(4_600) if rank_relays(f"g{n}", RELAYS)[0] == RELAYS[0]
     )
-    assert len(seconds) == 11  # the gateways of a failed relay spread over all others
+    assert len(second_choices) == 11  # the gateways of a failed relay spread over all others
 
 
 def test_failover_times_fit_within_their_limits() -> None:
@@ -182,7 +186,10 @@
 def reply_once(
     relays: RelaySelector, now_s: float, ages: dict[RelayStatus, float | None], jitter: float
 ) -> float | None:
-    """The current relay replies, and a freshness check if due; `ages` in seconds, None: the relay does not answer."""
+    """Let the current relay reply, and make a freshness check if one is due.
+
+    `ages`: the age of each relay's list in seconds; None if the relay does not answer.
+    """
     assert relays.current is not None
     age_s = ages[relays.current]
     assert age_s is not None
--- a/tests/discovery/test_session_stall.py
+++ b/tests/discovery/test_session_stall.py
@@ -51,7 +51,7 @@
         if t.gateway == stop_event.gateway and t.at_us > continue_event.at_us
     ]
     # The session expired during the stop, so the complete list is read again.
-    # It lacks the backend that crashed then.
+    # It does not contain the backend that crashed during the stop.
     assert {t.backend for t in later_notifications if t.status == "SERVING"} >= set(environment.backends) - {
         b for b in environment.faulted_backends
     }
--- a/tests/discovery/test_zookeeper_source.py
+++ b/tests/discovery/test_zookeeper_source.py
@@ -122,7 +122,7 @@
 
 @on_loop
 async def test_a_deletion_is_reported_even_if_the_list_cannot_be_read_afterwards() -> None:
-    """The connection fails after the watch event; the deletion must take effect within the drain rule's 1 s."""
+    """The connection fails after the watch event; requests to the backend must stop within 1 s of the event."""
     service = Service()
     service.register("s-0", "127.0.0.1:9001")
     service.register("s-1", "127.0.0.1:9002")
@@ -190,7 +190,7 @@
         await wait_until(lambda: program.discovery.merge.counters.suspended)
         await asyncio.sleep(0.1)
         assert sorted(listed_servers(program)) == ["s-1", "s-2"]
-        # lost=0 restores the whole log: s-0 has expired and stays removed.
+        # lost_changes=0 restores the whole log: s-0 has expired and stays removed.
         service.call(lambda: service.ensemble.restart(lost_changes=0))
         service.register("s-3", "127.0.0.1:9004")
         await until_listed(program, "s-1", "s-2", "s-3")
@@ -285,9 +285,9 @@
         service.commit_request(SetData(f"{FOLDER}/s-1", encode_backend(Backend("s-1", ("127.0.0.1", 9002)))))
         await until_listed(program, "s-0", "s-1")
     stderr = capfd.readouterr().err
-    for wanted in ("s-1, cause=data: expected JSON", "s-2, cause=data: expected at most",
+    for expected in ("s-1, cause=data: expected JSON", "s-2, cause=data: expected at most",
                    "s-3, cause=v: expected 1, found 9"):  # fmt: skip
-        assert stderr.count(wanted) == 1
+        assert stderr.count(expected) == 1
     service.close()
 
 
@@ -336,8 +336,8 @@
 
     service = Service()
     service.register("s-0", "127.0.0.1:9001", weight=0.5)
-    rows = [endpoint("s-0", "127.0.0.1:9001"), endpoint("s-1", "127.0.0.1:9002", zone="b")]
-    async with scripted_server(respond_with(list_reply(7, *rows))) as registry:
+    entries = [endpoint("s-0", "127.0.0.1:9001"), endpoint("s-1", "127.0.0.1:9002", zone="b")]
+    async with scripted_server(respond_with(list_reply(7, *entries))) as registry:
         config = make_config(discovery=registry.address)
         async with running_gateway(service, config, precedence=("ephemeral", "registry")) as program:
             await until_listed(program, "s-0", "s-1")
