--- a/benchmarks/guards/mutants/control_plane.py
+++ b/benchmarks/guards/mutants/control_plane.py
@@ -19,7 +19,7 @@
 
 @mutant("relay-own-share")
 def _() -> None:
-    """A widened gateway uses a full share of each cold host that was added by widening."""
+    """A widened gateway uses a full share of the slow-start budget of each host that was added by widening."""
     from cloverkeel.control_plane.entry_codec import Host
 
     patch_source(Host, "subset_entry", ("users * WIDENED_USERS_FACTOR", "users"))
--- a/benchmarks/guards/table/control_plane.py
+++ b/benchmarks/guards/table/control_plane.py
@@ -7,7 +7,8 @@
 ROWS = (
     row("relay-even-places", "every host has a gateway", "HashRing.window",
         tests="control_plane/subsetting::every_host_has_a_gateway"),
-    row("relay-own-share", "the shares of a cold host stay within its budget if gateways widen", "Host.subset_entry",
+    row("relay-own-share", "the shares of a host in slow start stay within its budget if gateways widen",
+        "Host.subset_entry",
         tests="control_plane/subsetting::shares_of_a_host_stay_within_its_budget_for_any_widenings"),
     row("relay-drains", "a drain is sent to the gateways that have the host", "SubsetResponses._departed_hosts",
         tests="control_plane/endpoint_cache::drain_and_deletion_reach_the_gateways_that_have_the_host"),
--- a/cloverkeel/control_plane/command.py
+++ b/cloverkeel/control_plane/command.py
@@ -120,7 +120,7 @@
         reloader.request_reload()
     gc.collect()
     gc.freeze()
-    gc.disable()  # from now on the server's scans collect
+    gc.disable()  # from now on, RelayServer._scan collects garbage
     await stop.wait()
     await _shut_down(server)
     return EXIT_OK
--- a/cloverkeel/control_plane/config.py
+++ b/cloverkeel/control_plane/config.py
@@ -105,7 +105,7 @@
             raise UnknownKeyError(path, key, KEYS)
     name = raw.get("name")
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_CHARS or not name.isprintable():
-        raise InvalidValueError(path, "name", f"1 to {MAX_NAME_CHARS} letters", name)
+        raise InvalidValueError(path, "name", f"1 to {MAX_NAME_CHARS} printable characters", name)
     roster = raw.get("roster")
     if not isinstance(roster, str) or not roster:
         raise InvalidValueError(path, "roster", "the path of a file", roster)
--- a/cloverkeel/control_plane/connection.py
+++ b/cloverkeel/control_plane/connection.py
@@ -85,13 +85,13 @@
         self._target = b""
         self._has_body = False
         self._is_gzip_offered = False  # by the request that is being received
-        self.request_bytes = 0  # received of the next request
-        self.accepts_gzip = False  # of the open request
+        self.request_bytes = 0  # received bytes of the next request
+        self.accepts_gzip = False  # according to the open request
         self.is_request_open = False
         self.is_kept_alive = True  # the connection stays open after the response
         self.pending_request: PollRequest | None = None  # waits for a change, or in a queue
         self.hold_timer: asyncio.TimerHandle | None = None  # ends the hold of the pending request
-        self.subscriber: Subscriber | None = None  # its subscription_keys index this connection in LongPolls
+        self.subscriber: Subscriber | None = None  # LongPolls indexes this connection by this subscriber's keys
         self.keys_roster: FleetRoster | None = None  # the roster that subscription_keys were computed with
         self.subscription_keys: tuple[SubscriptionKey, ...] = ()
         self.deadline_s = 0.0  # for the client's next step; 0.0 while it waits for the relay
@@ -104,7 +104,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start to read requests."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
-        self._transport.set_write_buffer_limits(0)  # pause until the client has read everything
+        self._transport.set_write_buffer_limits(0)  # pause_writing is called if anything is unsent
         self.handler.on_connected(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
--- a/cloverkeel/control_plane/deltas.py
+++ b/cloverkeel/control_plane/deltas.py
@@ -152,11 +152,11 @@
     def delta(self, subscription: Subscription, index: int) -> ListResponse | None:
         """Return the changes of a gateway's subset since a known response, or None if there are none."""
         base = self.snapshots_by_gateway[subscription.gateway][index]
-        is_same = base.subscription == subscription
-        if is_same and base.change_number == self.table.change_number:
+        is_same_subscription = base.subscription == subscription
+        if is_same_subscription and base.change_number == self.table.change_number:
             return None
-        services = self._services_to_compare(base, subscription, is_same)
-        changes = self._compare_subsets(base, subscription, is_same, services)
+        services = self._services_to_compare(base, subscription, is_same_subscription)
+        changes = self._compare_subsets(base, subscription, is_same_subscription, services)
         departed = self._departed_hosts(base, frozenset(services), changes)
         windows, draining = changes.windows_by_service, departed.draining_by_name
         snapshot = ClientSnapshot(self.table.change_number, subscription, windows, draining)
@@ -201,24 +201,24 @@
         return windows
 
     def _services_to_compare(
-        self, base: ClientSnapshot, subscription: Subscription, is_same: bool
+        self, base: ClientSnapshot, subscription: Subscription, is_same_subscription: bool
     ) -> Collection[str]:
         """Return the services in which the subset may differ from the base."""
-        if is_same and base.change_number >= self.table.change_by_service_floor:
+        if is_same_subscription and base.change_number >= self.table.change_by_service_floor:
             return self.table.services_changed_since(base.change_number, subscription.services)
         services = self.table.rings_by_service.keys() if subscription.services is None else subscription.services
         draining = {host.service for host in base.draining_by_name.values()}
         return draining | base.windows_by_service.keys() | services
 
     def _compare_subsets(
-        self, base: ClientSnapshot, subscription: Subscription, is_same: bool, services: Collection[str]
+        self, base: ClientSnapshot, subscription: Subscription, is_same_subscription: bool, services: Collection[str]
     ) -> SubsetChanges:
         changes = SubsetChanges(dict(base.windows_by_service))
         for service in services:
             before = base.windows_by_service.get(service, {})
             after: WindowByZone = {}
             if subscription.has_service(service):
-                after = self._windows_of(service, subscription, before if is_same else {})
+                after = self._windows_of(service, subscription, before if is_same_subscription else {})
             changes.replace_windows(service, before, after)
         return changes
 
--- a/cloverkeel/control_plane/encoding.py
+++ b/cloverkeel/control_plane/encoding.py
@@ -1,14 +1,14 @@
 """Encode the bodies of responses, with gzip for clients that accept it. Pure.
 
 Invariants:
-- gzip is used only if the request clearly accepts it; a request in doubt gets an unencoded response;
+- gzip is used only if the request clearly accepts it; if that is unclear, the response is not compressed;
 - the content of a response does not depend on its encoding;
 - a long body is encoded incrementally, and once for all clients that it is sent to: its age is the last member, and
   is appended when the body is sent.
 
-GZIP_LEVEL is 1 because the relay's CPU limits a wave of gateway starts, while the responses take half of the bytes
-that a start may use. Size and CPU time by level in the planned fleet, on a busy machine, with hosts whose start times
-are spread over four days:
+GZIP_LEVEL is 1 because the relay's CPU, not the size of the responses, limits how many gateways can start at the same
+time: at this level the responses have half of the bytes that a start may use. Size and CPU time by level in the
+planned fleet, on a busy machine, with hosts whose start times are spread over four days:
 
     subset            level 1                  level 3                  level 6
     largest, 130 KB   19.9 KB, 0.6 to 1.0 ms   19.3 KB, 0.7 to 1.2 ms   17.2 KB, 1.8 to 2.4 ms
@@ -66,7 +66,7 @@
             self._append_plain(separator + b",".join(response.entries[begin : begin + ENTRIES_PER_STEP]))
             yield
         if self.compressor is not None:
-            self._append_chunk(self.compressor.flush(zlib.Z_SYNC_FLUSH))  # leaves little to compress with each tail
+            self._append_chunk(self.compressor.flush(zlib.Z_SYNC_FLUSH))  # leaves little to compress in `tail`
 
     def tail(self, age_ms: int) -> bytes:
         """Return the end of the body for a client that it is sent to now; `age_ms` as for `encode_tail`."""
--- a/cloverkeel/control_plane/endpoint_table.py
+++ b/cloverkeel/control_plane/endpoint_table.py
@@ -43,7 +43,7 @@
 
     removed_by_zone: dict[str, list[Host]] = field(default_factory=dict)
     added_by_zone: dict[str, list[Host]] = field(default_factory=dict)
-    known_hosts_by_zone: Counter[str] = field(default_factory=Counter)  # change in number
+    known_hosts_by_zone: Counter[str] = field(default_factory=Counter)  # by how much HashRing.known_hosts changes
     zones: set[str] = field(default_factory=set)
 
     def remove(self, host: Host) -> None:
--- a/cloverkeel/control_plane/requests.py
+++ b/cloverkeel/control_plane/requests.py
@@ -20,7 +20,7 @@
 LIST_PATH: Final = b"/registry/instances"
 MAX_HOLD_MS: Final = 60_000  # the maximum of discovery as well
 MAX_NAME_BYTES: Final = 256  # of the name of a gateway or service
-MAX_SERVICES: Final = 2_000  # a gateway with more services requests all of them; 1,400 are planned for
+MAX_SERVICES: Final = 2_000  # a gateway with more services requests all of them; the capacity plan has 1,400
 MAX_INTEGER: Final = 1 << 62
 MAX_INTEGER_DIGITS: Final = 19
 MAX_QUOTED_BYTES: Final = 20  # of an invalid value, in an error text
--- a/cloverkeel/control_plane/roster_parser.py
+++ b/cloverkeel/control_plane/roster_parser.py
@@ -46,7 +46,7 @@
         if len(value_by_key) != len(pairs):
             names = [name for name, _ in pairs]
             duplicate = next(name for name in names if names.count(name) > 1)
-            raise RosterError(file, duplicate, "a key to be there once", "it twice")
+            raise RosterError(file, duplicate, "each key once", "a duplicate key")
         return value_by_key
 
     try:
@@ -65,7 +65,7 @@
             raise RosterError(file, key, 'no key but "regions" and "gateways"', key)
     for key, max_entries in MAX_ENTRIES_BY_KEY.items():
         if not isinstance(raw.get(key), dict) or not 0 < len(raw[key]) <= max_entries:
-            raise RosterError(file, key, f"an object of 1 to {max_entries}", raw.get(key))
+            raise RosterError(file, key, f"an object with 1 to {max_entries} entries", raw.get(key))
     return raw
 
 
--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -64,21 +64,21 @@
     discovery_by_relay: tuple[int, ...]  # by relay: the number of the discovery that it polls
     is_spread: bool  # gateways poll different relays first; otherwise all poll relay-0 first
     event_log: EventLog = field(default_factory=EventLog)
-    views: dict[str, RegistryListener] = field(default_factory=dict)
+    listeners: dict[str, RegistryListener] = field(default_factory=dict)
     to_relay: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # by gateway, relay
     to_discovery: list[TcpLink] = field(default_factory=list)  # by relay
     gateways: list[Gateway] = field(default_factory=list)
     relays: list[Gateway] = field(default_factory=list)
-    begun_us: int = 0
+    start_us: int = 0
     requests_seen: list[tuple[int, int, int]] = field(default_factory=list)  # time in microseconds, gateway, host
     responses_in_progress: int = 0  # of all hosts
     client_requests: list[ClientRequest] = field(default_factory=list)
-    starts: dict[int, int] = field(default_factory=dict)  # in milliseconds, by host that was deleted
+    starts: dict[int, int] = field(default_factory=dict)  # start time in milliseconds, by host that was deleted
     changes: list[EndpointChange] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     open_outages: dict[Component, int] = field(default_factory=dict)  # start in microseconds
     statuses: Counter[int] = field(default_factory=Counter)
-    answers: Counter[int] = field(default_factory=Counter)  # by gateway
+    answers: Counter[int] = field(default_factory=Counter)  # number of responses, by gateway
     notes: list[tuple[int, str]] = field(default_factory=list)
 
     @property
@@ -127,9 +127,9 @@
         for relay in relays:
             assert await self.relays[relay].wait_for_exit(10.0)
 
-    def write_roster(self, relay: int, lacks: Iterable[str] = ()) -> None:
-        """Write the roster, without the gateways in `lacks`, that a relay reads at its next start or SIGHUP."""
-        named = {f"n{n}": {"zone": "a"} for n in range(GATEWAYS) if f"n{n}" not in lacks}
+    def write_roster(self, relay: int, excluded: Iterable[str] = ()) -> None:
+        """Write the roster, without the gateways in `excluded`, that a relay reads at its next start or SIGHUP."""
+        named = {f"n{n}": {"zone": "a"} for n in range(GATEWAYS) if f"n{n}" not in excluded}
         file = self.folder / f"roster-{relay}.json"
         file.with_suffix(".new").write_text(json.dumps({"regions": {"r": ["a"]}, "gateways": named}))
         file.with_suffix(".new").replace(file)
@@ -176,7 +176,7 @@
         open_outages = [Outage(begin_us, end_us, part) for part, begin_us in self.open_outages.items()]
         exits = [p for p in self.event_log.events_of(ProcessEvent) if p.what == "exit" and not p.was_requested]
         return RunRecord(
-            self.begun_us, end_us, GATEWAYS, len(self.hosts), self.discovery_by_relay,
+            self.start_us, end_us, GATEWAYS, len(self.hosts), self.discovery_by_relay,
             GATEWAYS * 1_000_000 // DIRECT_PER_S,
             sorted(self.changes, key=lambda change: change.at_us),
             [BackendArrival(*seen) for seen in self.requests_seen], self.client_requests, self.outages + open_outages,
@@ -196,7 +196,7 @@
                 raise AssertionError(f"not within 20 s: {what}\n{self.timeline()}")
             await asyncio.sleep(0.005)
 
-    async def serve_more_requests(self, count: int = 40) -> None:
+    async def wait_for_more_responses(self, count: int = 40) -> None:
         """Wait until each gateway has answered `count` more requests."""
         before = dict(self.answers)
         await self.wait_for(
@@ -205,8 +205,8 @@
         )
 
     async def wait_until(self, at_us: int) -> None:
-        await self.wait_for(lambda: now_us() >= at_us, "time goes by")
-        await self.serve_more_requests()
+        await self.wait_for(lambda: now_us() >= at_us, "the given time is reached")
+        await self.wait_for_more_responses()
 
     async def wait_until_ready(self, relay: int) -> None:
         while not await processes.is_ready(self.relays[relay].address):
@@ -216,7 +216,7 @@
         """Return the gateways that have a connection to a relay."""
         return {gateway for (gateway, to), link in self.to_relay.items() if to == relay and link.flows}
 
-    async def wait_until_all_ask(self, relay: int) -> None:
+    async def wait_until_all_connected(self, relay: int) -> None:
         await self.wait_for(
             lambda: self.gateways_connected_to(relay) == set(range(GATEWAYS)),
             f"all gateways connected to relay-{relay}",
@@ -227,7 +227,8 @@
         since = len(self.requests_seen)
         wanted = {(gateway, host) for gateway in range(GATEWAYS) for host in hosts}
         await self.wait_for(
-            lambda: wanted <= {(g, h) for _, g, h in self.requests_seen[since:]}, f"requests at {hosts}"
+            lambda: wanted <= {(g, h) for _, g, h in self.requests_seen[since:]},
+            f"each gateway has sent a request to each of {hosts}",
         )
 
     # Checks
@@ -238,14 +239,16 @@
     def assert_left_within(self, host: int, since_us: int, within_s: float) -> None:
         """Check that a host got its last request at most `within_s` after its drain or deletion at `since_us`."""
         late_us = self.last_request_us(host) - since_us
-        assert late_us <= within_s * 1e6, f"s-{host} saw a request {late_us / 1e6:.3f} s after\n{self.timeline()}"
+        assert (
+            late_us <= within_s * 1e6
+        ), f"s-{host}: last request {late_us / 1e6:.3f} s after the change\n{self.timeline()}"
 
     def direct_polls(self) -> int:
         """Return the number of direct polls of discovery by gateways."""
         return sum(poll.gateway.startswith("n") for poll in self.event_log.events_of(DiscoveryPoll))
 
-    def faults(self) -> list[str]:
-        return [fault for process in self.gateways + self.relays for fault in process.defect_lines()]
+    def defect_lines(self) -> list[str]:
+        return [line for process in self.gateways + self.relays for line in process.defect_lines()]
 
     def assert_healthy(self) -> None:
         """Check that requests were served, and that no process logged a defect."""
@@ -253,16 +256,16 @@
         assert self.statuses[503] <= MAX_REJECTED_RATIO * len(
             self.client_requests
         ), f"{self.statuses}\n{self.timeline()}"
-        assert not self.faults(), f"{self.faults()}\n{self.timeline()}"
+        assert not self.defect_lines(), f"{self.defect_lines()}\n{self.timeline()}"
 
     def timeline(self) -> str:
         lines = list(self.notes) + [
             (p.at_us, f"{p.gateway}: {p.what}") for p in self.event_log.events_of(ProcessEvent)
         ]
-        begun = min((at_us for at_us, _ in lines), default=0)
-        text_lines = [f"{(at_us - begun) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
+        first_us = min((at_us for at_us, _ in lines), default=0)
+        text_lines = [f"{(at_us - first_us) / 1e6:8.3f} {text}" for at_us, text in sorted(lines)]
         for n in range(len(self.hosts)):
-            text_lines.append(f"last request at s-{n}: {(self.last_request_us(n) - begun) / 1e6:.3f}")
+            text_lines.append(f"last request at s-{n}: {(self.last_request_us(n) - first_us) / 1e6:.3f}")
         for process in self.gateways + self.relays:
             log = self.folder / f"{process.name}.log"
             if log.exists():
@@ -273,7 +276,7 @@
         return "\n".join(text_lines)
 
 
-def order_of(gateway: str, links: list[TcpLink]) -> list[TcpLink]:
+def sort_by_preference(gateway: str, links: list[TcpLink]) -> list[TcpLink]:
     """Sort links in a gateway's order of preference, which discovery/relay_selection.py defines."""
     return sorted(links, key=lambda link: stable_id(f"{gateway} {link.address[0]}:{link.address[1]}", 8))
 
@@ -302,30 +305,30 @@
         return answer
 
     network, event_log = Network(1), EventLog()
-    peers = [scripted_server(script(n)) for n in range(hosts)]
-    listening = [await each.__aenter__() for each in peers]
+    host_contexts = [scripted_server(script(n)) for n in range(hosts)]
+    host_servers = [await each.__aenter__() for each in host_contexts]
     tasks: list[asyncio.Task[None]] = []
 
     def address_of(name: str) -> Address:
-        at, _, port = listening[int(name[2:])].address.rpartition(":")
+        at, _, port = host_servers[int(name[2:])].address.rpartition(":")
         return at, int(port)
 
     async def allow_all() -> None:
         return None
 
     discoveries = [Registry(event_log) for _ in range(max(discovery_by_relay) + 1)]
-    fleet = RelayFleet(folder, network, listening, discoveries, discovery_by_relay, is_spread, event_log)
+    fleet = RelayFleet(folder, network, host_servers, discoveries, discovery_by_relay, is_spread, event_log)
     try:
         for discovery in discoveries:
             discovery.index = FIRST_INDEX
             for n in range(hosts):
                 discovery.add_entry(fleet.entry(n))
         for n, discovery_number in enumerate(discovery_by_relay):
-            fleet.views[f"relay-{n}"] = await discoveries[discovery_number].open_listener(
+            fleet.listeners[f"relay-{n}"] = await discoveries[discovery_number].open_listener(
                 f"relay-{n}", address_of, allow_all
             )
         for n in range(GATEWAYS):
-            fleet.views[f"n{n}"] = await fleet.discovery.open_listener(f"n{n}", address_of, allow_all)
+            fleet.listeners[f"n{n}"] = await fleet.discovery.open_listener(f"n{n}", address_of, allow_all)
         for n in range(len(discovery_by_relay)):
             fleet.write_roster(n)
             fleet.relays.append(_relay(fleet, n))
@@ -345,7 +348,7 @@
                 lambda: all(fleet.gateways_connected_to(fleet.first_relay_of(n)) >= {n} for n in range(GATEWAYS)),
                 "each gateway is connected to its first relay",
             )
-            fleet.begun_us = now_us()
+            fleet.start_us = now_us()
             tasks.append(asyncio.create_task(fleet.watch_for_stalls()))
             clients = [asyncio.create_task(fleet.send_requests(n)) for n in range(GATEWAYS) for _ in range(CLIENTS)]
             tasks += clients
@@ -361,7 +364,7 @@
         for discovery in discoveries:
             discovery.close()
         network.close()
-        for each in peers:
+        for each in host_contexts:
             await each.__aexit__(None, None, None)
 
 
@@ -370,14 +373,14 @@
     """Run a fleet whose gateways all poll relay-0 first; checks at the end that it is healthy."""
     async with running_relay_fleet(folder, discovery_by_relay=discovery_by_relay) as fleet:
         yield fleet
-        await fleet.serve_more_requests()
+        await fleet.wait_for_more_responses()
         fleet.assert_healthy()
 
 
 def _relay(fleet: RelayFleet, number: int) -> Gateway:
     name = f"relay-{number}"
     link = fleet.network.add_tcp_link(
-        name, f"discovery-{fleet.discovery_by_relay[number]}", lambda: fleet.views[name].address
+        name, f"discovery-{fleet.discovery_by_relay[number]}", lambda: fleet.listeners[name].address
     )
     link.open()
     fleet.to_discovery.append(link)
@@ -397,15 +400,15 @@
     links = [fleet.network.add_tcp_link(name, f"relay-{n}", lambda: None) for n in range(relays)]
     for link in links:
         link.open()
-    for place, link in enumerate(order_of(name, links)):
+    for place, link in enumerate(sort_by_preference(name, links)):
         to = (fleet.first_relay_of(number) + place) % relays
         fleet.to_relay[number, to] = link
         link.target = lambda to=to: fleet.relays[to].address  # type: ignore[misc]
 
     def configure() -> dict[str, Any]:
-        view = fleet.views[name]
-        assert view.address is not None
-        config = configuration(discovery=f"{view.address[0]}:{view.address[1]}")
+        listener = fleet.listeners[name]
+        assert listener.address is not None
+        config = configuration(discovery=f"{listener.address[0]}:{listener.address[1]}")
         known = [endpoint(f"s-{n}", host.address) for n, host in enumerate(fleet.hosts)]
         return config | {
             "name": name, "listen": f"127.0.0.1:{gateway.port}", "known": hosts_list(7, *known),
--- a/tests/control_plane/relay_harness.py
+++ b/tests/control_plane/relay_harness.py
@@ -25,7 +25,7 @@
     },
 }).encode()  # fmt: skip
 HOLD = "&hold_ms=20000"
-ALL = "/registry/instances"
+LIST_PATH = "/registry/instances"
 
 
 @dataclass
@@ -56,7 +56,7 @@
     def change(self, *changes: tuple[str, str]) -> None:
         self.registry.apply_changes([(self.registry.entries[name], status) for name, status in changes])
 
-    async def has(self, count: int) -> None:
+    async def wait_for_host_count(self, count: int) -> None:
         server = self.server
         await wait_until(
             lambda: server.cache.is_ready
@@ -93,17 +93,17 @@
     for service in "st":
         for number in range(4):
             registry.add_entry(entry(number, service))
-    view = await registry.open_listener(
+    listener = await registry.open_listener(
         "relay", lambda name: ("127.0.0.1", 9000 + ord(name[0]) + int(name[2:])), allow_all
     )
     if not ready:
         await registry.set_outage_mode("503")
-    assert view.address is not None
+    assert listener.address is not None
     try:
-        async with running_relay(f"{view.address[0]}:{view.address[1]}", limits) as server:
+        async with running_relay(f"{listener.address[0]}:{listener.address[1]}", limits) as server:
             harness = RelayHarness(registry, server)
             if ready:
-                await harness.has(8)
+                await harness.wait_for_host_count(8)
             yield harness
     finally:
         registry.close()
--- a/tests/control_plane/test_command.py
+++ b/tests/control_plane/test_command.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize(
     ("old", "new", "message"),
     [
-        ('name = "relay-1"', 'name = ""', "name: expected 1 to 64 letters, found ''"),
+        ('name = "relay-1"', 'name = ""', "name: expected 1 to 64 printable characters, found ''"),
         ('listen = "127.0.0.1:1"', 'listen = "here"', "listen: expected host:port, found 'here'"),
         ('discovery = "127.0.0.1:2"\n', "", "discovery: expected host:port, found None"),
         ('roster = "roster.json"', "roster = 3", "roster: expected the path of a file, found 3"),
@@ -59,12 +59,12 @@
 async def test_relay_process_starts_shows_its_state_and_exits(tmp_path: Path) -> None:
     registry = Registry(EventLog())
     registry.add_entry(entry(0))
-    view = await registry.open_listener("relay", lambda name: ("127.0.0.1", 9000), allow_all)
-    assert view.address is not None
+    listener = await registry.open_listener("relay", lambda name: ("127.0.0.1", 9000), allow_all)
+    assert listener.address is not None
     reserved = reserve_port()
     here = f"127.0.0.1:{reserved.getsockname()[1]}"
     file, roster = tmp_path / "relay.toml", tmp_path / "roster.json"
-    text = FILE.replace("127.0.0.1:1", here).replace("127.0.0.1:2", f"127.0.0.1:{view.address[1]}")
+    text = FILE.replace("127.0.0.1:1", here).replace("127.0.0.1:2", f"127.0.0.1:{listener.address[1]}")
     file.write_text(text + "[limits]\nconnections = 100\n")
 
     def command(*words: str) -> subprocess.CompletedProcess[str]:
@@ -86,7 +86,7 @@
             await asyncio.sleep(0.02)
         state = json.loads(shown.stdout)
         assert (state["name"], state["hosts"], state["roster"] in line) == ("relay-1", 1, True)
-        assert state["version"] >= before_us, "above all indexes of an earlier process"
+        assert state["version"] >= before_us, "an earlier process may have had the same index"
         roster.write_bytes(ROSTER.replace(b"g2", b"g3"))
         process.send_signal(signal.SIGHUP)
         assert "gateways=3" in (await process.stderr.readline()).decode()
--- a/tests/control_plane/test_connection.py
+++ b/tests/control_plane/test_connection.py
@@ -45,14 +45,14 @@
         short = await harness.get("/registry/instances?gateway=g0&services=none", client, *headers)
         assert len(short.body) < MIN_GZIP_BYTES and "content-encoding" not in short.headers and json.loads(short.body)
         again = await harness.get("/registry/instances?gateway=g2", client)
-        assert "content-encoding" not in again.headers, "Accept-Encoding of an earlier request does not apply"
+        assert "content-encoding" not in again.headers, "Accept-Encoding of an earlier request was applied"
 
 
 @on_loop
 async def test_connections_are_limited_and_idle_ones_closed() -> None:
     async with relay_with_registry(Limits(max_connections=2, idle_timeout_s=2)) as harness:
         first, second, third = [await harness.client() for _ in range(3)]
-        assert await third.reader.read() == b"", "above the limit of connections"
+        assert await third.reader.read() == b"", "a connection above the limit was accepted"
         assert (await harness.get("/health/ready", first)).status == 200
         assert await second.reader.read() == b"" and await first.reader.read() == b""
         assert harness.server.counters.closed_idle == 2
@@ -106,10 +106,10 @@
         )
         original = harness.server.cache.respond
 
-        def failing_respond(subscriber: Subscriber, since: int | None) -> ListResponse | None:
+        def failing_respond(subscriber: Subscriber, known_index: int | None) -> ListResponse | None:
             if subscriber.gateway == "g0":
                 raise RuntimeError("failing_respond")
-            return original(subscriber, since)
+            return original(subscriber, known_index)
 
         monkeypatch.setattr(harness.server.cache, "respond", failing_respond)
         harness.change(("s-0", "DRAINING"))
--- a/tests/control_plane/test_discovery_source.py
+++ b/tests/control_plane/test_discovery_source.py
@@ -44,7 +44,7 @@
         answers.append(snapshot_reply(5, "s-0", "s-1"))
         async with running_relay(discovery.address, Limits(max_age_ms=1_000)) as server:
             harness = RelayHarness(Registry(EventLog()), server)
-            await harness.has(2)
+            await harness.wait_for_host_count(2)
             answers.append(invalid_reply)
             await wait_until(lambda: not server.is_ready)
             listed = await harness.listed("gateway=g0")
@@ -69,7 +69,7 @@
             assert not any("from=" in exchange.message.start_line for exchange in discovery.exchanges)
             assert (await harness.get("/registry/instances?gateway=g0")).status == 503
             answers.append(snapshot_reply(5, "s-0"))
-            await harness.has(1)
+            await harness.wait_for_host_count(1)
 
 
 @on_loop
@@ -90,7 +90,7 @@
         answers.append(snapshot_reply(5, "s-0"))
         async with running_relay(discovery.address) as server:
             harness = RelayHarness(Registry(EventLog()), server)
-            await harness.has(1)
+            await harness.wait_for_host_count(1)
             client = await harness.client()
             assert server.source.read_slice_s <= MAX_SLICE_S
             server.source.read_slice_s = 0.0  # each step ends its slice, however fast the machine is
@@ -109,7 +109,7 @@
         answers.append(snapshot_reply(5, "s-0"))
         async with running_relay(discovery.address) as server:
             harness = RelayHarness(Registry(EventLog()), server)
-            await harness.has(1)
+            await harness.wait_for_host_count(1)
             server.source.read_slice_s = 0.0  # each step ends its slice, however fast the machine is
             answers.append(snapshot_reply(6, *(f"s-{n}" for n in range(3_000))))
             while not 1 < len(server.cache.table.host_by_name) < 3_000:
--- a/tests/control_plane/test_endpoint_cache.py
+++ b/tests/control_plane/test_endpoint_cache.py
@@ -143,8 +143,8 @@
 def test_unusable_lists_are_counted_and_change_nothing() -> None:
     cache = make_cache()
     hosts_before, change_number = dict(cache.table.host_by_name), cache.table.change_number
-    for rubbish in (None, "x", {"name": "h"}, 7):
-        assert cache.apply_list(True, rubbish) == frozenset()
+    for malformed in (None, "x", {"name": "h"}, 7):
+        assert cache.apply_list(True, malformed) == frozenset()
     assert cache.apply_list(True, [*HOSTS[:3], None, 5, {}, "x"]) == frozenset()  # most entries are unusable
     unusable: list[Any] = [
         None, [], {}, {"name": 5}, HOSTS[0] | {"status": "LOST"}, HOSTS[0] | {"address": "nowhere"},
--- a/tests/control_plane/test_fleet_roster.py
+++ b/tests/control_plane/test_fleet_roster.py
@@ -45,7 +45,7 @@
     ("{", "f: expected JSON"),
     ("[" * 100_000, "f: expected JSON"),
     ("[]", 'f: the file: expected an object with "regions" and "gateways", found'),
-    ('{"regions": {"r": ["z"]}, "gateways": {}}', "f: gateways: expected an object of 1 to 16384"),
+    ('{"regions": {"r": ["z"]}, "gateways": {}}', "f: gateways: expected an object with 1 to 16384 entries"),
     ('{"regions": {"r": ["z"]}, "gateways": {"g": {"zone": "z"}}, "more": 1}', "f: more: expected no key but"),
     ('{"regions": {"r": []}, "gateways": {"g": {"zone": "z"}}}', "f: regions.r: expected a list of zones"),
     ('{"regions": {"r": ["z"], "q": ["z"]}, "gateways": {"g": {}}}', "f: regions.q: expected each zone to be in one"),
@@ -53,7 +53,10 @@
     (with_gateway('{"zone": "z", "service": []}'), "f: gateways.g.service: expected"),
     (with_gateway('{"zone": "z", "services": []}'), "f: gateways.g.services: expected"),
     (with_gateway('{"zone": "z", "services": ["a", "a"]}'), "f: gateways.g.services: expected each service once"),
-    ('{"regions": {"r": ["z"]}, "gateways": {"g": {"zone": "z"}, "g": {"zone": "z"}}}', "f: g: expected a key to be"),
+    (
+        '{"regions": {"r": ["z"]}, "gateways": {"g": {"zone": "z"}, "g": {"zone": "z"}}}',
+        "f: g: expected each key once, found 'a duplicate key'",
+    ),
     ('{"regions": {"r": ["z"]}, "gateways": {"": {"zone": "z"}}}', "f: gateways: expected a name of 1 to 255"),
 ])  # fmt: skip
 def test_unusable_roster_error_names_file_and_key(text: str, message: str) -> None:
--- a/tests/control_plane/test_http_server.py
+++ b/tests/control_plane/test_http_server.py
@@ -18,7 +18,7 @@
         assert (await harness.get("/health/ready")).status == 503
         assert (await harness.state())["version"] is None
         await harness.registry.set_outage_mode("")
-        await harness.has(8)
+        await harness.wait_for_host_count(8)
         assert len((await harness.listed("gateway=g0"))["endpoints"]) == 4
         assert (await harness.get("/health/ready")).status == 200
 
@@ -39,9 +39,9 @@
 
 @on_loop
 async def test_index_of_another_relay_is_answered_with_a_snapshot() -> None:
-    async with relay_with_registry() as harness, relay_with_registry() as two:
+    async with relay_with_registry() as harness, relay_with_registry() as other_harness:
         held = await harness.listed("gateway=g0")
-        other = await two.listed(f"gateway=g0&from={held['index']}{HOLD}")
+        other = await other_harness.listed(f"gateway=g0&from={held['index']}{HOLD}")
         assert other["snapshot"] is True and len(other["endpoints"]) == 4
 
 
@@ -49,11 +49,11 @@
 async def test_requests_leave_no_reference_cycles() -> None:
     """Guards against a leak: RelayServer._scan collects new objects once and then freezes them."""
 
-    def connections() -> int:
+    def count_connections() -> int:
         return sum(isinstance(each, ClientConnection) for each in gc.get_objects())
 
     async with relay_with_registry() as harness:
-        before = connections()
+        before = count_connections()
         gc.disable()
         try:
             for sent in (b"GET /health/ready HTTP/1.1", b"GET /registry/instances HTTP/1.1", b"x"):
@@ -67,6 +67,6 @@
             await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
             client.close()
             await wait_until(lambda: not harness.server.connections)
-            await wait_until(lambda: connections() == before)
+            await wait_until(lambda: count_connections() == before)
         finally:
             gc.enable()
--- a/tests/control_plane/test_long_poll.py
+++ b/tests/control_plane/test_long_poll.py
@@ -46,7 +46,7 @@
             empty = await harness.listed(f"gateway=g0&from={first['index']}&hold_ms={hold_ms}")
             assert (empty["snapshot"], empty["endpoints"]) == (False, [])
         harness.change(("s-0", "DELETED"))
-        await harness.has(7)
+        await harness.wait_for_host_count(7)
         assert status_by_name(await harness.listed(f"gateway=g0&from={empty['index']}")) == {"s-0": "DELETED"}
 
 
@@ -58,7 +58,7 @@
         held = await harness.listed("gateway=g0", client)
         poll = asyncio.create_task(harness.listed(f"gateway=g0&from={held['index']}{HOLD}", client))
         await wait_until(lambda: any(connection.pending_request for connection in harness.server.connections))
-        passed = harness.server.counters.notification_rounds
+        rounds_before = harness.server.counters.notification_rounds
         for number in range(3):  # three lists from discovery, one batch
             harness.server.apply_list(False, [{
                 "name": f"s-{number}", "address": "127.0.0.1:1", "zone": "a", "service": "s", "status": "DRAINING",
@@ -66,7 +66,9 @@
             for _ in range(5):
                 await asyncio.sleep(0)
         assert set(status_by_name(await poll)) == {"s-0", "s-1", "s-2"}
-        assert harness.server.counters.notification_rounds == passed + 1 and harness.server.counters.deltas == 1
+        assert (
+            harness.server.counters.notification_rounds == rounds_before + 1 and harness.server.counters.deltas == 1
+        )
 
 
 @on_loop
@@ -99,9 +101,9 @@
             turn += 1
             loop.call_soon(tick)
 
-        def noted(subscriber: Subscriber, since: int | None) -> ListResponse | None:
+        def recording_respond(subscriber: Subscriber, known_index: int | None) -> ListResponse | None:
             turns.append(turn)
-            return original(subscriber, since)
+            return original(subscriber, known_index)
 
         clients = [await harness.client() for _ in range(8)]
         held = [await harness.listed(f"gateway=g{n % 3}", client) for n, client in enumerate(clients[:3])]
@@ -110,7 +112,7 @@
             False, [{"name": "s-0", "status": "DELETED", "address": "127.0.0.1:1", "service": "s"}]
         )
         monkeypatch.setattr(long_poll, "SLICE_S", 0.0)  # one request per slice
-        monkeypatch.setattr(harness.server.cache, "respond", noted)
+        monkeypatch.setattr(harness.server.cache, "respond", recording_respond)
         tick()
         queries = [f"gateway=g{n}" * (n < 3) + f"&from={each['index']}" for n, each in enumerate(held)]
         for client, query in zip(clients, queries, strict=True):
--- a/tests/control_plane/test_relay_fleet.py
+++ b/tests/control_plane/test_relay_fleet.py
@@ -1,4 +1,4 @@
-"""Three real gateways, two real relays and faults between them, checked by the requests of hosts and clients."""
+"""Three real gateways, two real relays and faults between them, checked by the requests that hosts receive."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 RELAYS = 2
 # Maximum time from a change at discovery to the last request that its host may get.
-# LOST_S, one relay lost: 1 s until all gateways have the change (docs/relay-design.md), and requests under way.
+# LOST_S, one relay lost: 1 s until all gateways have the change (docs/relay-design.md), plus requests in flight.
 # HEALED_S, a relay connected to discovery again: it has to send a new request first.
 # STALE_S, a relay cut off: gateways have to notice its age first. The rule allows 6 s for a change.
 LOST_S, HEALED_S, STALE_S = 2.0, 3.0, 6.0
@@ -42,13 +42,13 @@
     async with relay_fleet(tmp_path) as fleet:
         stopped_us = fleet.signal(0, signal.SIGSTOP)
         at_us = fleet.publish_status(0, "DRAINING")
-        await fleet.wait_until_all_ask(1)
+        await fleet.wait_until_all_connected(1)
         await fleet.wait_until(stopped_us + int(STALL_S * 1e6))
         fleet.to_discovery[0].cut()  # it resumes with its old list
         await fleet.kill(1)
-        woke_us = fleet.signal(0, signal.SIGCONT)
-        await fleet.wait_until_all_ask(0)
-        await fleet.wait_until(woke_us + int(LOST_S * 1e6))
+        resumed_us = fleet.signal(0, signal.SIGCONT)
+        await fleet.wait_until_all_connected(0)
+        await fleet.wait_until(resumed_us + int(LOST_S * 1e6))
         fleet.assert_left_within(0, at_us, LOST_S)
         healed_us = fleet.note("relay-0 is connected to discovery again")
         fleet.to_discovery[0].heal(reset=True)
@@ -65,7 +65,7 @@
         at_us = fleet.publish_status(0, "DRAINING")
         await fleet.wait_until(at_us + int(LOST_S * 1e6))
         fleet.assert_left_within(0, at_us, LOST_S)
-        await fleet.wait_until_all_ask(1)
+        await fleet.wait_until_all_connected(1)
 
 
 @on_loop
@@ -78,7 +78,7 @@
             relay.start()
         for n in range(RELAYS):  # the relay listens, but is not ready
             await fleet.wait_for(lambda n=n: fleet.gateways_connected_to(n), f"a gateway is connected to relay-{n}")  # type: ignore[misc]
-        await fleet.serve_more_requests(100)
+        await fleet.wait_for_more_responses(100)
         for relay in fleet.relays:
             assert not await processes.is_ready(relay.address)
         at_us = fleet.publish_status(0, "DRAINING")
@@ -97,7 +97,7 @@
         at_us = fleet.publish_status(0, "DRAINING")
         await fleet.wait_until(at_us + int(STALE_S * 1e6))
         fleet.assert_left_within(0, at_us, STALE_S)
-        await fleet.wait_until_all_ask(1)
+        await fleet.wait_until_all_connected(1)
 
 
 @on_loop
@@ -110,7 +110,7 @@
             lambda: now_us() - max(fleet.last_request_us(0), at_us) > 300_000, "no more requests to s-0"
         )
         await fleet.kill(0)  # relay-1's list is less than 1 s old, and lacks the drain
-        await fleet.wait_until_all_ask(1)
+        await fleet.wait_until_all_connected(1)
         await fleet.wait_until(at_us + int(LOST_S * 1e6) + 1_000_000)
         fleet.assert_left_within(0, at_us, LOST_S)
 
@@ -120,7 +120,7 @@
     async with relay_fleet(tmp_path) as fleet:
         for _ in range(5):
             fleet.publish_status(3, "SERVING")
-        await fleet.serve_more_requests()
+        await fleet.wait_for_more_responses()
         at_us = fleet.note("discovery restarts without s-0")
         del fleet.discovery.entries["s-0"]
         fleet.discovery.roll_back_index(1_000_000)
@@ -185,7 +185,7 @@
         )
         fleet.assert_left_within(0, at_us, LOST_S)
         await fleet.kill(0)
-        await fleet.wait_until_all_ask(1)
+        await fleet.wait_until_all_connected(1)
         moved_us = now_us()
         await fleet.wait_until_served(0)  # B lists it as serving, and that is newer than what was read from A
         assert now_us() - moved_us < LOST_S * 1e6
@@ -195,8 +195,8 @@
         fleet.relays[0].start()
         await fleet.wait_until_ready(0)
         fleet.signal(1, signal.SIGTERM)  # gateways move back to a partition with the same state
-        await fleet.wait_until_all_ask(0)
-        await fleet.serve_more_requests()
+        await fleet.wait_until_all_connected(0)
+        await fleet.wait_for_more_responses()
         fleet.assert_left_within(0, at_us, LOST_S)
 
 
@@ -212,7 +212,7 @@
             "no more requests to s-0 and s-1",
         )
         await fleet.kill(0)
-        await fleet.wait_until_all_ask(1)
+        await fleet.wait_until_all_connected(1)
         await fleet.wait_until(now_us() + 1_000_000)
         for host in (0, 1):
             fleet.assert_left_within(host, at_us, LOST_S)
--- a/tests/control_plane/test_reload.py
+++ b/tests/control_plane/test_reload.py
@@ -95,4 +95,4 @@
         harness.change(("t-1", "DRAINING"))
         assert [status_by_name(await poll) for poll in polls] == [
             {"t-1": "DRAINING"}
-        ] * 2, "each poll is indexed by the new roster's keys"
+        ] * 2, "a poll is not indexed by the new roster's keys"
--- a/tests/control_plane/test_snapshot_queue.py
+++ b/tests/control_plane/test_snapshot_queue.py
@@ -17,7 +17,7 @@
 from cloverkeel.control_plane.messages import ListResponse
 from cloverkeel.core.clock import now_us
 from tests.control_plane.relay_harness import (
-    ALL,
+    LIST_PATH,
     HOLD,
     RelayHarness,
     relay_with_registry,
@@ -91,7 +91,7 @@
         for _ in range(2):  # the second round uses the kept encodings
             clients = [await harness.client() for _ in range(6)]
             requests = [
-                harness.get(ALL + "?gateway=nobody" * (n > 3), client, *("Accept-Encoding: gzip",) * (n % 2))
+                harness.get(LIST_PATH + "?gateway=nobody" * (n > 3), client, *("Accept-Encoding: gzip",) * (n % 2))
                 for n, client in enumerate(clients)
             ]
             received = [decode_body(response) for response in await asyncio.gather(*requests)]
@@ -103,7 +103,7 @@
             kept_bodies = bodies
         assert kept_bodies[1].size_bytes < kept_bodies[0].size_bytes / 2
         harness.change(("s-0", "DELETED"))
-        await harness.has(3_007)
+        await harness.wait_for_host_count(3_007)
         assert not harness.server.snapshots.encoded_lists, "the outdated encodings were not discarded"
 
 
@@ -117,9 +117,9 @@
         for condition in (lambda: harness.server.sender.background_task, lambda: harness.server.sender.unsent_bytes):
             disconnecting, other_client = await harness.client(), await harness.client()
             disconnecting.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            disconnecting.send(f"GET {ALL} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+            disconnecting.send(f"GET {LIST_PATH} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
             await wait_until(condition)
-            request = asyncio.create_task(harness.get(ALL, other_client, "Accept-Encoding: gzip"))
+            request = asyncio.create_task(harness.get(LIST_PATH, other_client, "Accept-Encoding: gzip"))
             disconnecting.writer.transport.abort()
             assert len(decode_body(await request)["endpoints"]) == 20_008
             await wait_until(lambda: not harness.server.sender.unsent_bytes and len(harness.server.connections) == 1)
--- a/tests/control_plane/test_subsetting.py
+++ b/tests/control_plane/test_subsetting.py
@@ -65,7 +65,7 @@
         )
 
 
-@example(hosts=11, widenings_by_gateway=[0, 0, 0, 0, 1, 0, 0, 1, 0, 0, 1, 1])  # needs the smaller shares
+@example(hosts=11, widenings_by_gateway=[0, 0, 0, 0, 1, 0, 0, 1, 0, 0, 1, 1])  # exceeds the bound with full shares
 @given(COUNTS, st.lists(st.integers(0, MAX_WIDENINGS), min_size=1, max_size=150))
 def test_shares_of_a_host_stay_within_its_budget_for_any_widenings(
     hosts: int, widenings_by_gateway: list[int]
