--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -7,11 +7,11 @@
     .venv-dev/bin/python -m benchmarks.duties cost
 
 `schedules`: five to nine real gateways and three leased roles each. A seed draws stalls, kills, partitions, datagram
-faults and clock errors; the acts that an outside observer received are checked. A schedule with a violation is
-printed with its timeline, and can be run again with --first.
+faults and clock errors; the acts (replies of lease holders) that an outside observer received are checked. A schedule
+with a violation is printed with its timeline, and can be run again with --first.
 `gaps`: the time from the last act of a holder that is killed, stalled, partitioned or terminated, or that hands the
 lease over, to the first act of the next holder.
-`quiet`: without faults the lease must not change hands.
+`quiet`: without faults the lease must keep its holder.
 `cost`: datagrams and bytes by size of the fleet, measured on the pure modules with a simulated clock.
 
 Exit code 0: no violation was found; 1 otherwise.
@@ -58,7 +58,7 @@
 
     seed: int
     violations: list[str] = field(default_factory=list)
-    holder_count: int = 0  # different fencing tokens that acted
+    holder_count: int = 0  # different fencing tokens in the acts
     act_count: int = 0
     faults: list[str] = field(default_factory=list)
     timeline: str = ""
@@ -178,7 +178,7 @@
         result.violations += [
             f"{violation.what}: {violation.act} after {violation.earlier}" for violation in violations
         ]
-        result.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
+        result.violations += [line for gateway in fleet.gateways for line in gateway.defect_lines()]
         result.holder_count, result.act_count = (
             len({(act.role, act.fencing_token) for act in fleet.acts}),
             len(fleet.acts),
@@ -233,7 +233,7 @@
 
 
 async def count_tokens_without_faults(minutes: float, folder: Path) -> int:
-    """Return the number of fencing tokens that acted while there was no fault."""
+    """Return the number of different fencing tokens in the acts while there is no fault."""
     async with running_lease_fleet(folder, count=5, voters=5, lease_ms=3_000) as fleet:
         await fleet.wait_for_holder()
         await asyncio.sleep(10.0)
--- a/benchmarks/duties_model.py
+++ b/benchmarks/duties_model.py
@@ -433,7 +433,7 @@
 
 
 def draw_event(rng: random.Random, state: State) -> Event:
-    """Draw the next event, mostly of the kinds by which a lease is acquired: two holders need two acquired leases."""
+    """Draw the next event, mostly of the kinds that acquire a lease, as a violation needs two acquired leases."""
     events = [*state.possible_coarse_events(), *(event for event in state.possible_events() if event[0] == "deliver")]
     kinds = sorted({event[0] for event in events})
     (kind,) = rng.choices(kinds, [EVENT_WEIGHTS[kind] for kind in kinds])
@@ -441,7 +441,7 @@
 
 
 def run_walks(start: Callable[[], State], walks: int, steps: int, seed: int) -> SearchResult:
-    """Play random traces of `steps` events until one violates an invariant, and shorten that one."""
+    """Run random traces of `steps` events until one violates an invariant, and shorten that one."""
     result = SearchResult()
     for walk_index in range(walks):
         rng, state, trace = random.Random(f"{seed}/{walk_index}"), start(), list[Event]()
--- a/benchmarks/guards/mutants/gossip.py
+++ b/benchmarks/guards/mutants/gossip.py
@@ -41,7 +41,7 @@
 
 @mutant("zone-preference")
 def _() -> None:
-    """Observations from other zones count like those from the own zone."""
+    """Observations from other zones count like those from the gateway's zone."""
     from cloverkeel.gossip import outlier_gossip
     from cloverkeel.gossip.outlier_reports import assess
 
@@ -124,7 +124,7 @@
 
 @mutant("retry-tokens-start")
 def _() -> None:
-    """A new process starts with tokens, and saves as many as without transfers."""
+    """A new process starts with tokens, and may save as many as a gateway that does not transfer tokens."""
     from cloverkeel.gossip.driver import GossipDriver
 
     initial_grant = (
--- a/benchmarks/guards/mutants/leases.py
+++ b/benchmarks/guards/mutants/leases.py
@@ -119,7 +119,7 @@
 
 @mutant("token-stale")
 def _() -> None:
-    """A holder whose reply was rejected because of an older token keeps that token."""
+    """A holder whose reply was rejected because its token is stale keeps that token."""
     from cloverkeel.leases.quorum_lease import QuorumLease
 
     patch_attribute(QuorumLease, "on_stale_token", lambda self, now_us, newest_token: [])
--- a/benchmarks/guards/table/gossip.py
+++ b/benchmarks/guards/table/gossip.py
@@ -15,9 +15,9 @@
         "Observation.is_live, OutlierGossip.refresh_assessments",
         tests="fleet/gossip::reports_expire_when_nothing_more_is_received "
               "gossip/outlier_reports::older_observations_have_less_weight_and_expire"),
-    row("zone-preference", "a host that is healthy from the own zone stays in use", "assess",
+    row("zone-preference", "a host that is healthy from the gateway's zone stays in use", "assess",
         tests="fleet/gossip::host_that_fails_from_one_zone_stays_in_use_in_the_other_zone "
-              "gossip/outlier_reports::host_that_answers_the_own_zone_is_not_suspected_there"),
+              "gossip/outlier_reports::host_that_is_healthy_from_a_zone_is_not_suspected_there"),
     row("observation-newest", "only the newest observation of each reporter counts", "is_newer, PeerClocks.age_ms",
         tests="gossip/outlier_reports::restarted_reporter_replaces_its_observations_and_older_ones_are_stale"),
     row("broadcast-confirmed", "an isolated failure is not forwarded", "OutlierGossip.on_observation",
@@ -46,6 +46,6 @@
               "gossip/failure_detector::dead_gateway_returns_with_a_higher_incarnation"),
     row("member-notice", "gateways that suspect each other do not loop", "MembershipTable._notify_of_status",
         tests="gossip/failure_detector::gateways_that_suspect_each_other_do_not_answer_notices_endlessly"),
-    row("member-stall", "after a stall no peer is suspected", "FailureDetector.on_stall",
+    row("member-stall", "after its own stall a gateway suspects no peer", "FailureDetector.on_stall",
         tests="gossip/failure_detector::stalled_gateway_suspects_no_peer_for_unanswered_probes"),
 )  # fmt: skip
--- a/benchmarks/guards/table/leases.py
+++ b/benchmarks/guards/table/leases.py
@@ -38,10 +38,11 @@
     row("token-observed", "tokens increase even if wall clocks are wrong", "BallotClock.observe",
         tests="leases/ballots::a_clock_follows_observed_counters_except_for_leaps "
               "fleet/leases::a_gateway_restarted_with_its_clock_an_hour_off_uses_no_older_token"),
-    row("token-stale", "a holder rejected for an older token raises its token", "QuorumLease.on_stale_token",
+    row("token-stale", "a holder whose stale token was rejected raises it", "QuorumLease.on_stale_token",
         tests="leases/manager::a_holder_whose_reply_was_rejected_continues_above_the_newest_token "
               "fleet/leases::a_fleet_restarted_with_clocks_an_hour_back_continues_above_the_rejected_token"),
-    row("token-outbid", "a rejected holder asks the service before it acts again", "ZookeeperLease.on_stale_token",
+    row("token-outbid", "a holder whose reply was rejected asks the service before it acts again",
+        "ZookeeperLease.on_stale_token",
         tests="leases/zookeeper_lease::two_zookeeper_holders_do_not_outbid_each_other"),
     row("voters-differ", "a different number of voters gets no vote", "LeaseManager.receive",
         tests="leases/manager::a_different_number_of_voters_gets_no_answer_and_an_older_token_is_rejected"),
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,11 +1,11 @@
-"""Run gateways of two checkouts side by side, with leases and sharing enabled, and faults between them.
+"""Run gateways of two checkouts side by side, with leases and gossip enabled, and faults between them.
 
     .venv-dev/bin/python -m benchmarks.mixed_versions --against CHECKOUT [--seed N] [--seconds S]
 
 Every second gateway runs from the other checkout (a folder, or a commit of this repository). There are three kinds of
 runs, one after another; all are checked by the observations of parties outside the gateways:
 
-`rules`: the scenario `duties` (pauses, kills, link cuts, hosts that join and warm up) with sharing enabled as well.
+`rules`: the scenario `duties` (pauses, kills, link cuts, hosts that join and warm up) with gossip enabled as well.
 No rule may be violated, and no warming host may be sent more than its capacity. `--seconds` is the length of the run.
 `leases`: random schedules of benchmarks/duties.py. A role never has two holders, and fencing tokens only increase.
 `gossip`: gateways of one checkout observe a host that fails, and those of the other must learn of it. Then every
@@ -133,7 +133,7 @@
             report.violations += await find_refused_datagrams(fleet)
         except AssertionError as error:  # raised by the waits; its first line is the message, the others a timeline
             report.violations.append(str(error).partition("\n")[0])
-        report.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
+        report.violations += [line for gateway in fleet.gateways for line in gateway.defect_lines()]
         report.figures = (
             f"{fleet.request_count} requests, {meter.retries} retries, {meter.peak_excess_tokens:.1f} tokens spent "
             f"in excess of the earned ones (limit {meter.max_saved_tokens:g}), {meter.transferred_tokens:.1f} "
@@ -285,7 +285,7 @@
 async def check_failure_spreads(
     fleet: GossipFleet, host: int, reporters: Sequence[int], receivers: Sequence[int]
 ) -> None:
-    """Let a host fail for the reporters; check that each receiver, which sends it nothing, learns this from several.
+    """Let a host fail and send requests only to the reporters; check that each receiver learns of it from several.
 
     The host must not have failed before, so that all reporters still send to it and observe the failure together.
     """
@@ -314,7 +314,7 @@
     violations = []
     for number, line in itertools.product(range(fleet.count), ("DUTIES", "PEERS")):
         dropped = (await fleet.read_state(number, line))["dropped"]
-        refused = {why: count for why, count in dropped.items() if why in REFUSAL_REASONS}
+        refused = {reason: count for reason, count in dropped.items() if reason in REFUSAL_REASONS}
         if refused:
             violations.append(f"n{number} refused datagrams ({line}): {refused}")
     return violations
@@ -346,7 +346,7 @@
 
 def print_report(report: RunReport, seed: int) -> None:
     """Print a run's figures, its first violations and the timeline."""
-    summary = f"{len(report.violations)} violations" if report.violations else "nothing found"
+    summary = f"{len(report.violations)} violations" if report.violations else "no violations"
     print(f"seed {seed}, {report.name}: {summary}; {report.figures}", flush=True)
     for violation in report.violations[:5]:
         print(f"  {violation}")
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -175,7 +175,7 @@
     all_ms: float
     own_ms: float  # until half of the gateways have five outcomes of their own, computed from the request rate
     bytes_s: float  # bytes per second and gateway during the run
-    points: float  # price of the platform during the run: messages of 256 bytes per request
+    points: float  # messages of 256 bytes sent per request; the settings state a price for each (Prices.peer)
 
 
 def measure_spread(gateway_count: int, loss: float, seed: int) -> SpreadRow:
--- a/cloverkeel/gossip/dissemination.py
+++ b/cloverkeel/gossip/dissemination.py
@@ -35,7 +35,7 @@
 EXTRA_TRANSMISSIONS: Final = 2  # added to the logarithm to compensate for lost datagrams
 OBSERVATION_RESERVE_BYTES: Final = 8_000.0  # part of the token bucket reserved for observations of hosts
 MAX_QUEUED_BROADCASTS: Final = 256
-NO_REPORTER: Final = -1  # accuser in the key of a status other than SUSPECT
+NO_ACCUSER: Final = -1  # in place of the accuser in the key of a status other than SUSPECT
 
 
 def max_transmissions(fleet_size: int) -> int:
@@ -52,7 +52,7 @@
 
 
 class BroadcastPriority(IntEnum):
-    """Priority of a broadcast; lower values are sent first. Failures precede the recoveries that lift them."""
+    """Priority of a broadcast; lower values are sent first. Failures are sent before recoveries."""
 
     HOST_FAILURE = 0
     MEMBER_DOWN = 1
@@ -99,7 +99,7 @@
     """Return the key of an item: an item that is added replaces a queued one with the same key."""
     if isinstance(item, MemberItem):
         is_suspicion = item.status == MemberStatus.SUSPECT
-        return MemberKey(item.gateway, item.reporter if is_suspicion else NO_REPORTER)
+        return MemberKey(item.gateway, item.reporter if is_suspicion else NO_ACCUSER)
     return ObservationKey(item.reporter, item.process)
 
 
--- a/cloverkeel/gossip/driver.py
+++ b/cloverkeel/gossip/driver.py
@@ -1,6 +1,6 @@
 """I/O for the gossip node: datagrams, timers, outcomes of attempts, events for the balancer. Has no protocol logic.
 
-Bounds: the bytes sent, by the token bucket (token_bucket.py); the timers, by one besides the periodic check.
+The token bucket (token_bucket.py) limits the bytes sent. At most one timer is set besides that of the periodic check.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
             log(f"gossip: disabled, reason=too_few_gateways gateways={self.fleet_size}")
             return
         # Start without retry tokens: the previous process of this gateway may just have spent its own. Done here and
-        # not when the socket opens, as during a handover the old process may hold the address for long.
+        # not when the socket opens, as during an upgrade the previous process may hold the address for long.
         self.gateway.grant_retry_tokens(MAX_SAVED_TOKENS, -self.gateway.balancer.retry_token_state(self.clock())[0])
         self.datagrams.register(MAGIC, self)
 
--- a/cloverkeel/gossip/membership.py
+++ b/cloverkeel/gossip/membership.py
@@ -48,7 +48,7 @@
         return MemberItem(self.gateway, self.incarnation, MemberStatus.ALIVE, self.gateway)
 
     def member_item(self, gateway: int) -> MemberItem:
-        """Return the status of a peer, with its lowest-numbered accuser as the reporter, else this gateway."""
+        """Return the status of a peer, reported by its lowest-numbered accuser, or by this gateway if it has none."""
         peer = self.peers[gateway]
         accuser = min(peer.accusers, default=self.gateway)
         return MemberItem(gateway, peer.incarnation, peer.status, accuser)
--- a/cloverkeel/gossip/outlier_gossip.py
+++ b/cloverkeel/gossip/outlier_gossip.py
@@ -25,8 +25,9 @@
 
 REPORT_INTERVAL_US: Final = 800_000  # between this gateway's reports about one host
 CONFIRMATION_WINDOW_US: Final = 600_000  # reporters that saw a host fail within this time confirm each other
-MAX_FAILURE_REPORTERS: Final = 3  # forwarded per host; if as many are known, this gateway does not report
-MAX_SUCCESS_REPORTERS: Final = 4  # likewise, for observations that contradict a suspicion
+# Observations of failures that are forwarded per host. A gateway that knows of as many does not report its own.
+MAX_FAILURE_REPORTERS: Final = 3
+MAX_SUCCESS_REPORTERS: Final = 4  # the same for observations of successes that contradict a suspicion
 MAX_COMMON_FAILURE_RATIO: Final = 0.5  # failure ratio at other hosts above which failures are not reported
 SUSPICION_MEMORY_US: Final = 10_000_000  # for this long after a suspicion, successes of the host are reported
 
@@ -169,7 +170,7 @@
             self.broadcasts.forward(observation)
 
     def _confirm(self, now_us: int, host: HostProcess) -> None:
-        """Broadcast the failure observations of a host with a second reporter; add an own one if few are known."""
+        """Broadcast the failures of a host that two reporters observed; add this gateway's own if few are known."""
         self._note_suspicion(now_us, host)
         observations = self.failure_observations(now_us, host, CONFIRMATION_WINDOW_US)
         newest_first = sorted(observations, key=lambda observation: -observation.observed_us)
--- a/cloverkeel/gossip/outlier_reports.py
+++ b/cloverkeel/gossip/outlier_reports.py
@@ -20,7 +20,7 @@
 
 MAX_REPORTERS_PER_HOST: Final = 16
 MIN_REPORTERS: Final = 2  # reporters of failures that make a host a suspected outlier
-MIN_CREDIBILITY: Final = 0.25  # of a reporter that counts; the value if half of its attempts elsewhere fail
+MIN_CREDIBILITY: Final = 0.25  # of a reporter that counts; reached if half of its attempts at other hosts fail
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
 
     item: ObservationItem
     observed_us: int  # on this gateway's clock
-    transmissions_left: int = 0  # transmissions if it is forwarded; 0 if it is not to be, or already was
+    transmissions_left: int = 0  # when it is forwarded; 0 if it must not be forwarded, or already was
 
     def is_live(self, now_us: int) -> bool:
         """Return whether the observation has not expired."""
--- a/cloverkeel/gossip/token_bucket.py
+++ b/cloverkeel/gossip/token_bucket.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-FULL_MESSAGE_BYTES: Final = 256  # size of the message on which the platform's price is based
+FULL_MESSAGE_BYTES: Final = 256  # size of a message to which the price in the settings refers (Prices.peer)
 MESSAGES_PER_REQUEST: Final = 0.1  # full messages that may be sent for each request
 MIN_BYTES_PER_S: Final = 600.0  # at any request rate: enough for a probe, its answer and some broadcasts
 MAX_SAVED_BYTES: Final = 16_000.0
--- a/cloverkeel/leases/driver.py
+++ b/cloverkeel/leases/driver.py
@@ -63,9 +63,9 @@
         process = ProcessId(self.number, nonce)
         ballot_clock = BallotClock(self.number, nonce)
         self.manager = LeaseManager(process, len(config.peers), self.config, log, rng.random, ballot_clock)
-        self.nodes: LeaseNodeClient | None = None
+        self.node_client: LeaseNodeClient | None = None
         if options.store is LeaseStore.ZOOKEEPER:
-            self.nodes = self.make_node_client(options, process)
+            self.node_client = self.make_node_client(options, process)
             self.manager.uses_zookeeper = True
         self.timer: asyncio.TimerHandle | None = None
         self.poll_timer: asyncio.TimerHandle | None = None
@@ -86,21 +86,21 @@
     def start(self) -> None:
         """Start the leases; voting and proposing begin when the socket is open."""
         is_listed = self.number in range(len(self.peers))
-        if not is_listed or not (self.nodes or len(self.peers) >= self.config.quorum):
+        if not is_listed or not (self.node_client or len(self.peers) >= self.config.quorum):
             log(f"leases: off, too few gateways, gateways={len(self.peers)}, voters={self.config.voters}")
             return
         if self.moves_quotas:
             # The former process of this gateway may have lent the quota shortly before its end.
             self.gateway.set_slow_start_quota(-1, 0, self.clock() + LOAN_US, 0.0, 0)
         self.gateway.stall_listeners.append(self.on_stall)
-        if self.nodes is not None:
-            self.nodes.start()
+        if self.node_client is not None:
+            self.node_client.start()
         self.datagrams.register(MAGIC, self)
 
     def on_socket_open(self) -> None:
         """Start to vote and to request leases: the socket is open."""
         at_us = self.clock()
-        if self.number < self.config.voters and self.nodes is None:
+        if self.number < self.config.voters and self.node_client is None:
             # The quarantine counts from now on: datagrams sent to a former process were not received.
             self.manager.acceptor = Acceptor(at_us, self.config, self.manager.ballot_clock)
         for voter in range(min(self.config.voters, len(self.peers))):
@@ -121,8 +121,8 @@
                 handle.cancel()
         self.manager.release_all(self.clock())
         self.flush()
-        if self.nodes is not None:
-            self.nodes.close()
+        if self.node_client is not None:
+            self.node_client.close()
 
     # Timers
 
@@ -199,8 +199,8 @@
     def flush(self) -> None:
         """Send all queued node requests and datagrams."""
         for request in self.manager.outbox.take_node_requests():
-            if self.nodes is not None:
-                self.nodes.send(request)
+            if self.node_client is not None:
+                self.node_client.send(request)
         for sent in self.manager.outbox.take_messages():
             if sent.to == self.number:
                 self.loop.call_soon(self.deliver_to_self, sent.message)
--- a/cloverkeel/leases/manager.py
+++ b/cloverkeel/leases/manager.py
@@ -3,7 +3,7 @@
 Invariants:
 - a datagram with a different number of voters gets no answer;
 - a holder replies only while its lease is valid;
-- at most MAX_REQUESTS leases are requested at a time; the balancer handles further hosts as without leases.
+- at most MAX_REQUESTS leases are requested at a time; further hosts are handled as if leases were disabled.
 """
 
 from __future__ import annotations
@@ -194,7 +194,10 @@
     # Timers
 
     def next_timer_us(self) -> int:
-        """Return when to call `tick`; reports of this gateway to itself are not counted and wait for another call."""
+        """Return when to call `tick`.
+
+        The reports of this gateway to itself are left out: the next call of `tick` for another reason sends them.
+        """
         due_us = NEVER_US
         for request in self.request_by_lease.values():
             due_us = min(due_us, request.lease.next_timer_us())
--- a/cloverkeel/leases/quorum_lease.py
+++ b/cloverkeel/leases/quorum_lease.py
@@ -130,7 +130,7 @@
         return self.on_quorum_refused(now_us)
 
     def on_quorum_refused(self, now_us: int) -> list[Action]:
-        """Start a round with a new ballot as the holder; otherwise back off until the holder's lease has ended."""
+        """As the holder, start a round with a new ballot; else back off until the holder's lease has ended."""
         if self.phase is LeasePhase.HELD:
             # A restarted voter's minimum promise may exceed this ballot although no rival proposed.
             self.start_ballot(now_us)
@@ -140,7 +140,10 @@
         return self.on_round_failed(now_us, max(held, default=0))
 
     def on_round_failed(self, now_us: int, remaining_us: int) -> list[Action]:
-        """Retry a handover at once, otherwise back off; `remaining_us`: of another holder's lease, 0 if none."""
+        """Retry a handover at once, otherwise back off.
+
+        `remaining_us`: time until another gateway's lease expires; 0 if no voter reported one.
+        """
         self.failed_attempts += 1
         actions: list[Action] = []
         if self.is_proposing:
@@ -268,7 +271,10 @@
         return [SendMessage(self.successor, Handover(self.lease_id, self.token, self.handover_state))]
 
     def abort_handover(self, now_us: int) -> list[Action]:
-        """End the handover and release the lease: the voters ignore the consent of a handover that arrives later."""
+        """End the handover and release the lease.
+
+        If the successor receives the handover later, the voters ignore the consent in it.
+        """
         ended = LeaseEnded(self.lease_id, self.token, f"handover to gateway {self.successor} not acknowledged")
         actions: list[Action] = [ended, *self.broadcast_to_voters(Release(self.lease_id, self.token))]
         self.failed_attempts += 1
--- a/cloverkeel/leases/slow_start_budget.py
+++ b/cloverkeel/leases/slow_start_budget.py
@@ -1,7 +1,8 @@
 """Budget of a host in slow start: gateways lend quota that they do not need, the leader grants it to others. Pure.
 
-Each gateway has one quota of its own, the unit of all amounts in this module; a host can safely serve all quotas
-together (docs/design.md). A timestamp is a reading of one process's own clock; other processes only echo it.
+The leader is the holder of the lease of the host's budget. Each gateway has one quota of its own, the unit of all
+amounts in this module; a host can safely serve all quotas together (docs/design.md). A timestamp is a reading of one
+process's own clock; other processes only echo it.
 
 Invariants (docs/duties-design.md has the proof):
 - at any time the sum of the leader's unexpired grants is at most the sum of its unexpired loans, where grants expire
@@ -112,9 +113,9 @@
         until_us = echoed_us + LOAN_US - LOAN_US // CLOCK_DRIFT_DIVISOR
         if until_us <= now_us:
             return
-        before = self.loan_by_lender.get(lender)
-        if before is not None:
-            until_us = max(until_us, before.until_us)
+        previous = self.loan_by_lender.get(lender)
+        if previous is not None:
+            until_us = max(until_us, previous.until_us)
         self.loan_by_lender[lender] = Loan(quota, until_us)
 
     def grant_quota(self, now_us: int, borrower: int) -> float:
--- a/cloverkeel/leases/zookeeper_driver.py
+++ b/cloverkeel/leases/zookeeper_driver.py
@@ -24,7 +24,7 @@
 from cloverkeel.leases.zookeeper_lease import NO_ROUND, NodeOutcome, NodeResponse
 
 CONNECTION_RETRY: Final = {"max_tries": -1, "delay": 0.2, "backoff": 2, "max_jitter": 0.5, "max_delay": 2.0}
-TIMEOUT_PER_READ: Final = 1.5  # kazoo's read timeout is two thirds of the session timeout that the service granted
+SESSION_PER_READ_TIMEOUT: Final = 1.5  # kazoo's read timeout is two thirds of the granted session timeout
 
 OnResponse = Callable[[int, NodeResponse], None]
 
@@ -62,7 +62,7 @@
 
         def connect_and_observe(*arguments: Any) -> Any:
             read_s, connect_s = connect(*arguments)
-            self.granted_session_ms = round(read_s * TIMEOUT_PER_READ)
+            self.granted_session_ms = round(read_s * SESSION_PER_READ_TIMEOUT)
             return read_s, connect_s
 
         connection._connect = connect_and_observe
@@ -142,7 +142,10 @@
             self.respond(lease_id, NodeResponse(round_, NodeOutcome.FAILED))
 
     def on_read(self, lease_id: int, round_: int, result: Any) -> None:
-        """Classify an existing node; confirm our own node, left by a create whose response was lost, by a write."""
+        """Classify an existing node.
+
+        One of our own was left by a create whose response was lost; it is confirmed by a write.
+        """
         try:
             data, stat = result.get()
         except NoNodeError:
@@ -159,7 +162,7 @@
         write.rawlink(lambda written: self.on_written(lease_id, round_, written))
 
     def on_written(self, lease_id: int, round_: int, result: Any) -> None:
-        """Respond to a renewal."""
+        """Respond to a write, which renews a lease or confirms an existing node."""
         try:
             self.respond(lease_id, self.classify(round_, self.node_data, result.get()))
         except NoNodeError:
--- a/tests/fleet/gossip_fleet.py
+++ b/tests/fleet/gossip_fleet.py
@@ -38,7 +38,8 @@
     hosts: list[ScriptedServer] = field(default_factory=list)
     links: dict[tuple[int, int], TcpLink] = field(default_factory=dict)  # by gateway and host
     zones: tuple[int, ...] = ()  # of each gateway; empty: all in zone 0
-    failing_hosts: dict[int, Callable[[int], bool]] = field(default_factory=dict)  # whether it fails for a gateway
+    # By host: returns whether its responses to a gateway are errors.
+    failing_hosts: dict[int, Callable[[int], bool]] = field(default_factory=dict)
     has_gossip: bool = True
     request_count: int = 0
     statuses: Counter[int] = field(default_factory=Counter)
@@ -53,17 +54,17 @@
 
         def build_config() -> dict[str, Any]:
             config = configuration(*self.hosts)
-            known = []
+            endpoints = []
             for n in range(len(self.hosts)):
                 host, port = self.links[number, n].address
-                known.append(endpoint(f"s-{n}", f"{host}:{port}"))
+                endpoints.append(endpoint(f"s-{n}", f"{host}:{port}"))
             settings = config["settings"] | {"balancers": self.count, "index": number}
             settings["zone"] = self.zones[number] if self.zones else 0
             settings["caps"] |= {"peers": True}
             listen = self.mesh.listen_addresses[number]
             return config | {
                 "name": f"n{number}", "listen": f"127.0.0.1:{self.gateways[number].port}",
-                "known": hosts_list(7, *known), "settings": settings, "seed": f"5eed{number}",
+                "known": hosts_list(7, *endpoints), "settings": settings, "seed": f"5eed{number}",
                 "peer_listen": f"{listen[0]}:{listen[1]}", "peers": self.mesh.peers(number),
             }  # fmt: skip
 
@@ -145,7 +146,7 @@
     async def suspects(self, number: int, host: str) -> bool:
         """Return whether a gateway reports that it suspects a host. Tests wait for this; they don't check it."""
         state = await self.read_state(number, "PEERS")
-        return any(known["host"] == host and known["doubted"] for known in state["hosts"])
+        return any(status["host"] == host and status["doubted"] for status in state["hosts"])
 
     def check(self) -> None:
         """Check that no log has a defect."""
--- a/tests/fleet/lease_fleet.py
+++ b/tests/fleet/lease_fleet.py
@@ -1,7 +1,7 @@
 """A fleet of real gateways with a leased role, over links with faults, and a watcher that records the holders' acts.
 
-A failed check prints one timeline of all processes. Tests wait for what can be observed from outside; the timeouts
-only turn a hang into a failure.
+An act is a holder's reply to a report, under its fencing token. A failed check prints one timeline of all processes.
+Tests wait for what can be observed from outside; the timeouts only turn a hang into a failure.
 """
 
 from __future__ import annotations
@@ -202,7 +202,7 @@
         return act
 
     async def check_holder_continues(self, held: ObservedAct, for_s: float) -> None:
-        """Wait for that time; check that acts continue and none has a newer token. `check` checks older tokens."""
+        """Wait for that time; check that acts continue without a newer token. `check` finds older tokens."""
         first, until_us = len(self.acts), now_us() + int(for_s * 1e6)
         await self.wait_for(
             lambda: (act := self.mesh.watcher.last_act_of(self.role)) is not None and act.at_us > until_us,
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -50,40 +50,40 @@
 
 
 async def fail_host_for_others(fleet: GossipFleet) -> None:
-    """Make host 0 fail, and wait until the last gateway suspects it because of reports, without own requests."""
+    """Make host 0 fail; wait until its peers' reports make the last gateway, which sends no requests, suspect it."""
     fleet.fail(0)
     async with loaded(fleet, OTHER_GATEWAYS):
         await wait_until_suspected(fleet, LAST_GATEWAY)
 
 
-@pytest.mark.parametrize("clocks", [False, True])
+@pytest.mark.parametrize("wrong_clocks", [False, True])
 @on_loop
-async def test_gateway_rarely_uses_a_host_that_fails_for_other_gateways(tmp_path: Path, clocks: bool) -> None:
-    """The gateway has no own outcomes of the host. With `clocks`, two clocks are an hour off and one runs fast."""
-    clock_arguments = {0: "wall=3600", 1: "wall=-3600", LAST_GATEWAY: "rate=1.001"} if clocks else {}
+async def test_gateway_rarely_uses_a_host_that_fails_for_other_gateways(tmp_path: Path, wrong_clocks: bool) -> None:
+    """The gateway has no outcomes of its own for the host. Wrong clocks: two are an hour off and one runs fast."""
+    clock_arguments = {0: "wall=3600", 1: "wall=-3600", LAST_GATEWAY: "rate=1.001"} if wrong_clocks else {}
     start = (sys.executable, "-m", "tests.fleet.clocks")
     commands = {n: (*start, argument, *sockets.GATEWAY_COMMAND[2:]) for n, argument in clock_arguments.items()}
     async with running_gossip_fleet(tmp_path, commands=commands) as fleet:
         await fail_host_for_others(fleet)
-        marks = fleet.attempt_counts()
+        since = fleet.attempt_counts()
         await fleet.send_requests([LAST_GATEWAY], 30)
-        attempts = fleet.attempts_by_host([LAST_GATEWAY], marks)[0]
-        # About 10 without gossip; the breaker of a suspected host opens after a single own failure.
+        attempts = fleet.attempts_by_host([LAST_GATEWAY], since)[0]
+        # About 10 without gossip; the circuit breaker of a suspected host opens after one failure at this gateway.
         assert attempts <= 1, f"{attempts} of 30\n{fleet.timeline()}"
         fleet.check()
 
 
 @on_loop
 async def test_partitioned_gateway_detects_a_failing_host_itself(tmp_path: Path) -> None:
-    """Without its peers it works as without gossip; when the links are back, it receives reports of the fault."""
+    """While it is cut off, it works as if gossip were disabled; then it receives its peers' reports of the fault."""
     async with running_gossip_fleet(tmp_path) as fleet:
         fleet.partition([LAST_GATEWAY], list(OTHER_GATEWAYS))
         fleet.fail(0)
         async with loaded(fleet, OTHER_GATEWAYS):
             await wait_until_suspected(fleet, 0)
-            marks = fleet.attempt_counts()
+            since = fleet.attempt_counts()
             await fleet.send_requests([LAST_GATEWAY], 60)
-        attempts = fleet.attempts_by_host([LAST_GATEWAY], marks)[0]
+        attempts = fleet.attempts_by_host([LAST_GATEWAY], since)[0]
         # Limited by the gateway's own circuit breaker, as without gossip.
         assert 2 <= attempts <= 20, f"{attempts} of 60\n{fleet.timeline()}"
         fleet.heal()
@@ -100,18 +100,18 @@
         fleet.partition([LAST_GATEWAY], list(OTHER_GATEWAYS))
         fleet.recover(0)
         await wait_until_suspected(fleet, LAST_GATEWAY, is_suspected=False)
-        marks = fleet.attempt_counts()
+        since = fleet.attempt_counts()
         await fleet.send_requests([LAST_GATEWAY], 60)
-        assert fleet.attempts_by_host([LAST_GATEWAY], marks)[0] >= 6, fleet.timeline()  # its fair share is a third
+        assert fleet.attempts_by_host([LAST_GATEWAY], since)[0] >= 6, fleet.timeline()  # its fair share is a third
         fleet.check()
 
 
 async def check_others_use_all_hosts(fleet: GossipFleet, others: list[int], cut_off: list[int]) -> None:
     """Check that the other gateways use all hosts while every host is dead for the gateways in `cut_off`."""
-    marks = fleet.attempt_counts()
+    since = fleet.attempt_counts()
     async with loaded(fleet, cut_off):
         await fleet.send_requests(others, 1200 // len(others))
-    counts = fleet.attempts_by_host(others, marks)
+    counts = fleet.attempts_by_host(others, since)
     assert sum(counts) >= 0.95 * 1200, f"{counts}\n{fleet.timeline()}"  # rejected requests reach no host
     assert min(counts) >= 0.8 * sum(counts) / len(counts), f"{counts}\n{fleet.timeline()}"
 
@@ -135,10 +135,10 @@
     async with running_gossip_fleet(tmp_path, zones=(0, 0, 0, 1, 1, 1)) as fleet:
         await fleet.send_requests(range(6), 10)
         fleet.fail(0, lambda number: number >= 3)
-        marks = fleet.attempt_counts()
+        since = fleet.attempt_counts()
         async with loaded(fleet, (3, 4, 5)):
             await fleet.send_requests((0, 1, 2), 400)
-        counts = fleet.attempts_by_host((0, 1, 2), marks)
+        counts = fleet.attempts_by_host((0, 1, 2), since)
         assert counts[0] >= 0.93 * sum(counts) / len(counts), f"{counts}\n{fleet.timeline()}"
         fleet.check()
 
@@ -159,15 +159,15 @@
         )
         fleet.recover(0)
         fleet.mesh.set_conditions(LinkConditions())
-        marks = fleet.attempt_counts()
+        since_recovery = fleet.attempt_counts()
         received = {pair: link.received_count for pair, link in fleet.mesh.links.items()}
         await asyncio.sleep(3.5)  # the reports sent during the fault are still in transit
-        late_marks = fleet.attempt_counts()
+        since_load = fleet.attempt_counts()
         async with loaded(fleet, [LAST_GATEWAY]):
             # This gateway saw no failure: the host gets a third of its requests, even while late reports arrive.
             await asyncio.sleep(2.0)
-        counts = fleet.attempts_by_host([LAST_GATEWAY], late_marks)
-        assert counts[0] >= 0.7 * sum(counts) / 3, f"{counts} {marks} {received}\n{fleet.timeline()}"
+        counts = fleet.attempts_by_host([LAST_GATEWAY], since_load)
+        assert counts[0] >= 0.7 * sum(counts) / 3, f"{counts} {since_recovery} {received}\n{fleet.timeline()}"
         fleet.check()
 
 
@@ -186,9 +186,9 @@
         fleet.recover(0)
         await asyncio.sleep(2.5)  # all reports have expired
         fleet.resume(LAST_GATEWAY)
-        marks = fleet.attempt_counts()
+        since = fleet.attempt_counts()
         await fleet.send_requests([LAST_GATEWAY], 150)
-        counts = fleet.attempts_by_host([LAST_GATEWAY], marks)
+        counts = fleet.attempts_by_host([LAST_GATEWAY], since)
         assert counts[0] >= 0.5 * sum(counts) / 3, f"{counts}\n{fleet.timeline()}"
         fleet.check()
 
@@ -217,7 +217,7 @@
 
 @on_loop
 async def test_restarted_majority_is_sent_reports_by_the_remaining_gateway(tmp_path: Path) -> None:
-    """Five of six gateways are killed while a host fails; one of them suspects it again without own requests."""
+    """Five of six gateways are killed while a host fails; one of them suspects it again before it sends a request."""
     async with running_gossip_fleet(tmp_path) as fleet:
         await fail_host_for_others(fleet)
         await fleet.kill(1, 2, 3, 4, LAST_GATEWAY)
@@ -225,9 +225,9 @@
         await fleet.wait_until_ready(1, 2, 3, 4, LAST_GATEWAY)
         async with loaded(fleet, (0, 1, 2, 3)):
             await wait_until_suspected(fleet, LAST_GATEWAY)
-        marks = fleet.attempt_counts()
+        since = fleet.attempt_counts()
         await fleet.send_requests([LAST_GATEWAY], 30)
-        assert fleet.attempts_by_host([LAST_GATEWAY], marks)[0] <= 1, fleet.timeline()
+        assert fleet.attempts_by_host([LAST_GATEWAY], since)[0] <= 1, fleet.timeline()
         fleet.check()
 
 
@@ -238,31 +238,31 @@
     `min_accepted` tokens from others, for at least 400 requests, and until it has made 100 retries: while its circuit
     breakers are open it makes none for seconds, but still earns tokens.
     """
-    await fleet.send_requests(range(1, fleet.count), 10)  # each saves the maximum
+    await fleet.send_requests(range(1, fleet.count), 10)  # each of the others saves MAX_SAVED_TOKENS
     await fleet.send_requests([0], 60)
     count = itertools.count()
     for host in range(len(fleet.hosts)):
         fleet.fail(host, lambda number: next(count) % 2 == 0)
-    marks, requests, retries, overdraft, max_seen = fleet.attempt_counts(), 0, 0, 0.0, 0.0
+    since, requests, retries, overdraft, max_seen = fleet.attempt_counts(), 0, 0, 0.0, 0.0
     while requests < 400 or retries < 100 or (await fleet.read_state(0, "PEERS"))["rights"]["taken"] < min_accepted:
         for _ in range(50):
             await fleet.send_requests([0], 1)
             await wait_for_reuse_delay()  # otherwise waiting for a new connection counts as overload
-            previous, (_, retries) = retries, fleet.request_and_retry_counts(marks)
+            previous, (_, retries) = retries, fleet.request_and_retry_counts(since)
             overdraft = max(0.0, overdraft + ERROR_RETRY_COST * (retries - previous) - RETRY_RATIO)
             max_seen = max(max_seen, overdraft)
         requests += 50
     return max_seen
 
 
-@pytest.mark.parametrize("doubled", [False, True])
+@pytest.mark.parametrize("has_duplicates", [False, True])
 @on_loop
 async def test_tokens_move_to_the_gateway_short_of_them_and_are_never_spent_twice(
-    tmp_path: Path, doubled: bool
+    tmp_path: Path, has_duplicates: bool
 ) -> None:
     """One gateway spends at most what all gateways together may save, though most tokens moved to it."""
     async with running_gossip_fleet(tmp_path, count=4) as fleet:
-        if doubled:
+        if has_duplicates:
             fleet.mesh.set_conditions(LinkConditions(duplicate=1.0, jitter_us=5_000))
         spent = await max_overdraft(fleet, 2 * MAX_SAVED_TOKENS)
         assert spent <= fleet.count * MAX_SAVED_TOKENS + 1e-6, f"{spent}\n{fleet.timeline()}"
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -303,7 +303,7 @@
         await fleet.wait_until_ready(restarted)
         for number in others(fleet, restarted):
             assert (await fleet.send_command(number, "KEEPOFF")).startswith("ACK")
-        # The first excluded gateway may hand over to the second one before that is excluded, too.
+        # The first excluded gateway may hand over to the second one before the second one is excluded, too.
         second = await fleet.wait_for(
             lambda: act if (act := fleet.mesh.watcher.last_act_of(fleet.role)) and act.gateway == restarted else None,
             f"n{restarted} holds",
--- a/tests/gossip/test_commands.py
+++ b/tests/gossip/test_commands.py
@@ -118,7 +118,7 @@
 
 @on_loop
 async def test_new_process_has_no_tokens_while_the_old_process_holds_the_address() -> None:
-    """During a handover the old process keeps the address. Guards against two processes saving tokens meanwhile."""
+    """During an upgrade the old process keeps the address. Guards against two processes saving tokens meanwhile."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as old_socket:
         old_socket.bind(("127.0.0.1", 0))
         address = "{}:{}".format(*old_socket.getsockname())
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -192,7 +192,7 @@
 # One node with a real socket
 
 
-async def suspected_for_us(read_after_us: int) -> int:
+async def suspicion_duration_us(read_after_us: int) -> int:
     """Return how long a host is suspected after two failure reports were read `read_after_us` after being sent."""
     clock_us = NOW_US
     with contextlib.ExitStack() as stack:
@@ -235,7 +235,7 @@
 @on_loop
 async def test_reports_read_late_after_a_stall_count_by_their_age() -> None:
     """Guards against suspecting a host after a stall for a fault that is over."""
-    assert await suspected_for_us(0) == OBSERVATION_LIFETIME_US
-    assert await suspected_for_us(500_000) == OBSERVATION_LIFETIME_US - 500_000
-    assert await suspected_for_us(OBSERVATION_LIFETIME_US) == 0
-    assert await suspected_for_us(3_000_000) == 0
+    assert await suspicion_duration_us(0) == OBSERVATION_LIFETIME_US
+    assert await suspicion_duration_us(500_000) == OBSERVATION_LIFETIME_US - 500_000
+    assert await suspicion_duration_us(OBSERVATION_LIFETIME_US) == 0
+    assert await suspicion_duration_us(3_000_000) == 0
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -138,7 +138,7 @@
     assert not assessment.is_suspected_outlier
 
 
-def test_host_that_answers_the_own_zone_is_not_suspected_there() -> None:
+def test_host_that_is_healthy_from_a_zone_is_not_suspected_there() -> None:
     other_zone = observations_of(observe(1, failures=5, zone=1), observe(2, failures=5, zone=1))
     own_zone = observations_of(observe(3, 0, 2, zone=0))
     assert assess(NOW_US, other_zone, 0).is_suspected_outlier  # no observation from zone 0
--- a/tests/leases/helpers.py
+++ b/tests/leases/helpers.py
@@ -23,8 +23,8 @@
     return (counter << COUNTER_SHIFT) | gateway << GATEWAY_BITS
 
 
-class NoTask:
-    """A leased task that does nothing."""
+class StubTask:
+    """A leased task with constant reports and replies."""
 
     def build_report(self, now_us: int, lease_id: int, holder_process: int) -> bytes | None:
         return b"x"
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -7,7 +7,7 @@
 from cloverkeel.leases.messages import Header, LeaderReply, Prepare, StaleTokenNotice
 from cloverkeel.leases.placement import lease_id_of, rendezvous_score
 from cloverkeel.leases.reports import REPORTER_TIMEOUT_US
-from tests.leases.helpers import NOW_US, NoTask, ballot, make_manager
+from tests.leases.helpers import NOW_US, StubTask, ballot, make_manager
 
 
 class Fleet:
@@ -42,7 +42,7 @@
     names = [f"warden/{n}/0" for n in range(40)]
     for manager in fleet.managers:
         for name in names:
-            manager.request_lease(NOW_US, name, NoTask())
+            manager.request_lease(NOW_US, name, StubTask())
     fleet.run(NOW_US, NOW_US + 10_000_000)
     before = {name: holders(fleet, lease_id_of(name), NOW_US + 10_000_000) for name in names}
     assert all(len(found) == 1 for found in before.values())
@@ -56,7 +56,7 @@
 
 def test_a_gateway_that_stalls_repeatedly_hands_over() -> None:
     fleet = Fleet(4)
-    (lease_id,) = {manager.request_lease(NOW_US, "warden/1/0", NoTask()) for manager in fleet.managers}
+    (lease_id,) = {manager.request_lease(NOW_US, "warden/1/0", StubTask()) for manager in fleet.managers}
     at_us = NOW_US + 6_000_000
     fleet.run(NOW_US, at_us)
     (first,) = holders(fleet, lease_id, at_us)
@@ -72,7 +72,7 @@
 
 def test_a_holder_whose_reply_was_rejected_continues_above_the_newest_token() -> None:
     fleet = Fleet(3)
-    (lease_id,) = {manager.request_lease(NOW_US, "warden/1/0", NoTask()) for manager in fleet.managers}
+    (lease_id,) = {manager.request_lease(NOW_US, "warden/1/0", StubTask()) for manager in fleet.managers}
     at_us = NOW_US + 6_000_000
     fleet.run(NOW_US, at_us)
     (first,) = holders(fleet, lease_id, at_us)
@@ -89,7 +89,7 @@
     fleet = Fleet(3)
     for manager in fleet.managers:
         manager.set_excluded(NOW_US, True)
-        manager.request_lease(NOW_US, "warden/1/0", NoTask())
+        manager.request_lease(NOW_US, "warden/1/0", StubTask())
     fleet.run(NOW_US, NOW_US + 8_000_000)
     lease_id = lease_id_of("warden/1/0")
     assert not holders(fleet, lease_id, NOW_US + 8_000_000)
@@ -109,7 +109,7 @@
     fleet.deliver(NOW_US + 50_000_000)
     assert not holders(fleet, lease_id, NOW_US + 50_000_000)
     for number in range(2 * MAX_REQUESTS):
-        fleet.managers[0].request_lease(NOW_US, f"warden/{number + 2}/0", NoTask())
+        fleet.managers[0].request_lease(NOW_US, f"warden/{number + 2}/0", StubTask())
     assert (
         len(fleet.managers[0].request_by_lease) == MAX_REQUESTS and fleet.managers[0].counters.rejected_requests > 0
     )
@@ -117,7 +117,7 @@
 
 def test_a_different_number_of_voters_gets_no_answer_and_an_older_token_is_rejected() -> None:
     manager = make_manager(0)
-    lease_id = manager.request_lease(NOW_US, "warden/1/0", NoTask())
+    lease_id = manager.request_lease(NOW_US, "warden/1/0", StubTask())
     manager.receive(NOW_US, Header(5, 1, 1, 0), Prepare(lease_id, ballot(1), 1))
     assert not manager.outbox.messages and manager.counters.rejected_headers == 1
     manager.outbox.take_messages()
--- a/tests/leases/test_zookeeper_lease.py
+++ b/tests/leases/test_zookeeper_lease.py
@@ -75,7 +75,10 @@
 
 
 def after_stale_token(lease: ZookeeperLease, response: NodeResponse) -> list[Action]:
-    """Reject a reply because of token 90: the holder stops and asks the service; return what its response causes."""
+    """Let token 90 cause a reply to be rejected, so that the holder stops and asks the service.
+
+    Return the actions that the service's response causes.
+    """
     (ended,) = lease.on_stale_token(NOW_US + 2, 90)
     assert isinstance(ended, LeaseEnded) and not lease.can_act(NOW_US + 2)
     lease.tick(lease.next_timer_us())
