--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -176,7 +176,7 @@
             result.violations.append(f"no gateway holds the lease after all faults have ended: {error}")
         violations = fleet.find_violations()
         result.violations += [
-            f"{violation.what}: {violation.act} after {violation.earlier}" for violation in violations
+            f"{violation.description}: {violation.act} after {violation.earlier}" for violation in violations
         ]
         result.violations += [fault for gateway in fleet.gateways for fault in gateway.defect_lines()]
         result.holder_count, result.act_count = (
--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -82,7 +82,7 @@
     environment = SessionEnvironment(scenario, options.seed, seconds, folder, options.rate)
 
     async def end_sessions() -> None:
-        while not any(address.is_open for address in environment.proxy_addresses.targets_by_name.values()):
+        while not any(target.is_open for target in environment.connection_balancer.targets_by_name.values()):
             await asyncio.sleep(0.1)
         await asyncio.sleep(2.0)
         await environment.end_sessions(options.expiries)
--- a/benchmarks/guards/scenario_runs.py
+++ b/benchmarks/guards/scenario_runs.py
@@ -80,7 +80,7 @@
     summary = summarise(checker, scenario.name, run.seed, environment.seconds)
     first: dict[str, str] = {}
     for violation in violations:
-        first.setdefault(violation.rule, f"{violation.subject}: {violation.what}")
+        first.setdefault(violation.rule, f"{violation.subject}: {violation.description}")
     return RunResult(
         {rule: count for rule, count in summary.breaches.items() if count}, first, summary.service,
         summary.cold, environment.logged_defects,
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -424,7 +424,7 @@
         except* AssertionError as errors:
             result.violations += [str(error) for error in errors.exceptions]
         record = fleet.record()
-        result.violations += [f"{violation.subject}: {violation.what}" for violation in check_relays(record)]
+        result.violations += [f"{violation.subject}: {violation.description}" for violation in check_relays(record)]
         result.violations += fleet.faults()
         result.request_count, result.rejected_count = len(record.requests), fleet.statuses[503]
         result.direct_poll_count, result.duration_s = len(record.direct_polls), time.monotonic() - start_s
--- a/standins/checker/drains.py
+++ b/standins/checker/drains.py
@@ -33,5 +33,5 @@
             return
         if late_us > self._observations.delays.stalled_us(deadline_us, attempt.at_us):
             after_s = (attempt.at_us - since_us) / 1e6
-            what = f"sent to {attempt.backend} {after_s:.3f} s after {gateway} was notified"
-            yield request_violation(self._observations, attempt.id, Rule.DRAIN, attempt.at_us, what)
+            description = f"sent to {attempt.backend} {after_s:.3f} s after {gateway} was notified"
+            yield request_violation(self._observations, attempt.id, Rule.DRAIN, attempt.at_us, description)
--- a/standins/checker/duplicates.py
+++ b/standins/checker/duplicates.py
@@ -1,8 +1,8 @@
 """Check that no request takes effect twice.
 
-An unsafe request may be repeated only when each earlier attempt was rejected or was not received completely; one with
-an idempotency key only in the same group and within the idempotency window; neither may be refused after it may have
-run.
+An unsafe request may be sent again only if each earlier attempt was rejected or was not received completely. A
+request with an idempotency key may be sent again only to the same group and within the idempotency window. A request
+of either kind that may have run must not be answered with 429 or 503, because clients repeat refused requests.
 """
 
 from __future__ import annotations
@@ -49,23 +49,23 @@
         attempts_by_process: dict[ProcessLifetime | None, list[BackendAttempt]] = defaultdict(list)
         for attempt in attempts:
             attempts_by_process[self._observations.process_of(attempt)].append(attempt)
-        for sent in attempts_by_process.values():
-            yield from self._check_attempt_count(id_, sent)
+        for process_attempts in attempts_by_process.values():
+            yield from self._check_attempt_count(id_, process_attempts)
             if not self._rules.second_copies:
-                yield from self._check_concurrent_attempts(id_, sent)
+                yield from self._check_concurrent_attempts(id_, process_attempts)
 
     def _check_attempt_count(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
         max_attempts = self._rules.attempts
         if len(attempts) > max_attempts:
-            what = f"sent {len(attempts)} times, {max_attempts} at most"
-            yield self._violation(id_, attempts[max_attempts].at_us, what)
+            description = f"sent {len(attempts)} times, {max_attempts} at most"
+            yield self._violation(id_, attempts[max_attempts].at_us, description)
 
     def _check_concurrent_attempts(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
         for earlier, attempt in pairwise(attempts):
             ended_us = earlier.ended_us - self._rules.slack_us if earlier.ended_us else FOREVER_US
             if attempt.at_us < ended_us:
-                what = f"sent to {attempt.backend} while an attempt at {earlier.backend} is in flight"
-                yield self._violation(id_, attempt.at_us, what)
+                description = f"sent to {attempt.backend} while an attempt at {earlier.backend} is in flight"
+                yield self._violation(id_, attempt.at_us, description)
 
     def _check_repeat(
         self, request_class: RequestClass, attempt: BackendAttempt, before: Sequence[BackendAttempt]
@@ -76,20 +76,20 @@
             return
         first = earlier[0]
         if request_class.effect == "unsafe":
-            what = f"sent to {attempt.backend} although it may have run at {first.backend}"
-            yield self._violation(attempt.id, attempt.at_us, what)
+            description = f"sent to {attempt.backend} although it may have run at {first.backend}"
+            yield self._violation(attempt.id, attempt.at_us, description)
             return
         age_us = attempt.at_us - first.at_us
         if any(other.group != attempt.group for other in earlier):
-            what = f"repeated at {attempt.backend}, not in the group of {first.backend}, where it may have run"
-            yield self._violation(attempt.id, attempt.at_us, what)
+            description = f"repeated at {attempt.backend}, not in the group of {first.backend}, where it may have run"
+            yield self._violation(attempt.id, attempt.at_us, description)
         elif age_us >= request_class.window_us:
-            what = f"repeated {age_us / 1e6:.3f} s after it was first sent; "
-            what += f"backends drop repeats for {request_class.window_us / 1e6:g} s"
-            yield self._violation(attempt.id, attempt.at_us, what)
+            description = f"repeated {age_us / 1e6:.3f} s after it was first sent; "
+            description += f"backends drop repeats for {request_class.window_us / 1e6:g} s"
+            yield self._violation(attempt.id, attempt.at_us, description)
 
     def _check_refusals(self, id_: str, attempts: Sequence[BackendAttempt]) -> Iterator[Violation]:
-        """Check that no request was refused that may have run, as clients repeat refused requests."""
+        """Check that no request that may have run was refused, because clients repeat refused requests."""
         gateway = self._observations.requests_by_id[id_][-1].gateway
         for outcome in self._observations.outcomes_by_id.get(id_, []):
             if not isinstance(outcome, ResponseReceived):
@@ -97,17 +97,18 @@
             if outcome.status not in REFUSAL_STATUSES:
                 continue
             before = [attempt for attempt in attempts if attempt.at_us <= outcome.at_us]
-            ran = self._attempts_that_may_have_run(before, gateway, outcome.at_us)
-            if ran:
-                what = (
-                    f"refused with {outcome.status}, so a client repeats it, but it may have run at {ran[0].backend}"
+            possibly_run = self._attempts_that_may_have_run(before, gateway, outcome.at_us)
+            if possibly_run:
+                description = (
+                    f"refused with {outcome.status}, so a client repeats it, but it may have run"
+                    f" at {possibly_run[0].backend}"
                 )
-                yield self._violation(id_, outcome.at_us, what)
+                yield self._violation(id_, outcome.at_us, description)
 
     def _attempts_that_may_have_run(
         self, attempts: Sequence[BackendAttempt], gateway: str, at_us: int
     ) -> list[BackendAttempt]:
-        """Return the attempts that the gateway had to assume to have run by then."""
+        """Return the attempts of which the gateway had to assume at `at_us` that they may have run."""
         return [
             attempt
             for attempt in attempts
@@ -115,7 +116,10 @@
         ]
 
     def _was_lost_with_its_process(self, attempt: BackendAttempt, gateway: str, at_us: int) -> bool:
-        """Tell whether another process sent the attempt and was killed since: the client may repeat the request."""
+        """Tell whether a process that was killed sent the attempt, and not the gateway's process at `at_us`.
+
+        A client may then repeat the request.
+        """
         sender = self._observations.process_of(attempt)
         if sender is None:
             return False
@@ -123,10 +127,10 @@
             return False
         return sender is not self._observations.processes.process_at(gateway, at_us)
 
-    def _violation(self, id_: str, at_us: int, what: str) -> Violation:
-        return request_violation(self._observations, id_, Rule.DUPLICATE, at_us, what)
+    def _violation(self, id_: str, at_us: int, description: str) -> Violation:
+        return request_violation(self._observations, id_, Rule.DUPLICATE, at_us, description)
 
 
 def was_rejected(attempt: BackendAttempt, by_us: int) -> bool:
-    """Tell whether the backend had told the sender by `by_us` that the attempt did not run."""
+    """Tell whether the backend had rejected the attempt by `by_us`, so that the sender knows that it did not run."""
     return attempt.how == "rejected" and 0 < attempt.ended_us <= by_us
--- a/standins/checker/event_checker.py
+++ b/standins/checker/event_checker.py
@@ -1,8 +1,8 @@
 """Check a run against the rules by its event log: pure, no clock, no I/O.
 
 Invariants of the package: it reads what backends, clients, the registry and the network observed, and nothing that a
-gateway reports about itself; each violation contains the whole timeline of its subject; while the emulator was
-stalled (SchedulingDelay), limits are longer by that much and no more.
+gateway reports about itself; each violation contains the whole timeline of its subject; a time limit is extended by
+the time for which the emulator was stalled (SchedulingDelay), and by no more.
 
 Each of these modules checks one rule: responses, duplicates, drains, slow_start. gateway_processes and
 misbehaving_clients check the rest.
@@ -43,7 +43,7 @@
         return self._slow_start.peaks
 
     def process_at(self, gateway: str, at_us: int) -> ProcessLifetime | None:
-        """Return the gateway's process that ran then, or None if there was none."""
+        """Return the gateway's process that was the latest to start by `at_us`, or None if none had started."""
         return self._observations.processes.process_at(gateway, at_us)
 
     def find_violations(self) -> list[Violation]:
@@ -65,8 +65,8 @@
     def _check_completeness(self) -> Iterator[Violation]:
         dropped = self.event_log.dropped
         if dropped:
-            what = f"{dropped} events were dropped: the event log is incomplete"
-            yield Violation(Rule.MISSING, self._observations.end_us, "event log", what)
+            description = f"{dropped} events were dropped: the event log is incomplete"
+            yield Violation(Rule.MISSING, self._observations.end_us, "event log", description)
 
     def _check_requests(self) -> Iterator[Violation]:
         responses = ResponseCheck(self._observations)
@@ -79,7 +79,7 @@
         responses = ResponseCheck(self._observations)
         drains = DrainCheck(self._observations)
         for id_, attempts in self._observations.attempts_by_id.items():
-            yield from responses.check_known(id_)
+            yield from responses.check_was_sent(id_)
             for attempt in attempts:
                 yield from drains.check_attempt(attempt)
 
--- a/standins/checker/gateway_processes.py
+++ b/standins/checker/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Check gateway processes: none exits unasked, and each stays within its limits of memory and descriptors."""
+"""Check gateway processes: each exits only when signalled to, and stays within its memory and descriptor limits."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 def check_exits(observations: Observations) -> Iterator[Violation]:
-    """Yield a violation for each process that exited unasked, or failed though it was not killed."""
+    """Yield a violation for each process that exited unexpectedly, or with an error although it was not killed."""
     for exit_ in observations.processes.exits:
         event = exit_.event
         has_failed = event.code != 0 and not exit_.was_killed
         if event.was_requested and not has_failed:
             continue
-        what = f"exited with code {event.code}"
+        description = f"exited with code {event.code}"
         if not event.was_requested:
-            what += ", unasked"
-        yield Violation(Rule.CRASH, event.at_us, event.gateway, what)
+            description += " without being signalled to exit"
+        yield Violation(Rule.CRASH, event.at_us, event.gateway, description)
 
 
 def check_resources(observations: Observations) -> Iterator[Violation]:
--- a/standins/checker/leases.py
+++ b/standins/checker/leases.py
@@ -1,7 +1,7 @@
 """Check leader leases by the acts that an external party received: one holder at a time, growing fencing tokens.
 
-Invariant: acts are passed in the order in which one socket received them, which is the order in which they were sent.
-So an act with an older token than the act before it was sent by a gateway that was no longer the holder: the fencing
+Acts must be passed in the order in which one socket received them, which is the order in which they were sent. So an
+act with an older token than the act before it was sent by a gateway that was no longer the holder, and the fencing
 check rejects it. Pure; imports no product code.
 """
 
@@ -30,7 +30,7 @@
 class LeaseViolation:
     """One violation, with the earlier act that conflicts with it."""
 
-    what: str
+    description: str
     act: ObservedAct
     earlier: ObservedAct
 
@@ -56,24 +56,25 @@
 
 def check_leases(
     acts: Sequence[ObservedAct],
-    stops: Mapping[int, int] | None = None,
-    blanks: Sequence[int] = (),
+    stop_counts: Mapping[int, int] | None = None,
+    all_down_at_us: Sequence[int] = (),
     lease_us: int = 0,
-    expiries: Sequence[int] = (),
+    forced_expiries_us: Sequence[int] = (),
 ) -> list[LeaseViolation]:
     """Return where the fencing check accepts acts of two holders, or where a fencing token is lower than before.
 
-    `stops`: how often each gateway was stopped. Each stop allows one rejected act of that gateway, which was stopped
-    between its last reading of the clock and the write.
+    `stop_counts`: how often each gateway was stopped. Each stop allows one rejected act of that gateway, as it may
+    have been stopped between its last reading of the clock and the write.
 
-    `blanks`: moments at which no gateway process ran. After one, only the fencing check remembers older tokens,
-    and it reports that it has seen a newer one. A later holder may act under an older token for at most one lease
-    duration, and the fencing check rejects these acts. The rules apply among the later holders.
+    `all_down_at_us`: times at which no gateway process ran. After such a time only the fencing check knows the
+    earlier tokens. A new holder may therefore act under a lower token, for at most one lease duration: the fencing
+    check rejects these acts and reports the newest token to the holder. Holders after such a time are checked against
+    each other as usual.
 
-    `expiries`: moments at which sessions were ended early, on purpose. A holder whose session was ended may act under
-    its token until it is notified, for at most one lease duration. The fencing check rejects these acts.
+    `forced_expiries_us`: times at which sessions were ended early, on purpose. A holder whose session was ended may
+    act under its token until it is notified, for at most one lease duration. The fencing check rejects these acts.
     """
-    checker = LeaseChecker(stops or {}, blanks, lease_us, expiries)
+    checker = LeaseChecker(stop_counts or {}, all_down_at_us, lease_us, forced_expiries_us)
     for act in acts:
         checker.check_act(act)
     return checker.violations
@@ -83,14 +84,19 @@
     """Checks acts one by one, in the order in which they were received. `check_leases` explains the arguments."""
 
     def __init__(
-        self, stops: Mapping[int, int], blanks: Sequence[int], lease_us: int, expiries: Sequence[int]
+        self,
+        stop_counts: Mapping[int, int],
+        all_down_at_us: Sequence[int],
+        lease_us: int,
+        forced_expiries_us: Sequence[int],
     ) -> None:
         self.violations: list[LeaseViolation] = []
-        self._allowed_rejections = dict(stops)
-        self._blanks = blanks
+        self._allowed_rejections = dict(stop_counts)
+        self._all_down_at_us = all_down_at_us
         self._max_stale_us = lease_us + SLACK_US
-        self._expiries = expiries
-        self._newest_by_era: dict[tuple[int, int], ObservedAct] = {}  # by role and number of earlier blanks
+        self._forced_expiries_us = forced_expiries_us
+        # By role, and by how many of `all_down_at_us` have passed.
+        self._newest_by_role_and_outage_count: dict[tuple[int, int], ObservedAct] = {}
         self._highest_by_role: dict[
             int, ObservedAct
         ] = {}  # by role: the act with the highest token that the fencing check has seen
@@ -102,20 +108,21 @@
         begin_us = self._term_begins_us.setdefault(term_of(act), act.at_us)
         if self._is_expired_holder(begin_us, act):
             return
-        era = (act.role, bisect_right(self._blanks, act.at_us))
-        newest = self._newest_by_era.get(era)
+        key = (act.role, bisect_right(self._all_down_at_us, act.at_us))
+        newest = self._newest_by_role_and_outage_count.get(key)
         if newest is not None and act.fencing_token < newest.fencing_token:
             self._on_older_token(act, newest)
             return
-        if newest is not None and is_rival(act, newest):
+        if newest is not None and is_token_conflict(act, newest):
             self._report("two holders with one fencing token", act, newest)
-        self._newest_by_era[era] = act
+        self._newest_by_role_and_outage_count[key] = act
         self._check_against_highest(act)
 
     def _is_expired_holder(self, begin_us: int, act: ObservedAct) -> bool:
-        """Tell whether the act is that of a holder whose session was ended, which the fencing check rejects."""
+        """Tell whether the act is that of a holder whose session was ended, and the fencing check rejects it."""
         was_ended_recently = any(
-            begin_us <= expired_us <= act.at_us <= expired_us + self._max_stale_us for expired_us in self._expiries
+            begin_us <= expired_us <= act.at_us <= expired_us + self._max_stale_us
+            for expired_us in self._forced_expiries_us
         )
         highest = self._highest_by_role.get(act.role)
         if not was_ended_recently or highest is None:
@@ -137,8 +144,8 @@
         if act.at_us - first.at_us > self._max_stale_us:
             self._report("acts continue under a rejected fencing token", act, highest)
 
-    def _report(self, what: str, act: ObservedAct, earlier: ObservedAct) -> None:
-        self.violations.append(LeaseViolation(what, act, earlier))
+    def _report(self, description: str, act: ObservedAct, earlier: ObservedAct) -> None:
+        self.violations.append(LeaseViolation(description, act, earlier))
 
 
 def term_of(act: ObservedAct) -> Term:
@@ -146,8 +153,8 @@
     return Term(act.role, act.fencing_token, act.gateway, act.process_nonce)
 
 
-def is_rival(act: ObservedAct, other: ObservedAct) -> bool:
-    """Tell whether two processes acted under one fencing token."""
+def is_token_conflict(act: ObservedAct, other: ObservedAct) -> bool:
+    """Tell whether the acts are those of two processes under one fencing token."""
     if act.fencing_token != other.fencing_token:
         return False
     return (act.gateway, act.process_nonce) != (other.gateway, other.process_nonce)
--- a/standins/checker/misbehaving_clients.py
+++ b/standins/checker/misbehaving_clients.py
@@ -17,8 +17,8 @@
     """Yield the violations of gateways towards clients that break the protocol."""
     for client in observations.misbehaving_clients:
         if client.status == STATUS_OK and not client.may_be_served:
-            what = f"served a client that sent: {client.what}"
-            yield Violation(Rule.MISSING, client.ended_us, client.gateway, what)
+            description = f"served a client that sent: {client.what}"
+            yield Violation(Rule.MISSING, client.ended_us, client.gateway, description)
         yield from check_deadline(observations, client)
 
 
@@ -35,5 +35,7 @@
     if observations.processes.is_loss_excused(client.gateway, client.at_us, deadline_us):
         return
     if late_us > observations.delays.stalled_us(client.at_us, ended_us):
-        what = f"neither an error nor a close in {rules.rude_us / 1e6:g} s for a client that sent: {client.what}"
-        yield Violation(Rule.MISBEHAVING, deadline_us, client.gateway, what)
+        description = (
+            f"neither an error nor a close in {rules.rude_us / 1e6:g} s for a client that sent: {client.what}"
+        )
+        yield Violation(Rule.MISBEHAVING, deadline_us, client.gateway, description)
--- a/standins/checker/notifications.py
+++ b/standins/checker/notifications.py
@@ -58,8 +58,8 @@
     ) -> None:
         """Add the changes that each gateway could have polled, as if it had been notified of them.
 
-        A gateway that neither watched nor polled for `max_silence_us` counts as notified. Changes for which that
-        moment is not before `end_us`, the end of the run, are left out.
+        A gateway that neither watched nor polled for `max_silence_us` counts as notified. Changes of which it
+        counts as notified only at `end_us`, the end of the run, or later are left out.
         """
         periods_by_gateway = listening_periods(polls, processes, max_silence_us)
         for gateway, periods in periods_by_gateway.items():
@@ -75,7 +75,11 @@
 def listening_periods(
     polls: Sequence[DiscoveryPoll], processes: ProcessHistory, max_silence_us: int
 ) -> dict[str, list[tuple[int, int]]]:
-    """Return by gateway the periods, by beginning, in which a gateway need not learn of a change at once."""
+    """Return for each gateway its listening periods, sorted by their begin.
+
+    A period lasts from the start of a process, or from the begin of a poll, until `max_silence_us` after the start or
+    after the poll's end. A gateway that was not notified of a change in a period counts as notified at its end.
+    """
     periods_by_gateway: dict[str, list[tuple[int, int]]] = {
         gateway: [(lifetime.start_us, lifetime.start_us + max_silence_us) for lifetime in lifetimes]
         for gateway, lifetimes in processes.lifetimes_by_gateway.items()
@@ -89,7 +93,7 @@
 
 
 def notification_due_us(changed_us: int, periods: Sequence[tuple[int, int]]) -> int:
-    """Return from when on a gateway counts as notified of a change, given its listening periods by beginning."""
+    """Return the time at which a gateway counts as notified of a change, given its sorted listening periods."""
     at_us = changed_us
     for begin_us, end_us in periods:
         if begin_us <= at_us < end_us:
--- a/standins/checker/observations.py
+++ b/standins/checker/observations.py
@@ -33,7 +33,7 @@
 from standins.site import CLASSES, Rules
 
 Outcome = ResponseReceived | ResponseMissing
-COLLAPSED: Final = "fell"  # how a backend stops that is overloaded during slow start
+COLLAPSED: Final = "fell"  # `BackendStopped.how` of a backend that collapsed under overload in slow start
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,7 +78,10 @@
         return self.processes.process_at(self.sender_of(attempt), attempt.at_us)
 
     def sender_of(self, attempt: BackendAttempt) -> str:
-        """Return the gateway that sent an attempt: the one that the link recorded, or that which had the request."""
+        """Return the gateway that sent an attempt.
+
+        It is the gateway that the link recorded, or else the one to which a client had last sent the request.
+        """
         if attempt.gateway:
             return attempt.gateway
         requests = self.requests_by_id.get(attempt.id, [])
--- a/standins/checker/process_history.py
+++ b/standins/checker/process_history.py
@@ -47,8 +47,8 @@
                 pass
 
     @property
-    def was_killed_in_time(self) -> bool:
-        """Tell whether SIGKILL came so soon after SIGTERM that requests in flight may be lost."""
+    def was_killed_early(self) -> bool:
+        """Tell whether SIGKILL came without SIGTERM, or so soon after it that requests in flight may be lost."""
         return self.kill_us - self.term_us <= KILL_EXCUSE_US
 
     def was_stopped_between(self, begin_us: int, end_us: int) -> bool:
@@ -85,7 +85,7 @@
             self.exits.append(ProcessExit(event, lifetime.kill_us != FOREVER_US))
 
     def process_at(self, gateway: str, at_us: int) -> ProcessLifetime | None:
-        """Return the gateway's process that was the latest to start by then."""
+        """Return the gateway's process that was the latest to start by `at_us`; None if none had started."""
         for lifetime in reversed(self.lifetimes_by_gateway.get(gateway, [])):
             if lifetime.start_us <= at_us:
                 return lifetime
@@ -99,6 +99,6 @@
             return not self.lifetimes_by_gateway.get(gateway)
         if held_since_us >= lifetime.end_us:
             return True  # the kernel had accepted the bytes after the process ended
-        if lifetime.kill_us <= until_us and lifetime.was_killed_in_time:
+        if lifetime.kill_us <= until_us and lifetime.was_killed_early:
             return True
         return lifetime.was_stopped_between(held_since_us, until_us)
--- a/standins/checker/relays/__init__.py
+++ b/standins/checker/relays/__init__.py
@@ -1,15 +1,17 @@
 """Check gateways behind relays by the observations of hosts, clients and discoveries, and by the outages. Pure.
 
 The checked invariants; times are microseconds of one clock:
-- no gateway sends to a host that drains or is gone after the change could have reached it: some chain of gateway,
-  relay and discovery worked for DELIVERY_TIMEOUT_US since, and INTERRUPTION_COST_US more for each interruption;
-- a host that a gateway has left is not used again while it drains, even before that time;
-- a host that has returned is used by each gateway that the change could have reached, FIRST_USE_TIMEOUT_US later;
+- no gateway sends to a host that drains or is gone once the change could have reached the gateway: since the change,
+  some chain of gateway, relay and discovery has worked for DELIVERY_TIMEOUT_US, and for INTERRUPTION_COST_US more for
+  each of its interruptions;
+- a gateway that has left a draining host does not use the host again while it drains, even before that time;
+- a host that has returned is used by each gateway that the change could have reached, at most FIRST_USE_TIMEOUT_US
+  later;
 - no gateway is without hosts: it does not refuse all requests for MAX_REFUSING_US, and clients get only a host's
   response or 503;
 - each request gets its own response within RESPONSE_TIMEOUT_US, not counting the gateway's stops;
 - a gateway polls discovery directly at most once in `direct_poll_interval_us`;
-- no process exits unasked.
+- no process exits without having been signalled to exit.
 While discoveries disagree on a host, its use is not checked: it counts as serving or removed once all agree.
 """
 
@@ -25,7 +27,7 @@
     Outage,
     RelayViolation,
     RunRecord,
-    UnaskedExit,
+    UnexpectedExit,
 )
 from standins.checker.relays.responses import ResponseCheck
 
@@ -38,7 +40,7 @@
     "Outage",
     "RelayViolation",
     "RunRecord",
-    "UnaskedExit",
+    "UnexpectedExit",
     "check_relays",
 ]
 
@@ -51,5 +53,7 @@
         *ResponseCheck(record, outages).check(),
         *check_direct_polls(record, outages),
     ]
-    violations += [RelayViolation("a process exited unasked", exit_.at_us, exit_.process) for exit_ in record.exits]
+    violations += [
+        RelayViolation("a process exited unexpectedly", exit_.at_us, exit_.process) for exit_ in record.exits
+    ]
     return sorted(violations, key=lambda violation: violation.at_us)
--- a/standins/checker/relays/direct_polls.py
+++ b/standins/checker/relays/direct_polls.py
@@ -30,6 +30,6 @@
         for count, last_us in enumerate(polls_us[first + 1 :], 1):
             passed_us = last_us - at_us
             if passed_us + slack_us < count * record.direct_poll_interval_us:
-                what = f"polled discovery directly {count + 1} times in {passed_us / 1e6:.3f} s"
-                return RelayViolation(what, last_us, f"n{gateway}")
+                description = f"polled discovery directly {count + 1} times in {passed_us / 1e6:.3f} s"
+                return RelayViolation(description, last_us, f"n{gateway}")
     return None
--- a/standins/checker/relays/endpoints.py
+++ b/standins/checker/relays/endpoints.py
@@ -13,7 +13,8 @@
 from standins.checker.relays.record import RelayViolation, RunRecord
 
 FIRST_USE_TIMEOUT_US: Final = 2_000_000  # from the notification of a host to the first request to it
-MAX_REQUESTS_ELSEWHERE: Final = 80  # a gateway that sent more elsewhere, and none to a host, has left that host
+# A gateway that has sent more requests to other hosts since its last request to a host has left that host.
+MAX_REQUESTS_ELSEWHERE: Final = 80
 
 
 class HostState(Enum):
@@ -89,9 +90,11 @@
         previous_us = arrivals_us[first - 1] if first else 0
         late_us = 0
         if self._has_left(gateway, previous_us, period.begin_us):
-            previous_us = 0  # not in use, for example as the gateway had not learnt of the host's return
+            previous_us = 0  # not in use before, for example as the gateway was not notified of the host's return
         for at_us in arrivals_us[first : bisect_right(arrivals_us, period.end_us)]:
-            if self._outages.could_have_heard(gateway, period.begin_us, at_us, DELIVERY_TIMEOUT_US + SLACK_US):
+            if self._outages.could_have_received_change(
+                gateway, period.begin_us, at_us, DELIVERY_TIMEOUT_US + SLACK_US
+            ):
                 late_us = at_us
             if has_one_source and previous_us and self._has_left(gateway, previous_us, at_us):
                 unused_s = (at_us - previous_us) / 1e6
@@ -112,16 +115,17 @@
         arrivals_us = self._arrivals_us[gateway, host]
         first = bisect_right(arrivals_us, period.begin_us)
         used_us = min(arrivals_us[first] if first < len(arrivals_us) else period.end_us, period.end_us)
-        # The bound may be exceeded when an outage begins, though not when it ends, as the outage extends it.
+        # Checked also when each outage begins, as an outage extends the bound: it may be exceeded then, and no longer
+        # when the outage ends.
         outages_us = [
             outage.begin_us for outage in self._record.outages if period.begin_us < outage.begin_us < used_us
         ]
         for at_us in sorted([*outages_us, used_us]):
             timeout_us = DELIVERY_TIMEOUT_US + FIRST_USE_TIMEOUT_US
-            if self._outages.could_have_heard(gateway, period.begin_us, at_us, timeout_us):
+            if self._outages.could_have_received_change(gateway, period.begin_us, at_us, timeout_us):
                 unused_s = (used_us - period.begin_us) / 1e6
-                what = f"not used for {unused_s:.3f} s after its return"
-                yield RelayViolation(what, at_us, f"n{gateway} s-{host}")
+                description = f"not used for {unused_s:.3f} s after its return"
+                yield RelayViolation(description, at_us, f"n{gateway} s-{host}")
                 return
 
 
--- a/standins/checker/relays/outages.py
+++ b/standins/checker/relays/outages.py
@@ -30,8 +30,8 @@
         }
         self._stopped = [self._outages_of(("gateway", gateway)) for gateway in range(record.gateways)]
 
-    def could_have_heard(self, gateway: int, since_us: int, at_us: int, delay_us: int) -> bool:
-        """Tell whether a change had more than `delay_us` to reach the gateway through some relay.
+    def could_have_received_change(self, gateway: int, since_us: int, at_us: int, delay_us: int) -> bool:
+        """Tell whether a change since `since_us` had more than `delay_us` to reach the gateway through some relay.
 
         Interruptions and the time to recover from each of them do not count.
         """
--- a/standins/checker/relays/record.py
+++ b/standins/checker/relays/record.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class UnaskedExit:
+class UnexpectedExit:
     """The exit of a process that had not been signalled to exit."""
 
     at_us: int
@@ -68,7 +68,7 @@
 class RelayViolation:
     """One violation of the invariants."""
 
-    what: str
+    description: str
     at_us: int
     subject: str
 
@@ -88,4 +88,4 @@
     requests: list[ClientRequest] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     direct_polls: list[DirectPoll] = field(default_factory=list)  # in order
-    exits: list[UnaskedExit] = field(default_factory=list)
+    exits: list[UnexpectedExit] = field(default_factory=list)
--- a/standins/checker/relays/responses.py
+++ b/standins/checker/relays/responses.py
@@ -33,8 +33,8 @@
         end_us = request.answered_us or self._record.end_us
         took_us = end_us - request.at_us
         if took_us - self._outages.stopped_us(request.gateway, request.at_us, end_us) > RESPONSE_TIMEOUT_US:
-            what = "answered late" if request.answered_us else "not answered"
-            yield RelayViolation(f"{what}, {took_us / 1e6:.3f} s", request.at_us, subject)
+            description = "answered late" if request.answered_us else "not answered"
+            yield RelayViolation(f"{description}, {took_us / 1e6:.3f} s", request.at_us, subject)
         if request.answered_us and request.status not in ALLOWED_STATUSES:
             yield RelayViolation(f"answered {request.status}", request.answered_us, subject)
         if not request.is_own:
@@ -53,6 +53,6 @@
             refusing_us = request.answered_us - refusing_since_us
             stopped_us = self._outages.stopped_us(gateway, refusing_since_us, request.answered_us)
             if refusing_us - stopped_us > MAX_REFUSING_US:
-                what = f"all requests refused for {refusing_us / 1e6:.3f} s"
-                yield RelayViolation(what, request.answered_us, f"n{gateway}")
+                description = f"all requests refused for {refusing_us / 1e6:.3f} s"
+                yield RelayViolation(description, request.answered_us, f"n{gateway}")
                 return
--- a/standins/checker/responses.py
+++ b/standins/checker/responses.py
@@ -1,4 +1,4 @@
-"""Check that each request gets one whole response in time, and that nothing is sent after it.
+"""Check that each request gets one complete response in time, and that nothing is sent after it.
 
 Requests that a gateway's process held when it was killed or stopped are excused: the client repeats them.
 """
@@ -46,7 +46,7 @@
             yield from self._check_origin(outcome)
         yield from self._check_attempts_after(outcome)
 
-    def check_known(self, id_: str) -> Iterator[Violation]:
+    def check_was_sent(self, id_: str) -> Iterator[Violation]:
         """Yield a violation if a backend received a request that no client sent."""
         if id_ in self._observations.requests_by_id:
             return
@@ -58,8 +58,8 @@
     def check_unexpected_bytes(self) -> Iterator[Violation]:
         """Yield a violation for each client that received bytes when no response was due."""
         for event in self._observations.unexpected_bytes:
-            what = f"bytes when no response was due: {event.data[:MAX_SHOWN_BYTES]!r}"
-            yield self._violation(event.id, event.at_us, what)
+            description = f"bytes when no response was due: {event.data[:MAX_SHOWN_BYTES]!r}"
+            yield self._violation(event.id, event.at_us, description)
 
     def _check_silence(self, request: RequestSent) -> Iterator[Violation]:
         deadline_us = self._deadline_us(request)
@@ -71,15 +71,15 @@
             yield self._violation(request.id, deadline_us, "no response")
 
     def _check_lost_connection(self, request: RequestSent, outcome: ResponseMissing) -> Iterator[Violation]:
-        # A close before the deadline, and silence beyond it, both lose the request.
+        # The request is lost both by a close before the deadline and by silence until after it.
         if self._disconnected_us(request) <= outcome.at_us:
             return
         if self._is_excused(request, outcome.at_us):
             return
-        what = f"the connection ended without a whole response ({outcome.how})"
+        description = f"the connection ended without a complete response ({outcome.how})"
         if outcome.how == "none":
-            what = "no response before the deadline"
-        yield self._violation(request.id, outcome.at_us, what)
+            description = "no response before the deadline"
+        yield self._violation(request.id, outcome.at_us, description)
 
     def _check_deadline(self, request: RequestSent, response: ResponseReceived) -> Iterator[Violation]:
         deadline_us = self._deadline_us(request)
@@ -90,8 +90,8 @@
         if self._disconnected_us(request) <= deadline_us:
             return
         if not self._is_excused(request, response.at_us):
-            what = f"response {late_us / 1e3:.1f} ms after the deadline and the tolerance"
-            yield self._violation(request.id, response.at_us, what)
+            description = f"response {late_us / 1e3:.1f} ms after the deadline and the tolerance"
+            yield self._violation(request.id, response.at_us, description)
 
     def _check_origin(self, response: ResponseReceived) -> Iterator[Violation]:
         is_own = response.echoed_id == response.id
@@ -99,17 +99,17 @@
         was_served = any(is_served_by(attempt, response.at_us) for attempt in attempts)
         if is_own and was_served:
             return
-        what = "served with a response that no backend produced for it"
+        description = "served with a response that no backend produced for it"
         if not is_own:
-            what += f" (the body names {response.echoed_id!r})"
-        yield self._violation(response.id, response.at_us, what)
+            description += f" (the body names {response.echoed_id!r})"
+        yield self._violation(response.id, response.at_us, description)
 
     def _check_attempts_after(self, response: ResponseReceived) -> Iterator[Violation]:
         for attempt in self._observations.attempts_by_id.get(response.id, []):
             after_us = attempt.at_us - response.at_us - self._rules.slack_us
             if after_us > self._delays.stalled_us(response.at_us, attempt.at_us):
-                what = f"sent to {attempt.backend} after the final response"
-                yield self._violation(response.id, attempt.at_us, what)
+                description = f"sent to {attempt.backend} after the final response"
+                yield self._violation(response.id, attempt.at_us, description)
 
     def _deadline_us(self, request: RequestSent) -> int:
         return request.at_us + request.budget_us + self._rules.slack_us
@@ -120,10 +120,10 @@
     def _is_excused(self, request: RequestSent, until_us: int) -> bool:
         return self._observations.processes.is_loss_excused(request.gateway, request.at_us, until_us)
 
-    def _violation(self, id_: str, at_us: int, what: str) -> Violation:
-        return request_violation(self._observations, id_, Rule.MISSING, at_us, what)
+    def _violation(self, id_: str, at_us: int, description: str) -> Violation:
+        return request_violation(self._observations, id_, Rule.MISSING, at_us, description)
 
 
 def is_served_by(attempt: BackendAttempt, at_us: int) -> bool:
-    """Tell whether the attempt had produced a response by then."""
+    """Tell whether the attempt had produced a response by `at_us`."""
     return attempt.how in ("ok", "duplicate") and attempt.ended_us <= at_us
--- a/standins/checker/slow_start.py
+++ b/standins/checker/slow_start.py
@@ -1,7 +1,7 @@
 """Check slow starts: a backend that warms up is not overloaded.
 
-During slow start its capacity grows linearly from its initial share. It collapses if the work that it is sent within
-the window exceeds a multiple of its capacity.
+During slow start the capacity of a backend grows linearly from its initial share. The backend collapses if the work
+that it is sent within the window exceeds a multiple of its capacity.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     """The first moment at which a backend was overloaded, and by how much."""
 
     at_us: int
-    what: str
+    description: str
 
 
 class SlowStartCheck:
@@ -40,7 +40,7 @@
             overload = self._find_overload(start, attempts) if start.initial_capacity < 1.0 else None
             collapsed_us = self._collapsed_us(incarnation_of(start))
             if overload is not None:
-                yield self._violation(start, attempts, overload.at_us, overload.what)
+                yield self._violation(start, attempts, overload.at_us, overload.description)
             elif collapsed_us is not None:
                 yield self._violation(start, attempts, collapsed_us, "the backend collapsed")
 
@@ -75,8 +75,10 @@
             limit_us = self._limit_us(start, age_us)
             self._record_peak(incarnation_of(start), work_us / limit_us)
             if work_us > limit_us and overload is None:
-                what = f"sent {work_us / 1e3:.1f} ms of work in {window_us / 1e6:g} s, {limit_us / 1e3:.1f} at most"
-                overload = Overload(attempt.received_us, f"{what}, {age_us / 1e6:.2f} s after its start")
+                description = (
+                    f"sent {work_us / 1e3:.1f} ms of work in {window_us / 1e6:g} s, {limit_us / 1e3:.1f} at most"
+                )
+                overload = Overload(attempt.received_us, f"{description}, {age_us / 1e6:.2f} s after its start")
         return overload
 
     def _limit_us(self, start: BackendStarted, age_us: int) -> float:
@@ -88,10 +90,10 @@
         self.peaks[process] = max(self.peaks.get(process, 0.0), share)
 
     def _violation(
-        self, start: BackendStarted, attempts: Sequence[BackendAttempt], at_us: int, what: str
+        self, start: BackendStarted, attempts: Sequence[BackendAttempt], at_us: int, description: str
     ) -> Violation:
         timeline = backend_timeline(start, attempts, at_us, self._rules.fall_us)
-        return Violation(Rule.SLOW_START, at_us, start.backend, what, tuple(timeline))
+        return Violation(Rule.SLOW_START, at_us, start.backend, description, tuple(timeline))
 
 
 def incarnation_of(start: BackendStarted) -> BackendIncarnation:
--- a/standins/checker/timeline.py
+++ b/standins/checker/timeline.py
@@ -22,9 +22,9 @@
     text: str
 
 
-def request_violation(observations: Observations, id_: str, rule: Rule, at_us: int, what: str) -> Violation:
+def request_violation(observations: Observations, id_: str, rule: Rule, at_us: int, description: str) -> Violation:
     """Return a violation that concerns a request, with the request's timeline."""
-    return Violation(rule, at_us, id_, what, tuple(request_timeline(observations, id_)))
+    return Violation(rule, at_us, id_, description, tuple(request_timeline(observations, id_)))
 
 
 def request_timeline(observations: Observations, id_: str) -> list[str]:
@@ -72,7 +72,7 @@
     """Return the recent notifications to the attempt's gateway about its backend."""
     gateway = observations.sender_of(attempt)
     return [
-        TimelineEntry(event.at_us, f"registry: told {event.gateway} that {event.backend} is {event.status}")
+        TimelineEntry(event.at_us, f"registry: notified {event.gateway} that {event.backend} is {event.status}")
         for event in observations.notifications.notifications(gateway, attempt.backend)
         if attempt.at_us - NOTIFICATION_CONTEXT_US < event.at_us <= attempt.at_us
     ]
--- a/standins/checker/violations.py
+++ b/standins/checker/violations.py
@@ -9,11 +9,11 @@
 class Rule(StrEnum):
     """The rules. The values are used in reports and summaries."""
 
-    MISSING = "missing"  # each request gets one whole response in time, and nothing is sent after it
+    MISSING = "missing"  # each request gets one complete response in time, and nothing is sent after it
     DUPLICATE = "twice"  # no request takes effect twice
     DRAIN = "drain"  # no request is sent to a draining backend after the grace period
     SLOW_START = "cold"  # no backend is overloaded while it warms up
-    CRASH = "crash"  # no gateway process exits unasked
+    CRASH = "crash"  # a gateway process exits only when it is signalled to exit
     RESOURCES = "bounds"  # a gateway process stays within its limits of memory and descriptors
     MISBEHAVING = "owed"  # a client that breaks the protocol gets an error or a close in time
 
@@ -28,10 +28,10 @@
     rule: Rule
     at_us: int
     subject: str  # the request's id, the backend or the gateway
-    what: str
+    description: str
     timeline: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        lines = [f"{self.rule}: {self.subject}: {self.what}"]
+        lines = [f"{self.rule}: {self.subject}: {self.description}"]
         lines += [f"    {line}" for line in self.timeline]
         return "\n".join(lines)
--- a/standins/event_log/request_events.py
+++ b/standins/event_log/request_events.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, eq=False)
 class ResponseMissing:
-    """Record that a client's connection ended, or that it stopped waiting, with no whole response."""
+    """Record that a client's connection ended, or that the client stopped waiting, without a complete response."""
 
     at_us: int
     id: str
--- a/standins/parties/clients.py
+++ b/standins/parties/clients.py
@@ -140,7 +140,7 @@
 
     def on_message_begin(self) -> None:
         if self.response_future is not None and self.response_future.done():
-            self.on_unexpected_bytes(self.request_id, b"a second answer")
+            self.on_unexpected_bytes(self.request_id, b"a second response")
         self.body, self.retry_after_us = b"", 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -449,7 +449,10 @@
     kind: str = "",
     pick_open_request_id: Callable[[str], str] = lambda gateway: "",
 ) -> MisbehavingClient | None:
-    """Send one misbehaving request; None if no connection was made, or the kind needs an open request and none is."""
+    """Send one misbehaving request.
+
+    Returns None if no connection was made, or if the kind needs an open request and none is open.
+    """
     open_request_id = pick_open_request_id(target.name)
     requests = build_misbehaving_requests(rng, open_request_id)
     kind = kind or rng.choice(sorted(requests))
--- a/standins/parties/network.py
+++ b/standins/parties/network.py
@@ -104,7 +104,7 @@
         self.has_sent_eof = [False, False]
 
     def on_connected(self, side: int) -> None:
-        """Record that one end is connected and pass on what waits for it."""
+        """Record that one end is connected and pass on the chunks that wait for it."""
         if side == BACK:
             transport = self.ends[BACK].transport
             assert transport is not None
--- a/standins/parties/partitioned_registry.py
+++ b/standins/parties/partitioned_registry.py
@@ -1,4 +1,4 @@
-"""A registry with one half per region: equal while connected; during a partition each takes changes of its own.
+"""A registry with one half per region. Connected halves are equal; during a partition each takes its own changes.
 
 Each half has an index of its own throughout, so no caller sees an index that goes back. At the merge each half
 applies what the other changed during the partition, all at once. If only one half changed a host, that change wins.
@@ -96,12 +96,12 @@
         """Apply to each half the winning changes that it lacks; return the time just before, in µs."""
         self.is_partitioned = False
         at_us = now_us()
-        newest: dict[str, HostChange] = {}
+        winning: dict[str, HostChange] = {}
         for half in self.halves.values():
             for name, change in half.local_changes.items():
-                if name not in newest or change.precedence() > newest[name].precedence():
-                    newest[name] = change
+                if name not in winning or change.precedence() > winning[name].precedence():
+                    winning[name] = change
         for half in self.halves.values():
-            half.apply_changes([change for name, change in newest.items() if half.local_changes.get(name) != change])
+            half.apply_changes([change for name, change in winning.items() if half.local_changes.get(name) != change])
             half.local_changes.clear()
         return at_us
--- a/standins/parties/registry.py
+++ b/standins/parties/registry.py
@@ -190,7 +190,7 @@
         return since is None or since > self.index or (since < self.index and since + 1 < oldest_index)
 
     def records_since(self, since: int | None) -> tuple[bool, list[dict[str, Any]]]:
-        """Return whether it is the full list, and the records: all of them, or the newest of each changed backend."""
+        """Return whether the list is full, and its records: all of them, or the newest of each changed backend."""
         if since is None or self.needs_full_list(since):
             return True, [self.to_record(entry) for entry in self.entries.values()]
         newest: dict[str, dict[str, Any] | None] = {}
--- a/standins/parties/zookeeper/ensemble.py
+++ b/standins/parties/zookeeper/ensemble.py
@@ -111,7 +111,9 @@
         self.serves_read_only = False  # whether servers serve reads while there is no leader
         self.servers = [KeeperServer(self, number) for number in range(servers)]
         self.counts = EnsembleCounts()
-        # Called when something is written to a client, with its connection, the type, the path and what was read.
+        # Called for each watch event, and for each result of a read of data or children, that is written to a client,
+        # with the connection, the type of the event or read, the path and the result: None for an event or a missing
+        # node.
         self.on_delivery: Callable[[KeeperConnection, Op | EventType, str, list[str] | bytes | None], None] | None = (
             None
         )
@@ -686,7 +688,7 @@
     """Return the results of a failed multi: OK before the failed operation, its code, RUNTIME_INCONSISTENCY after."""
     writer = Writer()
     for index in range(len(request.ops)):
-        before = Code.OK if index < error.op_index else Code.RUNTIME_INCONSISTENCY
-        code = error.code if index == error.op_index else before
+        other_code = Code.OK if index < error.op_index else Code.RUNTIME_INCONSISTENCY
+        code = error.code if index == error.op_index else other_code
         writer.int32(Op.ERROR).boolean(False).int32(code).int32(code)
     return writer.int32(-1).boolean(True).int32(-1).data
--- a/standins/parties/zookeeper/jute.py
+++ b/standins/parties/zookeeper/jute.py
@@ -166,7 +166,7 @@
         """Read a boolean."""
         byte = self.read_bytes(1)[0]
         if byte > 1:
-            raise JuteError(f"{byte} is no boolean")
+            raise JuteError(f"a boolean is 0 or 1, found {byte}")
         return byte == 1
 
     def buffer(self) -> bytes | None:
@@ -186,13 +186,13 @@
         """Read a vector, each item with `item`."""
         count = self.int32()
         if count > self.remaining_bytes:  # an item has at least one byte
-            raise JuteError(f"{count} items in {self.remaining_bytes} bytes")
+            raise JuteError(f"a vector of {count} items does not fit into the remaining {self.remaining_bytes} bytes")
         return [item() for _ in range(max(count, 0))]
 
     def expect_end(self) -> None:
         """Raise JuteError if bytes follow the record."""
         if self.remaining_bytes:
-            raise JuteError(f"{self.remaining_bytes} bytes more than the record")
+            raise JuteError(f"{self.remaining_bytes} bytes follow the record")
 
 
 class Writer:
@@ -265,7 +265,7 @@
         while len(self.buffer) - offset >= 4:
             (size,) = _INT.unpack_from(self.buffer, offset)
             if not 0 <= size <= MAX_PACKET_BYTES:
-                raise JuteError(f"a message of {size} bytes")
+                raise JuteError(f"message length {size} is negative or too large")
             if len(self.buffer) - offset < 4 + size:
                 break
             messages.append(self.buffer[offset + 4 : offset + 4 + size])
@@ -626,7 +626,7 @@
                 return cls(tuple(ops), op)
             record_type = MULTI_RECORDS.get(type_)
             if record_type is None:
-                raise JuteError(f"{type_} is no operation of a multi")
+                raise JuteError(f"type {type_} is not an operation of a multi")
             ops.append(record_type.read(reader, Op(type_)))
 
 
--- a/standins/parties/zookeeper/tree.py
+++ b/standins/parties/zookeeper/tree.py
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Checked:
-    """A version check of a multi that succeeded."""
+    """A version check that succeeded; an operation of a multi."""
 
     path: str
 
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One change of the tree; `closed` is a session that ends, and whose ephemerals are deleted."""
+    """One change of the tree; `closed_session` is a session that ends, and whose ephemeral nodes are deleted."""
 
     zxid: int
     time_ms: int
--- a/standins/playing/command.py
+++ b/standins/playing/command.py
@@ -41,10 +41,13 @@
     parser.add_argument("--json", type=Path, metavar="FILE", help="write the figures to this file")
     parser.add_argument("--report", type=Path, metavar="FILE.html", help="write a page with plots to this file")
     parser.add_argument(
-        "--ledger", type=Path, metavar="FILE", help="write the event log to this file, one event a line"
+        "--ledger", type=Path, metavar="FILE", help="write the event log to this file, one event per line"
     )
     parser.add_argument(
-        "--audit", type=Path, metavar="FILE", help="check an event log that --ledger wrote, and run nothing"
+        "--audit",
+        type=Path,
+        metavar="FILE",
+        help="check an event log written by --ledger instead of running a scenario",
     )
     parser.add_argument("--list", action="store_true", help="list the scenarios")
     return parser
@@ -83,11 +86,11 @@
     summary = summarise(checker, scenario.name, options.seed, environment.seconds)
     print_summary(console, summary, violations, environment.logged_defects)
     if options.json is not None:
-        found = summary.as_json() | {
+        figures = summary.as_json() | {
             "found": [str(violation) for violation in violations],
             "faults": environment.logged_defects,
         }
-        options.json.write_text(json.dumps(found, indent=1) + "\n")
+        options.json.write_text(json.dumps(figures, indent=1) + "\n")
     if options.report is not None:
         options.report.write_text(render(environment.event_log, summary, violations, scenario.about))
     if options.ledger is not None:
@@ -117,7 +120,7 @@
             environment.on_progress = print_progress
 
             async def update_progress() -> None:
-                while not any(address.is_open for address in environment.proxy_addresses.targets_by_name.values()):
+                while not any(target.is_open for target in environment.connection_balancer.targets_by_name.values()):
                     await asyncio.sleep(0.05)
                 progress.update(task, description=scenario.name)
                 start_s = asyncio.get_running_loop().time()
--- a/standins/playing/environment.py
+++ b/standins/playing/environment.py
@@ -60,20 +60,22 @@
         )  # fmt: skip
         self.network = Network(seed)
         self.registry = Registry(self.event_log, seed)
-        self.proxy_addresses = ConnectionBalancer(seed)
+        self.connection_balancer = ConnectionBalancer(seed)
         capacity = scenario.boxes * scenario.cores * 1e6 / MEAN_WORK_US
         self.request_rate = scenario.load * capacity
         client_profile = ClientProfile(
             key_count=scenario.keys, popular_key_share=scenario.popular, work_hint_factor=scenario.hint
         )
-        self.clients = LoadGenerator(self.event_log, self.proxy_addresses, seed, self.request_rate, client_profile)
+        self.clients = LoadGenerator(
+            self.event_log, self.connection_balancer, seed, self.request_rate, client_profile
+        )
         self.idempotency_stores = [
             IdempotencyStore(n, self.classes["hold"].window_us) for n in range(scenario.shelves)
         ]
         self.backends: dict[str, Backend] = {}
         self.registry_entries: dict[str, Entry] = {}
         self.links: dict[tuple[str, str], TcpLink] = {}  # by gateway and backend
-        self.registry_views: dict[str, RegistryListener] = {}
+        self.registry_listeners: dict[str, RegistryListener] = {}
         self.faulted_backends: set[str] = set()  # names
         self.tasks: set[asyncio.Task[Any]] = set()
         self.on_progress: Callable[[str], None] = lambda text: None
@@ -122,13 +124,13 @@
         await self.build_registry()
 
     async def build_registry(self) -> None:
-        """Start an address of the registry for each gateway."""
+        """Start a listener of the registry for each gateway, and a link to it."""
         for gateway in self.gateways:
             name = gateway.name
-            self.registry_views[name] = await self.registry.open_listener(
+            self.registry_listeners[name] = await self.registry.open_listener(
                 name, self.address_resolver(name), self.link_waiter(name)
             )
-            link = self.network.add_tcp_link(name, REGISTRY, lambda name=name: self.registry_views[name].address)  # type: ignore[misc]
+            link = self.network.add_tcp_link(name, REGISTRY, lambda name=name: self.registry_listeners[name].address)  # type: ignore[misc]
             link.open()
             self.links[name, REGISTRY] = link
 
@@ -218,17 +220,17 @@
     # Gateway processes
 
     def on_ready(self, gateway: Gateway) -> None:
-        """Let clients connect to a gateway."""
-        self.proxy_addresses.add(GatewayTarget(gateway.name, gateway.zone_index, gateway.address))
+        """Let clients open connections to a gateway that is ready."""
+        self.connection_balancer.add(GatewayTarget(gateway.name, gateway.zone_index, gateway.address))
 
     def on_exit(self, gateway: Gateway) -> None:
-        """Keep clients away from a gateway whose process exited, after the time that they take to notice it."""
-        self.proxy_addresses.schedule_close_after_failure(gateway.name)
+        """Assign no new connections to a gateway whose process exited, once the balancer detects the failure."""
+        self.connection_balancer.schedule_close_after_failure(gateway.name)
 
     async def restart(self, gateway: Gateway, kill: bool) -> None:
         """Restart a gateway, by SIGKILL or by an announced SIGTERM."""
         if not kill:
-            self.proxy_addresses.schedule_planned_close(gateway.name)
+            self.connection_balancer.schedule_planned_close(gateway.name)
         await gateway.restart(kill)
 
     # The run
@@ -283,7 +285,7 @@
             self.task_errors.append(error)
 
     async def record_scheduling_delays(self) -> None:
-        """Record stalls of this process: what it observes after one is late, and the gateways are not to blame."""
+        """Record stalls of this process, so that the checker does not blame gateways for its late observations."""
         last_us = now_us()
         while True:
             await asyncio.sleep(STALL_CHECK_INTERVAL_S)
@@ -491,9 +493,9 @@
         await asyncio.gather(*(restart_later(g, over_s * n / len(chosen)) for n, g in enumerate(chosen)))
 
     async def do_pause(self, for_s: float, gateways: int = 1, drain: bool = False) -> None:
-        """Stop gateways by SIGSTOP. With `drain`, as many backends are announced as draining meanwhile.
+        """Stop gateways by SIGSTOP. With `drain`, the registry announces meanwhile that as many backends drain.
 
-        These go on answering, so that requests that a gateway sends them too late are observed.
+        These backends keep answering, so that requests that a gateway sends to them too late are observed.
         """
         running = [gateway for gateway in self.gateways if gateway.is_running and not gateway.is_stopped]
         chosen = self.rng.sample(running, min(gateways, len(running)))
@@ -569,7 +571,7 @@
         chosen = self.rng.sample(self.gateways, min(gateways, len(self.gateways) - 1))
         for gateway in chosen:
             await self.call_admin(gateway, "PAUSE")
-            self.proxy_addresses.schedule_planned_close(gateway.name)
+            self.connection_balancer.schedule_planned_close(gateway.name)
         await asyncio.sleep(for_s)
         for gateway in chosen:
             await self.call_admin(gateway, "RESUME")
@@ -595,21 +597,21 @@
         self.registry.faults.has_garbled_lists = False
 
     async def do_registry_back(self, by: int = 3) -> None:
-        """Take the registry back by some versions, as when it is restored from a backup."""
+        """Decrease the registry's index by `by`, as when the registry is restored from a backup."""
         self.registry.roll_back_index(by)
 
     async def do_registry_moves(self) -> None:
         """Move the registry to new addresses, and reload the gateways' configuration."""
         for gateway in self.gateways:
-            view = self.registry_views[gateway.name]
-            old = self.links[gateway.name, REGISTRY]
-            await self.registry.move_listener(view)
-            link = self.network.add_tcp_link(gateway.name, REGISTRY, lambda view=view: view.address)  # type: ignore[misc]
+            listener = self.registry_listeners[gateway.name]
+            old_link = self.links[gateway.name, REGISTRY]
+            await self.registry.move_listener(listener)
+            link = self.network.add_tcp_link(gateway.name, REGISTRY, lambda listener=listener: listener.address)  # type: ignore[misc]
             link.open()
             self.links[gateway.name, REGISTRY] = link
             gateway.write_configuration()
             gateway.send_signal(Signals.SIGHUP)
-            old.refuse()
+            old_link.refuse()
 
     # Faults of the network and of clients
 
@@ -645,12 +647,12 @@
         loop = asyncio.get_running_loop()
         end, tasks = loop.time() + for_s, list[asyncio.Task[Any]]()
         while loop.time() < end:
-            proxy_address = self.proxy_addresses.pick_target(self.rng.randrange(len(ZONES)))
-            if proxy_address is not None:
+            target = self.connection_balancer.pick_target(self.rng.randrange(len(ZONES)))
+            if target is not None:
                 tasks.append(
                     loop.create_task(
                         send_misbehaving_request(
-                            self.event_log, proxy_address, self.rng, kind, self.clients.pick_open_request_id
+                            self.event_log, target, self.rng, kind, self.clients.pick_open_request_id
                         )
                     )
                 )
--- a/standins/playing/scenario.py
+++ b/standins/playing/scenario.py
@@ -158,14 +158,14 @@
     window_s: float = 1.5  # backends that share an idempotency store drop repeats of a hold for this long
     idle_s: float = 60.0  # idle timeout of a backend's connections
     second_copies: bool = True  # a gateway may have two attempts of one request in flight
-    attempts: int = 6  # a gateway sends one request at most this often
+    attempts: int = 6  # maximum number of attempts of one request by one gateway
     ops: bool = False  # gateways have an admin address
     duties: bool = False  # gateways hold leased roles, and may send datagrams to each other
     sharing: bool = False  # gateways share what they know of backends by datagrams
     sockets: int = 512  # limit of a gateway's descriptors
     memory_mib: int = 192  # limit of a gateway's memory
     keys: int = 2000  # number of distinct keys that requests concern
-    popular: float = 0.0  # share of the requests that concern one of the keys
+    popular: float = 0.0  # share of the requests that concern one and the same key
     hint: float = 1.0  # cost that clients announce for a request, as a share of its actual work
     membership: str = "registry"
     faults: tuple[Fault, ...] = field(default=())
@@ -195,7 +195,7 @@
 
 
 def parse_scenario(text: str, name: str, location: str) -> Scenario:
-    """Return the scenario of a file's text; ScenarioError if it is not valid. `location` stands in the error."""
+    """Return the scenario of a file's text; ScenarioError if it is not valid. Errors begin with `location`."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -222,7 +222,8 @@
             )
         if fault.action in ADMIN_ACTIONS and not fleet.get("ops", False):
             raise ScenarioError(
-                f"{location}: trouble {number} ({fault.action}): expected ops = true in [fleet]: an admin command"
+                f"{location}: trouble {number} ({fault.action}): expected ops = true in [fleet],"
+                " as for all admin commands"
             )
         if fault.arguments.get("boxes", 1) > backend_count and fault.action != "join":
             raise ScenarioError(
--- a/standins/playing/zookeeper_environment.py
+++ b/standins/playing/zookeeper_environment.py
@@ -164,27 +164,30 @@
     # Notifications to gateways
 
     def on_read_result(
-        self, connection: KeeperConnection, what: Op | EventType, path: str, value: list[str] | bytes | None
+        self, connection: KeeperConnection, operation: Op | EventType, path: str, value: list[str] | bytes | None
     ) -> None:
-        """Record what a read or a watch event tells a gateway; `value` is None if the node does not exist."""
+        """Record the backend statuses that the result of a read, or a watch event, reports to a gateway.
+
+        `value` is the result; it is None for a watch event, and for a node that does not exist.
+        """
         transport = connection.transport
         flow = self.network.flow_of(transport) if transport is not None else None
         if flow is None or not path.startswith(REGISTRATION_PATH):
             return  # sent to a registration agent
         gateway, name = flow.link.near, path[len(REGISTRATION_PATH) + 1 :]
         known = self.known_backends[gateway]
-        if what is EventType.DELETED or (value is None and isinstance(what, Op)):
+        if operation is EventType.DELETED or (value is None and isinstance(operation, Op)):
             if name:
                 self.record_notification(gateway, name, "DELETED")
-        elif what in (Op.GET_CHILDREN, Op.GET_CHILDREN2) and isinstance(value, list):
+        elif operation in (Op.GET_CHILDREN, Op.GET_CHILDREN2) and isinstance(value, list):
             for missing in sorted(known - set(value)):
                 self.record_notification(gateway, missing, "DELETED")
-        elif what is Op.GET_DATA and isinstance(value, bytes):
+        elif operation is Op.GET_DATA and isinstance(value, bytes):
             with contextlib.suppress(ValueError, KeyError):
                 self.record_notification(gateway, name, json.loads(value)["status"])
 
     def record_notification(self, gateway: str, backend: str, status: str) -> None:
-        """Record that a gateway was told a backend's status."""
+        """Record that a gateway was notified of a backend's status."""
         self.event_log.add(NotificationDelivered(now_us(), gateway, backend, status))
         if status == "DELETED":
             self.known_backends[gateway].discard(backend)
--- a/standins/showing/summary.py
+++ b/standins/showing/summary.py
@@ -76,10 +76,10 @@
     """Return by class when each served request was sent, in µs, and its latency in ms."""
     requests = {entry.id: entry for entry in event_log.events_of(RequestSent)}
     latencies: dict[str, list[tuple[int, float]]] = defaultdict(list)
-    for final in event_log.events_of(ResponseReceived):
-        if final.status == 200 and final.id in requests:
-            request = requests[final.id]
-            latencies[request.request_class].append((request.at_us, (final.at_us - request.at_us) / 1e3))
+    for response in event_log.events_of(ResponseReceived):
+        if response.status == 200 and response.id in requests:
+            request = requests[response.id]
+            latencies[request.request_class].append((request.at_us, (response.at_us - request.at_us) / 1e3))
     return latencies
 
 
@@ -88,12 +88,12 @@
     operations = {entry.id: entry for entry in event_log.events_of(OperationStarted)}
     first_ids = {entry.id: entry.first_id for entry in event_log.events_of(RequestSent)}
     served: dict[str, int] = {}
-    for final in event_log.events_of(ResponseReceived):
-        operation = operations.get(first_ids.get(final.id, ""))
+    for response in event_log.events_of(ResponseReceived):
+        operation = operations.get(first_ids.get(response.id, ""))
         if (
-            final.status == 200
+            response.status == 200
             and operation
-            and final.at_us - operation.at_us <= classes[operation.request_class].aim_us
+            and response.at_us - operation.at_us <= classes[operation.request_class].aim_us
         ):
             served[operation.id] = operation.at_us
     return served
@@ -111,14 +111,14 @@
     for entry in requests.values():
         figures[entry.request_class].tries += 1
     statuses: dict[str, Counter[str]] = defaultdict(Counter)
-    finals: list[ResponseReceived | ResponseMissing] = [
+    outcomes: list[ResponseReceived | ResponseMissing] = [
         *event_log.events_of(ResponseReceived),
         *event_log.events_of(ResponseMissing),
     ]
-    for final in finals:
-        if final.id in requests:
-            status = str(final.status) if isinstance(final, ResponseReceived) else final.how
-            statuses[requests[final.id].request_class][status] += 1
+    for outcome in outcomes:
+        if outcome.id in requests:
+            status = str(outcome.status) if isinstance(outcome, ResponseReceived) else outcome.how
+            statuses[requests[outcome.id].request_class][status] += 1
     sent: dict[str, Counter[str]] = defaultdict(Counter)
     for attempt in event_log.events_of(BackendAttempt):
         if attempt.received_us:
--- a/standins/site.py
+++ b/standins/site.py
@@ -47,7 +47,7 @@
     grace_us: int = 1_000_000  # from the notice that a backend drains or is gone to the last request to it
     slack_us: int = 50_000  # tolerance of time limits that are observed on sockets
     multiple: float = 3.0  # a backend in slow start collapses at this multiple of its capacity
-    fall_us: int = 1_000_000  # the work that it receives is summed over this window
+    fall_us: int = 1_000_000  # the work that a backend in slow start receives is summed over this window
     rude_us: int = 3_000_000  # a misbehaving client gets an error or a close within this time
     ask_us: int = 10_000_000  # a gateway that has not polled the registry for so long counts as notified
     attempts: int = 6  # maximum for one request by one gateway
--- a/tests/checker/events.py
+++ b/tests/checker/events.py
@@ -44,15 +44,15 @@
     how: str = "ok",
     took_us: int = 80 * MS_US,
     group: int = 0,
-    is_whole: bool = True,
+    is_received: bool = True,
     work_us: int = 50 * MS_US,
     incarnation: int = 1,
 ) -> BackendAttempt:
-    """Return an attempt at a backend; it was received completely if `is_whole`."""
+    """Return an attempt at a backend; it was received completely if `is_received`."""
     result = BackendAttempt(
         at_us, backend, incarnation, group, id_, request_class, gateway="n0", work_us=work_us, how=how
     )
-    if is_whole:
+    if is_received:
         result.received_us = at_us + 100
     if how not in ("rejected", "coming"):
         result.started_us = at_us + 200
--- a/tests/checker/test_relays.py
+++ b/tests/checker/test_relays.py
@@ -12,7 +12,7 @@
     EndpointChange,
     Outage,
     RunRecord,
-    UnaskedExit,
+    UnexpectedExit,
     check_relays,
 )
 
@@ -44,7 +44,7 @@
 
 def violations_of(run: RunRecord) -> list[str]:
     """Return the texts of the violations of a run."""
-    return [violation.what for violation in check_relays(run)]
+    return [violation.description for violation in check_relays(run)]
 
 
 @pytest.mark.parametrize("status", ["DRAINING", "DELETED"])
@@ -179,7 +179,7 @@
     assert not violations_of(run)
 
 
-def test_no_process_exits_unasked() -> None:
+def test_an_unexpected_exit_of_a_process_is_reported() -> None:
     run = record()
-    run.exits.append(UnaskedExit(5 * SECOND_US, "relay-0"))
-    assert violations_of(run) == ["a process exited unasked"]
+    run.exits.append(UnexpectedExit(5 * SECOND_US, "relay-0"))
+    assert violations_of(run) == ["a process exited unexpectedly"]
--- a/tests/checker/violation_cases.py
+++ b/tests/checker/violation_cases.py
@@ -181,7 +181,7 @@
         [
             *gateway_started(),
             request_sent(request_class="transfer"),
-            attempt(request_class="transfer", how="coming", is_whole=False),
+            attempt(request_class="transfer", how="coming", is_received=False),
             attempt(request_class="transfer", backend="s-1", at_us=BEGIN_US + 30 * MS_US, took_us=50 * MS_US),
             response(),
         ],
--- a/tests/control_plane/relay_fleet.py
+++ b/tests/control_plane/relay_fleet.py
@@ -22,7 +22,7 @@
     EndpointChange,
     Outage,
     RunRecord,
-    UnaskedExit,
+    UnexpectedExit,
 )
 from standins.event_log import DiscoveryPoll, EventLog, ProcessEvent, now_us
 from standins.parties import fleet as processes
@@ -184,7 +184,7 @@
                 DirectPoll(poll.at_us, int(poll.gateway[1:]))
                 for poll in self.event_log.events_of(DiscoveryPoll) if poll.gateway[0] == "n"
             ],
-            [UnaskedExit(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
+            [UnexpectedExit(p.at_us, f"{p.gateway}: {p.code}") for p in exits],
         )  # fmt: skip
 
     # Waiting for events
--- a/tests/test_standin_clients.py
+++ b/tests/test_standin_clients.py
@@ -53,8 +53,8 @@
 )
 
 
-def target_of(peer_gateway: ScriptedServer, name: str = "n0", zone_index: int = 0) -> GatewayTarget:
-    host, _, port = peer_gateway.address.partition(":")
+def target_of(server: ScriptedServer, name: str = "n0", zone_index: int = 0) -> GatewayTarget:
+    host, _, port = server.address.partition(":")
     return GatewayTarget(name, zone_index, (host, int(port)))
 
 
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize("on_kept_connection", [True, False])
 @on_loop
 async def test_request_is_resent_once_after_close_of_a_kept_connection(on_kept_connection: bool) -> None:
-    """A close of a new connection is a lost request, since an idle timeout cannot have crossed it."""
+    """A request on a new connection that is closed is lost: no idle timeout can have closed that connection."""
 
     def script(exchange: Exchange) -> None:
         if len(gateway.exchanges) == (2 if on_kept_connection else 1):
--- a/tests/test_standin_mesh.py
+++ b/tests/test_standin_mesh.py
@@ -137,39 +137,41 @@
     valid_acts = [act(0, 5, 1), act(10, 5, 1), act(20, 9, 2), act(30, 9, 2), act(40, 3, 1, role=8)]
     assert check_leases(valid_acts) == []
     violations = check_leases([*valid_acts, act(50, 5, 1)])
-    assert [violation.what for violation in violations] == ["an act after that of a newer holder"]
+    assert [violation.description for violation in violations] == ["an act after that of a newer holder"]
     assert check_leases([*valid_acts, act(50, 5, 1)], {1: 1}) == []  # one stop allows one rejected act
     assert len(check_leases([*valid_acts, act(50, 5, 1), act(60, 5, 1)], {1: 1})) == 1
     duplicate_token = check_leases([*valid_acts, act(50, 9, 3)])
-    assert [violation.what for violation in duplicate_token] == ["two holders with one fencing token"]
+    assert [violation.description for violation in duplicate_token] == ["two holders with one fencing token"]
     # Another process of the same gateway is another holder.
     assert check_leases([*valid_acts, act(50, 9, 2, nonce=2)])
 
 
 def test_lower_token_after_a_full_restart_is_accepted_for_one_lease() -> None:
     acts = [act(0, 9, 1), act(1000, 5, 2), act(1600, 5, 2), act(1700, 11, 2)]
-    assert check_leases(acts, blanks=[500_000], lease_us=600_000) == []
+    assert check_leases(acts, all_down_at_us=[500_000], lease_us=600_000) == []
     assert check_leases(acts, lease_us=600_000)  # without a full restart it is a violation
     continued_acts = [act(0, 9, 1), act(1000, 5, 2), act(2000, 5, 2)]
-    assert [violation.what for violation in check_leases(continued_acts, blanks=[500_000], lease_us=600_000)] == [
-        "acts continue under a rejected fencing token"
-    ]
+    assert [
+        violation.description
+        for violation in check_leases(continued_acts, all_down_at_us=[500_000], lease_us=600_000)
+    ] == ["acts continue under a rejected fencing token"]
     # The restarted holders are checked against each other.
     competing_acts = [act(0, 9, 1), act(1000, 5, 2), act(1100, 4, 3)]
-    assert [violation.what for violation in check_leases(competing_acts, blanks=[500_000], lease_us=600_000)] == [
-        "an act after that of a newer holder"
-    ]
+    assert [
+        violation.description
+        for violation in check_leases(competing_acts, all_down_at_us=[500_000], lease_us=600_000)
+    ] == ["an act after that of a newer holder"]
 
 
-def test_holder_with_an_early_expired_session_may_act_but_not_outbid() -> None:
+def test_holder_with_an_early_expired_session_may_act_but_not_with_a_newer_token() -> None:
     acts = [act(0, 5, 1), act(100, 9, 2), act(110, 5, 1), act(120, 9, 2)]
-    assert check_leases(acts, lease_us=600_000, expiries=[50_000]) == []
+    assert check_leases(acts, lease_us=600_000, forced_expiries_us=[50_000]) == []
     assert check_leases(acts, lease_us=600_000)  # without an expiry two holders act at once
     assert check_leases(
-        [*acts, act(1000, 5, 1)], lease_us=600_000, expiries=[50_000]
+        [*acts, act(1000, 5, 1)], lease_us=600_000, forced_expiries_us=[50_000]
     )  # later than one lease after the expiry
-    outbid_acts = [act(0, 5, 1), act(100, 9, 2), act(110, 10, 1), act(120, 9, 2)]
-    assert check_leases(outbid_acts, lease_us=600_000, expiries=[50_000])
+    newer_token_acts = [act(0, 5, 1), act(100, 9, 2), act(110, 10, 1), act(120, 9, 2)]
+    assert check_leases(newer_token_acts, lease_us=600_000, forced_expiries_us=[50_000])
 
 
 def test_leadership_gap_lasts_from_last_act_to_first_act() -> None:
--- a/tests/test_try.py
+++ b/tests/test_try.py
@@ -350,7 +350,7 @@
             run_scenario(parse_scenario(RESETS, "careless", "careless"), 1, None, on_environment)
         )
     violations = find_violations(environment.event_log)
-    assert any(violation.rule == "twice" and "may have run" in violation.what for violation in violations)
+    assert any(violation.rule == "twice" and "may have run" in violation.description for violation in violations)
     assert any(violation.rule == "crash" for violation in violations)  # this gateway ignores SIGTERM
 
 
