--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
 # Runs lint, type check and tests in a virtual environment with the pinned requirements. Tests run in parallel, one for
-# each core of this process; those marked `alone` run at the end, one after another.
+# each core; those marked `processes` run apart, on half of the cores, and those marked `alone` at the end, one after
+# another: their processes stall if they share the cores with many others, and exceed the tests' time limits.
 set -eu
 cd "$(dirname "$0")"
 if [ -e .git ]; then git config core.hooksPath .githooks; fi  # requires commit titles under 90 characters, and a body
@@ -18,12 +19,19 @@
 $python -m mypy
 .venv-dev/bin/lint-imports
 wait $compiling || true
-parallel="-n auto --dist worksteal -m not(alone)"
 # Tests that do not use the balancer, such as those of the emulator, are not repeated on the compiled build.
 without_balancer="--ignore-glob=tests/test_standin_* --ignore-glob=tests/test_zookeeper_* --ignore=tests/checker/test_event_checker.py --ignore=tests/checker/test_event_log.py"
-CLOVERKEEL_PLAIN=1 $python -m pytest --build plain $parallel
+half_of_cores=$((($(nproc) + 1) / 2))
+
+# Runs all tests but those marked `alone`: run_tests BUILD [OPTION...]
+run_tests() {
+    $python -m pytest --build "$@" -n auto --dist worksteal -m "not (alone or processes)"
+    $python -m pytest --build "$@" -n "$half_of_cores" --dist worksteal -m processes
+}
+
+(export CLOVERKEEL_PLAIN=1 && run_tests plain)
 $python -m benchmarks.guards --tests  # applies each mutant: the tests of its row must fail
 if $python -m cloverkeel.compiled.build --check; then
-    $python -m pytest --build compiled $parallel $without_balancer
+    run_tests compiled $without_balancer
 fi
 CLOVERKEEL_PLAIN=1 $python -m pytest --build plain -m alone
--- a/tests/admin/test_operations.py
+++ b/tests/admin/test_operations.py
@@ -14,6 +14,8 @@
 from pathlib import Path
 from typing import Any, cast
 
+import pytest
+
 from cloverkeel.admin.process_coordinator import ProcessCoordinator
 from cloverkeel.admin.process_files import ProcessStage
 from cloverkeel.admin.shared_folder import SharedFolder, shared_folder_path
@@ -37,6 +39,8 @@
     wait_until,
 )
 
+pytestmark = pytest.mark.processes
+
 
 async def call(port: int, line: bytes) -> str:
     """Return the answer to a command line, or "" if nothing listens on the port."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 --build fails the run unless that build of the balancer is loaded. --without applies mutants (benchmarks.guards).
 --shuffle shuffles the tests with a seed. A test marked `alone` needs the whole machine: ./test.sh runs these at the
-end, one after another.
+end, one after another. Tests marked `processes` run fleets of processes: ./test.sh runs these on half of the cores.
 """
 
 from __future__ import annotations
--- a/tests/control_plane/test_relay_fleet.py
+++ b/tests/control_plane/test_relay_fleet.py
@@ -13,6 +13,8 @@
 from tests.control_plane.relay_fleet import GATEWAYS, relay_fleet
 from tests.sockets import on_loop
 
+pytestmark = pytest.mark.processes
+
 RELAYS = 2
 # Maximum time from a change at discovery to the last request that its host may get.
 # LOST_S, one relay lost: 1 s until all gateways have the change (docs/relay-design.md), plus requests in flight.
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -22,6 +22,8 @@
 from tests.fleet.gossip_fleet import GossipFleet, running_gossip_fleet
 from tests.sockets import on_loop, wait_for_reuse_delay
 
+pytestmark = pytest.mark.processes
+
 FAILING_HOST = f"{stable_id('s-0', 4):x}"  # id of host 0 in the answer to PEERS
 LAST_GATEWAY = 5  # in most tests, sends the failing host no requests before others report it
 OTHER_GATEWAYS = range(5)
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -15,7 +15,9 @@
 from standins.event_log import now_us
 from standins.parties.network import LinkConditions
 from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
-from tests.sockets import on_loop
+from tests.sockets import on_loop, on_loop_for
+
+pytestmark = pytest.mark.processes
 
 
 def others(fleet: LeaseFleet, *excluded: int) -> list[int]:
@@ -193,7 +195,7 @@
         fleet.check()
 
 
-@on_loop
+@on_loop_for(3.0)  # with a third of the datagrams lost, elections take a random time; each wait has its own limit
 async def test_datagrams_that_are_lost_duplicated_late_truncated_and_corrupted_make_no_second_holder(
     tmp_path: Path,
 ) -> None:
--- a/tests/fleet/test_leases_zookeeper.py
+++ b/tests/fleet/test_leases_zookeeper.py
@@ -17,6 +17,8 @@
 from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
 from tests.sockets import on_loop
 
+pytestmark = pytest.mark.processes
+
 LEASE_MS = 1_000
 
 
--- a/tests/fleet/test_probe_election.py
+++ b/tests/fleet/test_probe_election.py
@@ -8,9 +8,13 @@
 from pathlib import Path
 from typing import Any
 
+import pytest
+
 from tests.fleet.lease_fleet import LeaseFleet, running_lease_fleet
 from tests.sockets import Client, ScriptedServer, on_loop, reply, request, respond_with, scripted_server
 
+pytestmark = pytest.mark.processes
+
 FAILING, RECOVERED = respond_with(reply(500, b"")), respond_with(reply())
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -29,17 +29,27 @@
 
 def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """Run an asynchronous test on uvloop, as the gateway does, for at most TEST_TIMEOUT_S."""
+    return on_loop_for(1.0)(test)
 
-    @functools.wraps(test)
-    def run(*args: Any, **kwargs: Any) -> None:
-        async def bounded() -> None:
-            async with asyncio.timeout(TEST_TIMEOUT_S):
-                await test(*args, **kwargs)
 
-        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(bounded())
+def on_loop_for(
+    timeout_factor: float,
+) -> Callable[[Callable[..., Coroutine[Any, Any, None]]], Callable[..., None]]:
+    """Return a decorator that runs an asynchronous test like `on_loop`, for `timeout_factor` times as long."""
 
-    return run
+    def decorate(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+        @functools.wraps(test)
+        def run(*args: Any, **kwargs: Any) -> None:
+            async def bounded() -> None:
+                async with asyncio.timeout(TEST_TIMEOUT_S * timeout_factor):
+                    await test(*args, **kwargs)
+
+            with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+                runner.run(bounded())
+
+        return run
+
+    return decorate
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -32,6 +32,8 @@
 
 from tests.sockets import Client, on_loop, wait_until
 
+pytestmark = pytest.mark.processes
+
 
 # The whole run
 
