--- a/cloverkeel/discovery/zookeeper_source.py
+++ b/cloverkeel/discovery/zookeeper_source.py
@@ -76,9 +76,7 @@
         self.has_read_list = False
         self.is_closed = False
         self.backend_by_node: dict[str, Backend] = {}  # last reported list, by node
-        self.notified_backends: dict[str, Backend] | None = (
-            None  # the same, by backend name; None before the first list
-        )
+        self.notified_backends: dict[str, Backend] | None = None  # the same by name; None before the first list
         self.must_notify = False  # report the next list even if it is unchanged
         self.client = create_client(options.hosts, options.session_ms, CONNECTION_RETRY_OPTIONS)
         self.client.add_listener(self._on_session_state)
--- a/cloverkeel/leases/manager.py
+++ b/cloverkeel/leases/manager.py
@@ -194,10 +194,7 @@
     # Timers
 
     def next_timer_us(self) -> int:
-        """Return when to call `tick`.
-
-        The reports of this gateway to itself are left out: the next call of `tick` for another reason sends them.
-        """
+        """Return when to call `tick`. Reports of this gateway to itself need no call: any later one sends them."""
         due_us = NEVER_US
         for request in self.request_by_lease.values():
             due_us = min(due_us, request.lease.next_timer_us())
--- a/cloverkeel/leases/quorum_lease.py
+++ b/cloverkeel/leases/quorum_lease.py
@@ -140,10 +140,7 @@
         return self.on_round_failed(now_us, max(held, default=0))
 
     def on_round_failed(self, now_us: int, remaining_us: int) -> list[Action]:
-        """Retry a handover at once, otherwise back off.
-
-        `remaining_us`: time until another gateway's lease expires; 0 if no voter reported one.
-        """
+        """Retry a handover at once, otherwise back off; `remaining_us`: until another gateway's lease expires, or 0."""
         self.failed_attempts += 1
         actions: list[Action] = []
         if self.is_proposing:
@@ -271,10 +268,7 @@
         return [SendMessage(self.successor, Handover(self.lease_id, self.token, self.handover_state))]
 
     def abort_handover(self, now_us: int) -> list[Action]:
-        """End the handover and release the lease.
-
-        If the successor receives the handover later, the voters ignore the consent in it.
-        """
+        """End the handover and release the lease: voters ignore the consent if the successor proposes later."""
         ended = LeaseEnded(self.lease_id, self.token, f"handover to gateway {self.successor} not acknowledged")
         actions: list[Action] = [ended, *self.broadcast_to_voters(Release(self.lease_id, self.token))]
         self.failed_attempts += 1
