--- a/benchmarks/capacity/budget.py
+++ b/benchmarks/capacity/budget.py
@@ -25,9 +25,9 @@
 # Changes of the host list per restart or replacement: the host drains, may be removed, and returns.
 CHANGES_PER_RESTART: Final = 2.5
 CHANGES_PER_FAILURE: Final = 2.0  # a machine carries one host, which is removed and later returns
-WORST_HOUR_FACTOR: Final = 10.0  # rate of changes in the worst hour, relative to an ordinary day
-# In the worst second, every change must reach its last gateway within this time, so sending may be spread over it.
-WORST_CHANGE_LIMIT_S: Final = 4.0
+PEAK_HOUR_FACTOR: Final = 10.0  # rate of changes in the peak hour, relative to an ordinary day
+# In the peak second, every change must reach its last gateway within this time, so sending may be spread over it.
+PEAK_CHANGE_LIMIT_S: Final = 4.0
 START_LIMIT_S: Final = 10.0  # nine in ten restarted processes are ready within this time
 STARTED_SHARE: Final = 0.7  # share of the gateways that start within 2 s
 POLLS_PER_S: Final = 1.0  # calls of a gateway to discovery, which holds each for a second
@@ -46,14 +46,14 @@
 ASSUMED: Final = (
     f"a restart or replacement makes {CHANGES_PER_RESTART:g} changes of the list, a failure "
     f"{CHANGES_PER_FAILURE:g}, and all restarts are of hosts",
-    f"the worst hour has {WORST_HOUR_FACTOR:g} times the ordinary day's rate of changes",
-    f"a zone's return may be spread over {WORST_CHANGE_LIMIT_S:g} s, as every change is to be everywhere by then",
-    f"a gateway that starts has {START_LIMIT_S:g} s for its list",
+    f"the peak hour has {PEAK_HOUR_FACTOR:g} times the ordinary day's rate of changes",
+    f"a zone's return may be spread over {PEAK_CHANGE_LIMIT_S:g} s, the time within which every gateway must have it",
+    f"a gateway that starts has {START_LIMIT_S:g} s to receive its list",
     "MB are 10^6 bytes; 4 KB are 4,096 bytes",
-    f"a machine of the control roles, or of discovery, has a link of {LINK_BYTES_PER_S / 1e9:g} GB a second, and a "
-    "core for this",
-    "each change of configuration is a reload of the one file at each gateway, and takes effect with it",
-    f"the goal for the longest stop of a loop is {MAX_STALL_MS:g} ms (it is not the operators')",
+    f"a machine that runs a relay or discovery has a network link of {LINK_BYTES_PER_S / 1e9:g} GB per second, and "
+    "one core for this work",
+    "for each change of configuration every gateway reloads its one settings file; the reload puts it into effect",
+    f"the goal for the longest event loop stall is {MAX_STALL_MS:g} ms (from the issue, not from the operators)",
 )
 
 
@@ -66,11 +66,11 @@
     gateways, hosts, services = scale_plan(share)
     subset_hosts = 0.0
     for size in service_sizes(hosts, services):
-        full = min(
+        assigned_gateways = min(
             gateways,
             max(min(MIN_GATEWAYS_PER_SERVICE, gateways), round(gateways * SERVICES_PER_GATEWAY / hosts * size)),
         )
-        serving_gateways = gateways if serves_all else full
+        serving_gateways = gateways if serves_all else assigned_gateways
         gateways_per_region = max(1.0, serving_gateways / PLAN.regions)
         hosts_per_zone = size / PLAN.zones
         held_per_zone = min(
@@ -167,8 +167,11 @@
         return POLLS_PER_S * self.cost("poll_bytes", self.held_hosts) + self.peer_bytes_per_s + changes
 
     def relayed_bytes_per_s(self, rate_factor: float) -> float:
-        """Return the same behind a relay, for the gateway with the most services, from the bytes that a relay sends
-        for each change. They include subsets that shift."""
+        """Return the same behind a relay, for the gateway with the most services.
+
+        It is derived from all bytes that a relay sends for a change. They include the entries of other hosts that
+        enter or leave a subset because of the change.
+        """
         _, mean_services, max_services = services_per_gateway()
         bytes_per_change = (
             self.cost("relay_change_1_bytes", self.hosts) / self.gateways_per_relay * max_services / mean_services
@@ -207,8 +210,8 @@
 
 
 HOST_LIST, SETTINGS, PEERS, RELAYS, PROGRAM = (
-    "the list of hosts at each gateway", "the settings, told and read as a whole", "gateways that watch one another",
-    "relays", "the program itself",
+    "the list of hosts at each gateway", "the settings, sent and read as a whole file",
+    "gossip and leases between gateways", "relays", "the program itself",
 )  # fmt: skip
 _CONTROL_BYTES, _CONTROL_CPU = ("poll_bytes", "presence_bytes_per_s", "duties_bytes_per_s", "change_1_bytes"), (
     "idle_ms_per_s", "presence_ms_per_s", "duties_ms_per_s", "change_1_cpu_ms",
@@ -217,7 +220,10 @@
 
 @dataclass(slots=True, frozen=True)
 class BudgetLine:
-    """One requirement of a role, its limit, and how its value is derived. docs/CAPACITY.md prints the texts."""
+    """One requirement of a role, its limit, and how its value is derived. docs/CAPACITY.md prints the texts.
+
+    "The mechanism" is relays with subsets (docs/relay-design.md).
+    """
 
     role: str
     moment: str
@@ -227,7 +233,7 @@
     value: Callable[[ScaledFleet], float]
     rows: tuple[str, ...]  # names of the measured costs that `value` uses
     cause: str
-    met_by: str = ""  # the module that meets the requirement before the mechanism; "" is printed as 'missing'
+    met_by: str = ""  # the module that meets the requirement without the mechanism; "" is printed as 'missing'
     met_by_after: str = ""  # the same with the mechanism; "" if it is unchanged
     needs_new_state: bool = False  # includes state that the program does not have yet
     only_after: bool = False  # the role exists only with the mechanism
@@ -250,10 +256,12 @@
 _RELAY_AND_SUBSET = "relay and subset (docs/relay-design.md)"
 _ENDPOINT_UPDATES = "`EndpointUpdates.apply`"
 _RELAYED_BYTES = ("poll_bytes", "presence_bytes_per_s", "duties_bytes_per_s", "relay_change_1_bytes")
-_SLICED_LISTS = "lists taken in slices: so many hosts a turn of the loop"
-_CHEAPER_REQUESTS = "what a request costs before few hosts too: fewer wakes, and the machine's share"
-_METERED_SUBSET = "a subset told in parts at a metered rate, what restricts and what is near first"
-_SETTINGS_DELTAS = "changes of settings told as changes, and taken as such"
+_SLICED_LISTS = "lists applied in slices, of a limited number of hosts per event loop iteration"
+_CHEAPER_REQUESTS = (
+    "a lower cost that a request has even with few hosts: fewer wakeups, and the machine's share of it"
+)
+_METERED_SUBSET = "a subset sent in parts at a limited rate, restrictive changes and near hosts first"
+_SETTINGS_DELTAS = "changes of settings sent and applied as deltas"
 _RELAY = "`cloverkeel.control_plane`"
 LINES: Final = (
     BudgetLine("gateway, requests", "ordinary day", "p99 added", "ms", PLAN.added_p99_ms,
@@ -261,158 +269,166 @@
                "`cloverkeel.balancing.balancer`", _RELAY_AND_SUBSET, remedy=_CHEAPER_REQUESTS,
                value_after=lambda fleet: fleet.cost("relayed_p99_added_ms", fleet.hosts),
                rows_after=("relayed_p99_added_ms",)),
-    BudgetLine("gateway, requests", "worst hour", "p99 added while hosts change", "ms", PLAN.added_p99_ms,
+    BudgetLine("gateway, requests", "peak hour", "p99 added while hosts change", "ms", PLAN.added_p99_ms,
                lambda fleet: fleet.cost("changes_p99_added_ms", fleet.held_hosts), ("changes_p99_added_ms",),
                HOST_LIST, "`cloverkeel.balancing.balancer`", _RELAY_AND_SUBSET, remedy=_CHEAPER_REQUESTS,
                value_after=lambda fleet: fleet.cost("relayed_changes_p99_added_ms", fleet.hosts),
                rows_after=("relayed_changes_p99_added_ms",)),
-    BudgetLine("gateway, requests", "ordinary day", "CPU of requests, a second", "ms/s", CORE_MS_PER_S,
+    BudgetLine("gateway, requests", "ordinary day", "CPU for requests, per second", "ms/s", CORE_MS_PER_S,
                lambda fleet: PLAN.requests_per_gateway * fleet.cost("quiet_request_us", fleet.held_hosts) / 1e3,
                ("quiet_request_us",), PROGRAM, "`cloverkeel.core.gateway`"),
-    BudgetLine("gateway, hosts", "ordinary day", "bytes a second for control", "bytes/s", PLAN.control_bytes_per_s,
+    BudgetLine("gateway, hosts", "ordinary day", "bytes per second for control", "bytes/s", PLAN.control_bytes_per_s,
                lambda fleet: fleet.control_bytes_per_s(1), _CONTROL_BYTES, HOST_LIST, _DISCOVERY_CLIENT,
                _RELAY_AND_SUBSET, value_after=lambda fleet: fleet.relayed_bytes_per_s(1), rows_after=_RELAYED_BYTES),
-    BudgetLine("gateway, hosts", "worst hour", "bytes a second for control", "bytes/s", PLAN.control_bytes_per_s,
-               lambda fleet: fleet.control_bytes_per_s(WORST_HOUR_FACTOR), _CONTROL_BYTES, HOST_LIST,
+    BudgetLine("gateway, hosts", "peak hour", "bytes per second for control", "bytes/s", PLAN.control_bytes_per_s,
+               lambda fleet: fleet.control_bytes_per_s(PEAK_HOUR_FACTOR), _CONTROL_BYTES, HOST_LIST,
                _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
-               value_after=lambda fleet: fleet.relayed_bytes_per_s(WORST_HOUR_FACTOR), rows_after=_RELAYED_BYTES),
-    BudgetLine("gateway, hosts", "worst second", "bytes a second, a zone back", "bytes/s", PLAN.control_bytes_per_s,
-               lambda fleet: fleet.zone_return_cost("change_zone_bytes") / WORST_CHANGE_LIMIT_S,
+               value_after=lambda fleet: fleet.relayed_bytes_per_s(PEAK_HOUR_FACTOR), rows_after=_RELAYED_BYTES),
+    BudgetLine("gateway, hosts", "peak second", "bytes per second, a zone returns", "bytes/s",
+               PLAN.control_bytes_per_s,
+               lambda fleet: fleet.zone_return_cost("change_zone_bytes") / PEAK_CHANGE_LIMIT_S,
                ("change_zone_bytes",), HOST_LIST, _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
                value_after=lambda fleet: fleet.cost("relay_change_zone_bytes_most", fleet.hosts)
-               / WORST_CHANGE_LIMIT_S, rows_after=("relay_change_zone_bytes_most",), remedy=_METERED_SUBSET),
-    BudgetLine("gateway, hosts", "worst second", "bytes a second, its start", "bytes/s", PLAN.control_bytes_per_s,
-               lambda fleet: fleet.cost("whole_bytes", fleet.held_hosts) / START_LIMIT_S, ("whole_bytes",), HOST_LIST,
-               _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
+               / PEAK_CHANGE_LIMIT_S, rows_after=("relay_change_zone_bytes_most",), remedy=_METERED_SUBSET),
+    BudgetLine("gateway, hosts", "peak second", "bytes per second, the gateway starts", "bytes/s",
+               PLAN.control_bytes_per_s, lambda fleet: fleet.cost("whole_bytes", fleet.held_hosts) / START_LIMIT_S,
+               ("whole_bytes",), HOST_LIST, _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
                value_after=lambda fleet: fleet.cost("relay_whole_bytes", fleet.hosts) / START_LIMIT_S,
                rows_after=("relay_whole_bytes",), remedy=_METERED_SUBSET),
-    BudgetLine("gateway, hosts", "ordinary day", "CPU for control, a second", "ms/s",
+    BudgetLine("gateway, hosts", "ordinary day", "CPU for control, per second", "ms/s",
                PLAN.control_core * CORE_MS_PER_S, lambda fleet: fleet.control_cpu_ms_per_s(1), _CONTROL_CPU,
                HOST_LIST, _ENDPOINT_UPDATES, _RELAY_AND_SUBSET),
-    BudgetLine("gateway, hosts", "worst hour", "CPU for control, a second", "ms/s", PLAN.control_core * CORE_MS_PER_S,
-               lambda fleet: fleet.control_cpu_ms_per_s(WORST_HOUR_FACTOR), _CONTROL_CPU, HOST_LIST,
+    BudgetLine("gateway, hosts", "peak hour", "CPU for control, per second", "ms/s",
+               PLAN.control_core * CORE_MS_PER_S, lambda fleet: fleet.control_cpu_ms_per_s(PEAK_HOUR_FACTOR),
+               _CONTROL_CPU, HOST_LIST,
                _ENDPOINT_UPDATES, _RELAY_AND_SUBSET),
-    BudgetLine("gateway, hosts", "worst second", "CPU for control, a second, a zone back", "ms/s",
+    BudgetLine("gateway, hosts", "peak second", "CPU for control, per second, a zone returns", "ms/s",
                PLAN.control_core * CORE_MS_PER_S,
                lambda fleet: fleet.control_cpu_ms_per_s(1) + fleet.zone_return_cost("change_zone_cpu_ms")
-               / WORST_CHANGE_LIMIT_S, (*_CONTROL_CPU, "change_zone_cpu_ms"), HOST_LIST, _ENDPOINT_UPDATES,
+               / PEAK_CHANGE_LIMIT_S, (*_CONTROL_CPU, "change_zone_cpu_ms"), HOST_LIST, _ENDPOINT_UPDATES,
                _RELAY_AND_SUBSET,
                value_after=lambda fleet: fleet.control_cpu_ms_per_s(1)
-               + fleet.zone_return_cost("subset_change_zone_cpu_ms") / WORST_CHANGE_LIMIT_S,
+               + fleet.zone_return_cost("subset_change_zone_cpu_ms") / PEAK_CHANGE_LIMIT_S,
                rows_after=(*_CONTROL_CPU, "subset_change_zone_cpu_ms")),
-    BudgetLine("gateway, hosts", "ordinary day", "longest stop of the loop, one change", "ms", MAX_STALL_MS,
+    BudgetLine("gateway, hosts", "ordinary day", "longest event loop stall, one change", "ms", MAX_STALL_MS,
                lambda fleet: fleet.cost("change_1_stop_ms", fleet.held_hosts), ("change_1_stop_ms",), HOST_LIST,
                _ENDPOINT_UPDATES, _RELAY_AND_SUBSET, remedy=_SLICED_LISTS),
-    BudgetLine("gateway, hosts", "worst second", "longest stop of the loop, the collector", "ms", MAX_STALL_MS,
+    BudgetLine("gateway, hosts", "peak second", "longest event loop stall, garbage collection", "ms", MAX_STALL_MS,
                lambda fleet: fleet.cost("collector_ms", fleet.held_hosts), ("collector_ms",), HOST_LIST,
                "`cloverkeel.core.gc_tuning`", _RELAY_AND_SUBSET, remedy=_SLICED_LISTS),
-    BudgetLine("gateway, hosts", "worst second", "longest stop of the loop, a zone back", "ms", MAX_STALL_MS,
+    BudgetLine("gateway, hosts", "peak second", "longest event loop stall, a zone returns", "ms", MAX_STALL_MS,
                lambda fleet: fleet.zone_return_cost("change_zone_stop_ms"), ("change_zone_stop_ms",), HOST_LIST,
                _ENDPOINT_UPDATES, _RELAY_AND_SUBSET, remedy=_SLICED_LISTS,
                value_after=lambda fleet: fleet.zone_return_cost("subset_change_zone_stop_ms"),
                rows_after=("subset_change_zone_stop_ms",)),
-    BudgetLine("gateway, hosts", "worst second", "longest stop of the loop, a whole list while requests are served",
+    BudgetLine("gateway, hosts", "peak second", "longest event loop stall, a full list while requests are served",
                "ms", MAX_STALL_MS, lambda fleet: fleet.cost("whole_stop_ms", fleet.held_hosts), ("whole_stop_ms",),
                HOST_LIST, _DISCOVERY_CLIENT, _RELAY_AND_SUBSET, remedy=_SLICED_LISTS,
                value_after=lambda fleet: fleet.cost("subset_whole_stop_ms", fleet.held_hosts),
                rows_after=("subset_whole_stop_ms",)),
-    BudgetLine("gateway, hosts", "worst second",
-               "longest stop of the loop, the first list: nobody is served before it", "ms", None,
+    BudgetLine("gateway, hosts", "peak second",
+               "longest event loop stall, the first list; no request is served before it", "ms", None,
                lambda fleet: fleet.cost("whole_first_stop_ms", fleet.held_hosts), ("whole_first_stop_ms",), HOST_LIST,
                _DISCOVERY_CLIENT, _RELAY_AND_SUBSET,
                value_after=lambda fleet: fleet.cost("subset_whole_first_stop_ms", fleet.held_hosts),
                rows_after=("subset_whole_first_stop_ms",)),
-    BudgetLine("gateway, hosts", "worst second", "start to ready", "ms", START_LIMIT_S * 1e3,
+    BudgetLine("gateway, hosts", "peak second", "time from start to ready", "ms", START_LIMIT_S * 1e3,
                lambda fleet: fleet.cost("ready_ms", fleet.held_hosts), ("ready_ms",), HOST_LIST,
                "`cloverkeel.cli.serving`", _RELAY_AND_SUBSET),
-    BudgetLine("gateway, hosts", "ordinary day", "memory, with what it would have to know of routes and tenants",
+    BudgetLine("gateway, hosts", "ordinary day", "memory, including the routes and tenants that a gateway would hold",
                "MB", PLAN.control_mb, lambda fleet: fleet.memory_mb(), ("resident_mb", *_STATE_ROWS), HOST_LIST,
-               _ENDPOINT_UPDATES, _RELAY_AND_SUBSET, True, remedy="tenants and routes of its own services alone"),
-    BudgetLine("gateway, hosts", "worst second", "the same, with a whole list told to it once", "MB", PLAN.control_mb,
-               lambda fleet: fleet.memory_mb(is_peak=True), ("resident_most_mb", *_STATE_ROWS), HOST_LIST,
-               _DISCOVERY_CLIENT, _RELAY_AND_SUBSET, True, remedy="tenants and routes of its own services alone"),
-    BudgetLine("gateway, others", "ordinary day", "bytes a second, presence and duties", "bytes/s",
+               _ENDPOINT_UPDATES, _RELAY_AND_SUBSET, True, remedy="only the tenants and routes of its own services"),
+    BudgetLine("gateway, hosts", "peak second",
+               "peak memory, with a repeated full list and the routes and tenants that a gateway would hold", "MB",
+               PLAN.control_mb, lambda fleet: fleet.memory_mb(is_peak=True), ("resident_most_mb", *_STATE_ROWS),
+               HOST_LIST, _DISCOVERY_CLIENT, _RELAY_AND_SUBSET, True,
+               remedy="only the tenants and routes of its own services"),
+    BudgetLine("gateway, peers", "ordinary day", "bytes per second, gossip and leases", "bytes/s",
                PLAN.control_bytes_per_s, lambda fleet: fleet.peer_bytes_per_s,
                ("presence_bytes_per_s", "duties_bytes_per_s"), PEERS, "`cloverkeel.gossip`, `cloverkeel.leases`"),
-    BudgetLine("gateway, others", "ordinary day", "CPU a second, presence and duties", "ms/s",
+    BudgetLine("gateway, peers", "ordinary day", "CPU per second, gossip and leases", "ms/s",
                PLAN.control_core * CORE_MS_PER_S,
                lambda fleet: fleet.cost("presence_ms_per_s", fleet.gateways)
                + fleet.cost("duties_ms_per_s", fleet.gateways), ("presence_ms_per_s", "duties_ms_per_s"), PEERS,
                "`cloverkeel.gossip`, `cloverkeel.leases`"),
-    BudgetLine("gateway, others", "worst second", "until all doubt a host that fails", "ms", None,
+    BudgetLine("gateway, peers", "peak second", "time until all gateways suspect a failing host", "ms", None,
                lambda fleet: fleet.cost("news_all_ms", fleet.gateways), ("news_all_ms",), PEERS,
                "`cloverkeel.gossip.dissemination`"),
-    BudgetLine("gateway, others", "worst second", "bytes a second while that is told", "bytes/s",
+    BudgetLine("gateway, peers", "peak second", "bytes per second while the suspicion spreads", "bytes/s",
                PLAN.control_bytes_per_s, lambda fleet: fleet.cost("news_bytes_per_s", fleet.gateways),
                ("news_bytes_per_s",), PEERS, "`cloverkeel.gossip.dissemination`"),
-    BudgetLine("gateway, settings", "ordinary day", "bytes a second, if each change brings the whole file", "bytes/s",
-               PLAN.control_bytes_per_s, lambda fleet: fleet.configurations_per_s * fleet.reload_cost("bytes"),
+    BudgetLine("gateway, settings", "ordinary day", "bytes per second, if each change sends the whole file",
+               "bytes/s", PLAN.control_bytes_per_s,
+               lambda fleet: fleet.configurations_per_s * fleet.reload_cost("bytes"),
                ("tenants_reload_bytes",), SETTINGS, remedy=_SETTINGS_DELTAS, needs_new_state=True),
-    BudgetLine("gateway, settings", "ordinary day", "CPU a second of reloads", "ms/s",
+    BudgetLine("gateway, settings", "ordinary day", "CPU for reloads, per second", "ms/s",
                PLAN.control_core * CORE_MS_PER_S,
                lambda fleet: fleet.configurations_per_s * fleet.reload_cost("cpu_ms"), ("tenants_reload_cpu_ms",),
-               SETTINGS, "`cloverkeel.core.reload`: only discovery's address is taken", remedy=_SETTINGS_DELTAS,
+               SETTINGS, "`cloverkeel.core.reload`: only discovery's address is applied", remedy=_SETTINGS_DELTAS,
                needs_new_state=True),
-    BudgetLine("gateway, settings", "ordinary day", "part of the time that the loop stands for reloads", "share",
+    BudgetLine("gateway, settings", "ordinary day", "share of time in which reloads stall the event loop", "share",
                MAX_DELAYED_SHARE, lambda fleet: fleet.configurations_per_s * fleet.reload_cost("stop_ms") / 1e3,
                ("tenants_reload_stop_ms",), SETTINGS, "`cloverkeel.core.reload`", remedy=_SETTINGS_DELTAS,
                needs_new_state=True),
-    BudgetLine("gateway, settings", "ordinary day", "until a reload is read", "ms", PLAN.configuration_s * 1e3,
+    BudgetLine("gateway, settings", "ordinary day", "duration of a reload", "ms", PLAN.configuration_s * 1e3,
                lambda fleet: fleet.reload_cost("ms"), ("tenants_reload_ms",), SETTINGS, "`cloverkeel.core.reload`",
                remedy=_SETTINGS_DELTAS),
-    BudgetLine("gateway, settings", "ordinary day", "memory while one is read, beside the program", "MB",
+    BudgetLine("gateway, settings", "ordinary day", "peak memory during a reload, including the program", "MB",
                PLAN.control_mb,
                lambda fleet: fleet.cost("resident_mb", fleet.held_hosts) + fleet.reload_cost("most_mb"),
                ("resident_mb", "tenants_reload_most_mb"), SETTINGS, "`cloverkeel.core.config`",
                remedy=_SETTINGS_DELTAS),
-    BudgetLine("relay", "ordinary day", "bytes out a second, each", "bytes/s", LINK_BYTES_PER_S,
+    BudgetLine("relay", "ordinary day", "bytes sent per second, each relay", "bytes/s", LINK_BYTES_PER_S,
                lambda fleet: fleet.gateways_per_relay * POLLS_PER_S * fleet.cost("poll_bytes", 1)
                + fleet.changes_per_s * fleet.cost("relay_change_1_bytes", fleet.hosts),
                ("poll_bytes", "relay_change_1_bytes"), RELAYS, _RELAY, only_after=True),
-    BudgetLine("relay", "worst second", "bytes out a second, each, a zone back", "bytes/s", LINK_BYTES_PER_S,
-               lambda fleet: fleet.cost("relay_change_zone_bytes", fleet.hosts) / WORST_CHANGE_LIMIT_S,
+    BudgetLine("relay", "peak second", "bytes sent per second, each relay, a zone returns", "bytes/s",
+               LINK_BYTES_PER_S,
+               lambda fleet: fleet.cost("relay_change_zone_bytes", fleet.hosts) / PEAK_CHANGE_LIMIT_S,
                ("relay_change_zone_bytes",), RELAYS, _RELAY, only_after=True),
-    BudgetLine("relay", "worst second", "bytes out a second, each, 7 in 10 gateways start", "bytes/s",
+    BudgetLine("relay", "peak second", "bytes sent per second, each relay, 7 in 10 gateways start", "bytes/s",
                LINK_BYTES_PER_S,
                lambda fleet: STARTED_SHARE * fleet.gateways_per_relay * fleet.cost("relay_whole_bytes", fleet.hosts)
                / START_LIMIT_S, ("relay_whole_bytes",), RELAYS, _RELAY, only_after=True),
-    BudgetLine("relay", "worst second", "bytes out a second, each, one killed and its gateways told within 1 s",
+    BudgetLine("relay", "peak second",
+               "bytes sent per second, each relay, one is killed and the others serve its gateways within 1 s",
                "bytes/s", LINK_BYTES_PER_S,
                lambda fleet: fleet.gateways_per_relay / (PLAN.control_machines - 1)
                * fleet.cost("relay_whole_bytes", fleet.hosts), ("relay_whole_bytes",), RELAYS, _RELAY,
                only_after=True),
-    BudgetLine("relay", "worst hour", "CPU of changes a second, each", "ms/s", CORE_MS_PER_S,
-               lambda fleet: WORST_HOUR_FACTOR * fleet.changes_per_s
+    BudgetLine("relay", "peak hour", "CPU for changes, per second, each relay", "ms/s", CORE_MS_PER_S,
+               lambda fleet: PEAK_HOUR_FACTOR * fleet.changes_per_s
                * fleet.cost("relay_change_1_cpu_ms", fleet.hosts), ("relay_change_1_cpu_ms",), RELAYS, _RELAY,
                only_after=True),
-    BudgetLine("relay", "worst second", "CPU until a zone that is back is told to all of one relay", "ms",
-               WORST_CHANGE_LIMIT_S * 1e3, lambda fleet: fleet.cost("relay_change_zone_cpu_ms", fleet.hosts),
+    BudgetLine("relay", "peak second", "CPU until all gateways of one relay have a zone's return", "ms",
+               PEAK_CHANGE_LIMIT_S * 1e3, lambda fleet: fleet.cost("relay_change_zone_cpu_ms", fleet.hosts),
                ("relay_change_zone_cpu_ms",), RELAYS, _RELAY, only_after=True),
-    BudgetLine("relay", "worst second", "CPU until 7 in 10 of its gateways have their wholes", "ms",
+    BudgetLine("relay", "peak second", "CPU until 7 in 10 of its gateways have their full subsets", "ms",
                START_LIMIT_S * 1e3,
                lambda fleet: STARTED_SHARE * fleet.gateways_per_relay * fleet.cost("relay_whole_cpu_ms", fleet.hosts),
                ("relay_whole_cpu_ms",), RELAYS, _RELAY, only_after=True),
-    BudgetLine("relay", "worst second", "longest step, a whole list taken", "ms", CHANGE_LIMIT_MS,
+    BudgetLine("relay", "peak second", "longest step, a full list is applied", "ms", CHANGE_LIMIT_MS,
                lambda fleet: fleet.cost("relay_take_stop_ms", fleet.hosts), ("relay_take_stop_ms",), RELAYS, _RELAY,
                only_after=True, remedy=_SLICED_LISTS),
-    BudgetLine("relay", "ordinary day", "memory of the list and of what each gateway has", "MB", None,
+    BudgetLine("relay", "ordinary day", "memory of the list and of the subset sent to each gateway", "MB", None,
                lambda fleet: fleet.cost("relay_kept_mb", fleet.hosts), ("relay_kept_mb",), RELAYS, _RELAY,
                only_after=True),
-    BudgetLine("discovery", "ordinary day", "calls a second that it answers", "/s", None,
+    BudgetLine("discovery", "ordinary day", "calls answered per second", "/s", None,
                lambda fleet: (PLAN.control_machines if fleet.has_subsets else fleet.gateways) * POLLS_PER_S, (),
-               HOST_LIST, "discovery's own", "12 relays ask"),
-    BudgetLine("discovery", "ordinary day", "bytes out a second", "bytes/s", LINK_BYTES_PER_S,
+               HOST_LIST, "discovery itself", "12 relays poll"),
+    BudgetLine("discovery", "ordinary day", "bytes sent per second", "bytes/s", LINK_BYTES_PER_S,
                lambda fleet: (PLAN.control_machines if fleet.has_subsets else fleet.gateways)
                * (fleet.cost("poll_bytes", 1) + fleet.changes_per_s * fleet.change_bytes),
-               ("poll_bytes", "change_1_bytes"), HOST_LIST, "discovery's own", "12 relays ask"),
-    BudgetLine("discovery", "worst second", "bytes out a second, a zone back", "bytes/s", LINK_BYTES_PER_S,
+               ("poll_bytes", "change_1_bytes"), HOST_LIST, "discovery itself", "12 relays poll"),
+    BudgetLine("discovery", "peak second", "bytes sent per second, a zone returns", "bytes/s", LINK_BYTES_PER_S,
                lambda fleet: (PLAN.control_machines if fleet.has_subsets else fleet.gateways)
-               * fleet.cost("change_zone_bytes", fleet.hosts) / WORST_CHANGE_LIMIT_S, ("change_zone_bytes",),
-               HOST_LIST, "discovery's own", "12 relays ask"),
-    BudgetLine("discovery", "worst second", "bytes out a second, 7 in 10 gateways start", "bytes/s", LINK_BYTES_PER_S,
+               * fleet.cost("change_zone_bytes", fleet.hosts) / PEAK_CHANGE_LIMIT_S, ("change_zone_bytes",),
+               HOST_LIST, "discovery itself", "12 relays poll"),
+    BudgetLine("discovery", "peak second", "bytes sent per second, 7 in 10 gateways start", "bytes/s",
+               LINK_BYTES_PER_S,
                lambda fleet: (PLAN.control_machines if fleet.has_subsets else STARTED_SHARE * fleet.gateways)
                * fleet.cost("whole_bytes", fleet.hosts) / START_LIMIT_S, ("whole_bytes",), HOST_LIST,
-               "discovery's own", "12 relays ask, at the worst all at once"),
+               "discovery itself", "12 relays poll, in the worst case all at once"),
 )  # fmt: skip
 
 
@@ -442,14 +458,14 @@
             Figure(
                 line,
                 value(ScaledFleet(curves, 1.0, has_subsets)),
-                find_breaking_share(line, curves, has_subsets),
+                find_share_at_limit(line, curves, has_subsets),
                 rows,
             )
         )
     return figures
 
 
-def find_breaking_share(line: BudgetLine, curves: Mapping[str, Curve], has_subsets: bool) -> float | None:
+def find_share_at_limit(line: BudgetLine, curves: Mapping[str, Curve], has_subsets: bool) -> float | None:
     """Return the smallest share of the plan at which the limit is exceeded, within 0.1%."""
     limit = line.limit
     if limit is None:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -25,7 +25,7 @@
 ROOT: Final = Path(__file__).resolve().parents[2]
 PAGE: Final = ROOT / "docs" / "CAPACITY.md"
 SLOPES: Final = ROOT / "docs" / "capacity" / "slopes.json"
-RUN_FILES: Final = "run*.json"  # next to SLOPES: scale runs, before and with the mechanism
+RUN_FILES: Final = "run*.json"  # next to SLOPES: scale runs, without and with relays
 RUN_COLUMNS: Final = (
     "gateways", "hosts", "step", "last_s", "limit_s", "p50_s", "p99_s", "had", "bytes_per_s", "calls_per_s",
     "cpu_share", "apply_ms", "stop_ms", "relay_stop_ms", "hollow_mb", "all_mb", "added_p99_ms", "direct_p99_ms",
@@ -75,7 +75,10 @@
 
 
 class Page:
-    """The tables of the page, from the rows of the slopes and of the scale runs. A method `table_NAME` per table."""
+    """The tables of the page, from the rows of the slopes and of the scale runs. A method `table_NAME` per table.
+
+    "The mechanism" is relays with subsets (docs/relay-design.md).
+    """
 
     def __init__(
         self, rows: dict[str, dict[str, Any]], runs: Sequence[dict[str, Any]] = (), files: Sequence[Path] = ()
@@ -123,8 +126,8 @@
             points = ", ".join(f"{format_value(size)}: {format_value(value)}" for size, value in row["points"])
             if spread := row.get("spread"):
                 spans = ", ".join(f"{format_value(low)} to {format_value(high)}" for _, low, high in spread)
-                points += f"; of the rounds {spans}"
-            kind = {"worse": f"worse, to the power of {row['coefficients'][1]:.2f}"}.get(row["fit"], row["fit"])
+                points += f"; range of the rounds {spans}"
+            kind = {"worse": f"worse than linear, exponent {row['coefficients'][1]:.2f}"}.get(row["fit"], row["fit"])
             extrapolation = "measured" if row["extrapolation"] <= 1 else f"{format_value(row['extrapolation'])} times"
             cost = row["cost"] + (" (an estimate)" if row["estimate"] else "")
             rows.append((f"`{name}`", cost, row["unit"], f"{row['by']}: {points}", kind, f"{row['residual']:.0%}",
@@ -148,15 +151,15 @@
              f"each service {MIN_GATEWAYS_PER_SERVICE} gateways or more)",
              f"{min_services} to {max_services}, mean {mean_services:.1f}"),
             ("hosts in a gateway's subset, mean", format_value(budget.mean_subset_hosts(1.0))),
-            ("the same for the gateway with the most services: what the tables take", format_value(held_hosts)),
-            ("the same if each gateway were before all services", format_value(held_hosts_of_all_services)),
-            ("changes of the list a second, ordinary day", format_value(fleet.changes_per_s)),
-            ("changes of configuration a second", format_value(fleet.configurations_per_s)),
-            ("requests a second at a gateway", format_value(PLAN.requests_per_gateway)),
-            ("hosts that come back with a zone", format_value(PLAN.hosts / PLAN.zones)),
+            ("the same for the gateway with the most services, as the tables use it", format_value(held_hosts)),
+            ("the same if each gateway served all services", format_value(held_hosts_of_all_services)),
+            ("changes of the list per second, ordinary day", format_value(fleet.changes_per_s)),
+            ("changes of configuration per second", format_value(fleet.configurations_per_s)),
+            ("requests per second at a gateway", format_value(PLAN.requests_per_gateway)),
+            ("hosts that return with a zone", format_value(PLAN.hosts / PLAN.zones)),
             ("gateways that start within 2 s", format_value(budget.STARTED_SHARE * PLAN.gateways)),
         ]  # fmt: skip
-        plan_table = format_table(("worked out of the plan", ""), rows, right_aligned=(1,))
+        plan_table = format_table(("derived from the plan", ""), rows, right_aligned=(1,))
         return plan_table + "\n" + "".join(f"- {assumption}\n" for assumption in ASSUMED)
 
     def table_other_way(self) -> str:
@@ -172,7 +175,7 @@
              format_value(self.curves[name].value_at(PLAN.hosts)))
             for name in names if name in self.rows
         ]  # fmt: skip
-        headings = ("cost", "unit", "its services alone", "all services", "no subset")
+        headings = ("cost", "unit", "only its services", "all services", "no subset")
         return format_table(headings, rows, right_aligned=(2, 3, 4))
 
     def describe_source(self, figure: Figure) -> str:
@@ -187,8 +190,8 @@
         )
         residual = max(self.rows[name]["residual"] for name in figure.rows)
         if residual > MAX_UNMENTIONED_RESIDUAL:
-            description += f", scatters by {residual:.0%}"
-        return description + (", priced" if figure.line.needs_new_state else "")
+            description += f", with a residual of {residual:.0%}"
+        return description + (", partly estimated" if figure.line.needs_new_state else "")
 
     def role_table(self, role: str) -> str:
         """Return the lines of a role, without and with the mechanism."""
@@ -207,8 +210,8 @@
                  self.describe_source(figure_before or figure_after),
                  ", ".join(f"`{name}`" for name in row_names) or "the plan")
             )  # fmt: skip
-        headings = ("moment", "what", "today", "breaks at", "with the mechanism", "breaks at", "limit",
-                    "carried today by", "and with it by", "known how", "rows")  # fmt: skip
+        headings = ("moment", "what", "today", "exceeded at", "with the mechanism", "exceeded at", "limit",
+                    "met today by", "met with the mechanism by", "source of the figure", "rows")  # fmt: skip
         return format_table(headings, rows, right_aligned=(2, 3, 4, 5, 6))
 
     def table_requests(self) -> str:
@@ -235,7 +238,7 @@
                         ratio,
                     )
                 )
-        headings = ("row", "hosts", "median, ms", "of the rounds, ms", "times that of the fewest hosts")
+        headings = ("row", "hosts", "median, ms", "range of the rounds, ms", "ratio to the fewest hosts")
         return "\n" + format_table(headings, rows, right_aligned=(1, 2, 4)) if rows else ""
 
     def table_hosts(self) -> str:
@@ -244,7 +247,7 @@
 
     def table_others(self) -> str:
         """Return the lines of peers at a gateway."""
-        return self.role_table("gateway, others")
+        return self.role_table("gateway, peers")
 
     def table_settings(self) -> str:
         """Return the lines of the settings at a gateway."""
@@ -266,7 +269,17 @@
              self.describe_source(figure), figure.line.cause)
             for rank, figure in enumerate(rank_figures(figures), 1)
         ]  # fmt: skip
-        headings = ("", "breaks at", "role", "moment", "what", "at the plan's size", "limit", "known how", "cause")
+        headings = (
+            "",
+            "exceeded at",
+            "role",
+            "moment",
+            "what",
+            "at the plan's size",
+            "limit",
+            "source of the figure",
+            "cause",
+        )
         return format_table(headings, rows, right_aligned=(0, 1, 5, 6))
 
     def table_ranking_before(self) -> str:
@@ -284,7 +297,7 @@
              format_value(figure.value), format_limit(figure.line.limit), figure.line.remedy or "not known")
             for figure in rank_figures(self.figures_after) if (figure.share or 0.0) < 1
         ]  # fmt: skip
-        headings = ("breaks at", "role", "what", "at the plan's size", "limit", "what would carry it")
+        headings = ("exceeded at", "role", "what", "at the plan's size", "limit", "possible remedy")
         return format_table(headings, rows, right_aligned=(0, 3, 4))
 
     def table_causes(self) -> str:
@@ -302,7 +315,7 @@
                     format_share(ranked[0].share) if ranked else "",
                 ]
             rows.append((cause, *cells))
-        headings = ("cause", "limits broken today", "the first at", "with the mechanism", "the first at")
+        headings = ("cause", "limits exceeded today", "the first at", "with the mechanism", "the first at")
         return format_table(headings, rows, right_aligned=(1, 2, 3, 4))
 
     def table_run(self) -> str:
@@ -311,14 +324,14 @@
         for run in self.runs:
             faults, steps = run.get("faults", []), run.get("steps", [])
             relays = ", ".join(str(count) for count in sorted({step.get("relays", 0) for step in steps}))
-            near = " near" if any(step.get("near") for step in steps) else ""
+            near = " own-region" if any(step.get("near") for step in steps) else ""
             title = f"{relays or 'no step, no'}{near} relays, {run.get('cores')} cores, {run.get('build')}"
             title += f", {len(faults)} faults" + "".join(f"; {format_cell(fault)}" for fault in faults)
             keys = [key for key in RUN_COLUMNS if any(step.get(key) is not None for step in steps)]
             run_texts.append(
                 title + ":\n\n" + format_table(keys, [[format_cell(step.get(key)) for key in keys] for step in steps])
             )
-        return "\n".join(run_texts) or "No scale run is committed: nothing of it is known.\n"
+        return "\n".join(run_texts) or "No scale run is committed.\n"
 
 
 def format_cell(value: Any) -> str:
--- a/benchmarks/capacity/parts.py
+++ b/benchmarks/capacity/parts.py
@@ -332,8 +332,8 @@
 
 
 class LoadGenerator:
-    """Sends requests at random times at a given rate, however long responses take: to the gateway, and the same to a
-    host directly."""
+    """Sends requests at random times at a given rate, independently of response times: each one to the gateway, and
+    an equal one directly to a host."""
 
     def __init__(self, gateway_port: int, host_ports: list[int], rate: float) -> None:
         self.ports_by_target = {"through": [gateway_port], "direct": host_ports}
@@ -758,13 +758,13 @@
 
 def part_relayed(size: int, seconds: float) -> Costs:
     """Measure the p99 that the gateway with the most services adds, while nothing changes and while hosts restart at
-    the rate of the fleet's worst hour. It receives its subset from a relay that has `size` hosts and the plan's
+    the rate of the fleet's peak hour. It receives its subset from a relay that has `size` hosts and the plan's
     roster."""
-    from benchmarks.capacity.budget import WORST_HOUR_FACTOR, ScaledFleet
+    from benchmarks.capacity.budget import PEAK_HOUR_FACTOR, ScaledFleet
 
     costs: Costs = {}
     fleet = build_fleet(gateways_for_hosts(size), size)
-    widest_gateway = max(fleet.gateways, key=lambda gateway: len(gateway.services))
+    largest_gateway = max(fleet.gateways, key=lambda gateway: len(gateway.services))
     zones = [zone for region_zones in fleet.regions.values() for zone in region_zones]
     seconds = min(seconds, RELAYED_LOAD_S)
     with start_stub_environment(size) as (hosts, discovery), tempfile.TemporaryDirectory() as name:
@@ -774,10 +774,10 @@
         (folder / "relay.toml").write_text(f'name = "relay"\n{addresses}roster = "roster.json"\n')
         options = folder / "options.toml"
         options.write_text(
-            f'[relays]\naddresses = ["127.0.0.1:{port}"]\nservices = {json.dumps(list(widest_gateway.services))}\n'
+            f'[relays]\naddresses = ["127.0.0.1:{port}"]\nservices = {json.dumps(list(largest_gateway.services))}\n'
         )
-        settings_table = gateway_settings(size) | {"zone": zones.index(widest_gateway.zone)}
-        config = configuration(widest_gateway.name, "", f"127.0.0.1:{discovery}", "1", [], settings_table) | {
+        settings_table = gateway_settings(size) | {"zone": zones.index(largest_gateway.zone)}
+        config = configuration(largest_gateway.name, "", f"127.0.0.1:{discovery}", "1", [], settings_table) | {
             "known": {}
         }
         gateway = GatewayProcess(folder, config, extra_environment={"CLOVERKEEL_OPTIONS": str(options)})
@@ -795,7 +795,7 @@
                 load = LoadGenerator(gateway.port, hosts, PLAN.requests_per_gateway)
                 runner.run(load.run(min(WARM_UP_S, seconds)))
                 _measure_load(costs, "relayed", runner, load, gateway.pid, seconds)
-                interval_ms = 1_000 / (WORST_HOUR_FACTOR * ScaledFleet({}, size / PLAN.hosts).changes_per_s)
+                interval_ms = 1_000 / (PEAK_HOUR_FACTOR * ScaledFleet({}, size / PLAN.hosts).changes_per_s)
                 send_control_request(discovery, f"/restarts?every_ms={interval_ms:.0f}")
                 _measure_load(costs, "relayed_changes", runner, load, gateway.pid, seconds)
         finally:
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -17,7 +17,7 @@
     sizes: tuple[int, ...]
     quick_sizes: tuple[int, ...]  # sizes with --quick
     plan_size: int  # size at the full plan
-    # Runs through all sizes; the result is the median over the rounds, with its range.
+    # Number of runs through all sizes. The result is the median over these runs, with their minimum and maximum.
     rounds: int = 1
 
 
@@ -31,7 +31,7 @@
     cost: str
     unit: str
     min_size: int = 0  # smaller sizes have no value of this cost
-    is_estimate: bool = False  # estimates state that the program does not have yet
+    is_estimate: bool = False  # the cost is an estimate for state that the program does not have yet
 
 
 MAX_SUBSET_HOSTS: Final = 790  # in the subset of the gateway with the most services (docs/relay-design.md)
@@ -56,38 +56,50 @@
 
 # Roles that docs/CAPACITY.md prints. A relay is one of twelve, and serves a twelfth of the gateways.
 _RELAY: Final = "relay"
-_HOSTS, _REQUESTS, _PEERS, _SETTINGS = "gateway, hosts", "gateway, requests", "gateway, others", "gateway, settings"
+_HOSTS, _REQUESTS, _PEERS, _SETTINGS = "gateway, hosts", "gateway, requests", "gateway, peers", "gateway, settings"
 
 
 def _list_specs() -> list[CostSpec]:
     specs: list[CostSpec] = []
     for name, description, min_size in (
-        ("whole", "a whole list again", 0), ("change_1", "a change of 1 host", 0),
+        ("whole", "a repeated full list", 0), ("change_1", "a change of 1 host", 0),
         ("change_5", "a change of 5 hosts", 0),
-        ("change_500", "a change of 500 hosts", 1_000), ("change_zone", "a zone back (a sixth of the hosts)", 0),
+        ("change_500", "a change of 500 hosts", 1_000),
+        ("change_zone", "the return of a zone (a sixth of the hosts)", 0),
     ):  # fmt: skip
         specs.append(CostSpec(f"{name}_cpu_ms", "list", _HOSTS, f"CPU of {description}", "ms", min_size))
         specs.append(
-            CostSpec(f"{name}_stop_ms", "list", _HOSTS, f"longest stop of the loop by {description}", "ms", min_size)
+            CostSpec(
+                f"{name}_stop_ms", "list", _HOSTS, f"longest event loop stall caused by {description}", "ms", min_size
+            )
         )
         specs.append(CostSpec(f"{name}_bytes", "list", _HOSTS, f"bytes of {description}", "bytes", min_size))
     return specs
 
 
 def _first_list_spec(name: str, part: str) -> CostSpec:
-    description = "longest stop of the loop by the first list: nobody is served before it"
+    description = "longest event loop stall caused by the first list; no request is served before it"
     return CostSpec(name, part, _HOSTS, description, "ms")
 
 
 def _subset_specs() -> list[CostSpec]:
     """Costs behind a relay that compresses its responses with gzip."""
     specs = [_first_list_spec("subset_whole_first_stop_ms", "subset")]
-    for name, description in (("whole", "a whole subset again"), ("change_zone", "a sixth of a subset back")):
+    for name, description in (
+        ("whole", "a repeated full subset"),
+        ("change_zone", "the return of a sixth of a subset"),
+    ):
         specs.append(CostSpec(f"subset_{name}_cpu_ms", "subset", _HOSTS, f"CPU of {description}", "ms"))
         specs.append(
-            CostSpec(f"subset_{name}_stop_ms", "subset", _HOSTS, f"longest stop of the loop by {description}", "ms")
+            CostSpec(
+                f"subset_{name}_stop_ms", "subset", _HOSTS, f"longest event loop stall caused by {description}", "ms"
+            )
+        )
+        specs.append(
+            CostSpec(
+                f"subset_{name}_bytes", "subset", _HOSTS, f"bytes of {description}, compressed with gzip", "bytes"
+            )
         )
-        specs.append(CostSpec(f"subset_{name}_bytes", "subset", _HOSTS, f"bytes of {description}, as gzip", "bytes"))
     return specs
 
 
@@ -95,86 +107,164 @@
     description = f"by {name}"
     return [
         CostSpec(f"{name}_reload_cpu_ms", name, _SETTINGS, f"CPU of a reload, {description}", "ms"),
-        CostSpec(f"{name}_reload_ms", name, _SETTINGS, f"time until a reload is read, {description}", "ms"),
+        CostSpec(f"{name}_reload_ms", name, _SETTINGS, f"duration of a reload, {description}", "ms"),
         CostSpec(
-            f"{name}_reload_stop_ms", name, _SETTINGS, f"longest stop of the loop by a reload, {description}", "ms"
+            f"{name}_reload_stop_ms",
+            name,
+            _SETTINGS,
+            f"longest event loop stall caused by a reload, {description}",
+            "ms",
         ),
         CostSpec(f"{name}_reload_bytes", name, _SETTINGS, f"bytes of the configuration, {description}", "bytes"),
         CostSpec(f"{name}_reload_kept_mb", name, _SETTINGS, f"memory that the settings take, {description}", "MB"),
-        CostSpec(
-            f"{name}_reload_most_mb", name, _SETTINGS, f"the most memory while one is read, {description}", "MB"
-        ),
+        CostSpec(f"{name}_reload_most_mb", name, _SETTINGS, f"peak memory during a reload, {description}", "MB"),
     ]
 
 
 SPECS: Final = (
     CostSpec("resident_mb", "gateway", _HOSTS, "resident memory when ready", "MB"),
-    CostSpec("resident_most_mb", "gateway", _HOSTS, "the most, with a whole list told to it once", "MB"),
-    CostSpec("ready_ms", "gateway", _HOSTS, "start to ready", "ms"),
-    CostSpec("idle_ms_per_s", "gateway", _HOSTS, "CPU a second with nothing to do", "ms/s"),
+    CostSpec("resident_most_mb", "gateway", _HOSTS, "peak resident memory, including one repeated full list", "MB"),
+    CostSpec("ready_ms", "gateway", _HOSTS, "time from start to ready", "ms"),
+    CostSpec("idle_ms_per_s", "gateway", _HOSTS, "CPU per second when idle", "ms/s"),
     *_list_specs(),
     _first_list_spec("whole_first_stop_ms", "list"),
     *_subset_specs(),
-    CostSpec("poll_bytes", "list", _HOSTS, "bytes of a call to discovery that brings nothing", "bytes"),
-    CostSpec("collector_ms", "list", _HOSTS, "the collector's longest full pass while lists and changes come", "ms"),
-    CostSpec("quiet_request_us", "gateway", _REQUESTS, "CPU a request at the plan's rate, nothing changes", "us"),
-    CostSpec("changes_request_us", "gateway", _REQUESTS, "the same, 5 hosts change three times a second", "us"),
-    CostSpec("rate_request_us", "rate", _REQUESTS, "CPU a request before 200 hosts", "us"),
-    CostSpec("quiet_p99_added_ms", "gateway", _REQUESTS, "p99 added, nothing changes", "ms"),
-    CostSpec("changes_p99_added_ms", "gateway", _REQUESTS, "p99 added, 5 hosts change three times a second", "ms"),
-    CostSpec("quiet_p99_direct_ms", "gateway", _REQUESTS, "p99 of the same sent to the hosts directly", "ms"),
-    CostSpec(
-        "changes_p99_direct_ms", "gateway", _REQUESTS, "p99 sent directly meanwhile, while 5 hosts change", "ms"
-    ),
-    CostSpec("quiet_refused", "gateway", _REQUESTS, "share of requests not served, nothing changes", "share"),
-    CostSpec("changes_refused", "gateway", _REQUESTS, "the same, 5 hosts change three times a second", "share"),
-    CostSpec("presence_datagrams_per_s", "presence", _PEERS, "presence, datagrams a second", "/s"),
-    CostSpec("presence_bytes_per_s", "presence", _PEERS, "presence, bytes a second", "bytes/s"),
-    CostSpec("presence_ms_per_s", "presence", _PEERS, "presence, CPU a second", "ms/s"),
-    CostSpec("presence_kib", "presence", _PEERS, "sharing, memory", "KiB"),
-    CostSpec("news_all_ms", "news", _PEERS, "until all gateways doubt a host that fails", "ms"),
-    CostSpec("news_bytes_per_s", "news", _PEERS, "sharing, bytes a second meanwhile", "bytes/s"),
-    CostSpec(
-        "duties_datagrams_per_s", "duties", _PEERS, "duties, datagrams a second of all gateways, 8 cold hosts", "/s"
-    ),
-    CostSpec(
-        "duties_bytes_per_s", "duties", _PEERS, "duties, bytes a second of all gateways, 8 hosts cold", "bytes/s"
-    ),
-    CostSpec("duties_ms_per_s", "duties", _PEERS, "duties, CPU a second of one gateway, 8 hosts cold", "ms/s"),
-    CostSpec("relay_take_ms", "relay", _RELAY, "CPU of a whole list taken", "ms"),
-    CostSpec("relay_take_stop_ms", "relay", _RELAY, "longest step by a whole list taken", "ms"),
-    CostSpec("relay_whole_cpu_ms", "relay", _RELAY, "CPU of one gateway's whole subset", "ms"),
-    CostSpec("relay_whole_bytes", "relay", _RELAY, "bytes of the largest whole subset", "bytes"),
-    CostSpec("relay_kept_mb", "relay", _RELAY, "memory of the list and of what each gateway has", "MB"),
-    CostSpec("relay_change_1_cpu_ms", "relay", _RELAY, "CPU of a host back, all its gateways told", "ms"),
-    CostSpec("relay_change_1_stop_ms", "relay", _RELAY, "longest step by a host back", "ms"),
-    CostSpec("relay_change_1_bytes", "relay", _RELAY, "bytes out of a host back, all its gateways", "bytes"),
-    CostSpec("relay_change_1_bytes_most", "relay", _RELAY, "the same, the gateway that is told most", "bytes"),
-    CostSpec("relay_change_zone_cpu_ms", "relay", _RELAY, "CPU of a zone back, all its gateways told", "ms"),
-    CostSpec("relay_change_zone_stop_ms", "relay", _RELAY, "longest step by a zone back", "ms"),
-    CostSpec("relay_change_zone_bytes", "relay", _RELAY, "bytes out of a zone back, all its gateways", "bytes"),
-    CostSpec("relay_change_zone_bytes_most", "relay", _RELAY, "the same, the gateway that is told most", "bytes"),
+    CostSpec("poll_bytes", "list", _HOSTS, "bytes of a poll of discovery that returns no change", "bytes"),
+    CostSpec(
+        "collector_ms", "list", _HOSTS, "longest full garbage collection while lists and changes are applied", "ms"
+    ),
+    CostSpec("quiet_request_us", "gateway", _REQUESTS, "CPU per request at the plan's rate, no host changes", "us"),
+    CostSpec(
+        "changes_request_us",
+        "gateway",
+        _REQUESTS,
+        "CPU per request at the plan's rate, 5 hosts change three times per second",
+        "us",
+    ),
+    CostSpec("rate_request_us", "rate", _REQUESTS, "CPU per request with 200 hosts", "us"),
+    CostSpec("quiet_p99_added_ms", "gateway", _REQUESTS, "p99 added, no host changes", "ms"),
+    CostSpec("changes_p99_added_ms", "gateway", _REQUESTS, "p99 added, 5 hosts change three times per second", "ms"),
+    CostSpec(
+        "quiet_p99_direct_ms", "gateway", _REQUESTS, "p99 of requests sent directly to hosts, no host changes", "ms"
+    ),
+    CostSpec(
+        "changes_p99_direct_ms",
+        "gateway",
+        _REQUESTS,
+        "p99 of requests sent directly to hosts, 5 hosts change three times per second",
+        "ms",
+    ),
+    CostSpec("quiet_refused", "gateway", _REQUESTS, "share of requests not served, no host changes", "share"),
+    CostSpec(
+        "changes_refused",
+        "gateway",
+        _REQUESTS,
+        "share of requests not served, 5 hosts change three times per second",
+        "share",
+    ),
+    CostSpec("presence_datagrams_per_s", "presence", _PEERS, "gossip, datagrams per second", "/s"),
+    CostSpec("presence_bytes_per_s", "presence", _PEERS, "gossip, bytes per second", "bytes/s"),
+    CostSpec("presence_ms_per_s", "presence", _PEERS, "gossip, CPU per second", "ms/s"),
+    CostSpec("presence_kib", "presence", _PEERS, "gossip, memory", "KiB"),
+    CostSpec("news_all_ms", "news", _PEERS, "time until all gateways suspect a failing host", "ms"),
+    CostSpec("news_bytes_per_s", "news", _PEERS, "gossip, bytes per second while the suspicion spreads", "bytes/s"),
+    CostSpec(
+        "duties_datagrams_per_s",
+        "duties",
+        _PEERS,
+        "leases, datagrams per second of all gateways, 8 hosts in slow start",
+        "/s",
+    ),
+    CostSpec(
+        "duties_bytes_per_s",
+        "duties",
+        _PEERS,
+        "leases, bytes per second of all gateways, 8 hosts in slow start",
+        "bytes/s",
+    ),
+    CostSpec(
+        "duties_ms_per_s", "duties", _PEERS, "leases, CPU per second of one gateway, 8 hosts in slow start", "ms/s"
+    ),
+    CostSpec("relay_take_ms", "relay", _RELAY, "CPU to apply a full list", "ms"),
+    CostSpec("relay_take_stop_ms", "relay", _RELAY, "longest step while a full list is applied", "ms"),
+    CostSpec("relay_whole_cpu_ms", "relay", _RELAY, "CPU to create one gateway's full subset", "ms"),
+    CostSpec("relay_whole_bytes", "relay", _RELAY, "bytes of the largest full subset", "bytes"),
+    CostSpec("relay_kept_mb", "relay", _RELAY, "memory of the list and of the subset sent to each gateway", "MB"),
+    CostSpec(
+        "relay_change_1_cpu_ms",
+        "relay",
+        _RELAY,
+        "CPU to apply a host's return and send it to the relay's gateways",
+        "ms",
+    ),
+    CostSpec("relay_change_1_stop_ms", "relay", _RELAY, "longest step during a host's return", "ms"),
+    CostSpec(
+        "relay_change_1_bytes", "relay", _RELAY, "bytes sent to the relay's gateways for a host's return", "bytes"
+    ),
+    CostSpec(
+        "relay_change_1_bytes_most",
+        "relay",
+        _RELAY,
+        "bytes sent for a host's return to the gateway that receives the most",
+        "bytes",
+    ),
+    CostSpec(
+        "relay_change_zone_cpu_ms",
+        "relay",
+        _RELAY,
+        "CPU to apply a zone's return and send it to the relay's gateways",
+        "ms",
+    ),
+    CostSpec("relay_change_zone_stop_ms", "relay", _RELAY, "longest step during a zone's return", "ms"),
+    CostSpec(
+        "relay_change_zone_bytes", "relay", _RELAY, "bytes sent to the relay's gateways for a zone's return", "bytes"
+    ),
+    CostSpec(
+        "relay_change_zone_bytes_most",
+        "relay",
+        _RELAY,
+        "bytes sent for a zone's return to the gateway that receives the most",
+        "bytes",
+    ),
     *_reload_specs("tenants"),
     *_reload_specs("classes"),
-    CostSpec("routes_kib", "routes", _SETTINGS, "state that routes would need", "KiB", is_estimate=True),
+    CostSpec("routes_kib", "routes", _SETTINGS, "memory that routes would need", "KiB", is_estimate=True),
     CostSpec("routes_bytes", "routes", _SETTINGS, "bytes of a file of routes", "bytes", is_estimate=True),
-    CostSpec("services_kib", "services", _SETTINGS, "state that services would need", "KiB", is_estimate=True),
-    CostSpec("relayed_p99_added_ms", "relayed", _REQUESTS, "p99 added behind a relay, nothing changes", "ms"),
+    CostSpec("services_kib", "services", _SETTINGS, "memory that services would need", "KiB", is_estimate=True),
+    CostSpec("relayed_p99_added_ms", "relayed", _REQUESTS, "p99 added behind a relay, no host changes", "ms"),
     CostSpec(
         "relayed_changes_p99_added_ms",
         "relayed",
         _REQUESTS,
-        "the same, hosts are restarted at ten times the day's rate of the whole fleet",
+        "p99 added behind a relay, hosts are restarted at ten times the whole fleet's rate of an ordinary day",
+        "ms",
+    ),
+    CostSpec(
+        "relayed_p99_direct_ms",
+        "relayed",
+        _REQUESTS,
+        "p99 of requests sent directly to hosts meanwhile, no host changes",
+        "ms",
+    ),
+    CostSpec(
+        "relayed_changes_p99_direct_ms",
+        "relayed",
+        _REQUESTS,
+        "p99 of requests sent directly to hosts meanwhile, hosts are restarted",
         "ms",
     ),
-    CostSpec("relayed_p99_direct_ms", "relayed", _REQUESTS, "p99 sent directly meanwhile, nothing changes", "ms"),
-    CostSpec("relayed_changes_p99_direct_ms", "relayed", _REQUESTS, "the same, hosts are restarted", "ms"),
     CostSpec(
         "relayed_refused",
         "relayed",
         _REQUESTS,
-        "share of requests not served behind a relay, nothing changes",
+        "share of requests not served behind a relay, no host changes",
+        "share",
+    ),
+    CostSpec(
+        "relayed_changes_refused",
+        "relayed",
+        _REQUESTS,
+        "share of requests not served behind a relay, hosts are restarted",
         "share",
     ),
-    CostSpec("relayed_changes_refused", "relayed", _REQUESTS, "the same, hosts are restarted", "share"),
 )
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -6,9 +6,9 @@
 Simulated gateways (simulated_gateways.py), several per process, run beside real gateways that serve the plan's load.
 The emulated discovery service, hosts and clients surround them. Control-plane relays stand between the gateways and
 discovery, 12 by default (`--relays 0`: each gateway calls discovery and holds the whole list). The run measures three
-sizes a decade apart. The largest is as close to the plan's as memory and `--cores` allow, and the run prints what
-limits it. `--near`: gateways are configured with the relays of their own region only. `--small` is for CI: one size
-without relays and one with four regional relays, in under a minute.
+sizes, each ten times the previous one. The largest is as close to the plan's as memory and `--cores` allow, and the
+run prints what limits it. `--near`: gateways are configured with the relays of their own region only. `--small` is
+for CI: one size without relays and one with four regional relays, in under a minute.
 
 One clock measures how long a change at discovery takes to reach the LAST gateway that must receive it (a gateway that
 holds the hosts; for hosts that return, one that held them before), the bytes and calls at the simulated gateways'
--- a/benchmarks/capacity/run_discovery.py
+++ b/benchmarks/capacity/run_discovery.py
@@ -44,7 +44,7 @@
         raise_descriptor_limit()
         self.partitioned_registry = PartitionedRegistry({})
         self.addresses: dict[str, Address] = {}
-        self.views: dict[str, RegistryListener] = {}
+        self.listener_by_group: dict[str, RegistryListener] = {}
         self.delivery_allowed: dict[str, asyncio.Event] = {}
         self.stall_meter = StallMeter()
 
@@ -65,23 +65,23 @@
         for host, port in zip(simulated_fleet.hosts, host_ports(simulated_fleet, order["ports"]), strict=True):
             self.addresses[host.name] = ("127.0.0.1", port)
             self.partitioned_registry.add_entry(Entry(host.name, host.zone, "m", 0, 0, service=host.service))
-        bodies = {
+        cache_by_half = {
             name: ResponseCache(half.registry, self.addresses.get)
             for name, half in self.partitioned_registry.halves.items()
         }
-        for encoded in bodies.values():
-            encoded.get_body(None)
+        for cache in cache_by_half.values():
+            cache.get_body(None)
         for group in order["groups"]:
             self.delivery_allowed[group] = asyncio.Event()
             self.delivery_allowed[group].set()
-            half_name = group if group in bodies else order["halves"][0]
+            half_name = group if group in cache_by_half else order["halves"][0]
             registry = self.partitioned_registry.halves[half_name].registry
-            self.views[group] = await registry.open_listener(
-                group, self.addresses.get, self.delivery_gate(group), bodies[half_name]
+            self.listener_by_group[group] = await registry.open_listener(
+                group, self.addresses.get, self.delivery_gate(group), cache_by_half[half_name]
             )
         gc.collect()
         gc.freeze()  # the fleet lives as long as the process, so collections skip it
-        return {"addresses": {group: view.address for group, view in self.views.items()}}
+        return {"addresses": {group: listener.address for group, listener in self.listener_by_group.items()}}
 
     def delivery_gate(self, group: str) -> Any:
         """A function that waits while responses to this group are held back."""
@@ -99,7 +99,7 @@
         return {"at_us": at_us}
 
     async def set_outage(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Let calls fail with "503", "reset" or "silent"; "" ends the outage."""
+        """Let calls fail in the mode "503", "reset" or "silent"; "" ends the outage."""
         for half in self.partitioned_registry.halves.values():
             await half.registry.set_outage_mode(order["how"])
         return {"at_us": clock_us()}
@@ -128,10 +128,11 @@
         """Counts since the start, by group, and the longest stall since the last call."""
         counts = {
             group: {
-                "calls": view.counts.requests, "wholes": view.counts.full_lists, "came": view.counts.received_bytes,
-                "sent": view.counts.sent_bytes, "open": len(view.connection_tasks),
+                "calls": listener.counts.requests, "wholes": listener.counts.full_lists,
+                "came": listener.counts.received_bytes, "sent": listener.counts.sent_bytes,
+                "open": len(listener.connection_tasks),
             }
-            for group, view in self.views.items()
+            for group, listener in self.listener_by_group.items()
         }  # fmt: skip
         return {
             "at_us": clock_us(),
--- a/benchmarks/capacity/run_load.py
+++ b/benchmarks/capacity/run_load.py
@@ -2,8 +2,8 @@
 
 All run in this process and use one clock. Each listener emulates a rack of hosts. It keeps responding after its rack
 has left, so that attempts that reach it too late are seen. The latency that the gateways add is the client's time
-less the host's own time, for each request. A few requests go directly to hosts and show how much of it is the
-emulator's own.
+less the host's own time, for each request. A few requests go directly to hosts and show how much of that latency
+the emulator itself adds.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
 from standins.parties.network import Address, Network
 from standins.site import CLASSES, BackendType, Rules
 
-# Share of the request class's work: a host computes for about a millisecond, and its waits are as usual.
+# Work that a request announces, as a share of its class's work: a host computes for about a millisecond, and its
+# waits are unchanged.
 COST_HINT_SHARE: Final = 0.02
 BACKEND_KIND: Final = BackendType(
     cores=64,
@@ -55,8 +56,8 @@
 DIRECT_REQUESTS_PER_S: Final = 40.0  # requests that bypass the gateways
 READ_BYTES: Final = 64 * 1024
 RECORDED_EVENTS: Final = (RequestSent, ResponseReceived, ResponseMissing, BackendAttempt, ProcessEvent)
-CHANGE_NOTICE_US: Final = 6_000_000  # by then gateways must follow a change, whatever fails (the terms in force)
-LATE_SEND_GRACE_US: Final = 1_000_000  # after that no attempt may reach a host that leaves
+CHANGE_NOTICE_US: Final = 6_000_000  # the operators' limit: gateways follow a change by then, whatever fails
+LATE_SEND_GRACE_US: Final = 1_000_000  # additional time, after which no attempt may reach a host that leaves
 _EVENT_LOG_OFFSET_US: Final = now_us() - clock_us()  # the event log's clock minus the run's clock
 
 
@@ -99,7 +100,7 @@
 
 
 class CountingProxy:
-    """Forwards a gateway's connections to the server of its lists, and counts calls and bytes."""
+    """Forwards a gateway's connections to discovery or to a relay, and counts calls and bytes."""
 
     def __init__(self, target: Address, traffic: Traffic) -> None:
         self.target, self.traffic = target, traffic
--- a/benchmarks/capacity/run_steps.py
+++ b/benchmarks/capacity/run_steps.py
@@ -17,8 +17,8 @@
 from benchmarks.capacity.run_processes import clock_us
 from benchmarks.capacity.run_environment import RelayProcess, Environment, delayed_change_id
 
-CHANGE_LIMIT_S: Final = 1.0  # until a change is at the last gateway
-WORST_CHANGE_LIMIT_S: Final = 4.0  # the same in the worst second, and for a configuration
+CHANGE_LIMIT_S: Final = 1.0  # until a change has reached the last gateway
+PEAK_CHANGE_LIMIT_S: Final = 4.0  # the same in the peak second, and for a change of configuration
 CHANGES_PER_RESTART: Final = 3  # of a host: it drains, is removed and returns
 RESTARTS_PER_S: Final = (PLAN.restarts_per_day + PLAN.failures_per_day) / 86_400
 KILLED_RELAYS: Final = 3  # relays to kill, one after another
@@ -194,7 +194,7 @@
     """Kill relays one at a time, change hosts at once, and start the relay again.
 
     Each kill records how many gateways called the relay, when the last gateway received the change, and the longest
-    stall of a simulated gateways' event loop until then. A gateway in a process of its own has no such stall.
+    stall of an event loop of simulated gateways until then. A gateway in a process of its own has no such stall.
     """
     kills: list[dict[str, Any]] = []
     for relay in environment.relays[:KILLED_RELAYS]:
@@ -314,7 +314,7 @@
         )
         change_ids += [drain, removal, restoration]
         await environment.wait_for_changes(
-            [drain, removal, restoration], within_s=WORST_CHANGE_LIMIT_S, half=changes.half
+            [drain, removal, restoration], within_s=PEAK_CHANGE_LIMIT_S, half=changes.half
         )
     remote_by_half = {
         changes.half: select_remote_hosts(environment, changes.half, half_changes) for changes in half_changes
@@ -322,7 +322,7 @@
     # Last, after the changes that shift windows at that half have been received.
     for half, hosts in remote_by_half.items():
         change_ids.append(await environment.change_hosts(hosts, "SERVING", CHANGED_WEIGHT, half=half))
-        await environment.wait_for_changes(change_ids[-1:], within_s=WORST_CHANGE_LIMIT_S, half=half)
+        await environment.wait_for_changes(change_ids[-1:], within_s=PEAK_CHANGE_LIMIT_S, half=half)
     environment.extra_values |= {
         "had_while_cut": len(environment.delays_s), "missing_while_cut": environment.missing_count,
         "moved_while_cut": environment.moved_count,
@@ -407,15 +407,15 @@
     Step("quiet", run_quiet, 12, small_run_level=2, compared_costs="rates"),
     Step("hour", run_ordinary_hour, 16, CHANGE_LIMIT_S, at_every_size=False, small_run_level=0),
     Step("hour10", run_tenfold_hour, 14, CHANGE_LIMIT_S, at_every_size=False, small_run_level=0),
-    Step("all", change_all_gateways, 6, WORST_CHANGE_LIMIT_S, small_run_level=2),
+    Step("all", change_all_gateways, 6, PEAK_CHANGE_LIMIT_S, small_run_level=2),
     Step("drain", drain_rack, 14, CHANGE_LIMIT_S, at_every_size=False),
     Step("rack", remove_rack, 10, CHANGE_LIMIT_S, at_every_size=False, small_run_level=0),
-    Step("zone", remove_zone, 16, WORST_CHANGE_LIMIT_S, small_run_level=2, compared_costs="bytes"),
-    Step("wave", restart_gateways, 20, WORST_CHANGE_LIMIT_S, small_run_level=2),
-    Step("cut", partition_only, 14, WORST_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
-    Step("down", interrupt_discovery, 14, WORST_CHANGE_LIMIT_S, at_every_size=False),
+    Step("zone", remove_zone, 16, PEAK_CHANGE_LIMIT_S, small_run_level=2, compared_costs="bytes"),
+    Step("wave", restart_gateways, 20, PEAK_CHANGE_LIMIT_S, small_run_level=2),
+    Step("cut", partition_only, 14, PEAK_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
+    Step("down", interrupt_discovery, 14, PEAK_CHANGE_LIMIT_S, at_every_size=False),
     Step("slow", stall_readers, 6, CHANGE_LIMIT_S, at_every_size=False),
     Step("killed", kill_relays_in_turn, 12, CHANGE_LIMIT_S, needs_relays=True),
-    Step("all-killed", kill_all_relays, 10, WORST_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
-    Step("differ", partition_and_restart_relays, 24, WORST_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
+    Step("all-killed", kill_all_relays, 10, PEAK_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
+    Step("differ", partition_and_restart_relays, 24, PEAK_CHANGE_LIMIT_S, at_every_size=False, needs_relays=True),
 )
--- a/benchmarks/capacity/simulated_gateways.py
+++ b/benchmarks/capacity/simulated_gateways.py
@@ -5,8 +5,8 @@
 own, because hundreds share the event loop: stall detection is off, and the garbage collector runs only between steps
 and after many gateways were stopped. The clock's tick, the timers, the connection and the state are a real gateway's.
 
-The measurements are taken here: when a gateway had applied a change, by the run's clock, and the traffic on its
-sockets, counted between its client and the transport. The gateways do not know of it.
+This module records when each gateway has applied a change, by the run's clock, and counts the traffic on its sockets
+between its client and the transport. The gateways' own code takes no part in this.
 
 Orders: `make`, `begin`, `down`, `note`, `expect`, `result`, `holders`, `guard`, `asked`, `stats`, `tidy`.
 """
@@ -70,7 +70,7 @@
 
 
 class CountingTransport:
-    """A transport that counts what is written; everything else is passed through."""
+    """Wraps a transport and counts the calls and bytes written to it; everything else is passed through."""
 
     def __init__(self, transport: asyncio.Transport, counters: TrafficCounters) -> None:
         self.transport, self.counters = transport, counters
@@ -85,7 +85,7 @@
 
 
 class CountingProtocol(asyncio.Protocol):
-    """Stands before a client's protocol and counts what is received."""
+    """Wraps a client's protocol and counts the bytes that it receives."""
 
     def __init__(self, inner: Any, counters: TrafficCounters) -> None:
         self.inner, self.counters = inner, counters
@@ -241,7 +241,7 @@
                 self.mark_received(host_id, at_us)
 
     def mark_received(self, host_id: int, at_us: int) -> None:
-        """The gateway has received the change of this host; record the time if it was the change's last host."""
+        """Note that the gateway has received the change of this host; record the time if no other host is missing."""
         expected, _, _ = self.pending_changes.pop(host_id)
         expected.remaining_by_gateway[self.index] -= 1
         if not expected.remaining_by_gateway[self.index]:
@@ -328,8 +328,8 @@
 
     async def expect_change(self, order: dict[str, Any]) -> dict[str, Any]:
         """Hosts (name, status, weight) are about to change. The gateways that hold them, or that held them at the
-        recording `as`, must receive it. `asking`, a list of ports, limits this to gateways whose last call was to
-        one of the ports, or with `asks` false to all others."""
+        recording `as`, must receive the change. `asking`, a list of ports, limits this to gateways whose last call
+        was to one of the ports, or with `asks` false to all others."""
         change = ExpectedChange({stable_id(name, 4): name for name, _, _ in order["hosts"]})
         target_by_host = {
             stable_id(name, 4): (STATUS_BY_NAME[status], float(weight)) for name, status, weight in order["hosts"]
--- a/benchmarks/capacity/stub_environment.py
+++ b/benchmarks/capacity/stub_environment.py
@@ -9,8 +9,9 @@
     GET /changes?count=5&every_ms=333    change that many hosts at this interval (count 0: stop)
     GET /restarts?every_ms=350           drain, remove and return one host after another, one change at this interval
                                          (0: stop)
-    GET /anew                            start a new version without history: every next response has the whole list
-Whole lists are encoded once, as the cost of this process is not measured.
+    GET /anew                            start a new version without history: each client's next response has the
+                                         whole list
+Whole lists are encoded only once: the cost of encoding in this process is not part of any measurement.
 """
 
 from __future__ import annotations
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
     BudgetLine,
     ScaledFleet,
     evaluate_lines,
-    find_breaking_share,
+    find_share_at_limit,
     mean_subset_hosts,
 )
 from benchmarks.capacity.fit import Curve, fit_curve
@@ -94,12 +94,12 @@
         (Curve("constant", 2.1, 0.0, 0.0), 0.0),
     ],
 )
-def test_breaking_share_of_known_curves(curve: Curve, share: float) -> None:
-    assert find_breaking_share(make_line("x", 2.0), {"x": curve}, False) == pytest.approx(share, rel=0.002)
+def test_share_at_limit_of_known_curves(curve: Curve, share: float) -> None:
+    assert find_share_at_limit(make_line("x", 2.0), {"x": curve}, False) == pytest.approx(share, rel=0.002)
 
 
 def test_line_without_limit_or_curve_has_no_share() -> None:
-    assert find_breaking_share(make_line("x", None), {"x": Curve("constant", 1.0, 0.0, 0.0)}, False) is None
+    assert find_share_at_limit(make_line("x", None), {"x": Curve("constant", 1.0, 0.0, 0.0)}, False) is None
     (figure,) = evaluate_lines({}, False, (make_line("x", 2.0),))
     assert (figure.value, figure.share) == (None, None)
 
--- a/tests/test_capacity_run.py
+++ b/tests/test_capacity_run.py
@@ -294,23 +294,23 @@
     for index in range(3):
         registry.add_entry(Entry(f"s-{index}", "a", "m", 0, 0, service="pay" if index else None))
 
-    async def may_pass() -> None:
+    async def send_at_once() -> None:
         pass
 
     def address_of(name: str) -> tuple[str, int] | None:
         return None if name == "s-2" else ("127.0.0.1", 9_000)
 
-    bodies = ResponseCache(registry, address_of)
-    view = await registry.open_listener("many", address_of, may_pass, bodies)
+    response_cache = ResponseCache(registry, address_of)
+    listener = await registry.open_listener("many", address_of, send_at_once, response_cache)
     try:
-        yield registry, view, bodies
+        yield registry, listener, response_cache
     finally:
         registry.close()
 
 
-async def fetch_instances(view: RegistryListener, query: str = "") -> dict[str, Any]:
-    assert view.address is not None
-    client = Client(*await asyncio.open_connection(*view.address))
+async def fetch_instances(listener: RegistryListener, query: str = "") -> dict[str, Any]:
+    assert listener.address is not None
+    client = Client(*await asyncio.open_connection(*listener.address))
     response = await client.send_request(f"GET /registry/instances{query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
     client.close()
     body: dict[str, Any] = json.loads(response.body)
@@ -319,21 +319,21 @@
 
 @on_loop
 async def test_shared_registry_sends_equal_lists_and_records_no_notifications() -> None:
-    async with open_shared_registry() as (registry, view, bodies):
-        first, second = await fetch_instances(view), await fetch_instances(view)
+    async with open_shared_registry() as (registry, listener, response_cache):
+        first, second = await fetch_instances(listener), await fetch_instances(listener)
         assert first == second and first["snapshot"] is True
         # The third host has no address here.
         assert [entry["name"] for entry in first["endpoints"]] == ["s-0", "s-1"]
         assert "service" not in first["endpoints"][0] and first["endpoints"][1]["service"] == "pay"
-        assert bodies.get_body(None) is bodies.get_body(None)
-        assert (view.counts.requests, view.counts.full_lists) == (2, 2) and view.counts.sent_bytes > 400
-        assert not list(registry.event_log.events_of(NotificationDelivered)) and not view.delivered_statuses
+        assert response_cache.get_body(None) is response_cache.get_body(None)
+        assert (listener.counts.requests, listener.counts.full_lists) == (2, 2) and listener.counts.sent_bytes > 400
+        assert not list(registry.event_log.events_of(NotificationDelivered)) and not listener.delivered_statuses
 
 
 @on_loop
 async def test_change_completes_all_watches_with_the_latest_entry_of_each_host() -> None:
-    async with open_shared_registry() as (registry, view, bodies):
-        watches = [asyncio.create_task(fetch_instances(view, "?from=1&hold_ms=20000")) for _ in range(20)]
+    async with open_shared_registry() as (registry, listener, response_cache):
+        watches = [asyncio.create_task(fetch_instances(listener, "?from=1&hold_ms=20000")) for _ in range(20)]
         await wait_until(lambda: len(registry.waiting_watches) == 20)
         entry = registry.entries["s-1"]
         entry.weight = 2.0
@@ -347,16 +347,16 @@
             "s-0": ("DELETED", 1.0), "s-1": ("SERVING", 2.0),
         }  # fmt: skip
         assert not registry.waiting_watches
-        full_list = await fetch_instances(view)
+        full_list = await fetch_instances(listener)
         assert [(listed["name"], listed["weight"]) for listed in full_list["endpoints"]] == [("s-1", 2.0)]
 
 
 @on_loop
 async def test_caller_behind_the_kept_history_gets_a_full_list() -> None:
-    async with open_shared_registry(history=2) as (registry, view, _):
+    async with open_shared_registry(history=2) as (registry, listener, _):
         entry = registry.entries["s-1"]
         for status in ("DRAINING", "SERVING", "DRAINING"):
             registry.apply_changes([(entry, status)])
-        assert (await fetch_instances(view, "?from=1"))["snapshot"] is True
-        delta = await fetch_instances(view, "?from=2")
+        assert (await fetch_instances(listener, "?from=1"))["snapshot"] is True
+        delta = await fetch_instances(listener, "?from=2")
         assert delta["snapshot"] is False and [listed["status"] for listed in delta["endpoints"]] == ["DRAINING"]
