--- a/benchmarks/expiries.py
+++ b/benchmarks/expiries.py
@@ -130,9 +130,9 @@
     )
     print(
         f"last new request after the end of a session: {format_quantiles(last_request_ms)} "
-        f"({sent_after} backends were sent any; {sent_before} were"
+        f"({sent_after} backends were sent one after it; {sent_before}"
     )
-    print("  sent one in the two seconds before)")
+    print("  were sent one in the two seconds before it)")
     print(f"first request after a registration: {format_quantiles(first_request_ms)}")
     print(f"memory of a gateway {max(memory_kib.values()) / 1024:.1f} MiB at most; {len(violations)} violations")
     for violation in violations[:3]:
--- a/benchmarks/guards/__main__.py
+++ b/benchmarks/guards/__main__.py
@@ -5,7 +5,7 @@
 
 Each scenario runs with the guard and without it, with the same seed; each test of a row must fail without its guard.
 Exit code: 0 every removal was detected by every run and test, and nothing was detected with all guards in place; 1
-otherwise; 2 invalid option. A worker for scenario runs uses two to three cores, one for tests a core.
+otherwise; 2 invalid option. A worker for scenario runs uses two to three cores, a worker for tests one core.
 """
 
 from __future__ import annotations
--- a/benchmarks/guards/scripted_tests.py
+++ b/benchmarks/guards/scripted_tests.py
@@ -1,7 +1,7 @@
 """The tests of the table's rows: each must pass with its guard in place and fail with the row's mutants applied.
 
 A test causes one fault on purpose, over sockets or in a pure module, and is deterministic; a scenario run depends on
-its seed. A guard whose removal scenario runs detect with some seeds only has a test instead.
+its seed. If scenario runs detect the removal of a guard only with some seeds, the guard has a test instead.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """The result of a row's tests. `passed_tests` did not detect the mutants; `error` prevented the tests."""
+    """The result of a row's tests. `passed_tests` did not detect the mutants; `error`: why tests could not run."""
 
     row: Row
     passed_tests: tuple[str, ...] = ()
--- a/benchmarks/keeper_size.py
+++ b/benchmarks/keeper_size.py
@@ -1,4 +1,4 @@
-"""Measures hundreds of gateways' sessions at one coordination service: all backends leave; the service fails.
+"""Measures hundreds of gateways' sessions at one coordination service when all backends leave and when it fails.
 
     .venv-dev/bin/python -m benchmarks.keeper_size [--sessions 400] [--boxes 64] [--workers 8]
 
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -86,7 +86,7 @@
 
 def print_table(rows: Sequence[Row], console: Console) -> None:
     """Prints a table with a row for each number of gateways and sharing option."""
-    table = Table(title="the same faults before few and many gateways")
+    table = Table(title="the same faults with few and with many gateways")
     columns = ("gateways", "sharing", "service", "mean", "searches", "p99 transfer", "connections", "errors",
                "given up", "attempts", "CPU us")  # fmt: skip
     for column in columns:
--- a/benchmarks/overload/__main__.py
+++ b/benchmarks/overload/__main__.py
@@ -119,7 +119,7 @@
                 " ".join(f"{name} {rate:.0f}" for name, rate in sorted(rate_by_reason.items(), key=lambda i: -i[1])),
             )  # fmt: skip
         console.print(table)
-        findings_table = Table(title=f"{count} gateways: what is wanted of an overload, by seed")
+        findings_table = Table(title=f"{count} gateways: requirements under overload, by seed")
         for name in ("what", "wanted", "found"):
             findings_table.add_column(name)
         for what in dict.fromkeys(finding.what.partition(" (")[0] for result in runs for finding in result.findings):
--- a/benchmarks/overload/account.py
+++ b/benchmarks/overload/account.py
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, eq=False)
 class HostAttempt:
-    """One completed attempt at a host. A time of 0 means that the attempt never got there."""
+    """One completed attempt at a host. A time of 0 means that the attempt did not reach that state."""
 
     request_id: str
     received_us: int
@@ -143,7 +143,7 @@
     full: float = 0.0  # rate of attempts that full hosts rejected
     cancelled: float = 0.0  # rate of attempts that gateways cancelled
     held: float = 0.0  # mean number of requests at a host
-    choked: float = 0.0  # mean share of the hosts
+    choked: float = 0.0  # mean share of hosts that are choked (standins/parties/overload_model.py)
     shed: float = 0.0  # shed share of cheap requests, mean over the gateways
     shed_dear: float = 0.0  # shed share of all other requests, mean over the gateways
     shed_from: float = 0.0  # shed share of cheap requests, minimum over the gateways
@@ -153,9 +153,9 @@
     reach: float = 0.0  # `useful` relative to what was possible: the offered load, at most all core time
     slowed: float = 0.0  # core time of attempts with good responses, beyond their work and handshakes
     handshake: float = 0.0
-    lost: float = 0.0  # without a good response, while the client waited
-    nobody: float = 0.0  # without a good response, after the client had stopped waiting
-    copy: float = 0.0  # the client's response came from another attempt
+    lost: float = 0.0  # core time without a good response, while the client waited
+    nobody: float = 0.0  # core time without a good response, after the client had stopped waiting
+    copy: float = 0.0  # core time of attempts whose client got its response from another attempt
     idle: float = 1.0
     begun_for_nobody: float = 0.0  # rate of attempts that started after their client had stopped waiting
     stretch: float = 0.0  # excess of actual over planned core time, relative
@@ -171,16 +171,16 @@
     """Return why the machine may have been the limit; empty if it was not."""
     machine, reasons = row.machine, []
     if row.stretch > MAX_STRETCH:
-        reasons.append(f"hosts' cores took {row.stretch:.1%} longer than planned, {MAX_STRETCH:.0%} at the most")
+        reasons.append(f"hosts' cores took {row.stretch:.1%} longer than planned; the limit is {MAX_STRETCH:.0%}")
     if machine.own > MAX_PROCESS_SHARE:
         reasons.append(
-            f"the stand-ins' process used {machine.own:.0%} of a processor, {MAX_PROCESS_SHARE:.0%} at the most"
+            f"the stand-ins' process used {machine.own:.0%} of a processor; the limit is {MAX_PROCESS_SHARE:.0%}"
         )
     if machine.gateway > MAX_PROCESS_SHARE:
-        reasons.append(f"a gateway used {machine.gateway:.0%} of a processor, {MAX_PROCESS_SHARE:.0%} at the most")
+        reasons.append(f"a gateway used {machine.gateway:.0%} of a processor; the limit is {MAX_PROCESS_SHARE:.0%}")
     if machine.waited_us > MAX_PROCESSOR_WAIT_US:
         reasons.append(
-            f"a process waited {machine.waited_us:.0f} us for a processor, {MAX_PROCESSOR_WAIT_US} at the most"
+            f"a process waited {machine.waited_us:.0f} us for a processor; the limit is {MAX_PROCESSOR_WAIT_US} us"
         )
     return reasons
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -2,11 +2,11 @@
 
     .venv-dev/bin/python -m benchmarks.relay [--rounds 7] [--requests 12000] [--clients 24] [--klass search]
 
-Each runs as a process, with five or more cores on a core of its own. Its CPU time is read from the kernel
-(/proc/PID/schedstat, nanoseconds on a core) before and after each round. Printed: CPU microseconds per request for
-each process and the ratio in each round, then the median, minimum and maximum of the ratio. There are few clients and
-the hosts are slow, so that the gateway's core is about half idle: a gateway whose core is always busy responds late,
-and sheds requests because of that.
+Each runs in a process of its own, which is bound to one core if the machine has five or more. The CPU time is read
+from the kernel (/proc/PID/schedstat, nanoseconds on a core) before and after each round. Printed: CPU microseconds
+per request for each process and the ratio in each round, then the median, minimum and maximum of the ratio. There are
+few clients and the hosts are slow, so that the gateway's core is about half idle: a gateway whose core is always busy
+responds late, and sheds requests because of that.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Host(asyncio.Protocol):
-    """A host that sends the same response, after a delay, to all data received; each piece must end a request."""
+    """A host that sends the same response, after a delay, to each piece of data; each piece must be one request."""
 
     response_delay_s = 0.0
 
--- a/benchmarks/relay_schedules.py
+++ b/benchmarks/relay_schedules.py
@@ -51,6 +51,8 @@
 LIMIT_MARGIN_MS = 40
 FLAP_PHASES, FLAP_PHASE_MS = 6, 150  # a flapping link is cut and healed in turn
 MAX_TIME_MS = 120_000  # of an event in a schedule given as text
+# A link connects a gateway to a relay, a feed connects a relay to its discovery. `anew`: discovery restarts at
+# version 1.
 FAULT_WEIGHTS: Final = {
     "stop-relay": 5.0, "kill-relay": 4.0, "stop-gateway": 2.0, "cut-link": 3.0, "cut-feed": 4.0, "flap-link": 1.0,
     "flap-feed": 1.0, "discovery": 3.0, "anew": 1.0, "roster": 1.0,
@@ -395,7 +397,7 @@
     async def wait_until_settled(self) -> str:
         """Wait until each gateway uses exactly the hosts that serve; return the violation if it does not, else ""."""
         fleet = self.fleet
-        fleet.note("all is healed")
+        fleet.note("all faults are healed")
         serving = [int(e.name[2:]) for e in fleet.discovery.entries.values() if e.status == "SERVING"]
         expected = {(gateway, host) for gateway in range(GATEWAYS) for host in serving}
         end = time.monotonic() + SETTLE_TIMEOUT_S
@@ -408,7 +410,7 @@
                 return ""
             if time.monotonic() > end:
                 differences = ", ".join(f"n{g} s-{h}" for g, h in sorted(used ^ expected))
-                return f"{SETTLE_TIMEOUT_S:g} s after all is healed, wrongly used or not used: {differences}"
+                return f"{SETTLE_TIMEOUT_S:g} s after all faults are healed, wrongly used or not used: {differences}"
 
 
 async def run_schedule(schedule: Schedule, folder: Path) -> ScheduleResult:
--- a/benchmarks/steadiness.py
+++ b/benchmarks/steadiness.py
@@ -1,7 +1,7 @@
 """Runs the test suite repeatedly under several conditions and reports tests that do not pass every time.
 
     .venv-dev/bin/python -m benchmarks.steadiness [--runs 20] [--under free,one,busy,disk,shuffled] [--json FILE]
-        [--logs FOLDER] [--build plain|compiled] [-- words of pytest]
+        [--logs FOLDER] [--build plain|compiled] [-- arguments of pytest]
     .venv-dev/bin/python -m benchmarks.steadiness --guards [--runs 20] [--only NAME,...]
 
 Conditions: `free`, nothing else runs; `one`, all tests on one core; `half`, busy loops on half of the cores; `busy`,
@@ -9,7 +9,7 @@
 tests for each run. Without pytest arguments, all tests are run. The log of a failed run is kept. `--guards` runs
 the rows of benchmarks/guards instead: the tests of a row must fail every time when its guard is removed.
 
-Exit code: 0 if every test passed, or every guard was found, in every run; 1 otherwise; 2 if an option is invalid.
+Exit code: 0 if every test passed, or every mutant was detected, in every run; 1 otherwise; 2 if an option is invalid.
 A run that takes longer than 20 minutes is killed and counts as failed.
 """
 
@@ -143,7 +143,7 @@
 
 
 def measure_guards(only: str, runs: int, console: Console) -> int:
-    """Runs each row this often; returns the number of rows not found every time plus that of runs with an error."""
+    """Runs each row this often; returns the number of rows not always detected plus that of runs with an error."""
     rows = select_rows(only, False, None)
     missed_counts: Counter[str] = Counter()
     error_count = 0
@@ -153,13 +153,13 @@
         missed_counts.update(verdict.row.name for verdict in missed)
         error_count += bool(error)
         console.print(
-            f"guards {number}: {len(verdicts) - len(missed)} of {len(verdicts)} found {error}", markup=False
+            f"guards {number}: {len(verdicts) - len(missed)} of {len(verdicts)} detected {error}", markup=False
         )
         for verdict in missed:
             console.print(f"  {verdict.row.name}: {verdict.error or verdict.passed_tests}", markup=False)
     for name, count in missed_counts.most_common():
-        console.print(f"{name}: found in {runs - count} of {runs}", markup=False)
-    console.print(f"{len(rows) - len(missed_counts)} of {len(rows)} guards found in each of {runs} runs")
+        console.print(f"{name}: detected in {runs - count} of {runs}", markup=False)
+    console.print(f"{len(rows) - len(missed_counts)} of {len(rows)} removed guards detected in each of {runs} runs")
     return len(missed_counts) + error_count
 
 
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -194,7 +194,7 @@
         return server, known_servers[server].entry.started_us if server in known_servers else 0
 
     def draw_fleet_event(self) -> Event:
-        """Draw an event that reports the state of other gateways or of other processes of this one."""
+        """Draw an event that reports the state of other gateways, or of other processes of this gateway."""
         rng = self.rng
         random_value = rng.random()
         if random_value < 0.8:
