--- a/cloverkeel/leases/quorum_lease.py
+++ b/cloverkeel/leases/quorum_lease.py
@@ -140,7 +140,7 @@
         return self.on_round_failed(now_us, max(held, default=0))
 
     def on_round_failed(self, now_us: int, remaining_us: int) -> list[Action]:
-        """Retry a handover at once, otherwise back off; `remaining_us`: until another gateway's lease expires, or 0."""
+        """Retry a handover at once, else back off; `remaining_us`: until another gateway's lease expires, or 0."""
         self.failed_attempts += 1
         actions: list[Action] = []
         if self.is_proposing:
