--- a/benchmarks/capacity/run_environment.py
+++ b/benchmarks/capacity/run_environment.py
@@ -361,9 +361,10 @@
         return note_id
 
     async def watch_ended_hosts(self, names: Sequence[str], holders_of: str) -> list[str]:
-        """From now on, a gateway that held one of these hosts at the recording `holders_of` must not receive it as
-        serving once it has received its end. Without names nothing is watched any more. Returns the names of the
-        gateways that received such a stale update since the last call."""
+        """Watch for stale updates to the gateways that held these hosts at the recording `holders_of`; replaces any
+        earlier watch, and empty `names` end it. After a gateway was told that a host drains or is gone, an update
+        that lists the host as serving is stale. Returns the names of the gateways that received a stale update since
+        the last call."""
         responses = await self.order_workers("guard", id=holders_of, names=list(names))
         gateways = sorted({gateway for response in responses for gateway, _ in response["undone"]})
         return [self.fleet.gateways[index].name for index in gateways]
--- a/cloverkeel/balancing/request_lifecycle.py
+++ b/cloverkeel/balancing/request_lifecycle.py
@@ -170,7 +170,11 @@
         self.sender.cancel_attempts(request, event.attempt)
 
     def on_timer_fired(self, now_us: int, token: int) -> None:
-        """Handle a request's timer: an attempt is overdue, its key is unblocked, or it was queued for too long."""
+        """Handle the expiry of a request's timer.
+
+        One of its attempts is overdue, the delay before the next request with the same key is over, or the request
+        was queued for too long.
+        """
         request = self.timers.pop(token)
         if request is None:
             return
--- a/cloverkeel/balancing/slow_start_budget.py
+++ b/cloverkeel/balancing/slow_start_budget.py
@@ -39,7 +39,10 @@
 
 
 class SlowStartBudget:
-    """Decide which requests may be sent to a server while it warms up, and afterwards until it is settled."""
+    """Decide which requests may be sent to a server during its configured warm-up and for the same time afterwards.
+
+    The server counts as settled only after that second period, in case warming takes longer than configured.
+    """
 
     def __init__(
         self, settings: Settings, rng: random.Random, subset: Subset, latency: LatencyModel, work: WorkModel
--- a/cloverkeel/control_plane/http_server.py
+++ b/cloverkeel/control_plane/http_server.py
@@ -1,13 +1,14 @@
-"""The relay's HTTP server: connections, routes, and updates from discovery's lists and rosters.
+"""The relay's HTTP server: connections, routes, and updates from discovery's lists and the roster file of gateways.
 
 Invariants:
 - a relay without a snapshot answers 503, never an empty list;
 - the number of connections is limited, and so is the time that a client may take for its next step;
-- the garbage collector does not block the loop. A scan collects the objects created since the last scan only if they
-  are few, and then freezes them. Requests leave no reference cycles, which a test checks. A full collection with the
-  objects of 400 gateways would take 190 ms;
-- long work is done incrementally, and requests are answered between the steps: responses of more than
-  MAX_SINGLE_STEP_BYTES, one after another; the full list; a new roster, which takes effect in a single step.
+- the garbage collector does not block the loop. The periodic check of the clients' deadlines (`_scan`) also collects
+  the objects created since the previous check, but only if they are few, and then freezes them. Requests leave no
+  reference cycles, which a test checks. A full collection with the objects of 400 gateways would take 190 ms;
+- long work is done in steps, and requests are answered in between: sending responses of more than
+  MAX_SINGLE_STEP_BYTES, one after another; applying long lists; building the full list; preparing a new roster. The
+  switch to a prepared roster is a single step, so that it takes effect for all clients at once.
 """
 
 from __future__ import annotations
--- a/cloverkeel/discovery/ejection_filter.py
+++ b/cloverkeel/discovery/ejection_filter.py
@@ -24,7 +24,10 @@
 
 
 class EjectionFilter:
-    """A wrapper of an endpoint source (`EndpointSource` in core/ports.py, `MovableSource` in core/reload.py)."""
+    """Endpoint source that forwards another source's lists, changed by the operators' manual ejections of hosts.
+
+    It implements `EndpointSource` in core/ports.py and `MovableSource` in core/reload.py.
+    """
 
     def __init__(self, source: MovableSource) -> None:
         self.source = source
--- a/standins/checker/duplicates.py
+++ b/standins/checker/duplicates.py
@@ -1,8 +1,9 @@
 """Check that no request takes effect twice.
 
 An unsafe request may be sent again only if each earlier attempt was rejected or was not received completely. A
-request with an idempotency key may be sent again only to the same group and within the idempotency window. A request
-of either kind that may have run must not be answered with 429 or 503, because clients repeat refused requests.
+request with an idempotency key that may have run may be sent again only within the idempotency window, and only to a
+backend of the same group: the backends of a group share the idempotency keys that they have run. A request of either
+kind that may have run must not be answered with 429 or 503, because clients repeat refused requests.
 """
 
 from __future__ import annotations
--- a/tests/balancing/test_repeated_ids.py
+++ b/tests/balancing/test_repeated_ids.py
@@ -253,7 +253,9 @@
             await asyncio.gather(*map(send_requests, range(8)))
             for host in (host_a, host_b, host_c):
                 seen = len(host.exchanges)
-                while len(host.exchanges) == seen:  # until the host gets a request: it does not count as silent
+                # Ends when the host receives a request; one that counts as silent would receive none, and the test
+                # would time out.
+                while len(host.exchanges) == seen:
                     await run.send_request(request(budget_ms=2_000))
             await wait_until(lambda: not run.gateway.requests.by_key)
             assert not run.gateway.requests.by_client_id
--- a/tests/discovery/test_incremental_reading.py
+++ b/tests/discovery/test_incremental_reading.py
@@ -130,7 +130,8 @@
         self.discovery: HttpEndpointSource = self.program.discovery
         if isinstance(self.discovery, RelayEndpointSource):
             self.discovery.selector.choose(0.0)
-            # In the future, so that all permissions are newer than any restriction
+            # In the future, so that every reply counts as newer than any drain or removal read before, and all its
+            # SERVING entries apply
             self.discovery.requested_s = asyncio.get_running_loop().time() + 60.0
         self.notified: list[tuple[ListKind, list[Any]]] = []
         on_list = self.discovery.on_list
@@ -229,7 +230,7 @@
     )
 
 
-# Suspension of the reader
+# When the parsing of a reply yields to the event loop
 
 
 class SlowClient(PollingClient):
